--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -1,24 +1,24 @@
 package org.mallowroad.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.HoldCodec;
+import org.mallowroad.wire.DependencyCodec;
 
 /** Takes users' requests to cancel a job; nobody is told before the end record is committed. */
 final class CancelRequests {
   private static final int MOST_RETRIES = 2;
 
-  private final Loop loop;
-  private final StateStore state;
+  private final EventLoop loop;
+  private final KeyValueStore state;
   private final JobLookup lookup;
-  private final Budget writes;
+  private final RateLimiter writes;
 
-  CancelRequests(Loop loop, StateStore state, JobLookup lookup, Budget writes) {
+  CancelRequests(EventLoop loop, KeyValueStore state, JobLookup lookup, RateLimiter writes) {
     this.loop = loop;
     this.state = state;
     this.lookup = lookup;
@@ -26,11 +26,11 @@
   }
 
   /** POST /v1/jobs/{id}/withdraw. */
-  void cancel(Answerer x, String id) {
+  void cancel(Responder x, String id) {
     cancel(x, id, 0);
   }
 
-  private void cancel(Answerer x, String id, int retries) {
+  private void cancel(Responder x, String id, int retries) {
     lookup.read(
         id,
         new JobLookup.RecordListener() {
@@ -56,14 +56,14 @@
         });
   }
 
-  private void commit(Answerer x, String id, JsonNode value, long mark, int retries) {
-    Txn txn =
-        new Txn()
+  private void commit(Responder x, String id, JsonNode value, long mark, int retries) {
+    Transaction txn =
+        new Transaction()
             .given(Records.open(id), mark)
             .given(Records.end(id), 0)
             .put(Records.end(id), Records.endValue(false, 0, value))
             .delete(Records.open(id));
-    if (value.path("job").has(HoldCodec.HOLDS)) {
+    if (value.path("job").has(DependencyCodec.HOLDS)) {
       txn.delete(Records.held(id)).delete(Records.release(id));
     }
     writes.force(txn.writes(), loop.now());
--- a/src/main/java/org/mallowroad/api/FoldBlocks.java
+++ b/src/main/java/org/mallowroad/api/FoldBlocks.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** Blocks of games as they are in the state service, with their versions. */
@@ -24,14 +24,14 @@
 
   private static final int MOST_BYTES = 44 * 1024;
 
-  private final StateStore state;
+  private final KeyValueStore state;
   private final int ops;
   private final Map<BlockKey, Block> blocks = new TreeMap<>();
   private final Map<BlockKey, Long> marks = new HashMap<>();
   private String wrong;
 
   /** Of transactions with at most {@code ops} puts and deletes. */
-  FoldBlocks(StateStore state, int ops) {
+  FoldBlocks(KeyValueStore state, int ops) {
     this.state = state;
     this.ops = ops;
   }
@@ -80,19 +80,19 @@
     more[0].run();
   }
 
-  private boolean take(BlockKey k, StateStore.Item item) {
+  private boolean take(BlockKey k, KeyValueStore.VersionedValue item) {
     try {
       blocks.put(k, FoldCodec.decode(item.value()));
       marks.put(k, item.mark());
       return true;
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       wrong = "block " + Records.fold(k) + " cannot be read: " + e.getMessage();
       return false;
     }
   }
 
   /** Writes blocks under their marks. */
-  void write(Txn txn, Map<BlockKey, Block> some) {
+  void write(Transaction txn, Map<BlockKey, Block> some) {
     some.forEach(
         (k, b) -> {
           txn.given(Records.fold(k), marks.get(k));
--- a/src/main/java/org/mallowroad/api/FoldClaim.java
+++ b/src/main/java/org/mallowroad/api/FoldClaim.java
@@ -10,22 +10,22 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import org.mallowroad.core.dependency.DependencyCycles;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Claims;
-import org.mallowroad.core.fold.Fate;
 import org.mallowroad.core.fold.Game;
-import org.mallowroad.core.hold.Circles;
-import org.mallowroad.core.hold.Ties;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.fold.JobOutcome;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.DependencyCodec;
 import org.mallowroad.wire.FoldCodec;
-import org.mallowroad.wire.HoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** One acceptance of a job that folds games or waits for something, until its outcome is known. */
@@ -43,18 +43,18 @@
   private static final long CROWDED_MS = 150;
 
   private final Folding folding;
-  private final Loop loop;
-  private final StateStore state;
-  private final Budget writes;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final RateLimiter writes;
   private final String id;
   private final ObjectNode value;
   private final List<Game> games;
   private final Collection<BlockKey> keys;
   private final String hash;
   private final Folding.Done done;
-  private final Ties ties;
+  private final JobDependencies ties;
   private final FoldBlocks blocks;
-  private final Map<String, Fate> fates = new HashMap<>();
+  private final Map<String, JobOutcome> fates = new HashMap<>();
 
   /** The mark of its intent; 0 while it has none. */
   private long intent;
@@ -72,7 +72,7 @@
       String id,
       ObjectNode value,
       List<Game> games,
-      Ties ties,
+      JobDependencies ties,
       Folding.Done done) {
     this.folding = folding;
     this.loop = folding.loop;
@@ -127,12 +127,12 @@
         });
   }
 
-  private void judge(List<StateStore.Item> items, Runnable next) {
-    Map<String, Ties> held = new HashMap<>();
-    for (StateStore.Item i : items) {
+  private void judge(List<KeyValueStore.VersionedValue> items, Runnable next) {
+    Map<String, JobDependencies> held = new HashMap<>();
+    for (KeyValueStore.VersionedValue i : items) {
       try {
-        held.put(i.key().substring(Records.HELD.length()), HoldCodec.ties(i.value()));
-      } catch (BadMessage e) {
+        held.put(i.key().substring(Records.HELD.length()), DependencyCodec.ties(i.value()));
+      } catch (InvalidMessageException e) {
         end(Folding.End.AWAY, i.key() + " cannot be read: " + e.getMessage());
         return;
       }
@@ -141,7 +141,7 @@
       next.run(); // Accepted before: its own record must not look like a circle.
       return;
     }
-    String through = Circles.closes(id, ties, held);
+    String through = DependencyCycles.closes(id, ties, held);
     if (through == null) {
       next.run();
       return;
@@ -270,15 +270,15 @@
     }
   }
 
-  private Txn unknownId() {
-    return new Txn().given(Records.open(id), 0).given(Records.end(id), 0);
+  private Transaction unknownId() {
+    return new Transaction().given(Records.open(id), 0).given(Records.end(id), 0);
   }
 
   /**
    * Where holds depend on games that this touches, or this depends on games, the league's record
    * changes with it: what was confirmed for a hold under the mark of before is confirmed no more.
    */
-  private void touch(Txn txn) {
+  private void touch(Transaction txn) {
     lowest()
         .forEach(
             (l, game) -> {
@@ -294,12 +294,12 @@
     if (ties.held()) {
       txn.given(Records.HOLD_ORDER, order);
       txn.put(Records.HOLD_ORDER, Json.object().put("by", id));
-      txn.put(Records.held(id), HoldCodec.held(ties));
+      txn.put(Records.held(id), DependencyCodec.held(ties));
     }
   }
 
   private void atOnce(Map<BlockKey, Block> changed) {
-    Txn txn = unknownId().given(Records.intent(id), 0).put(Records.open(id), value);
+    Transaction txn = unknownId().given(Records.intent(id), 0).put(Records.open(id), value);
     touch(txn);
     blocks.write(txn, changed);
     send(
@@ -367,7 +367,7 @@
   }
 
   private void step(Map<BlockKey, Block> some) {
-    Txn txn = new Txn().given(Records.intent(id), intent);
+    Transaction txn = new Transaction().given(Records.intent(id), intent);
     blocks.write(txn, some);
     send(
         txn,
@@ -379,7 +379,7 @@
   }
 
   private void finish() {
-    Txn txn = unknownId().given(Records.intent(id), intent);
+    Transaction txn = unknownId().given(Records.intent(id), intent);
     txn.put(Records.open(id), value).delete(Records.intent(id));
     touch(txn);
     send(txn, revision -> accepted(), failed -> refused(failed, this::gone, List.of()));
@@ -427,7 +427,7 @@
    * Runs a transaction to a known outcome where it can be had: without an answer the same is sent
    * again, and its marks tell whether the first was applied.
    */
-  private void send(Txn txn, LongConsumer ok, Consumer<List<String>> no) {
+  private void send(Transaction txn, LongConsumer ok, Consumer<List<String>> no) {
     long wait = writes.waitMs(txn.writes(), loop.now());
     if (wait > 0) {
       loop.after(wait, () -> send(txn, ok, no));
--- a/src/main/java/org/mallowroad/api/FoldIntents.java
+++ b/src/main/java/org/mallowroad/api/FoldIntents.java
@@ -11,11 +11,11 @@
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Claims;
-import org.mallowroad.net.Loop;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.Json;
 
@@ -27,11 +27,11 @@
   /** A conflict is tried again so much later. */
   static final long RETRY_MS = 60;
 
-  private final Loop loop;
-  private final StateStore state;
+  private final EventLoop loop;
+  private final KeyValueStore state;
   private final int ops;
 
-  FoldIntents(Loop loop, StateStore state, int ops) {
+  FoldIntents(EventLoop loop, KeyValueStore state, int ops) {
     this.loop = loop;
     this.state = state;
     this.ops = ops;
@@ -50,7 +50,7 @@
     v.put(UNDO, true);
     v.set("blocks", FoldCodec.blocks(keys));
     state.run(
-        new Txn().given(Records.intent(id), mark).put(Records.intent(id), v),
+        new Transaction().given(Records.intent(id), mark).put(Records.intent(id), v),
         (result, revision, failed) -> {
           if (result == Result.OK) {
             takeOut(id, revision, new ArrayDeque<>(keys), told);
@@ -63,7 +63,7 @@
   private void takeOut(String id, long mark, ArrayDeque<BlockKey> left, Consumer<Boolean> told) {
     if (left.isEmpty()) {
       state.run(
-          new Txn().given(Records.intent(id), mark).delete(Records.intent(id)),
+          new Transaction().given(Records.intent(id), mark).delete(Records.intent(id)),
           (result, revision, failed) -> told.accept(result == Result.OK));
       return;
     }
@@ -89,7 +89,7 @@
             return;
           }
           Map<BlockKey, Block> part = b.part(changed, 0);
-          Txn txn = new Txn().given(Records.intent(id), mark);
+          Transaction txn = new Transaction().given(Records.intent(id), mark);
           b.write(txn, part);
           state.run(
               txn,
--- a/src/main/java/org/mallowroad/api/Folding.java
+++ b/src/main/java/org/mallowroad/api/Folding.java
@@ -14,18 +14,18 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.core.fold.Fate;
 import org.mallowroad.core.fold.Game;
-import org.mallowroad.core.hold.Ties;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.fold.JobOutcome;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /**
@@ -72,12 +72,12 @@
   /** Leagues whose record's mark is remembered. */
   private static final int MOST_MARKS = 256;
 
-  final Loop loop;
-  final StateStore state;
-  final Budget writes;
+  final EventLoop loop;
+  final KeyValueStore state;
+  final RateLimiter writes;
   final int ops;
   final double valueBytes;
-  final Function<String, Fate> finals;
+  final Function<String, JobOutcome> finals;
   final Object2ObjectLinkedOpenHashMap<String, League> leagues =
       new Object2ObjectLinkedOpenHashMap<>();
   private final FoldIntents intents;
@@ -94,12 +94,12 @@
    * @param finals what this node knows for certain of a job that is over, else null
    */
   public Folding(
-      Loop loop,
-      StateStore state,
-      Budget writes,
+      EventLoop loop,
+      KeyValueStore state,
+      RateLimiter writes,
       int ops,
       double valueKb,
-      Function<String, Fate> finals) {
+      Function<String, JobOutcome> finals) {
     this.writes = writes;
     this.loop = loop;
     this.state = state;
@@ -119,7 +119,8 @@
    *
    * @param value the open record, which names the blocks
    */
-  public void accept(String id, ObjectNode value, List<Game> games, Ties ties, Done done) {
+  public void accept(
+      String id, ObjectNode value, List<Game> games, JobDependencies ties, Done done) {
     if (claims >= MOST_CLAIMS) {
       done.done(End.AWAY, "too many claims under way");
       return;
@@ -165,8 +166,8 @@
   }
 
   /** What has become of a job: null when the state service does not say. */
-  public void fate(String job, Consumer<Fate> told) {
-    Fate known = finals.apply(job);
+  public void fate(String job, Consumer<JobOutcome> told) {
+    JobOutcome known = finals.apply(job);
     if (known != null) {
       told.accept(known);
       return;
@@ -178,7 +179,7 @@
           if (result != Result.OK) {
             told.accept(null);
           } else if (open.value() != null) {
-            told.accept(Fate.OPEN);
+            told.accept(JobOutcome.OPEN);
           } else {
             state.get(
                 Records.end(job),
@@ -186,10 +187,10 @@
                   if (result2 != Result.OK) {
                     told.accept(null);
                   } else if (end.value() == null) {
-                    told.accept(Fate.CLAIMING);
+                    told.accept(JobOutcome.CLAIMING);
                   } else {
                     boolean is = end.value().path("end").asText().equals(Fields.DONE);
-                    told.accept(is ? Fate.DONE : Fate.CANCELLED);
+                    told.accept(is ? JobOutcome.DONE : JobOutcome.CANCELLED);
                   }
                 });
           }
@@ -206,7 +207,7 @@
   }
 
   /** The blocks that an intent names. */
-  public static Collection<BlockKey> keysOf(JsonNode intent) throws BadMessage {
+  public static Collection<BlockKey> keysOf(JsonNode intent) throws InvalidMessageException {
     ObjectNode o = Json.object();
     o.set(FoldCodec.BLOCKS, intent.path("blocks"));
     TreeSet<BlockKey> keys = new TreeSet<>();
--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.mallowroad.net.Incoming;
+import org.mallowroad.net.IncomingRequest;
 
 /** Routes what users, workers and probes ask; all answers are given on the one loop. */
 public final class HttpRouter {
@@ -11,7 +11,7 @@
   private static final String TEXT = "text/plain; charset=utf-8";
 
   private final Users users;
-  private final Consumer<Incoming> reports;
+  private final Consumer<IncomingRequest> reports;
   private final Supplier<Boolean> healthy;
   private final Supplier<String> metrics;
 
@@ -19,13 +19,13 @@
   @FunctionalInterface
   public interface Users {
     /** Serves one request; a path without a suffix has an empty one. */
-    void serve(String method, String path, byte[] body, Answerer answerer);
+    void serve(String method, String path, byte[] body, Responder answerer);
   }
 
   /** Over the parties' handlers. */
   public HttpRouter(
       Users users,
-      Consumer<Incoming> reports,
+      Consumer<IncomingRequest> reports,
       Supplier<Boolean> healthy,
       Supplier<String> metrics) {
     this.users = users;
@@ -35,7 +35,7 @@
   }
 
   /** Serves one request. */
-  public void request(Incoming x) {
+  public void request(IncomingRequest x) {
     String path = x.path();
     if (path.equals("/v1/report")) {
       if (allowed(x, true)) {
@@ -72,15 +72,15 @@
     }
   }
 
-  private static void text(Incoming x, String text) {
+  private static void text(IncomingRequest x, String text) {
     x.answer(200, TEXT, text.getBytes(StandardCharsets.UTF_8), false);
   }
 
-  private void serve(Incoming x) {
+  private void serve(IncomingRequest x) {
     users.serve(x.method(), x.path(), x.body(), Reply.over(x));
   }
 
-  private static boolean allowed(Incoming x, boolean post) {
+  private static boolean allowed(IncomingRequest x, boolean post) {
     if (x.method().equals(post ? "POST" : "GET")) {
       return true;
     }
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.Object2BooleanLinkedOpenHashMap;
 import java.util.function.Consumer;
-import org.mallowroad.core.fold.Fate;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.fold.JobOutcome;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
@@ -17,8 +17,8 @@
  * read that is made for the question. So no answer is older than one that any node has given.
  */
 final class JobLookup {
-  private final StateStore state;
-  private final Reads reads;
+  private final KeyValueStore state;
+  private final ReadQueue reads;
   private final OpenJobs openJobs;
   private final TaskCounts counts;
   private final int mostEnds;
@@ -44,9 +44,9 @@
   }
 
   JobLookup(
-      Loop loop,
-      StateStore state,
-      Reads reads,
+      EventLoop loop,
+      KeyValueStore state,
+      ReadQueue reads,
       double burst,
       UserApi.Jobs jobs,
       int mostConditions,
@@ -92,11 +92,11 @@
   }
 
   /** The remembered end of a job, or null. */
-  Fate fate(String id) {
+  JobOutcome fate(String id) {
     if (!ends.containsKey(id)) {
       return null;
     }
-    return ends.getBoolean(id) ? Fate.DONE : Fate.CANCELLED;
+    return ends.getBoolean(id) ? JobOutcome.DONE : JobOutcome.CANCELLED;
   }
 
   /** True when a lookup asked for now is answered so soon that a submission may wait for it. */
@@ -108,12 +108,12 @@
    * Answers 200 with the state of a job that there is, 503 when the state service does not say, and
    * runs {@code absent} for any other.
    */
-  void answer(Answerer x, String id, Runnable absent) {
+  void answer(Responder x, String id, Runnable absent) {
     answer(x, id, absent, () -> unreachable(x));
   }
 
   /** The same with another way out when the state service does not say. */
-  void answer(Answerer x, String id, Runnable absent, Runnable unknown) {
+  void answer(Responder x, String id, Runnable absent, Runnable unknown) {
     if (ends.containsKey(id)) {
       x.answer(200, status(id, ends.getBoolean(id)), false);
       return;
@@ -131,7 +131,7 @@
   }
 
   /** How a job ended that is known to be over. */
-  private void answerEnd(Answerer x, String id) {
+  private void answerEnd(Responder x, String id) {
     RecordListener reader =
         new RecordListener() {
           @Override
@@ -157,7 +157,7 @@
     reads.take(1, () -> readEnd(id, reader), reader::failed);
   }
 
-  static void unreachable(Answerer x) {
+  static void unreachable(Responder x) {
     x.answer(503, Reply.reason("state service not reached"), true);
   }
 
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -4,10 +4,10 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
 
 /**
  * Answers whether jobs are open, many with one call.
@@ -96,8 +96,8 @@
   /** Questions that wait; more are turned away, as users ask again. */
   private static final int MOST_WAITING = 1_000;
 
-  private final StateStore state;
-  private final Reads reads;
+  private final KeyValueStore state;
+  private final ReadQueue reads;
   private final int most;
   private final int mostConditions;
   private final Object2ObjectLinkedOpenHashMap<String, Entry> jobs =
@@ -106,7 +106,7 @@
   private int out;
 
   /** Remembers the newest {@code most} jobs; a call has {@code mostConditions} at the most. */
-  OpenJobs(StateStore state, Reads reads, int most, int mostConditions) {
+  OpenJobs(KeyValueStore state, ReadQueue reads, int most, int mostConditions) {
     this.state = state;
     this.reads = reads;
     this.most = most;
@@ -201,7 +201,7 @@
       out--;
       return;
     }
-    Txn txn = new Txn();
+    Transaction txn = new Transaction();
     for (Question q : batch) {
       txn.given(Records.open(q.id), q.mark);
       if (q.kind == Kind.BOTH_RECORDS) {
--- a/src/main/java/org/mallowroad/api/Reads.java
+++ b/src/main/java/org/mallowroad/api/ReadQueue.java
@@ -1,8 +1,8 @@
 package org.mallowroad.api;
 
 import java.util.ArrayDeque;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
 
 /**
  * Users' part of the state service's calls, in the order in which they were asked for. Without an
@@ -10,7 +10,7 @@
  * a job was not heard of for as long as its user asked the same node (docs/incidents,
  * polls-starved).
  */
-final class Reads {
+final class ReadQueue {
   /** A user waits 2 s for an answer. */
   private static final long PATIENCE_MS = 1_300;
 
@@ -19,12 +19,12 @@
 
   private record Ask(int calls, long sinceMs, Runnable go, Runnable no) {}
 
-  private final Loop loop;
-  private final Budget budget;
+  private final EventLoop loop;
+  private final RateLimiter budget;
   private final ArrayDeque<Ask> waiting = new ArrayDeque<>();
   private boolean turning;
 
-  Reads(Loop loop, Budget budget) {
+  ReadQueue(EventLoop loop, RateLimiter budget) {
     this.loop = loop;
     this.budget = budget;
   }
--- a/src/main/java/org/mallowroad/api/Reply.java
+++ b/src/main/java/org/mallowroad/api/Reply.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.mallowroad.net.Incoming;
+import org.mallowroad.net.IncomingRequest;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
@@ -13,12 +13,12 @@
   private Reply() {}
 
   /** A JSON body. */
-  public static void json(Incoming x, int status, JsonNode body) {
+  public static void json(IncomingRequest x, int status, JsonNode body) {
     x.answer(status, JSON, Json.bytes(body), false);
   }
 
   /** Answers whoever sent a request. */
-  public static Answerer over(Incoming x) {
+  public static Responder over(IncomingRequest x) {
     return (status, body, later) -> x.answer(status, JSON, Json.bytes(body), later);
   }
 
@@ -30,12 +30,12 @@
   }
 
   /** A short reason. */
-  public static void error(Incoming x, int status, String reason) {
+  public static void error(IncomingRequest x, int status, String reason) {
     json(x, status, reason(reason));
   }
 
   /** Cannot be taken now: said at once, with the time to come back. */
-  public static void later(Incoming x, String reason) {
+  public static void later(IncomingRequest x, String reason) {
     x.answer(503, JSON, Json.bytes(reason(reason)), true);
   }
 }
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Game;
-import org.mallowroad.core.hold.Ties;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
 
@@ -38,27 +38,27 @@
   /** A value may be as long as the limit less what surrounds it. */
   private static final int ENVELOPE_BYTES = 64;
 
-  private final Loop loop;
-  private final StateStore state;
+  private final EventLoop loop;
+  private final KeyValueStore state;
   private final JobLookup lookup;
   private final Folding folding;
   private final UserApi.Jobs jobs;
-  private final Budget writes;
-  private final Budget fairWrites;
+  private final RateLimiter writes;
+  private final RateLimiter fairWrites;
   private final double valueKb;
-  private final Budget retries;
+  private final RateLimiter retries;
 
   Submissions(
-      Loop loop,
-      StateStore state,
+      EventLoop loop,
+      KeyValueStore state,
       JobLookup lookup,
       Folding folding,
       UserApi.Jobs jobs,
-      Budget writes,
-      Budget fairWrites,
+      RateLimiter writes,
+      RateLimiter fairWrites,
       double valueKb,
       double callsPerSecond) {
-    this.retries = new Budget(RETRY_SHARE * callsPerSecond, RETRY_BURST, loop.now());
+    this.retries = new RateLimiter(RETRY_SHARE * callsPerSecond, RETRY_BURST, loop.now());
     this.loop = loop;
     this.state = state;
     this.lookup = lookup;
@@ -73,13 +73,13 @@
   private record Parsed(JobSpec spec, List<Game> games, ObjectNode value) {}
 
   /** POST /v1/jobs. */
-  void submit(Answerer x, byte[] body) {
+  void submit(Responder x, byte[] body) {
     ObjectNode o = null;
     Parsed parsed;
     try {
       o = Json.parseObject(body);
       parsed = parse(o);
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       malformed(x, o, e.getMessage());
       return;
     }
@@ -98,7 +98,7 @@
       lookup.answer(x, id, () -> x.answer(422, Reply.reason(hopeless), false));
       return;
     }
-    if (parsed.spec.ties() == Ties.NONE && lookup.prompt()) {
+    if (parsed.spec.ties() == JobDependencies.NONE && lookup.prompt()) {
       // A repeated submission costs a write of the service's budget even when it fails, and this
       // question none; where questions wait long it is not asked, since the submission would too.
       Runnable record = () -> record(x, parsed);
@@ -108,18 +108,18 @@
     }
   }
 
-  private Parsed parse(ObjectNode o) throws BadMessage {
+  private Parsed parse(ObjectNode o) throws InvalidMessageException {
     JobSpec spec = jobs.check(o);
     List<Game> games = FoldCodec.games(o);
     if (spec.ties().folds().size() > Folding.MOST_LEAGUES) {
-      throw new BadMessage("folds: at most " + Folding.MOST_LEAGUES + " leagues");
+      throw new InvalidMessageException("folds: at most " + Folding.MOST_LEAGUES + " leagues");
     }
     ObjectNode value = Records.openValue(o, loop.wallMs());
     if (!games.isEmpty()) {
       ((ObjectNode) value.get("job")).set(FoldCodec.BLOCKS, FoldCodec.blocks(Folding.keys(games)));
     }
     if (Json.bytes(value).length > valueKb * 1024 - ENVELOPE_BYTES) {
-      throw new BadMessage("the submission is too large");
+      throw new InvalidMessageException("the submission is too large");
     }
     return new Parsed(spec, games, value);
   }
@@ -129,7 +129,7 @@
    * service does not say whether it was, 503 is the answer: a 400 to an accepted job would call it
    * forgotten.
    */
-  private void malformed(Answerer x, ObjectNode o, String reason) {
+  private void malformed(Responder x, ObjectNode o, String reason) {
     Runnable refuse = () -> x.answer(400, Reply.reason(reason), false);
     String id = o == null ? "" : o.path(Fields.ID).asText();
     if (JobCodec.ID.matcher(id).matches()) {
@@ -139,12 +139,12 @@
     }
   }
 
-  private void record(Answerer x, Parsed parsed) {
+  private void record(Responder x, Parsed parsed) {
     if (!jobs.admits() || !mayWrite()) {
       x.answer(429, Reply.reason("too many submissions"), true);
       return;
     }
-    if (parsed.spec.ties() == Ties.NONE) {
+    if (parsed.spec.ties() == JobDependencies.NONE) {
       accept(x, parsed.spec.id(), parsed.value, 0);
     } else {
       acceptTied(x, parsed);
@@ -152,7 +152,7 @@
   }
 
   /** What folds games or waits for something; whatever is said of it, an accepted job is known. */
-  private void acceptTied(Answerer x, Parsed parsed) {
+  private void acceptTied(Responder x, Parsed parsed) {
     String id = parsed.spec.id();
     folding.accept(
         id,
@@ -169,7 +169,7 @@
         });
   }
 
-  private static void tryAgain(Answerer x) {
+  private static void tryAgain(Responder x) {
     x.answer(503, Reply.reason("try again"), true);
   }
 
@@ -180,10 +180,13 @@
     return o;
   }
 
-  private void accept(Answerer x, String id, ObjectNode value, int tries) {
+  private void accept(Responder x, String id, ObjectNode value, int tries) {
     long sentMs = loop.now();
-    Txn txn =
-        new Txn().given(Records.open(id), 0).given(Records.end(id), 0).put(Records.open(id), value);
+    Transaction txn =
+        new Transaction()
+            .given(Records.open(id), 0)
+            .given(Records.end(id), 0)
+            .put(Records.open(id), value);
     // Sent twice when an answer is late: whichever is carried out first makes the other fail, and
     // the job that is found then is this one.
     state.runRepeated(
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -6,10 +6,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.net.Loop;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
@@ -22,9 +22,9 @@
   /** Counts may be so old; the protocol allows 3 s. */
   private static final long FRESH_MS = 2_000;
 
-  private final Loop loop;
-  private final StateStore state;
-  private final Reads reads;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final ReadQueue reads;
   private final double burst;
   private final UserApi.Jobs jobs;
 
@@ -35,7 +35,8 @@
   private final List<Runnable> waiting = new ArrayList<>();
   private boolean listing;
 
-  TaskCounts(Loop loop, StateStore state, Reads reads, double burst, UserApi.Jobs jobs) {
+  TaskCounts(
+      EventLoop loop, KeyValueStore state, ReadQueue reads, double burst, UserApi.Jobs jobs) {
     this.loop = loop;
     this.state = state;
     this.reads = reads;
@@ -44,7 +45,7 @@
   }
 
   /** Answers with the state of a job that was just seen open. */
-  void answer(Answerer x, OpenJobs.Entry job) {
+  void answer(Responder x, OpenJobs.Entry job) {
     int[] own = jobs.counts(job.id);
     if (own != null) {
       x.answer(200, status(job.id, own[0], own[1]), false);
@@ -57,7 +58,7 @@
     listShared(() -> countOf(x, job));
   }
 
-  private void countOf(Answerer x, OpenJobs.Entry job) {
+  private void countOf(Responder x, OpenJobs.Entry job) {
     int[] counted = shared.get(job.id);
     if (counted != null) {
       count(job, counted[0], counted[1]);
@@ -99,9 +100,9 @@
         });
   }
 
-  private static Map<String, int[]> counts(List<StateStore.Item> items) {
+  private static Map<String, int[]> counts(List<KeyValueStore.VersionedValue> items) {
     Map<String, int[]> out = new HashMap<>();
-    for (StateStore.Item item : items) {
+    for (KeyValueStore.VersionedValue item : items) {
       for (Map.Entry<String, JsonNode> run : Records.sharedRuns(item.value())) {
         int done = Records.done(run.getValue()).cardinality();
         out.put(run.getKey(), new int[] {done, Records.live(run.getValue()).size()});
@@ -110,14 +111,14 @@
     return out;
   }
 
-  private void listOwn(Answerer x, OpenJobs.Entry job) {
+  private void listOwn(Responder x, OpenJobs.Entry job) {
     state.list(
         Records.RUN + job.id + "/",
         (result, items, revision) -> {
           if (result == Result.OK) {
             int done = 0;
             int running = 0;
-            for (StateStore.Item item : items) {
+            for (KeyValueStore.VersionedValue item : items) {
               done += Records.done(item.value()).cardinality();
               running += Records.live(item.value()).size();
             }
--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.function.Consumer;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 
 /**
@@ -25,7 +25,7 @@
   /** What the node knows besides the state service. */
   public interface Jobs {
     /** Decodes a submission only to judge it. */
-    JobSpec check(JsonNode submission) throws BadMessage;
+    JobSpec check(JsonNode submission) throws InvalidMessageException;
 
     /** True once the machine types are known. */
     boolean ready();
@@ -49,17 +49,17 @@
    * @param burst how many of them a second
    */
   public UserApi(
-      Loop loop,
-      StateStore state,
-      Budget reads,
+      EventLoop loop,
+      KeyValueStore state,
+      RateLimiter reads,
       double burst,
-      Budget writes,
-      Budget fairWrites,
+      RateLimiter writes,
+      RateLimiter fairWrites,
       Jobs jobs,
       double valueKb,
       int mostConditions,
       int mostEnds) {
-    Reads users = new Reads(loop, reads);
+    ReadQueue users = new ReadQueue(loop, reads);
     this.lookup = new JobLookup(loop, state, users, burst, jobs, mostConditions, mostEnds);
     this.folding = new Folding(loop, state, writes, mostConditions / 4, valueKb, lookup::fate);
     this.submissions =
@@ -93,7 +93,7 @@
   }
 
   /** Serves a request whose path and method the router has checked. */
-  public void serve(String method, String path, byte[] body, Answerer x) {
+  public void serve(String method, String path, byte[] body, Responder x) {
     String rest = path.length() > JOBS.length() ? path.substring(JOBS.length() + 1) : "";
     int slash = rest.indexOf('/');
     if (rest.isEmpty()) {
@@ -106,12 +106,12 @@
   }
 
   /** POST /v1/jobs. */
-  public void submit(Answerer x, byte[] body) {
+  public void submit(Responder x, byte[] body) {
     submissions.submit(x, body);
   }
 
   /** GET /v1/jobs/{id}. */
-  public void query(Answerer x, String id) {
+  public void query(Responder x, String id) {
     if (JobCodec.ID.matcher(id).matches()) {
       lookup.answer(x, id, () -> notFound(x));
     } else {
@@ -120,7 +120,7 @@
   }
 
   /** POST /v1/jobs/{id}/withdraw. */
-  public void cancel(Answerer x, String id) {
+  public void cancel(Responder x, String id) {
     if (JobCodec.ID.matcher(id).matches()) {
       cancelRequests.cancel(x, id);
     } else {
@@ -128,7 +128,7 @@
     }
   }
 
-  private static void notFound(Answerer x) {
+  private static void notFound(Responder x) {
     x.answer(404, Reply.reason("no such job"), false);
   }
 }
--- a/src/main/java/org/mallowroad/calendar/Closures.java
+++ b/src/main/java/org/mallowroad/calendar/Closures.java
@@ -78,22 +78,23 @@
   }
 
   /** Reads a file's text. */
-  public static Closures read(String text) throws BadCalendar {
+  public static Closures read(String text) throws InvalidCalendarException {
     if (text.length() > MOST_CHARACTERS) {
-      throw new BadCalendar("a file of at most " + MOST_CHARACTERS + " characters is taken");
+      throw new InvalidCalendarException(
+          "a file of at most " + MOST_CHARACTERS + " characters is taken");
     }
     Calendar calendar;
     try {
       calendar = new CalendarBuilder().build(new StringReader(text));
     } catch (ParserException e) {
-      throw new BadCalendar("line " + e.getLineNo() + ": not iCalendar");
+      throw new InvalidCalendarException("line " + e.getLineNo() + ": not iCalendar");
     } catch (IOException | RuntimeException e) {
-      throw new BadCalendar("not iCalendar");
+      throw new InvalidCalendarException("not iCalendar");
     }
     List<Event> out = new ArrayList<>();
     List<CalendarComponent> all = calendar.getComponents();
     if (all.size() > MOST_EVENTS) {
-      throw new BadCalendar("at most " + MOST_EVENTS + " events are taken");
+      throw new InvalidCalendarException("at most " + MOST_EVENTS + " events are taken");
     }
     for (CalendarComponent c : all) {
       if (c instanceof VEvent e) {
@@ -101,14 +102,14 @@
           out.add(event(e));
         }
       } else if (!c.getName().equals("VTIMEZONE")) {
-        throw new BadCalendar(c.getName() + " is not supported, only VEVENT");
+        throw new InvalidCalendarException(c.getName() + " is not supported, only VEVENT");
       }
     }
     Closures made = new Closures(out);
     try {
       made.year(2000); // What the library cannot work out is found here, not at a firing.
     } catch (RuntimeException e) {
-      throw new BadCalendar("a recurrence that cannot be worked out");
+      throw new InvalidCalendarException("a recurrence that cannot be worked out");
     }
     return made;
   }
@@ -126,24 +127,25 @@
         .orElse("without a summary");
   }
 
-  private static Event event(VEvent e) throws BadCalendar {
+  private static Event event(VEvent e) throws InvalidCalendarException {
     String what = "event " + name(e) + ": ";
     for (Property p : e.getProperties()) {
       String n = p.getName().toUpperCase(Locale.ROOT);
       if (!TAKEN.contains(n) && !n.startsWith("X-")) {
-        throw new BadCalendar(what + n + " is not supported");
+        throw new InvalidCalendarException(what + n + " is not supported");
       }
     }
     DtStart<Temporal> start = property(e, DtStart.class);
     if (start == null) {
-      throw new BadCalendar(what + "DTSTART is needed");
+      throw new InvalidCalendarException(what + "DTSTART is needed");
     }
     LocalDate first = day(start.getDate(), what + "DTSTART");
     DtEnd<Temporal> end = property(e, DtEnd.class);
     long days =
         end == null ? 1 : ChronoUnit.DAYS.between(first, day(end.getDate(), what + "DTEND"));
     if (days < 1 || days > MOST_DAYS) {
-      throw new BadCalendar(what + "DTEND is 1 to " + MOST_DAYS + " days after DTSTART");
+      throw new InvalidCalendarException(
+          what + "DTEND is 1 to " + MOST_DAYS + " days after DTSTART");
     }
     return new Event(e, (int) days);
   }
@@ -154,11 +156,11 @@
     return (T) e.getProperties().stream().filter(type::isInstance).findFirst().orElse(null);
   }
 
-  private static LocalDate day(Temporal t, String what) throws BadCalendar {
+  private static LocalDate day(Temporal t, String what) throws InvalidCalendarException {
     if (t instanceof LocalDate d) {
       return d;
     }
-    throw new BadCalendar(
+    throw new InvalidCalendarException(
         what + " with a time is not supported: whole days are closed (VALUE=DATE)");
   }
 
--- a/src/main/java/org/mallowroad/calendar/CronExpression.java
+++ b/src/main/java/org/mallowroad/calendar/CronExpression.java
@@ -70,7 +70,8 @@
   private final boolean anyHour;
   private final boolean eitherDay;
 
-  private CronExpression(String text, CronParser.FieldsContext f) throws BadExpression {
+  private CronExpression(String text, CronParser.FieldsContext f)
+      throws InvalidCronExpressionException {
     this.text = text;
     minutes = bits(f.field(0), Unit.MINUTE);
     hours = bits(f.field(1), Unit.HOUR);
@@ -85,9 +86,10 @@
   }
 
   /** Reads an expression. */
-  public static CronExpression parse(String text) throws BadExpression {
+  public static CronExpression parse(String text) throws InvalidCronExpressionException {
     if (text.length() > MOST_CHARACTERS) {
-      throw new BadExpression(MOST_CHARACTERS + 1, "at most " + MOST_CHARACTERS + " characters");
+      throw new InvalidCronExpressionException(
+          MOST_CHARACTERS + 1, "at most " + MOST_CHARACTERS + " characters");
     }
     CronParser.ExpressionContext e = tree(text);
     if (e.fields() != null) {
@@ -96,7 +98,7 @@
     Token nick = e.nickname().getStart();
     String fields = NICKNAMES.get(nick.getText().toLowerCase(Locale.ROOT));
     if (fields == null) {
-      throw new BadExpression(
+      throw new InvalidCronExpressionException(
           nick.getCharPositionInLine() + 1,
           nick.getText().equalsIgnoreCase("@reboot")
               ? "@reboot has no time of its own and is not supported"
@@ -107,7 +109,7 @@
 
   /** The first error ends the reading; what the library would say of it is kept short. */
   private static final class FirstError extends BaseErrorListener {
-    private BadExpression error;
+    private InvalidCronExpressionException error;
 
     @Override
     public void syntaxError(
@@ -117,7 +119,9 @@
             at instanceof Token t && t.getType() != Token.EOF
                 ? "\"" + t.getText() + "\""
                 : "the end";
-        error = new BadExpression(column + 1, "found " + found + ", expected " + expected(by, e));
+        error =
+            new InvalidCronExpressionException(
+                column + 1, "found " + found + ", expected " + expected(by, e));
       }
     }
 
@@ -139,7 +143,8 @@
     }
   }
 
-  private static CronParser.ExpressionContext tree(String text) throws BadExpression {
+  private static CronParser.ExpressionContext tree(String text)
+      throws InvalidCronExpressionException {
     FirstError errors = new FirstError();
     CronLexer lexer = new CronLexer(CharStreams.fromString(text));
     lexer.removeErrorListeners();
@@ -158,7 +163,8 @@
     return f.getStart().getType() == CronParser.STAR;
   }
 
-  private static BitSet bits(CronParser.FieldContext field, Unit unit) throws BadExpression {
+  private static BitSet bits(CronParser.FieldContext field, Unit unit)
+      throws InvalidCronExpressionException {
     BitSet out = new BitSet();
     for (CronParser.ItemContext i : field.item()) {
       int low = unit.least;
@@ -182,7 +188,8 @@
     return out;
   }
 
-  private static int value(CronParser.ValueContext v, Unit unit) throws BadExpression {
+  private static int value(CronParser.ValueContext v, Unit unit)
+      throws InvalidCronExpressionException {
     Token t = v.getStart();
     if (t.getType() == CronParser.NUMBER) {
       return number(t, unit.text, unit.least, unit.most);
@@ -198,7 +205,8 @@
     return at + (unit == Unit.MONTH ? 1 : 0);
   }
 
-  private static int number(Token t, String what, int least, int most) throws BadExpression {
+  private static int number(Token t, String what, int least, int most)
+      throws InvalidCronExpressionException {
     int n = t.getText().length() > 4 ? Integer.MAX_VALUE : Integer.parseInt(t.getText());
     if (n < least || n > most) {
       throw bad(t, "the " + what + " is a number from " + least + " to " + most);
@@ -206,8 +214,8 @@
     return n;
   }
 
-  private static BadExpression bad(Token at, String reason) {
-    return new BadExpression(at.getCharPositionInLine() + 1, reason);
+  private static InvalidCronExpressionException bad(Token at, String reason) {
+    return new InvalidCronExpressionException(at.getCharPositionInLine() + 1, reason);
   }
 
   /** True when the hour field begins with a star: it means "every so often", not a time of day. */
--- a/src/main/java/org/mallowroad/calendar/file/BadTable.java
+++ b/src/main/java/org/mallowroad/calendar/file/InvalidTableException.java
@@ -1,10 +1,10 @@
 package org.mallowroad.calendar.file;
 
 /** A table's file that is wrong; the text names file, line and what was expected. */
-public final class BadTable extends Exception {
+public final class InvalidTableException extends Exception {
   private static final long serialVersionUID = 1;
 
-  BadTable(String file, int line, String reason) {
+  InvalidTableException(String file, int line, String reason) {
     super(file + ": " + (line > 0 ? "line " + line + ": " : "") + reason, null, false, false);
   }
 }
--- a/src/main/java/org/mallowroad/calendar/file/TableFile.java
+++ b/src/main/java/org/mallowroad/calendar/file/TableFile.java
@@ -29,18 +29,18 @@
 import javax.xml.transform.stream.StreamSource;
 import javax.xml.validation.SchemaFactory;
 import javax.xml.validation.Validator;
-import org.mallowroad.calendar.BadCalendar;
-import org.mallowroad.calendar.BadExpression;
 import org.mallowroad.calendar.Catchup;
 import org.mallowroad.calendar.Closures;
 import org.mallowroad.calendar.CronExpression;
+import org.mallowroad.calendar.InvalidCalendarException;
+import org.mallowroad.calendar.InvalidCronExpressionException;
 import org.mallowroad.calendar.OpenDays;
 import org.mallowroad.calendar.Rules;
 import org.mallowroad.calendar.Schedule;
 import org.mallowroad.calendar.Table;
-import org.mallowroad.core.Names;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.core.NameIndex;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
 import org.xml.sax.SAXException;
@@ -90,11 +90,11 @@
   }
 
   /** Reads a file. */
-  public static Content read(Path file) throws BadTable {
+  public static Content read(Path file) throws InvalidTableException {
     return new TableFile(file).read();
   }
 
-  private Content read() throws BadTable {
+  private Content read() throws InvalidTableException {
     String text = text(file, 0);
     check(text);
     XMLInputFactory f = XMLInputFactory.newFactory();
@@ -120,7 +120,7 @@
         }
       }
     } catch (XMLStreamException e) {
-      throw new BadTable(name, e.getLocation().getLineNumber(), "not well-formed XML");
+      throw new InvalidTableException(name, e.getLocation().getLineNumber(), "not well-formed XML");
     }
     Set<String> never = new HashSet<>();
     for (Table.Entry e : entries) {
@@ -131,20 +131,20 @@
     return new Content(new Table(table, entries), zones, jobs, never);
   }
 
-  private String text(Path path, int line) throws BadTable {
+  private String text(Path path, int line) throws InvalidTableException {
     try {
       if (Files.size(path) > MOST_BYTES) {
-        throw new BadTable(name, line, path.getFileName() + " has more than 16 MiB");
+        throw new InvalidTableException(name, line, path.getFileName() + " has more than 16 MiB");
       }
       return Files.readString(path);
     } catch (MalformedInputException e) {
-      throw new BadTable(name, line, path.getFileName() + " is not UTF-8");
+      throw new InvalidTableException(name, line, path.getFileName() + " is not UTF-8");
     } catch (IOException e) {
-      throw new BadTable(name, line, path.getFileName() + " cannot be read");
+      throw new InvalidTableException(name, line, path.getFileName() + " cannot be read");
     }
   }
 
-  private void check(String text) throws BadTable {
+  private void check(String text) throws InvalidTableException {
     try {
       SchemaFactory f = SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI);
       f.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
@@ -155,18 +155,18 @@
       v.validate(new StreamSource(new StringReader(text)));
     } catch (SAXParseException e) {
       // The library begins with the name of the rule that was broken, which says nothing to a user.
-      throw new BadTable(
+      throw new InvalidTableException(
           name, e.getLineNumber(), e.getMessage().replaceFirst("^cvc-[A-Za-z0-9.-]+: ", ""));
     } catch (SAXException | IOException e) {
-      throw new BadTable(name, 0, "cannot be read: " + e.getMessage());
+      throw new InvalidTableException(name, 0, "cannot be read: " + e.getMessage());
     }
   }
 
-  private BadTable bad(XMLStreamReader x, String reason) {
-    return new BadTable(name, x.getLocation().getLineNumber(), reason);
+  private InvalidTableException bad(XMLStreamReader x, String reason) {
+    return new InvalidTableException(name, x.getLocation().getLineNumber(), reason);
   }
 
-  private ZoneId zone(XMLStreamReader x, String attribute) throws BadTable {
+  private ZoneId zone(XMLStreamReader x, String attribute) throws InvalidTableException {
     String id = x.getAttributeValue(null, attribute);
     if (id == null) {
       return zone;
@@ -178,7 +178,7 @@
     }
   }
 
-  private void calendar(XMLStreamReader x) throws XMLStreamException, BadTable {
+  private void calendar(XMLStreamReader x) throws XMLStreamException, InvalidTableException {
     String id = x.getAttributeValue(null, "name");
     String base = x.getAttributeValue(null, "base");
     if (base != null && !calendars.containsKey(base)) {
@@ -226,16 +226,16 @@
     }
   }
 
-  private Closures events(XMLStreamReader x) throws BadTable {
+  private Closures events(XMLStreamReader x) throws InvalidTableException {
     String at = x.getAttributeValue(null, "file");
     try {
       return Closures.read(text(file.resolveSibling(at), x.getLocation().getLineNumber()));
-    } catch (BadCalendar e) {
+    } catch (InvalidCalendarException e) {
       throw bad(x, at + ": " + e.getMessage());
     }
   }
 
-  private void entry(XMLStreamReader x) throws XMLStreamException, BadTable {
+  private void entry(XMLStreamReader x) throws XMLStreamException, InvalidTableException {
     if (entries.size() == MOST_ENTRIES) {
       throw bad(x, "a table has at most " + MOST_ENTRIES + " entries");
     }
@@ -243,7 +243,7 @@
     CronExpression cron;
     try {
       cron = CronExpression.parse(x.getAttributeValue(null, "at"));
-    } catch (BadExpression e) {
+    } catch (InvalidCronExpressionException e) {
       throw bad(x, "at: " + e.getMessage());
     }
     String on = x.getAttributeValue(null, "calendar");
@@ -297,7 +297,7 @@
           Fields.SPOT, "false");
 
   /** The template as a submission has it; whatever that refuses is refused here, by its field. */
-  private ObjectNode job(XMLStreamReader x) throws BadTable {
+  private ObjectNode job(XMLStreamReader x) throws InvalidTableException {
     Map<String, String> given = new LinkedHashMap<>(OTHERWISE);
     for (int i = 0; i < x.getAttributeCount(); i++) {
       given.put(x.getAttributeLocalName(i), x.getAttributeValue(i).strip());
@@ -322,8 +322,10 @@
         });
     try {
       ObjectNode whole = o.deepCopy().put(Fields.ID, "job-9");
-      new JobCodec(new Names(), new Names(), new Names(), new Names(), new Names()).check(whole);
-    } catch (BadMessage e) {
+      new JobCodec(
+              new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex())
+          .check(whole);
+    } catch (InvalidMessageException e) {
       throw bad(x, "job: " + e.getMessage());
     }
     return o;
--- a/src/main/java/org/mallowroad/cli/Remote.java
+++ b/src/main/java/org/mallowroad/cli/ClientCommands.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 
 /** Commands that ask a running service; the body goes to standard output. */
-abstract class Remote implements Callable<Integer> {
+abstract class ClientCommands implements Callable<Integer> {
   @Option(
       names = "--server",
       paramLabel = "HOST:PORT",
@@ -61,7 +61,7 @@
       name = "submit",
       mixinStandardHelpOptions = true,
       description = "Submits the job described in a JSON file; the same file again is harmless.")
-  static final class Submit extends Remote {
+  static final class Submit extends ClientCommands {
     @Parameters(paramLabel = "FILE", description = "The job (JSON).")
     private Path file;
 
@@ -83,7 +83,7 @@
       name = "job",
       mixinStandardHelpOptions = true,
       description = "Shows a job's state and counts.")
-  static final class Show extends Remote {
+  static final class Show extends ClientCommands {
     @Parameters(paramLabel = "ID", description = "The job's id.")
     private String id;
 
@@ -99,7 +99,7 @@
       aliases = "withdraw",
       mixinStandardHelpOptions = true,
       description = "Cancels a job; its tasks are stopped.")
-  static final class Cancel extends Remote {
+  static final class Cancel extends ClientCommands {
     @Parameters(paramLabel = "ID", description = "The job's id.")
     private String id;
 
--- a/src/main/java/org/mallowroad/cli/Where.java
+++ b/src/main/java/org/mallowroad/cli/ClusterAddress.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.mallowroad.config.BadSettings;
 import org.mallowroad.config.ConsoleSettings;
+import org.mallowroad.config.InvalidSettingsException;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Endpoint;
-import org.mallowroad.console.ask.Asker;
+import org.mallowroad.console.ask.ClusterQuery;
 import picocli.CommandLine.Option;
 
 /** Which site a console command looks at. */
-final class Where {
+final class ClusterAddress {
   private static final String USUAL = "127.0.0.1:7070";
 
   @Option(
@@ -41,7 +41,7 @@
   private String operator;
 
   /** Who is asked; wrong addresses and files are one line. */
-  Asker asker() throws BadSettings {
+  ClusterQuery asker() throws InvalidSettingsException {
     List<String> at = new ArrayList<>(nodes);
     String store = state;
     if (config != null) {
@@ -62,24 +62,26 @@
     if (!store.isEmpty()) {
       check("--state", store);
     }
-    return new Asker(at, store);
+    return new ClusterQuery(at, store);
   }
 
-  private static void check(String option, String address) throws BadSettings {
+  private static void check(String option, String address) throws InvalidSettingsException {
     if (Endpoint.of(address) == null) {
-      throw new BadSettings(option, address, "host:port is needed");
+      throw new InvalidSettingsException(option, address, "host:port is needed");
     }
   }
 
   /** The consoles of all nodes listen on the same port, each on its own host. */
-  private List<String> consoles(Settings s) throws BadSettings {
+  private List<String> consoles(Settings s) throws InvalidSettingsException {
     if (operator == null) {
-      throw new BadSettings("--config", config, "--operator or --nodes is needed with it");
+      throw new InvalidSettingsException(
+          "--config", config, "--operator or --nodes is needed with it");
     }
     ConsoleSettings c =
         OperatorSettings.load(operator)
             .console()
-            .orElseThrow(() -> new BadSettings(operator, "console", "is not there: it is off"));
+            .orElseThrow(
+                () -> new InvalidSettingsException(operator, "console", "is not there: it is off"));
     List<String> out = new ArrayList<>();
     boolean any = c.listen().host().equals("0.0.0.0");
     out.add(
--- a/src/main/java/org/mallowroad/cli/Cron.java
+++ b/src/main/java/org/mallowroad/cli/Cron.java
@@ -9,13 +9,13 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import org.mallowroad.calendar.BadExpression;
 import org.mallowroad.calendar.CronExpression;
+import org.mallowroad.calendar.InvalidCronExpressionException;
 import org.mallowroad.calendar.OpenDays;
 import org.mallowroad.calendar.Rules;
 import org.mallowroad.calendar.Schedule;
 import org.mallowroad.calendar.Table;
-import org.mallowroad.calendar.file.BadTable;
+import org.mallowroad.calendar.file.InvalidTableException;
 import org.mallowroad.calendar.file.TableFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -47,7 +47,7 @@
       TableFile.Content c;
       try {
         c = TableFile.read(file);
-      } catch (BadTable e) {
+      } catch (InvalidTableException e) {
         System.err.println("mallowroad: " + e.getMessage());
         return 2;
       }
@@ -113,7 +113,7 @@
       CronExpression cron;
       try {
         cron = CronExpression.parse(expression);
-      } catch (BadExpression e) {
+      } catch (InvalidCronExpressionException e) {
         return wrong(expression + ": " + e.getMessage());
       }
       ZoneId z;
--- a/src/main/java/org/mallowroad/cli/Experiment.java
+++ b/src/main/java/org/mallowroad/cli/Experiment.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.stream.LongStream;
-import org.mallowroad.core.fetch.FetchPolicy;
-import org.mallowroad.world.Checker;
-import org.mallowroad.world.Fault;
-import org.mallowroad.world.FetchWave;
-import org.mallowroad.world.Plan;
-import org.mallowroad.world.World;
+import org.mallowroad.core.image.ImageFetchPolicy;
+import org.mallowroad.simulation.Fault;
+import org.mallowroad.simulation.ImageFetchWave;
+import org.mallowroad.simulation.InvariantChecker;
+import org.mallowroad.simulation.Scenario;
+import org.mallowroad.simulation.Simulation;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -94,15 +94,15 @@
       System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off");
     }
     if (file != null) {
-      Plan plan;
+      Scenario plan;
       try {
-        plan = Plan.load(file);
+        plan = Scenario.load(file);
       } catch (IOException e) {
         System.err.println("mallowroad: " + file + ": " + e.getMessage().lines().findFirst().get());
         return 2;
       }
-      World world = new World(plan);
-      World.Result r = world.play();
+      Simulation world = new Simulation(plan);
+      Simulation.Result r = world.play();
       world.log().forEach(out::println);
       out.println(r.line());
       tell(r);
@@ -121,10 +121,28 @@
     for (int machines : new int[] {200, 1_000}) {
       for (double gb : new double[] {20, 60}) {
         for (boolean failures : new boolean[] {false, true}) {
-          row(machines, gb, failures, "all at once", new FetchPolicy(0, 0, 0, 2, 1), false);
-          row(machines, gb, failures, "source limit 16", new FetchPolicy(16, 0, 0, 2, 1), false);
-          row(machines, gb, failures, "handed on, no limit", new FetchPolicy(0, 0, 1, 2, 1), true);
-          row(machines, gb, failures, "handed on, limit 16", new FetchPolicy(16, 0, 1, 2, 1), true);
+          row(machines, gb, failures, "all at once", new ImageFetchPolicy(0, 0, 0, 2, 1), false);
+          row(
+              machines,
+              gb,
+              failures,
+              "source limit 16",
+              new ImageFetchPolicy(16, 0, 0, 2, 1),
+              false);
+          row(
+              machines,
+              gb,
+              failures,
+              "handed on, no limit",
+              new ImageFetchPolicy(0, 0, 1, 2, 1),
+              true);
+          row(
+              machines,
+              gb,
+              failures,
+              "handed on, limit 16",
+              new ImageFetchPolicy(16, 0, 1, 2, 1),
+              true);
         }
       }
     }
@@ -132,9 +150,9 @@
   }
 
   private void row(
-      int machines, double gb, boolean failures, String way, FetchPolicy p, boolean handsOn) {
-    FetchWave.Setting s = new FetchWave.Setting(machines, 350, gb, p, handsOn, failures);
-    FetchWave.Figures f = new FetchWave(s, from).play();
+      int machines, double gb, boolean failures, String way, ImageFetchPolicy p, boolean handsOn) {
+    ImageFetchWave.Setting s = new ImageFetchWave.Setting(machines, 350, gb, p, handsOn, failures);
+    ImageFetchWave.Figures f = new ImageFetchWave(s, from).play();
     out.printf(
         "| %d | %.0f | %s | %s | %d | %d | %d | %d |%n",
         machines,
@@ -144,42 +162,42 @@
         f.firstS(),
         f.halfS(),
         f.lastS(),
-        FetchWave.bound(s));
+        ImageFetchWave.bound(s));
   }
 
   /** A row for each cut: the worst and the sums of several seeds. */
   private int matrix() throws IOException {
     out.println("| cut | of | mode | way | killed | takeovers | workers s | users s |");
     out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    int cells = Plan.matrix(0, !without).size();
+    int cells = Scenario.matrix(0, !without).size();
     boolean good = true;
     for (int c = 0; c < cells; c++) {
       int cell = c;
-      List<World.Result> results =
+      List<Simulation.Result> results =
           LongStream.range(from, from + histories)
               .parallel()
-              .mapToObj(seed -> play(Plan.matrix(seed, !without).get(cell)))
+              .mapToObj(seed -> play(Scenario.matrix(seed, !without).get(cell)))
               .toList();
       Fault f = results.get(0).plan().faults().get(0);
-      good &= results.stream().allMatch(World.Result::good);
+      good &= results.stream().allMatch(Simulation.Result::good);
       out.printf(
           java.util.Locale.ROOT,
           "| %s | %s | %s | %s | %d | %d | %.1f | %.1f |%n",
           f.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '),
-          f.node() == Plan.FOLLOWER ? "follower" : "leader",
+          f.node() == Scenario.FOLLOWER ? "follower" : "leader",
           f.mode(),
           List.of("both", "there", "back").get(f.direction()),
-          results.stream().mapToLong(World.Result::killed).sum(),
+          results.stream().mapToLong(Simulation.Result::killed).sum(),
           results.stream().mapToLong(r -> r.terms() - 1).sum(),
-          results.stream().mapToLong(World.Result::workersMs).max().orElse(0) / 1000.0,
-          results.stream().mapToLong(World.Result::usersMs).max().orElse(0) / 1000.0);
+          results.stream().mapToLong(Simulation.Result::workersMs).max().orElse(0) / 1000.0,
+          results.stream().mapToLong(Simulation.Result::usersMs).max().orElse(0) / 1000.0);
     }
     return good ? 0 : 1;
   }
 
-  private static World.Result play(Plan plan) {
+  private static Simulation.Result play(Scenario plan) {
     try {
-      return new World(plan).play();
+      return new Simulation(plan).play();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -187,10 +205,10 @@
 
   private int many() throws IOException, InterruptedException, ExecutionException {
     ExecutorService pool = Executors.newFixedThreadPool(jobs);
-    List<Future<World.Result>> results = new ArrayList<>();
+    List<Future<Simulation.Result>> results = new ArrayList<>();
     for (int i = 0; i < histories; i++) {
-      Plan plan = plan(from + i);
-      results.add(pool.submit(() -> new World(plan).play()));
+      Scenario plan = plan(from + i);
+      results.add(pool.submit(() -> new Simulation(plan).play()));
     }
     pool.shutdown();
     int bad = 0;
@@ -198,10 +216,10 @@
     long started = 0;
     long unfinished = 0;
     double least = 1;
-    World.Result first = null;
+    Simulation.Result first = null;
     int done = 0;
-    for (Future<World.Result> f : results) {
-      World.Result r = f.get();
+    for (Future<Simulation.Result> f : results) {
+      Simulation.Result r = f.get();
       killed += r.killed();
       started += r.started();
       unfinished += r.unfinished();
@@ -228,7 +246,7 @@
         unfinished,
         least);
     if (first != null) {
-      World.Result r = shrunk(first);
+      Simulation.Result r = shrunk(first);
       tell(r);
       out.println("# again: save what follows as FILE, mallowroad experiment --plan FILE");
       out.print(r.plan().toml());
@@ -236,24 +254,24 @@
     return bad == 0 ? 0 : 1;
   }
 
-  private Plan plan(long seed) {
+  private Scenario plan(long seed) {
     if (meetings) {
-      return Plan.meetings(seed, !without);
+      return Scenario.meetings(seed, !without);
     }
     if (waves) {
-      return Plan.waves(seed, !without);
+      return Scenario.waves(seed, !without);
     }
     if (ratings) {
-      return Plan.ratings(seed, !without);
+      return Scenario.ratings(seed, !without);
     }
     if (unheard) {
-      return Plan.unheard(seed, !without);
+      return Scenario.unheard(seed, !without);
     }
-    return restarts ? Plan.restarts(seed, !without) : Plan.drawn(seed, !without);
+    return restarts ? Scenario.restarts(seed, !without) : Scenario.drawn(seed, !without);
   }
 
-  private void tell(World.Result r) {
-    for (Checker.Breach b : r.breaches()) {
+  private void tell(Simulation.Result r) {
+    for (InvariantChecker.Breach b : r.breaches()) {
       out.println("BROKEN " + b.rule() + " at " + b.ms() + ": " + b.what());
       b.events().forEach(e -> out.println("  " + e));
     }
@@ -262,9 +280,9 @@
   }
 
   /** Leaves faults out, then halves those that are left, while the same rule breaks. */
-  private static World.Result shrunk(World.Result r) throws IOException {
+  private static Simulation.Result shrunk(Simulation.Result r) throws IOException {
     String rule = r.breaches().get(0).rule();
-    World.Result best = r;
+    Simulation.Result best = r;
     for (int i = best.plan().faults().size() - 1; i >= 0; i--) {
       List<Fault> fewer = new ArrayList<>(best.plan().faults());
       fewer.remove(i);
@@ -278,9 +296,9 @@
     return best;
   }
 
-  private static World.Result better(World.Result best, List<Fault> faults, String rule)
+  private static Simulation.Result better(Simulation.Result best, List<Fault> faults, String rule)
       throws IOException {
-    World.Result r = new World(best.plan().with(faults)).play();
+    Simulation.Result r = new Simulation(best.plan().with(faults)).play();
     return r.breaches().stream().anyMatch(b -> b.rule().equals(rule)) ? r : best;
   }
 }
--- a/src/main/java/org/mallowroad/cli/Look.java
+++ b/src/main/java/org/mallowroad/cli/InspectCommands.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.mallowroad.config.BadSettings;
-import org.mallowroad.console.ask.Asker;
+import org.mallowroad.config.InvalidSettingsException;
+import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.report.Report;
 import org.mallowroad.console.view.Overview;
 import org.mallowroad.console.view.Screen;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
 import org.mallowroad.wire.ConsoleCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -27,20 +27,20 @@
  * Commands that look at a site and change nothing. Exit codes: 0 seen, 1 no such job, 2 a wrong
  * option or file, 3 neither a node nor the state service answers.
  */
-abstract class Look implements Callable<Integer> {
-  @Mixin private Where where;
+abstract class InspectCommands implements Callable<Integer> {
+  @Mixin private ClusterAddress where;
 
   @Override
   public final Integer call() throws IOException {
-    try (Asker asker = where.asker()) {
+    try (ClusterQuery asker = where.asker()) {
       return look(asker);
-    } catch (BadSettings e) {
+    } catch (InvalidSettingsException e) {
       System.err.println("mallowroad: " + e.getMessage());
       return 2;
     }
   }
 
-  abstract int look(Asker asker) throws IOException;
+  abstract int look(ClusterQuery asker) throws IOException;
 
   /** The code for a look that nobody answered, else 0. */
   static int code(Overview o) {
@@ -56,7 +56,7 @@
       name = "why",
       mixinStandardHelpOptions = true,
       description = "Shows why a job's tasks wait, what would let them go on, and where they are.")
-  static final class Why extends Look {
+  static final class Why extends InspectCommands {
     private static final Pattern GAME = Pattern.compile("([A-Za-z0-9._-]{1,64})/([0-9]{1,9})");
 
     @Parameters(
@@ -68,13 +68,13 @@
     private boolean json;
 
     @Override
-    int look(Asker asker) {
+    int look(ClusterQuery asker) {
       Matcher game = GAME.matcher(id);
       if (game.matches()) {
         try {
           print(asker.game(game.group(1), Long.parseLong(game.group(2))));
           return 0;
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
           System.err.println("mallowroad: the state service: " + e.getMessage());
           return 3;
         }
@@ -85,10 +85,10 @@
       }
       Overview o = asker.look();
       JobLine line = o.jobs().stream().filter(j -> j.id().equals(id)).findFirst().orElse(null);
-      JobPicture p = o.obstacle().isEmpty() ? asker.job(id) : null;
+      JobSnapshot p = o.obstacle().isEmpty() ? asker.job(id) : null;
       if (p == null && line != null) {
         String remedy = line.reason().isEmpty() ? "" : Overview.remedy(line.reason());
-        p = new JobPicture(id, line, remedy, List.of(), 0);
+        p = new JobSnapshot(id, line, remedy, List.of(), 0);
       }
       if (p == null) {
         int code = code(o);
@@ -117,9 +117,9 @@
       name = "status",
       mixinStandardHelpOptions = true,
       description = "Shows who leads, what waits and why, in a few lines.")
-  static final class Status extends Look {
+  static final class Status extends InspectCommands {
     @Override
-    int look(Asker asker) {
+    int look(ClusterQuery asker) {
       Overview o = asker.look();
       List<String> all = new Screen(100, 0).draw(o, Top.look(Screen.Page.NODES));
       print(all);
@@ -133,12 +133,12 @@
       mixinStandardHelpOptions = true,
       description =
           "Writes one HTML page that opens without a network: what waits, why, and where.")
-  static final class Write extends Look {
+  static final class Write extends InspectCommands {
     @Option(names = "--out", required = true, paramLabel = "FILE", description = "The page.")
     private Path out;
 
     @Override
-    int look(Asker asker) throws IOException {
+    int look(ClusterQuery asker) throws IOException {
       Overview o = asker.look();
       String page = Report.page(o, asker.history());
       try {
--- a/src/main/java/org/mallowroad/cli/Main.java
+++ b/src/main/java/org/mallowroad/cli/Main.java
@@ -1,11 +1,11 @@
 package org.mallowroad.cli;
 
 import java.util.List;
-import org.mallowroad.config.BadSettings;
+import org.mallowroad.config.InvalidSettingsException;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
+import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.controller.Node;
-import org.mallowroad.controller.Site;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IExecutionStrategy;
@@ -71,13 +71,13 @@
     CommandLine line = new CommandLine(spec);
     if (!serves) {
       line.addSubcommand(new CheckConfig())
-          .addSubcommand(new Remote.Submit())
-          .addSubcommand(new Remote.Show())
-          .addSubcommand(new Remote.Cancel())
-          .addSubcommand(new Look.Status())
+          .addSubcommand(new ClientCommands.Submit())
+          .addSubcommand(new ClientCommands.Show())
+          .addSubcommand(new ClientCommands.Cancel())
+          .addSubcommand(new InspectCommands.Status())
           .addSubcommand(new Top())
-          .addSubcommand(new Look.Why())
-          .addSubcommand(new Look.Write())
+          .addSubcommand(new InspectCommands.Why())
+          .addSubcommand(new InspectCommands.Write())
           .addSubcommand(new Try())
           .addSubcommand(new Cron())
           .addSubcommand(new Experiment())
@@ -122,7 +122,7 @@
         }
         System.out.println("ok");
         return 0;
-      } catch (BadSettings e) {
+      } catch (InvalidSettingsException e) {
         System.err.println("mallowroad: " + e.getMessage());
         return 2;
       }
@@ -138,9 +138,9 @@
       Settings s = Settings.load(config);
       OperatorSettings o =
           operator == null ? OperatorSettings.defaults() : OperatorSettings.load(operator);
-      new Node(new Site(s, o)).start();
+      new Node(new ClusterConfig(s, o)).start();
       return 0;
-    } catch (BadSettings e) {
+    } catch (InvalidSettingsException e) {
       System.err.println("mallowroad: " + e.getMessage());
       return 2;
     } catch (java.io.IOException e) {
--- a/src/main/java/org/mallowroad/cli/Rehearse.java
+++ b/src/main/java/org/mallowroad/cli/Rehearse.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.mallowroad.config.BadSettings;
+import org.mallowroad.config.InvalidSettingsException;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
+import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.controller.Node;
-import org.mallowroad.controller.Site;
-import org.mallowroad.standin.CloudStandIn;
-import org.mallowroad.standin.StateStandIn;
+import org.mallowroad.fake.FakeCloud;
+import org.mallowroad.fake.FakeStateService;
 import picocli.CommandLine.Command;
 
 /**
@@ -34,7 +34,7 @@
   private static final long PAUSE_MS = 100;
 
   @Override
-  public Integer call() throws IOException, BadSettings, InterruptedException {
+  public Integer call() throws IOException, InvalidSettingsException, InterruptedException {
     if (!play()) {
       // The service runs without these classes in the archive too, only starts slower.
       System.err.println("mallowroad: the rehearsal did not come to its end");
@@ -43,12 +43,12 @@
   }
 
   /** True when all came to its end: jobs done and cancelled, and a second node took over. */
-  static boolean play() throws IOException, BadSettings, InterruptedException {
+  static boolean play() throws IOException, InvalidSettingsException, InterruptedException {
     long until = System.nanoTime() + MOST_MS * 1_000_000;
     List<String> at = new CopyOnWriteArrayList<>();
-    CloudStandIn.Type type = new CloudStandIn.Type("t", 64, 64, 1, 1, List.of("a"));
-    try (StateStandIn state = new StateStandIn();
-        CloudStandIn cloud = new CloudStandIn(at, List.of(type))) {
+    FakeCloud.Type type = new FakeCloud.Type("t", 64, 64, 1, 1, List.of("a"));
+    try (FakeStateService state = new FakeStateService();
+        FakeCloud cloud = new FakeCloud(at, List.of(type))) {
       String outside = "127.0.0.1:" + state.port();
       Node first = node("first", "second", "127.0.0.1:" + cloud.port(), outside, outside);
       first.start();
@@ -128,7 +128,7 @@
   }
 
   private static Node node(String name, String other, String cloud, String state, String peer)
-      throws IOException, BadSettings {
+      throws IOException, InvalidSettingsException {
     Path file = Files.createTempFile("rehearse", ".toml");
     Path operator = Files.createTempFile("rehearse", ".xml");
     try {
@@ -170,7 +170,8 @@
           """
               .formatted(name, cloud, peer, state, other));
       return new Node(
-          new Site(Settings.load(file.toString()), OperatorSettings.load(operator.toString())));
+          new ClusterConfig(
+              Settings.load(file.toString()), OperatorSettings.load(operator.toString())));
     } finally {
       Files.delete(operator);
       Files.delete(file);
--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -13,12 +13,12 @@
 import org.jline.utils.Display;
 import org.jline.utils.InfoCmp.Capability;
 import org.jline.utils.NonBlockingReader;
-import org.mallowroad.console.ask.Asker;
+import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.view.Overview;
 import org.mallowroad.console.view.Screen;
 import org.mallowroad.console.view.Screen.Page;
 import org.mallowroad.console.view.Screen.Sort;
-import org.mallowroad.core.explain.JobPicture;
+import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.wire.ConsoleCodec;
 import org.mallowroad.wire.JobCodec;
 import picocli.CommandLine.Command;
@@ -30,7 +30,7 @@
     mixinStandardHelpOptions = true,
     description =
         "Shows queues, jobs, machines and nodes, and why anything waits; its last line has the keys.")
-final class Top extends Look {
+final class Top extends InspectCommands {
   private static final String KEYS =
       "q quit  1 queues 2 jobs 3 machines 4 nodes  s sort  / filter  n p page  j job";
 
@@ -70,18 +70,18 @@
   private char typingFor;
 
   /** A look at one page as it comes. */
-  static Screen.Look look(Page show) {
-    return new Screen.Look(show, Sort.QUEUE, "", 0);
+  static Screen.InspectCommands look(Page show) {
+    return new Screen.InspectCommands(show, Sort.QUEUE, "", 0);
   }
 
   @Override
-  int look(Asker asker) throws IOException {
+  int look(ClusterQuery asker) throws IOException {
     if (json || once) {
       Overview o = asker.look();
       if (json) {
         System.out.println(new String(ConsoleCodec.bytes(o), StandardCharsets.UTF_8));
       } else {
-        print(new Screen(width, 0).draw(o, new Screen.Look(show, sort, filter, 0)));
+        print(new Screen(width, 0).draw(o, new Screen.InspectCommands(show, sort, filter, 0)));
       }
       return code(o);
     }
@@ -94,7 +94,7 @@
     }
   }
 
-  private int run(Terminal terminal, Asker asker) throws IOException {
+  private int run(Terminal terminal, ClusterQuery asker) throws IOException {
     Attributes before = terminal.enterRawMode();
     Display display = new Display(terminal, true);
     terminal.puts(Capability.enter_ca_mode);
@@ -128,7 +128,7 @@
     }
   }
 
-  private void draw(Terminal terminal, Display display, Overview o, Asker asker) {
+  private void draw(Terminal terminal, Display display, Overview o, ClusterQuery asker) {
     Size size = terminal.getSize();
     int rows = Math.max(10, size.getRows());
     int columns = Math.max(Screen.LEAST_WIDTH, size.getColumns());
@@ -136,9 +136,9 @@
     List<String> lines;
     Screen screen = new Screen(columns - 1, rows - 1);
     if (job.isEmpty()) {
-      lines = new ArrayList<>(screen.draw(o, new Screen.Look(show, sort, filter, page)));
+      lines = new ArrayList<>(screen.draw(o, new Screen.InspectCommands(show, sort, filter, page)));
     } else {
-      JobPicture p = asker.job(job);
+      JobSnapshot p = asker.job(job);
       lines =
           new ArrayList<>(
               p == null
--- a/src/main/java/org/mallowroad/cli/Try.java
+++ b/src/main/java/org/mallowroad/cli/Try.java
@@ -12,11 +12,11 @@
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings.TeamSetting;
+import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.controller.Node;
-import org.mallowroad.controller.Site;
-import org.mallowroad.standin.CloudStandIn;
-import org.mallowroad.standin.Loopback;
-import org.mallowroad.standin.StateStandIn;
+import org.mallowroad.fake.FakeCloud;
+import org.mallowroad.fake.FakeStateService;
+import org.mallowroad.fake.LoopbackSettings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -48,17 +48,17 @@
   @Option(names = "--for-s", paramLabel = "SECONDS", description = "End by itself after so long.")
   private double forS = Double.MAX_VALUE;
 
-  private record Sample(
+  private record MetricSample(
       String team, String taskClass, String rank, int tasks, double cpus, boolean together) {}
 
   /** One of them every two seconds, in turn; together somewhat more than the machines hold. */
-  private static final List<Sample> SAMPLES =
+  private static final List<MetricSample> SAMPLES =
       List.of(
-          new Sample("ratings", "rating-recalc", "urgent", 4, 2, false),
-          new Sample("archive", "replay-render", "idle", 40, 1, false),
-          new Sample("planning", "site-planner", "normal", 6, 4, true),
-          new Sample("ratings", "opening-stats", "normal", 16, 1, false),
-          new Sample("planning", "waitlist-match", "critical", 2, 2, false));
+          new MetricSample("ratings", "rating-recalc", "urgent", 4, 2, false),
+          new MetricSample("archive", "replay-render", "idle", 40, 1, false),
+          new MetricSample("planning", "site-planner", "normal", 6, 4, true),
+          new MetricSample("ratings", "opening-stats", "normal", 16, 1, false),
+          new MetricSample("planning", "waitlist-match", "critical", 2, 2, false));
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -67,13 +67,13 @@
       return 2;
     }
     List<String> controllers = new CopyOnWriteArrayList<>();
-    List<CloudStandIn.Type> types =
+    List<FakeCloud.Type> types =
         List.of(
-            new CloudStandIn.Type("small", 8, 32, 0.4, 4, ZONES),
-            new CloudStandIn.Type("large", 32, 128, 1.6, 8, List.of("north")));
+            new FakeCloud.Type("small", 8, 32, 0.4, 4, ZONES),
+            new FakeCloud.Type("large", 32, 128, 1.6, 8, List.of("north")));
     List<Node> nodes = new ArrayList<>();
-    try (StateStandIn state = new StateStandIn();
-        CloudStandIn cloud = new CloudStandIn(controllers, types)) {
+    try (FakeStateService state = new FakeStateService();
+        FakeCloud cloud = new FakeCloud(controllers, types)) {
       cloud.taskMs = 12_000;
       cloud.fetchMs = 1_500;
       cloud.bootPart = 1;
@@ -82,7 +82,7 @@
               new TeamSetting("ratings", 24, 0, 48, 0),
               new TeamSetting("planning", 16, 0, 32, 0),
               new TeamSetting("archive", 8, 0, 64, 0));
-      Loopback site = new Loopback(ZONES, teams, cloud, state, 0.5, 26);
+      LoopbackSettings site = new LoopbackSettings(ZONES, teams, cloud, state, 0.5, 26);
       List<String> consoles = new ArrayList<>();
       for (int i = 0; i < CONTROLLERS; i++) {
         Node n = node(i, site);
@@ -102,7 +102,7 @@
     }
   }
 
-  private void say(List<String> controllers, List<String> consoles, StateStandIn state) {
+  private void say(List<String> controllers, List<String> consoles, FakeStateService state) {
     String at = "--nodes " + String.join(",", consoles) + " --state 127.0.0.1:" + state.port();
     String jar = "java -jar target/mallowroad.jar ";
     System.out.println("Three controllers, stand-ins and sample jobs run here until Ctrl-C.");
@@ -114,7 +114,7 @@
     System.out.println("  " + jar + "why job-1 " + at);
   }
 
-  private void run(List<String> controllers, CloudStandIn cloud) throws InterruptedException {
+  private void run(List<String> controllers, FakeCloud cloud) throws InterruptedException {
     long began = System.nanoTime();
     for (int i = 0; (System.nanoTime() - began) / 1e9 < forS; i++) {
       submit(controllers.get(i % controllers.size()), i + 1, SAMPLES.get(i % SAMPLES.size()));
@@ -127,7 +127,7 @@
   }
 
   /** A refused submission is tried again like any user would: with the next one. */
-  private static void submit(String node, int n, Sample s) {
+  private static void submit(String node, int n, MetricSample s) {
     String job =
         """
         {"name_id":"job-%d","docket":"%s","crew":"%s","form":"sweep","rank":"%s","moves":%d,
@@ -148,10 +148,10 @@
     }
   }
 
-  private Node node(int i, Loopback site) throws IOException {
+  private Node node(int i, LoopbackSettings site) throws IOException {
     OperatorSettings d = OperatorSettings.defaults();
     Endpoint listen = new Endpoint("127.0.0.1", consolePort == 0 ? 0 : consolePort + i);
     ConsoleSettings console = new ConsoleSettings(listen, 2_000, 1_000, 240);
-    return new Node(new Site(site.node(i, CONTROLLERS), d.with(console)));
+    return new Node(new ClusterConfig(site.node(i, CONTROLLERS), d.with(console)));
   }
 }
--- a/src/main/java/org/mallowroad/cloud/CloudApi.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -6,32 +6,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Caller;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.LogLimiter;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.net.RequestSender;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.TypeCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The cloud's calls. */
-public final class CloudApi {
-  private static final Logger LOG = LoggerFactory.getLogger(CloudApi.class);
+public final class CloudClient {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
   private static final long TIMEOUT_MS = 5_000;
 
   /** Where the types are listed: the cheapest question there is. */
   public static final String TYPES = "/machine_types";
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final LogLimiter garbled = LogLimiter.usual();
-  private final Caller caller;
-  private final Budget budget;
-  private final Names typeNames;
-  private final Names zoneNames;
+  private final RequestSender caller;
+  private final RateLimiter budget;
+  private final NameIndex typeNames;
+  private final NameIndex zoneNames;
   private long wrong;
 
   /** A machine as the list gives it. */
@@ -62,7 +62,8 @@
   }
 
   /** Over a caller, within a budget. */
-  public CloudApi(Loop loop, Caller caller, Budget budget, Names types, Names zones) {
+  public CloudClient(
+      EventLoop loop, RequestSender caller, RateLimiter budget, NameIndex types, NameIndex zones) {
     this.loop = loop;
     this.caller = caller;
     this.budget = budget;
@@ -88,7 +89,7 @@
         TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             got.got(TypeCodec.decode(o, typeNames, zoneNames));
           }
 
@@ -116,7 +117,7 @@
         TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             String last = null;
             for (JsonNode m : Json.list(o, Fields.MACHINES)) {
               String address = Json.stringOrNull(m, Fields.ADDRESS, 200);
@@ -165,7 +166,7 @@
         2 * TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode r) throws BadMessage {
+          void ok(int status, ObjectNode r) throws InvalidMessageException {
             List<String> names = new ArrayList<>();
             for (JsonNode n : Json.list(r, Fields.MACHINES)) {
               names.add(n.asText());
@@ -216,8 +217,8 @@
         });
   }
 
-  private abstract class Parsed implements Caller.Answer {
-    abstract void ok(int status, ObjectNode o) throws BadMessage;
+  private abstract class Parsed implements RequestSender.Answer {
+    abstract void ok(int status, ObjectNode o) throws InvalidMessageException;
 
     abstract void none();
 
@@ -237,7 +238,7 @@
           }
           refused(status, o.path(Fields.ERROR).asText());
         }
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         wrong++;
         long left = garbled.line(loop.now());
         if (left >= 0) {
--- a/src/main/java/org/mallowroad/config/BadSettings.java
+++ b/src/main/java/org/mallowroad/config/InvalidSettingsException.java
@@ -1,11 +1,11 @@
 package org.mallowroad.config;
 
 /** A settings file that cannot be used; the text names file and field. */
-public final class BadSettings extends Exception {
+public final class InvalidSettingsException extends Exception {
   private static final long serialVersionUID = 1;
 
   /** For a file and field. */
-  public BadSettings(String file, String field, String reason) {
+  public InvalidSettingsException(String file, String field, String reason) {
     super(file + ": " + field + ": " + reason, null, false, false);
   }
 }
--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -6,10 +6,10 @@
 import javax.xml.XMLConstants;
 import javax.xml.parsers.DocumentBuilderFactory;
 import javax.xml.parsers.ParserConfigurationException;
-import org.mallowroad.core.FleetPolicy;
-import org.mallowroad.core.fetch.FetchPolicy;
+import org.mallowroad.core.AutoscalerPolicy;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.links.LinkPolicy;
+import org.mallowroad.core.image.ImageFetchPolicy;
+import org.mallowroad.core.linkstate.LinkPolicy;
 import org.w3c.dom.Element;
 import org.xml.sax.SAXException;
 
@@ -19,21 +19,21 @@
  * listener and the ways round cuts, each of which is off when it is not named.
  */
 public record OperatorSettings(
-    FleetPolicy fleet,
+    AutoscalerPolicy fleet,
     HealthPolicy health,
     Optional<ConsoleSettings> console,
     Optional<LinkPolicy> links,
-    FetchPolicy fetches,
+    ImageFetchPolicy fetches,
     RecordPolicy records) {
 
   /** What holds without a file. */
   public static OperatorSettings defaults() {
     return new OperatorSettings(
-        FleetPolicy.defaults(),
+        AutoscalerPolicy.defaults(),
         HealthPolicy.defaults(),
         Optional.empty(),
         Optional.empty(),
-        FetchPolicy.defaults(),
+        ImageFetchPolicy.defaults(),
         RecordPolicy.defaults());
   }
 
@@ -51,7 +51,7 @@
    * Reads and checks a file of the form {@code <mallowroad><fleet
    * booked-limit=".."/></mallowroad>}.
    */
-  public static OperatorSettings load(String file) throws BadSettings {
+  public static OperatorSettings load(String file) throws InvalidSettingsException {
     Element root;
     try {
       DocumentBuilderFactory f = DocumentBuilderFactory.newDefaultInstance();
@@ -61,10 +61,10 @@
       builder.setErrorHandler(null);
       root = builder.parse(new File(file)).getDocumentElement();
     } catch (ParserConfigurationException | SAXException | IOException e) {
-      throw new BadSettings(file, "file", "cannot be read: " + e.getMessage());
+      throw new InvalidSettingsException(file, "file", "cannot be read: " + e.getMessage());
     }
     if (!root.getTagName().equals("mallowroad")) {
-      throw new BadSettings(file, root.getTagName(), "the root element is mallowroad");
+      throw new InvalidSettingsException(file, root.getTagName(), "the root element is mallowroad");
     }
     return new OperatorSettings(
         fleet(file, root),
@@ -75,23 +75,23 @@
         records(file, root));
   }
 
-  private static RecordPolicy records(String file, Element root) throws BadSettings {
+  private static RecordPolicy records(String file, Element root) throws InvalidSettingsException {
     if (!(root.getElementsByTagName("records").item(0) instanceof Element e)) {
       return RecordPolicy.defaults();
     }
     String shared = e.getAttribute("share-starts");
     if (!shared.equals("true") && !shared.equals("false")) {
-      throw new BadSettings(file, "records/share-starts", "true or false is needed");
+      throw new InvalidSettingsException(file, "records/share-starts", "true or false is needed");
     }
     return new RecordPolicy(shared.equals("true"));
   }
 
-  private static FleetPolicy fleet(String file, Element root) throws BadSettings {
-    FleetPolicy d = FleetPolicy.defaults();
+  private static AutoscalerPolicy fleet(String file, Element root) throws InvalidSettingsException {
+    AutoscalerPolicy d = AutoscalerPolicy.defaults();
     if (!(root.getElementsByTagName("fleet").item(0) instanceof Element e)) {
       return d;
     }
-    return new FleetPolicy(
+    return new AutoscalerPolicy(
         number(file, e, "booked-limit", d.bookedLimit(), 0.01, 1),
         number(file, e, "waiting-limit", d.waitingLimit(), 1, 1e6),
         number(file, e, "booked-spare", d.bookedSpare(), 0, 1),
@@ -101,7 +101,7 @@
         (long) (number(file, e, "idle-s", d.idleMs() / 1000.0, 0, 86400) * 1000));
   }
 
-  private static HealthPolicy health(String file, Element root) throws BadSettings {
+  private static HealthPolicy health(String file, Element root) throws InvalidSettingsException {
     HealthPolicy d = HealthPolicy.defaults();
     if (!(root.getElementsByTagName("health").item(0) instanceof Element e)) {
       return d;
@@ -121,13 +121,14 @@
         (long) (number(file, e, "still-s", d.stillMs() / 1000.0, 0.5, 60) * 1000));
   }
 
-  private static Optional<ConsoleSettings> console(String file, Element root) throws BadSettings {
+  private static Optional<ConsoleSettings> console(String file, Element root)
+      throws InvalidSettingsException {
     if (!(root.getElementsByTagName("console").item(0) instanceof Element e)) {
       return Optional.empty();
     }
     Settings.Endpoint listen = Settings.Endpoint.of(e.getAttribute("listen").trim());
     if (listen == null) {
-      throw new BadSettings(file, "console/listen", "host:port is needed");
+      throw new InvalidSettingsException(file, "console/listen", "host:port is needed");
     }
     return Optional.of(
         new ConsoleSettings(
@@ -137,7 +138,8 @@
             (int) number(file, e, "history", 240, 0, 2_000)));
   }
 
-  private static Optional<LinkPolicy> links(String file, Element root) throws BadSettings {
+  private static Optional<LinkPolicy> links(String file, Element root)
+      throws InvalidSettingsException {
     if (!(root.getElementsByTagName("links").item(0) instanceof Element e)) {
       return Optional.empty();
     }
@@ -151,17 +153,18 @@
             ms(file, e, "hold-s", d.holdMs(), 1, 600),
             ms(file, e, "canary-s", d.canaryMs(), 1, 600));
     if (p.freshMs() < 2 * p.rowMs()) {
-      throw new BadSettings(file, "links/fresh-s", "at least twice row-s is needed");
+      throw new InvalidSettingsException(file, "links/fresh-s", "at least twice row-s is needed");
     }
     return Optional.of(p);
   }
 
-  private static FetchPolicy fetches(String file, Element root) throws BadSettings {
-    FetchPolicy d = FetchPolicy.defaults();
+  private static ImageFetchPolicy fetches(String file, Element root)
+      throws InvalidSettingsException {
+    ImageFetchPolicy d = ImageFetchPolicy.defaults();
     if (!(root.getElementsByTagName("fetch").item(0) instanceof Element e)) {
       return d;
     }
-    return new FetchPolicy(
+    return new ImageFetchPolicy(
         (int) number(file, e, "source-limit", d.source(), 0, 100_000),
         (int) number(file, e, "machine-limit", d.machine(), 0, 100),
         (int) number(file, e, "takers", d.takers(), 0, 100),
@@ -170,7 +173,7 @@
   }
 
   /** The same with limits on fetches. */
-  public OperatorSettings with(FetchPolicy f) {
+  public OperatorSettings with(ImageFetchPolicy f) {
     return new OperatorSettings(fleet, health, console, links, f, records);
   }
 
@@ -181,13 +184,13 @@
 
   private static long ms(
       String file, Element e, String name, long otherwise, double min, double max)
-      throws BadSettings {
+      throws InvalidSettingsException {
     return (long) (number(file, e, name, otherwise / 1000.0, min, max) * 1000);
   }
 
   private static double number(
       String file, Element e, String name, double otherwise, double min, double max)
-      throws BadSettings {
+      throws InvalidSettingsException {
     if (!e.hasAttribute(name)) {
       return otherwise;
     }
@@ -199,7 +202,7 @@
     } catch (NumberFormatException x) {
       // Falls through to the one message.
     }
-    throw new BadSettings(
+    throw new InvalidSettingsException(
         file, e.getTagName() + "/" + name, "a number from " + min + " to " + max + " is needed");
   }
 }
--- a/src/main/java/org/mallowroad/config/Settings.java
+++ b/src/main/java/org/mallowroad/config/Settings.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.mallowroad.core.cancel.CancellationView;
+import org.mallowroad.core.cancellation.CancellationView;
 import org.mallowroad.wire.Json;
 
 /** The platform's settings file (TOML), checked. */
@@ -66,20 +66,20 @@
       String name, double cpus, double cards, double cpusMax, double cardsMax) {}
 
   /** Reads and checks a file. */
-  public static Settings load(String file) throws BadSettings {
+  public static Settings load(String file) throws InvalidSettingsException {
     JsonNode root;
     try {
       root = new TomlMapper().readTree(new File(file));
     } catch (IOException e) {
       String why =
           e.getMessage() == null ? e.toString() : e.getMessage().lines().findFirst().orElse("");
-      throw new BadSettings(file, "file", "cannot be read: " + why);
+      throw new InvalidSettingsException(file, "file", "cannot be read: " + why);
     }
     return new Reader(file).read(root);
   }
 
   private record Reader(String file) {
-    Settings read(JsonNode root) throws BadSettings {
+    Settings read(JsonNode root) throws InvalidSettingsException {
       JsonNode params = table(root, "params", "params");
       JsonNode workers = table(params, "workers", "params.workers");
       JsonNode state = table(params, "state", "params.state");
@@ -151,11 +151,11 @@
           members.size() + 1);
     }
 
-    private BadSettings bad(String field, String reason) {
-      return new BadSettings(file, field, reason);
+    private InvalidSettingsException bad(String field, String reason) {
+      return new InvalidSettingsException(file, field, reason);
     }
 
-    private JsonNode table(JsonNode o, String key, String field) throws BadSettings {
+    private JsonNode table(JsonNode o, String key, String field) throws InvalidSettingsException {
       JsonNode n = o.get(key);
       if (n == null || !n.isObject()) {
         throw bad(field, "a table is needed");
@@ -163,7 +163,8 @@
       return n;
     }
 
-    private JsonNode list(JsonNode o, String key, String field, boolean needed) throws BadSettings {
+    private JsonNode list(JsonNode o, String key, String field, boolean needed)
+        throws InvalidSettingsException {
       JsonNode n = o.get(key);
       if (n == null && !needed) {
         return Json.array();
@@ -174,7 +175,7 @@
       return n;
     }
 
-    private String text(JsonNode o, String key, String field) throws BadSettings {
+    private String text(JsonNode o, String key, String field) throws InvalidSettingsException {
       JsonNode n = o.get(key);
       if (n == null || !n.isTextual() || n.textValue().isEmpty()) {
         throw bad(field, "a text is needed");
@@ -183,7 +184,7 @@
     }
 
     private double amount(JsonNode o, String key, String field, double otherwise)
-        throws BadSettings {
+        throws InvalidSettingsException {
       JsonNode n = o.get(key);
       if (n == null) {
         return otherwise;
@@ -194,7 +195,7 @@
       return n.doubleValue();
     }
 
-    private double positive(JsonNode o, String key, String field) throws BadSettings {
+    private double positive(JsonNode o, String key, String field) throws InvalidSettingsException {
       double d = amount(o, key, field, -1);
       if (d <= 0) {
         throw bad(field, "a number above 0 is needed");
@@ -202,7 +203,8 @@
       return d;
     }
 
-    private Endpoint endpoint(JsonNode o, String key, String field) throws BadSettings {
+    private Endpoint endpoint(JsonNode o, String key, String field)
+        throws InvalidSettingsException {
       Endpoint e = Endpoint.of(text(o, key, field));
       if (e == null) {
         throw bad(field, "host:port is needed");
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -13,12 +13,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.mallowroad.config.ConsoleSettings;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Sight;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
-import org.mallowroad.net.XnioLoop;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeStatus;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.net.XnioEventLoop;
 import org.mallowroad.wire.ConsoleCodec;
 import org.mallowroad.wire.JobCodec;
 import org.slf4j.Logger;
@@ -48,27 +48,27 @@
   private static final int MOST_WAITING = 64;
 
   private final ConsoleSettings settings;
-  private final Subject subject;
+  private final SnapshotSource subject;
   private final XnioWorker worker;
-  private final XnioLoop own;
+  private final XnioEventLoop own;
   private final Undertow server;
-  private final LoopProbe probe = new LoopProbe();
+  private final EventLoopProbe probe = new EventLoopProbe();
   private final List<Waiter> waiters = new ArrayList<>();
-  private final Past past;
-  private final Budget jobs;
+  private final MetricHistory past;
+  private final RateLimiter jobs;
   private int jobsAsked;
-  private Picture picture;
+  private NodeSnapshot picture;
   private long pictureMs;
   private boolean asked;
 
   /** A console of a node; it does not listen before {@link #start()}. */
-  public ConsoleServer(ConsoleSettings settings, Subject subject) throws IOException {
+  public ConsoleServer(ConsoleSettings settings, SnapshotSource subject) throws IOException {
     this.settings = settings;
     this.subject = subject;
-    this.past = new Past(settings.history());
-    this.worker = XnioLoop.worker("console");
-    this.own = new XnioLoop(worker.getIoThread());
-    this.jobs = new Budget(JOBS_PER_S, 2 * JOBS_PER_S, own.now());
+    this.past = new MetricHistory(settings.history());
+    this.worker = XnioEventLoop.worker("console");
+    this.own = new XnioEventLoop(worker.getIoThread());
+    this.jobs = new RateLimiter(JOBS_PER_S, 2 * JOBS_PER_S, own.now());
     HttpHandler handler = this::handle;
     this.server =
         Undertow.builder()
@@ -124,7 +124,7 @@
     }
   }
 
-  private void take(Picture p) {
+  private void take(NodeSnapshot p) {
     asked = false;
     picture = p;
     pictureMs = own.now();
@@ -137,7 +137,7 @@
   /** One who waits for a fresh picture. */
   private final class Waiter {
     private final HttpServerExchange exchange;
-    private Loop.Timer timer;
+    private EventLoop.Timer timer;
     private boolean over;
 
     Waiter(HttpServerExchange exchange) {
@@ -194,10 +194,10 @@
 
   private void sight(HttpServerExchange x) {
     long now = own.now();
-    List<String> stack = probe.stuck(now) ? LoopProbe.stack(subject.thread()) : List.of();
-    Sight s =
-        new Sight(
-            Picture.FORMAT,
+    List<String> stack = probe.stuck(now) ? EventLoopProbe.stack(subject.thread()) : List.of();
+    NodeStatus s =
+        new NodeStatus(
+            NodeSnapshot.FORMAT,
             subject.node(),
             probe.lateMs(now),
             stack,
@@ -233,14 +233,14 @@
   /** One who waits for a job. */
   private final class JobWaiter {
     private final HttpServerExchange exchange;
-    private Loop.Timer timer;
+    private EventLoop.Timer timer;
     private boolean over;
 
     JobWaiter(HttpServerExchange exchange) {
       this.exchange = exchange;
     }
 
-    void answer(JobPicture p) {
+    void answer(JobSnapshot p) {
       jobsAsked--;
       if (!over) {
         over = true;
--- a/src/main/java/org/mallowroad/console/LoopProbe.java
+++ b/src/main/java/org/mallowroad/console/EventLoopProbe.java
@@ -7,7 +7,7 @@
  * Whether a loop turns, as seen from another thread: a beat is sent through it, and the next one
  * only when that is back. Confined to the console's thread; times are of the steady clock.
  */
-final class LoopProbe {
+final class EventLoopProbe {
   /** A beat that is out for longer means that the loop is stuck. */
   static final long STUCK_MS = 1_000;
 
--- a/src/main/java/org/mallowroad/console/ask/Fetch.java
+++ b/src/main/java/org/mallowroad/console/ask/BoundedHttpGet.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 
 /** A GET whose time and size are bounded, and whose failure is a sentence. */
-final class Fetch {
+final class BoundedHttpGet {
   /** How no answer came. */
   enum Failure {
     /** One came. */
@@ -33,7 +33,7 @@
   private final Duration timeout;
   private final int most;
 
-  Fetch(HttpClient http, Duration timeout, int most) {
+  BoundedHttpGet(HttpClient http, Duration timeout, int most) {
     this.http = http;
     this.timeout = timeout;
     this.most = most;
--- a/src/main/java/org/mallowroad/console/ask/Asker.java
+++ b/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
@@ -16,17 +16,17 @@
 import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Overview;
-import org.mallowroad.console.view.Recorded;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Sample;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.console.view.RecordedState;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.MetricSample;
 import org.mallowroad.wire.ConsoleCodec;
+import org.mallowroad.wire.InvalidMessageException;
 
 /**
  * Looks at a site: all nodes and the state service at once, so that one that hangs costs its
  * time-out and not the others'. The state service is asked seldom while a leader answers.
  */
-public final class Asker implements AutoCloseable {
+public final class ClusterQuery implements AutoCloseable {
   /** A node that has not answered by then is hanging. */
   private static final long NODE_MS = 1_000;
 
@@ -40,11 +40,11 @@
   private static final int MOST_NODES = 64;
 
   private final List<String> nodes;
-  private final RecordReader records;
+  private final RecordInspector records;
   private final String state;
-  private final Fetch fetch;
+  private final BoundedHttpGet fetch;
   private final ExecutorService pool;
-  private Recorded recorded;
+  private RecordedState recorded;
   private long recordedNs;
 
   /**
@@ -53,7 +53,7 @@
    * @param nodes consoles' addresses
    * @param state the state service's address, or empty to leave it alone
    */
-  public Asker(List<String> nodes, String state) {
+  public ClusterQuery(List<String> nodes, String state) {
     this.nodes = List.copyOf(nodes.subList(0, Math.min(MOST_NODES, nodes.size())));
     this.state = state;
     this.pool =
@@ -69,9 +69,9 @@
             .connectTimeout(Duration.ofMillis(NODE_MS))
             .executor(pool)
             .build();
-    this.fetch = new Fetch(http, Duration.ofMillis(NODE_MS), MOST_BYTES);
-    this.records = new RecordReader(http, state);
-    this.recorded = Recorded.none("", "");
+    this.fetch = new BoundedHttpGet(http, Duration.ofMillis(NODE_MS), MOST_BYTES);
+    this.records = new RecordInspector(http, state);
+    this.recorded = RecordedState.none("", "");
   }
 
   /** One look. */
@@ -81,7 +81,7 @@
       asked.add(pool.submit(() -> node(n)));
     }
     // The first look reads the records beside the nodes; later ones only where they are needed.
-    Future<Recorded> reading = recordedNs == 0 ? readRecords() : null;
+    Future<RecordedState> reading = recordedNs == 0 ? readRecords() : null;
     List<NodeView> views = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
       String n = nodes.get(i);
@@ -107,14 +107,15 @@
       reading = readRecords();
     }
     if (reading != null) {
-      recorded = within(reading, RECORDS_MS, () -> Recorded.none(state, "does not answer in time"));
+      recorded =
+          within(reading, RECORDS_MS, () -> RecordedState.none(state, "does not answer in time"));
       recordedNs = System.nanoTime();
     }
     return Overview.of(views, recorded, System.currentTimeMillis());
   }
 
-  private Future<Recorded> readRecords() {
-    return pool.submit(() -> state.isEmpty() ? Recorded.none("", "") : records.read());
+  private Future<RecordedState> readRecords() {
+    return pool.submit(() -> state.isEmpty() ? RecordedState.none("", "") : records.read());
   }
 
   private static <T> T within(Future<T> f, long ms, Supplier<T> otherwise) {
@@ -132,7 +133,7 @@
 
   private NodeView node(String address) {
     long began = System.nanoTime();
-    Fetch.Answer a = fetch.get(address, ConsoleCodec.PATH + "picture");
+    BoundedHttpGet.Answer a = fetch.get(address, ConsoleCodec.PATH + "picture");
     long ms = (System.nanoTime() - began) / 1_000_000;
     if (a.status() == 0) {
       Standing s =
@@ -149,19 +150,19 @@
     }
     try {
       return NodeView.answered(address, ms, ConsoleCodec.sight(a.body()));
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       return NodeView.silent(address, Standing.STRANGE, e.getMessage(), ms);
     }
   }
 
   /** One job as the first node that knows it says, or null. */
-  public JobPicture job(String id) {
+  public JobSnapshot job(String id) {
     return first(
         n -> {
-          Fetch.Answer a = fetch.get(n, ConsoleCodec.PATH + "jobs/" + id);
+          BoundedHttpGet.Answer a = fetch.get(n, ConsoleCodec.PATH + "jobs/" + id);
           try {
             return a.status() == 200 ? ConsoleCodec.job(a.body()) : null;
-          } catch (BadMessage e) {
+          } catch (InvalidMessageException e) {
             return null;
           }
         });
@@ -181,30 +182,30 @@
   }
 
   /** The points that the nodes keep, of all leaders, in the order of their times. */
-  public List<Sample> history() {
-    List<Future<List<Sample>>> all = new ArrayList<>();
+  public List<MetricSample> history() {
+    List<Future<List<MetricSample>>> all = new ArrayList<>();
     for (String n : nodes) {
       all.add(pool.submit(() -> history(n)));
     }
-    List<Sample> out = new ArrayList<>();
-    for (Future<List<Sample>> f : all) {
+    List<MetricSample> out = new ArrayList<>();
+    for (Future<List<MetricSample>> f : all) {
       out.addAll(within(f, NODE_MS + 300, List::of));
     }
-    out.sort(Comparator.comparingLong(Sample::atMs));
+    out.sort(Comparator.comparingLong(MetricSample::atMs));
     return out;
   }
 
-  private List<Sample> history(String node) {
-    Fetch.Answer a = fetch.get(node, ConsoleCodec.PATH + "history");
+  private List<MetricSample> history(String node) {
+    BoundedHttpGet.Answer a = fetch.get(node, ConsoleCodec.PATH + "history");
     try {
       return a.status() == 200 ? ConsoleCodec.history(a.body()) : List.of();
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       return List.of();
     }
   }
 
   /** How a league's game stands by the records; throws with the reason where they are not read. */
-  public List<String> game(String league, long number) throws BadMessage {
+  public List<String> game(String league, long number) throws InvalidMessageException {
     return records.game(league, number);
   }
 
--- a/src/main/java/org/mallowroad/console/ask/RecordReader.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -10,20 +10,20 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.console.view.Recorded;
+import org.mallowroad.console.view.RecordedState;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.explain.Picture.JobLine;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore.Item;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
 
@@ -32,7 +32,7 @@
  * more than a few a second. The service's limits are the leader's to use, so this stays far below
  * them, and says when it saw a part only.
  */
-final class RecordReader {
+final class RecordInspector {
   /** Requests for one look. */
   static final int MOST_READS = 24;
 
@@ -44,12 +44,12 @@
   private static final Duration TIMEOUT = Duration.ofMillis(1_500);
 
   private final String address;
-  private final Fetch fetch;
-  private final Budget budget = new Budget(RPS, RPS, millis());
+  private final BoundedHttpGet fetch;
+  private final RateLimiter budget = new RateLimiter(RPS, RPS, millis());
 
-  RecordReader(HttpClient http, String address) {
+  RecordInspector(HttpClient http, String address) {
     this.address = address;
-    this.fetch = new Fetch(http, TIMEOUT, MOST_BYTES);
+    this.fetch = new BoundedHttpGet(http, TIMEOUT, MOST_BYTES);
   }
 
   private static long millis() {
@@ -57,22 +57,22 @@
   }
 
   /** One look. */
-  Recorded read() {
+  RecordedState read() {
     try {
-      return new Look().read();
-    } catch (BadMessage e) {
-      return Recorded.none(address, e.getMessage());
+      return new InspectCommands().read();
+    } catch (InvalidMessageException e) {
+      return RecordedState.none(address, e.getMessage());
     } catch (RuntimeException e) {
       // A record that nobody of ours wrote: a key without its parts, figures that are none.
-      return Recorded.none(address, "answers with something else than records");
+      return RecordedState.none(address, "answers with something else than records");
     }
   }
 
   /**
    * How a game stands by the records: a line for each side, and its neighbours that are nobody's.
    */
-  List<String> game(String league, long number) throws BadMessage {
-    Look look = new Look();
+  List<String> game(String league, long number) throws InvalidMessageException {
+    InspectCommands look = new InspectCommands();
     BlockKey key = new BlockKey(league, (int) (number / Block.GAMES));
     Block block = FoldCodec.decode(look.value(Records.fold(key)));
     List<String> out = new ArrayList<>();
@@ -101,23 +101,24 @@
   }
 
   /** A look and what it has used of its budget. */
-  private final class Look {
+  private final class InspectCommands {
     private int reads;
     private boolean partial;
-    private final Names teams = new Names();
-    private final Names zones = new Names();
-    private final Names classes = new Names();
-    private final JobCodec codec = new JobCodec(teams, zones, new Names(), new Names(), classes);
-
-    Recorded read() throws BadMessage {
-      JsonNode leader = value(Election.LEADER);
-      JsonNode term = value(Election.TERM);
-      List<Item> open = list(Records.OPEN);
-      List<Item> run = list(Records.RUN);
-      List<Item> hire = list(Records.HIRE);
+    private final NameIndex teams = new NameIndex();
+    private final NameIndex zones = new NameIndex();
+    private final NameIndex classes = new NameIndex();
+    private final JobCodec codec =
+        new JobCodec(teams, zones, new NameIndex(), new NameIndex(), classes);
+
+    RecordedState read() throws InvalidMessageException {
+      JsonNode leader = value(LeaderElection.LEADER);
+      JsonNode term = value(LeaderElection.TERM);
+      List<VersionedValue> open = list(Records.OPEN);
+      List<VersionedValue> run = list(Records.RUN);
+      List<VersionedValue> hire = list(Records.HIRE);
       Map<String, int[]> of = new LinkedHashMap<>();
       int attempts = 0;
-      for (Item i : run) {
+      for (VersionedValue i : run) {
         String id = i.key().substring(Records.RUN.length(), i.key().lastIndexOf('/'));
         int[] counts = of.computeIfAbsent(id, k -> new int[2]);
         int live = Records.live(i.value()).size();
@@ -126,10 +127,10 @@
         attempts += live;
       }
       List<JobLine> jobs = new ArrayList<>();
-      for (Item i : open) {
+      for (VersionedValue i : open) {
         jobs.add(line(i, of));
       }
-      return new Recorded(
+      return new RecordedState(
           address,
           "",
           partial,
@@ -142,7 +143,7 @@
           hire.size());
     }
 
-    private JobLine line(Item i, Map<String, int[]> of) throws BadMessage {
+    private JobLine line(VersionedValue i, Map<String, int[]> of) throws InvalidMessageException {
       JsonNode job = i.value().path("job");
       teams.intern(job.path(Fields.TEAM).asText());
       JobSpec s = Records.spec(i.value(), codec);
@@ -171,7 +172,7 @@
           "");
     }
 
-    private String fate(Fold f) throws BadMessage {
+    private String fate(Fold f) throws InvalidMessageException {
       if (f.settled()) {
         return "folded by " + f.job();
       }
@@ -186,13 +187,13 @@
       return done ? "folded by " + f.job() : "released by " + f.job() + ", which was withdrawn";
     }
 
-    private JsonNode value(String key) throws BadMessage {
+    private JsonNode value(String key) throws InvalidMessageException {
       ObjectNode o = ask("/kv/" + key);
       return o == null ? null : o.get(Fields.VALUE);
     }
 
-    private List<Item> list(String prefix) throws BadMessage {
-      List<Item> out = new ArrayList<>();
+    private List<VersionedValue> list(String prefix) throws InvalidMessageException {
+      List<VersionedValue> out = new ArrayList<>();
       String from = "";
       while (reads < MOST_READS) {
         ObjectNode o =
@@ -203,14 +204,14 @@
                     + "&limit="
                     + PAGE);
         if (o == null) {
-          throw new BadMessage("has no lists: not a state service");
+          throw new InvalidMessageException("has no lists: not a state service");
         }
         for (JsonNode n : Json.list(o, Fields.PAIRS)) {
           from = Json.string(n, Fields.KEY, 400);
           if (!from.startsWith(prefix) || !(n.get(Fields.VALUE) instanceof ObjectNode v)) {
-            throw new BadMessage("answers with something else than records");
+            throw new InvalidMessageException("answers with something else than records");
           }
-          out.add(new Item(from, v, 0));
+          out.add(new VersionedValue(from, v, 0));
         }
         if (!o.path(Fields.TRUNCATED).asBoolean() || from.isEmpty()) {
           return out;
@@ -225,30 +226,30 @@
     }
 
     /** Null for 404. */
-    private ObjectNode ask(String path) throws BadMessage {
+    private ObjectNode ask(String path) throws InvalidMessageException {
       reads++;
       while (!budget.take(1, millis())) {
         try {
           Thread.sleep(20);
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
-          throw new BadMessage("was not waited for");
+          throw new InvalidMessageException("was not waited for");
         }
       }
-      Fetch.Answer a = fetch.get(address, path);
+      BoundedHttpGet.Answer a = fetch.get(address, path);
       if (a.status() == 404) {
         return null;
       }
       if (a.status() == 0) {
-        throw new BadMessage(a.problem());
+        throw new InvalidMessageException(a.problem());
       }
       if (a.status() != 200) {
-        throw new BadMessage("answers " + a.status());
+        throw new InvalidMessageException("answers " + a.status());
       }
       try {
         return Json.parseObject(a.body());
-      } catch (BadMessage e) {
-        throw new BadMessage("answers something that is " + e.getMessage());
+      } catch (InvalidMessageException e) {
+        throw new InvalidMessageException("answers something that is " + e.getMessage());
       }
     }
   }
--- a/src/main/java/org/mallowroad/console/report/Plots.java
+++ b/src/main/java/org/mallowroad/console/report/Plots.java
@@ -20,8 +20,8 @@
 import org.jfree.data.time.TimeSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 import org.jfree.svg.SVGUnits;
-import org.mallowroad.core.explain.Reason;
-import org.mallowroad.core.explain.Sample;
+import org.mallowroad.core.explain.MetricSample;
+import org.mallowroad.core.explain.PendingCause;
 
 /** Plots of the points that the nodes keep, as SVG. */
 final class Plots {
@@ -31,9 +31,9 @@
   private static final int WIDTH = 560;
   private static final int HEIGHT = 260;
 
-  private final List<Sample> past;
+  private final List<MetricSample> past;
 
-  Plots(List<Sample> past) {
+  Plots(List<MetricSample> past) {
     this.past = past;
   }
 
@@ -53,17 +53,17 @@
   /** All of them. */
   List<Plot> all() {
     return List.of(
-        plot("Waiting tasks by team", Sample::waiting),
-        plot("Running tasks by team", Sample::running),
+        plot("Waiting tasks by team", MetricSample::waiting),
+        plot("Running tasks by team", MetricSample::running),
         plot("Waiting tasks by reason", s -> words(s.reasons())),
-        plot("Machines by type and zone", Sample::machines),
+        plot("Machines by type and zone", MetricSample::machines),
         draw("Starts and ends a minute", rates()),
         draw("Money per hour", money()));
   }
 
   private static Map<String, Integer> words(Map<String, Integer> reasons) {
     Map<String, Integer> out = new TreeMap<>();
-    for (Reason r : Reason.values()) {
+    for (PendingCause r : PendingCause.values()) {
       Integer n = reasons.get(r.name());
       if (n != null) {
         out.put(r.text(), n);
@@ -72,7 +72,7 @@
     return out;
   }
 
-  private Plot plot(String title, Function<Sample, Map<String, Integer>> of) {
+  private Plot plot(String title, Function<MetricSample, Map<String, Integer>> of) {
     TreeSet<String> names = new TreeSet<>();
     past.forEach(s -> names.addAll(of.apply(s).keySet()));
     TimeSeriesCollection lines = new TimeSeriesCollection();
@@ -88,7 +88,7 @@
     return draw(title, lines);
   }
 
-  private int most(String name, Function<Sample, Map<String, Integer>> of) {
+  private int most(String name, Function<MetricSample, Map<String, Integer>> of) {
     return past.stream().mapToInt(s -> of.apply(s).getOrDefault(name, 0)).max().orElse(0);
   }
 
@@ -96,8 +96,8 @@
     TimeSeries starts = new TimeSeries("starts");
     TimeSeries ends = new TimeSeries("ends");
     for (int i = 1; i < past.size(); i++) {
-      Sample a = past.get(i - 1);
-      Sample b = past.get(i);
+      MetricSample a = past.get(i - 1);
+      MetricSample b = past.get(i);
       double minutes = (b.atMs() - a.atMs()) / 60_000.0;
       // A new term counts from 0 again.
       if (a.term() == b.term() && minutes > 0) {
@@ -116,7 +116,7 @@
     return new TimeSeriesCollection(line);
   }
 
-  private static Millisecond at(Sample s) {
+  private static Millisecond at(MetricSample s) {
     return new Millisecond(new Date(s.atMs()));
   }
 
--- a/src/main/java/org/mallowroad/console/report/Report.java
+++ b/src/main/java/org/mallowroad/console/report/Report.java
@@ -14,15 +14,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.mallowroad.console.view.Ages;
+import org.mallowroad.console.view.DurationFormat;
 import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.Overview;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Picture.MachineLine;
-import org.mallowroad.core.explain.Picture.ReasonLine;
-import org.mallowroad.core.explain.Picture.TeamLine;
-import org.mallowroad.core.explain.Sample;
+import org.mallowroad.core.explain.MetricSample;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
+import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
+import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 
 /**
  * One self-contained page: no script, style, font or picture comes from elsewhere. All that comes
@@ -71,14 +71,14 @@
   }
 
   /** The page. */
-  public static String page(Overview o, List<Sample> past) throws IOException {
+  public static String page(Overview o, List<MetricSample> past) throws IOException {
     Map<String, Object> model = new LinkedHashMap<>();
     model.put(
         "made",
         DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss 'UTC'", Locale.ROOT)
             .format(Instant.ofEpochMilli(o.atMs()).atOffset(ZoneOffset.UTC)));
     model.put("source", o.source());
-    model.put("age", o.ageS() < 0 ? "" : Ages.of(o.ageS()));
+    model.put("age", o.ageS() < 0 ? "" : DurationFormat.of(o.ageS()));
     model.put("first", o.first());
     model.put("facts", facts(o));
     model.put("tables", tables(o));
@@ -116,13 +116,13 @@
 
   private static List<String> facts(Overview o) {
     List<String> out = new ArrayList<>();
-    Picture p = o.picture();
+    NodeSnapshot p = o.picture();
     if (p == null) {
       out.add(o.recorded().read() ? o.jobs().size() + " open jobs on record" : "open jobs unknown");
       out.add("machines unknown");
       return out;
     }
-    Picture.Totals t = p.totals();
+    NodeSnapshot.Totals t = p.totals();
     out.add(t.jobs() + " open jobs");
     out.add(t.waiting() + " tasks wait");
     out.add(t.starting() + " start");
@@ -145,7 +145,7 @@
   }
 
   private static Cell age(double s) {
-    return new Cell(Ages.of(s), Double.toString(s));
+    return new Cell(DurationFormat.of(s), Double.toString(s));
   }
 
   private static List<Table> tables(Overview o) {
@@ -241,7 +241,7 @@
     return out;
   }
 
-  private static void pictured(Picture p, List<Table> out) {
+  private static void pictured(NodeSnapshot p, List<Table> out) {
     List<List<Cell>> rows = new ArrayList<>();
     for (TeamLine t : p.teams()) {
       rows.add(
@@ -297,7 +297,7 @@
                 "refused for"),
             rows));
     rows = new ArrayList<>();
-    for (Picture.ZoneLine z : p.zones()) {
+    for (NodeSnapshot.ZoneLine z : p.zones()) {
       rows.add(
           List.of(
               text(z.name()),
@@ -317,7 +317,8 @@
     if (!j.hasDue()) {
       return new Cell("-", "1e300");
     }
-    String text = j.dueS() < 0 ? "late by " + Ages.of(-j.dueS()) : Ages.of(j.dueS());
+    String text =
+        j.dueS() < 0 ? "late by " + DurationFormat.of(-j.dueS()) : DurationFormat.of(j.dueS());
     return new Cell(text, Double.toString(j.dueS()));
   }
 }
--- a/src/main/java/org/mallowroad/console/view/Ages.java
+++ b/src/main/java/org/mallowroad/console/view/DurationFormat.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /** Lengths of time for people. */
-public final class Ages {
-  private Ages() {}
+public final class DurationFormat {
+  private DurationFormat() {}
 
   /** As {@code 0.4s}, {@code 17s}, {@code 3m20s} or {@code 2h05m}; a dash for unknown. */
   public static String of(double s) {
--- a/src/main/java/org/mallowroad/console/view/NodeView.java
+++ b/src/main/java/org/mallowroad/console/view/NodeView.java
@@ -1,7 +1,7 @@
 package org.mallowroad.console.view;
 
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Sight;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeStatus;
 
 /**
  * How one node answered.
@@ -11,7 +11,7 @@
  * @param sight its answer, or null
  */
 public record NodeView(
-    String address, Standing standing, String problem, long tookMs, Sight sight) {
+    String address, Standing standing, String problem, long tookMs, NodeStatus sight) {
 
   /** How a node stands. */
   public enum Standing {
@@ -55,7 +55,7 @@
   }
 
   /** A node that answered. */
-  public static NodeView answered(String address, long tookMs, Sight s) {
+  public static NodeView answered(String address, long tookMs, NodeStatus s) {
     if (!s.stack().isEmpty()) {
       return new NodeView(
           address,
@@ -83,14 +83,14 @@
   }
 
   /** Its picture, or null. */
-  public Picture picture() {
+  public NodeSnapshot picture() {
     return sight == null ? null : sight.picture();
   }
 
   /** True when the picture is one of a leader. */
   boolean leads() {
-    Picture p = picture();
+    NodeSnapshot p = picture();
     return p != null
-        && (p.phase() == Picture.Phase.LEADING || p.phase() == Picture.Phase.TAKING_OVER);
+        && (p.phase() == NodeSnapshot.Phase.LEADING || p.phase() == NodeSnapshot.Phase.TAKING_OVER);
   }
 }
--- a/src/main/java/org/mallowroad/console/view/Overview.java
+++ b/src/main/java/org/mallowroad/console/view/Overview.java
@@ -7,12 +7,12 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.mallowroad.console.view.NodeView.Standing;
-import org.mallowroad.core.explain.Counted;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Picture.ReasonLine;
-import org.mallowroad.core.explain.Reason;
-import org.mallowroad.core.explain.Reasons;
+import org.mallowroad.core.explain.CountFormat;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
+import org.mallowroad.core.explain.PendingCause;
+import org.mallowroad.core.explain.PendingCauseSummary;
 
 /**
  * One look at the site: which answer counts, what stands in everybody's way, and what to look at
@@ -37,8 +37,8 @@
     String source,
     double ageS,
     List<NodeView> nodes,
-    Recorded recorded,
-    Picture picture,
+    RecordedState recorded,
+    NodeSnapshot picture,
     List<JobLine> jobs,
     int jobsLeftOut,
     List<ReasonLine> reasons,
@@ -46,16 +46,17 @@
 
   private static final int MOST_FIRST = 8;
 
-  private record Obstacle(Reason reason, String detail) {}
+  private record Obstacle(PendingCause reason, String detail) {}
 
   /** Of what was answered. */
-  public static Overview of(List<NodeView> nodes, Recorded recorded, long atMs) {
+  public static Overview of(List<NodeView> nodes, RecordedState recorded, long atMs) {
     NodeView leader = leader(nodes);
     Obstacle o = obstacle(nodes, leader, recorded);
-    Picture picture = leader == null ? null : leader.picture();
+    NodeSnapshot picture = leader == null ? null : leader.picture();
     // One that takes over has no jobs before it has read them.
     boolean pictured =
-        picture != null && (picture.phase() == Picture.Phase.LEADING || !picture.jobs().isEmpty());
+        picture != null
+            && (picture.phase() == NodeSnapshot.Phase.LEADING || !picture.jobs().isEmpty());
     List<JobLine> jobs = pictured ? picture.jobs() : recorded.jobs();
     int leftOut = pictured ? picture.jobsLeftOut() : 0;
     String source;
@@ -73,7 +74,7 @@
     if (o != null) {
       jobs = jobs.stream().map(j -> blocked(j, o)).toList();
     }
-    List<ReasonLine> reasons = Reasons.of(jobs);
+    List<ReasonLine> reasons = PendingCauseSummary.of(jobs);
     return new Overview(
         atMs,
         o == null ? "" : o.reason.name(),
@@ -99,12 +100,12 @@
   }
 
   /** What keeps the whole site from starting anything; null when nothing does. */
-  private static Obstacle obstacle(List<NodeView> nodes, NodeView leader, Recorded recorded) {
+  private static Obstacle obstacle(List<NodeView> nodes, NodeView leader, RecordedState recorded) {
     boolean stateAway = !recorded.address().isEmpty() && !recorded.read();
     if (leader != null) {
       if (leader.standing() == Standing.STANDING_STILL) {
         return new Obstacle(
-            Reason.LOOP_STUCK,
+            PendingCause.LOOP_STUCK,
             leader.name()
                 + ": "
                 + leader.problem()
@@ -113,7 +114,7 @@
       }
       if (!leader.picture().firm()) {
         return new Obstacle(
-            Reason.STATE_AWAY,
+            PendingCause.STATE_AWAY,
             leader.name()
                 + " leads and was last served "
                 + round(leader.picture().stateSilenceS())
@@ -121,18 +122,19 @@
       }
       if (leader.standing() == Standing.TAKING_OVER) {
         return new Obstacle(
-            Reason.TAKING_OVER, leader.name() + " takes over in term " + leader.picture().term());
+            PendingCause.TAKING_OVER,
+            leader.name() + " takes over in term " + leader.picture().term());
       }
       return null;
     }
     if (stateAway) {
-      return new Obstacle(Reason.STATE_AWAY, recorded.problem());
+      return new Obstacle(PendingCause.STATE_AWAY, recorded.problem());
     }
     if (nodes.stream().allMatch(n -> n.sight() == null)) {
-      return new Obstacle(Reason.NO_LEADER, "no controller answers");
+      return new Obstacle(PendingCause.NO_LEADER, "no controller answers");
     }
     return new Obstacle(
-        Reason.NO_LEADER,
+        PendingCause.NO_LEADER,
         recorded.leader().isEmpty()
             ? "no controller holds the leadership"
             : recorded.leader() + " holds the leadership by its record and did not answer");
@@ -169,17 +171,17 @@
   private static List<String> first(
       List<NodeView> nodes,
       Obstacle o,
-      Picture p,
+      NodeSnapshot p,
       List<JobLine> jobs,
       List<ReasonLine> reasons,
-      Recorded recorded) {
+      RecordedState recorded) {
     List<String> out = new ArrayList<>();
     if (o != null) {
       out.add(
           capital(o.reason.text()) + ": " + o.detail + ". Ends when " + o.reason.remedy() + ".");
     }
     if (p != null) {
-      for (Picture.ZoneLine z : p.zones()) {
+      for (NodeSnapshot.ZoneLine z : p.zones()) {
         if (z.cut() || (z.silent() > 0 && 2 * z.silent() >= z.machines())) {
           out.add(zone(z, jobs));
         }
@@ -193,22 +195,22 @@
     if (!late.isEmpty()) {
       JobLine j = late.get(0);
       out.add(
-          Counted.of(late.size(), "job")
+          CountFormat.of(late.size(), "job")
               + (late.size() == 1 ? " is" : " are")
               + " past the deadline, "
               + j.id()
               + " of "
               + j.team()
               + " by "
-              + Ages.of(-j.dueS())
+              + DurationFormat.of(-j.dueS())
               + (j.reason().isEmpty() ? ": its last tasks run." : ": " + text(j.reason()) + "."));
     }
     for (ReasonLine r : reasons.subList(0, Math.min(3, reasons.size()))) {
-      if (o != null || r.reason().equals(Reason.STARTING.name())) {
+      if (o != null || r.reason().equals(PendingCause.STARTING.name())) {
         continue;
       }
       out.add(
-          Counted.of(r.tasks(), "task")
+          CountFormat.of(r.tasks(), "task")
               + " of "
               + r.team()
               + " ("
@@ -241,7 +243,7 @@
     return List.copyOf(out.subList(0, Math.min(MOST_FIRST, out.size())));
   }
 
-  private static String zone(Picture.ZoneLine z, List<JobLine> jobs) {
+  private static String zone(NodeSnapshot.ZoneLine z, List<JobLine> jobs) {
     List<JobLine> stalled = jobs.stream().filter(j -> j.zone().equals(z.name())).toList();
     StringBuilder b = new StringBuilder("Zone ").append(z.name());
     b.append(z.cut() ? " is cut off" : " is mostly silent").append(": ").append(z.silent());
@@ -252,7 +254,7 @@
         b.append(i == 0 ? "" : ", ").append(stalled.get(i).id());
       }
       if (stalled.size() > 5) {
-        b.append(" and ").append(Counted.of(stalled.size() - 5, "more job"));
+        b.append(" and ").append(CountFormat.of(stalled.size() - 5, "more job"));
       }
     }
     return b.append('.').toString();
@@ -261,17 +263,19 @@
   /** A reason in words; of a newer build's reasons, which this one does not have, the name. */
   public static String text(String reason) {
     return known(reason)
-        .map(Reason::text)
+        .map(PendingCause::text)
         .orElseGet(() -> reason.toLowerCase(Locale.ROOT).replace('_', ' '));
   }
 
   /** What would let the tasks go on; of a newer build's reasons that build knows. */
   public static String remedy(String reason) {
-    return known(reason).map(Reason::remedy).orElse("its node says so: it is of another build");
+    return known(reason)
+        .map(PendingCause::remedy)
+        .orElse("its node says so: it is of another build");
   }
 
-  private static Optional<Reason> known(String reason) {
-    return Arrays.stream(Reason.values()).filter(r -> r.name().equals(reason)).findFirst();
+  private static Optional<PendingCause> known(String reason) {
+    return Arrays.stream(PendingCause.values()).filter(r -> r.name().equals(reason)).findFirst();
   }
 
   private static String capital(String s) {
--- a/src/main/java/org/mallowroad/console/view/Recorded.java
+++ b/src/main/java/org/mallowroad/console/view/RecordedState.java
@@ -1,7 +1,7 @@
 package org.mallowroad.console.view;
 
 import java.util.List;
-import org.mallowroad.core.explain.Picture.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
 
 /**
  * What the state service has on record, read by the console itself.
@@ -16,7 +16,7 @@
  * @param attempts attempts that are not resolved
  * @param hires rental requests that are not settled
  */
-public record Recorded(
+public record RecordedState(
     String address,
     String problem,
     boolean partial,
@@ -29,8 +29,8 @@
     int hires) {
 
   /** Nothing was read. */
-  public static Recorded none(String address, String problem) {
-    return new Recorded(address, problem, false, 0, "", 0, 0, List.of(), 0, 0);
+  public static RecordedState none(String address, String problem) {
+    return new RecordedState(address, problem, false, 0, "", 0, 0, List.of(), 0, 0);
   }
 
   /** True when it was asked and answered. */
--- a/src/main/java/org/mallowroad/console/view/Screen.java
+++ b/src/main/java/org/mallowroad/console/view/Screen.java
@@ -4,13 +4,13 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
-import org.mallowroad.core.explain.Counted;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Picture.MachineLine;
-import org.mallowroad.core.explain.Picture.ReasonLine;
-import org.mallowroad.core.explain.Picture.TeamLine;
+import org.mallowroad.core.explain.CountFormat;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
+import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
+import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 
 /** Draws an overview as lines of text of a given width; without colour, and without I/O. */
 public final class Screen {
@@ -49,7 +49,7 @@
    * @param filter lines that have this text; empty for all
    * @param page of the list, from 0
    */
-  public record Look(Page show, Sort sort, String filter, int page) {}
+  public record InspectCommands(Page show, Sort sort, String filter, int page) {}
 
   private static final List<String> RANKS = List.of("critical", "urgent", "normal", "idle");
 
@@ -63,7 +63,7 @@
   }
 
   /** The lines, each as wide as the screen at the most. */
-  public List<String> draw(Overview o, Look look) {
+  public List<String> draw(Overview o, InspectCommands look) {
     List<String> out = new ArrayList<>(head(o));
     List<String> body =
         switch (look.show) {
@@ -93,10 +93,14 @@
       nodes.append(n.name()).append(' ').append(n.standing().text()).append("  ");
     }
     out.add(cut(nodes.toString()));
-    out.add(cut("from " + o.source() + (o.ageS() < 0 ? "" : ", " + Ages.of(o.ageS()) + " old")));
-    Picture p = o.picture();
+    out.add(
+        cut(
+            "from "
+                + o.source()
+                + (o.ageS() < 0 ? "" : ", " + DurationFormat.of(o.ageS()) + " old")));
+    NodeSnapshot p = o.picture();
     if (p != null) {
-      Picture.Totals t = p.totals();
+      NodeSnapshot.Totals t = p.totals();
       out.add(
           cut(
               String.format(
@@ -124,7 +128,7 @@
     return out;
   }
 
-  private List<String> queues(Overview o, Look look) {
+  private List<String> queues(Overview o, InspectCommands look) {
     List<String> out = new ArrayList<>();
     out.add(
         cut(
@@ -147,7 +151,7 @@
               fit(r.taskClass(), 14),
               r.jobs(),
               r.tasks(),
-              Ages.of(r.longestS()),
+              DurationFormat.of(r.longestS()),
               Overview.text(r.reason()),
               r.detail()));
     }
@@ -172,7 +176,7 @@
     return out;
   }
 
-  private List<String> jobs(Overview o, Look look) {
+  private List<String> jobs(Overview o, InspectCommands look) {
     List<String> out = new ArrayList<>();
     String form = "%-11s %-9s %-1s %5s %5s %4s %5s %6s %6s  %s";
     out.add(
@@ -202,12 +206,12 @@
               j.done(),
               j.running(),
               j.waiting(),
-              Ages.of(j.ageS()),
-              !j.hasDue() ? "-" : j.dueS() < 0 ? "late" : Ages.of(j.dueS()),
+              DurationFormat.of(j.ageS()),
+              !j.hasDue() ? "-" : j.dueS() < 0 ? "late" : DurationFormat.of(j.dueS()),
               why(j)));
     }
     if (o.jobsLeftOut() > 0) {
-      out.add(cut("and " + Counted.of(o.jobsLeftOut(), "more job")));
+      out.add(cut("and " + CountFormat.of(o.jobsLeftOut(), "more job")));
     }
     return out;
   }
@@ -216,7 +220,7 @@
     return j.reason().isEmpty()
         ? ""
         : Overview.text(j.reason())
-            + (j.inS() >= 0 ? " (" + Ages.of(j.inS()) + ")" : "")
+            + (j.inS() >= 0 ? " (" + DurationFormat.of(j.inS()) + ")" : "")
             + (j.detail().isEmpty() ? "" : ": " + j.detail());
   }
 
@@ -224,7 +228,7 @@
     return priority >= 0 && priority < RANKS.size() ? RANKS.get(priority) : "?";
   }
 
-  private List<String> machines(Overview o, Look look) {
+  private List<String> machines(Overview o, InspectCommands look) {
     List<String> out = new ArrayList<>();
     out.add(
         cut(
@@ -263,9 +267,9 @@
               m.leaving(),
               m.cpus() > 0 ? 100 * m.bookedCpus() / m.cpus() : 0,
               m.moneyPerHour(),
-              m.refusedForS() >= 0 ? " refused for " + Ages.of(m.refusedForS()) : ""));
+              m.refusedForS() >= 0 ? " refused for " + DurationFormat.of(m.refusedForS()) : ""));
     }
-    for (Picture.ZoneLine z : o.picture().zones()) {
+    for (NodeSnapshot.ZoneLine z : o.picture().zones()) {
       if (z.silent() > 0) {
         add(
             out,
@@ -275,7 +279,7 @@
                 fit(z.name(), 10),
                 z.silent(),
                 z.machines(),
-                z.cut() ? ", cut off for " + Ages.of(z.cutForS()) : ""));
+                z.cut() ? ", cut off for " + DurationFormat.of(z.cutForS()) : ""));
       }
     }
     return out;
@@ -305,7 +309,7 @@
         }
       }
     }
-    Recorded r = o.recorded();
+    RecordedState r = o.recorded();
     if (!r.address().isEmpty()) {
       out.add(
           cut(
@@ -333,7 +337,7 @@
   }
 
   /** One job: its reason, and where its tasks are. */
-  public List<String> job(JobPicture p, String source) {
+  public List<String> job(JobSnapshot p, String source) {
     List<String> out = new ArrayList<>();
     JobLine j = p.job();
     out.add(
@@ -353,23 +357,24 @@
     out.add(
         cut(
             "submitted "
-                + Ages.of(j.ageS())
+                + DurationFormat.of(j.ageS())
                 + " ago"
                 + (!j.hasDue()
                     ? ""
                     : j.dueS() < 0
-                        ? ", late by " + Ages.of(-j.dueS())
-                        : ", due in " + Ages.of(j.dueS()))
+                        ? ", late by " + DurationFormat.of(-j.dueS())
+                        : ", due in " + DurationFormat.of(j.dueS()))
                 + (j.failures() > 0
-                    ? ", " + Counted.of(j.failures(), "failure") + " in a row"
+                    ? ", " + CountFormat.of(j.failures(), "failure") + " in a row"
                     : "")));
     if (j.reason().isEmpty()) {
       out.add("nothing of it waits");
     } else {
-      out.addAll(wrap("why: " + Overview.text(j.reason()) + ", for " + Ages.of(j.sinceS()), 5));
+      out.addAll(
+          wrap("why: " + Overview.text(j.reason()) + ", for " + DurationFormat.of(j.sinceS()), 5));
       out.addAll(wrap("     " + j.detail(), 5));
       if (j.inS() >= 0) {
-        out.add("     over, or due, in " + Ages.of(j.inS()));
+        out.add("     over, or due, in " + DurationFormat.of(j.inS()));
       }
       if (!p.remedy().isEmpty()) {
         out.addAll(wrap("goes on when " + p.remedy(), 5));
@@ -383,7 +388,7 @@
                   "%6s %4s %-10s %-14s %-12s %-10s %7s",
                   "TASK", "TRY", "STATE", "MACHINE", "TYPE", "ZONE", "FOR")));
     }
-    for (JobPicture.TaskLine t : p.tasks()) {
+    for (JobSnapshot.TaskLine t : p.tasks()) {
       out.add(
           cut(
               String.format(
@@ -394,7 +399,7 @@
                   fit(t.machine(), 14),
                   fit(t.type(), 12),
                   fit(t.zone(), 10),
-                  Ages.of(t.ageS()),
+                  DurationFormat.of(t.ageS()),
                   t.silent() ? " silent" : "",
                   t.stopping() ? " stopping" : "")));
     }
@@ -404,7 +409,7 @@
     return out;
   }
 
-  private void add(List<String> out, Look look, String line) {
+  private void add(List<String> out, InspectCommands look, String line) {
     if (look.filter.isEmpty()
         || line.toLowerCase(Locale.ROOT).contains(look.filter.toLowerCase(Locale.ROOT))) {
       out.add(cut(line));
--- a/src/main/java/org/mallowroad/controller/CancellationDuties.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import org.mallowroad.config.Settings;
-import org.mallowroad.core.cancel.Notices;
-import org.mallowroad.net.Loop;
-import org.mallowroad.peer.Peers;
+import org.mallowroad.core.cancellation.PendingCancellationNotices;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.peer.PeerMessenger;
 
 /**
  * Tells the other controllers of cancellations that this one learnt of, until they have taken it or
  * {@code cancel_s} is over: by then the leases have done the same. What a peer told goes on to the
  * leader alone, once, since its sender may not reach it.
  */
-final class CancellationDuties {
+final class CancellationPropagation {
   /** Cancellations come together; those of a moment share a message. */
   private static final long GATHER_MS = 20;
 
@@ -23,18 +23,18 @@
     void ended(String id, boolean done);
   }
 
-  private final Loop loop;
-  private final Peers peers;
+  private final EventLoop loop;
+  private final PeerMessenger peers;
   private final List<String> names;
-  private final Notices notices;
+  private final PendingCancellationNotices notices;
   private final boolean[] soon;
   private boolean hearing;
 
-  CancellationDuties(Loop loop, Settings settings, Peers peers) {
+  CancellationPropagation(EventLoop loop, Settings settings, PeerMessenger peers) {
     this.loop = loop;
     this.peers = peers;
     this.names = settings.members().stream().map(Settings.Member::node).toList();
-    this.notices = new Notices(names.size(), (long) (settings.cancelS() * 1000));
+    this.notices = new PendingCancellationNotices(names.size(), (long) (settings.cancelS() * 1000));
     this.soon = new boolean[names.size()];
   }
 
--- a/src/main/java/org/mallowroad/controller/Site.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -6,32 +6,32 @@
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Objectives;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.ServiceLevelObjectives;
 import org.mallowroad.core.Team;
 import org.mallowroad.wire.JobCodec;
 
 /** What a node knows of its deployment: names as indices, machine types, teams. */
-public final class Site {
+public final class ClusterConfig {
   /** More names than this, and those that nothing uses any more are forgotten. */
   static final int MOST_NAMES = 2_000;
 
   final Settings settings;
   final OperatorSettings operator;
-  final Names zones = new Names();
-  final Names types = new Names();
-  final Names teamNames = new Names();
-  final Names images = new Names();
-  final Names classes = new Names();
+  final NameIndex zones = new NameIndex();
+  final NameIndex types = new NameIndex();
+  final NameIndex teamNames = new NameIndex();
+  final NameIndex images = new NameIndex();
+  final NameIndex classes = new NameIndex();
   final JobCodec codec;
-  final Objectives objectives = new Objectives();
+  final ServiceLevelObjectives objectives = new ServiceLevelObjectives();
   private final int ownClasses;
   private List<MachineType> machineTypes = List.of();
 
   /** From the settings. */
-  public Site(Settings settings, OperatorSettings operator) {
+  public ClusterConfig(Settings settings, OperatorSettings operator) {
     this.settings = settings;
     this.operator = operator;
     settings.zones().forEach(zones::intern);
@@ -58,7 +58,7 @@
    * Forgets the names of images, classes and types that no job and no machine of the ledger has any
    * more, nor the settings, nor the cloud.
    */
-  void keepNames(Ledger ledger) {
+  void keepNames(SchedulerState ledger) {
     if (names() < MOST_NAMES) {
       return;
     }
--- a/src/main/java/org/mallowroad/controller/CommitDraft.java
+++ b/src/main/java/org/mallowroad/controller/CommitTransactionBuilder.java
@@ -9,23 +9,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Chunk;
+import org.mallowroad.core.AttemptRecord;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.SharedRecord;
-import org.mallowroad.core.SharedRecords;
-import org.mallowroad.election.Election;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.SharedAttemptRecord;
+import org.mallowroad.core.SharedAttemptRecords;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore.Txn;
 import org.mallowroad.wire.Json;
 
 /**
  * A transaction of the leader while it is filled from what the ledger has to record. It never holds
  * more writes, conditions or bytes than the limits it is made with.
  */
-final class CommitDraft {
+final class CommitTransactionBuilder {
   private static final int MAX_BYTES = 48 * 1024;
 
   /** Ends of idle jobs give way to starts for so long: hundreds may come within a minute. */
@@ -41,37 +41,37 @@
 
   /** A chunk as the transaction carries it. */
   record WrittenChunk(
-      Chunk chunk, long changes, boolean deleted, List<Attempt> recorded, JsonNode value) {}
+      AttemptRecord chunk, long changes, boolean deleted, List<Attempt> recorded, JsonNode value) {}
 
   /** A shared record as the transaction carries it; without a value it is deleted. */
-  record WrittenShared(SharedRecord record, JsonNode value, List<WrittenChunk> chunks) {}
+  record WrittenShared(SharedAttemptRecord record, JsonNode value, List<WrittenChunk> chunks) {}
 
   /** Adds to the transaction what a held job's start needs. */
   interface Guard {
-    void guard(Job job, Txn txn);
+    void guard(Job job, Transaction txn);
   }
 
-  private final Ledger ledger;
-  private final Names zones;
+  private final SchedulerState ledger;
+  private final NameIndex zones;
   private final Guard guard;
   private final long now;
   private final int mostWrites;
   private final int mostConditions;
-  private final Txn txn;
+  private final Transaction txn;
   private final List<WrittenChunk> chunks = new ArrayList<>();
   private final List<WrittenShared> shared = new ArrayList<>();
-  private final ObjectLinkedOpenHashSet<SharedRecord> sharedRecords =
+  private final ObjectLinkedOpenHashSet<SharedAttemptRecord> sharedRecords =
       new ObjectLinkedOpenHashSet<>();
   private final List<WrittenChunk> sharedChunks = new ArrayList<>();
-  private final ObjectOpenHashSet<Chunk> seen = new ObjectOpenHashSet<>();
+  private final ObjectOpenHashSet<AttemptRecord> seen = new ObjectOpenHashSet<>();
   private final List<Job> ends = new ArrayList<>();
   private final List<String> deleted = new ArrayList<>();
   private final ObjectOpenHashSet<Job> guarded = new ObjectOpenHashSet<>();
   private int bytes;
 
-  CommitDraft(
-      Ledger ledger,
-      Names zones,
+  CommitTransactionBuilder(
+      SchedulerState ledger,
+      NameIndex zones,
       Guard guard,
       long leaderMark,
       int mostWrites,
@@ -83,11 +83,11 @@
     this.now = now;
     this.mostWrites = mostWrites;
     this.mostConditions = mostConditions;
-    this.txn = new Txn().given(Election.LEADER, leaderMark);
+    this.txn = new Transaction().given(LeaderElection.LEADER, leaderMark);
   }
 
   /** The transaction, once {@link #finish} was called. */
-  Txn txn() {
+  Transaction txn() {
     return txn;
   }
 
@@ -162,14 +162,14 @@
     ends.add(job);
     bytes += END_BYTES;
     for (int i = 0; i < job.chunkCount() && !full(1) && hasConditions(1); i++) {
-      Chunk c = job.chunk(i);
+      AttemptRecord c = job.chunk(i);
       if (c.mark > 0 && seen.add(c)) {
         delete(c);
       }
     }
   }
 
-  private void delete(Chunk c) {
+  private void delete(AttemptRecord c) {
     txn.given(Records.run(c), c.mark).delete(Records.run(c));
     chunks.add(new WrittenChunk(c, c.changes, true, List.of(), null));
     bytes += KEY_BYTES;
@@ -182,7 +182,7 @@
    */
   void addUrgent() {
     int idle = 0;
-    for (Chunk c : ledger.urgent()) {
+    for (AttemptRecord c : ledger.urgent()) {
       idle += idle(c) ? 1 : 0;
     }
     addUrgent(false, Math.min(idle, mostWrites / 4));
@@ -191,7 +191,7 @@
   }
 
   private void addUrgent(boolean idle, int left) {
-    for (Chunk c : ledger.urgent()) {
+    for (AttemptRecord c : ledger.urgent()) {
       if (full(1 + left)) {
         return;
       }
@@ -201,14 +201,14 @@
     }
   }
 
-  private static boolean idle(Chunk c) {
+  private static boolean idle(AttemptRecord c) {
     return c.job.spec.priority() >= JobSpec.IDLE;
   }
 
   /** What changed at least {@code ms} ago, and leftovers, as far as {@code spare} writes go. */
   void addLazy(long ms, int spare, Object2LongLinkedOpenHashMap<String> leftovers) {
     int most = writes() + spare;
-    for (Chunk c : ledger.dirty()) {
+    for (AttemptRecord c : ledger.dirty()) {
       if (full(1) || writes() >= most) {
         return;
       }
@@ -216,7 +216,7 @@
         add(c);
       }
     }
-    for (SharedRecord r : ledger.sharedRecords().all()) {
+    for (SharedAttemptRecord r : ledger.sharedRecords().all()) {
       if (full(1) || writes() >= most) {
         return;
       }
@@ -234,7 +234,7 @@
     }
   }
 
-  private void add(Chunk c) {
+  private void add(AttemptRecord c) {
     if (ledger.ending().contains(c.job) || seen.contains(c)) {
       return;
     }
@@ -247,7 +247,7 @@
     }
   }
 
-  private void addFinished(Chunk c) {
+  private void addFinished(AttemptRecord c) {
     if (!hasConditions(1)) {
       return;
     }
@@ -259,7 +259,7 @@
     }
   }
 
-  private void addOwn(Chunk c) {
+  private void addOwn(AttemptRecord c) {
     List<Attempt> recorded = recording(c);
     if (!recorded.isEmpty() && c.job.spec.ties().held() && !guarded.contains(c.job)) {
       if (full(2)) {
@@ -280,7 +280,7 @@
     bytes += Json.text(value).length() + KEY_BYTES;
   }
 
-  private static List<Attempt> recording(Chunk c) {
+  private static List<Attempt> recording(AttemptRecord c) {
     List<Attempt> recording = new ArrayList<>();
     for (int t = c.from(); t < c.to(); t++) {
       Attempt a = c.job.live(t);
@@ -295,16 +295,16 @@
    * The record is written as a whole, so each of its members is: one whose start is to be recorded
    * with its job's open record as a condition.
    */
-  private void includeShared(SharedRecord r) {
+  private void includeShared(SharedAttemptRecord r) {
     int conditions = 1;
-    for (Chunk c : r.members()) {
+    for (AttemptRecord c : r.members()) {
       conditions += !seen.contains(c) && c.recording() > 0 ? 1 : 0;
     }
     if (!hasConditions(conditions) || (!sharedRecords.contains(r) && full(1))) {
       return;
     }
     sharedRecords.add(r);
-    for (Chunk c : r.members()) {
+    for (AttemptRecord c : r.members()) {
       if (!seen.add(c)) {
         continue;
       }
@@ -312,7 +312,7 @@
       if (!recorded.isEmpty()) {
         txn.given(Records.open(c.job.spec.id()), c.job.mark);
       }
-      bytes += KEY_BYTES + SharedRecords.reservedBytes(c);
+      bytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
       if (!ledger.ending().contains(c.job)) {
         sharedChunks.add(new WrittenChunk(c, c.changes, c.finished(), recorded, null));
       }
@@ -321,9 +321,9 @@
 
   /** Builds the values of shared records: nothing can be added from then on. */
   void finish() {
-    for (SharedRecord r : sharedRecords) {
+    for (SharedAttemptRecord r : sharedRecords) {
       // One that joined when there was no room for its conditions is written with the next one.
-      List<Chunk> left =
+      List<AttemptRecord> left =
           r.members().stream().filter(c -> seen.contains(c) && !c.finished()).toList();
       List<WrittenChunk> written =
           sharedChunks.stream().filter(w -> w.chunk().shared == r).toList();
--- a/src/main/java/org/mallowroad/controller/EarlyReports.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -5,8 +5,8 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.net.EventLoop;
 
 /**
  * Reports that come before a new leader has read the records. Nothing may be answered to them yet,
@@ -14,7 +14,7 @@
  * held for a while, and its worker is turned away only when that was not enough. What a held report
  * says is as old as it is, as with any that was long on its way.
  */
-final class EarlyReports {
+final class DeferredHeartbeats {
   /** Half of what a worker waits: the rest is for the way, also by a peer. */
   private static final long HOLD_MS = 2_000;
 
@@ -24,12 +24,12 @@
   /** Reports that are taken in one turn of the loop, so that renewals and users go between. */
   private static final int TURN = 24;
 
-  private record Early(WorkerReport report, int via, Consumer<ObjectNode> reply, long atMs) {}
+  private record Early(Heartbeat report, int via, Consumer<ObjectNode> reply, long atMs) {}
 
   /** Where a held report goes in the end. */
   interface Listener {
     /** Takes the report as one that came just now. */
-    void report(WorkerReport r, int via, Consumer<ObjectNode> reply);
+    void report(Heartbeat r, int via, Consumer<ObjectNode> reply);
   }
 
   /** By machine, in the order in which they came. */
@@ -37,11 +37,11 @@
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** The newest of each machine that was turned away: it is known of even so. */
-  private final Object2ObjectLinkedOpenHashMap<String, WorkerReport> seen =
+  private final Object2ObjectLinkedOpenHashMap<String, Heartbeat> seen =
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** Holds a report; an older one of the same machine has nobody waiting for it any more. */
-  void add(WorkerReport r, int via, Consumer<ObjectNode> reply, long now) {
+  void add(Heartbeat r, int via, Consumer<ObjectNode> reply, long now) {
     Early before = held.remove(r.machine());
     if (before != null) {
       before.reply.accept(null);
@@ -65,7 +65,7 @@
   }
 
   /** The records are read: all that is held is taken, a few in a turn. */
-  void take(Loop loop, Consumer<WorkerReport> known, Listener listener) {
+  void take(EventLoop loop, Consumer<Heartbeat> known, Listener listener) {
     seen.values().forEach(known);
     seen.clear();
     Deque<Early> all = new ArrayDeque<>(held.values());
@@ -73,7 +73,7 @@
     some(loop, all, listener);
   }
 
-  private static void some(Loop loop, Deque<Early> all, Listener listener) {
+  private static void some(EventLoop loop, Deque<Early> all, Listener listener) {
     for (int i = 0; i < TURN && !all.isEmpty(); i++) {
       Early e = all.poll();
       listener.report(e.report, e.via, e.reply);
--- a/src/main/java/org/mallowroad/controller/HoldKeeper.java
+++ b/src/main/java/org/mallowroad/controller/DependencyGateController.java
@@ -9,24 +9,24 @@
 import java.util.Map;
 import org.mallowroad.api.Folding;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.dependency.DependencyGates;
+import org.mallowroad.core.dependency.DependencyGates.Hold;
+import org.mallowroad.core.dependency.JobDependencies.UpTo;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.core.fold.Fate;
 import org.mallowroad.core.fold.Fold;
-import org.mallowroad.core.hold.Holds;
-import org.mallowroad.core.hold.Holds.Hold;
-import org.mallowroad.core.hold.Ties.UpTo;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.fold.JobOutcome;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Item;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -43,8 +43,8 @@
  *
  * <p>One hold is confirmed at a time, and only when something that it waits for has changed.
  */
-final class HoldKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(HoldKeeper.class);
+final class DependencyGateController {
+  private static final Logger LOG = LoggerFactory.getLogger(DependencyGateController.class);
   private static final long AGAIN_MS = 400;
   private static final long WATCH_MS = 10_000;
 
@@ -62,23 +62,23 @@
   private static final String CHANGES = "changes";
   private static final String SUPERSEDED = "superseded";
 
-  private final Loop loop;
-  private final StateStore state;
-  private final Ledger ledger;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final SchedulerState ledger;
   private final Folding folding;
   private final long mark;
   private final Runnable changed;
   private final Runnable deposed;
-  private final Holds holds = new Holds();
+  private final DependencyGates holds = new DependencyGates();
   private boolean confirming;
   private boolean read;
   private boolean following;
   private boolean stopped;
 
-  HoldKeeper(
-      Loop loop,
-      StateStore state,
-      Ledger ledger,
+  DependencyGateController(
+      EventLoop loop,
+      KeyValueStore state,
+      SchedulerState ledger,
       Folding folding,
       long mark,
       Runnable changed,
@@ -97,7 +97,7 @@
   }
 
   /** Held jobs of this term. */
-  Holds holds() {
+  DependencyGates holds() {
     return holds;
   }
 
@@ -123,7 +123,7 @@
             loop.after(AGAIN_MS, this::begin);
             return;
           }
-          for (Item i : items) {
+          for (VersionedValue i : items) {
             Hold h = holds.get(i.key().substring(Records.RELEASE.length()));
             if (h != null) {
               adopt(h, i.value(), i.mark());
@@ -140,14 +140,15 @@
     h.mark = at;
     h.leagues.clear();
     if (v == null) {
-      h.state = Holds.State.CLOSED;
+      h.state = DependencyGates.State.CLOSED;
       return;
     }
     v.path(LEAGUES).properties().forEach(e -> h.leagues.put(e.getKey(), e.getValue().asLong()));
     h.changes.clear();
     v.path(CHANGES).properties().forEach(e -> h.changes.put(e.getKey(), e.getValue().asLong()));
     h.superseded = v.path(SUPERSEDED).asBoolean();
-    h.state = v.path(PRINTED).asBoolean() ? Holds.State.PRINTED : Holds.State.OPEN;
+    h.state =
+        v.path(PRINTED).asBoolean() ? DependencyGates.State.PRINTED : DependencyGates.State.OPEN;
     Job job = ledger.job(h.job);
     if (job != null) {
       ledger.open(job, loop.now());
@@ -225,12 +226,15 @@
    * The claim may be of a game that only another hold names; a hold that names a higher one is
    * none.
    */
-  private void saw(Item i) {
+  private void saw(VersionedValue i) {
     String league = i.key().substring(Records.LEAGUE.length());
     long changes = i.value() == null ? 0 : i.value().path(Records.CHANGES).asLong();
     for (Hold h : List.copyOf(holds.all())) {
       Long known = h.changes.get(league);
-      if (h.state == Holds.State.PRINTED && known != null && changes > known && !h.superseded) {
+      if (h.state == DependencyGates.State.PRINTED
+          && known != null
+          && changes > known
+          && !h.superseded) {
         supersede(h, league);
       }
     }
@@ -267,25 +271,25 @@
     return v;
   }
 
-  private void put(Hold h, boolean printed, StateStore.Ended ended) {
+  private void put(Hold h, boolean printed, KeyValueStore.Ended ended) {
     state.run(
-        new Txn()
-            .given(Election.LEADER, mark)
+        new Transaction()
+            .given(LeaderElection.LEADER, mark)
             .given(Records.release(h.job), h.mark)
             .put(Records.release(h.job), value(h, printed)),
         ended);
   }
 
   /** Adds to a start's transaction what makes it void once the hold is closed again. */
-  void guard(Job job, Txn txn) {
+  void guard(Job job, Transaction txn) {
     Hold h = holds.get(job.spec.id());
-    if (h == null || h.state == Holds.State.CLOSED) {
+    if (h == null || h.state == DependencyGates.State.CLOSED) {
       // Not to be met: such a job is held. A condition that cannot be true keeps it so.
       txn.given(Records.release(job.spec.id()), Long.MAX_VALUE);
       return;
     }
     txn.given(Records.release(h.job), h.mark);
-    if (h.state == Holds.State.OPEN) {
+    if (h.state == DependencyGates.State.OPEN) {
       h.leagues.forEach((l, m) -> txn.given(Records.league(l), m));
       txn.put(Records.release(h.job), value(h, true));
     }
@@ -294,8 +298,8 @@
   /** Starts were recorded under the release: from now on it cannot be called back. */
   void guarded(Job job, long revision) {
     Hold h = holds.get(job.spec.id());
-    if (h != null && h.state == Holds.State.OPEN) {
-      h.state = Holds.State.PRINTED;
+    if (h != null && h.state == DependencyGates.State.OPEN) {
+      h.state = DependencyGates.State.PRINTED;
       h.mark = revision;
       LOG.info("event=print_began job={} version={}", h.job, h.leagues);
     }
@@ -320,9 +324,9 @@
             return;
           }
           adopt(h, item.value(), item.mark());
-          if (h.state != Holds.State.PRINTED) {
+          if (h.state != DependencyGates.State.PRINTED) {
             LOG.info("event=hold_closed job={}", h.job);
-            h.state = Holds.State.CLOSED;
+            h.state = DependencyGates.State.CLOSED;
             ledger.close(job, loop.now());
             holds.touch(h);
             loop.soon(this::look);
@@ -336,7 +340,7 @@
     private final Hold hold;
     private final Map<String, Long> marks = new LinkedHashMap<>();
     private final Map<String, Long> changes = new LinkedHashMap<>();
-    private final Map<String, Fate> fates = new HashMap<>();
+    private final Map<String, JobOutcome> fates = new HashMap<>();
     private final StringBuilder waits = new StringBuilder();
     private int waitsFor;
 
@@ -449,7 +453,8 @@
           });
     }
 
-    private void blocks(UpTo g, ArrayDeque<UpTo> left, List<Item> items, int i, long expected) {
+    private void blocks(
+        UpTo g, ArrayDeque<UpTo> left, List<VersionedValue> items, int i, long expected) {
       int last = (int) (g.game() / Block.GAMES);
       if (i == items.size() || waitsFor >= MOST_NAMED) {
         boolean more = i > 0 && items.size() == PAGE && expected <= g.game() && waitsFor == 0;
@@ -471,7 +476,7 @@
       Block block;
       try {
         block = FoldCodec.decode(items.get(i).value());
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         waitsFor(items.get(i).key() + " cannot be read: " + e.getMessage());
         games(left);
         return;
@@ -524,13 +529,13 @@
         }
         next = Math.max(next, number + 1);
         Fold f = e.getValue();
-        Fate fate = f.settled() ? Fate.DONE : fates.get(f.job());
+        JobOutcome fate = f.settled() ? JobOutcome.DONE : fates.get(f.job());
         String game = "game " + number + " of " + g.league() + " for " + e.getKey().member();
-        if (fate == Fate.CANCELLED && f.base() == null) {
+        if (fate == JobOutcome.CANCELLED && f.base() == null) {
           waitsFor(game + " was released by " + f.job());
-        } else if (fate == Fate.OPEN) {
+        } else if (fate == JobOutcome.OPEN) {
           waitsFor(game + " is not folded yet by " + f.job());
-        } else if (fate == Fate.CLAIMING && f.base() == null) {
+        } else if (fate == JobOutcome.CLAIMING && f.base() == null) {
           // A correction whose claim is not accepted yet leaves what counts as it is; when it is
           // accepted the league's record changes.
           waitsFor(game + " is being claimed by " + f.job());
@@ -556,9 +561,9 @@
       hold.leagues.putAll(marks);
       hold.changes.clear();
       hold.changes.putAll(changes);
-      Txn txn =
-          new Txn()
-              .given(Election.LEADER, mark)
+      Transaction txn =
+          new Transaction()
+              .given(LeaderElection.LEADER, mark)
               .given(Records.open(hold.job), job.mark)
               .given(Records.release(hold.job), hold.mark);
       marks.forEach((l, m) -> txn.given(Records.league(l), m));
@@ -571,13 +576,13 @@
             }
             if (result == Result.OK) {
               hold.mark = revision;
-              hold.state = Holds.State.OPEN;
+              hold.state = DependencyGates.State.OPEN;
               hold.waitsFor = "";
               ledger.open(job, loop.now());
               LOG.info("event=hold_opened job={} version={}", hold.job, hold.leagues);
               over();
               changed.run();
-            } else if (result == Result.NO && failed.contains(Election.LEADER)) {
+            } else if (result == Result.NO && failed.contains(LeaderElection.LEADER)) {
               deposed.run();
             } else if (result == Result.NO && failed.contains(Records.release(hold.job))) {
               // One of ours without an answer was applied after all: taken as it is recorded.
--- a/src/main/java/org/mallowroad/controller/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/FailureResponder.java
@@ -3,16 +3,16 @@
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Arrays;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Machine;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.WorkerReport;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.health.MachineHealth;
 import org.mallowroad.core.health.MachineHealth.Doubt;
-import org.mallowroad.core.health.Silence;
-import org.mallowroad.core.health.StandStill;
+import org.mallowroad.core.health.PauseDetector;
 import org.mallowroad.core.health.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -36,7 +36,7 @@
  *       The lease that an answer with N renews is one that N+1 has no proof against: it counts from
  *       the last report that it answered itself.
  *   <li><i>Clearing an exited attempt:</i> sent only for what is committed (see {@code
- *       Ledger.orphan}), so N+1 knows the result without the worker.
+ *       SchedulerState.orphan}), so N+1 knows the result without the worker.
  *   <li><i>Rents:</i> recorded under their name before the call; N+1 repeats every recorded name,
  *       and a repeated name rents nothing more.
  *   <li><i>Deletions:</i> decided by a firm leader only; a late one takes a machine, never a rule:
@@ -81,9 +81,9 @@
   /** Lines about single machines in each judgement. */
   private static final int MOST_LINES = 20;
 
-  private final Ledger ledger;
+  private final SchedulerState ledger;
   private final Health health;
-  private final Names zones;
+  private final NameIndex zones;
   private final long term;
   private final long silentMs;
   private final long leaseMs;
@@ -97,7 +97,8 @@
   private long leftOut;
 
   /** For workers that report every {@code reportS} and hold leases of {@code leaseS}. */
-  FailureResponder(Ledger ledger, Names zones, double reportS, double leaseS, long term, long now) {
+  FailureResponder(
+      SchedulerState ledger, NameIndex zones, double reportS, double leaseS, long term, long now) {
     this.ledger = ledger;
     this.health = ledger.health();
     this.zones = zones;
@@ -138,7 +139,7 @@
    * of the state service nobody else can lead and the answers keep the workers' leases alive.
    */
   boolean unsure(long renewedMs, long now) {
-    StandStill still = health.still();
+    PauseDetector still = health.still();
     return still.count() > 0 && renewedMs < still.since() && now - still.since() < UNSURE_MS;
   }
 
@@ -150,7 +151,7 @@
    * nodes, well within its lease, and is answered. No answer is given that was not given before, so
    * no proof changes.
    */
-  boolean sendRound(WorkerReport r, long now) {
+  boolean sendRound(Heartbeat r, long now) {
     long last = rounds.getOrDefault(r.machine(), Long.MIN_VALUE / 2);
     if (now - last < leaseMs) {
       return false;
@@ -194,8 +195,8 @@
   /** Judges zones and machines; what is to be returned is marked. Only a firm leader may ask. */
   void judge(long now) {
     lines = 0;
-    Silence silence = health.silence();
-    for (Silence.Verdict v : silence.judge(now)) {
+    FailureDetector silence = health.silence();
+    for (FailureDetector.Verdict v : silence.judge(now)) {
       LOG.warn(
           "event={} zone={} silent={} of={} lasted_ms={}",
           v.cut() ? "zone_silent" : "zone_back",
@@ -232,7 +233,7 @@
     };
   }
 
-  private void judge(Machine m, Silence silence, long now) {
+  private void judge(Machine m, FailureDetector silence, long now) {
     if (ledger.dialogue().mustFence(m, now)) {
       m.returning = true;
       line(m.name, "machine_unfenced", 0);
@@ -275,7 +276,7 @@
     }
   }
 
-  private boolean mayReturn(Machine m, Silence silence, long now) {
+  private boolean mayReturn(Machine m, FailureDetector silence, long now) {
     long ms = silence.silentMs(m.health, now);
     int zone = m.zone;
     if (silence.cut(zone)) {
--- a/src/main/java/org/mallowroad/controller/FoldKeeper.java
+++ b/src/main/java/org/mallowroad/controller/FoldMaintenance.java
@@ -12,19 +12,19 @@
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Claims;
-import org.mallowroad.core.fold.Fate;
 import org.mallowroad.core.fold.Fold;
+import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.core.fold.LeagueIndex;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Item;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,8 +34,8 @@
  * games are nobody's. Walks the blocks a page at a time with what the budget leaves, and rests
  * where there are none; a takeover begins the walk anew.
  */
-final class FoldKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(FoldKeeper.class);
+final class FoldMaintenance {
+  private static final Logger LOG = LoggerFactory.getLogger(FoldMaintenance.class);
 
   /** Users try a submission for 60 s; then, and some for clocks, nobody goes on with its claim. */
   static final long STALE_MS = 90_000;
@@ -59,10 +59,10 @@
   /** Leagues whose index is kept; beyond, the one looked at longest ago goes. */
   static final int MOST_LEAGUES = 256;
 
-  private final Loop loop;
-  private final StateStore state;
+  private final EventLoop loop;
+  private final KeyValueStore state;
   private final Folding folding;
-  private final Budget writes;
+  private final RateLimiter writes;
   private final int maxOps;
   private final long mark;
   private final Object2ObjectLinkedOpenHashMap<String, LeagueIndex> leagues =
@@ -71,7 +71,13 @@
   private boolean undoing;
   private boolean stopped;
 
-  FoldKeeper(Loop loop, StateStore state, Folding folding, Budget writes, int maxOps, long mark) {
+  FoldMaintenance(
+      EventLoop loop,
+      KeyValueStore state,
+      Folding folding,
+      RateLimiter writes,
+      int maxOps,
+      long mark) {
     this.loop = loop;
     this.state = state;
     this.folding = folding;
@@ -118,7 +124,7 @@
     return age > (v.has("undo") ? SWEEP_MS : STALE_MS);
   }
 
-  private void undo(Item i) {
+  private void undo(VersionedValue i) {
     String job = i.key().substring(Records.INTENT.length());
     try {
       undoing = true;
@@ -130,7 +136,7 @@
             undoing = false;
             LOG.info("event=claim_given_up job={} whole={}", job, ok);
           });
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       undoing = false;
       LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
     }
@@ -161,11 +167,11 @@
         });
   }
 
-  private void take(List<Item> items) {
+  private void take(List<VersionedValue> items) {
     Map<BlockKey, Block> blocks = new LinkedHashMap<>();
     Map<BlockKey, Long> marks = new HashMap<>();
     ArrayDeque<String> asks = new ArrayDeque<>();
-    for (Item i : items) {
+    for (VersionedValue i : items) {
       try {
         BlockKey key = Records.block(i.key());
         Block block = FoldCodec.decode(i.value());
@@ -176,7 +182,7 @@
             asks.add(f.job());
           }
         }
-      } catch (BadMessage | NumberFormatException e) {
+      } catch (InvalidMessageException | NumberFormatException e) {
         LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
       }
     }
@@ -185,8 +191,8 @@
 
   private void ask(
       ArrayDeque<String> jobs,
-      Map<String, Fate> fates,
-      java.util.function.Consumer<Map<String, Fate>> told) {
+      Map<String, JobOutcome> fates,
+      java.util.function.Consumer<Map<String, JobOutcome>> told) {
     String j = jobs.poll();
     if (j == null || stopped) {
       told.accept(fates);
@@ -203,11 +209,11 @@
   }
 
   private void judged(
-      Map<BlockKey, Block> blocks, Map<BlockKey, Long> marks, Map<String, Fate> fates) {
+      Map<BlockKey, Block> blocks, Map<BlockKey, Long> marks, Map<String, JobOutcome> fates) {
     if (stopped) {
       return;
     }
-    Txn txn = new Txn().given(Election.LEADER, mark);
+    Transaction txn = new Transaction().given(LeaderElection.LEADER, mark);
     blocks.forEach(
         (k, b) -> {
           index(k.league()).take(k.index(), b, fates::get);
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -8,26 +8,26 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import org.mallowroad.api.Folding;
-import org.mallowroad.cloud.CloudApi;
+import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.core.Attempt;
+import org.mallowroad.core.CostAccounting;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Order;
-import org.mallowroad.core.Placement;
-import org.mallowroad.core.Served;
-import org.mallowroad.core.Spending;
-import org.mallowroad.core.WorkerReport;
+import org.mallowroad.core.ObjectiveAttainment;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.TaskScheduler;
+import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.admission.RecordLag;
-import org.mallowroad.core.cancel.CancellationView;
+import org.mallowroad.core.cancellation.CancellationView;
 import org.mallowroad.core.health.Health;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Item;
 import org.mallowroad.wire.WorkerCodec;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
@@ -59,23 +59,23 @@
   /** A worker's way round: a report without an answer, the pause, and the same once more. */
   private static final long ROUND_MS = 10_000;
 
-  private final Loop loop;
-  private final StateStore state;
-  private final Site site;
-  private final Election election;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final ClusterConfig site;
+  private final LeaderElection election;
   private final long term;
-  private final Ledger ledger;
-  private final Placement placement;
-  private final Committer committer;
-  private final FleetManager fleet;
+  private final SchedulerState ledger;
+  private final TaskScheduler placement;
+  private final WriteBehindCommitter committer;
+  private final MachineProvisioner fleet;
   private final FailureResponder responder;
   private final Listener listener;
   private final IntSupplier peersNear;
   private final long startedMs;
   private final CancellationView view;
   private final int maxOps;
-  private final List<Loop.Timer> duties = new ArrayList<>();
-  private final EarlyReports early = new EarlyReports();
+  private final List<EventLoop.Timer> duties = new ArrayList<>();
+  private final DeferredHeartbeats early = new DeferredHeartbeats();
   private final WorkerClient workers;
   private final ObjectOpenHashSet<String> holding = new ObjectOpenHashSet<>();
   private long heardMs;
@@ -90,11 +90,11 @@
   private final List<Runnable> afterPass = new ArrayList<>();
   private final RecordLag recordLag = new RecordLag();
   private final Load load = new Load();
-  private final Served served;
-  private final WriteShare share;
-  private final RecordReader records;
-  private final HoldKeeper holds;
-  private final FoldKeeper folds;
+  private final ObjectiveAttainment served;
+  private final WriteRateLimiter share;
+  private final StateLoader records;
+  private final DependencyGateController holds;
+  private final FoldMaintenance folds;
 
   /** What a leader tells its node. */
   interface Listener {
@@ -109,11 +109,11 @@
   }
 
   Leader(
-      Loop loop,
-      StateStore state,
-      CloudApi cloud,
-      Site site,
-      Election election,
+      EventLoop loop,
+      KeyValueStore state,
+      CloudClient cloud,
+      ClusterConfig site,
+      LeaderElection election,
       long term,
       long mark,
       WorkerClient workers,
@@ -127,12 +127,12 @@
     this.term = term;
     this.listener = listener;
     this.peersNear = peersNear;
-    this.served = new Served(site.classes, site.teams());
+    this.served = new ObjectiveAttainment(site.classes, site.teams());
     this.workers = workers;
     this.startedMs = loop.now();
     this.heardMs = startedMs;
     this.ledger =
-        new Ledger(
+        new SchedulerState(
             term,
             site.settings.leaseS(),
             site.settings.reportS(),
@@ -144,17 +144,18 @@
     this.responder =
         new FailureResponder(
             ledger, site.zones, site.settings.reportS(), site.settings.leaseS(), term, startedMs);
-    this.placement = new Placement(ledger);
+    this.placement = new TaskScheduler(ledger);
     this.view =
         new CancellationView(
             CancellationView.mostAgeMs(site.settings.leaseS(), site.settings.cancelS()));
     double writeRps = site.settings.stateWriteRps();
     // A transaction larger than the bucket would wait for ever, so the one bounds the other.
     this.maxOps = (int) Math.max(4, Math.min(site.settings.txnOps(), writeRps * 0.8));
-    Budget writes = new Budget(writeRps * 0.75, Math.max(maxOps, writeRps * 0.7), loop.now());
-    this.share = new WriteShare(writeRps, writes, loop.now());
+    RateLimiter writes =
+        new RateLimiter(writeRps * 0.75, Math.max(maxOps, writeRps * 0.7), loop.now());
+    this.share = new WriteRateLimiter(writeRps, writes, loop.now());
     this.committer =
-        new Committer(
+        new WriteBehindCommitter(
             loop,
             state,
             writes,
@@ -162,7 +163,7 @@
             site.zones,
             mark,
             maxOps,
-            new Committer.Events() {
+            new WriteBehindCommitter.Events() {
               @Override
               public void deposed() {
                 election.stepDown();
@@ -174,7 +175,7 @@
               }
 
               @Override
-              public void guard(Job job, StateStore.Txn txn) {
+              public void guard(Job job, KeyValueStore.Transaction txn) {
                 holds.guard(job, txn);
               }
 
@@ -210,13 +211,13 @@
               }
             });
     this.holds =
-        new HoldKeeper(
+        new DependencyGateController(
             loop, state, ledger, folding, mark, this::advance, () -> election.stepDown());
-    this.folds = new FoldKeeper(loop, state, folding, writes, maxOps, mark);
+    this.folds = new FoldMaintenance(loop, state, folding, writes, maxOps, mark);
     this.records =
-        new RecordReader(loop, state, site, ledger, committer, view, new RecordListener());
+        new StateLoader(loop, state, site, ledger, committer, view, new RecordListener());
     this.fleet =
-        new FleetManager(
+        new MachineProvisioner(
             loop,
             state,
             cloud,
@@ -227,7 +228,7 @@
             maxOps,
             term,
             mark,
-            new FleetManager.Listener() {
+            new MachineProvisioner.Listener() {
               @Override
               public boolean firm() {
                 return Leader.this.firm();
@@ -250,9 +251,9 @@
             });
   }
 
-  private final class RecordListener implements RecordReader.Listener {
+  private final class RecordListener implements StateLoader.Listener {
     @Override
-    public void taken(int count, List<Item> hire) {
+    public void taken(int count, List<VersionedValue> hire) {
       Leader.this.taken(count, hire);
     }
 
@@ -288,17 +289,17 @@
   }
 
   /** Read by metrics and pictures. */
-  Ledger ledger() {
+  SchedulerState ledger() {
     return ledger;
   }
 
   /** Read by pictures. */
-  Placement placement() {
+  TaskScheduler placement() {
     return placement;
   }
 
   /** Read by pictures. */
-  FleetManager fleet() {
+  MachineProvisioner fleet() {
     return fleet;
   }
 
@@ -320,7 +321,7 @@
   /** Every controller reads shared records of starts: small jobs have them from now on. */
   void shareStarts() {
     int valueBytes = (int) (site.settings.valueKb() * 1024);
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(maxOps), valueBytes);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(maxOps), valueBytes);
   }
 
   void start() {
@@ -339,7 +340,7 @@
 
   void stop() {
     stopped = true;
-    duties.forEach(Loop.Timer::cancel);
+    duties.forEach(EventLoop.Timer::cancel);
     records.stop();
     holds.stop();
     folds.stop();
@@ -348,7 +349,7 @@
     early.turnAway(Long.MAX_VALUE);
   }
 
-  private void taken(int records, List<Item> hire) {
+  private void taken(int records, List<VersionedValue> hire) {
     loaded = true;
     // After a lease: what a takeover has to write itself goes first.
     loop.after(
@@ -471,7 +472,7 @@
       if (holding.contains(m.name) || workers.busy(m.address)) {
         continue;
       }
-      List<Order> orders =
+      List<WorkerCommand> orders =
           m.empty() || m.address.isEmpty() ? List.of() : ledger.dialogue().direct(m, firm, now);
       if (firm || !orders.isEmpty()) {
         // What cannot be sent now travels in the answer to the next report.
@@ -549,7 +550,7 @@
         && now - Math.max(election.renewedMs(), state.contactMs()) > ALONE_MS;
   }
 
-  private Machine take(WorkerReport r) {
+  private Machine take(Heartbeat r) {
     MachineType type = site.type(r.type());
     int zone = site.zones.find(r.zone());
     if (type == null || zone < 0) {
@@ -563,7 +564,7 @@
    *
    * @param via the peer that brought it, or -1
    */
-  void report(WorkerReport r, int via, Consumer<ObjectNode> reply) {
+  void report(Heartbeat r, int via, Consumer<ObjectNode> reply) {
     long now = loop.now();
     responder.turn(now);
     if (stopped) {
@@ -589,7 +590,7 @@
       return;
     }
     load.reports++;
-    List<Order> orders = ledger.report(m, r, firm(), now);
+    List<WorkerCommand> orders = ledger.report(m, r, firm(), now);
     m.answeredMs = now;
     if (orders == null) {
       // A late copy, or overtaken by a newer one: nobody was heard by it.
@@ -624,7 +625,7 @@
   }
 
   private void tellServed() {
-    for (Served.Line l : served.lines(ledger.jobs(), loop.now())) {
+    for (ObjectiveAttainment.Line l : served.lines(ledger.jobs(), loop.now())) {
       LOG.info(
           "event=served {}={} share={} done={} late={} open={} oldest_s={}",
           l.kind(),
@@ -671,12 +672,12 @@
           waiting,
           live,
           ledger.machines().size(),
-          Memory.heapBytes() >> 20,
-          Memory.processBytes() >> 20);
+          MemoryMetrics.heapBytes() >> 20,
+          MemoryMetrics.processBytes() >> 20);
       if (ledger.started() > 0) {
         LOG.info("event=fetches {}", ledger.stages().figures());
       }
-      for (Spending.Line l : ledger.spending().lines(ledger.machines(), loop.now())) {
+      for (CostAccounting.Line l : ledger.spending().lines(ledger.machines(), loop.now())) {
         LOG.info(
             "event=spending type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
             l.type(),
@@ -700,15 +701,16 @@
 
   /** A report whose answer waits a moment for the commit of the starts it is to carry. */
   private final class Held {
-    private final WorkerReport report;
+    private final Heartbeat report;
     private final Machine machine;
-    private final List<Order> orders;
+    private final List<WorkerCommand> orders;
     private final List<Attempt> recording = new ArrayList<>();
     private final Consumer<ObjectNode> reply;
-    private Loop.Timer timer;
+    private EventLoop.Timer timer;
     private boolean over;
 
-    Held(WorkerReport report, Machine machine, List<Order> orders, Consumer<ObjectNode> reply) {
+    Held(
+        Heartbeat report, Machine machine, List<WorkerCommand> orders, Consumer<ObjectNode> reply) {
       this.report = report;
       this.machine = machine;
       this.orders = orders;
