--- a/src/main/java/org/mallowroad/controller/LinkDuties.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,50 +3,50 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.Consumer;
-import org.mallowroad.cloud.CloudApi;
+import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Member;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.core.links.Carriage;
-import org.mallowroad.core.links.LinkPolicy;
-import org.mallowroad.core.links.Links;
-import org.mallowroad.core.links.Outside;
-import org.mallowroad.core.links.Route;
-import org.mallowroad.core.links.Row;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
-import org.mallowroad.net.Incoming;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.linkstate.ExternalService;
+import org.mallowroad.core.linkstate.HeartbeatRelay;
+import org.mallowroad.core.linkstate.LinkPolicy;
+import org.mallowroad.core.linkstate.LinkStateAdvertisement;
+import org.mallowroad.core.linkstate.LinkStateTable;
+import org.mallowroad.core.linkstate.RouteSelector;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
 import org.mallowroad.net.LogLimiter;
-import org.mallowroad.net.Loop;
-import org.mallowroad.peer.Detour;
-import org.mallowroad.peer.Forwarding;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.peer.RelayTransport;
+import org.mallowroad.peer.RelayedCaller;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
-import org.mallowroad.worker.ReportApi;
+import org.mallowroad.worker.HeartbeatApi;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * What a node does about its links: tells its row, tries ways that nothing else uses, and carries
- * what others cannot deliver themselves. The decisions are those of {@code core.links}.
+ * what others cannot deliver themselves. The decisions are those of {@code core.linkstate}.
  *
  * <p><b>Why a carried report breaks no rule.</b> The worker counts its lease from when it
  * <i>sent</i> the report, and drops an answer after 4 s; the leader counts from when it
  * <i>answered</i> ({@code Machine.answeredMs}), which is later, by whichever way the report came.
- * So the proof by lease in {@code Ledger} holds as it stands. The answer carries the token of the
- * leader that gave it: a deposed one's is dropped by every worker that has seen a later one, and
- * one that has not may stay with it exactly as if it reached it directly, until the leader's view
- * is stale ({@code CancellationView}), or this node hears of the later term (rows, announcements,
- * other workers' tokens) and carries nothing there any more. A node adds nothing to an answer and
- * remembers none. Orders by way of a peer without an answer are {@code UNKNOWN}, held uncleared and
- * fenced as any.
+ * So the proof by lease in {@code SchedulerState} holds as it stands. The answer carries the token
+ * of the leader that gave it: a deposed one's is dropped by every worker that has seen a later one,
+ * and one that has not may stay with it exactly as if it reached it directly, until the leader's
+ * view is stale ({@code CancellationView}), or this node hears of the later term (rows,
+ * announcements, other workers' tokens) and carries nothing there any more. A node adds nothing to
+ * an answer and remembers none. Orders by way of a peer without an answer are {@code UNKNOWN}, held
+ * uncleared and fenced as any.
  */
-final class LinkDuties {
-  private static final Logger LOG = LoggerFactory.getLogger(LinkDuties.class);
+final class LinkMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
   private static final long BEAT_MS = 250;
   private static final long PROBE_TIMEOUT_MS = 1_000;
 
@@ -68,19 +68,19 @@
   /** Reports that are being carried at once; more are turned away. */
   private static final int MOST_CARRYING = 192;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Settings settings;
-  private final Site site;
+  private final ClusterConfig site;
   private final LinkPolicy policy;
-  private final Links links;
-  private final Route state;
-  private final Route cloud;
-  private final Carriage carriage;
-  private final Forwarding forwarding;
-  private final Caller stateDirect;
-  private final Caller cloudDirect;
+  private final LinkStateTable links;
+  private final RouteSelector state;
+  private final RouteSelector cloud;
+  private final HeartbeatRelay carriage;
+  private final RelayTransport forwarding;
+  private final RequestSender stateDirect;
+  private final RequestSender cloudDirect;
   private final LogLimiter lines = new LogLimiter(20, 10_000);
-  private Election election;
+  private LeaderElection election;
   private WorkerClient workers;
   private Listener listener;
   private int carrying;
@@ -94,11 +94,16 @@
     boolean leading();
 
     /** Answers a report that a peer brought; null means not now. */
-    void report(WorkerReport r, int via, Consumer<ObjectNode> reply);
+    void report(Heartbeat r, int via, Consumer<ObjectNode> reply);
   }
 
   /** Over the direct ways to the outside parties. */
-  LinkDuties(Host host, Site site, LinkPolicy policy, Caller stateDirect, Caller cloudDirect) {
+  LinkMonitor(
+      NodeEnvironment host,
+      ClusterConfig site,
+      LinkPolicy policy,
+      RequestSender stateDirect,
+      RequestSender cloudDirect) {
     this.loop = host.loop();
     this.site = site;
     this.settings = site.settings();
@@ -107,48 +112,50 @@
     this.cloudDirect = cloudDirect;
     List<Member> members = settings.members();
     this.links =
-        new Links(
+        new LinkStateTable(
             policy,
             settings.node(),
             members.stream().map(Member::node).toList(),
             settings.zones(),
             loop.wallMs(),
             loop.now());
-    this.state = new Route(links, Outside.STATE);
-    this.cloud = new Route(links, Outside.CLOUD);
-    this.carriage = new Carriage(policy, settings.zones().size());
-    this.forwarding = new Forwarding(host, members, links, new FromPeers());
+    this.state = new RouteSelector(links, ExternalService.STATE);
+    this.cloud = new RouteSelector(links, ExternalService.CLOUD);
+    this.carriage = new HeartbeatRelay(policy, settings.zones().size());
+    this.forwarding = new RelayTransport(host, members, links, new FromPeers());
   }
 
   /** A caller of the state service that goes round cuts, over one that does not. */
-  Caller state(Caller direct) {
-    return new Detour(loop, direct, Outside.STATE, state, forwarding, policy.hedgeMs());
+  RequestSender state(RequestSender direct) {
+    return new RelayedCaller(
+        loop, direct, ExternalService.STATE, state, forwarding, policy.hedgeMs());
   }
 
   /** A caller of the cloud that goes round cuts. */
-  Caller cloud() {
-    return new Detour(loop, cloudDirect, Outside.CLOUD, cloud, forwarding, policy.hedgeMs());
+  RequestSender cloud() {
+    return new RelayedCaller(
+        loop, cloudDirect, ExternalService.CLOUD, cloud, forwarding, policy.hedgeMs());
   }
 
-  Forwarding forwarding() {
+  RelayTransport forwarding() {
     return forwarding;
   }
 
-  Links links() {
+  LinkStateTable links() {
     return links;
   }
 
-  Carriage carriage() {
+  HeartbeatRelay carriage() {
     return carriage;
   }
 
   /** The way to the state service. */
-  Route stateRoute() {
+  RouteSelector stateRoute() {
     return state;
   }
 
   /** Begins. */
-  void start(Election e, WorkerClient w, Listener o) {
+  void start(LeaderElection e, WorkerClient w, Listener o) {
     election = e;
     workers = w;
     listener = o;
@@ -169,7 +176,7 @@
     long now = loop.now();
     return state.astray()
         && links.freshRows(now) == 0
-        && now - links.sinceMs(Outside.STATE) > ISOLATED_MS;
+        && now - links.sinceMs(ExternalService.STATE) > ISOLATED_MS;
   }
 
   /** How long this node lets others go first when a leader is sought. */
@@ -187,17 +194,17 @@
 
   private void beat() {
     long now = loop.now();
-    long age = links.ageMs(Outside.STATE, now);
+    long age = links.ageMs(ExternalService.STATE, now);
     boolean idle = !state.astray() && (age < 0 || age > IDLE_MS);
     if (!probing && (state.probeDue(now) || idle)) {
       probing = true;
-      probe(stateDirect, "/kv/" + Election.LEADER, state, true);
+      probe(stateDirect, "/kv/" + LeaderElection.LEADER, state, true);
     }
     // Only the leader uses the cloud, and no detour is needed where nothing is asked.
     if (cloud.probeDue(now) && listener.leading()) {
-      probe(cloudDirect, CloudApi.TYPES, cloud, false);
+      probe(cloudDirect, CloudClient.TYPES, cloud, false);
     }
-    for (Links.Change c : links.changes()) {
+    for (LinkStateTable.Change c : links.changes()) {
       long left = lines.line(now);
       if (left >= 0) {
         LOG.warn(
@@ -212,14 +219,14 @@
     }
   }
 
-  private void probe(Caller direct, String path, Route route, boolean ofState) {
+  private void probe(RequestSender direct, String path, RouteSelector route, boolean ofState) {
     long sentMs = loop.now();
     direct.call(
         "GET",
         path,
         null,
         PROBE_TIMEOUT_MS,
-        new Caller.Answer() {
+        new RequestSender.Answer() {
           @Override
           public void answered(int status, byte[] body) {
             done(!ofState || status != 503);
@@ -240,7 +247,7 @@
   }
 
   /** A report that came to this node, which leads. */
-  void heard(WorkerReport r, boolean direct) {
+  void heard(Heartbeat r, boolean direct) {
     if (direct) {
       directMs = loop.now();
     } else {
@@ -250,14 +257,14 @@
   }
 
   /** Carries a report to the leader where its worker does not get there; false: it is sent on. */
-  boolean carry(Incoming x, WorkerReport r, String leader) {
+  boolean carry(IncomingRequest x, Heartbeat r, String leader) {
     int peer = links.peer(leader);
     if (peer < 0) {
       return false;
     }
     long now = loop.now();
-    Row row = links.fresh(peer, now);
-    Row.Heard h = row == null ? null : row.zone(r.zone());
+    LinkStateAdvertisement row = links.fresh(peer, now);
+    LinkStateAdvertisement.Heard h = row == null ? null : row.zone(r.zone());
     boolean stay =
         carriage.carry(
             r.machine(),
@@ -271,11 +278,11 @@
     }
     if (links.downPeer(peer)) {
       // Neither of us gets there: the next node may, and the worker must not wait to hear it.
-      ReportApi.notNow(x, "the leader is not reached");
+      HeartbeatApi.notNow(x, "the leader is not reached");
       return true;
     }
     if (carrying >= MOST_CARRYING) {
-      ReportApi.notNow(x, "too many reports are carried");
+      HeartbeatApi.notNow(x, "too many reports are carried");
       return true;
     }
     carrying++;
@@ -283,7 +290,7 @@
         peer,
         settings.node(),
         x.body(),
-        new Caller.Answer() {
+        new RequestSender.Answer() {
           @Override
           public void answered(int status, byte[] body) {
             carrying--;
@@ -293,15 +300,15 @@
           @Override
           public void failed(boolean sent) {
             carrying--;
-            ReportApi.notNow(x, "the leader is not reached");
+            HeartbeatApi.notNow(x, "the leader is not reached");
           }
         });
     return true;
   }
 
-  private final class FromPeers implements Forwarding.Listener {
+  private final class FromPeers implements RelayTransport.Listener {
     @Override
-    public long row(Row row) {
+    public long row(LinkStateAdvertisement row) {
       if (!links.row(row, loop.now())) {
         long began = links.began(row.node());
         return began > row.started() ? began : 0;
@@ -318,23 +325,28 @@
 
     @Override
     public void forward(
-        Outside to, String method, String path, byte[] body, long timeoutMs, Caller.Answer answer) {
-      Route own = to == Outside.STATE ? state : cloud;
+        ExternalService to,
+        String method,
+        String path,
+        byte[] body,
+        long timeoutMs,
+        RequestSender.Answer answer) {
+      RouteSelector own = to == ExternalService.STATE ? state : cloud;
       if (links.down(to)) {
         answer.failed(false);
         return;
       }
       long sentMs = loop.now();
-      (to == Outside.STATE ? stateDirect : cloudDirect)
+      (to == ExternalService.STATE ? stateDirect : cloudDirect)
           .call(
               method,
               path,
               body,
               timeoutMs,
-              new Caller.Answer() {
+              new RequestSender.Answer() {
                 @Override
                 public void answered(int status, byte[] bytes) {
-                  boolean refused = to == Outside.STATE && status == 503;
+                  boolean refused = to == ExternalService.STATE && status == 503;
                   own.direct(!refused, sentMs, loop.now());
                   if (refused) {
                     answer.failed(false);
@@ -352,16 +364,16 @@
     }
 
     @Override
-    public void orders(String address, byte[] body, Caller.Answer answer) {
+    public void orders(String address, byte[] body, RequestSender.Answer answer) {
       workers.pass(address, body, answer);
     }
 
     @Override
-    public void carried(int peer, byte[] report, Caller.Answer answer) {
-      WorkerReport r;
+    public void carried(int peer, byte[] report, RequestSender.Answer answer) {
+      Heartbeat r;
       try {
         r = WorkerCodec.decode(Json.parseObject(report));
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
--- a/src/main/java/org/mallowroad/controller/FleetManager.java
+++ b/src/main/java/org/mallowroad/controller/MachineProvisioner.java
@@ -6,30 +6,32 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import org.mallowroad.cloud.CloudApi;
-import org.mallowroad.core.Fleet;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Variant;
+import org.mallowroad.cloud.CloudClient;
+import org.mallowroad.core.Autoscaler;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.gang.Gathering;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents and returns machines as {@link Fleet} decides; every rent is recorded before its call. */
-final class FleetManager {
-  private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
+/**
+ * Rents and returns machines as {@link Autoscaler} decides; every rent is recorded before its call.
+ */
+final class MachineProvisioner {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
   private static final long LIST_MS = 4_000;
   private static final long TYPES_MS = 30_000;
   private static final long MET_MS = 25_000;
@@ -39,19 +41,19 @@
   /** The field of a request's record that names the gang it was made for. */
   private static final String GANG = "gang";
 
-  private final Loop loop;
-  private final StateStore state;
-  private final CloudApi cloud;
-  private final Site site;
-  private final Ledger ledger;
-  private final Fleet fleet;
-  private final Budget writes;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final CloudClient cloud;
+  private final ClusterConfig site;
+  private final SchedulerState ledger;
+  private final Autoscaler fleet;
+  private final RateLimiter writes;
   private final int maxOps;
   private final FailureResponder responder;
   private final long term;
   private final long mark;
   private final Listener listener;
-  private final List<Loop.Timer> duties = new ArrayList<>();
+  private final List<EventLoop.Timer> duties = new ArrayList<>();
   private final Object2ObjectLinkedOpenHashMap<String, Hire> hires =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Object2ObjectLinkedOpenHashMap<String, Expected> expected =
@@ -104,14 +106,14 @@
   /** A machine that was rented or listed and has not reported in this term. */
   private record Expected(String name, Variant variant, long rentedMs, long metMs, String gang) {}
 
-  FleetManager(
-      Loop loop,
-      StateStore state,
-      CloudApi cloud,
-      Site site,
-      Ledger ledger,
+  MachineProvisioner(
+      EventLoop loop,
+      KeyValueStore state,
+      CloudClient cloud,
+      ClusterConfig site,
+      SchedulerState ledger,
       FailureResponder responder,
-      Budget writes,
+      RateLimiter writes,
       int maxOps,
       long term,
       long mark,
@@ -124,7 +126,7 @@
     this.writes = writes;
     this.maxOps = maxOps;
     this.responder = responder;
-    this.fleet = new Fleet(ledger, site.operator.fleet(), site.objectives);
+    this.fleet = new Autoscaler(ledger, site.operator.fleet(), site.objectives);
     this.term = term;
     this.mark = mark;
     this.listener = listener;
@@ -146,7 +148,7 @@
 
   void stop() {
     stopped = true;
-    duties.forEach(Loop.Timer::cancel);
+    duties.forEach(EventLoop.Timer::cancel);
   }
 
   /** Takes a recorded request on takeover; repeating it tells which machines it brought. */
@@ -209,7 +211,7 @@
         });
   }
 
-  private void listed(CloudApi.Listed l) {
+  private void listed(CloudClient.Listed l) {
     MachineType type = site.type(l.type());
     int zone = site.zones.find(l.zone());
     if (type == null || zone < 0 || ledger.isGone(l.name())) {
@@ -256,8 +258,8 @@
     List<Coming> coming = coming(now);
     List<Job> queue = listener.queue();
     // What one transaction cannot record is asked for again in the next cycle.
-    List<Fleet.Rent> rents = fleet.rents(queue, coming, site.machineTypes(), now);
-    for (Gathering.Change c : ledger.gathering().changes()) {
+    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, site.machineTypes(), now);
+    for (GangReservations.Change c : ledger.gathering().changes()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
           c.what().name().toLowerCase(Locale.ROOT),
@@ -307,10 +309,10 @@
   }
 
   /** Records requests, all in one transaction, before their calls. */
-  private void rent(List<Fleet.Rent> rents, long now) {
+  private void rent(List<Autoscaler.Rent> rents, long now) {
     List<Hire> batch = new ArrayList<>();
-    Txn txn = new Txn().given(Election.LEADER, mark);
-    for (Fleet.Rent r : rents) {
+    Transaction txn = new Transaction().given(LeaderElection.LEADER, mark);
+    for (Autoscaler.Rent r : rents) {
       String name = "r-" + term + "-" + counter++;
       Hire h = new Hire(name, r.variant(), r.count(), now, r.gang());
       h.calling = true;
@@ -337,7 +339,7 @@
           }
           if (result == Result.OK) {
             batch.forEach(this::call);
-          } else if (result == Result.NO && failed.contains(Election.LEADER)) {
+          } else if (result == Result.NO && failed.contains(LeaderElection.LEADER)) {
             listener.deposed();
           } else {
             // Not known to be recorded: never called. The names stay unused.
@@ -429,7 +431,7 @@
         || (over.size() < maxOps / 2 && writes.ready(loop.now()) < over.size() + 2)) {
       return;
     }
-    Txn txn = new Txn().given(Election.LEADER, mark);
+    Transaction txn = new Transaction().given(LeaderElection.LEADER, mark);
     over.forEach(h -> txn.delete(Records.HIRE + h.name));
     writes.force(txn.writes(), loop.now());
     settling = true;
--- a/src/main/java/org/mallowroad/controller/TypesKeeper.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Loop;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Item;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.TypeCodec;
 import org.slf4j.Logger;
@@ -21,21 +21,21 @@
  * stop no cancelled task (docs/incidents, leader-without-types). Prices in the record are as old as
  * it is; the cloud's own answer replaces them.
  */
-final class TypesKeeper {
+final class MachineTypeCache {
   /** Under it the record stands. */
   static final String KEY = "types";
 
-  private static final Logger LOG = LoggerFactory.getLogger(TypesKeeper.class);
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCache.class);
 
   /** The cloud has so long to answer itself; then the record is read, and again until it is. */
   private static final long PATIENCE_MS = 1_000;
 
-  private final Loop loop;
-  private final StateStore state;
-  private final Site site;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final ClusterConfig site;
   private boolean recalling;
 
-  TypesKeeper(Loop loop, StateStore state, Site site) {
+  MachineTypeCache(EventLoop loop, KeyValueStore state, ClusterConfig site) {
     this.loop = loop;
     this.state = state;
     this.site = site;
@@ -62,7 +62,7 @@
         });
   }
 
-  private void take(Item item) {
+  private void take(VersionedValue item) {
     if (!site.machineTypes().isEmpty()) {
       return;
     }
@@ -72,14 +72,14 @@
         LOG.info("event=types_recalled types={}", t.size());
         site.machineTypes(t);
       }
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       LOG.error("event=record_unreadable key={} reason=\"{}\"", KEY, e.getMessage());
     }
   }
 
-  private List<MachineType> decode(Item item) throws BadMessage {
+  private List<MachineType> decode(VersionedValue item) throws InvalidMessageException {
     if (!item.value().isObject()) {
-      throw new BadMessage("not an object");
+      throw new InvalidMessageException("not an object");
     }
     return TypeCodec.decode((ObjectNode) item.value(), site.types, site.zones);
   }
@@ -99,19 +99,22 @@
             return;
           }
           // Lost, it is written by the next term.
-          Txn txn =
-              new Txn().given(Election.LEADER, leaderMark).given(KEY, item.mark()).put(KEY, v);
+          Transaction txn =
+              new Transaction()
+                  .given(LeaderElection.LEADER, leaderMark)
+                  .given(KEY, item.mark())
+                  .put(KEY, v);
           state.run(txn, (r, revision, failed) -> {});
         });
   }
 
-  private boolean same(Item item, List<MachineType> now) {
+  private boolean same(VersionedValue item, List<MachineType> now) {
     if (item.value() == null) {
       return false;
     }
     try {
       return priceless(decode(item)).equals(priceless(now));
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       return false;
     }
   }
--- a/src/main/java/org/mallowroad/controller/Memory.java
+++ b/src/main/java/org/mallowroad/controller/MemoryMetrics.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 
 /** What this process holds and what the collector costs it, for metrics and the log. */
-final class Memory {
-  private Memory() {}
+final class MemoryMetrics {
+  private MemoryMetrics() {}
 
   /** Resident bytes, the heap and everything else; 0 where the system does not tell. */
   static long processBytes() {
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -11,35 +11,35 @@
 import java.util.concurrent.CompletionException;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import org.mallowroad.api.Answerer;
 import org.mallowroad.api.HttpRouter;
 import org.mallowroad.api.Reply;
+import org.mallowroad.api.Responder;
 import org.mallowroad.api.UserApi;
-import org.mallowroad.cloud.CloudApi;
+import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.config.Settings;
 import org.mallowroad.console.ConsoleServer;
-import org.mallowroad.console.Subject;
+import org.mallowroad.console.SnapshotSource;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.WorkerReport;
 import org.mallowroad.core.admission.Admission;
-import org.mallowroad.core.cancel.CancellationView;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture;
+import org.mallowroad.core.cancellation.CancellationView;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.health.Health;
-import org.mallowroad.core.links.Outside;
-import org.mallowroad.core.links.Route;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
-import org.mallowroad.net.Incoming;
-import org.mallowroad.net.Loop;
-import org.mallowroad.net.XnioHost;
-import org.mallowroad.peer.Peers;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.wire.BadMessage;
-import org.mallowroad.worker.ReportApi;
+import org.mallowroad.core.linkstate.ExternalService;
+import org.mallowroad.core.linkstate.RouteSelector;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.net.XnioEnvironment;
+import org.mallowroad.peer.PeerMessenger;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.wire.InvalidMessageException;
+import org.mallowroad.worker.HeartbeatApi;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -67,24 +67,24 @@
 
   private static final double LEAST_REPEATS_PER_S = 4;
 
-  private final Site site;
-  private final Host host;
-  private final Loop loop;
-  private final CloudApi cloud;
-  private final StateStore state;
-  private final Election election;
+  private final ClusterConfig site;
+  private final NodeEnvironment host;
+  private final EventLoop loop;
+  private final CloudClient cloud;
+  private final KeyValueStore state;
+  private final LeaderElection election;
   private final WorkerClient workers;
   private final UserApi users;
-  private final ReportApi reports;
-  private final Peers peers;
-  private final TypesKeeper types;
+  private final HeartbeatApi reports;
+  private final PeerMessenger peers;
+  private final MachineTypeCache types;
   private final HttpRouter router;
   private final ConsoleServer console;
 
-  private final CancellationDuties cancellations;
+  private final CancellationPropagation cancellations;
 
   /** What goes round cuts; null where it is off. */
-  private final LinkDuties links;
+  private final LinkMonitor links;
 
   private final Admission admission;
 
@@ -95,12 +95,12 @@
   private PrometheusMeterRegistry registry;
 
   /** A node on this machine. */
-  public Node(Site site) throws IOException {
-    this(site, new XnioHost(site.settings()));
+  public Node(ClusterConfig site) throws IOException {
+    this(site, new XnioEnvironment(site.settings()));
   }
 
   /** Wires a node together; nothing runs before {@link #start()}. */
-  public Node(Site site, Host host) throws IOException {
+  public Node(ClusterConfig site, NodeEnvironment host) throws IOException {
     this.site = site;
     this.host = host;
     this.loop = host.loop();
@@ -108,30 +108,30 @@
     String json = "application/json";
     // The largest answer of an outside service: a small part of the memory.
     int ram = (int) (s.ramMb() * 1024 * 1024);
-    Caller stateCaller = host.caller(s.state(), json, STATE_CONNECTIONS, ram / 8);
-    Caller cloudCaller = host.caller(s.cloud(), json, 8, ram / 8);
-    Caller follower = host.caller(s.state(), json, 8, ram / 8);
+    RequestSender stateCaller = host.caller(s.state(), json, STATE_CONNECTIONS, ram / 8);
+    RequestSender cloudCaller = host.caller(s.cloud(), json, 8, ram / 8);
+    RequestSender follower = host.caller(s.state(), json, 8, ram / 8);
     boolean on = site.operator.links().isPresent() && !s.members().isEmpty();
     this.links =
         on
-            ? new LinkDuties(host, site, site.operator.links().get(), stateCaller, cloudCaller)
+            ? new LinkMonitor(host, site, site.operator.links().get(), stateCaller, cloudCaller)
             : null;
     this.state =
         on
-            ? new StateStore(loop, links.state(stateCaller), links.state(follower))
-            : new StateStore(loop, stateCaller, follower);
+            ? new KeyValueStore(loop, links.state(stateCaller), links.state(follower))
+            : new KeyValueStore(loop, stateCaller, follower);
     state.repeatsPerSecond(
         Math.max(LEAST_REPEATS_PER_S, s.stateRps() * REPEATED_SHARE / s.nodes()));
     long now = loop.now();
     this.admission = new Admission(now);
     this.cloud =
-        new CloudApi(
+        new CloudClient(
             loop,
             on ? links.cloud() : cloudCaller,
-            new Budget(s.cloudRps() * 0.8, s.cloudRps(), now),
+            new RateLimiter(s.cloudRps() * 0.8, s.cloudRps(), now),
             site.types,
             site.zones);
-    this.types = new TypesKeeper(loop, state, site);
+    this.types = new MachineTypeCache(loop, state, site);
     this.workers = new WorkerClient(host, Math.max(16, s.maxSockets() / 8));
     double reads = Math.max(4, s.stateRps() * 0.6 / s.nodes());
     this.users =
@@ -140,26 +140,26 @@
             state,
             // Beside them go accepts, commits, renewals and watches; beyond the limit the service
             // refuses whoever comes, and a leader without renewals is none.
-            new Budget(reads, reads, now),
+            new RateLimiter(reads, reads, now),
             reads,
-            new Budget(s.stateWriteRps() * 0.45, s.stateWriteRps() * 0.6, now),
-            new Budget(s.stateWriteRps() * 0.45 / s.nodes(), 4, now),
+            new RateLimiter(s.stateWriteRps() * 0.45, s.stateWriteRps() * 0.6, now),
+            new RateLimiter(s.stateWriteRps() * 0.45 / s.nodes(), 4, now),
             new NodeJobs(),
             s.valueKb(),
             4 * s.txnOps(),
             (int) (s.ramMb() * ENDS_PER_MB));
     this.election =
-        new Election(
+        new LeaderElection(
             loop,
             state,
             s.node(),
             s.node().hashCode(),
             () -> links == null ? 0 : links.handicapMs(),
             new ElectionListener());
-    this.reports = new ReportApi(loop, new NodeReports());
-    this.peers = new Peers(host, s.members(), new NodePeers());
+    this.reports = new HeartbeatApi(loop, new NodeReports());
+    this.peers = new PeerMessenger(host, s.members(), new NodePeers());
     this.readsShared = new boolean[peers.count()];
-    this.cancellations = new CancellationDuties(loop, s, peers);
+    this.cancellations = new CancellationPropagation(loop, s, peers);
     users.onCancelled(this::learntCancelled);
     // Not even its classes are loaded where it is off.
     this.console =
@@ -167,7 +167,7 @@
             ? null
             : new ConsoleServer(
                 site.operator.console().get(),
-                new Watched(new Sketcher(loop, site, state, election, () -> leader)));
+                new Watched(new SnapshotPublisher(loop, site, state, election, () -> leader)));
     this.router = new HttpRouter(this::serve, reports::report, this::healthy, this::metrics);
     if (on) {
       peers.forwarding(links.forwarding());
@@ -241,26 +241,26 @@
     }
   }
 
-  private final class Inlet implements Host.Front {
+  private final class Inlet implements NodeEnvironment.RequestHandler {
     @Override
-    public void request(Incoming x) {
+    public void request(IncomingRequest x) {
       router.request(x);
     }
 
     @Override
-    public void message(Incoming x) {
+    public void message(IncomingRequest x) {
       peers.message(x);
     }
   }
 
-  private final class LinkListener implements LinkDuties.Listener {
+  private final class LinkListener implements LinkMonitor.Listener {
     @Override
     public boolean leading() {
       return leader != null;
     }
 
     @Override
-    public void report(WorkerReport r, int via, Consumer<ObjectNode> reply) {
+    public void report(Heartbeat r, int via, Consumer<ObjectNode> reply) {
       leader.report(r, via, reply);
     }
   }
@@ -280,7 +280,7 @@
   }
 
   /** On which everything of this node runs. */
-  Loop loop() {
+  EventLoop loop() {
     return loop;
   }
 
@@ -327,14 +327,14 @@
   }
 
   /** Serves a user's request here or, without the state service, through a peer that has it. */
-  private void serve(String method, String path, byte[] body, Answerer answerer) {
+  private void serve(String method, String path, byte[] body, Responder answerer) {
     if (site.settings().members().isEmpty()) {
       users.serve(method, path, body, answerer);
     } else if (links != null && links.stateRoute().astray()) {
       // One hop to a peer that has the state service; with none at hand nobody waits to hear it.
       Runnable none = () -> answerer.answer(503, Reply.reason("state service not reached"), true);
       int peer = links.stateRoute().choose(loop.now());
-      if (peer == Route.DIRECT) {
+      if (peer == RouteSelector.DIRECT) {
         none.run();
       } else {
         peers.relayTo(peer, method, path, body, answerer, none);
@@ -400,7 +400,7 @@
         gauge("mallowroad.links.state.via", n -> n.links.stateRoute().via());
         gauge(
             "mallowroad.links.state.age.ms",
-            n -> n.links.links().ageMs(Outside.STATE, n.loop.now()));
+            n -> n.links.links().ageMs(ExternalService.STATE, n.loop.now()));
         gauge("mallowroad.detours", n -> n.links.detours());
         gauge("mallowroad.reports.carried", n -> n.links.carriage().carried());
         gauge("mallowroad.reports.sent.on", n -> n.links.carriage().sentOn());
@@ -425,9 +425,9 @@
    */
   private void memory() {
     gauge("mallowroad.memory.limit.bytes", n -> n.site.settings().ramMb() * 1024 * 1024);
-    gauge("mallowroad.memory.process.bytes", n -> Memory.processBytes());
-    gauge("mallowroad.memory.heap.bytes", n -> Memory.heapBytes());
-    gauge("mallowroad.collector.share", n -> Memory.collectorShare());
+    gauge("mallowroad.memory.process.bytes", n -> MemoryMetrics.processBytes());
+    gauge("mallowroad.memory.heap.bytes", n -> MemoryMetrics.heapBytes());
+    gauge("mallowroad.collector.share", n -> MemoryMetrics.collectorShare());
     gauge("mallowroad.bodies.bytes", n -> n.host.bytes());
     gauge("mallowroad.kept.ends", n -> n.users.ends());
     gauge("mallowroad.kept.opens", n -> n.users.opens());
@@ -440,10 +440,10 @@
   }
 
   /** This node as its console sees it. */
-  private final class Watched implements Subject {
-    private final Sketcher sketcher;
+  private final class Watched implements SnapshotSource {
+    private final SnapshotPublisher sketcher;
 
-    Watched(Sketcher sketcher) {
+    Watched(SnapshotPublisher sketcher) {
       this.sketcher = sketcher;
     }
 
@@ -453,16 +453,16 @@
     }
 
     @Override
-    public void picture(Consumer<Picture> done) {
+    public void picture(Consumer<NodeSnapshot> done) {
       loop.soon(() -> sketcher.picture(done));
     }
 
     @Override
-    public void job(String id, Consumer<JobPicture> done) {
+    public void job(String id, Consumer<JobSnapshot> done) {
       loop.soon(
           () -> {
             // Whoever asked is answered in any case: a console counts the questions that are out.
-            JobPicture p = new JobPicture(id, null, "", List.of(), 0);
+            JobSnapshot p = new JobSnapshot(id, null, "", List.of(), 0);
             try {
               p = sketcher.job(id);
             } finally {
@@ -482,7 +482,7 @@
     }
   }
 
-  private final class ElectionListener implements Election.Listener {
+  private final class ElectionListener implements LeaderElection.Listener {
     @Override
     public void elected(long term, long mark) {
       leader =
@@ -549,7 +549,7 @@
     }
 
     @Override
-    public JobSpec check(JsonNode submission) throws BadMessage {
+    public JobSpec check(JsonNode submission) throws InvalidMessageException {
       return site.codec.check(submission);
     }
 
@@ -580,7 +580,7 @@
     cancellations.learnt(id, election.leader());
   }
 
-  private final class NodePeers implements Peers.Listener {
+  private final class NodePeers implements PeerMessenger.Listener {
     @Override
     public void cancelled(List<String> jobs) {
       cancellations.heard(jobs, users::ended);
@@ -599,12 +599,12 @@
     }
 
     @Override
-    public void relayed(String method, String path, byte[] body, Answerer answerer) {
+    public void relayed(String method, String path, byte[] body, Responder answerer) {
       users.serve(method, path, body, answerer);
     }
   }
 
-  private final class NodeReports implements ReportApi.Reports {
+  private final class NodeReports implements HeartbeatApi.Reports {
     @Override
     public void sawToken(long token) {
       election.sawTerm(token);
@@ -622,12 +622,12 @@
     }
 
     @Override
-    public boolean carry(Incoming x, WorkerReport r, String to) {
+    public boolean carry(IncomingRequest x, Heartbeat r, String to) {
       return links != null && links.carry(x, r, to);
     }
 
     @Override
-    public void report(WorkerReport r, Consumer<ObjectNode> reply) {
+    public void report(Heartbeat r, Consumer<ObjectNode> reply) {
       if (links != null) {
         links.heard(r, true);
       }
--- a/src/main/java/org/mallowroad/controller/Sketcher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -4,42 +4,47 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Variant;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.explain.Explainer;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Picture.MachineLine;
-import org.mallowroad.core.explain.Picture.Phase;
-import org.mallowroad.core.explain.Picture.TeamLine;
-import org.mallowroad.core.explain.Picture.Totals;
-import org.mallowroad.core.explain.Sketch;
-import org.mallowroad.core.explain.Supply;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Loop;
-import org.mallowroad.state.StateStore;
+import org.mallowroad.core.explain.AutoscalerView;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
+import org.mallowroad.core.explain.NodeSnapshot.Phase;
+import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
+import org.mallowroad.core.explain.NodeSnapshot.Totals;
+import org.mallowroad.core.explain.PendingReasonExplainer;
+import org.mallowroad.core.explain.SnapshotBuilder;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
 
 /**
  * Makes pictures of this node for its console, on the loop and in turns: with a thousand machines
  * and hundreds of jobs the questions add up to more than a worker's answer should wait.
  */
-final class Sketcher {
+final class SnapshotPublisher {
   /** Questions to the decision in one turn: about a millisecond of a whole core. */
   private static final int TURN = 10_000;
 
-  private final Loop loop;
-  private final Site site;
-  private final StateStore state;
-  private final Election election;
+  private final EventLoop loop;
+  private final ClusterConfig site;
+  private final KeyValueStore state;
+  private final LeaderElection election;
   private final Supplier<Leader> leader;
-  private final List<Consumer<Picture>> waiting = new ArrayList<>();
-  private Sketch sketch;
+  private final List<Consumer<NodeSnapshot>> waiting = new ArrayList<>();
+  private SnapshotBuilder sketch;
   private Leader of;
   private boolean making;
   private long tookNs;
 
-  Sketcher(Loop loop, Site site, StateStore state, Election election, Supplier<Leader> leader) {
+  SnapshotPublisher(
+      EventLoop loop,
+      ClusterConfig site,
+      KeyValueStore state,
+      LeaderElection election,
+      Supplier<Leader> leader) {
     this.loop = loop;
     this.site = site;
     this.state = state;
@@ -48,7 +53,7 @@
   }
 
   /** Makes a picture, or joins those who wait for the one that is being made. */
-  void picture(Consumer<Picture> done) {
+  void picture(Consumer<NodeSnapshot> done) {
     waiting.add(done);
     if (!making) {
       making = true;
@@ -57,10 +62,10 @@
   }
 
   /** One job as it is now; with a null line when this node does not lead or does not know it. */
-  JobPicture job(String id) {
+  JobSnapshot job(String id) {
     Leader l = leader.get();
     return l == null || !l.loaded()
-        ? new JobPicture(id, null, "", List.of(), 0)
+        ? new JobSnapshot(id, null, "", List.of(), 0)
         : sketch(l).job(id, loop.now());
   }
 
@@ -72,7 +77,7 @@
       over(plain(l, began));
       return;
     }
-    Picture made;
+    NodeSnapshot made;
     try {
       made = step(l, first, began);
     } catch (RuntimeException e) {
@@ -91,7 +96,7 @@
   }
 
   /** One turn's questions; the picture when they were the last ones, else null. */
-  private Picture step(Leader l, boolean first, long began) {
+  private NodeSnapshot step(Leader l, boolean first, long began) {
     // A term that began meanwhile has other jobs.
     if (first || l != of) {
       of = l;
@@ -102,25 +107,25 @@
     return sketch.step(TURN) ? full(l, began) : null;
   }
 
-  private void over(Picture p) {
+  private void over(NodeSnapshot p) {
     making = false;
     sketch = null;
     of = null;
-    List<Consumer<Picture>> all = List.copyOf(waiting);
+    List<Consumer<NodeSnapshot>> all = List.copyOf(waiting);
     waiting.clear();
     all.forEach(c -> c.accept(p));
   }
 
-  private Sketch sketch(Leader l) {
-    Supply supply = new LeaderSupply(l);
-    return new Sketch(
+  private SnapshotBuilder sketch(Leader l) {
+    AutoscalerView supply = new LeaderSupply(l);
+    return new SnapshotBuilder(
         l.ledger(),
         supply,
         site.zones,
-        new Explainer(l.ledger(), l.placement(), supply, site.zones, site.classes));
+        new PendingReasonExplainer(l.ledger(), l.placement(), supply, site.zones, site.classes));
   }
 
-  private Picture full(Leader l, long began) {
+  private NodeSnapshot full(Leader l, long began) {
     List<TeamLine> teams = sketch.teams();
     List<MachineLine> machines = sketch.machines();
     Totals totals = sketch.totals(teams, machines);
@@ -128,7 +133,7 @@
         l.acting() ? Phase.LEADING : Phase.TAKING_OVER, l, began, totals, teams, machines);
   }
 
-  private Picture plain(Leader l, long began) {
+  private NodeSnapshot plain(Leader l, long began) {
     Phase phase =
         l != null
             ? Phase.TAKING_OVER
@@ -137,7 +142,7 @@
     return picture(phase, l, began, none, List.of(), List.of());
   }
 
-  private Picture picture(
+  private NodeSnapshot picture(
       Phase phase,
       Leader l,
       long began,
@@ -146,8 +151,8 @@
       List<MachineLine> machines) {
     boolean full = sketch != null;
     long silentMs = loop.now() - state.contactMs();
-    return new Picture(
-        Picture.FORMAT,
+    return new NodeSnapshot(
+        NodeSnapshot.FORMAT,
         site.settings.node(),
         phase,
         l != null ? l.term() : election.seenTerm(),
@@ -166,7 +171,7 @@
         full ? sketch.reasons() : List.of());
   }
 
-  private final class LeaderSupply implements Supply {
+  private final class LeaderSupply implements AutoscalerView {
     private final Leader leader;
 
     LeaderSupply(Leader leader) {
--- a/src/main/java/org/mallowroad/controller/RecordReader.java
+++ b/src/main/java/org/mallowroad/controller/StateLoader.java
@@ -7,20 +7,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.core.Chunk;
+import org.mallowroad.core.AttemptRecord;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.SharedRecord;
-import org.mallowroad.core.cancel.CancellationView;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.SharedAttemptRecord;
+import org.mallowroad.core.cancellation.CancellationView;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Item;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,8 +28,8 @@
  * Reads the records that a term begins with into its ledger, a few in a turn of the loop, and from
  * then on follows open jobs, which any node may record or cancel.
  */
-final class RecordReader {
-  private static final Logger LOG = LoggerFactory.getLogger(RecordReader.class);
+final class StateLoader {
+  private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
 
   /**
    * How long a watch of open jobs waits: the view of cancellations is as old as its newest watch
@@ -49,11 +49,11 @@
   /** Records that a takeover takes in one turn of the loop. */
   private static final int TURN = 24;
 
-  private final Loop loop;
-  private final StateStore state;
-  private final Site site;
-  private final Ledger ledger;
-  private final Committer committer;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final ClusterConfig site;
+  private final SchedulerState ledger;
+  private final WriteBehindCommitter committer;
   private final CancellationView view;
   private final Listener listener;
   private boolean stopped;
@@ -61,7 +61,7 @@
   /** What the leader must hear of. */
   interface Listener {
     /** All records are read: so many of runs, and these of rental requests. */
-    void taken(int count, List<Item> hire);
+    void taken(int count, List<VersionedValue> hire);
 
     /** An open job is in the ledger; told once or more. */
     void opened(Job job);
@@ -76,12 +76,12 @@
     void changed();
   }
 
-  RecordReader(
-      Loop loop,
-      StateStore state,
-      Site site,
-      Ledger ledger,
-      Committer committer,
+  StateLoader(
+      EventLoop loop,
+      KeyValueStore state,
+      ClusterConfig site,
+      SchedulerState ledger,
+      WriteBehindCommitter committer,
       CancellationView view,
       Listener listener) {
     this.loop = loop;
@@ -118,31 +118,31 @@
   /** What a takeover reads, until it is complete. */
   private final class Takeover {
     private final long sentMs = loop.now();
-    private List<Item> open;
-    private List<Item> run;
-    private List<Item> shared;
-    private List<Item> hire;
+    private List<VersionedValue> open;
+    private List<VersionedValue> run;
+    private List<VersionedValue> shared;
+    private List<VersionedValue> hire;
     private long revision;
     private int lists;
     private boolean failed;
 
-    void open(Result r, List<Item> items, long at) {
+    void open(Result r, List<VersionedValue> items, long at) {
       open = items;
       revision = at;
       read(r);
     }
 
-    void run(Result r, List<Item> items) {
+    void run(Result r, List<VersionedValue> items) {
       run = items;
       read(r);
     }
 
-    void shared(Result r, List<Item> items) {
+    void shared(Result r, List<VersionedValue> items) {
       shared = items;
       read(r);
     }
 
-    void hire(Result r, List<Item> items) {
+    void hire(Result r, List<VersionedValue> items) {
       hire = items;
       read(r);
     }
@@ -153,7 +153,7 @@
         return;
       }
       if (failed) {
-        loop.after(200, RecordReader.this::begin);
+        loop.after(200, StateLoader.this::begin);
       } else {
         accept(0);
       }
@@ -165,7 +165,7 @@
         return;
       }
       int to = Math.min(open.size(), from + TURN);
-      open.subList(from, to).forEach(RecordReader.this::opened);
+      open.subList(from, to).forEach(StateLoader.this::opened);
       if (to < open.size()) {
         loop.soon(() -> accept(to));
       } else {
@@ -178,7 +178,7 @@
         return;
       }
       int to = Math.min(run.size(), from + TURN);
-      for (Item i : run.subList(from, to)) {
+      for (VersionedValue i : run.subList(from, to)) {
         Job job = ledger.job(jobOf(i.key()));
         if (job != null) {
           restoreRun(job, i);
@@ -196,7 +196,7 @@
         return;
       }
       int to = Math.min(shared.size(), from + TURN);
-      shared.subList(from, to).forEach(RecordReader.this::restoreShared);
+      shared.subList(from, to).forEach(StateLoader.this::restoreShared);
       if (to < shared.size()) {
         loop.soon(() -> restoreShared(to));
         return;
@@ -212,7 +212,11 @@
   }
 
   /** Attempts of cancelled jobs still count: their specs stand in the end records. */
-  private void restoreOver(List<Item> open, List<Item> run, List<Item> shared, Runnable next) {
+  private void restoreOver(
+      List<VersionedValue> open,
+      List<VersionedValue> run,
+      List<VersionedValue> shared,
+      Runnable next) {
     ObjectOpenHashSet<String> known = new ObjectOpenHashSet<>();
     open.forEach(i -> known.add(i.key().substring(Records.OPEN.length())));
     ObjectLinkedOpenHashSet<String> over = new ObjectLinkedOpenHashSet<>();
@@ -222,7 +226,7 @@
     ObjectOpenHashSet<String> done = new ObjectOpenHashSet<>();
     Runnable read =
         () -> {
-          for (Item i : run) {
+          for (VersionedValue i : run) {
             if (done.contains(jobOf(i.key()))) {
               committer.leftover(i.key(), i.mark());
             }
@@ -275,7 +279,7 @@
           });
     }
 
-    private void take(String id, Item item) {
+    private void take(String id, VersionedValue item) {
       try {
         JsonNode v = item.value();
         if (v != null && !v.has("open")) {
@@ -286,7 +290,7 @@
             ledger.cancel(ledger.accept(spec, 0, 0, loop.now()), loop.now());
           }
         }
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         LOG.error("event=record_unreadable key={} reason=\"{}\"", item.key(), e.getMessage());
       }
     }
@@ -296,7 +300,7 @@
     return runKey.substring(Records.RUN.length(), runKey.lastIndexOf('/'));
   }
 
-  private void restoreRun(Job job, Item i) {
+  private void restoreRun(Job job, VersionedValue i) {
     int index = Integer.parseInt(i.key().substring(i.key().lastIndexOf('/') + 1));
     if (index < job.chunkCount()) {
       restoreChunk(job.chunk(index), i.mark(), i.value(), i.key());
@@ -304,8 +308,8 @@
   }
 
   /** Jobs that are done stay listed until the record is written again: they are left out. */
-  private void restoreShared(Item i) {
-    SharedRecord r =
+  private void restoreShared(VersionedValue i) {
+    SharedAttemptRecord r =
         ledger.sharedRecords().restore(i.key().substring(Records.STARTS.length()), i.mark());
     for (Map.Entry<String, JsonNode> run : Records.sharedRuns(i.value())) {
       Job job = ledger.job(run.getKey());
@@ -316,7 +320,7 @@
     }
   }
 
-  private void restoreChunk(Chunk c, long mark, JsonNode v, String key) {
+  private void restoreChunk(AttemptRecord c, long mark, JsonNode v, String key) {
     Job job = c.job;
     ledger.restore(c, mark, Records.done(v), v.path("high").asInt());
     for (Records.Live a : Records.live(v)) {
@@ -334,7 +338,7 @@
     }
   }
 
-  private void opened(Item i) {
+  private void opened(VersionedValue i) {
     try {
       JobSpec spec = Records.spec(i.value(), site.codec);
       if (spec.team() < 0) {
@@ -343,7 +347,7 @@
       }
       listener.opened(
           ledger.accept(spec, i.mark(), loop.wallMs() - spec.submittedMs(), loop.now()));
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
     }
   }
@@ -366,7 +370,7 @@
             return;
           }
           CancellationView.Reading reading = view.answered(sentMs);
-          for (Item e : events) {
+          for (VersionedValue e : events) {
             if (e.value() != null) {
               listener.accepted();
               opened(e);
@@ -414,7 +418,7 @@
           }
           CancellationView.Reading reading = view.answered(sentMs);
           ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
-          for (Item i : open) {
+          for (VersionedValue i : open) {
             String id = i.key().substring(Records.OPEN.length());
             ids.add(id);
             if (ledger.job(id) == null) {
--- a/src/main/java/org/mallowroad/controller/Committer.java
+++ b/src/main/java/org/mallowroad/controller/WriteBehindCommitter.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.mallowroad.controller.CommitDraft.WrittenChunk;
-import org.mallowroad.controller.CommitDraft.WrittenShared;
+import org.mallowroad.controller.CommitTransactionBuilder.WrittenChunk;
+import org.mallowroad.controller.CommitTransactionBuilder.WrittenShared;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
-import org.mallowroad.core.Names;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
+import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Item;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -31,8 +31,8 @@
  * <p>No response leaves the outcome unknown: the next transaction carries the same marks, so
  * whichever comes first makes the other fail, and a 409 is settled by reading the marks anew.
  */
-final class Committer {
-  private static final Logger LOG = LoggerFactory.getLogger(Committer.class);
+final class WriteBehindCommitter {
+  private static final Logger LOG = LoggerFactory.getLogger(WriteBehindCommitter.class);
 
   /** An end is told within 3 s, so it may give way to starts for a while. */
   private static final long END_MS = 800;
@@ -56,11 +56,11 @@
   /** A transaction waits for this many tokens rather than go out small. */
   private static final int LEAST_WRITES = 4;
 
-  private final Loop loop;
-  private final StateStore state;
-  private final Budget writes;
-  private final Ledger ledger;
-  private final Names zones;
+  private final EventLoop loop;
+  private final KeyValueStore state;
+  private final RateLimiter writes;
+  private final SchedulerState ledger;
+  private final NameIndex zones;
   private final long mark;
   private final int maxOps;
   private final Events events;
@@ -71,7 +71,7 @@
   private long written;
   private boolean busy;
   private boolean stopped;
-  private Loop.Timer lazy;
+  private EventLoop.Timer lazy;
 
   /** What the leader must hear of. */
   interface Events {
@@ -82,7 +82,7 @@
     void committed();
 
     /** What a start of a held job must carry along: conditions, and one write at the most. */
-    void guard(Job job, Txn txn);
+    void guard(Job job, Transaction txn);
 
     /** What {@link #guard} added is committed. */
     void guarded(Job job, long revision);
@@ -94,12 +94,12 @@
     void ended(Job job, boolean done);
   }
 
-  Committer(
-      Loop loop,
-      StateStore state,
-      Budget writes,
-      Ledger ledger,
-      Names zones,
+  WriteBehindCommitter(
+      EventLoop loop,
+      KeyValueStore state,
+      RateLimiter writes,
+      SchedulerState ledger,
+      NameIndex zones,
       long mark,
       int maxOps,
       Events events) {
@@ -183,7 +183,7 @@
       return;
     }
     long now = loop.now();
-    CommitDraft draft = fill(now);
+    CommitTransactionBuilder draft = fill(now);
     if (draft.empty()) {
       if (!ledger.dirty().isEmpty()
           || !leftovers.isEmpty()
@@ -224,12 +224,13 @@
   }
 
   /** As large as the budget allows now: what waits for tokens would hold up what need not. */
-  private CommitDraft fill(long now) {
+  private CommitTransactionBuilder fill(long now) {
     double ready = writes.ready(now);
     int least = Math.min(LEAST_WRITES, maxOps);
     int most = (int) Math.max(least, Math.min(maxOps, ready));
-    CommitDraft draft =
-        new CommitDraft(ledger, zones, events::guard, mark, most, CONDITIONS_A_WRITE * maxOps, now);
+    CommitTransactionBuilder draft =
+        new CommitTransactionBuilder(
+            ledger, zones, events::guard, mark, most, CONDITIONS_A_WRITE * maxOps, now);
     draft.addEnds(END_MS);
     draft.addUrgent();
     draft.addEnds(0);
@@ -252,7 +253,8 @@
     return Math.max(LAZY_MS, Math.min(MOST_LAZY_MS, ms));
   }
 
-  private void outcome(CommitDraft draft, Result result, long revision, List<String> failed) {
+  private void outcome(
+      CommitTransactionBuilder draft, Result result, long revision, List<String> failed) {
     if (stopped) {
       return;
     }
@@ -277,7 +279,7 @@
     }
   }
 
-  private void applied(CommitDraft draft, long revision) {
+  private void applied(CommitTransactionBuilder draft, long revision) {
     for (WrittenChunk w : draft.chunks()) {
       committed(w, w.deleted() ? 0 : revision);
     }
@@ -325,8 +327,8 @@
   /**
    * A condition failed: the versions are read anew, and the next transaction is built from them.
    */
-  private void settle(CommitDraft draft, List<String> failed) {
-    if (failed.contains(Election.LEADER)) {
+  private void settle(CommitTransactionBuilder draft, List<String> failed) {
+    if (failed.contains(LeaderElection.LEADER)) {
       busy = false;
       events.deposed();
       return;
@@ -410,7 +412,7 @@
         });
   }
 
-  private void read(String key, Consumer<Item> then) {
+  private void read(String key, Consumer<VersionedValue> then) {
     state.get(
         key,
         (result, item) -> {
@@ -434,7 +436,7 @@
     }
     try {
       return Json.parseObject(Json.bytes(written)).equals(found);
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       return false;
     }
   }
--- a/src/main/java/org/mallowroad/controller/WriteShare.java
+++ b/src/main/java/org/mallowroad/controller/WriteRateLimiter.java
@@ -1,6 +1,6 @@
 package org.mallowroad.controller;
 
-import org.mallowroad.net.Budget;
+import org.mallowroad.net.RateLimiter;
 
 /**
  * The leader's part of the state service's writes. Users' submissions and cancellations come first:
@@ -8,7 +8,7 @@
  * wait for a moment. So the leader keeps to what those of the last seconds leave, at least half and
  * at most three quarters, and loses no more than that to a burst it could not see coming.
  */
-final class WriteShare {
+final class WriteRateLimiter {
   private static final double MOST = 0.75;
   private static final double LEAST = 0.5;
 
@@ -26,12 +26,12 @@
   private static final int CANCEL_WRITES = 2;
 
   private final double rps;
-  private final Budget writes;
+  private final RateLimiter writes;
   private int others;
   private double perSecond;
   private long sinceMs;
 
-  WriteShare(double rps, Budget writes, long now) {
+  WriteRateLimiter(double rps, RateLimiter writes, long now) {
     this.rps = rps;
     this.writes = writes;
     this.sinceMs = now;
--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -1,6 +1,6 @@
 package org.mallowroad.core;
 
-import org.mallowroad.core.health.RunTimes;
+import org.mallowroad.core.health.StragglerDetector;
 
 /** One try to run one task on one machine; it takes room until it is proven gone. */
 public final class Attempt {
@@ -84,7 +84,7 @@
   }
 
   /** True when it has run for several times as long as its peers did. */
-  public boolean overdue(RunTimes runTimes, long now) {
+  public boolean overdue(StragglerDetector runTimes, long now) {
     return runningSinceMs > 0
         && runTimes.late(job.peers, now - runningSinceMs, job.spec.estimateS());
   }
--- a/src/main/java/org/mallowroad/core/Chunk.java
+++ b/src/main/java/org/mallowroad/core/AttemptRecord.java
@@ -1,7 +1,7 @@
 package org.mallowroad.core;
 
 /** The part of a job's tasks that one record in the state service holds. */
-public final class Chunk {
+public final class AttemptRecord {
   /** Tasks a record: small enough that a full record stays below the value limit. */
   public static final int TASKS = 128;
 
@@ -21,7 +21,7 @@
   public boolean own;
 
   /** The record that it shares with other small jobs, or null: then it has one of its own. */
-  public SharedRecord shared;
+  public SharedAttemptRecord shared;
 
   /** True when memory knows more than the record. */
   public boolean dirty;
@@ -40,7 +40,7 @@
   /** Since when it is dirty. */
   public long dirtySinceMs;
 
-  Chunk(Job job, int index) {
+  AttemptRecord(Job job, int index) {
     this.job = job;
     this.index = index;
   }
--- a/src/main/java/org/mallowroad/core/Fleet.java
+++ b/src/main/java/org/mallowroad/core/Autoscaler.java
@@ -15,7 +15,7 @@
  * and returns the dearest empty machine when the headroom test allows it. A variant is a machine
  * type in a zone, ordinary or spot.
  */
-public final class Fleet {
+public final class Autoscaler {
   /** A type in a zone, ordinary or spot. */
   public record Variant(MachineType type, int zone, boolean spot) {
     /** The same number for the same variant, and no other's. */
@@ -75,9 +75,9 @@
   /** A rent must bring a start forward by this much. */
   private static final long WORTH_MS = 5_000;
 
-  private final Ledger ledger;
-  private final FleetPolicy policy;
-  private final Objectives objectives;
+  private final SchedulerState ledger;
+  private final AutoscalerPolicy policy;
+  private final ServiceLevelObjectives objectives;
   private long looked;
   private long forecast;
   private final Long2LongOpenHashMap refusedUntil = new Long2LongOpenHashMap();
@@ -86,7 +86,8 @@
   private final Health health;
 
   /** A fleet over a ledger. */
-  public Fleet(Ledger ledger, FleetPolicy policy, Objectives objectives) {
+  public Autoscaler(
+      SchedulerState ledger, AutoscalerPolicy policy, ServiceLevelObjectives objectives) {
     this.objectives = objectives;
     this.ledger = ledger;
     this.health = ledger.health();
@@ -193,7 +194,10 @@
           s.cpus() <= 0
               ? queue.get(i).pending.size()
               : (int)
-                  Math.max(0, Math.min(queue.get(i).pending.size(), (left + Room.EPS) / s.cpus()));
+                  Math.max(
+                      0,
+                      Math.min(
+                          queue.get(i).pending.size(), (left + ResourceVector.EPS) / s.cpus()));
       teamCpus[s.team()] += counts[i] * s.cpus();
       waiting += counts[i];
     }
@@ -394,7 +398,7 @@
   /** A machine as the forecast sees it: room from a time on, and when more is set free. */
   private static final class Slot {
     private final Variant variant;
-    private final Room room;
+    private final ResourceVector room;
     private final List<Release> releases = new ArrayList<>();
     private long at;
 
@@ -403,7 +407,8 @@
     Slot(Variant variant, long at) {
       this.variant = variant;
       this.at = at;
-      this.room = new Room(variant.type.cpus(), variant.type.cards(), variant.type.memGb());
+      this.room =
+          new ResourceVector(variant.type.cpus(), variant.type.cards(), variant.type.memGb());
     }
 
     static Slot of(Machine m, long now) {
@@ -439,7 +444,7 @@
       if (room.fits(s)) {
         return at;
       }
-      Room r = new Room(room.cpus, room.cards, room.memGb);
+      ResourceVector r = new ResourceVector(room.cpus, room.cards, room.memGb);
       for (Release x : releases) {
         r.add(x.job, 1);
         if (r.fits(s)) {
--- a/src/main/java/org/mallowroad/core/FleetPolicy.java
+++ b/src/main/java/org/mallowroad/core/AutoscalerPolicy.java
@@ -11,7 +11,7 @@
  * @param step most machines rented of one type in a cycle
  * @param idleMs how long a machine is empty before it may go back
  */
-public record FleetPolicy(
+public record AutoscalerPolicy(
     double bookedLimit,
     double waitingLimit,
     double bookedSpare,
@@ -21,7 +21,7 @@
     long idleMs) {
 
   /** Starting values; see docs/design.md for what changed against the document. */
-  public static FleetPolicy defaults() {
-    return new FleetPolicy(0.80, 5, 0.10, 3, 2_000, 400, 30_000);
+  public static AutoscalerPolicy defaults() {
+    return new AutoscalerPolicy(0.80, 5, 0.10, 3, 2_000, 400, 30_000);
   }
 }
--- a/src/main/java/org/mallowroad/core/Spending.java
+++ b/src/main/java/org/mallowroad/core/CostAccounting.java
@@ -13,7 +13,7 @@
  * lags by what is still running. Prices are those of the moment; a machine met on takeover counts
  * from then.
  */
-public final class Spending {
+public final class CostAccounting {
   private static final double MS_AN_HOUR = 3_600_000;
 
   private final Int2ObjectLinkedOpenHashMap<Kind> kinds = new Int2ObjectLinkedOpenHashMap<>();
--- a/src/main/java/org/mallowroad/core/ExpectedReleases.java
+++ b/src/main/java/org/mallowroad/core/ExpectedReleases.java
@@ -23,10 +23,10 @@
   /** Ends expected of one job's tasks on one type, zone and kind of machine. */
   private static final class Ends {
     private final JobSpec job;
-    private final Fleet.Variant on;
+    private final Autoscaler.Variant on;
     private double expected;
 
-    Ends(JobSpec job, Fleet.Variant on) {
+    Ends(JobSpec job, Autoscaler.Variant on) {
       this.job = job;
       this.on = on;
     }
@@ -65,7 +65,7 @@
         double p = probability(a, now);
         if (p > 0 && a.machine.usable()) {
           Machine m = a.machine;
-          Fleet.Variant on = new Fleet.Variant(m.type, m.zone, m.spot);
+          Autoscaler.Variant on = new Autoscaler.Variant(m.type, m.zone, m.spot);
           Ends e = here.get(on.key());
           if (e == null) {
             e = new Ends(j.spec, on);
@@ -109,6 +109,6 @@
   }
 
   private static int holds(JobSpec ended, JobSpec s) {
-    return new Room(ended.cpus(), ended.cards(), ended.memGb()).holds(s, 1_000);
+    return new ResourceVector(ended.cpus(), ended.cards(), ended.memGb()).holds(s, 1_000);
   }
 }
--- a/src/main/java/org/mallowroad/core/Term.java
+++ b/src/main/java/org/mallowroad/core/FencingTokens.java
@@ -5,11 +5,11 @@
  * raising the token of a single worker within the term. Blocks do not overlap, so any token of a
  * later term is above all of an earlier one.
  */
-public final class Term {
+public final class FencingTokens {
   /** Tokens of a term: a worker's may be raised every ten seconds for four months. */
   public static final long TOKENS = 1L << 20;
 
-  private Term() {}
+  private FencingTokens() {}
 
   /** The last token of a term. */
   public static long last(long term) {
--- a/src/main/java/org/mallowroad/core/WorkerReport.java
+++ b/src/main/java/org/mallowroad/core/Heartbeat.java
@@ -7,7 +7,7 @@
  *
  * @param handsOn true when the worker takes images from other workers, and hands its own on
  */
-public record WorkerReport(
+public record Heartbeat(
     String machine,
     String address,
     String type,
@@ -21,7 +21,7 @@
     boolean handsOn) {
 
   /** Of a worker that hands no images on. */
-  public WorkerReport(
+  public Heartbeat(
       String machine,
       String address,
       String type,
--- a/src/main/java/org/mallowroad/core/Dialogue.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.core.health.AnswerDelivery;
 import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.OutboundReachability;
 
 /**
  * What one machine's worker says, what it proves, and what it is told. Frees attempts by nothing
- * but the proofs in the class comment of {@link Ledger}.
+ * but the proofs in the class comment of {@link SchedulerState}.
  *
  * <p>A launch that was sent straight to a worker may be executed late, or once more after it was
  * answered: messages are held, and copies of old ones come. While the worker remembers the attempt
@@ -19,7 +19,7 @@
  * raises the token of that one worker, within its term's block of tokens, at most once in {@link
  * #RAISE_MS} or for {@link #RAISE_AT} exits.
  */
-public final class Dialogue {
+public final class HeartbeatReconciler {
   private static final long FENCE_MS = 8_000;
 
   /** Exits may wait so long for a higher token; a worker reports once more for each one. */
@@ -28,15 +28,20 @@
   /** No more exits than this wait: reports must stay small. */
   static final int RAISE_AT = 16;
 
-  private final Ledger ledger;
+  private final SchedulerState ledger;
   private final Map<String, Job> jobs;
   private final Health health;
   private final long term;
   private final long freshMs;
   private final long leaseMs;
 
-  Dialogue(
-      Ledger ledger, Map<String, Job> jobs, Health health, long term, long freshMs, long leaseMs) {
+  HeartbeatReconciler(
+      SchedulerState ledger,
+      Map<String, Job> jobs,
+      Health health,
+      long term,
+      long freshMs,
+      long leaseMs) {
     this.ledger = ledger;
     this.jobs = jobs;
     this.health = health;
@@ -51,7 +56,7 @@
    * @param mayLaunch false while the leader cannot reach the state service
    * @return null when the message is older than one seen before and must be ignored
    */
-  public List<Order> report(Machine m, WorkerReport r, boolean mayLaunch, long now) {
+  public List<WorkerCommand> report(Machine m, Heartbeat r, boolean mayLaunch, long now) {
     if (r.session() < m.session || (r.session() == m.session && r.seq() <= m.seq)) {
       return null;
     }
@@ -68,7 +73,7 @@
     for (Attempt a : new ArrayList<>(m.attempts)) {
       if (a.session < r.session()) {
         a.inFlight = false;
-        ledger.resolve(a, Ledger.Outcome.LOST, now);
+        ledger.resolve(a, SchedulerState.Outcome.LOST, now);
       }
     }
     m.session = r.session();
@@ -86,10 +91,10 @@
       m.noticeSinceMs = m.noticeSinceMs == 0 ? now : m.noticeSinceMs;
       m.draining = true;
     }
-    List<Order> orders = new ArrayList<>();
+    List<WorkerCommand> orders = new ArrayList<>();
     raise(m, r, now);
     ObjectOpenHashSet<Attempt> listed = new ObjectOpenHashSet<>();
-    for (WorkerReport.Entry e : r.entries()) {
+    for (Heartbeat.Entry e : r.entries()) {
       Job job = jobs.get(e.job());
       Attempt a = null;
       if (job != null && e.task() >= 0 && e.task() < job.spec.tasks()) {
@@ -121,7 +126,7 @@
           // this term and does not list the attempt proves that it never started.
           // A launch sent straight to the worker may still come.
           if (fresh && !a.inFlight) {
-            ledger.resolve(a, Ledger.Outcome.LOST, now);
+            ledger.resolve(a, SchedulerState.Outcome.LOST, now);
           }
         } else if (mayLaunch) {
           a.sent = true;
@@ -129,7 +134,7 @@
           orders.add(launch(a));
         }
       } else if (a.phase != Attempt.Phase.RECORDING && fresh && !a.inFlight) {
-        ledger.resolve(a, Ledger.Outcome.LOST, now);
+        ledger.resolve(a, SchedulerState.Outcome.LOST, now);
       }
     }
     // Reports that answer direct orders come many to one answer, which may still be on its way.
@@ -141,8 +146,8 @@
   }
 
   /** What the report shows of the answers before it; call before it is taken. */
-  private void hear(Machine m, WorkerReport r, boolean ordinary, long now) {
-    AnswerDelivery h = m.health.answerDelivery();
+  private void hear(Machine m, Heartbeat r, boolean ordinary, long now) {
+    OutboundReachability h = m.health.answerDelivery();
     if (m.toldToken > 0 && r.token() < m.toldToken) {
       if (ordinary) {
         h.missed(now);
@@ -174,12 +179,12 @@
   }
 
   /** Raises the worker's token when exits have waited long enough for it, or a fence is due. */
-  private void raise(Machine m, WorkerReport r, long now) {
+  private void raise(Machine m, Heartbeat r, long now) {
     boolean due = m.unclearedMs >= 0 && now - m.unclearedMs >= RAISE_MS;
     if (!due && m.unclearedMs >= 0) {
       int exited = 0;
-      for (WorkerReport.Entry e : r.entries()) {
-        exited += e.state() == WorkerReport.State.EXITED ? 1 : 0;
+      for (Heartbeat.Entry e : r.entries()) {
+        exited += e.state() == Heartbeat.State.EXITED ? 1 : 0;
       }
       due = exited >= RAISE_AT;
     }
@@ -188,33 +193,33 @@
     }
     due |= m.health.answerDelivery().probe(now);
     // The last token of the block is never raised: then launches go in answers only (direct).
-    if (due && m.token < Term.last(term)) {
+    if (due && m.token < FencingTokens.last(term)) {
       m.token++;
       m.unclearedMs = -1;
     }
   }
 
-  private void orphan(Machine m, WorkerReport.Entry e, Job job, long now, List<Order> orders) {
-    if (e.state() != WorkerReport.State.EXITED) {
-      orders.add(new Order(Order.Kind.STOP, e.job(), e.task(), e.attempt(), 0));
+  private void orphan(Machine m, Heartbeat.Entry e, Job job, long now, List<WorkerCommand> orders) {
+    if (e.state() != Heartbeat.State.EXITED) {
+      orders.add(new WorkerCommand(WorkerCommand.Kind.STOP, e.job(), e.task(), e.attempt(), 0));
       return;
     }
     boolean uncommitted =
         job != null
             && e.task() >= 0
             && e.task() < job.spec.tasks()
-            && job.chunks[e.task() / Chunk.TASKS].dirty;
+            && job.chunks[e.task() / AttemptRecord.TASKS].dirty;
     if (uncommitted) {
       return;
     }
     if (m.unfenced.getLong(Attempt.key(e.job(), e.task(), e.attempt())) >= m.token) {
       m.unclearedMs = m.unclearedMs < 0 ? now : m.unclearedMs;
     } else {
-      orders.add(new Order(Order.Kind.CLEAR, e.job(), e.task(), e.attempt(), 0));
+      orders.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, e.job(), e.task(), e.attempt(), 0));
     }
   }
 
-  private void see(Attempt a, WorkerReport.Entry e, long now, List<Order> orders) {
+  private void see(Attempt a, Heartbeat.Entry e, long now, List<WorkerCommand> orders) {
     boolean ran = a.phase == Attempt.Phase.RUNNING || a.phase == Attempt.Phase.FLUSHING;
     switch (e.state()) {
       case PULLING -> {
@@ -231,9 +236,7 @@
           ledger.stages().runs(a);
         }
         a.phase =
-            e.state() == WorkerReport.State.RUNNING
-                ? Attempt.Phase.RUNNING
-                : Attempt.Phase.FLUSHING;
+            e.state() == Heartbeat.State.RUNNING ? Attempt.Phase.RUNNING : Attempt.Phase.FLUSHING;
       }
       case EXITED -> {
         ledger.resolve(a, outcome(e.why()), now);
@@ -241,39 +244,40 @@
       }
     }
     if (a.stopping() && (a.phase != Attempt.Phase.FLUSHING || a.stopGraceS == 0)) {
-      orders.add(order(Order.Kind.STOP, a, a.stopGraceS));
+      orders.add(order(WorkerCommand.Kind.STOP, a, a.stopGraceS));
     }
   }
 
-  private static Ledger.Outcome outcome(String why) {
+  private static SchedulerState.Outcome outcome(String why) {
     return switch (why == null ? "" : why) {
-      case "done" -> Ledger.Outcome.DONE;
+      case "done" -> SchedulerState.Outcome.DONE;
       // A gang's task gives up without its peers; it is not at fault.
-      case "stopped", "peers", "incomplete" -> Ledger.Outcome.STOPPED;
-      case "no_room" -> Ledger.Outcome.NO_ROOM;
-      case "in_use", "no_such" -> Ledger.Outcome.REFUSED;
-      default -> Ledger.Outcome.ERROR;
+      case "stopped", "peers", "incomplete" -> SchedulerState.Outcome.STOPPED;
+      case "no_room" -> SchedulerState.Outcome.NO_ROOM;
+      case "in_use", "no_such" -> SchedulerState.Outcome.REFUSED;
+      default -> SchedulerState.Outcome.ERROR;
     };
   }
 
   /**
    * A launch as the attempt's worker is to have it: one that can take an image is told from whom.
    */
-  public Order launch(Attempt a) {
+  public WorkerCommand launch(Attempt a) {
     List<String> givers = a.machine.handsOn ? ledger.stages().givers(a) : List.of();
-    return new Order(Order.Kind.LAUNCH, a.job.spec.id(), a.task, a.number, 0, givers);
+    return new WorkerCommand(
+        WorkerCommand.Kind.LAUNCH, a.job.spec.id(), a.task, a.number, 0, givers);
   }
 
-  private static Order order(Order.Kind kind, Attempt a, double graceS) {
-    return new Order(kind, a.job.spec.id(), a.task, a.number, graceS);
+  private static WorkerCommand order(WorkerCommand.Kind kind, Attempt a, double graceS) {
+    return new WorkerCommand(kind, a.job.spec.id(), a.task, a.number, graceS);
   }
 
   /**
    * Orders to be sent straight to the worker now: launches that no message has carried yet, and
    * stops. Launches count as in flight until {@link #answered}.
    */
-  public List<Order> direct(Machine m, boolean mayLaunch, long now) {
-    List<Order> orders = new ArrayList<>();
+  public List<WorkerCommand> direct(Machine m, boolean mayLaunch, long now) {
+    List<WorkerCommand> orders = new ArrayList<>();
     // Only a worker that obeys this term and was heard a moment ago is worth the risk.
     if (!m.usable()
         || m.tokenSeen < term
@@ -289,7 +293,7 @@
           && !a.sent
           && !a.stopping()
           && mayLaunch
-          && m.token < Term.last(term)) {
+          && m.token < FencingTokens.last(term)) {
         a.sent = true;
         a.inFlight = true;
         a.launchToken = m.token;
@@ -299,7 +303,7 @@
           && !a.stopSent
           && (a.phase == Attempt.Phase.PULLING || a.phase == Attempt.Phase.RUNNING)) {
         a.stopSent = true;
-        orders.add(order(Order.Kind.STOP, a, a.stopGraceS));
+        orders.add(order(WorkerCommand.Kind.STOP, a, a.stopGraceS));
       }
     }
     return orders;
@@ -309,8 +313,8 @@
    * The worker answered direct orders, or certainly never got them: no launch is in flight. Copies
    * of one that was answered may still come, so the attempt stays unfenced.
    */
-  public void answered(Machine m, List<Order> orders) {
-    for (Order o : orders) {
+  public void answered(Machine m, List<WorkerCommand> orders) {
+    for (WorkerCommand o : orders) {
       for (Attempt a : m.attempts) {
         if (a.job.spec.id().equals(o.job()) && a.task == o.task() && a.number == o.attempt()) {
           a.inFlight = false;
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.IntArrayFIFOQueue;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.BitSet;
-import org.mallowroad.core.health.Peers;
+import org.mallowroad.core.health.RunTimeBaseline;
 
 /** An accepted job and where its tasks are. */
 public final class Job {
@@ -16,12 +16,12 @@
   final BitSet done = new BitSet();
   final int[] number;
   final Attempt[] live;
-  final Chunk[] chunks;
+  final AttemptRecord[] chunks;
   final IntArrayFIFOQueue pending = new IntArrayFIFOQueue();
   final int[] zoneLive;
 
   /** How long its tasks took: the measure of the machines that run the others. */
-  final Peers peers;
+  final RunTimeBaseline peers;
 
   /** Machines on which a task of this job ended with an error. */
   final ObjectOpenHashSet<String> failedOn = new ObjectOpenHashSet<>();
@@ -79,19 +79,19 @@
     this.lastStartMs = submittedMs;
     this.spec = spec;
     this.mark = mark;
-    this.peers = new Peers(spec.tasks());
+    this.peers = new RunTimeBaseline(spec.tasks());
     this.number = new int[spec.tasks()];
     this.live = new Attempt[spec.tasks()];
-    this.chunks = new Chunk[(spec.tasks() + Chunk.TASKS - 1) / Chunk.TASKS];
+    this.chunks = new AttemptRecord[(spec.tasks() + AttemptRecord.TASKS - 1) / AttemptRecord.TASKS];
     for (int i = 0; i < chunks.length; i++) {
-      chunks[i] = new Chunk(this, i);
+      chunks[i] = new AttemptRecord(this, i);
     }
     this.zoneLive = new int[zones];
     this.waitingSinceMs = now;
   }
 
   /** The record that holds a task. */
-  public Chunk chunk(int i) {
+  public AttemptRecord chunk(int i) {
     return chunks[i];
   }
 
--- a/src/main/java/org/mallowroad/core/JobSpec.java
+++ b/src/main/java/org/mallowroad/core/JobSpec.java
@@ -1,6 +1,6 @@
 package org.mallowroad.core;
 
-import org.mallowroad.core.hold.Ties;
+import org.mallowroad.core.dependency.JobDependencies;
 
 /**
  * What a user submitted, with names as dense indices.
@@ -36,7 +36,7 @@
     double saveS,
     double dueS,
     long submittedMs,
-    Ties ties) {
+    JobDependencies ties) {
 
   /** The priority of work that gives way to all other. */
   public static final int IDLE = 3;
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -38,7 +38,7 @@
   /** Highest token the worker said it has seen. */
   public long tokenSeen;
 
-  /** The token on every message to it: the term, raised now and then ({@link Ledger}). */
+  /** The token on every message to it: the term, raised now and then ({@link SchedulerState}). */
   public long token;
 
   /** The token on the answer to its newest report; 0 before the first one. */
@@ -92,7 +92,7 @@
   /** Since when exited attempts stay uncleared for want of a higher token; -1: none does. */
   long unclearedMs = -1;
 
-  final Room free;
+  final ResourceVector free;
   final Int2DoubleLinkedOpenHashMap images = new Int2DoubleLinkedOpenHashMap();
 
   Machine(String name, MachineType type, int zone, boolean spot, long token, long now) {
@@ -101,7 +101,7 @@
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.free = new Room(type.cpus(), type.cards(), type.memGb());
+    this.free = new ResourceVector(type.cpus(), type.cards(), type.memGb());
     this.health = new MachineHealth(name, zone);
     this.sinceMs = now;
     this.emptySinceMs = now;
@@ -155,8 +155,8 @@
   }
 
   /** What no unresolved attempt takes: a copy. */
-  public Room room() {
-    return new Room(free.cpus, free.cards, free.memGb);
+  public ResourceVector room() {
+    return new ResourceVector(free.cpus, free.cards, free.memGb);
   }
 
   /** CPUs that no unresolved attempt takes. */
--- a/src/main/java/org/mallowroad/core/MachineType.java
+++ b/src/main/java/org/mallowroad/core/MachineType.java
@@ -16,14 +16,14 @@
 
   /** True when an empty machine of this type has room for one task of the job. */
   public boolean fits(JobSpec job) {
-    return job.cpus() <= cpus + Room.EPS
-        && job.cards() <= cards + Room.EPS
-        && job.memGb() <= memGb + Room.EPS;
+    return job.cpus() <= cpus + ResourceVector.EPS
+        && job.cards() <= cards + ResourceVector.EPS
+        && job.memGb() <= memGb + ResourceVector.EPS;
   }
 
   /** How many tasks of the job an empty machine of this type holds. */
   public int holds(JobSpec job) {
-    return new Room(cpus, cards, memGb).holds(job, 1_000_000);
+    return new ResourceVector(cpus, cards, memGb).holds(job, 1_000_000);
   }
 
   /** True when machines of this type are rented in the zone. */
--- a/src/main/java/org/mallowroad/core/Names.java
+++ b/src/main/java/org/mallowroad/core/NameIndex.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /** Interns names at the router so that everything inside works on dense indices. */
-public final class Names {
+public final class NameIndex {
   private final Object2IntOpenHashMap<String> index = new Object2IntOpenHashMap<>();
   private final List<String> names = new ArrayList<>();
   private final IntArrayList unused = new IntArrayList();
 
   /** An empty table. */
-  public Names() {
+  public NameIndex() {
     index.defaultReturnValue(-1);
   }
 
--- a/src/main/java/org/mallowroad/core/Served.java
+++ b/src/main/java/org/mallowroad/core/ObjectiveAttainment.java
@@ -13,7 +13,7 @@
  * should be over at one and a half times its deadline or, without one, after {@link #PATIENCE_MS}.
  * Jobs that an earlier leader ended are not known; those that it left open are.
  */
-public final class Served {
+public final class ObjectiveAttainment {
   /** How long a job without a deadline may take before it counts as due. */
   static final long PATIENCE_MS = 300_000;
 
@@ -31,7 +31,7 @@
   }
 
   /** The largest jobs have to begin by then, as the smallest have. */
-  static final long BEGIN_MS = (long) (Placement.BEGIN_S * 1000);
+  static final long BEGIN_MS = (long) (TaskScheduler.BEGIN_S * 1000);
 
   /** Of a class the newest so many jobs are looked at for the largest of them. */
   private static final int SIZES = 128;
@@ -51,7 +51,7 @@
     private long oldestMs;
   }
 
-  private final Names classes;
+  private final NameIndex classes;
   private final List<Team> teams;
   private final Object2ObjectLinkedOpenHashMap<String, Sum> byClass =
       new Object2ObjectLinkedOpenHashMap<>();
@@ -59,7 +59,7 @@
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** For the names of a site. */
-  public Served(Names classes, List<Team> teams) {
+  public ObjectiveAttainment(NameIndex classes, List<Team> teams) {
     this.classes = classes;
     this.teams = teams;
   }
--- a/src/main/java/org/mallowroad/core/Room.java
+++ b/src/main/java/org/mallowroad/core/ResourceVector.java
@@ -1,7 +1,7 @@
 package org.mallowroad.core;
 
 /** Free or taken amounts of the three resources of a machine. */
-public final class Room {
+public final class ResourceVector {
   /** Amounts are decimal numbers, so sums are compared with this slack. */
   public static final double EPS = 1e-6;
 
@@ -15,7 +15,7 @@
   public double memGb;
 
   /** A room of the given size. */
-  public Room(double cpus, double cards, double memGb) {
+  public ResourceVector(double cpus, double cards, double memGb) {
     this.cpus = cpus;
     this.cards = cards;
     this.memGb = memGb;
--- a/src/main/java/org/mallowroad/core/Ledger.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -8,11 +8,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.core.fetch.FetchPolicy;
-import org.mallowroad.core.fetch.Stages;
-import org.mallowroad.core.gang.Gathering;
+import org.mallowroad.core.gang.GangReservations;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
+import org.mallowroad.core.image.ImageDistribution;
+import org.mallowroad.core.image.ImageFetchPolicy;
 
 /**
  * Jobs, attempts and machines of one leader's term, and the sole answer to "may this task start?".
@@ -22,9 +22,9 @@
  * the cloud answered the machine's deletion; the list says the machine failed; or the worker's
  * lease must have run out. Nothing else frees it, whatever seems likely.
  *
- * <p>What is said to one machine and by it is the matter of {@link Dialogue}.
+ * <p>What is said to one machine and by it is the matter of {@link HeartbeatReconciler}.
  */
-public final class Ledger {
+public final class SchedulerState {
   /** How an attempt ended. */
   public enum Outcome {
     /** Completed. */
@@ -83,16 +83,16 @@
   private final long leaseMs;
   private final long freshMs;
   private final List<Team> teams;
-  private final Names zones;
+  private final NameIndex zones;
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Object2ObjectLinkedOpenHashMap<String, Machine> machines =
       new Object2ObjectLinkedOpenHashMap<>();
   private final ObjectLinkedOpenHashSet<String> gone = new ObjectLinkedOpenHashSet<>();
-  private final ObjectLinkedOpenHashSet<Chunk> dirty = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<AttemptRecord> dirty = new ObjectLinkedOpenHashSet<>();
 
   /** The dirty records for which starts wait, in the order in which they were placed. */
-  private final ObjectLinkedOpenHashSet<Chunk> urgent = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<AttemptRecord> urgent = new ObjectLinkedOpenHashSet<>();
 
   /** Machines for which a launch or a stop may be due that no message has carried yet. */
   private final ObjectLinkedOpenHashSet<Machine> outbox = new ObjectLinkedOpenHashSet<>();
@@ -105,15 +105,16 @@
   private long started;
   private long completed;
   private long requeued;
-  private final Spending spending = new Spending();
+  private final CostAccounting spending = new CostAccounting();
   private final Health health;
-  private final Gathering gathering = new Gathering(this);
-  private final Dialogue dialogue;
-  private final Stages stages;
-  private final SharedRecords sharedRecords;
+  private final GangReservations gathering = new GangReservations(this);
+  private final HeartbeatReconciler dialogue;
+  private final ImageDistribution stages;
+  private final SharedAttemptRecords sharedRecords;
 
   /** An empty ledger for a term that suspects by the default thresholds. */
-  public Ledger(long term, double leaseS, double reportS, List<Team> teams, Names zones) {
+  public SchedulerState(
+      long term, double leaseS, double reportS, List<Team> teams, NameIndex zones) {
     this(
         term,
         leaseS,
@@ -124,29 +125,29 @@
   }
 
   /** An empty ledger for a term without limits on fetches. */
-  public Ledger(
-      long term, double leaseS, double reportS, List<Team> teams, Names zones, Health health) {
-    this(term, leaseS, reportS, teams, zones, health, FetchPolicy.defaults());
+  public SchedulerState(
+      long term, double leaseS, double reportS, List<Team> teams, NameIndex zones, Health health) {
+    this(term, leaseS, reportS, teams, zones, health, ImageFetchPolicy.defaults());
   }
 
   /** An empty ledger for a term; machines whose report is overdue get no work. */
-  public Ledger(
+  public SchedulerState(
       long term,
       double leaseS,
       double reportS,
       List<Team> teams,
-      Names zones,
+      NameIndex zones,
       Health health,
-      FetchPolicy fetches) {
-    this.stages = new Stages(fetches, zones.size());
-    this.sharedRecords = new SharedRecords(term);
+      ImageFetchPolicy fetches) {
+    this.stages = new ImageDistribution(fetches, zones.size());
+    this.sharedRecords = new SharedAttemptRecords(term);
     this.health = health;
     this.freshMs = (long) (reportS * 1250) + 1_500;
     this.term = term;
     // Clocks of two machines drift apart by up to 0.05%; half a second covers timers that fire
     // late.
     this.leaseMs = (long) (leaseS * 1000 * 1.001) + 500;
-    this.dialogue = new Dialogue(this, jobs, health, term, freshMs, leaseMs);
+    this.dialogue = new HeartbeatReconciler(this, jobs, health, term, freshMs, leaseMs);
     this.teams = teams;
     this.zones = zones;
   }
@@ -219,12 +220,12 @@
   }
 
   /** Records that changed since they were committed. */
-  public Collection<Chunk> dirty() {
+  public Collection<AttemptRecord> dirty() {
     return dirty;
   }
 
   /** The dirty records for which starts wait. */
-  public Collection<Chunk> urgent() {
+  public Collection<AttemptRecord> urgent() {
     return urgent;
   }
 
@@ -257,17 +258,17 @@
   }
 
   /** Which small jobs share records. */
-  public SharedRecords sharedRecords() {
+  public SharedAttemptRecords sharedRecords() {
     return sharedRecords;
   }
 
   /** Which room is held for gangs. */
-  public Gathering gathering() {
+  public GangReservations gathering() {
     return gathering;
   }
 
   /** Who fetches which image, and from whom. */
-  public Stages stages() {
+  public ImageDistribution stages() {
     return stages;
   }
 
@@ -282,7 +283,7 @@
   }
 
   /** Where the money of this term went. */
-  public Spending spending() {
+  public CostAccounting spending() {
     return spending;
   }
 
@@ -316,7 +317,7 @@
   }
 
   /** Takes what the record of a chunk says, on takeover. */
-  public void restore(Chunk chunk, long mark, BitSet doneInChunk, int high) {
+  public void restore(AttemptRecord chunk, long mark, BitSet doneInChunk, int high) {
     Job job = chunk.job;
     chunk.mark = mark;
     for (int t = chunk.from(); t < chunk.to(); t++) {
@@ -432,7 +433,7 @@
   public void forget(Job job) {
     jobs.remove(job.spec.id());
     ending.remove(job);
-    for (Chunk c : job.chunks) {
+    for (AttemptRecord c : job.chunks) {
       dirty.remove(c);
       urgent.remove(c);
       sharedRecords.forget(c);
@@ -456,7 +457,7 @@
 
   /** True when a pass of placement may give the machine work, or has just done so. */
   public boolean mayGetWork(Machine m, long now) {
-    return takesWork(m, now) && m.free.cpus > Room.EPS;
+    return takesWork(m, now) && m.free.cpus > ResourceVector.EPS;
   }
 
   /** True when new work may go to the machine at all. */
@@ -528,7 +529,7 @@
     if (job.begunMs < 0 && job.liveCount + job.doneCount() >= team(job.spec).atOnce(job.spec)) {
       job.begunMs = now;
     }
-    Chunk c = touch(job, task, now);
+    AttemptRecord c = touch(job, task, now);
     c.recording++;
     urgent.add(c);
     return a;
@@ -542,8 +543,8 @@
     team(a.job.spec).add(a.job.spec, 1);
   }
 
-  private Chunk touch(Job job, int task, long now) {
-    Chunk c = job.chunks[task / Chunk.TASKS];
+  private AttemptRecord touch(Job job, int task, long now) {
+    AttemptRecord c = job.chunks[task / AttemptRecord.TASKS];
     if (!c.dirty) {
       c.dirty = true;
       c.dirtySinceMs = now;
@@ -554,19 +555,20 @@
   }
 
   /** The chunk's record is to be written or deleted once more. */
-  public void redo(Chunk c, long now) {
+  public void redo(AttemptRecord c, long now) {
     touch(c.job, c.from(), now);
   }
 
   private void recorded(Attempt a) {
-    Chunk c = a.job.chunks[a.task / Chunk.TASKS];
+    AttemptRecord c = a.job.chunks[a.task / AttemptRecord.TASKS];
     if (--c.recording == 0) {
       urgent.remove(c);
     }
   }
 
   /** A commit of the chunk as it was at {@code changes} succeeded. */
-  public void committed(Chunk c, long mark, long changes, List<Attempt> recorded, long now) {
+  public void committed(
+      AttemptRecord c, long mark, long changes, List<Attempt> recorded, long now) {
     c.mark = mark;
     c.dirtySinceMs = now;
     if (c.changes == changes) {
@@ -665,12 +667,12 @@
    * @param mayLaunch false while the leader cannot reach the state service
    * @return null when the message is older than one seen before and must be ignored
    */
-  public List<Order> report(Machine m, WorkerReport r, boolean mayLaunch, long now) {
+  public List<WorkerCommand> report(Machine m, Heartbeat r, boolean mayLaunch, long now) {
     return dialogue.report(m, r, mayLaunch, now);
   }
 
   /** What is said to machines, and heard from them. */
-  public Dialogue dialogue() {
+  public HeartbeatReconciler dialogue() {
     return dialogue;
   }
 
--- a/src/main/java/org/mallowroad/core/Objectives.java
+++ b/src/main/java/org/mallowroad/core/ServiceLevelObjectives.java
@@ -4,7 +4,7 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 
 /** What users expect of each class of jobs, as the settings say. */
-public final class Objectives {
+public final class ServiceLevelObjectives {
   /** Estimates are often wrong by half, so a little more is planned for. */
   private static final double ESTIMATE_MARGIN = 1.5;
 
@@ -14,7 +14,7 @@
   private double guaranteeS = Double.POSITIVE_INFINITY;
 
   /** None. */
-  public Objectives() {
+  public ServiceLevelObjectives() {
     finishedS.defaultReturnValue(Double.POSITIVE_INFINITY);
     waitS.defaultReturnValue(Double.POSITIVE_INFINITY);
   }
--- a/src/main/java/org/mallowroad/core/SharedRecord.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
@@ -4,27 +4,27 @@
 import java.util.Collection;
 
 /** One record in the state service that holds the attempts of several small jobs. */
-public final class SharedRecord {
+public final class SharedAttemptRecord {
   /** Its name, never used again. */
   public final String name;
 
   /** The record's version as last seen; 0 when there is none. */
   public long mark;
 
-  private final ObjectLinkedOpenHashSet<Chunk> members = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<AttemptRecord> members = new ObjectLinkedOpenHashSet<>();
 
   private int reservedBytes;
 
   /** True when the record still lists a cancelled job of which nothing is left. */
   private boolean outdated;
 
-  SharedRecord(String name, long mark) {
+  SharedAttemptRecord(String name, long mark) {
     this.name = name;
     this.mark = mark;
   }
 
   /** Jobs whose attempts it holds, those that are finished and not yet forgotten too. */
-  public Collection<Chunk> members() {
+  public Collection<AttemptRecord> members() {
     return members;
   }
 
@@ -33,16 +33,16 @@
     return reservedBytes;
   }
 
-  void add(Chunk c) {
+  void add(AttemptRecord c) {
     c.shared = this;
     if (members.add(c)) {
-      reservedBytes += SharedRecords.reservedBytes(c);
+      reservedBytes += SharedAttemptRecords.reservedBytes(c);
     }
   }
 
-  void remove(Chunk c) {
+  void remove(AttemptRecord c) {
     if (members.remove(c)) {
-      reservedBytes -= SharedRecords.reservedBytes(c);
+      reservedBytes -= SharedAttemptRecords.reservedBytes(c);
     }
     // A next leader would restore a cancelled job's attempts, and wait for proof that they are
     // gone; a done job's it ignores.
--- a/src/main/java/org/mallowroad/core/SharedRecords.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
@@ -14,7 +14,7 @@
  * listed in it until it is written for another reason; whoever reads it ignores them, since their
  * end records say so.
  */
-public final class SharedRecords {
+public final class SharedAttemptRecords {
   /** Jobs of more tasks have records of their own. */
   static final int MOST_TASKS = 4;
 
@@ -28,13 +28,14 @@
   private static final int ATTEMPT_BYTES = 160;
 
   private final long term;
-  private final ObjectLinkedOpenHashSet<SharedRecord> records = new ObjectLinkedOpenHashSet<>();
-  private SharedRecord filling;
+  private final ObjectLinkedOpenHashSet<SharedAttemptRecord> records =
+      new ObjectLinkedOpenHashSet<>();
+  private SharedAttemptRecord filling;
   private long count;
   private int mostMembers;
   private int mostBytes;
 
-  SharedRecords(long term) {
+  SharedAttemptRecords(long term) {
     this.term = term;
   }
 
@@ -51,18 +52,18 @@
   }
 
   /** The most that a job can take of a record's value, wherever its tasks are placed. */
-  public static int reservedBytes(Chunk c) {
+  public static int reservedBytes(AttemptRecord c) {
     JobSpec s = c.job.spec;
     return MEMBER_BYTES + s.id().length() + ATTEMPT_BYTES * s.tasks();
   }
 
   /** All records that there are. */
-  public Collection<SharedRecord> all() {
+  public Collection<SharedAttemptRecord> all() {
     return records;
   }
 
   /** True when the chunk is to be written into a shared record, which it has from then on. */
-  public boolean shares(Chunk c) {
+  public boolean shares(AttemptRecord c) {
     if (c.shared != null) {
       return true;
     }
@@ -77,7 +78,7 @@
     if (filling == null
         || filling.members().size() >= mostMembers
         || filling.reservedBytes() + bytes > mostBytes) {
-      filling = new SharedRecord(term + "-" + count++, 0);
+      filling = new SharedAttemptRecord(term + "-" + count++, 0);
       records.add(filling);
     }
     filling.add(c);
@@ -86,7 +87,7 @@
 
   /** True when a record is to be written or deleted although no member of it has changed. */
   public boolean anyToWrite() {
-    for (SharedRecord r : records) {
+    for (SharedAttemptRecord r : records) {
       if (r.toWrite()) {
         return true;
       }
@@ -95,19 +96,19 @@
   }
 
   /** A record that an earlier leader wrote. */
-  public SharedRecord restore(String name, long mark) {
-    SharedRecord r = new SharedRecord(name, mark);
+  public SharedAttemptRecord restore(String name, long mark) {
+    SharedAttemptRecord r = new SharedAttemptRecord(name, mark);
     records.add(r);
     return r;
   }
 
   /** A member of it was read from it. */
-  public void restored(SharedRecord r, Chunk c) {
+  public void restored(SharedAttemptRecord r, AttemptRecord c) {
     r.add(c);
   }
 
   /** Nothing of the job is left. */
-  void forget(Chunk c) {
+  void forget(AttemptRecord c) {
     if (c.shared != null) {
       c.shared.remove(c);
       drop(c.shared);
@@ -115,13 +116,13 @@
   }
 
   /** The record was written or deleted. */
-  public void written(SharedRecord r, long mark) {
+  public void written(SharedAttemptRecord r, long mark) {
     r.written(mark);
     drop(r);
   }
 
   /** A record that nobody needs and that is not there any more is forgotten. */
-  private void drop(SharedRecord r) {
+  private void drop(SharedAttemptRecord r) {
     if (r.members().isEmpty() && r.mark == 0) {
       records.remove(r);
       filling = filling == r ? null : filling;
--- a/src/main/java/org/mallowroad/core/Placement.java
+++ b/src/main/java/org/mallowroad/core/TaskScheduler.java
@@ -8,9 +8,9 @@
 
 /**
  * Places waiting tasks first-fit: by priority, then teams within their guarantee, then deadline.
- * Each placement asks the {@link Ledger}; nothing starts that it refuses.
+ * Each placement asks the {@link SchedulerState}; nothing starts that it refuses.
  */
-public final class Placement {
+public final class TaskScheduler {
   /** A task that waits this long for room may preempt others. */
   private static final long PREEMPT_AFTER_MS = 1_000;
 
@@ -54,7 +54,7 @@
   /** Fetches are planned at this rate until a machine is known. */
   private static final double FETCH_GB_PER_S = 0.3;
 
-  private final Ledger ledger;
+  private final SchedulerState ledger;
   private double fetchGbPerS = FETCH_GB_PER_S;
   private final ExpectedReleases releases = new ExpectedReleases(WAIT_S);
   private Machine[] order = new Machine[0];
@@ -68,7 +68,7 @@
   private long stops;
 
   /** A placement over a ledger. */
-  public Placement(Ledger ledger) {
+  public TaskScheduler(SchedulerState ledger) {
     this.ledger = ledger;
   }
 
@@ -110,7 +110,8 @@
       cards[s.team()] += left * s.cards();
       Team team = ledger.team(s);
       j.guaranteed =
-          cpus[s.team()] <= team.cpus + Room.EPS && cards[s.team()] <= team.cards + Room.EPS;
+          cpus[s.team()] <= team.cpus + ResourceVector.EPS
+              && cards[s.team()] <= team.cards + ResourceVector.EPS;
       j.aged = now - j.sinceMs() > 1000 * Math.max(0, AGED_S - fetchS(s));
       if (j.waiting()) {
         ranks.add(new Rank(j, j.sinceMs() + (long) (1000 * patience(s))));
@@ -283,8 +284,8 @@
     openCount = 0;
     looked += order.length;
     for (Machine m : order) {
-      if (cpus <= m.free.cpus + Room.EPS
-          && memGb <= m.free.memGb + Room.EPS
+      if (cpus <= m.free.cpus + ResourceVector.EPS
+          && memGb <= m.free.memGb + ResourceVector.EPS
           && m.heldFor == null
           && ledger.takesWork(m, now)) {
         open[openCount++] = m;
@@ -316,11 +317,11 @@
       }
       while (!job.pending.isEmpty()) {
         int task = job.pending.firstInt();
-        Ledger.Refusal no = refusal(job, m, now);
-        if (no == Ledger.Refusal.QUOTA) {
+        SchedulerState.Refusal no = refusal(job, m, now);
+        if (no == SchedulerState.Refusal.QUOTA) {
           return; // No other machine helps.
         }
-        if (no == Ledger.Refusal.FETCHES) {
+        if (no == SchedulerState.Refusal.FETCHES) {
           ledger.stages().heldBack();
         }
         if (no != null) {
@@ -338,22 +339,22 @@
    * goes by it, so what is shown to people is what was decided. Where the zone rules, a doubt or a
    * failure are named, nothing else stands in the way: the machine has room.
    */
-  public Ledger.Refusal refusal(Job job, Machine m, long now) {
-    Ledger.Refusal no = ledger.mayStart(job, job.pending.firstInt(), m, now);
+  public SchedulerState.Refusal refusal(Job job, Machine m, long now) {
+    SchedulerState.Refusal no = ledger.mayStart(job, job.pending.firstInt(), m, now);
     if (no == null
         && !job.spec.gang()
         && !m.hasImage(job.spec.image())
         && !ledger.stages().mayFetch(job.spec, m, x -> ledger.mayGive(x, now))) {
-      return Ledger.Refusal.FETCHES;
+      return SchedulerState.Refusal.FETCHES;
     }
     if (no == null && avoids(job.spec, m)) {
-      return Ledger.Refusal.DOUBTED;
+      return SchedulerState.Refusal.DOUBTED;
     }
     if (no == null
         && !job.spec.gang()
         && job.failedOn.size() < 3
         && job.failedOn.contains(m.name)) {
-      return Ledger.Refusal.FAILED_HERE;
+      return SchedulerState.Refusal.FAILED_HERE;
     }
     return no;
   }
@@ -404,7 +405,7 @@
         if (s.together() && m.zone != zone) {
           continue;
         }
-        Room room = new Room(m.free.cpus, m.free.cards, m.free.memGb);
+        ResourceVector room = new ResourceVector(m.free.cpus, m.free.cards, m.free.memGb);
         while (places.size() < n
             && room.fits(s)
             && inZone[m.zone] < s.zoneCap()
@@ -460,7 +461,7 @@
           || (s.scatter() && job.zoneLive[m.zone] >= s.zoneCap())) {
         continue;
       }
-      Room room = new Room(m.free.cpus, m.free.cards, m.free.memGb);
+      ResourceVector room = new ResourceVector(m.free.cpus, m.free.cards, m.free.memGb);
       List<Attempt> candidates = null;
       for (Attempt a : m.attempts) {
         if (a.stopping()) {
--- a/src/main/java/org/mallowroad/core/Team.java
+++ b/src/main/java/org/mallowroad/core/Team.java
@@ -28,35 +28,38 @@
 
   /** True when {@code n} more tasks of the job stay within the limit. */
   public boolean allows(JobSpec job, int n) {
-    return usedCpus + n * job.cpus() <= cpusMax + Room.EPS
-        && usedCards + n * job.cards() <= cardsMax + Room.EPS;
+    return usedCpus + n * job.cpus() <= cpusMax + ResourceVector.EPS
+        && usedCards + n * job.cards() <= cardsMax + ResourceVector.EPS;
   }
 
   /** How many more tasks of the job stay within the limit, {@code n} at the most. */
   int most(JobSpec job, int n) {
-    return new Room(cpusMax - usedCpus, cardsMax - usedCards, Double.MAX_VALUE).holds(job, n);
+    return new ResourceVector(cpusMax - usedCpus, cardsMax - usedCards, Double.MAX_VALUE)
+        .holds(job, n);
   }
 
   /** How many of the job's tasks the limit allows at once, with nothing else of the team. */
   public int atOnce(JobSpec job) {
-    return new Room(cpusMax, cardsMax, Double.MAX_VALUE).holds(job, job.tasks());
+    return new ResourceVector(cpusMax, cardsMax, Double.MAX_VALUE).holds(job, job.tasks());
   }
 
   /** True when {@code n} tasks of the job alone stay within the limit. */
   public boolean couldRun(JobSpec job, int n) {
-    return n * job.cpus() <= cpusMax + Room.EPS && n * job.cards() <= cardsMax + Room.EPS;
+    return n * job.cpus() <= cpusMax + ResourceVector.EPS
+        && n * job.cards() <= cardsMax + ResourceVector.EPS;
   }
 
   /** True when one more task of the job keeps the team within its guarantee. */
   boolean guarantees(JobSpec job) {
-    return usedCpus + job.cpus() <= cpus + Room.EPS && usedCards + job.cards() <= cards + Room.EPS;
+    return usedCpus + job.cpus() <= cpus + ResourceVector.EPS
+        && usedCards + job.cards() <= cards + ResourceVector.EPS;
   }
 
   /** True when the team keeps its guarantee in full without one task of the job. */
   boolean borrows(JobSpec job) {
     // What is stopping already is as good as gone: many tasks may be stopped in one pass.
-    return usedCpus - stoppingCpus - job.cpus() >= cpus - Room.EPS
-        && (job.cards() == 0 || usedCards - job.cards() >= cards - Room.EPS);
+    return usedCpus - stoppingCpus - job.cpus() >= cpus - ResourceVector.EPS
+        && (job.cards() == 0 || usedCards - job.cards() >= cards - ResourceVector.EPS);
   }
 
   void add(JobSpec job, int n) {
--- a/src/main/java/org/mallowroad/core/Order.java
+++ b/src/main/java/org/mallowroad/core/WorkerCommand.java
@@ -8,10 +8,10 @@
  * @param givers where a launch's image may be had from other machines; empty but for workers that
  *     said that they can take it there
  */
-public record Order(
+public record WorkerCommand(
     Kind kind, String job, int task, int attempt, double graceS, List<String> givers) {
   /** Without givers. */
-  public Order(Kind kind, String job, int task, int attempt, double graceS) {
+  public WorkerCommand(Kind kind, String job, int task, int attempt, double graceS) {
     this(kind, job, task, attempt, graceS, List.of());
   }
 
--- a/src/main/java/org/mallowroad/core/admission/RecordLag.java
+++ b/src/main/java/org/mallowroad/core/admission/RecordLag.java
@@ -1,10 +1,10 @@
 package org.mallowroad.core.admission;
 
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Chunk;
+import org.mallowroad.core.AttemptRecord;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.SchedulerState;
 
 /**
  * How far a leader's records are behind: the longest that a start or an end that is not idle work's
@@ -41,7 +41,7 @@
    * @param served whether the state service serves this leader: what waited in an outage waited for
    *     its end, and counts from then
    */
-  public void look(Ledger ledger, boolean served, long now) {
+  public void look(SchedulerState ledger, boolean served, long now) {
     if (!served || servedSinceMs < 0) {
       servedSinceMs = now;
       recordingSinceMs = -1;
@@ -63,9 +63,9 @@
     return overloaded;
   }
 
-  private static boolean mostlyRecording(Ledger ledger) {
+  private static boolean mostlyRecording(SchedulerState ledger) {
     int recording = 0;
-    for (Chunk c : ledger.urgent()) {
+    for (AttemptRecord c : ledger.urgent()) {
       recording += c.job.spec.priority() < JobSpec.IDLE ? c.recording() : 0;
     }
     if (recording < RECORDING_LEAST) {
@@ -79,8 +79,8 @@
   }
 
   /** How long the oldest start waits that is to be recorded. */
-  static long startsMs(Ledger ledger, long now) {
-    for (Chunk c : ledger.urgent()) {
+  static long startsMs(SchedulerState ledger, long now) {
+    for (AttemptRecord c : ledger.urgent()) {
       if (c.job.spec.priority() >= JobSpec.IDLE) {
         continue;
       }
@@ -98,7 +98,7 @@
   }
 
   /** How long the oldest end waits that is to be recorded. */
-  static long endsMs(Ledger ledger, long now) {
+  static long endsMs(SchedulerState ledger, long now) {
     long longest = 0;
     for (Job j : ledger.ending()) {
       if (j.spec.priority() < JobSpec.IDLE) {
--- a/src/main/java/org/mallowroad/core/cancel/CancellationView.java
+++ b/src/main/java/org/mallowroad/core/cancellation/CancellationView.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.cancel;
+package org.mallowroad.core.cancellation;
 
 import java.util.ArrayDeque;
 
--- a/src/main/java/org/mallowroad/core/cancel/Notices.java
+++ b/src/main/java/org/mallowroad/core/cancellation/PendingCancellationNotices.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.cancel;
+package org.mallowroad.core.cancellation;
 
 import it.unimi.dsi.fastutil.objects.Object2LongLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongMap;
@@ -12,7 +12,7 @@
  *
  * <p>Not thread-safe; no clock of its own.
  */
-public final class Notices {
+public final class PendingCancellationNotices {
   /** Jobs that one peer has still to hear of; beyond, the oldest are left to the records. */
   public static final int MOST = 2_000;
 
@@ -24,7 +24,7 @@
   private final boolean[] busy;
 
   /** For a number of peers; what nobody acknowledges for {@code keepMs} is let go. */
-  public Notices(int peers, long keepMs) {
+  public PendingCancellationNotices(int peers, long keepMs) {
     this.keepMs = keepMs;
     this.busy = new boolean[peers];
     for (int p = 0; p < peers; p++) {
--- a/src/main/java/org/mallowroad/core/hold/Circles.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyCycles.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.hold;
+package org.mallowroad.core.dependency;
 
 import java.util.ArrayDeque;
 import java.util.HashSet;
@@ -11,15 +11,15 @@
  * circle has only held jobs in it, so the held ones are all that need be known; a job that is not
  * known yet may be submitted later, and is judged then.
  */
-public final class Circles {
-  private Circles() {}
+public final class DependencyCycles {
+  private DependencyCycles() {}
 
   /**
    * The job through which the circle would close; null when none would.
    *
    * @param held all jobs that are accepted, held and not over
    */
-  public static String closes(String id, Ties own, Map<String, Ties> held) {
+  public static String closes(String id, JobDependencies own, Map<String, JobDependencies> held) {
     if (own.jobs().contains(id) || own.foldsFor(own, Block.GAMES)) {
       return id;
     }
@@ -28,7 +28,7 @@
     follow(own, held, seen, left);
     String at;
     while ((at = left.poll()) != null) {
-      Ties t = held.get(at);
+      JobDependencies t = held.get(at);
       if (t.jobs().contains(id) || own.foldsFor(t, Block.GAMES)) {
         return at;
       }
@@ -39,7 +39,10 @@
 
   /** The held jobs that one waits for: by name, or since they fold what it waits for. */
   private static void follow(
-      Ties of, Map<String, Ties> held, Set<String> seen, ArrayDeque<String> left) {
+      JobDependencies of,
+      Map<String, JobDependencies> held,
+      Set<String> seen,
+      ArrayDeque<String> left) {
     for (String j : of.jobs()) {
       if (held.containsKey(j) && seen.add(j)) {
         left.add(j);
--- a/src/main/java/org/mallowroad/core/hold/Holds.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.hold;
+package org.mallowroad.core.dependency;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
@@ -11,9 +11,9 @@
 /**
  * The held jobs of a term, and which of them are worth asking about: an end, a claim or a change of
  * a league's record touches those that wait for it and no others. Evidence only: what opens a hold
- * is a transaction that compares the records ({@code HoldKeeper}).
+ * is a transaction that compares the records ({@code DependencyGateController}).
  */
-public final class Holds {
+public final class DependencyGates {
   /** How far a hold is. */
   public enum State {
     /** Waits for what it depends on. */
@@ -30,7 +30,7 @@
     public final String job;
 
     /** What it waits for. */
-    public final Ties ties;
+    public final JobDependencies ties;
 
     /** How far it is. */
     public State state = State.CLOSED;
@@ -53,7 +53,7 @@
     /** Dependencies that were seen done in this term: their ends never change. */
     final Set<String> done = new ObjectLinkedOpenHashSet<>();
 
-    private Hold(String job, Ties ties) {
+    private Hold(String job, JobDependencies ties) {
       this.job = job;
       this.ties = ties;
     }
@@ -88,7 +88,7 @@
   }
 
   /** A held job became known. */
-  public Hold add(String job, Ties ties) {
+  public Hold add(String job, JobDependencies ties) {
     Hold h = holds.get(job);
     if (h == null) {
       h = new Hold(job, ties);
@@ -96,7 +96,7 @@
       for (String j : ties.jobs()) {
         byJob.computeIfAbsent(j, k -> new ObjectLinkedOpenHashSet<>()).add(h);
       }
-      for (Ties.UpTo g : ties.games()) {
+      for (JobDependencies.UpTo g : ties.games()) {
         byLeague.computeIfAbsent(g.league(), k -> new ObjectLinkedOpenHashSet<>()).add(h);
       }
       touched.add(h);
--- a/src/main/java/org/mallowroad/core/hold/Ties.java
+++ b/src/main/java/org/mallowroad/core/dependency/JobDependencies.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.hold;
+package org.mallowroad.core.dependency;
 
 import it.unimi.dsi.fastutil.ints.IntList;
 import java.util.List;
@@ -14,9 +14,9 @@
  * @param jobs jobs that must be done
  * @param games games that must be folded
  */
-public record Ties(Map<String, IntList> folds, List<String> jobs, List<UpTo> games) {
+public record JobDependencies(Map<String, IntList> folds, List<String> jobs, List<UpTo> games) {
   /** Of most jobs. */
-  public static final Ties NONE = new Ties(Map.of(), List.of(), List.of());
+  public static final JobDependencies NONE = new JobDependencies(Map.of(), List.of(), List.of());
 
   /**
    * All games of a league up to one.
@@ -38,7 +38,7 @@
   }
 
   /** True when it folds a game that the other waits for, as far as blocks tell. */
-  boolean foldsFor(Ties other, int gamesOfBlock) {
+  boolean foldsFor(JobDependencies other, int gamesOfBlock) {
     for (Map.Entry<String, Long> e : other.highest().entrySet()) {
       IntList own = folds.get(e.getKey());
       if (own != null && !own.isEmpty() && (long) own.getInt(0) * gamesOfBlock <= e.getValue()) {
--- a/src/main/java/org/mallowroad/core/explain/Supply.java
+++ b/src/main/java/org/mallowroad/core/explain/AutoscalerView.java
@@ -1,12 +1,12 @@
 package org.mallowroad.core.explain;
 
 import java.util.List;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Variant;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.MachineType;
 
 /** What the explanation asks of the leadership beyond ledger and placement. */
-public interface Supply {
+public interface AutoscalerView {
   /** Machines rented and not yet reporting. */
   List<Coming> coming(long now);
 
--- a/src/main/java/org/mallowroad/core/explain/JobPicture.java
+++ b/src/main/java/org/mallowroad/core/explain/JobSnapshot.java
@@ -10,8 +10,8 @@
  * @param tasks unresolved attempts, {@link #MOST} at the most
  * @param leftOut further attempts
  */
-public record JobPicture(
-    String id, Picture.JobLine job, String remedy, List<TaskLine> tasks, int leftOut) {
+public record JobSnapshot(
+    String id, NodeSnapshot.JobLine job, String remedy, List<TaskLine> tasks, int leftOut) {
   /** Tasks that are listed at the most. */
   public static final int MOST = 500;
 
--- a/src/main/java/org/mallowroad/core/explain/Sample.java
+++ b/src/main/java/org/mallowroad/core/explain/MetricSample.java
@@ -14,7 +14,7 @@
  * @param machines machines by type and zone
  * @param reasons waiting tasks by reason
  */
-public record Sample(
+public record MetricSample(
     long atMs,
     long term,
     long started,
@@ -26,22 +26,22 @@
     Map<String, Integer> reasons) {
 
   /** Of a leader's picture. */
-  public static Sample of(Picture p) {
+  public static MetricSample of(NodeSnapshot p) {
     Map<String, Integer> waiting = new TreeMap<>();
     Map<String, Integer> running = new TreeMap<>();
     Map<String, Integer> machines = new TreeMap<>();
     Map<String, Integer> reasons = new TreeMap<>();
-    for (Picture.TeamLine t : p.teams()) {
+    for (NodeSnapshot.TeamLine t : p.teams()) {
       waiting.put(t.name(), t.waiting());
       running.put(t.name(), t.running());
     }
-    for (Picture.MachineLine m : p.machines()) {
+    for (NodeSnapshot.MachineLine m : p.machines()) {
       machines.merge(m.type() + " " + m.zone(), m.machines(), Integer::sum);
     }
-    for (Picture.ReasonLine r : p.reasons()) {
+    for (NodeSnapshot.ReasonLine r : p.reasons()) {
       reasons.merge(r.reason(), r.tasks(), Integer::sum);
     }
-    return new Sample(
+    return new MetricSample(
         p.atMs(),
         p.term(),
         p.totals().started(),
--- a/src/main/java/org/mallowroad/core/explain/Picture.java
+++ b/src/main/java/org/mallowroad/core/explain/NodeSnapshot.java
@@ -17,7 +17,7 @@
  * @param stateSilenceS since the state service last served the node
  * @param jobsLeftOut open jobs beyond those listed
  */
-public record Picture(
+public record NodeSnapshot(
     int format,
     String node,
     Phase phase,
--- a/src/main/java/org/mallowroad/core/explain/Sight.java
+++ b/src/main/java/org/mallowroad/core/explain/NodeStatus.java
@@ -12,10 +12,10 @@
  * @param pictureAgeS age of the picture, -1 without one
  * @param picture the newest picture, or null before the first one
  */
-public record Sight(
+public record NodeStatus(
     int format,
     String node,
     long loopLateMs,
     List<String> stack,
     double pictureAgeS,
-    Picture picture) {}
+    NodeSnapshot picture) {}
--- a/src/main/java/org/mallowroad/core/explain/Reason.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingCause.java
@@ -1,7 +1,7 @@
 package org.mallowroad.core.explain;
 
 /** Why tasks wait: a closed list, each with what would let them go on. */
-public enum Reason {
+public enum PendingCause {
   /** No controller leads, as far as anybody says. */
   NO_LEADER("no controller leads", "a controller that reaches the state service is elected"),
   /** A new leader is reading its records, or waits for the workers' first reports. */
@@ -62,7 +62,7 @@
   private final String text;
   private final String remedy;
 
-  Reason(String text, String remedy) {
+  PendingCause(String text, String remedy) {
     this.text = text;
     this.remedy = remedy;
   }
--- a/src/main/java/org/mallowroad/core/explain/Reasons.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingCauseSummary.java
@@ -5,26 +5,27 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Picture.ReasonLine;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
 
 /** Puts waiting tasks that are alike in team, class and reason into one line. */
-public final class Reasons {
+public final class PendingCauseSummary {
   private record Key(String team, String taskClass, String reason) {}
 
   private JobLine longest;
   private int jobs;
   private int tasks;
 
-  private Reasons() {}
+  private PendingCauseSummary() {}
 
   /** The lines of these jobs, most tasks first. */
   public static List<ReasonLine> of(List<JobLine> jobs) {
-    Map<Key, Reasons> byKey = new LinkedHashMap<>();
+    Map<Key, PendingCauseSummary> byKey = new LinkedHashMap<>();
     for (JobLine l : jobs) {
       if (!l.reason().isEmpty()) {
         byKey
-            .computeIfAbsent(new Key(l.team(), l.taskClass(), l.reason()), k -> new Reasons())
+            .computeIfAbsent(
+                new Key(l.team(), l.taskClass(), l.reason()), k -> new PendingCauseSummary())
             .add(l);
       }
     }
--- a/src/main/java/org/mallowroad/core/explain/Finding.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReason.java
@@ -9,4 +9,5 @@
  * @param zone index of the zone that is the cause, or -1
  * @param detail the evidence in words, with names and figures
  */
-public record Finding(Reason reason, long sinceMs, long dueMs, int zone, String detail) {}
+public record PendingReason(
+    PendingCause reason, long sinceMs, long dueMs, int zone, String detail) {}
--- a/src/main/java/org/mallowroad/core/explain/Explainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Locale;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Variant;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Placement;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.TaskScheduler;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.gang.Gathering;
+import org.mallowroad.core.gang.GangReservations;
 
 /**
  * Finds for each open job why tasks of it wait. {@link #begin} looks at every machine and attempt
@@ -27,7 +27,7 @@
  * leader on a fraction of a core goes on with its work between two steps. What changes meanwhile
  * shows in later jobs only; a job that is over by its turn is left out.
  */
-public final class Explainer {
+public final class PendingReasonExplainer {
   /** Tasks of a job that wait or hang, by how far they are. */
   private static final class Counts {
     private int recording;
@@ -66,11 +66,11 @@
 
   private static final int PRIORITIES = 4;
 
-  private final Ledger ledger;
-  private final Placement placement;
-  private final Supply supply;
-  private final Names zones;
-  private final Names classes;
+  private final SchedulerState ledger;
+  private final TaskScheduler placement;
+  private final AutoscalerView supply;
+  private final NameIndex zones;
+  private final NameIndex classes;
 
   private final List<Job> jobs = new ArrayList<>();
   private final List<Group> groups = new ArrayList<>();
@@ -78,7 +78,7 @@
   private final Reference2ObjectOpenHashMap<Job, Counts> counts =
       new Reference2ObjectOpenHashMap<>();
   private final Object2ObjectOpenHashMap<Shape, Tally> tallies = new Object2ObjectOpenHashMap<>();
-  private final Reference2ObjectLinkedOpenHashMap<Job, Finding> findings =
+  private final Reference2ObjectLinkedOpenHashMap<Job, PendingReason> findings =
       new Reference2ObjectLinkedOpenHashMap<>();
 
   /**
@@ -91,7 +91,12 @@
   private long asked;
 
   /** Over one term's decisions; the names turn indices back into words. */
-  public Explainer(Ledger ledger, Placement placement, Supply supply, Names zones, Names classes) {
+  public PendingReasonExplainer(
+      SchedulerState ledger,
+      TaskScheduler placement,
+      AutoscalerView supply,
+      NameIndex zones,
+      NameIndex classes) {
     this.ledger = ledger;
     this.placement = placement;
     this.supply = supply;
@@ -161,7 +166,7 @@
 
   /** Not heard: its report is overdue, in a cut zone, or it is being returned for that. */
   boolean unheard(Machine m, long at) {
-    return ledger.unfit(m, at) == Ledger.Refusal.SILENT
+    return ledger.unfit(m, at) == SchedulerState.Refusal.SILENT
         || ledger.health().away(m.health)
         || (m.returning && !m.failed && m.health.late());
   }
@@ -211,7 +216,7 @@
     while (next < end && asked < until) {
       Job job = jobs.get(next++);
       asked++;
-      Finding f = find(job);
+      PendingReason f = find(job);
       if (f != null) {
         findings.put(job, f);
       }
@@ -225,13 +230,13 @@
   }
 
   /** Explains one job by itself, which costs a survey and its own questions. */
-  Finding only(Job job, long at) {
+  PendingReason only(Job job, long at) {
     begin(at);
     return find(job);
   }
 
   /** Why tasks of the job wait; null when all of them run, or it was not open. */
-  public Finding finding(Job job) {
+  public PendingReason finding(Job job) {
     return findings.get(job);
   }
 
@@ -252,22 +257,22 @@
     return c == null ? 0 : c.silent;
   }
 
-  private Finding find(Job job) {
+  private PendingReason find(Job job) {
     if (job.ended() || (job.cancelled() && job.liveCount() == 0)) {
       return null;
     }
     Counts c = counts.get(job);
     if (job.held() && !job.cancelled()) {
-      return plain(job, Reason.HELD_BY_TIES, job.holdText);
+      return plain(job, PendingCause.HELD_BY_TIES, job.holdText);
     }
     if (!job.waiting()) {
       return c == null ? null : underWay(c);
     }
-    Finding f = pending(job);
+    PendingReason f = pending(job);
     if (c == null || c.silent == 0) {
       return f;
     }
-    return new Finding(
+    return new PendingReason(
         f.reason(),
         f.sinceMs(),
         f.dueMs(),
@@ -276,33 +281,37 @@
   }
 
   /** None of its tasks waits for a place, but some have not begun, or nobody hears of them. */
-  private Finding underWay(Counts c) {
+  private PendingReason underWay(Counts c) {
     if (c.silent > 0) {
       boolean cut = ledger.health().silence().cut(c.silentOn.zone);
-      return new Finding(
-          cut ? Reason.ZONE_CUT : Reason.NOT_PROVEN_GONE,
+      return new PendingReason(
+          cut ? PendingCause.ZONE_CUT : PendingCause.NOT_PROVEN_GONE,
           c.silentSinceMs,
           c.goneMs > 0 ? c.goneMs : -1,
           c.silentOn.zone,
           silence(c));
     }
     if (c.recording > 0) {
-      Reason r = supply.firm() ? Reason.AWAITS_COMMIT : Reason.STATE_AWAY;
-      return new Finding(
+      PendingCause r = supply.firm() ? PendingCause.AWAITS_COMMIT : PendingCause.STATE_AWAY;
+      return new PendingReason(
           r,
           c.oldestMs,
           -1,
           -1,
-          Counted.of(c.recording, "start")
+          CountFormat.of(c.recording, "start")
               + ", "
-              + Counted.of(ledger.dirty().size(), "uncommitted record"));
+              + CountFormat.of(ledger.dirty().size(), "uncommitted record"));
     }
     if (c.pulling > 0) {
-      return new Finding(
-          Reason.IMAGE, c.oldestMs, -1, -1, Counted.of(c.pulling, "task") + " without an image");
+      return new PendingReason(
+          PendingCause.IMAGE,
+          c.oldestMs,
+          -1,
+          -1,
+          CountFormat.of(c.pulling, "task") + " without an image");
     }
-    return new Finding(
-        Reason.AWAITS_WORKER,
+    return new PendingReason(
+        PendingCause.AWAITS_WORKER,
         c.oldestMs,
         -1,
         -1,
@@ -311,7 +320,7 @@
 
   private String silence(Counts c) {
     Machine m = c.silentOn;
-    return Counted.of(c.silent, "task")
+    return CountFormat.of(c.silent, "task")
         + " on silent machines, one on "
         + m.name
         + " in zone "
@@ -320,32 +329,33 @@
         + (c.goneMs > 0 ? "" : "; proven gone only by the machine's deletion or report");
   }
 
-  private Finding pending(Job job) {
+  private PendingReason pending(Job job) {
     JobSpec s = job.spec;
     if (!supply.firm()) {
-      return new Finding(
-          Reason.STATE_AWAY,
+      return new PendingReason(
+          PendingCause.STATE_AWAY,
           supply.renewedMs(),
           -1,
           -1,
           "the lease is not renewed: nothing is placed");
     }
     if (job.heldBack(now)) {
-      return new Finding(
-          Reason.HELD_BACK,
+      return new PendingReason(
+          PendingCause.HELD_BACK,
           job.waitingSinceMs(),
           job.notBeforeMs(),
           -1,
-          Counted.of(job.failures(), "failure") + " in a row");
+          CountFormat.of(job.failures(), "failure") + " in a row");
     }
     Team team = ledger.team(s);
     if (placement.overLimit(job)) {
-      return new Finding(Reason.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
+      return new PendingReason(
+          PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
     }
     if (s.contradicts(zones.size())) {
       return plain(
           job,
-          Reason.ZONE_RULES,
+          PendingCause.ZONE_RULES,
           "never: all "
               + s.tasks()
               + " tasks of the gang have to be in one zone, and scatter lets "
@@ -354,7 +364,8 @@
     }
     Tally t = ask(job);
     if (t.allowed == 0) {
-      return unsupplied(job, Reason.NO_MACHINES, "none of the types, zones and kinds it allows");
+      return unsupplied(
+          job, PendingCause.NO_MACHINES, "none of the types, zones and kinds it allows");
     }
     if (t.free) {
       return s.gang() ? gang(job) : aboutToStart(job);
@@ -362,59 +373,73 @@
     return switch (t.most()) {
       case ROOM ->
           unsupplied(
-              job, Reason.NO_ROOM, Counted.of(t.of(Ledger.Refusal.ROOM), "machine") + " full");
+              job,
+              PendingCause.NO_ROOM,
+              CountFormat.of(t.of(SchedulerState.Refusal.ROOM), "machine") + " full");
       case ZONE -> zoneRules(job);
       case SILENT -> silent(job, t);
       case DOUBTED ->
-          plain(job, Reason.SLOW_MACHINES, Counted.of(t.of(Ledger.Refusal.DOUBTED), "machine"));
+          plain(
+              job,
+              PendingCause.SLOW_MACHINES,
+              CountFormat.of(t.of(SchedulerState.Refusal.DOUBTED), "machine"));
       case FAILED_HERE ->
-          plain(job, Reason.FAILED_THERE, Counted.of(t.of(Ledger.Refusal.FAILED_HERE), "machine"));
+          plain(
+              job,
+              PendingCause.FAILED_THERE,
+              CountFormat.of(t.of(SchedulerState.Refusal.FAILED_HERE), "machine"));
       case FETCHES ->
           plain(
               job,
-              Reason.STAGED,
-              Counted.of(ledger.stages().fromSource(), "machine")
+              PendingCause.STAGED,
+              CountFormat.of(ledger.stages().fromSource(), "machine")
                   + " fetch from the source now, "
                   + ledger.stages().holders(job.spec.image())
                   + " hold the image");
-      case HELD -> plain(job, Reason.HELD, Counted.of(t.of(Ledger.Refusal.HELD), "machine"));
+      case HELD ->
+          plain(
+              job, PendingCause.HELD, CountFormat.of(t.of(SchedulerState.Refusal.HELD), "machine"));
       case DEAF ->
-          plain(job, Reason.MACHINES_DEAF, Counted.of(t.of(Ledger.Refusal.DEAF), "machine"));
-      case QUOTA -> new Finding(Reason.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
-      default -> plain(job, Reason.LEAVING, Counted.of(t.allowed, "machine"));
+          plain(
+              job,
+              PendingCause.MACHINES_DEAF,
+              CountFormat.of(t.of(SchedulerState.Refusal.DEAF), "machine"));
+      case QUOTA ->
+          new PendingReason(PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
+      default -> plain(job, PendingCause.LEAVING, CountFormat.of(t.allowed, "machine"));
     };
   }
 
-  private Finding plain(Job job, Reason reason, String detail) {
-    return new Finding(reason, job.waitingSinceMs(), -1, -1, detail);
+  private PendingReason plain(Job job, PendingCause reason, String detail) {
+    return new PendingReason(reason, job.waitingSinceMs(), -1, -1, detail);
   }
 
-  private Finding aboutToStart(Job job) {
-    return plain(job, Reason.STARTING, "there is room");
+  private PendingReason aboutToStart(Job job) {
+    return plain(job, PendingCause.STARTING, "there is room");
   }
 
-  private Finding gang(Job job) {
+  private PendingReason gang(Job job) {
     int places = placement.gangPlaces(job, now).size();
     asked += ledger.machines().size();
     if (places >= job.waitingCount()) {
       return aboutToStart(job);
     }
     String detail = "places for " + places + " of " + job.waitingCount() + " tasks";
-    Gathering.State s = ledger.gathering().state(job, now);
+    GangReservations.State s = ledger.gathering().state(job, now);
     if (s == null) {
-      return unsupplied(job, Reason.GANG, detail + "; waits for its turn to gather");
+      return unsupplied(job, PendingCause.GANG, detail + "; waits for its turn to gather");
     }
     String where = s.zone() < 0 ? "any zone" : "zone " + zones.name(s.zone());
     if (s.givenUp()) {
-      return new Finding(
-          Reason.GANG,
+      return new PendingReason(
+          PendingCause.GANG,
           job.waitingSinceMs(),
           s.untilMs(),
           s.zone(),
           detail + "; " + where + " could not hold all of it and is left alone until then");
     }
-    return new Finding(
-        Reason.GANG,
+    return new PendingReason(
+        PendingCause.GANG,
         job.waitingSinceMs(),
         s.untilMs(),
         s.zone(),
@@ -426,7 +451,7 @@
             + " of "
             + s.need()
             + " held or soon free, "
-            + Counted.of(s.rented(), "machine")
+            + CountFormat.of(s.rented(), "machine")
             + " rented for it");
   }
 
@@ -441,7 +466,7 @@
         : amount(team.usedCpus()) + " of " + amount(team.cpusMax()) + " CPUs used by " + team.name;
   }
 
-  private Finding zoneRules(Job job) {
+  private PendingReason zoneRules(Job job) {
     StringBuilder b = new StringBuilder("its other tasks are in");
     for (int z = 0; z < zones.size(); z++) {
       if (job.liveIn(z)) {
@@ -450,26 +475,26 @@
     }
     return plain(
         job,
-        Reason.ZONE_RULES,
+        PendingCause.ZONE_RULES,
         b.append(job.spec.together() ? " (together)" : " (scatter)").toString());
   }
 
-  private Finding silent(Job job, Tally t) {
+  private PendingReason silent(Job job, Tally t) {
     int zone = t.silentZone();
     if (ledger.health().silence().cut(zone)) {
-      return new Finding(
-          Reason.ZONE_CUT,
+      return new PendingReason(
+          PendingCause.ZONE_CUT,
           now - ledger.health().silence().cutForMs(zone, now),
           -1,
           zone,
-          Counted.of(t.silentIn[zone], "silent machine") + " in zone " + zones.name(zone));
+          CountFormat.of(t.silentIn[zone], "silent machine") + " in zone " + zones.name(zone));
     }
-    return new Finding(
-        Reason.MACHINES_SILENT,
+    return new PendingReason(
+        PendingCause.MACHINES_SILENT,
         job.waitingSinceMs(),
         -1,
         zone,
-        Counted.of(t.of(Ledger.Refusal.SILENT), "silent machine")
+        CountFormat.of(t.of(SchedulerState.Refusal.SILENT), "silent machine")
             + ", most in zone "
             + zones.name(zone));
   }
@@ -477,7 +502,7 @@
   /**
    * What stands in the way of more room: boots, the cloud, better ranks; else {@code otherwise}.
    */
-  private Finding unsupplied(Job job, Reason otherwise, String detail) {
+  private PendingReason unsupplied(Job job, PendingCause otherwise, String detail) {
     Group booting = null;
     int coming = 0;
     for (Group g : groups) {
@@ -489,14 +514,14 @@
       }
     }
     if (booting != null) {
-      return new Finding(
-          otherwise == Reason.GANG ? Reason.GANG : Reason.BOOTING,
+      return new PendingReason(
+          otherwise == PendingCause.GANG ? PendingCause.GANG : PendingCause.BOOTING,
           booting.rentedMs,
           booting.dueMs,
           -1,
           detail
               + "; "
-              + Counted.of(coming, "machine")
+              + CountFormat.of(coming, "machine")
               + " booting, the first a "
               + name(booting.variant));
     }
@@ -515,18 +540,18 @@
       }
     }
     if (all && refusedOne != null) {
-      return new Finding(
-          otherwise == Reason.GANG ? Reason.GANG : Reason.CLOUD_REFUSES,
+      return new PendingReason(
+          otherwise == PendingCause.GANG ? PendingCause.GANG : PendingCause.CLOUD_REFUSES,
           refused,
           -1,
           -1,
           detail + "; the cloud refuses all it may run on, " + name(refusedOne) + " for longest");
     }
-    return otherwise == Reason.NO_ROOM ? behind(job, detail) : plain(job, otherwise, detail);
+    return otherwise == PendingCause.NO_ROOM ? behind(job, detail) : plain(job, otherwise, detail);
   }
 
   /** Whose work of a better rank holds the machines or waits for them. */
-  private Finding behind(Job job, String detail) {
+  private PendingReason behind(Job job, String detail) {
     double[] cpus = new double[ledger.teams().size()];
     int rank = job.spec.priority();
     for (Group g : groups) {
@@ -553,11 +578,11 @@
       }
     }
     if (cpus.length == 0 || cpus[most] <= 0) {
-      return plain(job, Reason.NO_ROOM, detail);
+      return plain(job, PendingCause.NO_ROOM, detail);
     }
     return plain(
         job,
-        Reason.BEHIND,
+        PendingCause.BEHIND,
         detail
             + "; work of "
             + ledger.teams().get(most).name
@@ -568,15 +593,15 @@
 
   /** How the decision answered for the machines that a job allows. */
   private static final class Tally {
-    private static final List<Ledger.Refusal> ALONE =
+    private static final List<SchedulerState.Refusal> ALONE =
         List.of(
-            Ledger.Refusal.ZONE,
-            Ledger.Refusal.FAILED_HERE,
-            Ledger.Refusal.DOUBTED,
-            Ledger.Refusal.FETCHES,
-            Ledger.Refusal.QUOTA);
+            SchedulerState.Refusal.ZONE,
+            SchedulerState.Refusal.FAILED_HERE,
+            SchedulerState.Refusal.DOUBTED,
+            SchedulerState.Refusal.FETCHES,
+            SchedulerState.Refusal.QUOTA);
 
-    private final int[] of = new int[Ledger.Refusal.values().length];
+    private final int[] of = new int[SchedulerState.Refusal.values().length];
     private final int[] silentIn;
     private int allowed;
     private boolean free;
@@ -585,19 +610,19 @@
       silentIn = new int[zones];
     }
 
-    int of(Ledger.Refusal r) {
+    int of(SchedulerState.Refusal r) {
       return of[r.ordinal()];
     }
 
     /** What stands in the way: where a single rule is all that does, it counts before numbers. */
-    Ledger.Refusal most() {
-      for (Ledger.Refusal r : ALONE) {
+    SchedulerState.Refusal most() {
+      for (SchedulerState.Refusal r : ALONE) {
         if (of(r) > 0) {
           return r;
         }
       }
-      Ledger.Refusal best = Ledger.Refusal.ROOM;
-      for (Ledger.Refusal r : Ledger.Refusal.values()) {
+      SchedulerState.Refusal best = SchedulerState.Refusal.ROOM;
+      for (SchedulerState.Refusal r : SchedulerState.Refusal.values()) {
         if (of(r) > of(best)) {
           best = r;
         }
@@ -639,7 +664,7 @@
     Shape shape =
         new Shape(
             s.team(),
-            s.gang() || Placement.urgent(s),
+            s.gang() || TaskScheduler.urgent(s),
             ledger.stages().limited() ? s.image() : -1,
             s.cpus(),
             s.cards(),
@@ -667,13 +692,13 @@
         }
         asked++;
         t.allowed++;
-        Ledger.Refusal no = placement.refusal(job, m, now);
+        SchedulerState.Refusal no = placement.refusal(job, m, now);
         if (no == null) {
           t.free = true;
           return t;
         }
         t.of[no.ordinal()]++;
-        if (no == Ledger.Refusal.SILENT) {
+        if (no == SchedulerState.Refusal.SILENT) {
           t.silentIn[m.zone]++;
         }
       }
--- a/src/main/java/org/mallowroad/core/explain/Sketch.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -6,38 +6,42 @@
 import java.util.List;
 import java.util.Locale;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Variant;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
-import org.mallowroad.core.Names;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Picture.MachineLine;
-import org.mallowroad.core.explain.Picture.ReasonLine;
-import org.mallowroad.core.explain.Picture.TeamLine;
-import org.mallowroad.core.explain.Picture.Totals;
-import org.mallowroad.core.explain.Picture.ZoneLine;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
+import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
+import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
+import org.mallowroad.core.explain.NodeSnapshot.Totals;
+import org.mallowroad.core.explain.NodeSnapshot.ZoneLine;
 
 /**
  * Puts a leader's findings into lines of a picture. Asked in turns: {@link #begin}, {@link #step}
  * until it says so, then the lines.
  */
-public final class Sketch {
+public final class SnapshotBuilder {
   /** Open jobs that are explained and listed; those first in the queue, then those that run. */
   public static final int MOST_JOBS = 1_000;
 
-  private final Ledger ledger;
-  private final Supply supply;
-  private final Names zones;
-  private final Explainer explainer;
+  private final SchedulerState ledger;
+  private final AutoscalerView supply;
+  private final NameIndex zones;
+  private final PendingReasonExplainer explainer;
   private final List<JobLine> jobs = new ArrayList<>();
   private long now;
   private int lined;
 
   /** Over one term's decisions. */
-  public Sketch(Ledger ledger, Supply supply, Names zones, Explainer explainer) {
+  public SnapshotBuilder(
+      SchedulerState ledger,
+      AutoscalerView supply,
+      NameIndex zones,
+      PendingReasonExplainer explainer) {
     this.ledger = ledger;
     this.supply = supply;
     this.zones = zones;
@@ -52,19 +56,21 @@
     explainer.begin(at);
   }
 
-  /** True when all is explained; else to be called again, see {@link Explainer#step}. */
+  /**
+   * True when all is explained; else to be called again, see {@link PendingReasonExplainer#step}.
+   */
   public boolean step(int questions) {
     boolean over = explainer.step(questions, MOST_JOBS);
     List<Job> all = explainer.jobs();
     for (; lined < explainer.explained(); lined++) {
       Job j = all.get(lined);
-      Finding f = explainer.finding(j);
+      PendingReason f = explainer.finding(j);
       jobs.add(line(j, f));
     }
     return over;
   }
 
-  private JobLine line(Job j, Finding f) {
+  private JobLine line(Job j, PendingReason f) {
     double ageS = seconds(now - j.submittedMs());
     double due = j.spec.dueS();
     return new JobLine(
@@ -110,7 +116,7 @@
 
   /** Waiting tasks alike in team, class and reason, most tasks first. */
   public List<ReasonLine> reasons() {
-    return Reasons.of(jobs);
+    return PendingCauseSummary.of(jobs);
   }
 
   /** The teams in the order of the settings. */
@@ -176,9 +182,9 @@
       s.machines++;
       s.empty += m.empty() ? 1 : 0;
       s.doubted += m.health.doubted() ? 1 : 0;
-      Ledger.Refusal no = ledger.unfit(m, now);
+      SchedulerState.Refusal no = ledger.unfit(m, now);
       s.silent += explainer.unheard(m, now) ? 1 : 0;
-      s.leaving += no == Ledger.Refusal.LEAVING ? 1 : 0;
+      s.leaving += no == SchedulerState.Refusal.LEAVING ? 1 : 0;
       s.booked += m.type.cpus() - m.freeCpus();
     }
     for (Coming c : supply.coming(now)) {
@@ -231,27 +237,27 @@
   }
 
   /** One job's tasks and where they are; its line is of the newest explanation, or null. */
-  public JobPicture job(String id, long at) {
+  public JobSnapshot job(String id, long at) {
     Job job = ledger.job(id);
     if (job == null) {
-      return new JobPicture(id, null, "", List.of(), 0);
+      return new JobSnapshot(id, null, "", List.of(), 0);
     }
     now = at;
-    Finding f = explainer.only(job, at);
-    List<JobPicture.TaskLine> tasks = new ArrayList<>();
+    PendingReason f = explainer.only(job, at);
+    List<JobSnapshot.TaskLine> tasks = new ArrayList<>();
     int left = 0;
     for (int t = 0; t < job.spec.tasks(); t++) {
       Attempt a = job.live(t);
       if (a == null) {
         continue;
       }
-      if (tasks.size() == JobPicture.MOST) {
+      if (tasks.size() == JobSnapshot.MOST) {
         left++;
         continue;
       }
       Machine m = a.machine;
       tasks.add(
-          new JobPicture.TaskLine(
+          new JobSnapshot.TaskLine(
               t,
               a.number,
               a.phase.name().toLowerCase(Locale.ROOT),
@@ -263,6 +269,6 @@
               a.stopping(),
               seconds(at - a.sinceMs)));
     }
-    return new JobPicture(id, line(job, f), f == null ? "" : f.reason().remedy(), tasks, left);
+    return new JobSnapshot(id, line(job, f), f == null ? "" : f.reason().remedy(), tasks, left);
   }
 }
--- a/src/main/java/org/mallowroad/core/fold/Claims.java
+++ b/src/main/java/org/mallowroad/core/fold/Claims.java
@@ -34,13 +34,13 @@
 
   private final String job;
   private final Map<BlockKey, Block> read;
-  private final Function<String, Fate> fates;
+  private final Function<String, JobOutcome> fates;
   private final Map<BlockKey, Block> changed = new TreeMap<>();
   private final Set<String> asks = new TreeSet<>();
   private String refused;
   private String waits;
 
-  private Claims(String job, Map<BlockKey, Block> read, Function<String, Fate> fates) {
+  private Claims(String job, Map<BlockKey, Block> read, Function<String, JobOutcome> fates) {
     this.job = job;
     this.read = read;
     this.fates = fates;
@@ -53,7 +53,7 @@
    * @param fates what is known of a job; null where nobody has asked
    */
   public static Outcome decide(
-      String job, List<Game> games, Map<BlockKey, Block> read, Function<String, Fate> fates) {
+      String job, List<Game> games, Map<BlockKey, Block> read, Function<String, JobOutcome> fates) {
     return new Claims(job, read, fates).all(games);
   }
 
@@ -80,7 +80,7 @@
       return; // Claimed by an earlier try of the same submission.
     }
     if (now != null && !now.settled()) {
-      Fate fate = fates.apply(now.job());
+      JobOutcome fate = fates.apply(now.job());
       if (fate == null) {
         asks.add(now.job());
         return;
@@ -118,7 +118,7 @@
    * when there are none. Only for a job that can never be done any more.
    */
   public static Block without(Block block, String job) {
-    return rewritten(block, f -> f.job().equals(job) ? Fate.CANCELLED : null);
+    return rewritten(block, f -> f.job().equals(job) ? JobOutcome.CANCELLED : null);
   }
 
   /**
@@ -126,18 +126,18 @@
    * ones claimed is gone; the same object when nothing is. What a side means is not changed by it,
    * since it follows from final fates alone: so it may be done at any time, by anybody, or never.
    */
-  public static Block settled(Block block, Function<String, Fate> fates) {
+  public static Block settled(Block block, Function<String, JobOutcome> fates) {
     return rewritten(block, f -> fates.apply(f.job()));
   }
 
-  private static Block rewritten(Block block, Function<Fold, Fate> fates) {
+  private static Block rewritten(Block block, Function<Fold, JobOutcome> fates) {
     Block out = block;
     for (Map.Entry<Block.Side, Fold> e : List.copyOf(block.sides().entrySet())) {
       Fold f = e.getValue();
-      Fate fate = f.settled() ? null : fates.apply(f);
-      if (fate == Fate.DONE || fate == Fate.CANCELLED) {
+      JobOutcome fate = f.settled() ? null : fates.apply(f);
+      if (fate == JobOutcome.DONE || fate == JobOutcome.CANCELLED) {
         out = out == block ? block.copy() : out;
-        out.set(e.getKey(), fate == Fate.DONE ? f.asSettled() : f.base());
+        out.set(e.getKey(), fate == JobOutcome.DONE ? f.asSettled() : f.base());
       }
     }
     return out;
--- a/src/main/java/org/mallowroad/core/fold/Fate.java
+++ b/src/main/java/org/mallowroad/core/fold/JobOutcome.java
@@ -1,7 +1,7 @@
 package org.mallowroad.core.fold;
 
 /** What has become of a job that a side of a game names. */
-public enum Fate {
+public enum JobOutcome {
   /** Its submission is not accepted yet: it may be, or be undone. */
   CLAIMING,
   /** Accepted, not over. */
--- a/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
+++ b/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
@@ -28,7 +28,7 @@
   private final RoaringBitmap released = new RoaringBitmap();
 
   /** Takes a block anew; what is not in it any more and was there before is released. */
-  public void take(int index, Block block, Function<String, Fate> fates) {
+  public void take(int index, Block block, Function<String, JobOutcome> fates) {
     int from = index * Block.GAMES;
     RoaringBitmap before = new RoaringBitmap();
     before.add((long) from, (long) from + Block.GAMES);
@@ -40,10 +40,10 @@
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
       int game = from + e.getKey().game();
       Fold f = e.getValue();
-      Fate fate = f.settled() ? Fate.DONE : fates.apply(f.job());
-      if (fate == Fate.DONE) {
+      JobOutcome fate = f.settled() ? JobOutcome.DONE : fates.apply(f.job());
+      if (fate == JobOutcome.DONE) {
         folded.add(game);
-      } else if (fate == Fate.CANCELLED) {
+      } else if (fate == JobOutcome.CANCELLED) {
         (f.base() == null ? released : folded).add(game);
       } else {
         claimed.add(game);
--- a/src/main/java/org/mallowroad/core/gang/Gathering.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Rent;
-import org.mallowroad.core.Fleet.Variant;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Rent;
+import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Room;
+import org.mallowroad.core.ResourceVector;
+import org.mallowroad.core.SchedulerState;
 
 /**
  * Holds room for gangs until all of a gang's tasks can start at once.
@@ -27,7 +27,8 @@
  * that comes free one machine after the other goes to whatever fits there. So a gang that waits
  * gathers: in one zone where its tasks must be together, else in the whole fleet. A machine held
  * for it takes nothing else, and what is lacking is rented once, in that place. The rules are kept
- * elsewhere: a held machine is a machine on which {@link Ledger#mayStart} refuses others, no more.
+ * elsewhere: a held machine is a machine on which {@link SchedulerState#mayStart} refuses others,
+ * no more.
  *
  * <p><b>No deadlock, no rents without end.</b> In a zone one gang gathers at a time, and one more
  * in the whole fleet; a machine is held for one gang. A gathering ends when the gang starts, when
@@ -41,7 +42,7 @@
  * <p>It holds for one term: a leader that follows begins anew, with the place where most of the
  * room is; machines that were rented for a gang are known by their records ({@code Coming#gang}).
  */
-public final class Gathering {
+public final class GangReservations {
   /** A gathering that takes longer is given up. */
   public static final long MOST_MS = 210_000;
 
@@ -122,27 +123,27 @@
   }
 
   /** Until when places are left alone by a gang, and how often one failed it. */
-  private static final class Past {
+  private static final class MetricHistory {
     private final Long2LongOpenHashMap untilMs = new Long2LongOpenHashMap();
     private int failures;
     private int zone = ANYWHERE;
   }
 
-  private final Ledger ledger;
+  private final SchedulerState ledger;
   private final Reference2ObjectLinkedOpenHashMap<Job, Gather> gathers =
       new Reference2ObjectLinkedOpenHashMap<>();
-  private final Reference2ObjectLinkedOpenHashMap<Job, Past> pasts =
+  private final Reference2ObjectLinkedOpenHashMap<Job, MetricHistory> pasts =
       new Reference2ObjectLinkedOpenHashMap<>();
   private final Long2LongOpenHashMap refusedUntil = new Long2LongOpenHashMap();
   private final Long2ObjectOpenHashMap<long[]> ceilings = new Long2ObjectOpenHashMap<>();
   private List<MachineType> types = List.of();
   private final List<Change> changes = new ArrayList<>();
-  private final Losses losses = new Losses();
+  private final SpotInterruptionRate losses = new SpotInterruptionRate();
   private long looked;
   private long clock;
 
   /** Over one term's ledger. */
-  public Gathering(Ledger ledger) {
+  public GangReservations(SchedulerState ledger) {
     this.ledger = ledger;
   }
 
@@ -162,7 +163,7 @@
     if (g != null) {
       return new State(g.zone, g.places, need(job), g.rented, g.sinceMs + MOST_MS, false);
     }
-    Past p = pasts.get(job);
+    MetricHistory p = pasts.get(job);
     if (p == null || p.failures == 0) {
       return null;
     }
@@ -222,7 +223,7 @@
       return null; // The fleet's first cycle tells what can be rented.
     }
     clock = now;
-    Past past = pasts.computeIfAbsent(job, j -> new Past());
+    MetricHistory past = pasts.computeIfAbsent(job, j -> new MetricHistory());
     int best = Integer.MIN_VALUE;
     long bestAt = Long.MAX_VALUE;
     int bestNear = -1;
@@ -370,7 +371,7 @@
   }
 
   private Option option(Job job, Machine m, long now, long byMs) {
-    Room room = m.room();
+    ResourceVector room = m.room();
     int most = need(job);
     int holds = room.holds(job.spec, most);
     long at = now;
@@ -567,7 +568,7 @@
   }
 
   private void fail(Gather g, long now) {
-    Past p = pasts.computeIfAbsent(g.job, j -> new Past());
+    MetricHistory p = pasts.computeIfAbsent(g.job, j -> new MetricHistory());
     p.zone = g.zone;
     long wait = Math.min(MOST_BACKOFF_MS, BACKOFF_MS << Math.min(8, p.failures));
     p.failures++;
--- a/src/main/java/org/mallowroad/core/gang/Losses.java
+++ b/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
@@ -7,7 +7,7 @@
  * How often the cloud takes spot machines, by what was seen in this term: notices against the hours
  * that such machines were there. A gang's tasks run only together, so the loss of one repeats all.
  */
-final class Losses {
+final class SpotInterruptionRate {
   /** Before anything is seen: one loss in so many hours of a machine. */
   private static final double PRIOR_HOURS = 1;
 
--- a/src/main/java/org/mallowroad/core/health/Silence.java
+++ b/src/main/java/org/mallowroad/core/health/FailureDetector.java
@@ -15,7 +15,7 @@
  * <p>Machines are kept in the order in which they were last heard, so a judgement costs the late
  * ones only.
  */
-public final class Silence {
+public final class FailureDetector {
   /** A worker that must look for the leader first: time-out of its report, and the way. */
   private static final long SEARCH_MS = 2_500;
 
@@ -49,7 +49,7 @@
   private long looked;
 
   /** For workers that report every {@code reportS}, give or take a quarter. */
-  public Silence(int zones, double reportS, HealthPolicy policy, long now) {
+  public FailureDetector(int zones, double reportS, HealthPolicy policy, long now) {
     this.policy = policy;
     this.reportMs = (long) (reportS * 1000);
     this.lateMs = (long) (reportS * 1250) + 500;
--- a/src/main/java/org/mallowroad/core/health/Health.java
+++ b/src/main/java/org/mallowroad/core/health/Health.java
@@ -15,9 +15,9 @@
   public record Change(MachineHealth machine, MachineHealth.Doubt doubt, double pace) {}
 
   private final HealthPolicy policy;
-  private final Silence silence;
-  private final StandStill still;
-  private final RunTimes runTimes;
+  private final FailureDetector silence;
+  private final PauseDetector still;
+  private final StragglerDetector runTimes;
   private final List<Change> changes = new ArrayList<>();
   private long unlogged;
   private int fleet;
@@ -25,9 +25,9 @@
   /** For workers of so many zones that report every {@code reportS}. */
   public Health(HealthPolicy policy, int zones, double reportS, long now) {
     this.policy = policy;
-    this.silence = new Silence(zones, reportS, policy, now);
-    this.still = new StandStill(policy.stillMs(), now);
-    this.runTimes = new RunTimes(policy);
+    this.silence = new FailureDetector(zones, reportS, policy, now);
+    this.still = new PauseDetector(policy.stillMs(), now);
+    this.runTimes = new StragglerDetector(policy);
   }
 
   /** The thresholds. */
@@ -36,17 +36,17 @@
   }
 
   /** Who has not been heard. */
-  public Silence silence() {
+  public FailureDetector silence() {
     return silence;
   }
 
   /** Whether this process itself stood still. */
-  public StandStill still() {
+  public PauseDetector still() {
     return still;
   }
 
   /** Who is slow or faulty. */
-  public RunTimes runTimes() {
+  public StragglerDetector runTimes() {
     return runTimes;
   }
 
@@ -75,7 +75,7 @@
 
   /** A task ended well. */
   public void finished(
-      MachineHealth m, Peers job, int taskClass, long ranMs, double estimateS, long now) {
+      MachineHealth m, RunTimeBaseline job, int taskClass, long ranMs, double estimateS, long now) {
     if (runTimes.finished(m, job, taskClass, ranMs, estimateS, fleet, now)) {
       changed(m);
     }
--- a/src/main/java/org/mallowroad/core/health/MachineHealth.java
+++ b/src/main/java/org/mallowroad/core/health/MachineHealth.java
@@ -25,7 +25,7 @@
   final int zone;
   final double[] excess = new double[SAMPLES];
   final IntOpenHashSet errorJobs = new IntOpenHashSet(4);
-  private final AnswerDelivery answerDelivery = new AnswerDelivery();
+  private final OutboundReachability answerDelivery = new OutboundReachability();
   int samples;
   int overdue;
   long heardMs;
@@ -40,7 +40,7 @@
   }
 
   /** Whether what is said to it reaches it. */
-  public AnswerDelivery answerDelivery() {
+  public OutboundReachability answerDelivery() {
     return answerDelivery;
   }
 
--- a/src/main/java/org/mallowroad/core/health/AnswerDelivery.java
+++ b/src/main/java/org/mallowroad/core/health/OutboundReachability.java
@@ -7,7 +7,7 @@
  * answer carried is not in them, launches that were in one are not listed, and a session ends
  * although its reports were answered. Evidence only: it frees nothing.
  */
-public final class AnswerDelivery {
+public final class OutboundReachability {
   /** So many reports in a row that do not know what the answers before them said. */
   static final int MISSED = 3;
 
--- a/src/main/java/org/mallowroad/core/health/StandStill.java
+++ b/src/main/java/org/mallowroad/core/health/PauseDetector.java
@@ -9,7 +9,7 @@
  * is a standstill. What is read until two beats later may have waited through it, so {@link #heard}
  * dates it to the beginning; and silence counts from its end at the earliest ({@link #since}).
  */
-public final class StandStill {
+public final class PauseDetector {
   /** Beats of the loop after which what had waited in the sockets has been read. */
   private static final int SETTLE_BEATS = 2;
 
@@ -22,7 +22,7 @@
   private long longestMs;
 
   /** A gap of more than {@code limitMs} between two turns counts; the first turn is now. */
-  public StandStill(long limitMs, long now) {
+  public PauseDetector(long limitMs, long now) {
     this.limitMs = limitMs;
     this.lastMs = now;
     this.fromMs = now;
--- a/src/main/java/org/mallowroad/core/health/Peers.java
+++ b/src/main/java/org/mallowroad/core/health/RunTimeBaseline.java
@@ -4,7 +4,7 @@
  * How long comparable tasks took, as logarithms of run time by estimate: of one job, whose tasks
  * resemble each other, or of one class, whose days lean one way. Bounded: the newest few.
  */
-public final class Peers {
+public final class RunTimeBaseline {
   private static final int KEPT = 31;
 
   /** Fewer tasks are no measure. */
@@ -24,7 +24,7 @@
   private boolean stale;
 
   /** The peers of a job of so many tasks. */
-  public Peers(int tasks) {
+  public RunTimeBaseline(int tasks) {
     this.enough = (int) Math.max(ENOUGH, Math.min(KEPT, tasks * PART));
   }
 
--- a/src/main/java/org/mallowroad/core/health/RunTimes.java
+++ b/src/main/java/org/mallowroad/core/health/StragglerDetector.java
@@ -15,7 +15,7 @@
  * may be, since otherwise the day is slow and not the machines; and doubt fades, so that a machine
  * that recovered gets work again and can show it.
  */
-public final class RunTimes {
+public final class StragglerDetector {
   /** Tasks of a class that make it a measure, in thirds. */
   private static final int CLASS_PEERS = 60;
 
@@ -40,13 +40,13 @@
   private static final long FETCH_PATIENCE_MS = 30_000;
 
   private final HealthPolicy policy;
-  private final Int2ObjectOpenHashMap<Peers> classes = new Int2ObjectOpenHashMap<>();
+  private final Int2ObjectOpenHashMap<RunTimeBaseline> classes = new Int2ObjectOpenHashMap<>();
   private final double slow;
   private int doubted;
   private long refused;
 
   /** With the operators' thresholds. */
-  public RunTimes(HealthPolicy policy) {
+  public StragglerDetector(HealthPolicy policy) {
     this.policy = policy;
     this.slow = Math.log(policy.slowFactor());
   }
@@ -79,8 +79,8 @@
    * for the spread of its peers; not a number while nothing is known. A class is a poor measure:
    * each owner errs in a way of their own, so its spread is wide.
    */
-  private double fair(Peers job, int taskClass) {
-    Peers measure = job.enough() ? job : classes.get(taskClass);
+  private double fair(RunTimeBaseline job, int taskClass) {
+    RunTimeBaseline measure = job.enough() ? job : classes.get(taskClass);
     return measure == null || !measure.enough()
         ? Double.NaN
         : measure.median() + Math.max(0, SPREADS * measure.spread() - slow);
@@ -93,7 +93,7 @@
    */
   public boolean finished(
       MachineHealth m,
-      Peers job,
+      RunTimeBaseline job,
       int taskClass,
       long ranMs,
       double estimateS,
@@ -102,9 +102,9 @@
     double x = Math.log(Math.max(1, ranMs) / 1000.0 / Math.max(0.1, estimateS));
     double fair = fair(job, taskClass);
     job.add(x);
-    Peers all = classes.get(taskClass);
+    RunTimeBaseline all = classes.get(taskClass);
     if (all == null && classes.size() < MOST_CLASSES) {
-      all = new Peers(CLASS_PEERS);
+      all = new RunTimeBaseline(CLASS_PEERS);
       classes.put(taskClass, all);
     }
     if (all != null) {
@@ -131,7 +131,7 @@
   }
 
   /** True when a task that has run so long counts as overdue: only its own job can say so. */
-  public boolean late(Peers job, long ranMs, double estimateS) {
+  public boolean late(RunTimeBaseline job, long ranMs, double estimateS) {
     return job.enough() && ranMs > 2_000 + 1000 * estimateS * LATE * Math.exp(slow + fair(job, 0));
   }
 
--- a/src/main/java/org/mallowroad/core/fetch/Stages.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.fetch;
+package org.mallowroad.core.image;
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Reference2IntOpenHashMap;
@@ -30,7 +30,7 @@
  * rests on it; a giver that dies, evicts or was never one costs its taker a try, since the worker
  * falls back to the source by itself.
  */
-public final class Stages {
+public final class ImageDistribution {
   /** Givers named in a launch. */
   static final int MOST_GIVERS = 3;
 
@@ -50,12 +50,12 @@
   }
 
   /** One machine's fetch of one image, whatever the number of tasks that wait for it. */
-  private static final class Fetch {
+  private static final class BoundedHttpGet {
     private final long sinceMs;
     private final List<Machine> givers;
     private int tasks;
 
-    Fetch(long sinceMs, List<Machine> givers) {
+    BoundedHttpGet(long sinceMs, List<Machine> givers) {
       this.sinceMs = sinceMs;
       this.givers = givers;
     }
@@ -63,7 +63,7 @@
 
   private static final class Wave {
     private final ReferenceLinkedOpenHashSet<Machine> holders = new ReferenceLinkedOpenHashSet<>();
-    private final Reference2ObjectLinkedOpenHashMap<Machine, Fetch> fetching =
+    private final Reference2ObjectLinkedOpenHashMap<Machine, BoundedHttpGet> fetching =
         new Reference2ObjectLinkedOpenHashMap<>();
     private final int[] across;
 
@@ -72,7 +72,7 @@
     }
   }
 
-  private final FetchPolicy policy;
+  private final ImageFetchPolicy policy;
   private final int zones;
   private final Int2ObjectLinkedOpenHashMap<Wave> waves = new Int2ObjectLinkedOpenHashMap<>();
   private final Reference2IntOpenHashMap<Machine> takers = new Reference2IntOpenHashMap<>();
@@ -85,7 +85,7 @@
   private double gb;
 
   /** Over a term's machines. */
-  public Stages(FetchPolicy policy, int zones) {
+  public ImageDistribution(ImageFetchPolicy policy, int zones) {
     this.policy = policy;
     this.zones = zones;
   }
@@ -127,13 +127,13 @@
       return;
     }
     Wave w = wave(s.image());
-    Fetch f = w.fetching.get(a.machine);
+    BoundedHttpGet f = w.fetching.get(a.machine);
     if (f == null) {
       if (w.holders.contains(a.machine) || cached) {
         return;
       }
       List<Machine> from = givers(w, a.machine, fit);
-      f = new Fetch(now, from);
+      f = new BoundedHttpGet(now, from);
       w.fetching.put(a.machine, f);
       fetches.addTo(a.machine, 1);
       begun++;
@@ -156,9 +156,9 @@
       return;
     }
     Wave w = wave(s.image());
-    Fetch f = w.fetching.get(a.machine);
+    BoundedHttpGet f = w.fetching.get(a.machine);
     if (f == null && !w.holders.contains(a.machine)) {
-      f = new Fetch(now, List.of());
+      f = new BoundedHttpGet(now, List.of());
       w.fetching.put(a.machine, f);
       fetches.addTo(a.machine, 1);
       fromSource++;
@@ -180,7 +180,7 @@
   /** The addresses that a launch names: certain holders for a worker that can take from them. */
   public List<String> givers(Attempt a) {
     Wave w = waves.get(a.job.spec.image());
-    Fetch f = w == null ? null : w.fetching.get(a.machine);
+    BoundedHttpGet f = w == null ? null : w.fetching.get(a.machine);
     if (f == null || f.givers.isEmpty()) {
       return List.of();
     }
@@ -246,7 +246,7 @@
   /** An attempt is gone; a fetch for which no task waits any more is given up. */
   public void gone(Attempt a) {
     Wave w = waves.get(a.job.spec.image());
-    Fetch f = w == null ? null : w.fetching.get(a.machine);
+    BoundedHttpGet f = w == null ? null : w.fetching.get(a.machine);
     if (f != null && --f.tasks <= 0) {
       over(w, a.machine);
     }
@@ -254,7 +254,7 @@
   }
 
   private void over(Wave w, Machine m) {
-    Fetch f = w.fetching.remove(m);
+    BoundedHttpGet f = w.fetching.remove(m);
     if (f == null) {
       return;
     }
--- a/src/main/java/org/mallowroad/core/fetch/FetchPolicy.java
+++ b/src/main/java/org/mallowroad/core/image/ImageFetchPolicy.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.fetch;
+package org.mallowroad.core.image;
 
 /**
  * The operators' limits on fetches of images.
@@ -10,12 +10,12 @@
  *     own holds it
  * @param leastGb smaller images are not worth a thought
  */
-public record FetchPolicy(int source, int machine, int takers, int across, double leastGb) {
+public record ImageFetchPolicy(int source, int machine, int takers, int across, double leastGb) {
   /**
    * No limits; each holder hands on to one taker at a time: at the same rate out as in, that
    * doubles the holders in the time of a fetch, and two takers only triple them in twice that time.
    */
-  public static FetchPolicy defaults() {
-    return new FetchPolicy(0, 0, 1, 2, 1.0);
+  public static ImageFetchPolicy defaults() {
+    return new ImageFetchPolicy(0, 0, 1, 2, 1.0);
   }
 }
--- a/src/main/java/org/mallowroad/core/links/Outside.java
+++ b/src/main/java/org/mallowroad/core/linkstate/ExternalService.java
@@ -1,7 +1,7 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 /** Parties that a call can also reach by way of another controller. */
-public enum Outside {
+public enum ExternalService {
   /** The state service. */
   STATE,
   /** The cloud. */
--- a/src/main/java/org/mallowroad/core/links/Carriage.java
+++ b/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.Arrays;
@@ -12,7 +12,7 @@
  * hears a zone's workers itself, the others follow, a bounded number at a time. One that comes back
  * is kept twice as long.
  */
-public final class Carriage {
+public final class HeartbeatRelay {
   /** Workers that are remembered; the oldest are forgotten, and begin anew. */
   static final int MOST = 4_000;
 
@@ -45,7 +45,7 @@
   }
 
   /** For a number of zones. */
-  public Carriage(LinkPolicy policy, int zones) {
+  public HeartbeatRelay(LinkPolicy policy, int zones) {
     this.policy = policy;
     this.canaryMs = new long[zones];
     this.returnedMs = new long[zones];
--- a/src/main/java/org/mallowroad/core/links/Link.java
+++ b/src/main/java/org/mallowroad/core/linkstate/Link.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 /**
  * One link as its own end sees it. A use counts by when it was sent: an answer may have waited in a
--- a/src/main/java/org/mallowroad/core/links/LinkPolicy.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkPolicy.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 /**
  * The operators' values for links.
--- a/src/main/java/org/mallowroad/core/links/Row.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 import java.util.List;
 
@@ -15,7 +15,7 @@
  * @param peers the controllers it reaches
  * @param zones when it last heard the workers, by zone
  */
-public record Row(
+public record LinkStateAdvertisement(
     String node,
     long started,
     long seq,
@@ -29,7 +29,7 @@
   public static final int MOST = 256;
 
   /** Bounds the lists. */
-  public Row {
+  public LinkStateAdvertisement {
     peers = List.copyOf(peers.subList(0, Math.min(MOST, peers.size())));
     zones = List.copyOf(zones.subList(0, Math.min(MOST, zones.size())));
   }
@@ -43,13 +43,13 @@
   public record Heard(String zone, long directMs, long carriedMs) {}
 
   /** True when it is newer than another of the same node. */
-  boolean newer(Row other) {
+  boolean newer(LinkStateAdvertisement other) {
     return started != other.started ? started > other.started : seq > other.seq;
   }
 
   /** Age of its newest use of an outside party; -1: cut. */
-  long ageMs(Outside party) {
-    return party == Outside.STATE ? stateMs : cloudMs;
+  long ageMs(ExternalService party) {
+    return party == ExternalService.STATE ? stateMs : cloudMs;
   }
 
   /** What it said of a zone's workers, or null. */
--- a/src/main/java/org/mallowroad/core/links/Links.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
@@ -12,7 +12,7 @@
  * send. Peers and zones are dense indices here; what a row says about names that this node does not
  * know is left out.
  */
-public final class Links {
+public final class LinkStateTable {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   /** Changes that wait to be logged; more are counted only. */
@@ -23,11 +23,11 @@
   private final List<String> peers;
   private final List<String> zones;
   private long started;
-  private final Link[] outside = new Link[Outside.values().length];
+  private final Link[] outside = new Link[ExternalService.values().length];
   private final Link[] toPeer;
   private final long[] directMs;
   private final long[] carriedMs;
-  private final Row[] rows;
+  private final LinkStateAdvertisement[] rows;
   private final long[] rowMs;
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
   private long leftOut;
@@ -42,7 +42,7 @@
   public record Change(String from, String to, boolean down, long sinceMs, String by) {}
 
   /** The links of a node that began at {@code started} by the time of day. */
-  public Links(
+  public LinkStateTable(
       LinkPolicy policy,
       String node,
       List<String> peers,
@@ -61,7 +61,7 @@
     this.carriedMs = new long[zones.size()];
     Arrays.fill(directMs, NEVER);
     Arrays.fill(carriedMs, NEVER);
-    this.rows = new Row[peers.size()];
+    this.rows = new LinkStateAdvertisement[peers.size()];
     this.rowMs = new long[peers.size()];
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** A call of this node to an outside party went its own way and worked, or did not. */
-  public void used(Outside party, boolean worked, long sentMs, long now) {
+  public void used(ExternalService party, boolean worked, long sentMs, long now) {
     note(
         outside[party.ordinal()],
         party.name().toLowerCase(java.util.Locale.ROOT),
@@ -115,14 +115,14 @@
   }
 
   /** A peer's row came; false when it is of an unknown node or older than what is known. */
-  public boolean row(Row row, long now) {
+  public boolean row(LinkStateAdvertisement row, long now) {
     int p = peer(row.node());
     if (p < 0 || (rows[p] != null && !row.newer(rows[p]))) {
       return false;
     }
-    Row old = rows[p];
+    LinkStateAdvertisement old = rows[p];
     if (old != null) {
-      for (Outside o : Outside.values()) {
+      for (ExternalService o : ExternalService.values()) {
         boolean was = old.ageMs(o) >= 0;
         if (was != row.ageMs(o) >= 0) {
           String to = o.name().toLowerCase(java.util.Locale.ROOT);
@@ -173,18 +173,20 @@
   }
 
   /** This node's row. */
-  public Row own(long term, boolean leading, long now) {
+  public LinkStateAdvertisement own(long term, boolean leading, long now) {
     List<String> reached = new ArrayList<>();
     for (int p = 0; p < toPeer.length; p++) {
       if (toPeer[p].ageMs(now) >= 0) {
         reached.add(peers.get(p));
       }
     }
-    List<Row.Heard> heard = new ArrayList<>();
+    List<LinkStateAdvertisement.Heard> heard = new ArrayList<>();
     for (int z = 0; z < zones.size(); z++) {
-      heard.add(new Row.Heard(zones.get(z), age(directMs[z], now), age(carriedMs[z], now)));
+      heard.add(
+          new LinkStateAdvertisement.Heard(
+              zones.get(z), age(directMs[z], now), age(carriedMs[z], now)));
     }
-    return new Row(
+    return new LinkStateAdvertisement(
         node,
         started,
         ++seq,
@@ -201,17 +203,17 @@
   }
 
   /** True when the newest sign of this node's own link to the party is a failure. */
-  public boolean down(Outside party) {
+  public boolean down(ExternalService party) {
     return outside[party.ordinal()].down();
   }
 
   /** Since when this node's own link to the party is as it is. */
-  public long sinceMs(Outside party) {
+  public long sinceMs(ExternalService party) {
     return outside[party.ordinal()].changedMs();
   }
 
   /** Age of the newest use of an outside party that worked; -1 while down or before the first. */
-  public long ageMs(Outside party, long now) {
+  public long ageMs(ExternalService party, long now) {
     return outside[party.ordinal()].ageMs(now);
   }
 
@@ -221,7 +223,7 @@
   }
 
   /** A peer's newest row, while it is fresh, else null. */
-  public Row fresh(int peer, long now) {
+  public LinkStateAdvertisement fresh(int peer, long now) {
     return rows[peer] != null && now - rowMs[peer] <= policy.freshMs() ? rows[peer] : null;
   }
 
@@ -235,7 +237,7 @@
   }
 
   /** Peers that are reached and say that they reach the party by their own link. */
-  public IntList reaching(Outside party, long now) {
+  public IntList reaching(ExternalService party, long now) {
     IntList out = new IntArrayList();
     for (int p = 0; p < rows.length; p++) {
       if (reaches(p, party, now)) {
@@ -246,8 +248,8 @@
   }
 
   /** True when the peer is reached and said a moment ago that it reaches the party. */
-  public boolean reaches(int peer, Outside party, long now) {
-    Row r = fresh(peer, now);
+  public boolean reaches(int peer, ExternalService party, long now) {
+    LinkStateAdvertisement r = fresh(peer, now);
     return r != null
         && !toPeer[peer].down()
         && r.ageMs(party) >= 0
--- a/src/main/java/org/mallowroad/core/links/Route.java
+++ b/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 import it.unimi.dsi.fastutil.ints.IntList;
 
@@ -10,7 +10,7 @@
  * needs the direct way to have worked for a while, twice as long after each relapse within a
  * minute, so that a link that is up and down every few seconds does not drag the calls to and fro.
  */
-public final class Route {
+public final class RouteSelector {
   /** The direct way. */
   public static final int DIRECT = -1;
 
@@ -18,8 +18,8 @@
   private static final long RELAPSE_MS = 60_000;
   private static final int MOST_DOUBLINGS = 4;
 
-  private final Links links;
-  private final Outside party;
+  private final LinkStateTable links;
+  private final ExternalService party;
   private boolean astray;
   private int via = DIRECT;
   private long goodSinceMs = -1;
@@ -30,7 +30,7 @@
   private long detours;
 
   /** For calls to a party. */
-  public Route(Links links, Outside party) {
+  public RouteSelector(LinkStateTable links, ExternalService party) {
     this.links = links;
     this.party = party;
   }
--- a/src/main/java/org/mallowroad/core/links/package-info.java
+++ b/src/main/java/org/mallowroad/core/linkstate/package-info.java
@@ -3,4 +3,4 @@
  * no I/O, no clock. Nothing here proves anything about a task: a wrong guess costs a detour or a
  * few seconds, never a rule (docs/links.md).
  */
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
--- a/src/main/java/org/mallowroad/election/Election.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
-import org.mallowroad.core.Term;
-import org.mallowroad.net.Loop;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
+import org.mallowroad.core.FencingTokens;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,7 +17,7 @@
  * rises in the same transaction. Whoever writes as leader puts the mark of {@code leader} into the
  * conditions, so a deposed leader's writes fail whatever it believes.
  */
-public final class Election {
+public final class LeaderElection {
   /** The key that names the leader. */
   public static final String LEADER = "leader";
 
@@ -27,7 +27,7 @@
   /** The field of the leader's record that names its lease. */
   private static final String LEASE = "lease";
 
-  private static final Logger LOG = LoggerFactory.getLogger(Election.class);
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
   private static final long LIFE_MS = 3_000;
   private static final long RENEW_MS = 700;
   private static final long RENEW_TIMEOUT_MS = 1_000;
@@ -45,8 +45,8 @@
   /** Two processes under one name, by mistake, must not depose each other for ever. */
   private static final int MOST_RELEASES = 8;
 
-  private final Loop loop;
-  private final StateStore state;
+  private final EventLoop loop;
+  private final KeyValueStore state;
   private final String node;
   private final Listener listener;
   private final SplittableRandom random;
@@ -69,7 +69,7 @@
 
   private int releases;
   private long yieldUntilMs = Long.MIN_VALUE;
-  private Loop.Timer renewal;
+  private EventLoop.Timer renewal;
 
   /** Told of this node's own leadership. */
   public interface Listener {
@@ -85,9 +85,9 @@
    *
    * @param handicapMs how long this node lets others go first, since they would serve better
    */
-  public Election(
-      Loop loop,
-      StateStore state,
+  public LeaderElection(
+      EventLoop loop,
+      KeyValueStore state,
       String node,
       long seed,
       LongSupplier handicapMs,
@@ -159,7 +159,7 @@
             return;
           }
           boolean absent = false;
-          for (StateStore.Item e : events) {
+          for (KeyValueStore.VersionedValue e : events) {
             if (e.key().equals(LEADER)) {
               saw(e.value(), e.mark());
               absent = e.value() == null;
@@ -246,7 +246,7 @@
         });
   }
 
-  private void run(long id, long newTerm, StateStore.Item before, long sent) {
+  private void run(long id, long newTerm, KeyValueStore.VersionedValue before, long sent) {
     ObjectNode who = org.mallowroad.wire.Json.object();
     who.put("node", node);
     who.put("term", newTerm);
@@ -254,10 +254,14 @@
     who.put(LEASE, id);
     ObjectNode count = org.mallowroad.wire.Json.object();
     // The last token of the term's block: the next term is above all of them, whoever reads this.
-    count.put("n", Term.last(newTerm));
+    count.put("n", FencingTokens.last(newTerm));
     standing = id;
-    Txn txn =
-        new Txn().given(LEADER, 0).given(TERM, before.mark()).put(LEADER, who, id).put(TERM, count);
+    Transaction txn =
+        new Transaction()
+            .given(LEADER, 0)
+            .given(TERM, before.mark())
+            .put(LEADER, who, id)
+            .put(TERM, count);
     state.run(
         txn,
         (result, revision, failed) -> {
@@ -395,7 +399,7 @@
   /** Another node made its term known: a node cut from the state service hears it here first. */
   public void announced(String other, long otherTerm) {
     // Tokens of the same term may have been seen; those of a later one say that it is over.
-    if (Term.last(otherTerm) >= seenTerm()) {
+    if (FencingTokens.last(otherTerm) >= seenTerm()) {
       sawTerm(otherTerm);
       if (!leading) {
         leader = other;
@@ -407,7 +411,7 @@
   /** A token was seen in a message: one beyond this node's own term ends its leadership. */
   public void sawTerm(long other) {
     seenTerm = Math.max(seenTerm, other);
-    if (leading && other > Term.last(term)) {
+    if (leading && other > FencingTokens.last(term)) {
       stepDown();
     }
   }
--- a/src/main/java/org/mallowroad/standin/CloudStandIn.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -1,4 +1,4 @@
-package org.mallowroad.standin;
+package org.mallowroad.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -16,18 +16,18 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** A cloud; each of its machines is a thread with a worker that runs tasks. */
-public final class CloudStandIn implements AutoCloseable {
+public final class FakeCloud implements AutoCloseable {
   /** A machine type that it offers. */
   public record Type(
       String name, double cpus, double memGb, double price, double bootS, List<String> zones) {}
 
   private final HttpServer server;
-  private final ExecutorService pool = Executors.newCachedThreadPool(StateStandIn::daemon);
-  private final Map<String, WorkerStandIn> workers = new TreeMap<>();
+  private final ExecutorService pool = Executors.newCachedThreadPool(FakeStateService::daemon);
+  private final Map<String, FakeWorker> workers = new TreeMap<>();
   private final Map<String, ObjectNode> hires = new HashMap<>();
   private final List<String> controllers;
   private final List<Type> types;
@@ -66,12 +66,12 @@
   public volatile long leaseMs = 26_000;
 
   /** One type in two zones; the list of controllers may be filled later. */
-  public CloudStandIn(List<String> controllers) throws IOException {
+  public FakeCloud(List<String> controllers) throws IOException {
     this(controllers, List.of(new Type("small", 4, 16, 1, 1, List.of("a", "b"))));
   }
 
   /** With the given types. */
-  public CloudStandIn(List<String> controllers, List<Type> types) throws IOException {
+  public FakeCloud(List<String> controllers, List<Type> types) throws IOException {
     this.controllers = controllers;
     this.types = types;
     server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 50);
@@ -109,14 +109,14 @@
   @Override
   public synchronized void close() {
     server.stop(0);
-    workers.values().forEach(WorkerStandIn::end);
+    workers.values().forEach(FakeWorker::end);
     pool.shutdownNow();
   }
 
   private void handle(HttpExchange x) throws IOException {
     byte[] body = x.getRequestBody().readAllBytes();
     if (garbled) {
-      StateStandIn.garble(x);
+      FakeStateService.garble(x);
       return;
     }
     ObjectNode o = Json.object();
@@ -143,7 +143,7 @@
           }
           case "POST /machines/delete" -> {
             for (JsonNode n : Json.parseObject(body).path("hearths")) {
-              WorkerStandIn w = workers.remove(n.asText());
+              FakeWorker w = workers.remove(n.asText());
               if (w != null) {
                 w.end();
               }
@@ -152,10 +152,10 @@
           default -> status = 404;
         }
       }
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       status = 400;
     }
-    StateStandIn.send(x, status, o);
+    FakeStateService.send(x, status, o);
   }
 
   private static void type(ObjectNode o, Type t) {
@@ -166,7 +166,7 @@
     t.zones.forEach(zones::add);
   }
 
-  private ObjectNode rented(ObjectNode r) throws BadMessage, IOException {
+  private ObjectNode rented(ObjectNode r) throws InvalidMessageException, IOException {
     String hire = Json.string(r, "hire", 200);
     ObjectNode o = hires.get(hire);
     if (o != null) {
@@ -182,8 +182,8 @@
             .findFirst()
             .orElse(0);
     for (int i = 0; i < r.path("how_many").asInt(); i++) {
-      WorkerStandIn w =
-          new WorkerStandIn(
+      FakeWorker w =
+          new FakeWorker(
               this,
               String.format("n-%06d", ++count),
               type,
--- a/src/main/java/org/mallowroad/standin/StateStandIn.java
+++ b/src/main/java/org/mallowroad/fake/FakeStateService.java
@@ -1,4 +1,4 @@
-package org.mallowroad.standin;
+package org.mallowroad.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.sun.net.httpserver.HttpExchange;
@@ -7,14 +7,14 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** A state service over loopback; it can lose responses, answer garbage and be away. */
-public final class StateStandIn implements AutoCloseable {
-  private final Store store = new Store();
+public final class FakeStateService implements AutoCloseable {
+  private final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
   private final HttpServer server;
-  private final ExecutorService pool = Executors.newCachedThreadPool(StateStandIn::daemon);
+  private final ExecutorService pool = Executors.newCachedThreadPool(FakeStateService::daemon);
   private int transactions;
   private boolean closed;
 
@@ -28,7 +28,7 @@
   public volatile boolean down;
 
   /** Listens on any port of loopback. */
-  public StateStandIn() throws IOException {
+  public FakeStateService() throws IOException {
     server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 50);
     server.setExecutor(pool);
     server.createContext("/", this::handle);
@@ -90,7 +90,7 @@
       } else {
         serve(x, body);
       }
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       send(x, 400, Json.object());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -98,10 +98,10 @@
   }
 
   private void serve(HttpExchange x, byte[] body)
-      throws IOException, BadMessage, InterruptedException {
+      throws IOException, InvalidMessageException, InterruptedException {
     String target = x.getRequestURI().toString();
-    long until = System.currentTimeMillis() + Store.block(target);
-    Store.Answer a;
+    long until = System.currentTimeMillis() + InMemoryKeyValueStore.block(target);
+    InMemoryKeyValueStore.Answer a;
     boolean lost = false;
     synchronized (this) {
       long before = store.revision();
--- a/src/main/java/org/mallowroad/standin/WorkerStandIn.java
+++ b/src/main/java/org/mallowroad/fake/FakeWorker.java
@@ -1,4 +1,4 @@
-package org.mallowroad.standin;
+package org.mallowroad.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -14,15 +14,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** One machine's worker: reports, obeys tokens and its lease, takes direct orders. */
-final class WorkerStandIn implements Runnable {
+final class FakeWorker implements Runnable {
   private static final long REPORT_MS = 100;
 
   final String name;
-  private final CloudStandIn cloud;
+  private final FakeCloud cloud;
   private final String type;
   private final String zone;
   private final boolean spot;
@@ -38,8 +38,7 @@
   private long answeredMs;
   private int at;
 
-  WorkerStandIn(
-      CloudStandIn cloud, String name, String type, String zone, boolean spot, long bootMs)
+  FakeWorker(FakeCloud cloud, String name, String type, String zone, boolean spot, long bootMs)
       throws IOException {
     this.cloud = cloud;
     this.name = name;
@@ -159,7 +158,7 @@
       try (var in = c.getInputStream()) {
         return Json.parseObject(in.readAllBytes());
       }
-    } catch (IOException | BadMessage e) {
+    } catch (IOException | InvalidMessageException e) {
       return null;
     }
   }
@@ -184,9 +183,9 @@
         obeys = !gone && !still() && o.path("watch").asLong() == session && obey(o, 0);
         answer = state();
       }
-      StateStandIn.send(x, obeys ? 200 : 409, answer);
-    } catch (BadMessage e) {
-      StateStandIn.send(x, 400, Json.object());
+      FakeStateService.send(x, obeys ? 200 : 409, answer);
+    } catch (InvalidMessageException e) {
+      FakeStateService.send(x, 400, Json.object());
     }
   }
 
--- a/src/main/java/org/mallowroad/standin/Store.java
+++ b/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
@@ -1,4 +1,4 @@
-package org.mallowroad.standin;
+package org.mallowroad.fake;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /**
  * What a state service keeps, without sockets, threads or a clock: keys with marks, leases, the
  * newest changes. Not thread-safe.
  */
-public final class Store {
+public final class InMemoryKeyValueStore {
   /** Changes that watches can still be told of, as many as the protocol says. */
   private static final int MOST_CHANGES = 10_000;
 
@@ -103,7 +103,8 @@
   }
 
   /** Serves one request; null when it is a watch that has nothing to tell yet. */
-  public Answer serve(String method, String target, byte[] body, long now) throws BadMessage {
+  public Answer serve(String method, String target, byte[] body, long now)
+      throws InvalidMessageException {
     expire(now);
     String path = target.indexOf('?') < 0 ? target : target.substring(0, target.indexOf('?'));
     if (path.equals("/multi")) {
@@ -188,7 +189,8 @@
     return new Answer(200, o.put("epoch", revision));
   }
 
-  private Answer lease(String method, String path, byte[] body, long now) throws BadMessage {
+  private Answer lease(String method, String path, byte[] body, long now)
+      throws InvalidMessageException {
     ObjectNode o = Json.object();
     if (path.equals("/leases")) {
       long life = Json.parseObject(body).path("life_ms").asLong();
