--- a/src/main/java/org/mallowroad/standin/Loopback.java
+++ b/src/main/java/org/mallowroad/fake/LoopbackSettings.java
@@ -1,4 +1,4 @@
-package org.mallowroad.standin;
+package org.mallowroad.fake;
 
 import java.util.List;
 import org.mallowroad.config.Settings;
@@ -7,7 +7,7 @@
 import org.mallowroad.config.Settings.TeamSetting;
 
 /** Settings of controllers that all run on this machine, on any ports, with ample limits. */
-public final class Loopback {
+public final class LoopbackSettings {
   private static final String HOST = "127.0.0.1";
 
   private final List<String> zones;
@@ -18,11 +18,11 @@
   private final double leaseS;
 
   /** Of a site with stand-ins. */
-  public Loopback(
+  public LoopbackSettings(
       List<String> zones,
       List<TeamSetting> teams,
-      CloudStandIn cloud,
-      StateStandIn state,
+      FakeCloud cloud,
+      FakeStateService state,
       double reportS,
       double leaseS) {
     this.zones = zones;
--- a/src/main/java/org/mallowroad/standin/package-info.java
+++ b/src/main/java/org/mallowroad/fake/package-info.java
@@ -3,4 +3,4 @@
  * the tests and {@code mallowroad try}. They do what the protocol says as far as those need it, and
  * can be told to fail in a few ways; they are no measure of anything.
  */
-package org.mallowroad.standin;
+package org.mallowroad.fake;
--- a/src/main/java/org/mallowroad/net/Intake.java
+++ b/src/main/java/org/mallowroad/net/BodyReader.java
@@ -15,7 +15,7 @@
  * each could hold a body that comes slowly. So what is in hand is counted by what was announced,
  * and what is beyond the bound is told at once to come back.
  */
-final class Intake {
+final class BodyReader {
   /** The largest body that the protocol allows users and workers. */
   static final int MOST_BODY = 64 * 1024;
 
@@ -25,14 +25,14 @@
   /** A body that takes longer makes room for others: every asker has given up by then. */
   private static final long MOST_S = 8;
 
-  private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
+  private static final Logger LOG = LoggerFactory.getLogger(BodyReader.class);
 
   private final long most;
   private final int largest;
   private long bytes;
 
   /** For bodies of {@code largest} bytes at most that take {@code most} bytes together. */
-  Intake(long most, int largest) {
+  BodyReader(long most, int largest) {
     this.most = most;
     this.largest = largest;
   }
@@ -48,7 +48,7 @@
     long length = announced < 0 || announced > largest ? largest : announced;
     if (bytes + length > most) {
       x.setPersistent(false);
-      HttpIncoming.refuse(x, 503, "too many bodies at once");
+      UndertowRequest.refuse(x, 503, "too many bodies at once");
       return;
     }
     Hand hand = new Hand(x, length);
@@ -63,9 +63,9 @@
               hand.give();
               e.setPersistent(false);
               if (error instanceof RequestTooBigException) {
-                HttpIncoming.refuse(e, 413, "the body is too large");
+                UndertowRequest.refuse(e, 413, "the body is too large");
               } else {
-                HttpIncoming.refuse(e, 400, "the body cannot be read");
+                UndertowRequest.refuse(e, 400, "the body cannot be read");
               }
             });
   }
@@ -108,7 +108,7 @@
             handler.run();
           } catch (RuntimeException e) {
             LOG.error("event=request_failed path={}", x.getRequestPath(), e);
-            HttpIncoming.refuse(x, 500, "internal error");
+            UndertowRequest.refuse(x, 500, "internal error");
           }
         });
   }
--- a/src/main/java/org/mallowroad/net/Loop.java
+++ b/src/main/java/org/mallowroad/net/EventLoop.java
@@ -6,10 +6,11 @@
 /**
  * The one thread on which everything of a node runs: sockets, timers and the core. The machine is a
  * fraction of a core, so a second thread would only add switches, and one thread needs no locks. A
- * real node's is {@link XnioLoop}; a world of failing machines turns all its nodes' loops itself.
+ * real node's is {@link XnioEventLoop}; a world of failing machines turns all its nodes' loops
+ * itself.
  */
-public abstract class Loop {
-  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public abstract class EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
   private volatile boolean closed;
 
--- a/src/main/java/org/mallowroad/net/HttpCaller.java
+++ b/src/main/java/org/mallowroad/net/HttpRequestSender.java
@@ -22,13 +22,13 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /** Sends requests to one endpoint over a small pool of kept connections. */
-public final class HttpCaller implements Caller {
+public final class HttpRequestSender implements RequestSender {
   private static final HttpString CONTENT_TYPE = Headers.CONTENT_TYPE;
 
   /** Kept without use, or half of what may be open where that is more. */
   private static final int MAX_IDLE = 8;
 
-  private final XnioLoop loop;
+  private final XnioEventLoop loop;
   private final ByteBufferPool buffers;
   private final HttpClientProvider provider = new HttpClientProvider();
   private final URI uri;
@@ -44,8 +44,8 @@
    * A caller for an endpoint with at most {@code maxOpen} connections; an answer of more than
    * {@code maxBody} bytes counts as none.
    */
-  public HttpCaller(
-      XnioLoop loop,
+  public HttpRequestSender(
+      XnioEventLoop loop,
       ByteBufferPool buffers,
       Endpoint endpoint,
       String contentType,
@@ -122,7 +122,7 @@
     private final String path;
     private final byte[] body;
     private final Answer answer;
-    private Loop.Timer timer;
+    private EventLoop.Timer timer;
     private ClientConnection connection;
     private boolean connecting;
     private boolean sent;
--- a/src/main/java/org/mallowroad/net/Incoming.java
+++ b/src/main/java/org/mallowroad/net/IncomingRequest.java
@@ -1,7 +1,7 @@
 package org.mallowroad.net;
 
 /** A request that came in complete; it is answered once, now or later, on the loop. */
-public interface Incoming {
+public interface IncomingRequest {
   /** GET, POST and so on. */
   String method();
 
--- a/src/main/java/org/mallowroad/net/Host.java
+++ b/src/main/java/org/mallowroad/net/NodeEnvironment.java
@@ -3,18 +3,18 @@
 import org.mallowroad.config.Settings.Endpoint;
 
 /** Where a node lives: its loop, its ways out, and what comes in. */
-public interface Host {
+public interface NodeEnvironment {
   /** What a node does with what comes in. */
-  interface Front {
+  interface RequestHandler {
     /** From users, workers and whoever asks for health and metrics. */
-    void request(Incoming x);
+    void request(IncomingRequest x);
 
     /** From the other controllers. */
-    void message(Incoming x);
+    void message(IncomingRequest x);
   }
 
   /** The node's loop. */
-  Loop loop();
+  EventLoop loop();
 
   /**
    * A way to an endpoint.
@@ -22,10 +22,10 @@
    * @param maxOpen connections at once, beyond which a call fails unsent
    * @param maxBody bytes of an answer, beyond which it counts as none
    */
-  Caller caller(Endpoint to, String type, int maxOpen, int maxBody);
+  RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody);
 
   /** Begins to listen; called on the loop. */
-  void listen(Front front);
+  void listen(RequestHandler front);
 
   /** Bytes of the bodies in hand. */
   long bytes();
--- a/src/main/java/org/mallowroad/net/Budget.java
+++ b/src/main/java/org/mallowroad/net/RateLimiter.java
@@ -1,14 +1,14 @@
 package org.mallowroad.net;
 
 /** A token bucket that keeps requests below an outside party's limit. */
-public final class Budget {
+public final class RateLimiter {
   private double perMs;
   private final double burst;
   private double tokens;
   private long lastMs;
 
   /** A full bucket. */
-  public Budget(double perSecond, double burst, long now) {
+  public RateLimiter(double perSecond, double burst, long now) {
     this.perMs = perSecond / 1000;
     this.burst = burst;
     this.tokens = burst;
--- a/src/main/java/org/mallowroad/net/Caller.java
+++ b/src/main/java/org/mallowroad/net/RequestSender.java
@@ -1,7 +1,7 @@
 package org.mallowroad.net;
 
 /** Sends requests to one endpoint. */
-public interface Caller {
+public interface RequestSender {
   /** What comes of a request; exactly one method is called, once, on the loop. */
   interface Answer {
     /** A complete response. */
--- a/src/main/java/org/mallowroad/net/HttpIncoming.java
+++ b/src/main/java/org/mallowroad/net/UndertowRequest.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** A request over Undertow. */
-record HttpIncoming(HttpServerExchange exchange, byte[] body) implements Incoming {
+record UndertowRequest(HttpServerExchange exchange, byte[] body) implements IncomingRequest {
   @Override
   public String method() {
     return exchange.getRequestMethod().toString();
@@ -33,6 +33,6 @@
   /** What cannot even be read gets its reason; a 503 with the time to come back. */
   static void refuse(HttpServerExchange x, int status, String reason) {
     byte[] body = ("{\"error\":\"" + reason + "\"}").getBytes(StandardCharsets.UTF_8);
-    new HttpIncoming(x, new byte[0]).answer(status, "application/json", body, status == 503);
+    new UndertowRequest(x, new byte[0]).answer(status, "application/json", body, status == 503);
   }
 }
--- a/src/main/java/org/mallowroad/net/XnioHost.java
+++ b/src/main/java/org/mallowroad/net/XnioEnvironment.java
@@ -16,7 +16,7 @@
 import org.xnio.XnioWorker;
 
 /** A real node's surroundings: XNIO's thread, Undertow's listeners, sockets. */
-public final class XnioHost implements Host {
+public final class XnioEnvironment implements NodeEnvironment {
   private static final String REPORT = "/v1/report";
 
   /** On connections that are counted. */
@@ -27,41 +27,41 @@
   private final int manyOpen;
   private int open;
   private final XnioWorker worker;
-  private final XnioLoop loop;
+  private final XnioEventLoop loop;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 64, 0);
-  private final Intake reports;
-  private final Intake others;
-  private final Intake messages;
+  private final BodyReader reports;
+  private final BodyReader others;
+  private final BodyReader messages;
   private Undertow server;
 
   /** For a node with these settings; nothing listens before {@link #listen}. */
-  public XnioHost(Settings settings) throws IOException {
+  public XnioEnvironment(Settings settings) throws IOException {
     this.settings = settings;
     // Workers and users; an eighth is for direct orders, the rest for the outside parties.
     this.mostOpen = settings.maxSockets() * 13 / 16;
     this.manyOpen = mostOpen * 3 / 4;
-    this.worker = XnioLoop.worker("loop");
-    this.loop = new XnioLoop(worker.getIoThread());
+    this.worker = XnioEventLoop.worker("loop");
+    this.loop = new XnioEventLoop(worker.getIoThread());
     // What all bodies that are being read may hold together: a small part of the memory, so that
     // even all at once stay clear of its end.
     long bytes = (long) (settings.ramMb() * 1024 * 1024) / 16;
-    this.reports = new Intake(bytes, Intake.MOST_BODY);
-    this.others = new Intake(bytes, Intake.MOST_BODY);
-    this.messages = new Intake(bytes, Intake.MOST_MESSAGE);
+    this.reports = new BodyReader(bytes, BodyReader.MOST_BODY);
+    this.others = new BodyReader(bytes, BodyReader.MOST_BODY);
+    this.messages = new BodyReader(bytes, BodyReader.MOST_MESSAGE);
   }
 
   @Override
-  public XnioLoop loop() {
+  public XnioEventLoop loop() {
     return loop;
   }
 
   @Override
-  public Caller caller(Endpoint to, String type, int maxOpen, int maxBody) {
-    return new HttpCaller(loop, buffers, to, type, maxOpen, maxBody);
+  public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
+    return new HttpRequestSender(loop, buffers, to, type, maxOpen, maxBody);
   }
 
   @Override
-  public void listen(Front front) {
+  public void listen(RequestHandler front) {
     Endpoint users = settings.listen();
     Endpoint peers = settings.peerListen();
     server =
@@ -72,8 +72,8 @@
             .addHttpListener(
                 peers.port(),
                 peers.host(),
-                x -> messages.read(x, (e, body) -> front.message(new HttpIncoming(e, body))))
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) Intake.MOST_MESSAGE)
+                x -> messages.read(x, (e, body) -> front.message(new UndertowRequest(e, body))))
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) BodyReader.MOST_MESSAGE)
             .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
@@ -83,17 +83,17 @@
     server.start();
   }
 
-  private void request(HttpServerExchange x, Front front) {
+  private void request(HttpServerExchange x, RequestHandler front) {
     if (x.getRequestMethod().equals(Methods.GET)) {
-      Intake.async(x, () -> front.request(new HttpIncoming(x, new byte[0])));
+      BodyReader.async(x, () -> front.request(new UndertowRequest(x, new byte[0])));
       return;
     }
     boolean report = x.getRequestPath().equals(REPORT);
     if (report && crowded(x.getConnection())) {
       x.setPersistent(false);
     }
-    Intake intake = report ? reports : others;
-    intake.read(x, (e, body) -> front.request(new HttpIncoming(e, body)));
+    BodyReader intake = report ? reports : others;
+    intake.read(x, (e, body) -> front.request(new UndertowRequest(e, body)));
   }
 
   /**
--- a/src/main/java/org/mallowroad/net/XnioLoop.java
+++ b/src/main/java/org/mallowroad/net/XnioEventLoop.java
@@ -10,11 +10,11 @@
 import org.xnio.XnioWorker;
 
 /** The loop of a real node: one I/O thread of XNIO, the machine's clocks. */
-public final class XnioLoop extends Loop {
+public final class XnioEventLoop extends EventLoop {
   private final XnioIoThread thread;
 
   /** Over an I/O thread. */
-  public XnioLoop(XnioIoThread thread) {
+  public XnioEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
--- a/src/main/java/org/mallowroad/peer/LinkCodec.java
+++ b/src/main/java/org/mallowroad/peer/LinkCodec.java
@@ -12,8 +12,8 @@
 import org.apache.avro.generic.GenericRecord;
 import org.apache.avro.message.BinaryMessageDecoder;
 import org.apache.avro.message.BinaryMessageEncoder;
-import org.mallowroad.core.links.Row;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.core.linkstate.LinkStateAdvertisement;
+import org.mallowroad.wire.InvalidMessageException;
 
 /**
  * What goes round cuts, in Avro's single-object form: each message begins with the fingerprint of
@@ -74,11 +74,11 @@
       }
     }
 
-    GenericRecord read(byte[] bytes) throws BadMessage {
+    GenericRecord read(byte[] bytes) throws InvalidMessageException {
       try {
         return decoder.decode(bytes, null);
       } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-        throw new BadMessage("not a peer's message of this version");
+        throw new InvalidMessageException("not a peer's message of this version");
       }
     }
   }
@@ -138,11 +138,11 @@
     return later.write(g);
   }
 
-  Later later(byte[] bytes) throws BadMessage {
+  Later later(byte[] bytes) throws InvalidMessageException {
     return new Later((Long) later.read(bytes).get("began"));
   }
 
-  byte[] encode(Row r) {
+  byte[] encode(LinkStateAdvertisement r) {
     GenericRecord g = row.make();
     g.put("node", r.node());
     g.put("started", r.started());
@@ -153,7 +153,7 @@
     g.put("cloudMs", r.cloudMs());
     g.put("peers", r.peers());
     List<GenericRecord> zones = new ArrayList<>();
-    for (Row.Heard h : r.zones()) {
+    for (LinkStateAdvertisement.Heard h : r.zones()) {
       GenericRecord z = new GenericData.Record(heardSchema);
       z.put("zone", h.zone());
       z.put("directMs", h.directMs());
@@ -189,20 +189,20 @@
     return carry.write(g);
   }
 
-  Row row(byte[] bytes) throws BadMessage {
+  LinkStateAdvertisement row(byte[] bytes) throws InvalidMessageException {
     GenericRecord g = row.read(bytes);
     List<String> peers = new ArrayList<>();
     for (Object p : (List<?>) g.get("peers")) {
       peers.add(p.toString());
     }
-    List<Row.Heard> zones = new ArrayList<>();
+    List<LinkStateAdvertisement.Heard> zones = new ArrayList<>();
     for (Object o : (List<?>) g.get("zones")) {
       GenericRecord z = (GenericRecord) o;
       zones.add(
-          new Row.Heard(
+          new LinkStateAdvertisement.Heard(
               z.get("zone").toString(), (Long) z.get("directMs"), (Long) z.get("carriedMs")));
     }
-    return new Row(
+    return new LinkStateAdvertisement(
         g.get("node").toString(),
         (Long) g.get("started"),
         (Long) g.get("seq"),
@@ -214,7 +214,7 @@
         zones);
   }
 
-  Forward forward(byte[] bytes) throws BadMessage {
+  Forward forward(byte[] bytes) throws InvalidMessageException {
     GenericRecord g = forward.read(bytes);
     return new Forward(
         g.get("to").toString(),
@@ -224,12 +224,12 @@
         (Long) g.get("timeoutMs"));
   }
 
-  Forwarded forwarded(byte[] bytes) throws BadMessage {
+  Forwarded forwarded(byte[] bytes) throws InvalidMessageException {
     GenericRecord g = forwarded.read(bytes);
     return new Forwarded((Integer) g.get("outcome"), (Integer) g.get("status"), bytes(g, "body"));
   }
 
-  Carry carry(byte[] bytes) throws BadMessage {
+  Carry carry(byte[] bytes) throws InvalidMessageException {
     GenericRecord g = carry.read(bytes);
     return new Carry(g.get("from").toString(), bytes(g, "report"));
   }
--- a/src/main/java/org/mallowroad/peer/PeerCodec.java
+++ b/src/main/java/org/mallowroad/peer/PeerCodec.java
@@ -16,7 +16,7 @@
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.io.EncoderFactory;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 
 /** What controllers say to each other, in Avro's binary form. */
 final class PeerCodec {
@@ -119,18 +119,18 @@
     return write(overloaded, r);
   }
 
-  Overloaded overloaded(byte[] bytes) throws BadMessage {
+  Overloaded overloaded(byte[] bytes) throws InvalidMessageException {
     GenericRecord r = read(overloaded, bytes);
     if ((Integer) r.get("version") != VERSION) {
-      throw new BadMessage("another build's message");
+      throw new InvalidMessageException("another build's message");
     }
     return new Overloaded((Long) r.get("term"));
   }
 
-  Cancelled cancelled(byte[] bytes) throws BadMessage {
+  Cancelled cancelled(byte[] bytes) throws InvalidMessageException {
     GenericRecord r = read(cancelled, bytes);
     if ((Integer) r.get("version") != VERSION) {
-      throw new BadMessage("another build's message");
+      throw new InvalidMessageException("another build's message");
     }
     List<String> jobs = new ArrayList<>();
     for (Object id : (List<?>) r.get("jobs")) {
@@ -139,17 +139,17 @@
     return new Cancelled(jobs);
   }
 
-  Announce announce(byte[] bytes) throws BadMessage {
+  Announce announce(byte[] bytes) throws InvalidMessageException {
     GenericRecord r = read(announce, bytes);
     return new Announce(r.get("node").toString(), (Long) r.get("term"));
   }
 
-  Relay relay(byte[] bytes) throws BadMessage {
+  Relay relay(byte[] bytes) throws InvalidMessageException {
     GenericRecord r = read(relay, bytes);
     return new Relay(r.get("method").toString(), r.get("path").toString(), bytes(r));
   }
 
-  Relayed relayed(byte[] bytes) throws BadMessage {
+  Relayed relayed(byte[] bytes) throws InvalidMessageException {
     GenericRecord r = read(relayed, bytes);
     return new Relayed((Integer) r.get("status"), bytes(r));
   }
@@ -173,12 +173,12 @@
     return out.toByteArray();
   }
 
-  private static GenericRecord read(Schema schema, byte[] bytes) throws BadMessage {
+  private static GenericRecord read(Schema schema, byte[] bytes) throws InvalidMessageException {
     try {
       return new GenericDatumReader<GenericRecord>(schema)
           .read(null, DecoderFactory.get().binaryDecoder(bytes, null));
     } catch (IOException | AvroRuntimeException e) {
-      throw new BadMessage("not a peer's message");
+      throw new InvalidMessageException("not a peer's message");
     }
   }
 }
--- a/src/main/java/org/mallowroad/peer/Peers.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.mallowroad.api.Answerer;
+import org.mallowroad.api.Responder;
 import org.mallowroad.config.Settings.Member;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
-import org.mallowroad.net.Incoming;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
 import org.mallowroad.net.LogLimiter;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -22,11 +22,11 @@
  * node cut from the state service passes users' requests on. Nothing here decides anything: a lost
  * message costs time, never a rule.
  */
-public final class Peers {
+public final class PeerMessenger {
   /** Form of all messages between controllers. */
   static final String AVRO = "avro/binary";
 
-  private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
+  private static final Logger LOG = LoggerFactory.getLogger(PeerMessenger.class);
   private static final String ANNOUNCE = "/announce";
   private static final String RELAY = "/relay";
   private static final String CANCELLED = "/cancelled";
@@ -34,12 +34,12 @@
   private static final String READS_SHARED_STARTS = "/reads-shared-starts";
   private static final long TIMEOUT_MS = 1_200;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final LogLimiter garbled = LogLimiter.usual();
   private PeerCodec codec;
-  private final List<Caller> callers = new ArrayList<>();
+  private final List<RequestSender> callers = new ArrayList<>();
   private final Listener listener;
-  private Forwarding forwarding;
+  private RelayTransport forwarding;
   private int next;
   private long wrong;
 
@@ -55,11 +55,11 @@
     void overloaded(long term);
 
     /** Serves a user's request that a peer passed on; it is not passed on again. */
-    void relayed(String method, String path, byte[] body, Answerer answerer);
+    void relayed(String method, String path, byte[] body, Responder answerer);
   }
 
   /** Over the members. */
-  public Peers(Host host, List<Member> members, Listener listener) {
+  public PeerMessenger(NodeEnvironment host, List<Member> members, Listener listener) {
     this.loop = host.loop();
     this.listener = listener;
     for (Member m : members) {
@@ -68,7 +68,7 @@
   }
 
   /** Takes what goes round cuts as well. */
-  public void forwarding(Forwarding f) {
+  public void forwarding(RelayTransport f) {
     forwarding = f;
   }
 
@@ -88,18 +88,18 @@
   /** Tells all peers who leads. */
   public void announce(String node, long term) {
     byte[] message = codec().encode(new PeerCodec.Announce(node, term));
-    for (Caller c : callers) {
+    for (RequestSender c : callers) {
       announce(c, message, 3);
     }
   }
 
-  private void announce(Caller c, byte[] message, int tries) {
+  private void announce(RequestSender c, byte[] message, int tries) {
     c.call(
         "POST",
         ANNOUNCE,
         message,
         TIMEOUT_MS,
-        new Caller.Answer() {
+        new RequestSender.Answer() {
           @Override
           public void answered(int status, byte[] body) {}
 
@@ -126,7 +126,7 @@
             READS_SHARED_STARTS,
             new byte[0],
             TIMEOUT_MS,
-            new Caller.Answer() {
+            new RequestSender.Answer() {
               @Override
               public void answered(int status, byte[] body) {
                 told.accept(status == 204);
@@ -142,13 +142,13 @@
   /** Tells all peers that the records lag; what is lost is said again a second later. */
   public void overloaded(long term) {
     byte[] message = codec().encode(new PeerCodec.Overloaded(term));
-    for (Caller c : callers) {
+    for (RequestSender c : callers) {
       c.call(
           "POST",
           OVERLOADED,
           message,
           TIMEOUT_MS,
-          new Caller.Answer() {
+          new RequestSender.Answer() {
             @Override
             public void answered(int status, byte[] body) {}
 
@@ -167,7 +167,7 @@
             CANCELLED,
             codec().encode(new PeerCodec.Cancelled(jobs)),
             TIMEOUT_MS,
-            new Caller.Answer() {
+            new RequestSender.Answer() {
               @Override
               public void answered(int status, byte[] body) {
                 // An earlier build's 404 is an answer: it will never take it.
@@ -182,7 +182,7 @@
   }
 
   /** Passes a user's request on to a peer, then to the next; {@code failed} when none serves it. */
-  public void relay(String method, String path, byte[] body, Answerer answerer, Runnable failed) {
+  public void relay(String method, String path, byte[] body, Responder answerer, Runnable failed) {
     relay(codec().encode(new PeerCodec.Relay(method, path, body)), 0, answerer, failed);
   }
 
@@ -191,7 +191,7 @@
    * does not answer.
    */
   public void relayTo(
-      int peer, String method, String path, byte[] body, Answerer answerer, Runnable failed) {
+      int peer, String method, String path, byte[] body, Responder answerer, Runnable failed) {
     callers
         .get(peer)
         .call(
@@ -199,14 +199,14 @@
             RELAY,
             codec().encode(new PeerCodec.Relay(method, path, body)),
             TIMEOUT_MS,
-            new Caller.Answer() {
+            new RequestSender.Answer() {
               @Override
               public void answered(int status, byte[] bytes) {
                 try {
                   PeerCodec.Relayed r = codec().relayed(bytes);
                   boolean later = r.status() >= 500 || r.status() == 429;
                   answerer.answer(r.status(), Json.parseObject(r.body()), later);
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                   garbled(e);
                   failed.run();
                 }
@@ -219,7 +219,7 @@
             });
   }
 
-  private void relay(byte[] message, int tried, Answerer answerer, Runnable failed) {
+  private void relay(byte[] message, int tried, Responder answerer, Runnable failed) {
     if (tried == callers.size()) {
       failed.run();
       return;
@@ -231,7 +231,7 @@
             RELAY,
             message,
             TIMEOUT_MS,
-            new Caller.Answer() {
+            new RequestSender.Answer() {
               @Override
               public void answered(int status, byte[] bytes) {
                 try {
@@ -240,7 +240,7 @@
                     answerer.answer(r.status(), Json.parseObject(r.body()), false);
                     return;
                   }
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                   garbled(e);
                 }
                 another();
@@ -259,7 +259,7 @@
   }
 
   /** Takes a peer's message. */
-  public void message(Incoming x) {
+  public void message(IncomingRequest x) {
     try {
       if (x.path().equals(ANNOUNCE)) {
         PeerCodec.Announce a = codec().announce(x.body());
@@ -280,13 +280,13 @@
       } else if (forwarding == null || !forwarding.message(x)) {
         x.answer(404, AVRO, new byte[0], false);
       }
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       garbled(e);
       x.answer(400, AVRO, new byte[0], false);
     }
   }
 
-  private void garbled(BadMessage e) {
+  private void garbled(InvalidMessageException e) {
     wrong++;
     long left = garbled.line(loop.now());
     if (left >= 0) {
@@ -294,7 +294,7 @@
     }
   }
 
-  private void answer(Incoming x, int status, ObjectNode body) {
+  private void answer(IncomingRequest x, int status, ObjectNode body) {
     x.answer(200, AVRO, codec().encode(new PeerCodec.Relayed(status, Json.bytes(body))), false);
   }
 }
--- a/src/main/java/org/mallowroad/peer/Forwarding.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.mallowroad.config.Settings.Member;
-import org.mallowroad.core.links.Links;
-import org.mallowroad.core.links.Outside;
-import org.mallowroad.core.links.Row;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
-import org.mallowroad.net.Incoming;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.core.linkstate.ExternalService;
+import org.mallowroad.core.linkstate.LinkStateAdvertisement;
+import org.mallowroad.core.linkstate.LinkStateTable;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 
 /**
  * What goes round cuts, by way of the other controllers: rows about links, calls to outside
@@ -18,7 +18,7 @@
  * that hangs holds up none of the others, and each is bounded: what is beyond the bound was
  * certainly not sent.
  */
-public final class Forwarding implements Detour.Ways {
+public final class RelayTransport implements RelayedCaller.Ways {
   private static final String ROW = "/row";
   private static final String FORWARD = "/forward";
   private static final String CARRY = "/carry";
@@ -41,12 +41,12 @@
   /** The answer to a row of a process that seems to be an earlier one. */
   private static final int OUTRUN = 409;
 
-  private final Loop loop;
-  private final Links links;
+  private final EventLoop loop;
+  private final LinkStateTable links;
   private final Listener listener;
-  private final List<Caller> rows = new ArrayList<>();
-  private final List<Caller> calls = new ArrayList<>();
-  private final List<Caller> reports = new ArrayList<>();
+  private final List<RequestSender> rows = new ArrayList<>();
+  private final List<RequestSender> calls = new ArrayList<>();
+  private final List<RequestSender> reports = new ArrayList<>();
   private final boolean[] rowOut;
   private LinkCodec codec;
   private int serving;
@@ -54,29 +54,35 @@
   /** What the node does with its peers' messages. */
   public interface Listener {
     /** A peer's row; the answer is 0, or the beginning of a later process of that node. */
-    long row(Row row);
+    long row(LinkStateAdvertisement row);
 
     /** Sends a peer's call on, by this node's own direct way only: so detours make no loops. */
     void forward(
-        Outside to, String method, String path, byte[] body, long timeoutMs, Caller.Answer answer);
+        ExternalService to,
+        String method,
+        String path,
+        byte[] body,
+        long timeoutMs,
+        RequestSender.Answer answer);
 
     /** Sends a peer's orders to a worker. */
-    void orders(String address, byte[] body, Caller.Answer answer);
+    void orders(String address, byte[] body, RequestSender.Answer answer);
 
     /** A report that came to a peer; the answer is what the worker is to get. */
-    void carried(int peer, byte[] report, Caller.Answer answer);
+    void carried(int peer, byte[] report, RequestSender.Answer answer);
   }
 
   /** Over the members, whose order gives them their indices. */
-  public Forwarding(Host host, List<Member> members, Links links, Listener listener) {
+  public RelayTransport(
+      NodeEnvironment host, List<Member> members, LinkStateTable links, Listener listener) {
     this.loop = host.loop();
     this.links = links;
     this.listener = listener;
     this.rowOut = new boolean[members.size()];
     for (Member m : members) {
-      rows.add(host.caller(m.endpoint(), Peers.AVRO, 2, 1024));
-      calls.add(host.caller(m.endpoint(), Peers.AVRO, MOST_CALLS, MOST_ANSWER));
-      reports.add(host.caller(m.endpoint(), Peers.AVRO, MOST_CARRIED, 128 * 1024));
+      rows.add(host.caller(m.endpoint(), PeerMessenger.AVRO, 2, 1024));
+      calls.add(host.caller(m.endpoint(), PeerMessenger.AVRO, MOST_CALLS, MOST_ANSWER));
+      reports.add(host.caller(m.endpoint(), PeerMessenger.AVRO, MOST_CARRIED, 128 * 1024));
     }
   }
 
@@ -89,7 +95,7 @@
   }
 
   /** Tells all peers this node's row; one that has not answered the last one is left out. */
-  public void tell(Row row) {
+  public void tell(LinkStateAdvertisement row) {
     byte[] message = codec().encode(row);
     for (int p = 0; p < rows.size(); p++) {
       if (!rowOut[p]) {
@@ -102,7 +108,7 @@
                 ROW,
                 message,
                 ROW_TIMEOUT_MS,
-                new Caller.Answer() {
+                new RequestSender.Answer() {
                   @Override
                   public void answered(int status, byte[] body) {
                     rowOut[peer] = false;
@@ -125,7 +131,7 @@
   private void outrun(byte[] body) {
     try {
       links.outrun(codec().later(body).began());
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       // Another build's word: rows of this process are then left out there, as before.
     }
   }
@@ -133,17 +139,17 @@
   @Override
   public void forward(
       int peer,
-      Outside party,
+      ExternalService party,
       String method,
       String path,
       byte[] body,
       long timeoutMs,
-      Caller.Answer answer) {
+      RequestSender.Answer answer) {
     send(peer, party.name(), method, path, body, timeoutMs, answer);
   }
 
   /** Sends orders to a worker by way of a peer. */
-  public void orders(int peer, String address, byte[] body, Caller.Answer answer) {
+  public void orders(int peer, String address, byte[] body, RequestSender.Answer answer) {
     send(peer, WORKER, "POST", address, body, ORDERS_TIMEOUT_MS, answer);
   }
 
@@ -154,7 +160,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Caller.Answer answer) {
+      RequestSender.Answer answer) {
     byte[] message =
         codec()
             .encode(
@@ -167,7 +173,7 @@
             FORWARD,
             message,
             timeoutMs + GRACE_MS,
-            new Caller.Answer() {
+            new RequestSender.Answer() {
               @Override
               public void answered(int status, byte[] bytes) {
                 links.usedPeer(peer, true, sentMs, loop.now());
@@ -181,7 +187,7 @@
                     return;
                   }
                   f = codec().forwarded(bytes);
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                   answer.failed(true);
                   return;
                 }
@@ -204,7 +210,7 @@
   }
 
   /** Takes a worker's report to a peer that leads; the answer is what the worker is to get. */
-  public void carry(int peer, String self, byte[] report, Caller.Answer answer) {
+  public void carry(int peer, String self, byte[] report, RequestSender.Answer answer) {
     long sentMs = loop.now();
     reports
         .get(peer)
@@ -213,7 +219,7 @@
             CARRY,
             codec().encode(new LinkCodec.Carry(self, report)),
             CARRY_TIMEOUT_MS,
-            new Caller.Answer() {
+            new RequestSender.Answer() {
               @Override
               public void answered(int status, byte[] body) {
                 links.usedPeer(peer, true, sentMs, loop.now());
@@ -225,7 +231,7 @@
                       return;
                     }
                   }
-                } catch (BadMessage e) {
+                } catch (InvalidMessageException e) {
                   // Counts as no answer.
                 }
                 answer.failed(true);
@@ -242,26 +248,26 @@
   }
 
   /** Takes a peer's message; false when it is of no kind that is known here. */
-  boolean message(Incoming x) throws BadMessage {
+  boolean message(IncomingRequest x) throws InvalidMessageException {
     switch (x.path()) {
       case ROW -> {
         long later = listener.row(codec().row(x.body()));
         if (later == 0) {
-          x.answer(204, Peers.AVRO, NOTHING, false);
+          x.answer(204, PeerMessenger.AVRO, NOTHING, false);
         } else {
-          x.answer(OUTRUN, Peers.AVRO, codec().encode(new LinkCodec.Later(later)), false);
+          x.answer(OUTRUN, PeerMessenger.AVRO, codec().encode(new LinkCodec.Later(later)), false);
         }
       }
       case FORWARD -> {
         LinkCodec.Forward f = codec().forward(x.body());
         if (serving >= MOST_CALLS) {
-          x.answer(503, Peers.AVRO, NOTHING, true);
+          x.answer(503, PeerMessenger.AVRO, NOTHING, true);
           return true;
         }
         // Before it is counted: a message that is refused must not take a place for ever.
-        Outside to = f.to().equals(WORKER) ? null : party(f.to());
+        ExternalService to = f.to().equals(WORKER) ? null : party(f.to());
         serving++;
-        Caller.Answer back = back(x, () -> serving--);
+        RequestSender.Answer back = back(x, () -> serving--);
         if (to == null) {
           listener.orders(f.path(), f.body(), back);
         } else {
@@ -280,17 +286,17 @@
     return true;
   }
 
-  private static Outside party(String name) throws BadMessage {
-    for (Outside o : Outside.values()) {
+  private static ExternalService party(String name) throws InvalidMessageException {
+    for (ExternalService o : ExternalService.values()) {
       if (o.name().equals(name)) {
         return o;
       }
     }
-    throw new BadMessage("no such party");
+    throw new InvalidMessageException("no such party");
   }
 
-  private Caller.Answer back(Incoming x, Runnable first) {
-    return new Caller.Answer() {
+  private RequestSender.Answer back(IncomingRequest x, Runnable first) {
+    return new RequestSender.Answer() {
       @Override
       public void answered(int status, byte[] body) {
         say(LinkCodec.ANSWERED, status, body);
@@ -304,7 +310,10 @@
       private void say(int outcome, int status, byte[] body) {
         first.run();
         x.answer(
-            200, Peers.AVRO, codec().encode(new LinkCodec.Forwarded(outcome, status, body)), false);
+            200,
+            PeerMessenger.AVRO,
+            codec().encode(new LinkCodec.Forwarded(outcome, status, body)),
+            false);
       }
     };
   }
--- a/src/main/java/org/mallowroad/peer/Detour.java
+++ b/src/main/java/org/mallowroad/peer/RelayedCaller.java
@@ -3,29 +3,30 @@
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.ArrayList;
 import java.util.List;
-import org.mallowroad.core.links.Outside;
-import org.mallowroad.core.links.Route;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Loop;
+import org.mallowroad.core.linkstate.ExternalService;
+import org.mallowroad.core.linkstate.RouteSelector;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RequestSender;
 
 /**
- * A caller of an outside party that goes through a peer while its own way is cut ({@link Route}).
+ * A caller of an outside party that goes through a peer while its own way is cut ({@link
+ * RouteSelector}).
  *
  * <p><b>Why a detour breaks no rule.</b> A call that goes through a peer is the same call, made by
  * somebody else and possibly later. (1) <i>Transactions</i> carry the marks of whoever leads and of
  * each key, so one that a peer holds and lets go minutes later fails like any late one; no answer
  * is {@code UNKNOWN}, as it is on the direct way. (2) <i>Reads</i> are done after they were sent,
- * and all that counts with time counts from the sending here ({@code StateStore.contactMs}), so an
- * answer is never older than it seems. (3) <i>Lease renewals</i> count from the sending here
- * ({@code Election.renewedMs}); one that arrives late can only let the lease live longer than its
- * holder believes, which delays the next election and hands nothing out. (4) <i>Rents</i> carry
+ * and all that counts with time counts from the sending here ({@code KeyValueStore.contactMs}), so
+ * an answer is never older than it seems. (3) <i>Lease renewals</i> count from the sending here
+ * ({@code LeaderElection.renewedMs}); one that arrives late can only let the lease live longer than
+ * its holder believes, which delays the next election and hands nothing out. (4) <i>Rents</i> carry
  * their recorded names, and a repeated name rents nothing; deletions can be repeated. (5) <i>A call
  * is sent twice</i> only when the first was certainly not done (503, not sent) or when it may be
  * repeated: reads and renewals. (6) <i>No loops:</i> a peer serves a detour by its own direct way
- * only ({@link Forwarding}). (7) <i>The write budget</i> is that of whoever decides the write; a
- * peer adds none of its own.
+ * only ({@link RelayTransport}). (7) <i>The write budget</i> is that of whoever decides the write;
+ * a peer adds none of its own.
  */
-public final class Detour implements Caller {
+public final class RelayedCaller implements RequestSender {
   /** Calls longer than this wait for something to happen, and are given up when the way changes. */
   private static final long LONG_MS = 4_000;
 
@@ -39,7 +40,7 @@
     /** Sends the call by way of a peer. */
     void forward(
         int peer,
-        Outside party,
+        ExternalService party,
         String method,
         String path,
         byte[] body,
@@ -47,16 +48,22 @@
         Answer answer);
   }
 
-  private final Loop loop;
-  private final Caller direct;
-  private final Outside party;
-  private final Route route;
+  private final EventLoop loop;
+  private final RequestSender direct;
+  private final ExternalService party;
+  private final RouteSelector route;
   private final Ways ways;
   private final long hedgeMs;
   private final ObjectLinkedOpenHashSet<Call> waiting = new ObjectLinkedOpenHashSet<>();
 
   /** Over the direct way to a party. */
-  public Detour(Loop loop, Caller direct, Outside party, Route route, Ways ways, long hedgeMs) {
+  public RelayedCaller(
+      EventLoop loop,
+      RequestSender direct,
+      ExternalService party,
+      RouteSelector route,
+      Ways ways,
+      long hedgeMs) {
     this.loop = loop;
     this.direct = direct;
     this.party = party;
@@ -98,7 +105,7 @@
     private final Answer answer;
     private final long sentMs = loop.now();
     private final long untilMs;
-    private final List<Loop.Timer> timers = new ArrayList<>(1);
+    private final List<EventLoop.Timer> timers = new ArrayList<>(1);
     private long turns;
     private int out;
     private boolean over;
@@ -118,7 +125,7 @@
       if (untilMs - sentMs > LONG_MS) {
         waiting.add(this);
       }
-      if (peer != Route.DIRECT) {
+      if (peer != RouteSelector.DIRECT) {
         through(peer);
         return;
       }
@@ -141,7 +148,7 @@
             public void answered(int status, byte[] bytes) {
               // The state service serves every node or none, but for the one that it refuses; a
               // cloud's 503 is an answer like another.
-              boolean refused = party == Outside.STATE && status == 503;
+              boolean refused = party == ExternalService.STATE && status == 503;
               route.direct(!refused, from, loop.now());
               if (!refused) {
                 end(() -> answer.answered(status, bytes));
@@ -165,7 +172,11 @@
               out--;
               sentAny |= sent;
               int peer = route.choose(loop.now());
-              if (!over && out == 0 && !sentAny && peer != Route.DIRECT && left() > GRACE_MS) {
+              if (!over
+                  && out == 0
+                  && !sentAny
+                  && peer != RouteSelector.DIRECT
+                  && left() > GRACE_MS) {
                 through(peer);
               } else {
                 lost(otherwise);
@@ -180,7 +191,7 @@
 
     private void beside() {
       int peer = route.beside(loop.now());
-      if (!over && peer != Route.DIRECT) {
+      if (!over && peer != RouteSelector.DIRECT) {
         through(peer);
       }
     }
@@ -224,7 +235,7 @@
         return;
       }
       over = true;
-      timers.forEach(Loop.Timer::cancel);
+      timers.forEach(EventLoop.Timer::cancel);
       waiting.remove(this);
       last.run();
     }
--- a/src/main/java/org/mallowroad/world/CloudModel.java
+++ b/src/main/java/org/mallowroad/simulation/CloudModel.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Function;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** The cloud: rents with a bound for each zone, lists late, deletes. */
@@ -27,7 +27,7 @@
 
   private record Rented(WorkerModel worker, long bornMs) {}
 
-  private final Timeline time;
+  private final EventQueue time;
   private final SplittableRandom random;
   private final List<String> zones;
   private final int most;
@@ -47,7 +47,7 @@
 
   /** For at most so many machines in each zone; {@code maker} gets name and zone. */
   CloudModel(
-      Timeline time,
+      EventQueue time,
       SplittableRandom random,
       List<String> zones,
       int most,
@@ -106,7 +106,7 @@
         o = rent(Json.parseObject(body));
         status = o.path("hearths").isEmpty() ? 503 : 200;
       }
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       status = 400;
     }
     reply.answer(status, Json.bytes(o));
@@ -137,7 +137,7 @@
         : BOOT_MS / 2 + random.nextLong(BOOT_MS);
   }
 
-  private ObjectNode rent(ObjectNode r) throws BadMessage {
+  private ObjectNode rent(ObjectNode r) throws InvalidMessageException {
     String hire = Json.string(r, "hire", 200);
     ObjectNode known = hires.get(hire);
     if (known != null) {
--- a/src/main/java/org/mallowroad/world/Timeline.java
+++ b/src/main/java/org/mallowroad/simulation/EventQueue.java
@@ -1,10 +1,10 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.util.ArrayDeque;
 import java.util.PriorityQueue;
 
 /** Virtual time: events in the order of their time, and of their making where times are equal. */
-final class Timeline {
+final class EventQueue {
   private record Event(long us, long seq, Being of, int life, Runnable task)
       implements Comparable<Event> {
     @Override
--- a/src/main/java/org/mallowroad/world/Fault.java
+++ b/src/main/java/org/mallowroad/simulation/Fault.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 /**
  * Something that fails for a while.
--- a/src/main/java/org/mallowroad/world/FetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,33 +6,33 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Chunk;
+import org.mallowroad.core.AttemptRecord;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Order;
-import org.mallowroad.core.Placement;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.TaskScheduler;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.core.fetch.FetchPolicy;
+import org.mallowroad.core.WorkerCommand;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.hold.Ties;
+import org.mallowroad.core.image.ImageFetchPolicy;
 
 /**
  * How long a wave takes in which many machines want one image: the decisions themselves over a
  * ledger in virtual time, a source whose rate all share, workers that fetch from it or from each
  * other at a machine's rate. No I/O, no processor time.
  */
-public final class FetchWave {
+public final class ImageFetchWave {
   /** One wave to play. */
   public record Setting(
       int machines,
       int replicas,
       double gb,
-      FetchPolicy policy,
+      ImageFetchPolicy policy,
       boolean handsOn,
       boolean failures) {}
 
@@ -61,23 +61,23 @@
 
   private final Setting setting;
   private final SplittableRandom random;
-  private final Names zones = new Names();
-  private final Ledger ledger;
-  private final Placement placement;
+  private final NameIndex zones = new NameIndex();
+  private final SchedulerState ledger;
+  private final TaskScheduler placement;
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final MachineType type;
   private long now = 1_000;
   private int names;
 
   /** Over a setting and a seed. */
-  public FetchWave(Setting setting, long seed) {
+  public ImageFetchWave(Setting setting, long seed) {
     this.setting = setting;
     this.random = new SplittableRandom(seed);
     zones.intern("a");
     zones.intern("b");
     type = new MachineType(0, "t", SLOTS, 0, 64, 400, RATE, 1, 0.5, 30, new int[] {0, 1});
     ledger =
-        new Ledger(
+        new SchedulerState(
             1,
             60,
             2,
@@ -85,7 +85,7 @@
             zones,
             new Health(HealthPolicy.defaults(), 2, 2, 0),
             setting.policy());
-    placement = new Placement(ledger);
+    placement = new TaskScheduler(ledger);
     for (int i = 0; i < setting.machines(); i++) {
       rise();
     }
@@ -96,23 +96,23 @@
     names++;
     Worker w = new Worker(m);
     workers.put(m.name + ":1", w);
-    report(w, WorkerReport.State.PULLING);
+    report(w, Heartbeat.State.PULLING);
   }
 
-  private List<Order> report(Worker w, WorkerReport.State state) {
-    List<WorkerReport.Entry> all = new ArrayList<>();
+  private List<WorkerCommand> report(Worker w, Heartbeat.State state) {
+    List<Heartbeat.Entry> all = new ArrayList<>();
     for (Attempt a : w.machine.attempts()) {
       if (a.phase != Attempt.Phase.RECORDING && a.phase != Attempt.Phase.READY) {
-        all.add(new WorkerReport.Entry(a.job.spec.id(), a.task, a.number, state, null));
+        all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
       }
     }
     return said(w, all);
   }
 
-  private List<Order> said(Worker w, List<WorkerReport.Entry> all) {
+  private List<WorkerCommand> said(Worker w, List<Heartbeat.Entry> all) {
     Machine m = w.machine;
-    WorkerReport r =
-        new WorkerReport(
+    Heartbeat r =
+        new Heartbeat(
             m.name,
             m.name + ":1",
             type.name(),
@@ -153,7 +153,7 @@
             0,
             0,
             0,
-            Ties.NONE);
+            JobDependencies.NONE);
     ledger.accept(spec, 1, 0, now);
     int first = -1;
     int half = -1;
@@ -201,7 +201,7 @@
   }
 
   private void commit() {
-    for (Chunk c : new ArrayList<>(ledger.dirty())) {
+    for (AttemptRecord c : new ArrayList<>(ledger.dirty())) {
       List<Attempt> recorded = new ArrayList<>();
       for (int t = c.from(); t < c.to(); t++) {
         if (c.job.live(t) != null && c.job.live(t).phase == Attempt.Phase.RECORDING) {
@@ -215,12 +215,12 @@
   /** Launches go to the workers, which begin to fetch. */
   private void tell() {
     for (Worker w : workers.values()) {
-      List<Order> orders =
-          report(w, w.holds ? WorkerReport.State.RUNNING : WorkerReport.State.PULLING);
+      List<WorkerCommand> orders =
+          report(w, w.holds ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING);
       boolean launched = false;
-      for (Order o : orders) {
-        launched |= o.kind() == Order.Kind.LAUNCH;
-        if (o.kind() == Order.Kind.LAUNCH && !w.holds && w.left <= 0) {
+      for (WorkerCommand o : orders) {
+        launched |= o.kind() == WorkerCommand.Kind.LAUNCH;
+        if (o.kind() == WorkerCommand.Kind.LAUNCH && !w.holds && w.left <= 0) {
           w.left = setting.gb();
           for (String g : o.givers()) {
             Worker from = workers.get(g);
@@ -232,11 +232,11 @@
         }
       }
       if (launched) {
-        List<WorkerReport.Entry> all = new ArrayList<>();
-        WorkerReport.State s = w.holds ? WorkerReport.State.RUNNING : WorkerReport.State.PULLING;
+        List<Heartbeat.Entry> all = new ArrayList<>();
+        Heartbeat.State s = w.holds ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING;
         for (Attempt a : w.machine.attempts()) {
           if (a.phase != Attempt.Phase.RECORDING) {
-            all.add(new WorkerReport.Entry(a.job.spec.id(), a.task, a.number, s, null));
+            all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, s, null));
           }
         }
         said(w, all);
@@ -261,7 +261,7 @@
           w.giver.giving--;
           w.giver = null;
         }
-        report(w, WorkerReport.State.RUNNING);
+        report(w, Heartbeat.State.RUNNING);
       }
     }
   }
--- a/src/main/java/org/mallowroad/world/Checker.java
+++ b/src/main/java/org/mallowroad/simulation/InvariantChecker.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
  * Judges a history by the rules of PROTOCOL as it happens, and by who was served. It sees what
  * users were told and what is on the machines, and nothing of what the controllers believe.
  */
-public final class Checker {
+public final class InvariantChecker {
   /** A poll's failures of so long, while most others are answered, count as forgotten. */
   private static final long FORGOTTEN_MS = 90_000;
 
@@ -82,7 +82,7 @@
   private long longestMs;
 
   /** For teams with limits in CPUs. */
-  public Checker(LongSupplier now, Map<String, Double> limits, long cancelMs) {
+  public InvariantChecker(LongSupplier now, Map<String, Double> limits, long cancelMs) {
     this.now = now;
     this.limits = Map.copyOf(limits);
     this.cancelMs = cancelMs;
--- a/src/main/java/org/mallowroad/world/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.mallowroad.net.Caller;
+import org.mallowroad.net.RequestSender;
 
 /**
  * Requests and answers between parties, each over a link of its own direction. Messages of one link
@@ -28,7 +28,7 @@
   }
 
   /** Who can send and receive. */
-  static class Party extends Timeline.Being {
+  static class Party extends EventQueue.Being {
     final Kind kind;
     final int index;
     final String name;
@@ -112,7 +112,7 @@
   /** A copy comes this much later at the most. */
   private static final long COPY_US = 60_000_000;
 
-  private final Timeline time;
+  private final EventQueue time;
   private final SplittableRandom random;
   private final List<Cut> cuts = new ArrayList<>();
   private final Map<Long, Long> last = new HashMap<>();
@@ -152,7 +152,7 @@
   /** A late copy of a report comes this much later at the most: several leases. */
   private static final long LATE_REPORT_US = 60_000_000;
 
-  Network(Timeline time, SplittableRandom random) {
+  Network(EventQueue time, SplittableRandom random) {
     this.time = time;
     this.random = random;
   }
@@ -220,7 +220,7 @@
       String target,
       byte[] body,
       long timeoutMs,
-      Caller.Answer answer) {
+      RequestSender.Answer answer) {
     Call call = new Call(a);
     time.after(timeoutMs * 1000, a, () -> call.end(() -> answer.failed(true)));
     Runnable arrival =
--- a/src/main/java/org/mallowroad/world/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,10 +12,10 @@
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
-import org.mallowroad.standin.Store;
+import org.mallowroad.fake.InMemoryKeyValueStore;
 import org.mallowroad.state.Records;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /**
@@ -34,17 +34,21 @@
 
   private static final int FROM_LARGE = 1_000;
 
-  private final Timeline time;
+  private final EventQueue time;
   private final SplittableRandom random;
   private final UserModel users;
-  private final Checker checker;
-  private final Store store;
+  private final InvariantChecker checker;
+  private final InMemoryKeyValueStore store;
   private final Map<String, List<Want>> wants = new TreeMap<>();
   private final Map<String, List<String>> prints = new TreeMap<>();
   private final Map<String, Long> upTo = new HashMap<>();
 
   RatingModel(
-      Timeline time, SplittableRandom random, UserModel users, Checker checker, Store store) {
+      EventQueue time,
+      SplittableRandom random,
+      UserModel users,
+      InvariantChecker checker,
+      InMemoryKeyValueStore store) {
     this.time = time;
     this.random = random;
     this.users = users;
@@ -54,7 +58,7 @@
   }
 
   /** Judges only, what it is told of. */
-  RatingModel(Checker checker, Store store) {
+  RatingModel(InvariantChecker checker, InMemoryKeyValueStore store) {
     this(null, null, null, checker, store);
   }
 
@@ -126,8 +130,8 @@
   }
 
   private void submit(String id, long at, ObjectNode ties, long cancelAfterMs) {
-    Checker.Submitted s =
-        new Checker.Submitted(
+    InvariantChecker.Submitted s =
+        new InvariantChecker.Submitted(
             id, "blue", "rating", 1 + random.nextInt(3), 1, null, false, false, at);
     long run = 500 + random.nextLong(4_000);
     time.after(at * 1000, null, () -> users.job(s, "urgent", run, 300, cancelAfterMs, ties));
@@ -138,7 +142,7 @@
     for (String key : store.keys(Records.FOLD)) {
       try {
         out.put(Records.block(key), FoldCodec.decode(store.value(key)));
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         checker.breach("folded_twice", key + ": " + e.getMessage());
       }
     }
--- a/src/main/java/org/mallowroad/world/Plan.java
+++ b/src/main/java/org/mallowroad/simulation/Scenario.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.File;
@@ -21,7 +21,7 @@
  * @param weights how many jobs with an image that takes long, on workers of which most hand it on
  * @param limits teams' limits as a part of the usual ones; 0 stands for all of them
  */
-public record Plan(
+public record Scenario(
     long seed,
     int nodes,
     int machines,
@@ -110,12 +110,12 @@
   private static final double TIGHT = 0.5;
 
   /** Without gangs. */
-  public Plan(long seed, int nodes, int machines, int jobs, boolean links, List<Fault> faults) {
+  public Scenario(long seed, int nodes, int machines, int jobs, boolean links, List<Fault> faults) {
     this(seed, nodes, machines, jobs, links, faults, 0, 0, 0, 1);
   }
 
   /** With the usual limits. */
-  public Plan(
+  public Scenario(
       long seed,
       int nodes,
       int machines,
@@ -129,7 +129,7 @@
   }
 
   /** Bounds the lists. */
-  public Plan {
+  public Scenario {
     faults = List.copyOf(faults);
     limits = limits > 0 ? limits : 1;
   }
@@ -137,7 +137,7 @@
   /**
    * A plan from a seed: at least two partial cuts that overlap, and at least two other failures.
    */
-  public static Plan drawn(long seed, boolean links) {
+  public static Scenario drawn(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed);
     int nodes = 3 + 2 * r.nextInt(3);
     List<Fault> faults = new ArrayList<>();
@@ -150,16 +150,16 @@
     for (int i = 0; i < whole; i++) {
       faults.add(draw(WHOLE[r.nextInt(WHOLE.length)], 10_000 + r.nextLong(50_000), nodes, r));
     }
-    return new Plan(seed, nodes, 6 + r.nextInt(10), 16 + r.nextInt(16), links, faults);
+    return new Scenario(seed, nodes, 6 + r.nextInt(10), 16 + r.nextInt(16), links, faults);
   }
 
   /**
    * A plan with processes that are back within a second, late copies of messages every other time,
    * and at least two other failures.
    */
-  public static Plan restarts(long seed, boolean links) {
+  public static Scenario restarts(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 17 + 5);
-    Plan other = drawn(seed, links);
+    Scenario other = drawn(seed, links);
     List<Fault> faults = new ArrayList<>();
     int least = 1 + r.nextInt(3);
     for (int i = 0; i < least; i++) {
@@ -178,9 +178,9 @@
    * A plan with the troubles that the operators' pages left out: two or three of them, processes
    * that are back at once every other time, and two other failures.
    */
-  public static Plan unheard(long seed, boolean links) {
+  public static Scenario unheard(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 23 + 11);
-    Plan other = drawn(seed, links);
+    Scenario other = drawn(seed, links);
     List<Fault> faults = new ArrayList<>();
     for (int i = 0; i < 2 + r.nextInt(2); i++) {
       Fault.Kind kind = UNHEARD[r.nextInt(UNHEARD.length)];
@@ -193,8 +193,9 @@
     for (int i = 0; i < 2; i++) {
       faults.add(other.faults.get(r.nextInt(other.faults.size())));
     }
-    Plan p = other.with(faults);
-    return new Plan(p.seed, p.nodes, p.machines, p.jobs, p.links, p.faults, 2 + r.nextInt(4), 0, 0);
+    Scenario p = other.with(faults);
+    return new Scenario(
+        p.seed, p.nodes, p.machines, p.jobs, p.links, p.faults, 2 + r.nextInt(4), 0, 0);
   }
 
   /**
@@ -202,7 +203,7 @@
    * in the midst of them, some of whose machines hang; odd requests and cancellations at the end of
    * jobs all the time. The service may be out for longer than a cancellation's time.
    */
-  public static Plan meetings(long seed, boolean links) {
+  public static Scenario meetings(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 41 + 9);
     int nodes = 3 + 2 * r.nextInt(3);
     List<Fault> faults = new ArrayList<>();
@@ -225,22 +226,22 @@
     int machines = 6 + r.nextInt(10);
     // Fewer jobs where the limits admit little at once.
     int jobs = tight ? 12 + r.nextInt(4) : 16 + r.nextInt(16);
-    return new Plan(seed, nodes, machines, jobs, links, faults, 0, 0, 0, tight ? TIGHT : 1);
+    return new Scenario(seed, nodes, machines, jobs, links, faults, 0, 0, 0, tight ? TIGHT : 1);
   }
 
   /** The same troubles, beside rating jobs that fold games and prints that wait for them. */
-  public static Plan ratings(long seed, boolean links) {
+  public static Scenario ratings(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 29 + 3);
-    Plan p = r.nextBoolean() ? unheard(seed, links) : restarts(seed, links);
-    return new Plan(
+    Scenario p = r.nextBoolean() ? unheard(seed, links) : restarts(seed, links);
+    return new Scenario(
         seed, p.nodes, p.machines, p.jobs / 2, links, p.faults, 0, 12 + r.nextInt(12), 0);
   }
 
   /** The same troubles, beside many machines that want the same large images at once. */
-  public static Plan waves(long seed, boolean links) {
+  public static Scenario waves(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 37 + 1);
-    Plan p = r.nextBoolean() ? unheard(seed, links) : restarts(seed, links);
-    return new Plan(
+    Scenario p = r.nextBoolean() ? unheard(seed, links) : restarts(seed, links);
+    return new Scenario(
         seed, p.nodes, p.machines, p.jobs / 2, links, p.faults, p.gangs, 0, 2 + r.nextInt(4));
   }
 
@@ -248,8 +249,8 @@
    * Each single cut for itself: of the leader and of a follower, from each party, by each mode and
    * direction.
    */
-  public static List<Plan> matrix(long seed, boolean links) {
-    List<Plan> out = new ArrayList<>();
+  public static List<Scenario> matrix(long seed, boolean links) {
+    List<Scenario> out = new ArrayList<>();
     for (Fault.Kind kind :
         List.of(
             Fault.Kind.CUT_STATE,
@@ -263,7 +264,7 @@
         for (String mode : List.of("refuse", "reset", "hold")) {
           for (int direction = 0; direction < 3; direction++) {
             Fault f = new Fault(kind, 25_000, 30_000, node, 0, "a", mode, direction, 1);
-            out.add(new Plan(seed, 3, 10, 24, links, List.of(f)));
+            out.add(new Scenario(seed, 3, 10, 24, links, List.of(f)));
           }
         }
       }
@@ -304,13 +305,13 @@
   }
 
   /** The same with other faults. */
-  public Plan with(List<Fault> f) {
-    return new Plan(seed, nodes, machines, jobs, links, f, gangs, folds, weights, limits);
+  public Scenario with(List<Fault> f) {
+    return new Scenario(seed, nodes, machines, jobs, links, f, gangs, folds, weights, limits);
   }
 
   /** Reads a file. */
-  public static Plan load(String file) throws IOException {
-    return new TomlMapper().readValue(new File(file), Plan.class);
+  public static Scenario load(String file) throws IOException {
+    return new TomlMapper().readValue(new File(file), Scenario.class);
   }
 
   /** As a file has it. */
--- a/src/main/java/org/mallowroad/world/SimHost.java
+++ b/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
@@ -1,20 +1,20 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.util.function.Function;
 import org.mallowroad.config.Settings.Endpoint;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
-import org.mallowroad.net.Incoming;
-import org.mallowroad.net.Loop;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RequestSender;
 
 /** A controller's process in the world: its loop turns with the timeline, its clocks drift. */
-final class SimHost extends Network.Party implements Host {
+final class SimulatedEnvironment extends Network.Party implements NodeEnvironment {
   private static final byte[] NOTHING = new byte[0];
 
   /** The beginning of time in all worlds. */
   private static final long EPOCH_MS = 1_800_000_000_000L;
 
-  private final Timeline time;
+  private final EventQueue time;
   private final Network network;
   private final Function<Endpoint, Network.Party> directory;
   private final double drift;
@@ -23,11 +23,11 @@
   String unknownMessage = "";
 
   private long wallOffMs;
-  private Front front;
+  private RequestHandler front;
   private Life loop;
 
-  SimHost(
-      Timeline time,
+  SimulatedEnvironment(
+      EventQueue time,
       Network network,
       Function<Endpoint, Network.Party> directory,
       int index,
@@ -63,7 +63,7 @@
       reply.answer(404, NOTHING);
       return;
     }
-    Incoming x = new Arrived(method, target, body, reply);
+    IncomingRequest x = new Arrived(method, target, body, reply);
     if (from.kind == Network.Kind.NODE) {
       front.message(x);
     } else {
@@ -72,14 +72,14 @@
   }
 
   @Override
-  public Loop loop() {
+  public EventLoop loop() {
     return loop;
   }
 
   @Override
-  public Caller caller(Endpoint to, String type, int maxOpen, int maxBody) {
+  public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
     Network.Party party = directory.apply(to);
-    return new Caller() {
+    return new RequestSender() {
       private int open;
 
       @Override
@@ -90,7 +90,7 @@
         }
         open++;
         network.call(
-            SimHost.this,
+            SimulatedEnvironment.this,
             party,
             method,
             path,
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public void listen(Front f) {
+  public void listen(RequestHandler f) {
     front = f;
   }
 
@@ -146,14 +146,14 @@
   }
 
   private record Arrived(String method, String path, byte[] body, Network.Reply reply)
-      implements Incoming {
+      implements IncomingRequest {
     @Override
     public void answer(int status, String type, byte[] body, boolean later) {
       reply.answer(status, body);
     }
   }
 
-  private final class Life extends Loop {
+  private final class Life extends EventLoop {
     @Override
     public long nanos() {
       return (long) (time.us() * 1000L * (1 + drift)) + 1_000_000_000_000L;
@@ -166,7 +166,7 @@
 
     @Override
     protected void execute(Runnable task) {
-      time.after(0, SimHost.this, task);
+      time.after(0, SimulatedEnvironment.this, task);
     }
 
     @Override
@@ -174,7 +174,7 @@
       boolean[] over = new boolean[1];
       time.after(
           (long) (ms * 1000 / (1 + drift)),
-          SimHost.this,
+          SimulatedEnvironment.this,
           () -> {
             if (!over[0]) {
               over[0] = true;
--- a/src/main/java/org/mallowroad/world/World.java
+++ b/src/main/java/org/mallowroad/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -17,13 +17,13 @@
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings.TeamSetting;
+import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.controller.Node;
-import org.mallowroad.controller.Site;
-import org.mallowroad.core.Term;
-import org.mallowroad.core.links.LinkPolicy;
+import org.mallowroad.core.FencingTokens;
+import org.mallowroad.core.linkstate.LinkPolicy;
 
 /** Plays a plan. */
-public final class World {
+public final class Simulation {
   private static final double REPORT_S = 2;
   private static final double LEASE_S = 13;
   private static final double CANCEL_S = 28;
@@ -57,15 +57,15 @@
   private static final List<String> TEAMS = List.of("red", "green", "blue");
   private static final List<String> CLASSES = List.of("short", "wide", "long");
 
-  private final Plan plan;
-  private final Timeline time = new Timeline();
+  private final Scenario plan;
+  private final EventQueue time = new EventQueue();
   private final SplittableRandom random;
   private final Network network;
   private final StateModel state;
   private final CloudModel cloud;
-  private final Checker checker;
+  private final InvariantChecker checker;
   private final UserModel users;
-  private final List<SimHost> hosts = new ArrayList<>();
+  private final List<SimulatedEnvironment> hosts = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
   private final Map<String, Network.Party> directory = new HashMap<>();
   private final List<String> log = new ArrayList<>();
@@ -75,7 +75,7 @@
 
   private int odd;
   private long calmMs = Long.MAX_VALUE / 2;
-  private final Waiting waiting;
+  private final StarvationCheck waiting;
 
   /** Rating jobs and prints; null without them. */
   private RatingModel ratings;
@@ -98,8 +98,8 @@
    * @param recoveryMs the same after all troubles were over
    */
   public record Result(
-      Plan plan,
-      List<Checker.Breach> breaches,
+      Scenario plan,
+      List<InvariantChecker.Breach> breaches,
       Map<String, double[]> served,
       int unfinished,
       long started,
@@ -159,31 +159,32 @@
           least(),
           untilMs,
           events,
-          breaches.stream().map(Checker.Breach::rule).distinct().toList());
+          breaches.stream().map(InvariantChecker.Breach::rule).distinct().toList());
     }
   }
 
   /** A world for a plan. */
-  public World(Plan plan) throws IOException {
+  public Simulation(Scenario plan) throws IOException {
     this.plan = plan;
     this.random = new SplittableRandom(plan.seed() * 31 + 7);
     this.network = new Network(time, random.split());
     Map<String, Double> limits = new HashMap<>();
     TEAMS.forEach(t -> limits.put(t, plan.limits() * limit(t)));
-    this.checker = new Checker(time::ms, limits, (long) (CANCEL_S * 1000));
+    this.checker = new InvariantChecker(time::ms, limits, (long) (CANCEL_S * 1000));
     this.state = new StateModel(time, random.split(), STATE_RPS, STATE_WRITE_RPS);
-    this.cloud = new CloudModel(time, random.split(), Plan.ZONES, plan.machines(), this::worker);
+    this.cloud =
+        new CloudModel(time, random.split(), Scenario.ZONES, plan.machines(), this::worker);
     directory.put("state", state);
     directory.put("cloud", cloud);
     for (int i = 0; i < plan.nodes(); i++) {
-      SimHost h =
-          new SimHost(
+      SimulatedEnvironment h =
+          new SimulatedEnvironment(
               time,
               network,
               e -> directory.get(e.host()),
               i,
               "n" + i,
-              Plan.ZONES.get(i % Plan.ZONES.size()),
+              Scenario.ZONES.get(i % Scenario.ZONES.size()),
               (random.nextDouble() - 0.5) * 0.001,
               wander());
       hosts.add(h);
@@ -212,7 +213,8 @@
     plan.faults().forEach(this::schedule);
     plan.faults().stream().filter(f -> f.kind() == Fault.Kind.CANCEL_NOW).forEach(this::victims);
     checker.onCompleted(this::completed);
-    this.waiting = new Waiting(checker, cloud::workers, id -> ratings != null && ratings.holds(id));
+    this.waiting =
+        new StarvationCheck(checker, cloud::workers, id -> ratings != null && ratings.holds(id));
     everySecond();
   }
 
@@ -238,7 +240,7 @@
 
   private long term() {
     com.fasterxml.jackson.databind.JsonNode term = state.store().value("term");
-    return term == null ? 0 : term.path("n").asLong() / Term.TOKENS;
+    return term == null ? 0 : term.path("n").asLong() / FencingTokens.TOKENS;
   }
 
   /** Kept reports reach every controller as soon as another one leads than before. */
@@ -260,8 +262,8 @@
     if (over[0]) {
       return;
     }
-    Checker.Submitted s =
-        new Checker.Submitted(
+    InvariantChecker.Submitted s =
+        new InvariantChecker.Submitted(
             String.format("job-4%05d", singles++),
             TEAMS.get(singles % TEAMS.size()),
             "single",
@@ -303,7 +305,8 @@
     for (int n = 0; n < plan.nodes(); n++) {
       if (n != i) {
         members.add(
-            new Member("n" + n, Plan.ZONES.get(n % Plan.ZONES.size()), new Endpoint("n" + n, 2)));
+            new Member(
+                "n" + n, Scenario.ZONES.get(n % Scenario.ZONES.size()), new Endpoint("n" + n, 2)));
       }
     }
     List<TeamSetting> teams = new ArrayList<>();
@@ -314,13 +317,13 @@
                     t, plan.limits() * GUARANTEE_CPUS, 0, plan.limits() * limit(t), 0)));
     return new Settings(
         "n" + i,
-        Plan.ZONES.get(i % Plan.ZONES.size()),
+        Scenario.ZONES.get(i % Scenario.ZONES.size()),
         new Endpoint("n" + i, 1),
         new Endpoint("n" + i, 2),
         members,
         new Endpoint("cloud", 1),
         new Endpoint("state", 1),
-        Plan.ZONES,
+        Scenario.ZONES,
         teams,
         List.of(),
         REPORT_S,
@@ -350,8 +353,10 @@
     OperatorSettings o =
         OperatorSettings.defaults().with(new RecordPolicy(sharesStarts(plan.seed(), i)));
     try {
-      SimHost h = hosts.get(i);
-      Node n = new Node(new Site(settings(i), plan.links() ? o.with(LinkPolicy.defaults()) : o), h);
+      SimulatedEnvironment h = hosts.get(i);
+      Node n =
+          new Node(
+              new ClusterConfig(settings(i), plan.links() ? o.with(LinkPolicy.defaults()) : o), h);
       nodes.set(i, n);
       time.after(0, h, n::begin);
     } catch (IOException e) {
@@ -364,14 +369,14 @@
     for (int j = 0; j < plan.jobs(); j++) {
       long at = 2_000 + r.nextLong(LOAD_MS);
       String kind = CLASSES.get(j % CLASSES.size());
-      Checker.Submitted s =
-          new Checker.Submitted(
+      InvariantChecker.Submitted s =
+          new InvariantChecker.Submitted(
               String.format("job-%06d", j + 1),
               TEAMS.get(r.nextInt(TEAMS.size())),
               kind,
               kind.equals("wide") ? 4 + r.nextInt(12) : 1 + r.nextInt(4),
               kind.equals("long") ? 4 : 1 + r.nextInt(2),
-              r.nextInt(6) == 0 ? Plan.ZONES.get(r.nextInt(2)) : null,
+              r.nextInt(6) == 0 ? Scenario.ZONES.get(r.nextInt(2)) : null,
               r.nextInt(8) == 0,
               false,
               at);
@@ -393,8 +398,8 @@
     SplittableRandom r = random.split();
     for (int g = 0; g < plan.gangs(); g++) {
       long at = 2_000 + r.nextLong(LOAD_MS);
-      Checker.Submitted s =
-          new Checker.Submitted(
+      InvariantChecker.Submitted s =
+          new InvariantChecker.Submitted(
               String.format("job-7%05d", g),
               "green",
               "gang",
@@ -414,8 +419,8 @@
     SplittableRandom r = random.split();
     for (int i = 0; i < plan.weights(); i++) {
       long at = 2_000 + r.nextLong(LOAD_MS);
-      Checker.Submitted s =
-          new Checker.Submitted(
+      InvariantChecker.Submitted s =
+          new InvariantChecker.Submitted(
               String.format("job-6%05d", i),
               "blue",
               "weights" + i % 2,
@@ -441,7 +446,7 @@
         () -> {
           int node = f.node();
           if (node < 0) {
-            node = (leader() + (f.node() == Plan.FOLLOWER ? 1 : 0)) % plan.nodes();
+            node = (leader() + (f.node() == Scenario.FOLLOWER ? 1 : 0)) % plan.nodes();
           }
           say("begins " + f + " of n" + node);
           Runnable end = fails(f, node);
@@ -501,7 +506,7 @@
   private int leader() {
     com.fasterxml.jackson.databind.JsonNode v = state.store().value("leader");
     String name = v == null ? "n0" : v.path("node").asText();
-    return directory.get(name) instanceof SimHost h ? h.index : 0;
+    return directory.get(name) instanceof SimulatedEnvironment h ? h.index : 0;
   }
 
   /** Some controllers reach the state service alone, the others the workers alone. */
@@ -664,7 +669,7 @@
     List<WorkerModel> hung = cloud.workers();
     hung.removeIf(w -> !w.listens() || !names.contains(w.name));
     List<WorkerModel> few = hung.subList(0, Math.min(MOST_HUNG, hung.size()));
-    few.forEach(Timeline.Being::freeze);
+    few.forEach(EventQueue.Being::freeze);
     return () -> few.forEach(time::thaw);
   }
 
@@ -674,8 +679,8 @@
     for (int i = 0; i < f.count(); i++) {
       long before = fetch ? FETCH_MS / 2 : VICTIMS_MS;
       long at = Math.max(1_000, f.atMs() - before) + 100L * i;
-      Checker.Submitted s =
-          new Checker.Submitted(
+      InvariantChecker.Submitted s =
+          new InvariantChecker.Submitted(
               victim(f, i), TEAMS.get(1 + i % 2), "long", 1 + i % 3, 4, null, false, false, at);
       time.after(
           at * 1000,
@@ -722,7 +727,7 @@
   }
 
   private Runnable crash(int i, long forMs) {
-    SimHost h = hosts.get(i);
+    SimulatedEnvironment h = hosts.get(i);
     if (h.alive()) {
       h.die();
       time.after(Math.min(forMs, RESTART_MS) * 1000, null, () -> rise(i));
@@ -754,7 +759,7 @@
     time.after(300_000 + random.nextLong(7_000_000), null, () -> again(who, over));
   }
 
-  private Runnable freeze(Timeline.Being b) {
+  private Runnable freeze(EventQueue.Being b) {
     b.freeze();
     return () -> time.thaw(b);
   }
@@ -784,7 +789,7 @@
 
   private Runnable hang(int count) {
     List<WorkerModel> hung = some(count);
-    hung.forEach(Timeline.Being::freeze);
+    hung.forEach(EventQueue.Being::freeze);
     return () -> hung.forEach(time::thaw);
   }
 
--- a/src/main/java/org/mallowroad/world/Waiting.java
+++ b/src/main/java/org/mallowroad/simulation/StarvationCheck.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,11 +13,11 @@
  * needs next, and its team is under its limit. What fits is the whole need: a machine in its zone,
  * in the zone of its other tasks where they belong together, and room for all of a gang in one.
  */
-final class Waiting {
+final class StarvationCheck {
   /** The users' words: no job waits longer than this. */
   static final long MOST_MS = 90_000;
 
-  private final Checker checker;
+  private final InvariantChecker checker;
   private final Supplier<List<WorkerModel>> workers;
   private final Map<String, Long> sinceMs = new HashMap<>();
 
@@ -28,7 +28,8 @@
    *
    * @param held true for a job that waits for other jobs or games, and not for room
    */
-  Waiting(Checker checker, Supplier<List<WorkerModel>> workers, Predicate<String> held) {
+  StarvationCheck(
+      InvariantChecker checker, Supplier<List<WorkerModel>> workers, Predicate<String> held) {
     this.checker = checker;
     this.workers = workers;
     this.held = held;
@@ -41,8 +42,9 @@
     }
     List<WorkerModel> up = new ArrayList<>(workers.get());
     up.removeIf(w -> !w.listens() || w.still() || w.deaf || w.mute);
-    for (Map.Entry<Checker.Submitted, Set<Integer>> e : checker.unfinishedJobs().entrySet()) {
-      Checker.Submitted s = e.getKey();
+    for (Map.Entry<InvariantChecker.Submitted, Set<Integer>> e :
+        checker.unfinishedJobs().entrySet()) {
+      InvariantChecker.Submitted s = e.getKey();
       if (held.test(s.id()) || !couldRun(s, e.getValue(), up)) {
         sinceMs.remove(s.id());
       } else if (now - sinceMs.computeIfAbsent(s.id(), k -> now) > MOST_MS) {
@@ -52,7 +54,7 @@
     }
   }
 
-  private boolean couldRun(Checker.Submitted s, Set<Integer> done, List<WorkerModel> up) {
+  private boolean couldRun(InvariantChecker.Submitted s, Set<Integer> done, List<WorkerModel> up) {
     String zone = s.zone();
     int waiting = 0;
     for (int t = 0; t < s.tasks(); t++) {
--- a/src/main/java/org/mallowroad/world/StateModel.java
+++ b/src/main/java/org/mallowroad/simulation/StateModel.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -6,9 +6,9 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.mallowroad.standin.Store;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.fake.InMemoryKeyValueStore;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** The state service: slow, out, or refusing one node, within its limits of calls. */
@@ -16,10 +16,10 @@
   private static final long USUAL_US = 2_500;
   private static final byte[] EMPTY = {'{', '}'};
 
-  private final Timeline time;
+  private final EventQueue time;
   private final SplittableRandom random;
-  private final Store store = new Store();
-  private final List<Waiting> watches = new ArrayList<>();
+  private final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
+  private final List<StarvationCheck> watches = new ArrayList<>();
   private final int rps;
   private long secondMs;
   private int calls;
@@ -55,9 +55,9 @@
   /** The node that alone is not served, or -1. */
   int refused = -1;
 
-  private record Waiting(int node, String target, Network.Reply reply, long untilMs) {}
+  private record StarvationCheck(int node, String target, Network.Reply reply, long untilMs) {}
 
-  StateModel(Timeline time, SplittableRandom random, int rps, int writesPerSecond) {
+  StateModel(EventQueue time, SplittableRandom random, int rps, int writesPerSecond) {
     super(Network.Kind.STATE, 0, "state", null);
     this.time = time;
     this.random = random;
@@ -66,7 +66,7 @@
     tick();
   }
 
-  Store store() {
+  InMemoryKeyValueStore store() {
     return store;
   }
 
@@ -129,29 +129,29 @@
           return;
         }
       }
-      Store.Answer a = store.serve(method, target, body, time.ms());
+      InMemoryKeyValueStore.Answer a = store.serve(method, target, body, time.ms());
       if (a == null) {
-        long block = Store.block(target);
-        watches.add(new Waiting(node, target, reply, time.ms() + block));
+        long block = InMemoryKeyValueStore.block(target);
+        watches.add(new StarvationCheck(node, target, reply, time.ms() + block));
       } else {
         reply.answer(a.status(), Json.bytes(a.body()));
       }
       if (store.revision() != before) {
         wake();
       }
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       reply.answer(400, EMPTY);
     }
   }
 
   private void wake() {
-    for (Iterator<Waiting> it = watches.iterator(); it.hasNext(); ) {
-      Waiting w = it.next();
+    for (Iterator<StarvationCheck> it = watches.iterator(); it.hasNext(); ) {
+      StarvationCheck w = it.next();
       if (!serves(w.node)) {
         continue;
       }
       try {
-        Store.Answer a = store.serve("GET", w.target, EMPTY, time.ms());
+        InMemoryKeyValueStore.Answer a = store.serve("GET", w.target, EMPTY, time.ms());
         if (a == null && time.ms() >= w.untilMs) {
           a = store.nothing();
         }
@@ -159,7 +159,7 @@
           it.remove();
           w.reply.answer(a.status(), Json.bytes(a.body()));
         }
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
       }
     }
--- a/src/main/java/org/mallowroad/world/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.mallowroad.net.Caller;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** All users, and the load balancer in front of the controllers. */
@@ -35,21 +35,21 @@
     private long pauseMs = BACK_MS;
   }
 
-  private final Timeline time;
+  private final EventQueue time;
   private final Network network;
   private final SplittableRandom random;
-  private final List<SimHost> nodes;
-  private final Checker checker;
+  private final List<SimulatedEnvironment> nodes;
+  private final InvariantChecker checker;
   private final Map<String, long[]> times = new HashMap<>();
   private final List<Seen> seen = new ArrayList<>();
   private int open;
 
   UserModel(
-      Timeline time,
+      EventQueue time,
       Network network,
       SplittableRandom random,
-      List<SimHost> nodes,
-      Checker checker) {
+      List<SimulatedEnvironment> nodes,
+      InvariantChecker checker) {
     super(Network.Kind.USERS, 0, "users", null);
     this.time = time;
     this.network = network;
@@ -96,7 +96,7 @@
         "/healthz",
         NOTHING,
         PROBE_MS,
-        new Caller.Answer() {
+        new RequestSender.Answer() {
           @Override
           public void answered(int status, byte[] body) {
             judge(seen.get(i), status == 200);
@@ -126,8 +126,8 @@
     }
   }
 
-  private SimHost healthy() {
-    List<SimHost> all = new ArrayList<>();
+  private SimulatedEnvironment healthy() {
+    List<SimulatedEnvironment> all = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
       if (seen.get(i).healthy) {
         all.add(nodes.get(i));
@@ -154,7 +154,7 @@
     if (!closeLooks) {
       return;
     }
-    for (SimHost node : nodes) {
+    for (SimulatedEnvironment node : nodes) {
       for (int i = 0; i < LOOKS; i++) {
         time.after(random.nextLong(LOOK_US << (2 * i)), this, () -> questionAt(node, id));
       }
@@ -164,7 +164,7 @@
     }
   }
 
-  private void accepted(Checker.Submitted s) {
+  private void accepted(InvariantChecker.Submitted s) {
     if (closeLooks) {
       looks++;
       lookClosely(s.id());
@@ -181,7 +181,7 @@
 
   private int looks;
 
-  private void questionAt(SimHost node, String id) {
+  private void questionAt(SimulatedEnvironment node, String id) {
     long sentMs = time.ms();
     askAt(
         node,
@@ -192,7 +192,7 @@
         (status, standing) -> checker.told(id, status, standing, sentMs));
   }
 
-  private void repeatAt(SimHost node, String id) {
+  private void repeatAt(SimulatedEnvironment node, String id) {
     long sentMs = time.ms();
     askAt(
         node,
@@ -204,13 +204,14 @@
   }
 
   /** Asks one node, past the load balancer; status 0 stands for no answer. */
-  private void askAt(SimHost node, String method, String target, byte[] body, long ms, Got got) {
+  private void askAt(
+      SimulatedEnvironment node, String method, String target, byte[] body, long ms, Got got) {
     call(node, method, target, body, ms, got, sent -> got.got(0, ""));
   }
 
   /** Asks any healthy node; status 0 stands for no answer. */
   private void ask(String method, String target, byte[] body, long ms, int tries, Got got) {
-    SimHost node = healthy();
+    SimulatedEnvironment node = healthy();
     if (node == null) {
       time.after(ms * 1000, this, () -> got.got(0, ""));
       return;
@@ -233,7 +234,7 @@
 
   /** Calls a node; {@code failed} hears whether the request may have been sent. */
   private void call(
-      SimHost node,
+      SimulatedEnvironment node,
       String method,
       String target,
       byte[] body,
@@ -247,7 +248,7 @@
         target,
         body,
         ms,
-        new Caller.Answer() {
+        new RequestSender.Answer() {
           @Override
           public void answered(int status, byte[] bytes) {
             got.got(status, standing(bytes));
@@ -263,14 +264,14 @@
   private static String standing(byte[] body) {
     try {
       return Json.parseObject(body).path("standing").asText();
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       return "";
     }
   }
 
   /** Submits a job now, follows it to its end, and perhaps cancels it. */
   void job(
-      Checker.Submitted s,
+      InvariantChecker.Submitted s,
       String rank,
       long runMs,
       long fetchMs,
@@ -299,7 +300,7 @@
     }
   }
 
-  private void submit(Checker.Submitted s, byte[] body) {
+  private void submit(InvariantChecker.Submitted s, byte[] body) {
     long sentMs = time.ms();
     ask(
         "POST",
@@ -322,7 +323,7 @@
         });
   }
 
-  private void poll(Checker.Submitted s) {
+  private void poll(InvariantChecker.Submitted s) {
     time.after(
         EVERY_MS * 1000 + random.nextLong(500_000),
         this,
@@ -347,7 +348,7 @@
         });
   }
 
-  private void cancel(Checker.Submitted s, long sinceMs) {
+  private void cancel(InvariantChecker.Submitted s, long sinceMs) {
     checker.cancels(s.id());
     long sentMs = time.ms();
     ask(
@@ -369,7 +370,7 @@
         });
   }
 
-  private final Map<String, Checker.Submitted> jobs = new HashMap<>();
+  private final Map<String, InvariantChecker.Submitted> jobs = new HashMap<>();
   private final Map<String, ObjectNode> bodies = new LinkedHashMap<>();
 
   /** Cancels a job, and goes on until it is told an end. */
--- a/src/main/java/org/mallowroad/world/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.mallowroad.net.Caller;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** A machine's worker as PROTOCOL has it: reports, tokens, sessions, lease, orders. */
@@ -43,12 +43,12 @@
     }
   }
 
-  private final Timeline time;
+  private final EventQueue time;
   private final Network network;
   private final SplittableRandom random;
-  private final List<SimHost> nodes;
+  private final List<SimulatedEnvironment> nodes;
   private final Jobs jobs;
-  private final Checker checker;
+  private final InvariantChecker checker;
   private final long reportMs;
   private final long leaseMs;
 
@@ -81,12 +81,12 @@
   private long longestMs;
 
   WorkerModel(
-      Timeline time,
+      EventQueue time,
       Network network,
       SplittableRandom random,
-      List<SimHost> nodes,
+      List<SimulatedEnvironment> nodes,
       Jobs jobs,
-      Checker checker,
+      InvariantChecker checker,
       long reportMs,
       long leaseMs,
       int index,
@@ -209,7 +209,7 @@
         "/v1/report",
         Json.bytes(state()),
         ANSWER_MS,
-        new Caller.Answer() {
+        new RequestSender.Answer() {
           @Override
           public void answered(int status, byte[] body) {
             out = false;
@@ -254,7 +254,7 @@
   private static ObjectNode parsed(byte[] body) {
     try {
       return Json.parseObject(body);
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       return Json.object();
     }
   }
--- a/src/main/java/org/mallowroad/world/package-info.java
+++ b/src/main/java/org/mallowroad/simulation/package-info.java
@@ -4,4 +4,4 @@
  * what happened. The controllers are the service's own nodes; all others are small models. It shows
  * nothing of processor time, memory, sockets or JVMs (docs/links.md).
  */
-package org.mallowroad.world;
+package org.mallowroad.simulation;
--- a/src/main/java/org/mallowroad/state/StateStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -7,19 +7,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Caller;
+import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.LogLimiter;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.net.RequestSender;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The state service's calls, each with exactly one outcome. */
-public final class StateStore {
-  private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
+public final class KeyValueStore {
+  private static final Logger LOG = LoggerFactory.getLogger(KeyValueStore.class);
   private static final long TIMEOUT_MS = 1500;
 
   /** After a refusal for its limits no copy of a transaction is sent for so long. */
@@ -33,18 +33,18 @@
 
   private static final double REPEAT_BURST_S = 2;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final LogLimiter garbled = LogLimiter.usual();
-  private final Caller caller;
-  private final Caller follower;
+  private final RequestSender caller;
+  private final RequestSender follower;
   private long contactMs = Long.MIN_VALUE / 2;
   private long servedMs = Long.MIN_VALUE / 2;
   private long failedMs = Long.MIN_VALUE / 2;
   private long crowdedMs = Long.MIN_VALUE / 2;
   private long repeatedMs = Long.MIN_VALUE / 2;
   private long wrong;
-  private final Latency latency = new Latency();
-  private Budget repeats;
+  private final LatencyEstimator latency = new LatencyEstimator();
+  private RateLimiter repeats;
 
   /** How a call went. */
   public enum Result {
@@ -59,12 +59,12 @@
   }
 
   /** A key with its value and version; version 0 and no value when it does not exist. */
-  public record Item(String key, JsonNode value, long mark) {}
+  public record VersionedValue(String key, JsonNode value, long mark) {}
 
   /** An answer to a read. */
   public interface Got {
     /** With {@link Result#OK} the item (mark 0 when absent), else null. */
-    void got(Result result, Item item);
+    void got(Result result, VersionedValue item);
   }
 
   /** An answer to a transaction. */
@@ -76,7 +76,7 @@
   /** An answer to a listing. */
   public interface Listed {
     /** With {@link Result#OK} all items and the revision of the first page. */
-    void listed(Result result, List<Item> items, long revision);
+    void listed(Result result, List<VersionedValue> items, long revision);
   }
 
   /** An answer to a lease call. */
@@ -88,11 +88,11 @@
   /** An answer to a watch. */
   public interface Followed {
     /** NO means the revision is too old and the keys must be read again. */
-    void followed(Result result, List<Item> events, long revision);
+    void followed(Result result, List<VersionedValue> events, long revision);
   }
 
   /** Over callers for ordinary calls and for watches, so that watches never hold up others. */
-  public StateStore(Loop loop, Caller caller, Caller follower) {
+  public KeyValueStore(EventLoop loop, RequestSender caller, RequestSender follower) {
     this.loop = loop;
     this.caller = caller;
     this.follower = follower;
@@ -101,7 +101,7 @@
 
   /** Bounds the copies of transactions whose answers are late. */
   public void repeatsPerSecond(double perSecond) {
-    repeats = new Budget(perSecond, REPEAT_BURST_S * perSecond, loop.now());
+    repeats = new RateLimiter(perSecond, REPEAT_BURST_S * perSecond, loop.now());
   }
 
   /**
@@ -136,9 +136,9 @@
         TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             if (status == 404) {
-              got.got(Result.OK, new Item(key, null, 0));
+              got.got(Result.OK, new VersionedValue(key, null, 0));
             } else if (status == 200) {
               got.got(Result.OK, item(o));
             } else {
@@ -153,8 +153,8 @@
         });
   }
 
-  private static Item item(JsonNode o) throws BadMessage {
-    return new Item(
+  private static VersionedValue item(JsonNode o) throws InvalidMessageException {
+    return new VersionedValue(
         Json.string(o, Fields.KEY, 400),
         o.get(Fields.VALUE),
         Json.integer(o, Fields.MARK, 0, Long.MAX_VALUE));
@@ -166,7 +166,12 @@
   }
 
   private void page(
-      String prefix, String from, List<Item> sofar, long revision, int tries, Listed listed) {
+      String prefix,
+      String from,
+      List<VersionedValue> sofar,
+      long revision,
+      int tries,
+      Listed listed) {
     String path =
         "/kv?under=" + enc(prefix) + (from == null ? "" : "&from=" + enc(from)) + "&limit=1000";
     caller.call(
@@ -176,14 +181,14 @@
         2 * TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             if (status != 200) {
               none(false);
               return;
             }
             String last = null;
             for (JsonNode n : Json.list(o, Fields.PAIRS)) {
-              Item it = item(n);
+              VersionedValue it = item(n);
               sofar.add(it);
               last = it.key();
             }
@@ -221,12 +226,12 @@
         2 * TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             if (status != 200) {
               none(false);
               return;
             }
-            List<Item> items = new ArrayList<>();
+            List<VersionedValue> items = new ArrayList<>();
             for (JsonNode n : Json.list(o, Fields.PAIRS)) {
               items.add(item(n));
             }
@@ -246,13 +251,13 @@
 
   /**
    * Runs a transaction whose conditions make it safe to be carried out twice, and sends it again
-   * while its answer is late ({@link RepeatedTransaction}). {@code NO} may then mean that an
-   * earlier copy was carried out: the caller compares what it finds with what it wrote.
+   * while its answer is late ({@link TransactionRetry}). {@code NO} may then mean that an earlier
+   * copy was carried out: the caller compares what it finds with what it wrote.
    *
    * @param onRepeat told of each further copy, which counts against the service's limits as well
    */
-  public void runRepeated(Txn txn, Runnable onRepeat, Ended ended) {
-    new RepeatedTransaction(
+  public void runRepeated(Transaction txn, Runnable onRepeat, Ended ended) {
+    new TransactionRetry(
             loop,
             listener -> run(txn, listener),
             this::mayRepeat,
@@ -279,7 +284,7 @@
   }
 
   /** Runs a transaction. */
-  public void run(Txn txn, Ended ended) {
+  public void run(Transaction txn, Ended ended) {
     caller.call(
         "POST",
         "/multi",
@@ -287,7 +292,7 @@
         TIMEOUT_MS,
         new Parsed() {
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             if (status == 200) {
               ended.ended(Result.OK, Json.integer(o, Fields.EPOCH, 0, Long.MAX_VALUE), List.of());
             } else if (status == 409) {
@@ -365,7 +370,7 @@
           }
 
           @Override
-          void ok(int status, ObjectNode o) throws BadMessage {
+          void ok(int status, ObjectNode o) throws InvalidMessageException {
             if (status == 410) {
               followed.followed(Result.NO, List.of(), 0);
               return;
@@ -374,12 +379,12 @@
               none(false);
               return;
             }
-            List<Item> events = new ArrayList<>();
+            List<VersionedValue> events = new ArrayList<>();
             for (JsonNode e : Json.list(o, Fields.EVENTS)) {
               JsonNode gone = e.get(Fields.DELETE);
               String key = gone != null ? gone.asText() : Json.string(e, Fields.PUT, 400);
               events.add(
-                  new Item(
+                  new VersionedValue(
                       key,
                       gone != null ? null : e.get(Fields.VALUE),
                       Json.integer(e, Fields.MARK, 0, Long.MAX_VALUE)));
@@ -395,10 +400,10 @@
   }
 
   /** Parses the body; what cannot be understood counts as no answer. */
-  private abstract class Parsed implements Caller.Answer {
+  private abstract class Parsed implements RequestSender.Answer {
     private final long sentMs = loop.now();
 
-    abstract void ok(int status, ObjectNode o) throws BadMessage;
+    abstract void ok(int status, ObjectNode o) throws InvalidMessageException;
 
     abstract void none(boolean sent);
 
@@ -424,7 +429,7 @@
       if (status < 500 && status != 429 && body.length > 0) {
         try {
           o = Json.parseObject(body);
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
           if (status == 200 || status == 409) {
             garbled(e);
             return;
@@ -433,12 +438,12 @@
       }
       try {
         ok(status, o);
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         garbled(e);
       }
     }
 
-    private void garbled(BadMessage e) {
+    private void garbled(InvalidMessageException e) {
       wrong++;
       long left = garbled.line(loop.now());
       if (left >= 0) {
@@ -455,13 +460,13 @@
   }
 
   /** A transaction under construction. */
-  public static final class Txn {
+  public static final class Transaction {
     private final ObjectNode o = Json.object();
     private final ArrayNode conditions = o.putArray(Fields.IF);
     private final ArrayNode writes = o.putArray(Fields.WRITES);
 
     /** The key must have this version. */
-    public Txn given(String key, long mark) {
+    public Transaction given(String key, long mark) {
       ObjectNode c = conditions.addObject();
       c.put(Fields.KEY, key);
       c.put(Fields.MARK, mark);
@@ -469,12 +474,12 @@
     }
 
     /** Writes a key. */
-    public Txn put(String key, JsonNode value) {
+    public Transaction put(String key, JsonNode value) {
       return put(key, value, 0);
     }
 
     /** Writes a key that lives as long as a lease. */
-    public Txn put(String key, JsonNode value, long lease) {
+    public Transaction put(String key, JsonNode value, long lease) {
       ObjectNode w = writes.addObject();
       w.put(Fields.PUT, key);
       w.set(Fields.VALUE, value);
@@ -485,7 +490,7 @@
     }
 
     /** Deletes a key. */
-    public Txn delete(String key) {
+    public Transaction delete(String key) {
       writes.addObject().put(Fields.DELETE, key);
       return this;
     }
--- a/src/main/java/org/mallowroad/state/Latency.java
+++ b/src/main/java/org/mallowroad/state/LatencyEstimator.java
@@ -1,7 +1,7 @@
 package org.mallowroad.state;
 
 /** A smoothed time and its variation, as TCP estimates its retransmission time (RFC 6298). */
-final class Latency {
+final class LatencyEstimator {
   private static final double GAIN = 0.125;
   private static final double VARIATION_GAIN = 0.25;
   private static final double VARIATIONS = 4;
--- a/src/main/java/org/mallowroad/state/Records.java
+++ b/src/main/java/org/mallowroad/state/Records.java
@@ -12,14 +12,14 @@
 import java.util.Locale;
 import java.util.Map;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Chunk;
+import org.mallowroad.core.AttemptRecord;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.Machine;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.SharedRecord;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SharedAttemptRecord;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
 
@@ -34,7 +34,7 @@
   /** Attempts and done tasks of a part of a job's tasks. */
   public static final String RUN = "run/";
 
-  /** Attempts of several small jobs together ({@code core.SharedRecord}). */
+  /** Attempts of several small jobs together ({@code core.SharedAttemptRecord}). */
   public static final String STARTS = "starts/";
 
   /** Rental requests whose machines are not all accounted for. */
@@ -119,19 +119,19 @@
   }
 
   /** Key of a chunk. */
-  public static String run(Chunk c) {
+  public static String run(AttemptRecord c) {
     return RUN + c.job.spec.id() + "/" + c.index;
   }
 
   /** Key of a record that small jobs share. */
-  public static String starts(SharedRecord r) {
+  public static String starts(SharedAttemptRecord r) {
     return STARTS + r.name;
   }
 
   /** A record that small jobs share: what a run record has, by job. */
-  public static ObjectNode sharedValue(Iterable<Chunk> members, Names zones) {
+  public static ObjectNode sharedValue(Iterable<AttemptRecord> members, NameIndex zones) {
     ObjectNode o = Json.object();
-    for (Chunk c : members) {
+    for (AttemptRecord c : members) {
       o.set(c.job.spec.id(), runValue(c, zones));
     }
     return o;
@@ -153,10 +153,10 @@
   }
 
   /** The job of an open record, or of a run record whose job is over. */
-  public static JobSpec spec(JsonNode value, JobCodec codec) throws BadMessage {
+  public static JobSpec spec(JsonNode value, JobCodec codec) throws InvalidMessageException {
     JsonNode job = value == null ? null : value.get("job");
     if (job == null || !job.isObject()) {
-      throw new BadMessage("job: a job is needed");
+      throw new InvalidMessageException("job: a job is needed");
     }
     return codec.decode(job, value.path("at").asLong());
   }
@@ -178,7 +178,7 @@
    * stands once for all machines like it: a record is written with every start, so each byte is
    * paid for often.
    */
-  public static ObjectNode runValue(Chunk c, Names zones) {
+  public static ObjectNode runValue(AttemptRecord c, NameIndex zones) {
     ObjectNode o = Json.object();
     BitSet done = new BitSet();
     int high = 0;
--- a/src/main/java/org/mallowroad/state/RepeatedTransaction.java
+++ b/src/main/java/org/mallowroad/state/TransactionRetry.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.mallowroad.net.Loop;
-import org.mallowroad.state.StateStore.Ended;
-import org.mallowroad.state.StateStore.Result;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore.Ended;
+import org.mallowroad.state.KeyValueStore.Result;
 
 /**
  * Sends a transaction again while its answer is late, and gives the first outcome that is known.
@@ -15,7 +15,7 @@
  * late they come. A record of a job that is over is never written again: a copy that would create
  * such a record has the job's open record among its conditions.
  */
-final class RepeatedTransaction implements Ended {
+final class TransactionRetry implements Ended {
   /** Copies in all. */
   private static final int MOST_COPIES = 3;
 
@@ -24,24 +24,24 @@
 
   private static final long MOST_MS = 600;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Consumer<Ended> transaction;
   private final BooleanSupplier mayRepeat;
   private final Runnable onRepeat;
-  private final Latency latency;
+  private final LatencyEstimator latency;
   private final Ended listener;
   private int copies;
   private int open;
   private boolean unknown;
   private boolean over;
-  private Loop.Timer timer;
+  private EventLoop.Timer timer;
 
-  RepeatedTransaction(
-      Loop loop,
+  TransactionRetry(
+      EventLoop loop,
       Consumer<Ended> transaction,
       BooleanSupplier mayRepeat,
       Runnable onRepeat,
-      Latency latency,
+      LatencyEstimator latency,
       Ended listener) {
     this.loop = loop;
     this.transaction = transaction;
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.stream.Stream;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Sample;
-import org.mallowroad.core.explain.Sight;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.MetricSample;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeStatus;
 
 /**
  * What consoles exchange: the components of the records in {@code core.explain} by their names. A
@@ -37,14 +37,14 @@
   }
 
   /** A node's answer; its lists are there and its form is one that this build knows. */
-  public static Sight sight(byte[] body) throws BadMessage {
-    Sight s = read(body, Sight.class);
+  public static NodeStatus sight(byte[] body) throws InvalidMessageException {
+    NodeStatus s = read(body, NodeStatus.class);
     if (s.format() < 1 || s.node() == null || s.stack() == null) {
-      throw new BadMessage("not a console's answer");
+      throw new InvalidMessageException("not a console's answer");
     }
-    Picture p = s.picture();
+    NodeSnapshot p = s.picture();
     if (p != null
-        && (p.format() != Picture.FORMAT
+        && (p.format() != NodeSnapshot.FORMAT
             || p.phase() == null
             || p.totals() == null
             || p.teams() == null
@@ -52,39 +52,40 @@
             || p.zones() == null
             || p.machines() == null
             || p.reasons() == null)) {
-      throw new BadMessage("a picture of form " + p.format() + ", not " + Picture.FORMAT);
+      throw new InvalidMessageException(
+          "a picture of form " + p.format() + ", not " + NodeSnapshot.FORMAT);
     }
     if (p != null
         && Stream.of(p.teams(), p.jobs(), p.zones(), p.machines(), p.reasons())
             .anyMatch(l -> l.stream().anyMatch(Objects::isNull))) {
-      throw new BadMessage("not a console's answer");
+      throw new InvalidMessageException("not a console's answer");
     }
     return s;
   }
 
   /** One job's answer. */
-  public static JobPicture job(byte[] body) throws BadMessage {
-    JobPicture j = read(body, JobPicture.class);
+  public static JobSnapshot job(byte[] body) throws InvalidMessageException {
+    JobSnapshot j = read(body, JobSnapshot.class);
     if (j.id() == null || j.tasks() == null) {
-      throw new BadMessage("not a console's answer");
+      throw new InvalidMessageException("not a console's answer");
     }
     return j;
   }
 
   /** A node's past. */
-  public static List<Sample> history(byte[] body) throws BadMessage {
-    for (Sample s : read(body, Sample[].class)) {
+  public static List<MetricSample> history(byte[] body) throws InvalidMessageException {
+    for (MetricSample s : read(body, MetricSample[].class)) {
       if (s.waiting() == null
           || s.running() == null
           || s.machines() == null
           || s.reasons() == null) {
-        throw new BadMessage("not a console's history");
+        throw new InvalidMessageException("not a console's history");
       }
     }
-    return List.of(read(body, Sample[].class));
+    return List.of(read(body, MetricSample[].class));
   }
 
-  private static <T> T read(byte[] body, Class<T> type) throws BadMessage {
+  private static <T> T read(byte[] body, Class<T> type) throws InvalidMessageException {
     try {
       T t = MAPPER.readValue(body, type);
       if (t != null) {
@@ -93,6 +94,6 @@
     } catch (IOException e) {
       // Falls through: what the library says names classes, which helps no user.
     }
-    throw new BadMessage("not a console's answer");
+    throw new InvalidMessageException("not a console's answer");
   }
 }
--- a/src/main/java/org/mallowroad/wire/HoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.mallowroad.core.hold.Ties;
-import org.mallowroad.core.hold.Ties.UpTo;
+import org.mallowroad.core.dependency.JobDependencies;
+import org.mallowroad.core.dependency.JobDependencies.UpTo;
 
 /** What a job waits for, in submissions and records. */
-public final class HoldCodec {
+public final class DependencyCodec {
   /** The field of a submission. */
   public static final String HOLDS = "holds";
 
@@ -28,53 +28,53 @@
   private static final String JOBS = "jobs";
   private static final String GAMES = "games";
 
-  private HoldCodec() {}
+  private DependencyCodec() {}
 
   /** What a submission or record waits for; the folds of the result are empty. */
-  public static Ties holds(JsonNode o) throws BadMessage {
+  public static JobDependencies holds(JsonNode o) throws InvalidMessageException {
     JsonNode n = o.get(HOLDS);
     if (n == null || n.isNull()) {
-      return Ties.NONE;
+      return JobDependencies.NONE;
     }
     if (!n.isObject()) {
-      throw new BadMessage(HOLDS + ": an object with jobs and games is needed");
+      throw new InvalidMessageException(HOLDS + ": an object with jobs and games is needed");
     }
     try {
-      Ties t = new Ties(Map.of(), jobs(n), games(n));
+      JobDependencies t = new JobDependencies(Map.of(), jobs(n), games(n));
       if (!t.held()) {
-        throw new BadMessage("jobs: at least one job or game is needed");
+        throw new InvalidMessageException("jobs: at least one job or game is needed");
       }
       return t;
-    } catch (BadMessage e) {
-      throw new BadMessage(HOLDS + "." + e.getMessage());
+    } catch (InvalidMessageException e) {
+      throw new InvalidMessageException(HOLDS + "." + e.getMessage());
     }
   }
 
-  private static List<String> jobs(JsonNode n) throws BadMessage {
+  private static List<String> jobs(JsonNode n) throws InvalidMessageException {
     if (!n.hasNonNull(JOBS)) {
       return List.of();
     }
     ArrayNode a = Json.list(n, JOBS);
     if (a.size() > MOST_JOBS) {
-      throw new BadMessage(JOBS + ": at most " + MOST_JOBS + " jobs");
+      throw new InvalidMessageException(JOBS + ": at most " + MOST_JOBS + " jobs");
     }
     Set<String> out = new LinkedHashSet<>();
     for (JsonNode j : a) {
       if (!j.isTextual() || !JobCodec.ID.matcher(j.textValue()).matches()) {
-        throw new BadMessage(JOBS + ": job ids are needed");
+        throw new InvalidMessageException(JOBS + ": job ids are needed");
       }
       out.add(j.textValue());
     }
     return List.copyOf(out);
   }
 
-  private static List<UpTo> games(JsonNode n) throws BadMessage {
+  private static List<UpTo> games(JsonNode n) throws InvalidMessageException {
     if (!n.hasNonNull(GAMES)) {
       return List.of();
     }
     ArrayNode a = Json.list(n, GAMES);
     if (a.size() > MOST_GAMES) {
-      throw new BadMessage(GAMES + ": at most " + MOST_GAMES + " of them");
+      throw new InvalidMessageException(GAMES + ": at most " + MOST_GAMES + " of them");
     }
     List<UpTo> out = new ArrayList<>();
     for (int i = 0; i < a.size(); i++) {
@@ -84,24 +84,26 @@
         String league = Json.string(g, "league", 64);
         String member = Json.stringOrNull(g, "member", 24);
         if (!FoldCodec.LEAGUE.matcher(league).matches()) {
-          throw new BadMessage("league: letters, digits, dots, dashes and underscores are needed");
+          throw new InvalidMessageException(
+              "league: letters, digits, dots, dashes and underscores are needed");
         }
         if (member != null && !FoldCodec.MEMBER.matcher(member).matches()) {
-          throw new BadMessage("member: letters, digits, dots, dashes and underscores are needed");
+          throw new InvalidMessageException(
+              "member: letters, digits, dots, dashes and underscores are needed");
         }
         out.add(new UpTo(league, Json.integer(g, "up_to", 0, FoldCodec.MOST_NUMBER), member));
-      } catch (BadMessage e) {
-        throw new BadMessage(at + e.getMessage());
+      } catch (InvalidMessageException e) {
+        throw new InvalidMessageException(at + e.getMessage());
       }
     }
     if (out.stream().map(UpTo::league).distinct().count() > MOST_LEAGUES) {
-      throw new BadMessage(GAMES + ": at most " + MOST_LEAGUES + " leagues");
+      throw new InvalidMessageException(GAMES + ": at most " + MOST_LEAGUES + " leagues");
     }
     return List.copyOf(out);
   }
 
   /** The record of a held job that is not over: what the next held job is judged by. */
-  public static ObjectNode held(Ties t) {
+  public static ObjectNode held(JobDependencies t) {
     ObjectNode o = Json.object();
     ObjectNode h = o.putObject(HOLDS);
     ArrayNode jobs = h.putArray(JOBS);
@@ -119,8 +121,8 @@
   }
 
   /** The ties of such a record. */
-  public static Ties ties(JsonNode record) throws BadMessage {
-    Ties h = holds(record);
-    return new Ties(FoldCodec.blocks(record), h.jobs(), h.games());
+  public static JobDependencies ties(JsonNode record) throws InvalidMessageException {
+    JobDependencies h = holds(record);
+    return new JobDependencies(FoldCodec.blocks(record), h.jobs(), h.games());
   }
 }
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -54,13 +54,14 @@
   private FoldCodec() {}
 
   /** The games that a submission folds; none without the field. Wrong ones are named. */
-  public static List<Game> games(JsonNode submission) throws BadMessage {
+  public static List<Game> games(JsonNode submission) throws InvalidMessageException {
     JsonNode n = submission.get(FOLDS);
     if (n == null || n.isNull()) {
       return List.of();
     }
     if (!n.isArray() || n.isEmpty() || n.size() > MOST_GAMES) {
-      throw new BadMessage(FOLDS + ": a list of 1 to " + MOST_GAMES + " games is needed");
+      throw new InvalidMessageException(
+          FOLDS + ": a list of 1 to " + MOST_GAMES + " games is needed");
     }
     List<Game> out = new ArrayList<>();
     Set<String> seen = new HashSet<>();
@@ -69,35 +70,37 @@
       JsonNode g = n.get(i);
       try {
         out.add(game(g, seen));
-      } catch (BadMessage e) {
-        throw new BadMessage(at + e.getMessage());
+      } catch (InvalidMessageException e) {
+        throw new InvalidMessageException(at + e.getMessage());
       }
     }
     return out;
   }
 
-  private static Game game(JsonNode g, Set<String> seen) throws BadMessage {
+  private static Game game(JsonNode g, Set<String> seen) throws InvalidMessageException {
     if (!g.isObject()) {
-      throw new BadMessage("league: a game with its league is needed");
+      throw new InvalidMessageException("league: a game with its league is needed");
     }
     String league = Json.string(g, "league", 64);
     if (!LEAGUE.matcher(league).matches()) {
-      throw new BadMessage("league: letters, digits, dots, dashes and underscores are needed");
+      throw new InvalidMessageException(
+          "league: letters, digits, dots, dashes and underscores are needed");
     }
     long number = Json.integer(g, "game", 0, MOST_NUMBER);
     long revision = Json.integer(g, "revision", 1, 1_000_000);
     boolean taken = g.hasNonNull("taken_back") && Json.bool(g, "taken_back");
     ArrayNode members = Json.list(g, "members");
     if (members.isEmpty() || members.size() > MOST_MEMBERS) {
-      throw new BadMessage("members: 1 to " + MOST_MEMBERS + " members are needed");
+      throw new InvalidMessageException("members: 1 to " + MOST_MEMBERS + " members are needed");
     }
     Set<String> names = new LinkedHashSet<>();
     for (JsonNode m : members) {
       if (!m.isTextual() || !MEMBER.matcher(m.textValue()).matches()) {
-        throw new BadMessage("members: names of up to 24 letters, digits, . _ - are needed");
+        throw new InvalidMessageException(
+            "members: names of up to 24 letters, digits, . _ - are needed");
       }
       if (!names.add(m.textValue()) || !seen.add(league + "/" + number + "/" + m.textValue())) {
-        throw new BadMessage("members: " + m.textValue() + " has this game twice");
+        throw new InvalidMessageException("members: " + m.textValue() + " has this game twice");
       }
     }
     return new Game(league, number, revision, taken, List.copyOf(names));
@@ -113,7 +116,7 @@
   }
 
   /** The blocks that a record names; none without the field. */
-  public static Map<String, IntList> blocks(JsonNode record) throws BadMessage {
+  public static Map<String, IntList> blocks(JsonNode record) throws InvalidMessageException {
     Map<String, IntList> out = new TreeMap<>();
     JsonNode n = record.get(BLOCKS);
     if (n == null || !n.isObject()) {
@@ -124,7 +127,7 @@
         out.put(e.getKey(), Ranges.numbers(e.getValue().asText(), MOST_GAMES));
       }
     } catch (IllegalArgumentException e) {
-      throw new BadMessage(BLOCKS + ": " + e.getMessage());
+      throw new InvalidMessageException(BLOCKS + ": " + e.getMessage());
     }
     return out;
   }
@@ -179,17 +182,18 @@
   }
 
   /** A block from its record; an empty one where there is none. What is not ours is refused. */
-  public static Block decode(JsonNode v) throws BadMessage {
+  public static Block decode(JsonNode v) throws InvalidMessageException {
     Block out = new Block();
     if (v == null) {
       return out;
     }
     int version = v.path("v").asInt();
     if (version != VERSION) {
-      throw new BadMessage("v: a block of version " + version + ", this build reads " + VERSION);
+      throw new InvalidMessageException(
+          "v: a block of version " + version + ", this build reads " + VERSION);
     }
     if (!checksum(v).equals(v.path("c").asText())) {
-      throw new BadMessage("c: the block's checksum is not that of its content");
+      throw new InvalidMessageException("c: the block's checksum is not that of its content");
     }
     JsonNode s = v.path("s");
     try {
@@ -218,7 +222,7 @@
         i += base == null ? 5 : 8;
       }
     } catch (NullPointerException e) {
-      throw new BadMessage("s: the block names what it does not have");
+      throw new InvalidMessageException("s: the block names what it does not have");
     }
     return out;
   }
--- a/src/main/java/org/mallowroad/wire/BadMessage.java
+++ b/src/main/java/org/mallowroad/wire/InvalidMessageException.java
@@ -1,11 +1,11 @@
 package org.mallowroad.wire;
 
 /** A message that is not what the protocol says; the text names the field. */
-public final class BadMessage extends Exception {
+public final class InvalidMessageException extends Exception {
   private static final long serialVersionUID = 1;
 
   /** With a short reason. */
-  public BadMessage(String message) {
+  public InvalidMessageException(String message) {
     super(message, null, false, false);
   }
 }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Names;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Game;
 import org.mallowroad.core.fold.Ranges;
-import org.mallowroad.core.hold.Ties;
 
 /** Submissions as users write them, checked and turned into dense form. */
 public final class JobCodec {
@@ -22,14 +22,15 @@
   private static final double MAX_AMOUNT = 1e9;
   private static final List<String> PRIORITIES = List.of("critical", "urgent", "normal", "idle");
 
-  private final Names teams;
-  private final Names zones;
-  private final Names types;
-  private final Names images;
-  private final Names classes;
+  private final NameIndex teams;
+  private final NameIndex zones;
+  private final NameIndex types;
+  private final NameIndex images;
+  private final NameIndex classes;
 
   /** Over the tables that give names their indices. */
-  public JobCodec(Names teams, Names zones, Names types, Names images, Names classes) {
+  public JobCodec(
+      NameIndex teams, NameIndex zones, NameIndex types, NameIndex images, NameIndex classes) {
     this.teams = teams;
     this.zones = zones;
     this.types = types;
@@ -41,7 +42,7 @@
    * Decodes a submission only to judge it: its names get no indices, since whoever sends wrong
    * submissions must not fill the tables.
    */
-  public JobSpec check(JsonNode o) throws BadMessage {
+  public JobSpec check(JsonNode o) throws InvalidMessageException {
     return decode(o, 0, false);
   }
 
@@ -49,14 +50,15 @@
    * Decodes an accepted submission. An unknown team has index -1 and an unknown zone or type
    * matches nothing, which is for the caller to judge: the submission itself is well formed.
    */
-  public JobSpec decode(JsonNode o, long submittedMs) throws BadMessage {
+  public JobSpec decode(JsonNode o, long submittedMs) throws InvalidMessageException {
     return decode(o, submittedMs, true);
   }
 
-  private JobSpec decode(JsonNode o, long submittedMs, boolean accepted) throws BadMessage {
+  private JobSpec decode(JsonNode o, long submittedMs, boolean accepted)
+      throws InvalidMessageException {
     String id = Json.string(o, Fields.ID, 60);
     if (!ID.matcher(id).matches()) {
-      throw new BadMessage(Fields.ID + ": not a job id");
+      throw new InvalidMessageException(Fields.ID + ": not a job id");
     }
     String taskClass = Json.string(o, Fields.CLASS, 200);
     String team = Json.string(o, Fields.TEAM, 200);
@@ -64,11 +66,11 @@
     boolean service = kind.equals(Fields.KIND_SERVICE);
     boolean gang = kind.equals(Fields.KIND_GANG);
     if (!service && !gang && !kind.equals(Fields.KIND_ARRAY)) {
-      throw new BadMessage(Fields.KIND + ": unknown value");
+      throw new InvalidMessageException(Fields.KIND + ": unknown value");
     }
     int priority = PRIORITIES.indexOf(Json.string(o, Fields.PRIORITY, 20));
     if (priority < 0) {
-      throw new BadMessage(Fields.PRIORITY + ": unknown value");
+      throw new InvalidMessageException(Fields.PRIORITY + ": unknown value");
     }
     int tasks = (int) Json.integer(o, Fields.TASKS, 1, 100_000);
     double cpus = Json.amount(o, Fields.CPUS, MAX_AMOUNT);
@@ -120,22 +122,25 @@
    * The games that it folds and what it waits for. Of a record the blocks of the games are enough;
    * a submission is checked in full.
    */
-  private static Ties ties(JsonNode o, boolean notArray, boolean accepted) throws BadMessage {
+  private static JobDependencies ties(JsonNode o, boolean notArray, boolean accepted)
+      throws InvalidMessageException {
     Map<String, IntList> folds;
     if (accepted) {
       folds = FoldCodec.blocks(o);
     } else {
       List<BlockKey> keys = FoldCodec.games(o).stream().map(Game::block).toList();
       if (notArray && !keys.isEmpty()) {
-        throw new BadMessage(FoldCodec.FOLDS + ": only an array folds games");
+        throw new InvalidMessageException(FoldCodec.FOLDS + ": only an array folds games");
       }
       folds = Ranges.byLeague(keys);
     }
-    Ties held = HoldCodec.holds(o);
-    return folds.isEmpty() && !held.held() ? Ties.NONE : new Ties(folds, held.jobs(), held.games());
+    JobDependencies held = DependencyCodec.holds(o);
+    return folds.isEmpty() && !held.held()
+        ? JobDependencies.NONE
+        : new JobDependencies(folds, held.jobs(), held.games());
   }
 
-  private BitSet types(JsonNode o, boolean accepted) throws BadMessage {
+  private BitSet types(JsonNode o, boolean accepted) throws InvalidMessageException {
     JsonNode n = o.get(Fields.TYPES);
     if (n == null || n.isNull()) {
       return null;
@@ -143,7 +148,7 @@
     BitSet set = new BitSet();
     for (JsonNode t : Json.list(o, Fields.TYPES)) {
       if (!t.isTextual() || t.textValue().isEmpty() || t.textValue().length() > 200) {
-        throw new BadMessage(Fields.TYPES + ": type names are needed");
+        throw new InvalidMessageException(Fields.TYPES + ": type names are needed");
       }
       // A type the cloud does not know yet may be offered later: it keeps its own index.
       int type = accepted ? types.intern(t.textValue()) : types.find(t.textValue());
@@ -179,7 +184,7 @@
             Fields.CHECKPOINT_S,
             Fields.SAVE_S,
             Fields.DUE_S,
-            HoldCodec.HOLDS)) {
+            DependencyCodec.HOLDS)) {
       JsonNode v = submission.get(f);
       if (v != null && !v.isNull()) {
         out.set(f, v);
--- a/src/main/java/org/mallowroad/wire/Json.java
+++ b/src/main/java/org/mallowroad/wire/Json.java
@@ -28,15 +28,15 @@
   }
 
   /** Parses an object. */
-  public static ObjectNode parseObject(byte[] body) throws BadMessage {
+  public static ObjectNode parseObject(byte[] body) throws InvalidMessageException {
     JsonNode n;
     try {
       n = MAPPER.readTree(body);
     } catch (IOException e) {
-      throw new BadMessage("not JSON");
+      throw new InvalidMessageException("not JSON");
     }
     if (!(n instanceof ObjectNode o)) {
-      throw new BadMessage("not an object");
+      throw new InvalidMessageException("not an object");
     }
     return o;
   }
@@ -60,64 +60,68 @@
   }
 
   /** A required, non-empty string of at most {@code max} characters. */
-  public static String string(JsonNode o, String field, int max) throws BadMessage {
+  public static String string(JsonNode o, String field, int max) throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n) || !n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > max) {
-      throw new BadMessage(field + ": a string of 1 to " + max + " characters is needed");
+      throw new InvalidMessageException(
+          field + ": a string of 1 to " + max + " characters is needed");
     }
     return n.textValue();
   }
 
   /** An optional string, or null. */
-  public static String stringOrNull(JsonNode o, String field, int max) throws BadMessage {
+  public static String stringOrNull(JsonNode o, String field, int max)
+      throws InvalidMessageException {
     return absent(o.get(field)) ? null : string(o, field, max);
   }
 
   /** A required boolean. */
-  public static boolean bool(JsonNode o, String field) throws BadMessage {
+  public static boolean bool(JsonNode o, String field) throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n) || !n.isBoolean()) {
-      throw new BadMessage(field + ": true or false is needed");
+      throw new InvalidMessageException(field + ": true or false is needed");
     }
     return n.booleanValue();
   }
 
   /** A required finite number from 0 to {@code max}. */
-  public static double amount(JsonNode o, String field, double max) throws BadMessage {
+  public static double amount(JsonNode o, String field, double max) throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n) || !n.isNumber()) {
-      throw new BadMessage(field + ": a number is needed");
+      throw new InvalidMessageException(field + ": a number is needed");
     }
     double d = n.doubleValue();
     if (!Double.isFinite(d) || d < 0 || d > max) {
-      throw new BadMessage(field + ": a number from 0 to " + max + " is needed");
+      throw new InvalidMessageException(field + ": a number from 0 to " + max + " is needed");
     }
     return d;
   }
 
   /** An optional number from 0 to {@code max}. */
   public static double amountOr(JsonNode o, String field, double max, double otherwise)
-      throws BadMessage {
+      throws InvalidMessageException {
     return absent(o.get(field)) ? otherwise : amount(o, field, max);
   }
 
   /** A required integer between bounds. */
-  public static long integer(JsonNode o, String field, long min, long max) throws BadMessage {
+  public static long integer(JsonNode o, String field, long min, long max)
+      throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n)
         || !n.isIntegralNumber()
         || !n.canConvertToLong()
         || n.longValue() < min
         || n.longValue() > max) {
-      throw new BadMessage(field + ": an integer from " + min + " to " + max + " is needed");
+      throw new InvalidMessageException(
+          field + ": an integer from " + min + " to " + max + " is needed");
     }
     return n.longValue();
   }
 
   /** A required array. */
-  public static ArrayNode list(JsonNode o, String field) throws BadMessage {
+  public static ArrayNode list(JsonNode o, String field) throws InvalidMessageException {
     if (!(o.get(field) instanceof ArrayNode a)) {
-      throw new BadMessage(field + ": a list is needed");
+      throw new InvalidMessageException(field + ": a list is needed");
     }
     return a;
   }
--- a/src/main/java/org/mallowroad/wire/TypeCodec.java
+++ b/src/main/java/org/mallowroad/wire/TypeCodec.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
+import org.mallowroad.core.NameIndex;
 
 /** Machine types, as the cloud tells them and as they are remembered. */
 public final class TypeCodec {
@@ -15,7 +15,8 @@
   private TypeCodec() {}
 
   /** Zones that the settings do not know are left out. */
-  public static List<MachineType> decode(ObjectNode o, Names types, Names zones) throws BadMessage {
+  public static List<MachineType> decode(ObjectNode o, NameIndex types, NameIndex zones)
+      throws InvalidMessageException {
     List<MachineType> out = new ArrayList<>();
     for (JsonNode t : Json.list(o, TYPES)) {
       List<String> in = new ArrayList<>();
@@ -42,7 +43,7 @@
   }
 
   /** The same as the cloud would tell it. */
-  public static ObjectNode encode(List<MachineType> types, Names zones) {
+  public static ObjectNode encode(List<MachineType> types, NameIndex zones) {
     ObjectNode o = Json.object();
     ArrayNode list = o.putArray(TYPES);
     for (MachineType t : types) {
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -5,16 +5,16 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.mallowroad.core.Order;
-import org.mallowroad.core.WorkerReport;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.WorkerCommand;
 
 /** Reports and orders. */
 public final class WorkerCodec {
   private WorkerCodec() {}
 
   /** Decodes a report. */
-  public static WorkerReport decode(JsonNode o) throws BadMessage {
-    List<WorkerReport.Entry> entries = new ArrayList<>();
+  public static Heartbeat decode(JsonNode o) throws InvalidMessageException {
+    List<Heartbeat.Entry> entries = new ArrayList<>();
     for (JsonNode t : Json.list(o, Fields.TASKS)) {
       String name = Json.string(t, Fields.TASK, 200);
       int slash = name.lastIndexOf('/');
@@ -22,21 +22,21 @@
       try {
         task = Integer.parseInt(name.substring(slash + 1));
       } catch (NumberFormatException e) {
-        throw new BadMessage(Fields.TASK + ": not a task");
+        throw new InvalidMessageException(Fields.TASK + ": not a task");
       }
       if (slash <= 0) {
-        throw new BadMessage(Fields.TASK + ": not a task");
+        throw new InvalidMessageException(Fields.TASK + ": not a task");
       }
-      WorkerReport.State state =
+      Heartbeat.State state =
           switch (Json.string(t, Fields.STATE, 40)) {
-            case Fields.RUNNING -> WorkerReport.State.RUNNING;
-            case Fields.FLUSHING -> WorkerReport.State.FLUSHING;
-            case Fields.EXITED -> WorkerReport.State.EXITED;
+            case Fields.RUNNING -> Heartbeat.State.RUNNING;
+            case Fields.FLUSHING -> Heartbeat.State.FLUSHING;
+            case Fields.EXITED -> Heartbeat.State.EXITED;
             // Anything else that is on the machine and has not ended counts as waiting.
-            default -> WorkerReport.State.PULLING;
+            default -> Heartbeat.State.PULLING;
           };
       entries.add(
-          new WorkerReport.Entry(
+          new Heartbeat.Entry(
               name.substring(0, slash),
               task,
               (int) Json.integer(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
@@ -44,7 +44,7 @@
               Json.stringOrNull(t, Fields.WHY, 200)));
     }
     String address = Json.stringOrNull(o, Fields.ADDRESS, 200);
-    return new WorkerReport(
+    return new Heartbeat(
         Json.string(o, Fields.MACHINE, 150),
         address == null ? "" : address,
         Json.string(o, Fields.TYPE, 200),
@@ -59,18 +59,18 @@
   }
 
   /** A direct message to a worker's session. */
-  public static ObjectNode direct(long token, long session, List<Order> orders) {
+  public static ObjectNode direct(long token, long session, List<WorkerCommand> orders) {
     ObjectNode o = orders(token, orders);
     o.put(Fields.SESSION, session);
     return o;
   }
 
   /** A response to a worker. */
-  public static ObjectNode orders(long token, List<Order> orders) {
+  public static ObjectNode orders(long token, List<WorkerCommand> orders) {
     ObjectNode o = Json.object();
     o.put(Fields.TOKEN, token);
     ArrayNode list = o.putArray(Fields.ORDERS);
-    for (Order c : orders) {
+    for (WorkerCommand c : orders) {
       ObjectNode e = list.addObject();
       e.put(
           Fields.ORDER,
@@ -85,7 +85,7 @@
         ArrayNode givers = e.putArray(Fields.GIVERS);
         c.givers().forEach(givers::add);
       }
-      if (c.kind() == Order.Kind.STOP) {
+      if (c.kind() == WorkerCommand.Kind.STOP) {
         e.put(Fields.GRACE_S, c.graceS());
       }
     }
--- a/src/main/java/org/mallowroad/worker/ReportApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 import org.mallowroad.api.Reply;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.net.Incoming;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
 import org.mallowroad.net.LogLimiter;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What workers send: the leader answers with orders, the others name the leader. */
-public final class ReportApi {
-  private static final Logger LOG = LoggerFactory.getLogger(ReportApi.class);
+public final class HeartbeatApi {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatApi.class);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Reports reports;
   private final LogLimiter garbled = LogLimiter.usual();
   private long wrong;
@@ -35,14 +35,14 @@
     String leader();
 
     /** Carries a report to the leader by way of this node; false: its worker is sent on. */
-    boolean carry(Incoming x, WorkerReport r, String leader);
+    boolean carry(IncomingRequest x, Heartbeat r, String leader);
 
     /** Answers a report; null means not now. */
-    void report(WorkerReport r, Consumer<ObjectNode> reply);
+    void report(Heartbeat r, Consumer<ObjectNode> reply);
   }
 
   /** Over the node. */
-  public ReportApi(Loop loop, Reports reports) {
+  public HeartbeatApi(EventLoop loop, Reports reports) {
     this.loop = loop;
     this.reports = reports;
   }
@@ -53,11 +53,11 @@
   }
 
   /** POST /v1/report. */
-  public void report(Incoming x) {
-    WorkerReport r;
+  public void report(IncomingRequest x) {
+    Heartbeat r;
     try {
       r = WorkerCodec.decode(Json.parseObject(x.body()));
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       wrong++;
       long left = garbled.line(loop.now());
       if (left >= 0) {
@@ -96,7 +96,7 @@
   }
 
   /** Turns a worker away without a hint where to go. */
-  public static void notNow(Incoming x, String reason) {
+  public static void notNow(IncomingRequest x, String reason) {
     Reply.later(x, reason);
   }
 }
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -4,12 +4,12 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import org.mallowroad.config.Settings.Endpoint;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.LogLimiter;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
 import org.slf4j.Logger;
@@ -24,12 +24,12 @@
   /** A report fits into a request body of the protocol. */
   private static final int MOST_BYTES = 64 * 1024;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final LogLimiter odd = LogLimiter.usual();
-  private final Host host;
+  private final NodeEnvironment host;
   private Bypass bypass;
   private final int maxWorkers;
-  private final Object2ObjectLinkedOpenHashMap<String, Caller> callers =
+  private final Object2ObjectLinkedOpenHashMap<String, RequestSender> callers =
       new Object2ObjectLinkedOpenHashMap<>();
   private final ObjectOpenHashSet<String> busy = new ObjectOpenHashSet<>();
 
@@ -46,11 +46,11 @@
   /** An answer to direct orders. */
   public interface Sent {
     /** With the worker's report where it sent one, else null. */
-    void sent(Result result, WorkerReport report);
+    void sent(Result result, Heartbeat report);
   }
 
   /** Over the loop, with connections kept to at most {@code maxWorkers} workers. */
-  public WorkerClient(Host host, int maxWorkers) {
+  public WorkerClient(NodeEnvironment host, int maxWorkers) {
     this.maxWorkers = maxWorkers;
     this.loop = host.loop();
     this.host = host;
@@ -75,12 +75,12 @@
   @FunctionalInterface
   public interface Bypass {
     /** Sends orders to a worker by way of a peer. */
-    void orders(int peer, String address, byte[] body, Caller.Answer answer);
+    void orders(int peer, String address, byte[] body, RequestSender.Answer answer);
   }
 
   /** The kept connections to a worker, or null when that is no address. */
-  private Caller caller(String address) {
-    Caller caller = callers.getAndMoveToLast(address);
+  private RequestSender caller(String address) {
+    RequestSender caller = callers.getAndMoveToLast(address);
     if (caller == null) {
       int colon = address.lastIndexOf(':');
       int port;
@@ -100,8 +100,8 @@
   }
 
   /** Passes a peer's orders on as they are. */
-  public void pass(String address, byte[] body, Caller.Answer answer) {
-    Caller caller = caller(address);
+  public void pass(String address, byte[] body, RequestSender.Answer answer) {
+    RequestSender caller = caller(address);
     if (caller == null) {
       answer.failed(false);
     } else {
@@ -115,13 +115,13 @@
    * @param via the peer that its report came through, or -1: orders go the way the reports come
    */
   public void send(String address, int via, ObjectNode message, Sent sent) {
-    Caller.Answer answer = answer(address, sent);
+    RequestSender.Answer answer = answer(address, sent);
     if (via >= 0 && bypass != null) {
       busy.add(address);
       bypass.orders(via, address, Json.bytes(message), answer);
       return;
     }
-    Caller caller = caller(address);
+    RequestSender caller = caller(address);
     if (caller == null) {
       sent.sent(Result.NOT_SENT, null);
       return;
@@ -130,8 +130,8 @@
     caller.call("POST", ORDERS, Json.bytes(message), TIMEOUT_MS, answer);
   }
 
-  private Caller.Answer answer(String address, Sent sent) {
-    return new Caller.Answer() {
+  private RequestSender.Answer answer(String address, Sent sent) {
+    return new RequestSender.Answer() {
       @Override
       public void answered(int status, byte[] body) {
         busy.remove(address);
@@ -144,10 +144,10 @@
           sent.sent(status == 400 ? Result.ANSWERED : Result.UNKNOWN, null);
           return;
         }
-        WorkerReport r = null;
+        Heartbeat r = null;
         try {
           r = WorkerCodec.decode(Json.parseObject(body));
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
           long left = odd.line(loop.now());
           if (left >= 0) {
             LOG.warn("event=report_garbled reason=\"{}\" left_out={}", e.getMessage(), left);
--- a/src/test/java/org/mallowroad/Explorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Loop;
-import org.mallowroad.standin.Store;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.fake.InMemoryKeyValueStore;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /**
@@ -22,7 +22,7 @@
  * the same store, the same answers heard and the same calls waiting go on alike, so one of them is
  * enough.
  */
-public final class Explorer {
+public final class StateSpaceExplorer {
   /** What is played: makes its processes, and judges the store. */
   public interface Scene {
     /** Sets the stage; called for each history. */
@@ -35,7 +35,8 @@
     void end(Stage stage);
   }
 
-  private record Call(Process by, String method, String path, byte[] body, Caller.Answer answer) {
+  private record Call(
+      Process by, String method, String path, byte[] body, RequestSender.Answer answer) {
     String text() {
       String b = body == null ? "" : new String(body, StandardCharsets.UTF_8);
       return by.name + " " + method + " " + path + " " + b;
@@ -47,7 +48,7 @@
   /** One history being played. */
   public static final class Stage {
     /** What the state service keeps. */
-    public final Store store = new Store();
+    public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
 
     /** What a scene notes; part of the state. */
     public final List<String> notes = new ArrayList<>();
@@ -205,7 +206,7 @@
     }
 
     private void go(Call x, boolean heard) {
-      Store.Answer a = serve(x);
+      InMemoryKeyValueStore.Answer a = serve(x);
       if (a == null) {
         return; // A watch that has nothing to tell.
       }
@@ -219,15 +220,15 @@
       }
     }
 
-    private Store.Answer serve(Call x) {
+    private InMemoryKeyValueStore.Answer serve(Call x) {
       try {
         byte[] body = x.body == null ? new byte[0] : x.body;
-        Store.Answer a = store.serve(x.method, x.path, body, now);
+        InMemoryKeyValueStore.Answer a = store.serve(x.method, x.path, body, now);
         if (x.path.equals("/multi") && a.status() == 200) {
           scene.applied(this);
         }
         return a;
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
       }
     }
@@ -251,7 +252,7 @@
   }
 
   /** A process: a loop whose timers run when no call waits, and calls that the explorer orders. */
-  public static final class Process extends Loop implements Caller {
+  public static final class Process extends EventLoop implements RequestSender {
     /** True where it may end at any moment. */
     public boolean mayEnd;
 
@@ -318,7 +319,7 @@
    * @param troubles in one history
    * @param most states; beyond it the exploration has failed to be one
    */
-  public Explorer(Scene scene, int troubles, int most) {
+  public StateSpaceExplorer(Scene scene, int troubles, int most) {
     this.scene = scene;
     this.troubles = troubles;
     this.most = most;
--- a/src/test/java/org/mallowroad/Clockwork.java
+++ b/src/test/java/org/mallowroad/SteppedClock.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Loop;
-import org.mallowroad.standin.Store;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.fake.InMemoryKeyValueStore;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** A clock, a store and loops of processes on it; each call to the store takes a millisecond. */
-public final class Clockwork {
+public final class SteppedClock {
   private record Due(long ms, long seq, Runnable task) {}
 
   private final PriorityQueue<Due> due =
       new PriorityQueue<>(Comparator.comparingLong(Due::ms).thenComparingLong(Due::seq));
 
   /** What the state service keeps. */
-  public final Store store = new Store();
+  public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
 
   /** The time. */
   public long now = 1_000;
@@ -59,16 +59,16 @@
   }
 
   /** Does a call to the store from outside of any process. */
-  public Store.Answer serve(String method, String path, String body) {
+  public InMemoryKeyValueStore.Answer serve(String method, String path, String body) {
     try {
       return store.serve(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), now);
-    } catch (BadMessage e) {
+    } catch (InvalidMessageException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** One process. */
-  public final class Process extends Loop implements Caller {
+  public final class Process extends EventLoop implements RequestSender {
     /** Nothing of it runs any more. */
     public boolean dead;
 
@@ -109,7 +109,7 @@
     private static int writes(byte[] body) {
       try {
         return Json.parseObject(body).path("writes").size();
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
       }
     }
@@ -126,7 +126,8 @@
         writes += writes(body);
       }
       try {
-        Store.Answer a = store.serve(method, path, body == null ? new byte[0] : body, now);
+        InMemoryKeyValueStore.Answer a =
+            store.serve(method, path, body == null ? new byte[0] : body, now);
         if (a == null) {
           // A watch that waits: asked again until something has changed.
           after(50, () -> serve(method, path, body, timeoutMs - 50, answer));
@@ -141,7 +142,7 @@
           }
           answer.answered(a.status(), Json.bytes(a.body()));
         }
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
       }
     }
--- a/src/test/java/org/mallowroad/api/FoldingTest.java
+++ b/src/test/java/org/mallowroad/api/FoldingTest.java
@@ -11,19 +11,19 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.Clockwork;
-import org.mallowroad.Explorer;
+import org.mallowroad.StateSpaceExplorer;
+import org.mallowroad.SteppedClock;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.core.fold.Game;
-import org.mallowroad.core.hold.Ties;
-import org.mallowroad.net.Budget;
-import org.mallowroad.net.Loop;
-import org.mallowroad.standin.Store;
+import org.mallowroad.fake.InMemoryKeyValueStore;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** Claims over the store: whole or not at all, whatever is lost, late or ends in the middle. */
@@ -47,12 +47,12 @@
     return v;
   }
 
-  private static Folding folding(Loop loop, StateStore state, int ops) {
-    return new Folding(loop, state, new Budget(1e6, 1e6, loop.now()), ops, 8, j -> null);
+  private static Folding folding(EventLoop loop, KeyValueStore state, int ops) {
+    return new Folding(loop, state, new RateLimiter(1e6, 1e6, loop.now()), ops, 8, j -> null);
   }
 
   /** Who holds each game by the records: the job of each side. */
-  private static Map<Long, String> holders(Store store) {
+  private static Map<Long, String> holders(InMemoryKeyValueStore store) {
     Map<Long, String> out = new TreeMap<>();
     for (String key : store.keys(Records.FOLD)) {
       try {
@@ -61,14 +61,15 @@
         for (Map.Entry<Block.Side, Fold> e : b.sides().entrySet()) {
           out.put(Block.number(index, e.getKey().game()), e.getValue().job());
         }
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
     }
     return out;
   }
 
-  private static void end(Store store, String job, boolean done) throws BadMessage {
+  private static void end(InMemoryKeyValueStore store, String job, boolean done)
+      throws InvalidMessageException {
     JsonNode open = store.value(Records.open(job));
     String body =
         Json.text(
@@ -86,21 +87,25 @@
 
   /** One node on a clock. */
   private static final class Here {
-    private final Clockwork c = new Clockwork();
-    private final Clockwork.Process p = c.new Process();
-    private final Folding folding = folding(p, new StateStore(p, p, p), 16);
+    private final SteppedClock c = new SteppedClock();
+    private final SteppedClock.Process p = c.new Process();
+    private final Folding folding = folding(p, new KeyValueStore(p, p, p), 16);
 
     String accept(String id, List<Game> games) {
       String[] said = {"nothing"};
       folding.accept(
-          id, value(games), games, Ties.NONE, (end, reason) -> said[0] = end + " " + reason);
+          id,
+          value(games),
+          games,
+          JobDependencies.NONE,
+          (end, reason) -> said[0] = end + " " + reason);
       c.run(20_000);
       return said[0].trim();
     }
   }
 
   @Test
-  void aClaimIsWholeOrNotAtAllAndTheSameSubmissionAgainIsKnown() throws BadMessage {
+  void aClaimIsWholeOrNotAtAllAndTheSameSubmissionAgainIsKnown() throws InvalidMessageException {
     Here h = new Here();
     assertEquals("ACCEPTED", h.accept("job-1", games(0, 100)));
     assertEquals("KNOWN", h.accept("job-1", games(0, 100)));
@@ -119,7 +124,7 @@
   }
 
   @Test
-  void aCorrectionFoldsOnceReplacesTheLowerAndNeverGoesBack() throws BadMessage {
+  void aCorrectionFoldsOnceReplacesTheLowerAndNeverGoesBack() throws InvalidMessageException {
     Here h = new Here();
     assertEquals("ACCEPTED", h.accept("job-1", List.of(game(7, 1))));
     end(h.c.store, "job-1", true);
@@ -147,16 +152,17 @@
     assertEquals(List.of(), h.c.store.keys(Records.INTENT));
     // Its node ends in the middle; the same submission at another one goes on.
     List<Game> large = games(2_000, 3_000);
-    h.folding.accept("job-3", value(large), large, Ties.NONE, (end, reason) -> {});
+    h.folding.accept("job-3", value(large), large, JobDependencies.NONE, (end, reason) -> {});
     while (holders(h.c.store).size() < 300) {
       h.c.run(1);
     }
     h.p.dead = true;
     assertEquals(1, h.c.store.keys(Records.INTENT).size());
-    Clockwork.Process other = h.c.new Process();
-    Folding there = folding(other, new StateStore(other, other, other), 16);
+    SteppedClock.Process other = h.c.new Process();
+    Folding there = folding(other, new KeyValueStore(other, other, other), 16);
     List<String> said = new ArrayList<>();
-    there.accept("job-3", value(large), large, Ties.NONE, (end, reason) -> said.add(end + ""));
+    there.accept(
+        "job-3", value(large), large, JobDependencies.NONE, (end, reason) -> said.add(end + ""));
     h.c.run(20_000);
     assertEquals(List.of("ACCEPTED"), said);
     assertEquals(1_001, holders(h.c.store).size());
@@ -164,7 +170,7 @@
   }
 
   @Test
-  void aRecordThatIsNotOursIsNotWrittenOver() throws BadMessage {
+  void aRecordThatIsNotOursIsNotWrittenOver() throws InvalidMessageException {
     Here h = new Here();
     String put = "{\"writes\":[{\"put\":\"fold/l/0000000\",\"v\":%s}]}";
     h.c.serve("POST", "/multi", put.formatted("{\"v\":2}"));
@@ -177,42 +183,47 @@
    * Two nodes claim, one of them in steps; each call in any order, answers lost, transactions late
    * or twice, a node ends, and a leader gives the intent up in the middle.
    */
-  private static final class Claim implements Explorer.Scene {
+  private static final class Claim implements StateSpaceExplorer.Scene {
     private final List<Game> one = List.of(game(1, 1), game(40, 1));
     private final List<Game> two = List.of(game(40, 1));
     private int accepted;
 
     @Override
-    public void begin(Explorer.Stage s) {
+    public void begin(StateSpaceExplorer.Stage s) {
       node(s, "a", "job-1", one);
       node(s, "b", "job-2", two);
       s.offer("undo", () -> undo(s, "c"));
     }
 
-    private void node(Explorer.Stage s, String name, String job, List<Game> games) {
-      Explorer.Process p = s.process(name);
+    private void node(StateSpaceExplorer.Stage s, String name, String job, List<Game> games) {
+      StateSpaceExplorer.Process p = s.process(name);
       p.mayEnd = true;
       Consumer<String> note = end -> s.notes.add(job + " " + end);
-      folding(p, new StateStore(p, p, p), 4)
-          .accept(job, value(games), games, Ties.NONE, (end, reason) -> note.accept(end + ""));
+      folding(p, new KeyValueStore(p, p, p), 4)
+          .accept(
+              job,
+              value(games),
+              games,
+              JobDependencies.NONE,
+              (end, reason) -> note.accept(end + ""));
     }
 
-    private static void undo(Explorer.Stage s, String name) {
+    private static void undo(StateSpaceExplorer.Stage s, String name) {
       JsonNode v = s.store.value(Records.intent("job-1"));
       if (v == null) {
         return;
       }
-      Explorer.Process p = s.process(name);
+      StateSpaceExplorer.Process p = s.process(name);
       try {
-        folding(p, new StateStore(p, p, p), 4)
+        folding(p, new KeyValueStore(p, p, p), 4)
             .undo("job-1", s.store.mark(Records.intent("job-1")), Folding.keysOf(v), ok -> {});
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
     }
 
     @Override
-    public void applied(Explorer.Stage s) {
+    public void applied(StateSpaceExplorer.Stage s) {
       Map<Long, String> by = holders(s.store);
       if (s.store.value(Records.open("job-1")) != null) {
         s.check("job-1".equals(by.get(1L)) && "job-1".equals(by.get(40L)), "job-1 is half claimed");
@@ -223,7 +234,7 @@
     }
 
     @Override
-    public void end(Explorer.Stage s) {
+    public void end(StateSpaceExplorer.Stage s) {
       applied(s);
       for (String job : List.of("job-1", "job-2")) {
         boolean open = s.store.value(Records.open(job)) != null;
@@ -240,7 +251,8 @@
   void everyOrderOfTwoClaimsWithTroublesLeavesWholeClaims() {
     Claim scene = new Claim();
     // Two troubles in a history take 40 s: -Dexplore.troubles=2 (docs/folds.md has the counts).
-    Explorer e = new Explorer(scene, Integer.getInteger("explore.troubles", 1), 400_000);
+    StateSpaceExplorer e =
+        new StateSpaceExplorer(scene, Integer.getInteger("explore.troubles", 1), 400_000);
     e.explore(s -> {});
     System.out.println("claims: " + e.states() + " states, " + e.histories() + " histories");
     assertTrue(e.histories() > 100, "histories " + e.histories());
--- a/src/test/java/org/mallowroad/api/OpenJobsTest.java
+++ b/src/test/java/org/mallowroad/api/OpenJobsTest.java
@@ -11,28 +11,28 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.Clockwork;
-import org.mallowroad.core.Specs;
-import org.mallowroad.net.Budget;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.SteppedClock;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.wire.InvalidMessageException;
 
 /** Many questions with few calls, never an answer that is older than one given before. */
 final class OpenJobsTest {
   private static final double RPS = 10;
 
   private static final class Here {
-    private final Clockwork c = new Clockwork();
-    private final Clockwork.Process p = c.new Process();
-    private final StateStore state = new StateStore(p, p, p);
+    private final SteppedClock c = new SteppedClock();
+    private final SteppedClock.Process p = c.new Process();
+    private final KeyValueStore state = new KeyValueStore(p, p, p);
     private final UserApi users =
         new UserApi(
             p,
             state,
-            new Budget(RPS, RPS, c.now),
+            new RateLimiter(RPS, RPS, c.now),
             RPS,
-            new Budget(100, 100, c.now),
-            new Budget(100, 100, c.now),
+            new RateLimiter(100, 100, c.now),
+            new RateLimiter(100, 100, c.now),
             new Nothing(),
             8,
             64,
@@ -84,11 +84,11 @@
   private static final class Nothing implements UserApi.Jobs {
     @Override
     public org.mallowroad.core.JobSpec check(com.fasterxml.jackson.databind.JsonNode s)
-        throws BadMessage {
+        throws InvalidMessageException {
       if (s.has("bad")) {
-        throw new BadMessage("bad: not a field");
+        throw new InvalidMessageException("bad: not a field");
       }
-      return Specs.array(s.path("name_id").asText(), 1, 1).build();
+      return JobSpecs.array(s.path("name_id").asText(), 1, 1).build();
     }
 
     @Override
--- a/src/test/java/org/mallowroad/calendar/ClosuresTest.java
+++ b/src/test/java/org/mallowroad/calendar/ClosuresTest.java
@@ -77,8 +77,9 @@
             + "|event Day: RECURRENCE-ID is not supported",
       })
   void whatIsNotSupportedIsNamed(String lines, String error) {
-    BadCalendar e =
-        assertThrows(BadCalendar.class, () -> Closures.read(file(event(lines.split("#")))));
+    InvalidCalendarException e =
+        assertThrows(
+            InvalidCalendarException.class, () -> Closures.read(file(event(lines.split("#")))));
     assertTrue(e.getMessage().startsWith(error), e.getMessage());
   }
 
@@ -86,14 +87,14 @@
   void whatIsNoCalendarIsSaid() {
     for (String text : List.of("", "BEGIN:VCALENDAR", "{}", "BEGIN:VEVENT\r\nEND:VEVENT\r\n")) {
       assertTrue(
-          assertThrows(BadCalendar.class, () -> Closures.read(text))
+          assertThrows(InvalidCalendarException.class, () -> Closures.read(text))
               .getMessage()
               .contains("not iCalendar"));
     }
     String todo = file("BEGIN:VTODO", "UID:1", "DTSTAMP:20260101T000000Z", "END:VTODO");
     assertEquals(
         "VTODO is not supported, only VEVENT",
-        assertThrows(BadCalendar.class, () -> Closures.read(todo)).getMessage());
+        assertThrows(InvalidCalendarException.class, () -> Closures.read(todo)).getMessage());
   }
 
   @Test
--- a/src/test/java/org/mallowroad/calendar/FiringModelTest.java
+++ b/src/test/java/org/mallowroad/calendar/FiringModelTest.java
@@ -43,7 +43,8 @@
     ABSENT
   }
 
-  private record Txn(int leader, int version, long mark, Batch batch, Table table, Position from) {}
+  private record Transaction(
+      int leader, int version, long mark, Batch batch, Table table, Position from) {}
 
   /** What a leader read last: it acts by that until a failure tells it to read again. */
   private static final class Leader {
@@ -64,7 +65,7 @@
     final List<Table> versions = new ArrayList<>();
     final Set<String> records = new HashSet<>();
     final TreeSet<Position> decided = new TreeSet<>();
-    final List<Txn> late = new ArrayList<>();
+    final List<Transaction> late = new ArrayList<>();
     Instant now = Instant.parse("2027-03-13T20:00:00Z");
     int office = 1;
     int version;
@@ -74,14 +75,14 @@
     Leader deposed;
     String broken;
 
-    History(long seed, Set<Condition> conditions) throws BadExpression {
+    History(long seed, Set<Condition> conditions) throws InvalidCronExpressionException {
       random = new SplittableRandom(seed);
       this.conditions = conditions;
       versions.add(table());
       leader = read(new Leader(office));
     }
 
-    Table table() throws BadExpression {
+    Table table() throws InvalidCronExpressionException {
       List<Table.Entry> out = new ArrayList<>();
       String[] crons = {"*/20 * * * *", "30 2 * * *", "@hourly", "15,45 1-3 * * *", "*/7 * * * *"};
       for (int i = 0; i < 1 + random.nextInt(3); i++) {
@@ -118,7 +119,7 @@
       if (b.watermark().compareTo(l.watermark) <= 0) {
         return;
       }
-      Txn t = new Txn(l.office, l.version, l.mark, b, l.table, l.watermark);
+      Transaction t = new Transaction(l.office, l.version, l.mark, b, l.table, l.watermark);
       switch (random.nextInt(6)) {
         case 0 -> late.add(t); // Held on the way; its sender knows nothing and reads again.
         case 1 -> {
@@ -134,7 +135,7 @@
       read(l);
     }
 
-    void apply(Txn t) {
+    void apply(Transaction t) {
       if ((conditions.contains(Condition.LEADER) && t.leader != office)
           || (conditions.contains(Condition.VERSION) && t.version != version)
           || (conditions.contains(Condition.WATERMARK) && t.mark != mark)) {
@@ -189,7 +190,7 @@
       return out;
     }
 
-    String run() throws BadExpression {
+    String run() throws InvalidCronExpressionException {
       for (int step = 0; step < 60 && broken == null; step++) {
         switch (random.nextInt(12)) {
           case 0 -> {
@@ -222,7 +223,7 @@
       for (int i = 0; i < 400 && broken == null; i++) {
         leader = read(leader);
         Batch b = new Agenda(leader.table, watermark).due(now, MOST);
-        apply(new Txn(office, version, mark, b, leader.table, watermark));
+        apply(new Transaction(office, version, mark, b, leader.table, watermark));
         if (watermark.equals(Position.upTo(now))) {
           return null;
         }
@@ -266,7 +267,7 @@
       h.now = h.now.plus(Duration.ofHours(12));
       h.plan(h.read(h.leader));
       h.apply(
-          new Txn(
+          new Transaction(
               h.office,
               0,
               h.mark,
@@ -278,7 +279,7 @@
       h.mark++;
       h.broken = null;
       Batch again = new Agenda(h.leader.table, old).due(h.now, MOST);
-      h.apply(new Txn(h.office, 0, h.mark, again, h.leader.table, old));
+      h.apply(new Transaction(h.office, 0, h.mark, again, h.leader.table, old));
       assertEquals(!guarded, h.broken != null && h.broken.startsWith("fired twice"), "" + h.broken);
     }
   }
--- a/src/test/java/org/mallowroad/calendar/ScheduleTest.java
+++ b/src/test/java/org/mallowroad/calendar/ScheduleTest.java
@@ -50,7 +50,8 @@
           "Asia/Kathmandu",
           "UTC");
 
-  private static Schedule of(String cron, String zone, Rules rules) throws BadExpression {
+  private static Schedule of(String cron, String zone, Rules rules)
+      throws InvalidCronExpressionException {
     return new Schedule(CronExpression.parse(cron), ZoneId.of(zone), OpenDays.always(), rules);
   }
 
@@ -149,7 +150,7 @@
       @ForAll @IntRange(max = 5) int change,
       @ForAll @IntRange(max = 15) int rules,
       @ForAll boolean club)
-      throws BadExpression {
+      throws InvalidCronExpressionException {
     ZoneRules z = ZoneId.of(ZONES.get(zone)).getRules();
     Instant start = Instant.parse(year + "-01-01T00:00:00Z");
     for (int i = 0; i < change; i++) {
@@ -252,7 +253,8 @@
         "@fortnightly|column 1: expected @yearly",
       })
   void whatIsNoExpressionIsNamed(String text, String error) {
-    BadExpression e = assertThrows(BadExpression.class, () -> CronExpression.parse(text));
+    InvalidCronExpressionException e =
+        assertThrows(InvalidCronExpressionException.class, () -> CronExpression.parse(text));
     assertTrue(e.getMessage().startsWith(error), e.getMessage());
   }
 
@@ -272,7 +274,7 @@
       @ForAll("expressions") String text,
       @ForAll @Size(min = 1, max = 40) List<@IntRange(min = -900, max = 7_200) Integer> steps,
       @ForAll @IntRange(max = 2) int missed)
-      throws BadExpression {
+      throws InvalidCronExpressionException {
     Schedule s = of(text, "America/New_York", new Rules(Skipped.RUN, Repeated.BOTH, Closed.RUN));
     Catchup c =
         new Catchup(Missed.values()[missed], Duration.ofHours(2), Duration.ofDays(9), 1_000);
--- a/src/test/java/org/mallowroad/calendar/file/TableFileTest.java
+++ b/src/test/java/org/mallowroad/calendar/file/TableFileTest.java
@@ -86,7 +86,8 @@
     for (String[] row : table) {
       assertTrue(GOOD.contains(row[0]), row[0]);
       Files.writeString(f, GOOD.replaceFirst(java.util.regex.Pattern.quote(row[0]), row[1]));
-      BadTable e = assertThrows(BadTable.class, () -> TableFile.read(f), row[1]);
+      InvalidTableException e =
+          assertThrows(InvalidTableException.class, () -> TableFile.read(f), row[1]);
       assertTrue(
           e.getMessage().startsWith(f + ": ") && e.getMessage().contains(row[2]), e.getMessage());
       assertTrue(
@@ -96,6 +97,6 @@
     assertEquals(Set.of("e"), TableFile.read(f).never());
     Files.writeString(f, GOOD);
     assertEquals(Set.of(), TableFile.read(f).never());
-    assertThrows(BadTable.class, () -> TableFile.read(dir.resolve("none.xml")));
+    assertThrows(InvalidTableException.class, () -> TableFile.read(dir.resolve("none.xml")));
   }
 }
--- a/src/test/java/org/mallowroad/cli/LookTest.java
+++ b/src/test/java/org/mallowroad/cli/InspectCommandsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Wrong use is one clear line and the documented code. */
-final class LookTest {
+final class InspectCommandsTest {
   @TempDir Path dir;
 
   private record Case(int code, String error, String... args) {}
--- a/src/test/java/org/mallowroad/config/SettingsTest.java
+++ b/src/test/java/org/mallowroad/config/SettingsTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.mallowroad.core.FleetPolicy;
+import org.mallowroad.core.AutoscalerPolicy;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.links.LinkPolicy;
+import org.mallowroad.core.linkstate.LinkPolicy;
 
 /** Settings files: unknown fields are ignored, wrong ones named. */
 final class SettingsTest {
@@ -53,7 +53,7 @@
 
   @TempDir Path dir;
 
-  private Settings load(String text) throws IOException, BadSettings {
+  private Settings load(String text) throws IOException, InvalidSettingsException {
     Path f = dir.resolve("s.toml");
     Files.writeString(f, text);
     return Settings.load(f.toString());
@@ -80,9 +80,9 @@
         "zones = [\"a\", \"b\"]|zones = []|params.zones",
       })
   void aWrongFieldIsNamed(String from, String to, String field) {
-    BadSettings e =
+    InvalidSettingsException e =
         assertThrows(
-            BadSettings.class,
+            InvalidSettingsException.class,
             () ->
                 load(GOOD.replaceFirst(java.util.regex.Pattern.quote(from), to == null ? "" : to)));
     assertTrue(e.getMessage().contains("s.toml: " + field + ":"), e.getMessage());
@@ -111,7 +111,8 @@
   void aWrongOperatorFieldIsNamed(String xml, String field) throws IOException {
     Path f = dir.resolve("o.xml");
     Files.writeString(f, xml);
-    BadSettings e = assertThrows(BadSettings.class, () -> OperatorSettings.load(f.toString()));
+    InvalidSettingsException e =
+        assertThrows(InvalidSettingsException.class, () -> OperatorSettings.load(f.toString()));
     assertTrue(e.getMessage().contains("o.xml: " + field), e.getMessage());
   }
 
@@ -138,6 +139,6 @@
     OperatorSettings o = OperatorSettings.load(f.toString());
     assertEquals(7_000, o.health().favourMs());
     assertEquals(HealthPolicy.defaults().cutLeast(), o.health().cutLeast());
-    assertEquals(FleetPolicy.defaults(), o.fleet());
+    assertEquals(AutoscalerPolicy.defaults(), o.fleet());
   }
 }
--- a/src/test/java/org/mallowroad/console/LoopProbeTest.java
+++ b/src/test/java/org/mallowroad/console/EventLoopProbeTest.java
@@ -6,13 +6,13 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.core.explain.Picture;
+import org.mallowroad.core.explain.NodeSnapshot;
 
 /** What the console's thread concludes and keeps by itself. */
-final class LoopProbeTest {
+final class EventLoopProbeTest {
   @Test
   void aLoopIsStuckWhileItsBeatIsOut() {
-    LoopProbe p = new LoopProbe();
+    EventLoopProbe p = new EventLoopProbe();
     assertTrue(p.send(10_000));
     assertFalse(p.send(10_500), "one beat at a time, or a stuck loop would find a queue of them");
     assertFalse(p.stuck(11_000));
@@ -28,12 +28,12 @@
 
   @Test
   void thePastIsBoundedAndALeadersOnly() {
-    Past past = new Past(3);
-    Picture.Totals none = new Picture.Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+    MetricHistory past = new MetricHistory(3);
+    NodeSnapshot.Totals none = new NodeSnapshot.Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
     for (int i = 0; i < 100; i++) {
-      Picture.Phase phase = i < 10 ? Picture.Phase.FOLLOWING : Picture.Phase.LEADING;
+      NodeSnapshot.Phase phase = i < 10 ? NodeSnapshot.Phase.FOLLOWING : NodeSnapshot.Phase.LEADING;
       past.take(
-          new Picture(
+          new NodeSnapshot(
               1, "n", phase, 1, "n", i, 0, 0, 0, true, none, List.of(), List.of(), 0, List.of(),
               List.of(), List.of()),
           1_000L * i);
--- a/src/test/java/org/mallowroad/console/ask/AskerTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -14,7 +14,7 @@
 import org.mallowroad.console.view.Overview;
 
 /** Whoever answers something else than expected, or nothing, is one clear line. */
-final class AskerTest {
+final class ClusterQueryTest {
   private static HttpServer answering(int status, String body) throws Exception {
     HttpServer s = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
@@ -70,7 +70,7 @@
                 "it has only just started"));
     for (Case c : table) {
       HttpServer s = answering(c.status, c.body);
-      try (Asker asker = new Asker(List.of(at(s)), "")) {
+      try (ClusterQuery asker = new ClusterQuery(List.of(at(s)), "")) {
         NodeView n = asker.look().nodes().get(0);
         assertEquals(c.standing, n.standing(), c.body);
         assertEquals(c.problem, n.problem(), c.body);
@@ -88,8 +88,8 @@
       free = s.getLocalPort();
     }
     try (ServerSocket hangs = new ServerSocket(0);
-        Asker asker =
-            new Asker(
+        ClusterQuery asker =
+            new ClusterQuery(
                 List.of(
                     "127.0.0.1:" + hangs.getLocalPort(),
                     "127.0.0.1:" + free,
@@ -129,7 +129,7 @@
     };
     for (String[] row : table) {
       HttpServer s = answering(Integer.parseInt(row[0]), row[1]);
-      try (Asker asker = new Asker(List.of("127.0.0.1:1"), at(s))) {
+      try (ClusterQuery asker = new ClusterQuery(List.of("127.0.0.1:1"), at(s))) {
         Overview o = asker.look();
         assertEquals(row[2], o.recorded().problem());
         assertTrue(o.first().toString().contains(row[2]), o.first().toString());
@@ -159,11 +159,11 @@
           x.close();
         });
     s.start();
-    try (Asker asker = new Asker(List.of("127.0.0.1:1"), at(s))) {
+    try (ClusterQuery asker = new ClusterQuery(List.of("127.0.0.1:1"), at(s))) {
       Overview o = asker.look();
       assertTrue(o.recorded().partial(), o.recorded().toString());
-      assertEquals(RecordReader.MOST_READS, o.recorded().reads());
-      assertEquals(RecordReader.MOST_READS, asked[0]);
+      assertEquals(RecordInspector.MOST_READS, o.recorded().reads());
+      assertEquals(RecordInspector.MOST_READS, asked[0]);
     } finally {
       s.stop(0);
     }
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -11,18 +11,18 @@
 import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Screen.Page;
 import org.mallowroad.console.view.Screen.Sort;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Reason;
-import org.mallowroad.core.explain.Reasons;
-import org.mallowroad.core.explain.Sample;
-import org.mallowroad.core.explain.Sight;
+import org.mallowroad.core.explain.MetricSample;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeStatus;
+import org.mallowroad.core.explain.PendingCause;
+import org.mallowroad.core.explain.PendingCauseSummary;
 
 /** What people see: within the width, without what a terminal or a browser would obey. */
 final class ScreenTest {
   private static final String EVIL = "<script>x\u001b[2J\u202e";
 
-  private static JobLine job(int i, String team, Reason r, int waiting, double dueS) {
+  private static JobLine job(int i, String team, PendingCause r, int waiting, double dueS) {
     return new JobLine(
         "job-" + i,
         team,
@@ -47,11 +47,11 @@
   }
 
   private static Overview overview(List<JobLine> jobs) {
-    Picture p =
-        new Picture(
-            Picture.FORMAT,
+    NodeSnapshot p =
+        new NodeSnapshot(
+            NodeSnapshot.FORMAT,
             "n0",
-            Picture.Phase.LEADING,
+            NodeSnapshot.Phase.LEADING,
             3,
             "n0",
             1_000,
@@ -59,24 +59,26 @@
             4,
             0.1,
             true,
-            new Picture.Totals(jobs.size(), 9, 0, 5, 2, 1, 7, 6, 1.5, 0),
-            List.of(new Picture.TeamLine(EVIL, 4, 8, 16, 9, 5)),
+            new NodeSnapshot.Totals(jobs.size(), 9, 0, 5, 2, 1, 7, 6, 1.5, 0),
+            List.of(new NodeSnapshot.TeamLine(EVIL, 4, 8, 16, 9, 5)),
             jobs,
             0,
-            List.of(new Picture.ZoneLine("north", 4, 3, true, 12)),
-            List.of(new Picture.MachineLine("north", EVIL, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
-            Reasons.of(jobs));
+            List.of(new NodeSnapshot.ZoneLine("north", 4, 3, true, 12)),
+            List.of(
+                new NodeSnapshot.MachineLine("north", EVIL, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
+            PendingCauseSummary.of(jobs));
     List<NodeView> nodes =
         List.of(
-            NodeView.answered("127.0.0.1:1", 3, new Sight(1, "n0", 0, List.of(), 0.2, p)),
+            NodeView.answered("127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, p)),
             NodeView.silent("127.0.0.1:2", Standing.REFUSING, "refuses connections", 1));
-    return Overview.of(nodes, Recorded.none("", ""), 1_000_000);
+    return Overview.of(nodes, RecordedState.none("", ""), 1_000_000);
   }
 
   private static List<JobLine> many(int n) {
     List<JobLine> out = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      out.add(job(i, i % 2 == 0 ? EVIL : "b", Reason.TEAM_LIMIT, i, i % 3 == 0 ? 500 - i : 0));
+      out.add(
+          job(i, i % 2 == 0 ? EVIL : "b", PendingCause.TEAM_LIMIT, i, i % 3 == 0 ? 500 - i : 0));
     }
     return out;
   }
@@ -88,7 +90,7 @@
       for (int width : new int[] {10, 80, 132}) {
         Screen s = new Screen(width, 24);
         for (int at : new int[] {0, 3, 9_999}) {
-          List<String> lines = s.draw(o, new Screen.Look(page, Sort.QUEUE, "", at));
+          List<String> lines = s.draw(o, new Screen.InspectCommands(page, Sort.QUEUE, "", at));
           assertTrue(lines.size() <= 24, page + " has " + lines.size() + " lines");
           for (String l : lines) {
             assertTrue(l.length() <= Math.max(80, width), l);
@@ -103,17 +105,20 @@
   void linesAreSortedFilteredAndPaged() {
     Overview o = overview(many(100));
     Screen s = new Screen(80, 0);
-    assertEquals("job-99", firstJob(s, o, new Screen.Look(Page.JOBS, Sort.WAITING, "", 0)));
-    assertEquals("job-99", firstJob(s, o, new Screen.Look(Page.JOBS, Sort.LONGEST, "", 0)));
-    assertEquals("job-99", firstJob(s, o, new Screen.Look(Page.JOBS, Sort.DUE, "", 0)));
-    assertEquals("job-0", firstJob(s, o, new Screen.Look(Page.JOBS, Sort.QUEUE, "", 0)));
-    List<String> found = s.draw(o, new Screen.Look(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
+    assertEquals(
+        "job-99", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.WAITING, "", 0)));
+    assertEquals(
+        "job-99", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.LONGEST, "", 0)));
+    assertEquals("job-99", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.DUE, "", 0)));
+    assertEquals("job-0", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.QUEUE, "", 0)));
+    List<String> found = s.draw(o, new Screen.InspectCommands(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
     assertEquals(1, found.stream().filter(l -> l.startsWith("job-")).count());
     // Each job stands on exactly one of the pages.
     Screen small = new Screen(80, 24);
     List<String> seen = new ArrayList<>();
     for (int page = 0; page < 30; page++) {
-      List<String> lines = small.draw(o, new Screen.Look(Page.JOBS, Sort.QUEUE, "", page));
+      List<String> lines =
+          small.draw(o, new Screen.InspectCommands(Page.JOBS, Sort.QUEUE, "", page));
       String last = lines.get(lines.size() - 1);
       lines.stream().filter(l -> l.startsWith("job-")).map(l -> l.split(" ")[0]).forEach(seen::add);
       if (last.matches("-- page (\\d+) of \\1 --")) {
@@ -124,7 +129,7 @@
     assertEquals(100, seen.stream().distinct().count());
   }
 
-  private static String firstJob(Screen s, Overview o, Screen.Look look) {
+  private static String firstJob(Screen s, Overview o, Screen.InspectCommands look) {
     return s.draw(o, look).stream()
         .filter(l -> l.startsWith("job-"))
         .findFirst()
@@ -135,12 +140,12 @@
   @Test
   void thePageHoldsNothingOfTheUsersThatABrowserObeys() throws Exception {
     Overview o = overview(many(20));
-    List<Sample> past = new ArrayList<>();
+    List<MetricSample> past = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      Picture p = o.picture();
-      Sample s = Sample.of(p);
+      NodeSnapshot p = o.picture();
+      MetricSample s = MetricSample.of(p);
       past.add(
-          new Sample(
+          new MetricSample(
               1_000 + 15_000 * i,
               3,
               10L * i,
@@ -164,8 +169,8 @@
   void whatComesFirstIsWhatStandsInMostPeoplesWay() {
     List<JobLine> jobs =
         List.of(
-            job(1, "a", Reason.TEAM_LIMIT, 5, 0),
-            job(2, "b", Reason.CLOUD_REFUSES, 50, -30),
+            job(1, "a", PendingCause.TEAM_LIMIT, 5, 0),
+            job(2, "b", PendingCause.CLOUD_REFUSES, 50, -30),
             job(3, "b", null, 0, 0));
     List<String> first = overview(jobs).first();
     assertTrue(first.get(0).startsWith("Zone north is cut off: 3 of 4 machines"), first.toString());
@@ -178,7 +183,7 @@
   /** A node of a newer build may have reasons that this one does not know. */
   @Test
   void aReasonOfAnotherBuildIsShownByItsName() throws Exception {
-    JobLine l = job(1, "a", Reason.TEAM_LIMIT, 5, 0);
+    JobLine l = job(1, "a", PendingCause.TEAM_LIMIT, 5, 0);
     JobLine newer =
         new JobLine(
             l.id(),
@@ -218,7 +223,7 @@
       {7505.0, "2h05m"},
     };
     for (Object[] row : table) {
-      assertEquals(row[1], Ages.of((Double) row[0]));
+      assertEquals(row[1], DurationFormat.of((Double) row[0]));
     }
   }
 }
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -23,18 +23,18 @@
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings.TeamSetting;
-import org.mallowroad.console.ask.Asker;
+import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.report.Report;
 import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Overview;
-import org.mallowroad.core.Term;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Picture.JobLine;
-import org.mallowroad.core.explain.Reason;
-import org.mallowroad.standin.CloudStandIn;
-import org.mallowroad.standin.Loopback;
-import org.mallowroad.standin.StateStandIn;
+import org.mallowroad.core.FencingTokens;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.PendingCause;
+import org.mallowroad.fake.FakeCloud;
+import org.mallowroad.fake.FakeStateService;
+import org.mallowroad.fake.LoopbackSettings;
 
 /**
  * What the console says while the service is in trouble, over loopback: within five seconds the
@@ -47,21 +47,21 @@
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private final Map<String, Node> nodes = new LinkedHashMap<>();
   private final List<String> controllers = new CopyOnWriteArrayList<>();
-  private StateStandIn state;
-  private CloudStandIn cloud;
-  private Asker asker;
-  private Loopback site;
+  private FakeStateService state;
+  private FakeCloud cloud;
+  private ClusterQuery asker;
+  private LoopbackSettings site;
 
   @BeforeEach
   void start() throws Exception {
-    state = new StateStandIn();
+    state = new FakeStateService();
     cloud =
-        new CloudStandIn(
+        new FakeCloud(
             controllers,
-            List.of(new CloudStandIn.Type("small", 4, 16, 1, 1, List.of("north", "south"))));
+            List.of(new FakeCloud.Type("small", 4, 16, 1, 1, List.of("north", "south"))));
     cloud.taskMs = 600_000;
     site =
-        new Loopback(
+        new LoopbackSettings(
             List.of("north", "south"),
             List.of(new TeamSetting("team", 8, 0, 64, 0), new TeamSetting("idle", 0, 0, 4, 0)),
             cloud,
@@ -72,13 +72,13 @@
     ConsoleSettings c = new ConsoleSettings(new Endpoint("127.0.0.1", 0), 1_000, 100, 10);
     List<String> consoles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Node n = new Node(new Site(site.node(i, 3), d.with(c)));
+      Node n = new Node(new ClusterConfig(site.node(i, 3), d.with(c)));
       n.start();
       nodes.put("n" + i, n);
       controllers.add(n.address());
       consoles.add(n.consoleAddress());
     }
-    asker = new Asker(consoles, "127.0.0.1:" + state.port());
+    asker = new ClusterQuery(consoles, "127.0.0.1:" + state.port());
     await("a leader", 40_000_000_000L, o -> o.obstacle().isEmpty());
     // Six machines in each zone, and a job that its team's limit holds.
     submit("job-000001", "team", "north", 6, 4);
@@ -90,7 +90,7 @@
         o -> {
           return o.picture() != null
               && o.picture().totals().running() == 13
-              && reason(o, "job-000003").equals(Reason.TEAM_LIMIT.name());
+              && reason(o, "job-000003").equals(PendingCause.TEAM_LIMIT.name());
         });
   }
 
@@ -177,14 +177,14 @@
                     && line(x, "job-000001").silent() == 6);
     JobLine j = line(o, "job-000001");
     assertTrue(
-        j.reason().equals(Reason.ZONE_CUT.name())
-            || j.reason().equals(Reason.NOT_PROVEN_GONE.name()),
+        j.reason().equals(PendingCause.ZONE_CUT.name())
+            || j.reason().equals(PendingCause.NOT_PROVEN_GONE.name()),
         j.toString());
     assertEquals("north", j.zone());
     assertEquals("", reason(o, "job-000002"));
     String page = Report.page(o, asker.history());
     assertTrue(page.contains("Zone north") && page.contains("job-000001"), page);
-    JobPicture p = asker.job("job-000001");
+    JobSnapshot p = asker.job("job-000001");
     // All six were silent a moment ago; on a busy machine some are proven gone by now.
     assertTrue(p.tasks().stream().anyMatch(t -> t.silent()));
     assertTrue(p.tasks().stream().allMatch(t -> !t.silent() || t.zone().equals("north")));
@@ -196,9 +196,10 @@
     CountDownLatch over = new CountDownLatch(1);
     String leader = state.leader();
     blockLeader(over);
-    Overview o = await("stuck loop", WITHIN_NS, x -> x.obstacle().equals(Reason.LOOP_STUCK.name()));
+    Overview o =
+        await("stuck loop", WITHIN_NS, x -> x.obstacle().equals(PendingCause.LOOP_STUCK.name()));
     assertEquals(Standing.STANDING_STILL, standing(o, leader));
-    assertEquals(Reason.LOOP_STUCK.name(), reason(o, "job-000003"));
+    assertEquals(PendingCause.LOOP_STUCK.name(), reason(o, "job-000003"));
     assertTrue(line(o, "job-000003").detail().contains("its team is at its limit"));
     String stack = o.nodes().stream().flatMap(n -> n.sight().stack().stream()).toList().toString();
     assertTrue(stack.contains("ConsoleTest"), stack);
@@ -221,11 +222,11 @@
             "no controller",
             WITHIN_NS,
             x ->
-                x.obstacle().equals(Reason.NO_LEADER.name())
+                x.obstacle().equals(PendingCause.NO_LEADER.name())
                     && x.nodes().stream().allMatch(n -> n.standing() == Standing.REFUSING));
     assertTrue(o.source().startsWith("records"), o.source());
     assertEquals(3, o.jobs().size());
-    assertEquals(Reason.NO_LEADER.name(), reason(o, "job-000003"));
+    assertEquals(PendingCause.NO_LEADER.name(), reason(o, "job-000003"));
     assertEquals(2, line(o, "job-000003").waiting());
     assertTrue(Report.page(o, List.of()).contains("no controller answers"));
   }
@@ -234,8 +235,8 @@
   void withoutTheStateServiceThatIsTheReason() throws Exception {
     state.down = true;
     Overview o =
-        await("state outage", WITHIN_NS, x -> x.obstacle().equals(Reason.STATE_AWAY.name()));
-    assertEquals(Reason.STATE_AWAY.name(), reason(o, "job-000003"));
+        await("state outage", WITHIN_NS, x -> x.obstacle().equals(PendingCause.STATE_AWAY.name()));
+    assertEquals(PendingCause.STATE_AWAY.name(), reason(o, "job-000003"));
     assertTrue(o.first().get(0).contains("state service"), o.first().toString());
     state.down = false;
     await("service again", 20_000_000_000L, x -> x.obstacle().isEmpty());
@@ -244,12 +245,14 @@
   @Test
   void aTakeoverIsSaidToBeOne() throws Exception {
     state.endLeases();
-    Overview o = await("takeover", WITHIN_NS, x -> x.obstacle().equals(Reason.TAKING_OVER.name()));
+    Overview o =
+        await("takeover", WITHIN_NS, x -> x.obstacle().equals(PendingCause.TAKING_OVER.name()));
     assertTrue(
-        o.first().get(0).contains("takes over in term " + (1 + Term.TOKENS)), o.first().toString());
+        o.first().get(0).contains("takes over in term " + (1 + FencingTokens.TOKENS)),
+        o.first().toString());
     o = await("its end", 20_000_000_000L, x -> x.obstacle().isEmpty());
     assertEquals(13, o.picture().totals().running());
-    assertEquals(Reason.TEAM_LIMIT.name(), reason(o, "job-000003"));
+    assertEquals(PendingCause.TEAM_LIMIT.name(), reason(o, "job-000003"));
   }
 
   @Test
@@ -257,7 +260,7 @@
     Endpoint taken = Endpoint.of(nodes.get("n0").consoleAddress());
     OperatorSettings d = OperatorSettings.defaults();
     ConsoleSettings c = new ConsoleSettings(taken, 1_000, 100, 10);
-    Node n = new Node(new Site(site.node(3, 3), d.with(c)));
+    Node n = new Node(new ClusterConfig(site.node(3, 3), d.with(c)));
     try {
       n.start();
       HttpResponse<String> r =
--- a/src/test/java/org/mallowroad/controller/EarlyReportsTest.java
+++ b/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.Clockwork;
-import org.mallowroad.core.WorkerReport;
+import org.mallowroad.SteppedClock;
+import org.mallowroad.core.Heartbeat;
 
 /** What becomes of reports that come before a leader has read the records. */
-final class EarlyReportsTest {
-  private final Clockwork c = new Clockwork();
-  private final Clockwork.Process p = c.new Process();
-  private final EarlyReports early = new EarlyReports();
+final class DeferredHeartbeatsTest {
+  private final SteppedClock c = new SteppedClock();
+  private final SteppedClock.Process p = c.new Process();
+  private final DeferredHeartbeats early = new DeferredHeartbeats();
   private final List<String> turnedAway = new ArrayList<>();
   private final List<String> known = new ArrayList<>();
   private final List<String> taken = new ArrayList<>();
 
   private void comes(String machine, long seq, long now) {
-    WorkerReport r = new WorkerReport(machine, "h:1", "t", "a", false, 1, seq, 0, -1, List.of());
+    Heartbeat r = new Heartbeat(machine, "h:1", "t", "a", false, 1, seq, 0, -1, List.of());
     early.add(r, -1, orders -> turnedAway.add(machine + " " + seq), now);
   }
 
