--- a/src/test/java/org/mallowroad/controller/HoldKeeperTest.java
+++ b/src/test/java/org/mallowroad/controller/DependencyGateControllerTest.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.Explorer;
+import org.mallowroad.StateSpaceExplorer;
 import org.mallowroad.api.Folding;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Specs;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
+import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
-import org.mallowroad.core.hold.Ties;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
-import org.mallowroad.state.StateStore;
-import org.mallowroad.state.StateStore.Result;
-import org.mallowroad.state.StateStore.Txn;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.DependencyCodec;
 import org.mallowroad.wire.FoldCodec;
-import org.mallowroad.wire.HoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /**
@@ -35,10 +35,10 @@
  * order, answers lost, transactions late or twice. The first start is never recorded while a claim
  * that was accepted is not folded.
  */
-final class HoldKeeperTest {
+final class DependencyGateControllerTest {
   private static final String RUN = "run/job-9/0";
 
-  private static final class Print implements Explorer.Scene {
+  private static final class Print implements StateSpaceExplorer.Scene {
     private final boolean successor;
     private int printed;
     private int corrected;
@@ -47,31 +47,34 @@
       this.successor = successor;
     }
 
-    private static long put(Explorer.Stage s, String key, JsonNode v) {
+    private static long put(StateSpaceExplorer.Stage s, String key, JsonNode v) {
       ObjectNode t = Json.object();
       t.putArray("writes").addObject().put("put", key).set("v", v);
       try {
         s.store.serve("POST", "/multi", Json.bytes(t), 0);
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
       return s.store.mark(key);
     }
 
-    private static Folding folding(Explorer.Process p) {
+    private static Folding folding(StateSpaceExplorer.Process p) {
       return new Folding(
-          p, new StateStore(p, p, p), new Budget(1e6, 1e6, p.now()), 16, 8, j -> null);
+          p, new KeyValueStore(p, p, p), new RateLimiter(1e6, 1e6, p.now()), 16, 8, j -> null);
     }
 
     @Override
-    public void begin(Explorer.Stage s) {
-      Ties ties = new Ties(Map.of(), List.of(), List.of(new Ties.UpTo("l", 0, null)));
+    public void begin(StateSpaceExplorer.Stage s) {
+      JobDependencies ties =
+          new JobDependencies(Map.of(), List.of(), List.of(new JobDependencies.UpTo("l", 0, null)));
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
       put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encode(b));
       put(s, Records.league("l"), Records.leagueValue(0, 0));
       ObjectNode open = Json.object();
-      open.put("at", 1).putObject("job").set(HoldCodec.HOLDS, HoldCodec.held(ties).get("holds"));
+      open.put("at", 1)
+          .putObject("job")
+          .set(DependencyCodec.HOLDS, DependencyCodec.held(ties).get("holds"));
       long mark = put(s, Records.open("job-9"), open);
       leader(s, "one", ties, mark);
       // In one transaction, as FoldingTest explores it.
@@ -85,7 +88,7 @@
       }
     }
 
-    private static void correct(Explorer.Stage s) {
+    private static void correct(StateSpaceExplorer.Stage s) {
       Fold base = new Fold(1, false, "job-1", true, null);
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
@@ -96,16 +99,18 @@
       put(s, Records.league("l"), Records.leagueValue(0, 1));
     }
 
-    private static void leader(Explorer.Stage s, String name, Ties ties, long open) {
-      long mark = put(s, Election.LEADER, Json.object().put("node", name));
-      Explorer.Process p = s.process(name);
-      StateStore state = new StateStore(p, p, p);
-      Names zones = new Names();
+    private static void leader(
+        StateSpaceExplorer.Stage s, String name, JobDependencies ties, long open) {
+      long mark = put(s, LeaderElection.LEADER, Json.object().put("node", name));
+      StateSpaceExplorer.Process p = s.process(name);
+      KeyValueStore state = new KeyValueStore(p, p, p);
+      NameIndex zones = new NameIndex();
       zones.intern("a");
-      Ledger ledger = new Ledger(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
-      JobSpec spec = Specs.array("job-9", 1, 1).ties(ties).build();
+      SchedulerState ledger =
+          new SchedulerState(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
+      JobSpec spec = JobSpecs.array("job-9", 1, 1).ties(ties).build();
       Job job = ledger.accept(spec, open, 0, p.now());
-      HoldKeeper[] keeper = new HoldKeeper[1];
+      DependencyGateController[] keeper = new DependencyGateController[1];
       boolean[] busy = new boolean[1];
       Runnable start =
           () -> {
@@ -114,15 +119,26 @@
               start(s, state, keeper[0], job, mark, busy);
             }
           };
-      keeper[0] = new HoldKeeper(p, state, ledger, folding(p), mark, start, () -> {});
+      keeper[0] = new DependencyGateController(p, state, ledger, folding(p), mark, start, () -> {});
       keeper[0].opened(job);
       keeper[0].begin();
     }
 
-    /** As {@code Committer} does: the guard's conditions, and on a conflict they are settled. */
+    /**
+     * As {@code WriteBehindCommitter} does: the guard's conditions, and on a conflict they are
+     * settled.
+     */
     private static void start(
-        Explorer.Stage s, StateStore state, HoldKeeper keeper, Job job, long mark, boolean[] busy) {
-      Txn txn = new Txn().given(Election.LEADER, mark).given(Records.open("job-9"), job.mark);
+        StateSpaceExplorer.Stage s,
+        KeyValueStore state,
+        DependencyGateController keeper,
+        Job job,
+        long mark,
+        boolean[] busy) {
+      Transaction txn =
+          new Transaction()
+              .given(LeaderElection.LEADER, mark)
+              .given(Records.open("job-9"), job.mark);
       keeper.guard(job, txn);
       txn.given(RUN, 0).put(RUN, Json.object().put("by", mark));
       state.run(
@@ -132,14 +148,14 @@
               keeper.guarded(job, revision);
             } else if (result == Result.UNKNOWN && s.store.value(RUN) == null) {
               start(s, state, keeper, job, mark, busy);
-            } else if (!failed.contains(Election.LEADER)) {
+            } else if (!failed.contains(LeaderElection.LEADER)) {
               keeper.reguard(job, () -> busy[0] = false);
             }
           });
     }
 
     @Override
-    public void applied(Explorer.Stage s) {
+    public void applied(StateSpaceExplorer.Stage s) {
       if (s.store.value(RUN) == null || s.notes.contains("printed")) {
         return;
       }
@@ -148,7 +164,7 @@
     }
 
     @Override
-    public void end(Explorer.Stage s) {
+    public void end(StateSpaceExplorer.Stage s) {
       printed += s.notes.contains("printed") ? 1 : 0;
       corrected += s.store.value(Records.open("job-2")) != null ? 1 : 0;
     }
@@ -165,7 +181,7 @@
   }
 
   private static void explore(Print scene, int troubles) {
-    Explorer e = new Explorer(scene, troubles, 400_000);
+    StateSpaceExplorer e = new StateSpaceExplorer(scene, troubles, 400_000);
     e.explore(s -> {});
     System.out.println("prints: " + e.states() + " states, " + e.histories() + " histories");
     assertTrue(scene.printed > 50, "printed " + scene.printed);
--- a/src/test/java/org/mallowroad/controller/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/FailureResponderTest.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Fleet;
-import org.mallowroad.core.FleetPolicy;
+import org.mallowroad.core.Autoscaler;
+import org.mallowroad.core.AutoscalerPolicy;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.JobSpecs;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Objectives;
-import org.mallowroad.core.Placement;
-import org.mallowroad.core.Specs;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.ServiceLevelObjectives;
+import org.mallowroad.core.TaskScheduler;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.WorkerReport;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
 
@@ -31,15 +31,15 @@
   private static final long LEASE_MS = 26_000;
 
   /** Two zones of 20 machines that report every 4 s on virtual time, each with four tasks. */
-  private static final class World {
-    final Names zones = new Names();
+  private static final class Simulation {
+    final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0, 1});
     final Health health;
-    final Ledger ledger;
+    final SchedulerState ledger;
     final FailureResponder responder;
-    final Placement placement;
-    final Fleet fleet;
+    final TaskScheduler placement;
+    final Autoscaler fleet;
     final List<Machine> machines = new ArrayList<>();
     final Job job;
     final long[] heardToken = new long[40];
@@ -52,16 +52,16 @@
     int deafTo;
     long now = 1_000_000;
 
-    World(boolean takenOver) {
+    Simulation(boolean takenOver) {
       zones.intern("a");
       zones.intern("b");
       health = new Health(HealthPolicy.defaults(), 2, 4, now);
       Team team = new Team("t", 1e6, 0, 1e6, 0);
-      ledger = new Ledger(TERM, 26, 4, List.of(team), zones, health);
+      ledger = new SchedulerState(TERM, 26, 4, List.of(team), zones, health);
       responder = new FailureResponder(ledger, zones, 4, 26, TERM, now);
-      placement = new Placement(ledger);
-      fleet = new Fleet(ledger, FleetPolicy.defaults(), new Objectives());
-      job = ledger.accept(Specs.array("job-1", 160, 1).spot().build(), 5, 0, now);
+      placement = new TaskScheduler(ledger);
+      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
+      job = ledger.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
       for (int i = 0; i < 40; i++) {
         machines.add(ledger.meet("n-" + i, type, i / 20, true, now));
       }
@@ -73,7 +73,7 @@
       } else {
         pass(8_000, 0, 0);
         assertEquals(160, placement.place(now).size());
-        Specs.commit(ledger, now);
+        JobSpecs.commit(ledger, now);
         pass(8_000, 0, 0);
       }
     }
@@ -84,11 +84,11 @@
       heardToken[i] = deaf ? heardToken[i] : Math.max(TERM, m.token);
       ledger.report(
           m,
-          Specs.report(
+          JobSpecs.report(
               m,
               ++seq,
               heardToken[i],
-              m == pulling ? WorkerReport.State.PULLING : WorkerReport.State.RUNNING),
+              m == pulling ? Heartbeat.State.PULLING : Heartbeat.State.RUNNING),
           true,
           now);
       m.answeredMs = now;
@@ -122,7 +122,7 @@
 
     int rented() {
       int n = 0;
-      for (Fleet.Rent r : fleet.rents(placement.queue(now), List.of(), List.of(type), now)) {
+      for (Autoscaler.Rent r : fleet.rents(placement.queue(now), List.of(), List.of(type), now)) {
         assertFalse(health.silence().cut(r.variant().zone()), "rented in a cut zone");
         n += r.count();
       }
@@ -131,11 +131,11 @@
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest day(String name, boolean takenOver, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World(takenOver)));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(takenOver)));
   }
 
   @TestFactory
@@ -205,7 +205,7 @@
                 }
               }
               assertEquals(0, w.health.silence().cuts());
-              w.ledger.accept(Specs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
+              w.ledger.accept(JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
               assertTrue(w.rented() > 0);
             }),
         day(
@@ -280,7 +280,7 @@
               w.deafTo = 4;
               m.token++; // Something that only an answer tells it.
               w.pass(20_000, 0, 0);
-              assertEquals(Ledger.Refusal.LEAVING, w.ledger.unfit(m, w.now));
+              assertEquals(SchedulerState.Refusal.LEAVING, w.ledger.unfit(m, w.now));
               assertEquals(1, w.returned());
               assertEquals(0, w.job.waitingCount()); // Nothing is freed by a suspicion.
               w.ledger.machineGone(m, w.now);
@@ -297,13 +297,14 @@
               int gone = w.returned();
               assertTrue(gone >= 8 && gone <= 16, "returned " + gone);
               for (Machine m : w.machines.subList(0, 20)) {
-                assertTrue(m.returning || w.ledger.unfit(m, w.now) == Ledger.Refusal.DEAF);
+                assertTrue(m.returning || w.ledger.unfit(m, w.now) == SchedulerState.Refusal.DEAF);
               }
               w.deafTo = 0;
               w.pass(12_000, 0, 0);
               gone = w.returned();
               for (Machine m : w.machines.subList(0, 20)) {
-                assertEquals(m.returning ? Ledger.Refusal.LEAVING : null, w.ledger.unfit(m, w.now));
+                assertEquals(
+                    m.returning ? SchedulerState.Refusal.LEAVING : null, w.ledger.unfit(m, w.now));
               }
               w.pass(20_000, 0, 0);
               assertEquals(gone, w.returned());
@@ -312,15 +313,14 @@
             "a leader alone with its workers sends each of them round once in a lease",
             false,
             w -> {
-              WorkerReport r =
-                  Specs.report(w.machines.get(0), 900, TERM, WorkerReport.State.RUNNING);
+              Heartbeat r = JobSpecs.report(w.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
               assertTrue(w.responder.sendRound(r, w.now));
               assertFalse(w.responder.sendRound(r, w.now + 6_000));
               assertFalse(w.responder.sendRound(r, w.now + LEASE_MS - 1));
               assertTrue(w.responder.sendRound(r, w.now + LEASE_MS));
               assertTrue(
                   w.responder.sendRound(
-                      Specs.report(w.machines.get(1), 900, TERM, WorkerReport.State.RUNNING),
+                      JobSpecs.report(w.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
                       w.now + 10));
             }),
         day(
--- a/src/test/java/org/mallowroad/controller/RoundCutsTest.java
+++ b/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
@@ -19,20 +19,20 @@
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings.TeamSetting;
-import org.mallowroad.core.links.LinkPolicy;
-import org.mallowroad.standin.CloudStandIn;
-import org.mallowroad.standin.StateStandIn;
+import org.mallowroad.core.linkstate.LinkPolicy;
+import org.mallowroad.fake.FakeCloud;
+import org.mallowroad.fake.FakeStateService;
 
 /** Ways round cuts over real sockets: two nodes, each cut off from something else. */
-final class RoundCutsTest {
+final class RelayedTrafficTest {
   private static final LinkPolicy QUICK = new LinkPolicy(200, 1_500, 100, 500, 2_000, 1_000);
 
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private final List<String> listen = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
-  private StateStandIn state;
-  private CloudStandIn cloud;
+  private FakeStateService state;
+  private FakeCloud cloud;
 
   @AfterEach
   void stop() {
@@ -43,8 +43,8 @@
 
   /** Two nodes; the state service of node {@code cut} refuses it, as a closed port does. */
   private void start(int cut) throws IOException {
-    state = new StateStandIn();
-    cloud = new CloudStandIn(listen);
+    state = new FakeStateService();
+    cloud = new FakeCloud(listen);
     int[] ports = new int[2];
     try (ServerSocket a = new ServerSocket(0);
         ServerSocket b = new ServerSocket(0)) {
@@ -53,7 +53,9 @@
     }
     for (int i = 0; i < 2; i++) {
       Endpoint to = new Endpoint("127.0.0.1", i == cut ? 1 : state.port());
-      Node n = new Node(new Site(settings(i, ports, to), OperatorSettings.defaults().with(QUICK)));
+      Node n =
+          new Node(
+              new ClusterConfig(settings(i, ports, to), OperatorSettings.defaults().with(QUICK)));
       n.start();
       nodes.add(n);
       listen.add(n.address());
--- a/src/test/java/org/mallowroad/controller/KeptTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.mallowroad.Clockwork;
+import org.mallowroad.SteppedClock;
 import org.mallowroad.api.UserApi;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.JobSpecs;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Placement;
-import org.mallowroad.core.Specs;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.net.Loop;
-import org.mallowroad.net.XnioHost;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.TaskScheduler;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.XnioEnvironment;
 import org.mallowroad.wire.Json;
 import org.mallowroad.worker.WorkerClient;
 
@@ -33,13 +33,13 @@
  * Many days of jobs, machines and connections in virtual time: what a process keeps must depend on
  * what there is now, not on how long it has run.
  */
-final class KeptTest {
+final class RetentionBoundsTest {
   private static final long DAY_MS = 86_400_000;
   private static final int DAYS = 40;
   private static final int A_DAY = 600;
 
   @TempDir Path dir;
-  private Site site;
+  private ClusterConfig site;
 
   @BeforeEach
   void settings() throws Exception {
@@ -76,7 +76,7 @@
         [params.cloud]
         rps = 8.0
         """);
-    site = new Site(Settings.load(f.toString()), OperatorSettings.defaults());
+    site = new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults());
     site.machineTypes(
         List.of(
             new MachineType(
@@ -96,8 +96,8 @@
   /** Every job has names of its own, errors and an end; every machine serves a few and goes. */
   @Test
   void jobsAndMachinesThatAreOverLeaveNothingBehind() throws Exception {
-    Ledger ledger = new Ledger(1, 26, 4, site.teams(), site.zones);
-    Placement placement = new Placement(ledger);
+    SchedulerState ledger = new SchedulerState(1, 26, 4, site.teams(), site.zones);
+    TaskScheduler placement = new TaskScheduler(ledger);
     MachineType type = site.type("t32");
     int n = 0;
     long now = 0;
@@ -113,19 +113,19 @@
         m = ledger.meet(name, type, 0, true, now);
         ledger.report(
             m,
-            new WorkerReport(name, "h:1", "t32", "a", true, 1, 2L * n, 1, -1, List.of()),
+            new Heartbeat(name, "h:1", "t32", "a", true, 1, 2L * n, 1, -1, List.of()),
             true,
             now);
         Job job = ledger.accept(site.codec.decode(submission(n), now), 5, 0, now);
         placement.place(now);
-        Specs.commit(ledger, now);
+        JobSpecs.commit(ledger, now);
         if (n % 2 == 0) {
-          ledger.resolve(job.live(0), Ledger.Outcome.ERROR, now);
+          ledger.resolve(job.live(0), SchedulerState.Outcome.ERROR, now);
           ledger.cancel(job, now);
         }
         for (int t = 0; t < 4; t++) {
           if (job.live(t) != null) {
-            ledger.resolve(job.live(t), Ledger.Outcome.DONE, now);
+            ledger.resolve(job.live(t), SchedulerState.Outcome.DONE, now);
           }
         }
         if (n % 2 == 1) {
@@ -133,7 +133,7 @@
           ledger.ended(job, now);
         }
         assertTrue(job.finished());
-        Specs.commit(ledger, now);
+        JobSpecs.commit(ledger, now);
         ledger.forget(job);
         ledger.outbox().clear();
       }
@@ -165,7 +165,7 @@
     // Classes that users make up do not pile up as measures of speed either.
     assertTrue(classes <= 256, classes + " classes");
     // 72,000 names were made up; a day's worth is there at the most between two looks.
-    assertTrue(site.names() < Site.MOST_NAMES, site.names() + " names");
+    assertTrue(site.names() < ClusterConfig.MOST_NAMES, site.names() + " names");
     assertTrue(site.classes.find("named-in-settings") == 0);
     assertEquals(type.index(), site.types.find("t32"));
   }
@@ -181,7 +181,7 @@
 
   @Test
   void aNameThatIsUsedKeepsItsIndexAndOthersAreGivenAgain() throws Exception {
-    Ledger ledger = new Ledger(1, 26, 4, site.teams(), site.zones);
+    SchedulerState ledger = new SchedulerState(1, 26, 4, site.teams(), site.zones);
     Job kept = ledger.accept(site.codec.decode(submission(7), 0), 5, 0, 0);
     for (int n = 100; n < 3_000; n++) {
       site.codec.decode(submission(n), 0);
@@ -198,7 +198,7 @@
 
   @Test
   void endsAreRememberedUpToABound() {
-    Loop loop = new Clockwork().new Process();
+    EventLoop loop = new SteppedClock().new Process();
     UserApi users = new UserApi(loop, null, null, 1, null, null, null, 8, 64, 5_000);
     for (int n = 0; n < 100_000; n++) {
       users.ended("job-" + n, true);
@@ -208,7 +208,7 @@
 
   @Test
   void connectionsToWorkersThatAreGoneAreNotKept() throws Exception {
-    XnioHost host = new XnioHost(site.settings());
+    XnioEnvironment host = new XnioEnvironment(site.settings());
     try {
       WorkerClient client = new WorkerClient(host, 50);
       CompletableFuture<Integer> kept = new CompletableFuture<>();
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -26,26 +26,26 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
-import org.mallowroad.console.ask.Asker;
-import org.mallowroad.core.Term;
-import org.mallowroad.standin.CloudStandIn;
-import org.mallowroad.standin.StateStandIn;
+import org.mallowroad.console.ask.ClusterQuery;
+import org.mallowroad.core.FencingTokens;
+import org.mallowroad.fake.FakeCloud;
+import org.mallowroad.fake.FakeStateService;
 
 /** The whole service over loopback sockets, with stand-ins for state, cloud and workers. */
 final class ServiceTest {
   @TempDir Path dir;
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-  private StateStandIn state;
-  private CloudStandIn cloud;
+  private FakeStateService state;
+  private FakeCloud cloud;
   private final Map<String, Node> nodes = new LinkedHashMap<>();
   private final Map<String, String> addresses = new LinkedHashMap<>();
 
   @BeforeEach
   void start() throws Exception {
-    state = new StateStandIn();
+    state = new FakeStateService();
     List<String> listen = new ArrayList<>();
-    cloud = new CloudStandIn(listen);
+    cloud = new FakeCloud(listen);
     for (int i = 0; i < 3; i++) {
       String address = rise(i, "127.0.0.1:0");
       // Any port that is free when the node listens: one that is picked before may be lost again.
@@ -94,7 +94,7 @@
         ram_mb = 32.0
         """
             .formatted(i, listen, cloud.port(), state.port()));
-    Node n = new Node(new Site(Settings.load(f.toString()), OperatorSettings.defaults()));
+    Node n = new Node(new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults()));
     n.start();
     nodes.put("n" + i, n);
     addresses.put("n" + i, n.address());
@@ -266,7 +266,7 @@
             "POST",
             "/v1/jobs",
             job("job-000000", 1, 1).replace("\"stow_s\"", again + "\"stow_s\"")));
-    try (Asker asker = new Asker(List.of(), "127.0.0.1:" + state.port())) {
+    try (ClusterQuery asker = new ClusterQuery(List.of(), "127.0.0.1:" + state.port())) {
       assertEquals(List.of("m: revision 1 folded by job-000000"), asker.game("l", 7));
       assertTrue(asker.game("l", 700).get(0).startsWith("nobody has claimed it"));
     }
@@ -313,7 +313,8 @@
     assertTrue(over.await(20, TimeUnit.SECONDS));
     await("end of the job", () -> is("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
-    assertTrue(state.term() == term + Term.TOKENS, "the one that stood still did not campaign");
+    assertTrue(
+        state.term() == term + FencingTokens.TOKENS, "the one that stood still did not campaign");
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/CommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/WriteBehindCommitterTest.java
@@ -6,61 +6,61 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.Clockwork;
+import org.mallowroad.SteppedClock;
 import org.mallowroad.core.Attempt;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.JobSpecs;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Specs;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.WorkerReport;
-import org.mallowroad.election.Election;
-import org.mallowroad.net.Budget;
-import org.mallowroad.state.StateStore;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.KeyValueStore;
 
 /** Which records come first when there are more than the state service takes. */
-final class CommitterTest {
+final class WriteBehindCommitterTest {
   private static final double RPS = 22;
   private static final int VALUE_BYTES = 8 * 1024;
-  private final Clockwork c = new Clockwork();
-  private final Clockwork.Process p = c.new Process();
-  private final StateStore state = new StateStore(p, p, p);
-  private final Names zones = new Names();
+  private final SteppedClock c = new SteppedClock();
+  private final SteppedClock.Process p = c.new Process();
+  private final KeyValueStore state = new KeyValueStore(p, p, p);
+  private final NameIndex zones = new NameIndex();
   private final MachineType type =
       new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
-  private final Ledger ledger;
+  private final SchedulerState ledger;
   private final Machine machine;
   private final long leaderMark;
-  private final Committer committer;
+  private final WriteBehindCommitter committer;
 
-  CommitterTest() {
+  WriteBehindCommitterTest() {
     zones.intern("a");
-    ledger = new Ledger(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
+    ledger = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
     machine = ledger.meet("n-1", type, 0, false, c.now);
     ledger.report(
         machine,
-        new WorkerReport("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
+        new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
         c.now);
-    leaderMark = put(Election.LEADER);
+    leaderMark = put(LeaderElection.LEADER);
     committer = committer(16);
   }
 
-  private Committer committer(int maxOps) {
-    return new Committer(
+  private WriteBehindCommitter committer(int maxOps) {
+    return new WriteBehindCommitter(
         p,
         state,
-        new Budget(RPS, 24, c.now),
+        new RateLimiter(RPS, 24, c.now),
         ledger,
         zones,
         leaderMark,
         maxOps,
-        new Committer.Events() {
+        new WriteBehindCommitter.Events() {
           @Override
-          public void guard(Job job, StateStore.Txn txn) {}
+          public void guard(Job job, KeyValueStore.Transaction txn) {}
 
           @Override
           public void guarded(Job job, long revision) {}
@@ -89,7 +89,7 @@
   }
 
   private Attempt start(String id, int priority) {
-    JobSpec s = Specs.array(id, 1, 1).priority(priority).build();
+    JobSpec s = JobSpecs.array(id, 1, 1).priority(priority).build();
     Job job = ledger.accept(s, put("open/" + id), 0, c.now);
     return ledger.start(job, 0, machine, c.now);
   }
@@ -121,7 +121,7 @@
   /** Twenty starts of small jobs in one write; their ends in two each and one more for all. */
   @Test
   void smallJobsShareARecordOfTheirStarts() {
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(20);
     int before = c.writes;
     committer.kick();
@@ -130,7 +130,7 @@
     assertEquals(1, c.writes - before);
     assertEquals(1, c.store.keys("starts/").size());
     assertEquals(0, c.store.keys("run/").size());
-    all.forEach(a -> ledger.resolve(a, Ledger.Outcome.DONE, c.now));
+    all.forEach(a -> ledger.resolve(a, SchedulerState.Outcome.DONE, c.now));
     c.run(1_000);
     committer.kick();
     c.run(20_000);
@@ -144,7 +144,7 @@
   /** One of them is cancelled before its start is recorded: the others' are recorded. */
   @Test
   void aJobThatIsOverKeepsNoOtherFromTheSharedRecord() {
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(5);
     cancelFirst();
     committer.kick();
@@ -157,13 +157,13 @@
   /** What a next leader would have to wait for is taken out of the record. */
   @Test
   void aCancelledJobOfWhichNothingIsLeftIsNotListedAnyMore() {
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(3);
     committer.kick();
     c.run(100);
     cancelFirst();
     committer.cancelled(all.get(0).job);
-    ledger.resolve(all.get(0), Ledger.Outcome.STOPPED, c.now);
+    ledger.resolve(all.get(0), SchedulerState.Outcome.STOPPED, c.now);
     committer.kick();
     c.run(10_000);
     committer.kick();
@@ -178,7 +178,7 @@
   void aCommitWhoseAnswerIsLostIsFoundAndNotWrittenOnceMore() {
     for (boolean shared : new boolean[] {false, true}) {
       if (shared) {
-        ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
+        ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
       }
       List<Attempt> all = startMany(shared ? 3 : 1);
       int before = c.writes;
@@ -197,7 +197,7 @@
   void exitsTakeAFifthOfTheWrites() {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      JobSpec s = Specs.array("job-3" + i, 100, 1).build();
+      JobSpec s = JobSpecs.array("job-3" + i, 100, 1).build();
       Job job = ledger.accept(s, put("open/job-3" + i), 0, c.now);
       for (int t = 0; t < 100; t++) {
         ledger.start(job, t, machine, c.now);
@@ -209,7 +209,7 @@
     int before = c.writes;
     for (int t = 0; t < 40; t++) {
       for (Job job : jobs) {
-        ledger.resolve(job.live(t), Ledger.Outcome.DONE, c.now);
+        ledger.resolve(job.live(t), SchedulerState.Outcome.DONE, c.now);
       }
       committer.kick();
       c.run(500);
@@ -222,7 +222,7 @@
   /** More starts than one transaction has conditions for: what is listed is what is recorded. */
   @Test
   void aSharedRecordListsNoStartWithoutItsCondition() {
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(90);
     committer.kick();
     boolean some = false;
@@ -243,7 +243,7 @@
     committer.kick();
     c.run(1_000);
     c.loseAnswers = false;
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     c.run(10_000);
     assertEquals(1, recorded(all));
     assertEquals(List.of(), sharedJobs());
@@ -256,7 +256,7 @@
   @Test
   void sharedRecordsFitIntoTheSmallestTransactions() {
     int maxOps = 4;
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(maxOps), VALUE_BYTES);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(maxOps), VALUE_BYTES);
     List<Attempt> all = startMany(60);
     committer(maxOps).kick();
     c.run(10_000);
@@ -267,11 +267,11 @@
   @Test
   void sharedRecordsStayBelowTheLimitOfAValue() {
     int mostBytes = 2 * 1024;
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), mostBytes);
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), mostBytes);
     List<Attempt> all = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
-      Job job = ledger.accept(Specs.array(id, 4, 1).build(), put("open/" + id), 0, c.now);
+      Job job = ledger.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, c.now);
       for (int t = 0; t < 4; t++) {
         all.add(ledger.start(job, t, longNamed(t), c.now));
       }
@@ -288,8 +288,8 @@
   /** It may run for years, and would keep the shared record for as long. */
   @Test
   void aServiceHasARecordOfItsOwn() {
-    ledger.sharedRecords().enable(Committer.mostSharedMembers(16), VALUE_BYTES);
-    JobSpec s = Specs.array("job-1", 1, 1).service().build();
+    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    JobSpec s = JobSpecs.array("job-1", 1, 1).service().build();
     Job job = ledger.accept(s, put("open/job-1"), 0, c.now);
     List<Attempt> all = List.of(ledger.start(job, 0, machine, c.now));
     committer.kick();
@@ -302,10 +302,7 @@
   private Machine longNamed(int i) {
     Machine m = ledger.meet("machine-with-a-long-name-" + i, type, 0, false, c.now);
     ledger.report(
-        m,
-        new WorkerReport(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()),
-        true,
-        c.now);
+        m, new Heartbeat(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()), true, c.now);
     return m;
   }
 
--- a/src/test/java/org/mallowroad/core/FleetTest.java
+++ b/src/test/java/org/mallowroad/core/AutoscalerTest.java
@@ -9,58 +9,57 @@
 import org.junit.jupiter.api.TestFactory;
 
 /** Renting and returning as the design says, and its exceptions. */
-final class FleetTest {
+final class AutoscalerTest {
   private static final MachineType SMALL =
       new MachineType(0, "small", 4, 0, 16, 100, 1, 1.0, 0.4, 30, new int[] {0, 1});
   private static final MachineType LARGE =
       new MachineType(1, "large", 32, 0, 256, 100, 1, 9.0, 4.0, 30, new int[] {0, 1});
   private static final List<MachineType> TYPES = List.of(SMALL, LARGE);
 
-  private static final class World {
-    final Names zones = new Names();
-    final Ledger ledger;
-    final Fleet fleet;
-    final Placement placement;
-    final Objectives objectives = new Objectives();
+  private static final class Simulation {
+    final NameIndex zones = new NameIndex();
+    final SchedulerState ledger;
+    final Autoscaler fleet;
+    final TaskScheduler placement;
+    final ServiceLevelObjectives objectives = new ServiceLevelObjectives();
     long now = 1_000_000;
     long seq;
 
-    World() {
+    Simulation() {
       this(64);
     }
 
     /** With a limit of the one team. */
-    World(double cpus) {
+    Simulation(double cpus) {
       zones.intern("a");
       zones.intern("b");
-      ledger = new Ledger(1, 20, 3, List.of(new Team("team", cpus, 0, cpus, 0)), zones);
-      fleet = new Fleet(ledger, FleetPolicy.defaults(), objectives);
-      placement = new Placement(ledger);
+      ledger = new SchedulerState(1, 20, 3, List.of(new Team("team", cpus, 0, cpus, 0)), zones);
+      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), objectives);
+      placement = new TaskScheduler(ledger);
     }
 
     Machine machine(String name, MachineType type, boolean spot) {
       Machine m = ledger.meet(name, type, 0, spot, now);
-      WorkerReport r =
-          new WorkerReport(name, "h:1", type.name(), "a", spot, 1, ++seq, 1, -1, List.of());
+      Heartbeat r = new Heartbeat(name, "h:1", type.name(), "a", spot, 1, ++seq, 1, -1, List.of());
       ledger.report(m, r, true, now);
       return m;
     }
 
     Job job(String id, int tasks, double cpus) {
-      return ledger.accept(Specs.array(id, tasks, cpus).spot().build(), 5, 0, now);
+      return ledger.accept(JobSpecs.array(id, tasks, cpus).spot().build(), 5, 0, now);
     }
 
-    List<Fleet.Rent> rents(List<Fleet.Coming> coming) {
+    List<Autoscaler.Rent> rents(List<Autoscaler.Coming> coming) {
       return fleet.rents(placement.queue(now), coming, TYPES, now);
     }
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest policy(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
   }
 
   @TestFactory
@@ -70,9 +69,9 @@
             "the cheapest fitting variant is rented",
             w -> {
               w.job("job-1", 1, 4);
-              List<Fleet.Rent> r = w.rents(List.of());
+              List<Autoscaler.Rent> r = w.rents(List.of());
               assertEquals(1, r.size());
-              assertEquals(new Fleet.Variant(SMALL, 0, true), r.get(0).variant());
+              assertEquals(new Autoscaler.Variant(SMALL, 0, true), r.get(0).variant());
               assertEquals(1, r.get(0).count());
             }),
         policy(
@@ -85,23 +84,27 @@
             "a refused variant is left out for a while, its next cheapest is taken",
             w -> {
               w.job("job-1", 1, 4);
-              w.fleet.refused(new Fleet.Variant(SMALL, 0, true), w.now);
-              w.fleet.refused(new Fleet.Variant(SMALL, 1, true), w.now);
-              assertEquals(new Fleet.Variant(SMALL, 0, false), w.rents(List.of()).get(0).variant());
+              w.fleet.refused(new Autoscaler.Variant(SMALL, 0, true), w.now);
+              w.fleet.refused(new Autoscaler.Variant(SMALL, 1, true), w.now);
+              assertEquals(
+                  new Autoscaler.Variant(SMALL, 0, false), w.rents(List.of()).get(0).variant());
             }),
         policy(
             "machines on their way take waiting tasks, so nothing is rented twice",
             w -> {
               w.job("job-1", 1, 4);
               assertTrue(
-                  w.rents(List.of(new Fleet.Coming(new Fleet.Variant(SMALL, 0, true), 1, w.now)))
+                  w.rents(
+                          List.of(
+                              new Autoscaler.Coming(
+                                  new Autoscaler.Variant(SMALL, 0, true), 1, w.now)))
                       .isEmpty());
             }),
         policy(
             "work that can wait for room rents nothing, urgent work does",
             w -> {
               for (int z = 0; z < 2; z++) {
-                w.fleet.refused(new Fleet.Variant(LARGE, z, true), w.now);
+                w.fleet.refused(new Autoscaler.Variant(LARGE, z, true), w.now);
               }
               Machine busy = w.machine("n-1", LARGE, false);
               w.ledger.start(w.job("job-1", 1, 32), 0, busy, w.now);
@@ -122,30 +125,32 @@
               w.now += 40_000; // 20 s of the estimated 60 are left, less than a boot takes.
               w.machine("n-1", SMALL, true);
               w.job("job-2", 2, 4);
-              assertEquals(2, w.rents(List.of()).stream().mapToInt(Fleet.Rent::count).sum());
+              assertEquals(2, w.rents(List.of()).stream().mapToInt(Autoscaler.Rent::count).sum());
               w.now += 16_000;
               w.machine("n-1", SMALL, true);
               w.job("job-3", 1, 4);
-              Fleet.Coming two = new Fleet.Coming(new Fleet.Variant(SMALL, 0, true), 2, w.now);
-              assertEquals(1, w.rents(List.of(two)).stream().mapToInt(Fleet.Rent::count).sum());
+              Autoscaler.Coming two =
+                  new Autoscaler.Coming(new Autoscaler.Variant(SMALL, 0, true), 2, w.now);
+              assertEquals(
+                  1, w.rents(List.of(two)).stream().mapToInt(Autoscaler.Rent::count).sum());
             }),
         policy(
             "after a refusal one call shows whether there is room again",
             narrow -> {
-              World w = new World(1_000);
-              Fleet.Variant v = new Fleet.Variant(SMALL, 0, true);
+              Simulation w = new Simulation(1_000);
+              Autoscaler.Variant v = new Autoscaler.Variant(SMALL, 0, true);
               w.fleet.refused(v, w.now);
               w.now += 20_000;
               for (int z = 0; z < 2; z++) {
-                w.fleet.refused(new Fleet.Variant(LARGE, z, true), w.now);
-                w.fleet.refused(new Fleet.Variant(LARGE, z, false), w.now);
-                w.fleet.refused(new Fleet.Variant(SMALL, z, false), w.now);
+                w.fleet.refused(new Autoscaler.Variant(LARGE, z, true), w.now);
+                w.fleet.refused(new Autoscaler.Variant(LARGE, z, false), w.now);
+                w.fleet.refused(new Autoscaler.Variant(SMALL, z, false), w.now);
               }
-              w.fleet.refused(new Fleet.Variant(SMALL, 1, true), w.now);
+              w.fleet.refused(new Autoscaler.Variant(SMALL, 1, true), w.now);
               w.job("job-1", 200, 4);
-              assertEquals(List.of(new Fleet.Rent(v, 50)), w.rents(List.of()));
+              assertEquals(List.of(new Autoscaler.Rent(v, 50)), w.rents(List.of()));
               w.fleet.granted(v);
-              assertEquals(200, w.rents(List.of()).stream().mapToInt(Fleet.Rent::count).sum());
+              assertEquals(200, w.rents(List.of()).stream().mapToInt(Autoscaler.Rent::count).sum());
             }),
         policy(
             "a large fleet that runs empty goes back at once, but for what a burst may want",
@@ -160,7 +165,7 @@
             "tasks beyond their team's limit rent nothing",
             w -> {
               w.job("job-1", 40, 4);
-              int n = w.rents(List.of()).stream().mapToInt(Fleet.Rent::count).sum();
+              int n = w.rents(List.of()).stream().mapToInt(Autoscaler.Rent::count).sum();
               assertTrue(
                   n > 0 && n <= 16, n + " machines"); // The limit lets 16 of the 40 tasks run.
             }),
--- a/src/test/java/org/mallowroad/core/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/ExpectedReleasesTest.java
@@ -11,34 +11,34 @@
 /** Stopping is for room that does not come by itself. */
 final class ExpectedReleasesTest {
   /** A full fleet of 100 machines of 4 CPUs with tasks of 60 s by their estimate. */
-  private static final class World {
-    final Names zones = new Names();
+  private static final class Simulation {
+    final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0});
-    final Ledger ledger;
-    final Placement placement;
+    final SchedulerState ledger;
+    final TaskScheduler placement;
     long seq;
     long now = 1_000_000;
 
-    World() {
+    Simulation() {
       zones.intern("a");
-      ledger = new Ledger(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
-      placement = new Placement(ledger);
+      ledger = new SchedulerState(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
+      placement = new TaskScheduler(ledger);
       for (int i = 0; i < 100; i++) {
         report(ledger.meet("n-" + i, type, 0, true, now));
       }
     }
 
     void report(Machine m) {
-      ledger.report(m, Specs.report(m, ++seq, 1, WorkerReport.State.RUNNING), true, now);
+      ledger.report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     /** Normal tasks fill the fleet and have run for so long. */
     void fill(double cpus, long ranMs) {
       int n = (int) (400 / cpus);
-      ledger.accept(Specs.array("job-1", n, cpus).spot().build(), 5, 0, now);
+      ledger.accept(JobSpecs.array("job-1", n, cpus).spot().build(), 5, 0, now);
       assertEquals(n, placement.place(now).size());
-      Specs.commit(ledger, now);
+      JobSpecs.commit(ledger, now);
       for (Machine m : ledger.machines()) {
         report(m);
       }
@@ -48,7 +48,8 @@
 
     /** Urgent tasks wait for two seconds; how many others were stopped for them. */
     long urgent(int tasks) {
-      ledger.accept(Specs.array("job-2" + ++seq, tasks, 1).priority(1).spot().build(), 5, 0, now);
+      ledger.accept(
+          JobSpecs.array("job-2" + ++seq, tasks, 1).priority(1).spot().build(), 5, 0, now);
       for (int i = 0; i < 5; i++) {
         now += 500;
         ledger.machines().forEach(this::report);
@@ -59,11 +60,11 @@
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest full(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
   }
 
   @TestFactory
@@ -92,28 +93,31 @@
             "what comes goes to the jobs ahead first: it is not counted twice",
             w -> {
               w.fill(1, 40_000);
-              w.ledger.accept(Specs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, w.now);
+              w.ledger.accept(
+                  JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, w.now);
               long stops = w.urgent(30);
               assertTrue(stops >= 25 && stops <= 50, "stopped " + stops);
             }),
         full(
             "a task that was started four times is left to end, but for critical work",
             w -> {
-              Job j = w.ledger.accept(Specs.array("job-1", 100, 4).spot().build(), 5, 0, w.now);
+              Job j = w.ledger.accept(JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, w.now);
               for (int t = 0; t < 100; t++) {
                 w.ledger.restoreAttempt(j, t, 4, w.ledger.machine("n-" + t), 1, w.now);
               }
               w.ledger.restored(j, w.now);
               w.ledger.machines().forEach(w::report);
               assertEquals(0, w.urgent(20));
-              w.ledger.accept(Specs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, w.now);
+              w.ledger.accept(
+                  JobSpecs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, w.now);
               assertEquals(2, w.urgent(1));
             }),
         full(
             "small tasks that end here and there make no room for a large one",
             w -> {
               w.fill(1, 40_000);
-              w.ledger.accept(Specs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, w.now);
+              w.ledger.accept(
+                  JobSpecs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, w.now);
               assertEquals(4, w.urgent(1));
             }));
   }
--- a/src/test/java/org/mallowroad/core/TakeoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -7,23 +7,24 @@
 import org.junit.jupiter.api.Test;
 
 /** docs/incidents/2026-12-01-slow-after-a-takeover.md: half seen runs are no measure of speed. */
-final class TakeoverPaceTest {
-  private final Names zones = new Names();
+final class FailoverPaceTest {
+  private final NameIndex zones = new NameIndex();
   private final MachineType type =
       new MachineType(0, "t8", 8, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0});
   private long seq;
 
-  private Machine report(Ledger ledger, Machine m, WorkerReport.State state, long now) {
-    ledger.report(m, Specs.report(m, ++seq, 2, state), true, now);
+  private Machine report(SchedulerState ledger, Machine m, Heartbeat.State state, long now) {
+    ledger.report(m, JobSpecs.report(m, ++seq, 2, state), true, now);
     return m;
   }
 
   @Test
   void whatAnEarlierLeaderBeganMakesNobodySlow() {
     zones.intern("a");
-    Ledger ledger = new Ledger(2, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
+    SchedulerState ledger =
+        new SchedulerState(2, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
     long now = 1_000_000;
-    Job job = ledger.accept(Specs.array("job-1", 80, 1).spot().build(), 5, 0, now);
+    Job job = ledger.accept(JobSpecs.array("job-1", 80, 1).spot().build(), 5, 0, now);
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       machines.add(ledger.meet("n-" + i, type, 0, true, now));
@@ -33,21 +34,21 @@
     }
     ledger.restored(job, now);
     for (Machine m : machines) {
-      report(ledger, m, WorkerReport.State.RUNNING, now);
+      report(ledger, m, Heartbeat.State.RUNNING, now);
     }
     // The restored half ends a second after the takeover, the other half runs its ordinary minute.
     for (int t = 40; t < 80; t++) {
       ledger.start(job, t, machines.get(t / 8), now);
     }
-    Specs.commit(ledger, now);
+    JobSpecs.commit(ledger, now);
     for (int i = 5; i < 10; i++) {
-      report(ledger, machines.get(i), WorkerReport.State.RUNNING, now);
+      report(ledger, machines.get(i), Heartbeat.State.RUNNING, now);
     }
     for (int i = 0; i < 5; i++) {
-      report(ledger, machines.get(i), WorkerReport.State.EXITED, now + 1_000);
+      report(ledger, machines.get(i), Heartbeat.State.EXITED, now + 1_000);
     }
     for (int i = 5; i < 10; i++) {
-      report(ledger, machines.get(i), WorkerReport.State.EXITED, now + 60_000);
+      report(ledger, machines.get(i), Heartbeat.State.EXITED, now + 60_000);
     }
     assertEquals(80, job.doneCount());
     assertEquals(0, ledger.health().runTimes().doubted());
--- a/src/test/java/org/mallowroad/core/GatheringTest.java
+++ b/src/test/java/org/mallowroad/core/GangReservationsTest.java
@@ -11,43 +11,44 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Rent;
-import org.mallowroad.core.Fleet.Variant;
-import org.mallowroad.core.gang.Gathering;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Rent;
+import org.mallowroad.core.Autoscaler.Variant;
+import org.mallowroad.core.gang.GangReservations;
 
 /** Gangs gather: in one place, once, for a bounded time, and never against each other. */
-final class GatheringTest {
+final class GangReservationsTest {
   private static final MachineType BOX =
       new MachineType(0, "box", 32, 0, 256, 100, 0.4, 2.0, 0.9, 30, new int[] {0, 1});
   private static final List<MachineType> TYPES = List.of(BOX);
 
-  private static final class World {
-    final Names zones = new Names();
-    final Ledger ledger;
-    final Placement placement;
-    final Fleet fleet;
+  private static final class Simulation {
+    final NameIndex zones = new NameIndex();
+    final SchedulerState ledger;
+    final TaskScheduler placement;
+    final Autoscaler fleet;
     final List<Coming> coming = new ArrayList<>();
     long now = 1_000_000;
     long seq;
     int names;
 
-    World() {
+    Simulation() {
       zones.intern("a");
       zones.intern("b");
-      ledger = new Ledger(1, 60, 600, List.of(new Team("team", 9e9, 0, 9e9, 0)), zones);
-      placement = new Placement(ledger);
-      fleet = new Fleet(ledger, FleetPolicy.defaults(), new Objectives());
+      ledger = new SchedulerState(1, 60, 600, List.of(new Team("team", 9e9, 0, 9e9, 0)), zones);
+      placement = new TaskScheduler(ledger);
+      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
     }
 
     Machine machine(int zone) {
       Machine m = ledger.meet("n-" + names++, BOX, zone, false, now);
-      ledger.dialogue().report(m, Specs.report(m, ++seq, 1, WorkerReport.State.RUNNING), true, now);
+      ledger.dialogue().report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
       return m;
     }
 
     Job gang(String id, int tasks) {
-      return ledger.accept(Specs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
+      return ledger.accept(
+          JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
     List<Rent> cycle() {
@@ -85,7 +86,7 @@
 
     /** A report in which the machine's tasks run. */
     void hear(Machine m) {
-      ledger.dialogue().report(m, Specs.report(m, ++seq, 1, WorkerReport.State.RUNNING), true, now);
+      ledger.dialogue().report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     int held(Job job) {
@@ -98,11 +99,11 @@
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest gang(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
   }
 
   private static int sum(List<Rent> rents) {
@@ -134,10 +135,10 @@
               w.begin();
               Machine m = w.ledger.machine("n-0");
               assertEquals(job, m.heldFor);
-              Job other = w.ledger.accept(Specs.array("job-2", 9, 1).build(), 5, 0, w.now);
+              Job other = w.ledger.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
               w.cycle();
               assertEquals(0, other.liveCount());
-              assertEquals(Ledger.Refusal.HELD, w.ledger.mayStart(other, 0, m, w.now));
+              assertEquals(SchedulerState.Refusal.HELD, w.ledger.mayStart(other, 0, m, w.now));
               w.machine(0);
               w.machine(0);
               w.cycle();
@@ -153,7 +154,7 @@
               for (int i = 0; i < 3; i++) {
                 run(
                     w,
-                    w.ledger.accept(Specs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
+                    w.ledger.accept(JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
                     busy.get(i));
               }
               Job job = w.gang("job-9", 3);
@@ -217,7 +218,7 @@
               assertEquals(7, one.liveCount());
               assertEquals(0, two.liveCount());
               for (Attempt a : live(one)) {
-                w.ledger.resolve(a, Ledger.Outcome.DONE, w.now);
+                w.ledger.resolve(a, SchedulerState.Outcome.DONE, w.now);
               }
               w.begin();
               assertEquals(7, two.liveCount());
@@ -231,9 +232,9 @@
                 w.ledger.gathering().refused(new Variant(BOX, z, true), 2, w.now);
                 w.ledger.gathering().refused(new Variant(BOX, z, false), 2, w.now);
               }
-              Job equal = w.ledger.accept(Specs.array("job-1", 1, 8).build(), 5, 0, w.now);
+              Job equal = w.ledger.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
               Job idle =
-                  w.ledger.accept(Specs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
+                  w.ledger.accept(JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
               Attempt a = run(w, equal, m);
               Attempt b = run(w, idle, n);
               Job job = w.gang("job-3", 2);
@@ -241,8 +242,8 @@
               assertEquals(2, w.held(job));
               assertFalse(a.stopping());
               assertTrue(b.stopping());
-              w.ledger.resolve(a, Ledger.Outcome.DONE, w.now);
-              w.ledger.resolve(b, Ledger.Outcome.STOPPED, w.now);
+              w.ledger.resolve(a, SchedulerState.Outcome.DONE, w.now);
+              w.ledger.resolve(b, SchedulerState.Outcome.STOPPED, w.now);
               w.cycle();
               assertEquals(2, job.liveCount());
             }),
@@ -261,10 +262,10 @@
               w.begin();
               assertEquals(1, w.held(again));
               w.coming.add(new Coming(new Variant(BOX, 0, true), 2, w.now, "job-2"));
-              w.now += Gathering.MOST_MS + 1_000;
+              w.now += GangReservations.MOST_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
-              Gathering.State s = w.ledger.gathering().state(again, w.now);
+              GangReservations.State s = w.ledger.gathering().state(again, w.now);
               assertTrue(s.givenUp() && s.untilMs() > w.now);
             }),
         gang(
@@ -275,7 +276,7 @@
               }
               Job job =
                   w.ledger.accept(
-                      Specs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
+                      JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
               List<Rent> rents = w.begin();
               assertEquals(0, job.liveCount());
               assertTrue(sum(rents) >= 2);
@@ -305,12 +306,12 @@
     return out;
   }
 
-  private static Attempt run(World w, Job job, Machine m) {
+  private static Attempt run(Simulation w, Job job, Machine m) {
     Attempt a = w.ledger.start(job, job.pending.dequeueInt(), m, w.now);
-    Specs.commit(w.ledger, w.now);
+    JobSpecs.commit(w.ledger, w.now);
     w.ledger
         .dialogue()
-        .report(m, Specs.report(m, ++w.seq, 1, WorkerReport.State.RUNNING), true, w.now);
+        .report(m, JobSpecs.report(m, ++w.seq, 1, Heartbeat.State.RUNNING), true, w.now);
     return a;
   }
 }
--- a/src/test/java/org/mallowroad/core/StagesTest.java
+++ b/src/test/java/org/mallowroad/core/ImageDistributionTest.java
@@ -10,34 +10,35 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.fetch.FetchPolicy;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
+import org.mallowroad.core.image.ImageFetchPolicy;
+import org.mallowroad.simulation.ImageFetchWave;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
-import org.mallowroad.world.FetchWave;
 
 /** Who fetches, how many at once, and from whom; today's workers see nothing of it. */
-final class StagesTest {
-  private static final class World {
-    final Names zones = new Names();
+final class ImageDistributionTest {
+  private static final class Simulation {
+    final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t", 1, 0, 64, 40, 0.4, 1, 0.5, 30, new int[] {0, 1});
-    final Ledger ledger;
-    final Placement placement;
+    final SchedulerState ledger;
+    final TaskScheduler placement;
     final List<Machine> machines = new ArrayList<>();
     final boolean handsOn;
     long now = 1_000_000;
     long seq;
     int jobs;
 
-    World(FetchPolicy p, boolean handsOn) {
+    Simulation(ImageFetchPolicy p, boolean handsOn) {
       zones.intern("a");
       zones.intern("b");
       this.handsOn = handsOn;
       Health h = new Health(HealthPolicy.defaults(), 2, 600, now);
-      ledger = new Ledger(1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, h, p);
-      placement = new Placement(ledger);
+      ledger =
+          new SchedulerState(1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, h, p);
+      placement = new TaskScheduler(ledger);
     }
 
     Machine machine(int zone) {
@@ -48,21 +49,21 @@
     }
 
     /** A report in which all that was launched is in the state. */
-    List<Order> report(Machine m, WorkerReport.State state) {
+    List<WorkerCommand> report(Machine m, Heartbeat.State state) {
       return report(m, state, 1);
     }
 
-    List<Order> report(Machine m, WorkerReport.State state, long session) {
-      List<WorkerReport.Entry> all = new ArrayList<>();
+    List<WorkerCommand> report(Machine m, Heartbeat.State state, long session) {
+      List<Heartbeat.Entry> all = new ArrayList<>();
       for (Attempt a : m.attempts()) {
         if (state != null && a.phase != Attempt.Phase.RECORDING && a.session == session) {
-          all.add(new WorkerReport.Entry(a.job.spec.id(), a.task, a.number, state, null));
+          all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
         }
       }
       String zone = zones.name(m.zone);
       return ledger.report(
           m,
-          new WorkerReport(
+          new Heartbeat(
               m.name, m.name + ":1", "t", zone, false, session, ++seq, 1, -1, all, handsOn),
           true,
           now);
@@ -94,18 +95,18 @@
               0,
               0,
               0,
-              org.mallowroad.core.hold.Ties.NONE);
+              org.mallowroad.core.dependency.JobDependencies.NONE);
       return ledger.accept(s, 5, 0, now);
     }
 
     void place() {
       placement.place(now);
-      Specs.commit(ledger, now);
+      JobSpecs.commit(ledger, now);
     }
 
     List<String> givers(Machine m) {
-      for (Order o : report(m, null)) {
-        if (o.kind() == Order.Kind.LAUNCH) {
+      for (WorkerCommand o : report(m, null)) {
+        if (o.kind() == WorkerCommand.Kind.LAUNCH) {
           return o.givers();
         }
       }
@@ -114,15 +115,15 @@
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
-  private static DynamicTest stage(String name, FetchPolicy p, boolean handsOn, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World(p, handsOn)));
+  private static DynamicTest stage(String name, ImageFetchPolicy p, boolean handsOn, Case c) {
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(p, handsOn)));
   }
 
-  private static final FetchPolicy NONE = FetchPolicy.defaults();
-  private static final FetchPolicy TWO = new FetchPolicy(2, 0, 1, 2, 1);
+  private static final ImageFetchPolicy NONE = ImageFetchPolicy.defaults();
+  private static final ImageFetchPolicy TWO = new ImageFetchPolicy(2, 0, 1, 2, 1);
 
   @TestFactory
   Stream<DynamicTest> stages() {
@@ -153,10 +154,10 @@
               assertEquals(2, j.liveCount());
               Machine first = busy(w).get(0);
               assertEquals(List.of(), w.givers(first));
-              w.report(first, WorkerReport.State.PULLING);
+              w.report(first, Heartbeat.State.PULLING);
               w.place();
               assertEquals(2, j.liveCount());
-              w.report(first, WorkerReport.State.RUNNING);
+              w.report(first, Heartbeat.State.RUNNING);
               w.place();
               // One more from the source, and one that the holder hands on to.
               assertEquals(4, j.liveCount());
@@ -178,7 +179,7 @@
               }
               Job j = w.job(6, 0);
               w.place();
-              busy(w).forEach(m -> w.report(m, WorkerReport.State.RUNNING));
+              busy(w).forEach(m -> w.report(m, Heartbeat.State.RUNNING));
               w.place();
               assertEquals(4, j.liveCount());
               for (Machine m : busy(w)) {
@@ -193,11 +194,11 @@
               Machine a = w.machine(0);
               Job j = w.job(4, 0);
               w.place();
-              w.report(a, WorkerReport.State.PULLING);
+              w.report(a, Heartbeat.State.PULLING);
               Machine b = w.machine(0);
               w.place();
               assertEquals(List.of(), w.givers(b));
-              w.report(a, WorkerReport.State.RUNNING);
+              w.report(a, Heartbeat.State.RUNNING);
               a.noticeMs = w.now + 9_000;
               Machine c = w.machine(0);
               w.place();
@@ -209,13 +210,13 @@
             }),
         stage(
             "a copy or two cross a zone's border, then its own holder hands on",
-            new FetchPolicy(1, 0, 9, 2, 1),
+            new ImageFetchPolicy(1, 0, 9, 2, 1),
             true,
             w -> {
               Machine a = w.machine(0);
               w.job(9, 0);
               w.place();
-              w.report(a, WorkerReport.State.RUNNING);
+              w.report(a, Heartbeat.State.RUNNING);
               for (int i = 0; i < 5; i++) {
                 w.machine(1);
               }
@@ -228,7 +229,7 @@
                   own = m;
                 }
               }
-              w.report(own, WorkerReport.State.RUNNING);
+              w.report(own, Heartbeat.State.RUNNING);
               w.place();
               int from = 0;
               for (Machine m : busy(w)) {
@@ -247,7 +248,7 @@
               w.job(5, 0);
               w.place();
               Machine first = busy(w).get(0);
-              w.report(first, WorkerReport.State.RUNNING);
+              w.report(first, Heartbeat.State.RUNNING);
               w.place();
               w.ledger.machineGone(first, w.now);
               assertEquals(0, w.ledger.stages().holders(0));
@@ -266,20 +267,20 @@
               Machine a = w.machine(0);
               Job j = w.job(1, 0);
               w.place();
-              w.report(a, WorkerReport.State.RUNNING);
+              w.report(a, Heartbeat.State.RUNNING);
               assertEquals(1, w.ledger.stages().holders(0));
               w.ledger.cancel(j, w.now);
-              w.ledger.resolve(j.live(0), Ledger.Outcome.STOPPED, w.now);
+              w.ledger.resolve(j.live(0), SchedulerState.Outcome.STOPPED, w.now);
               w.job(1, 1);
               w.place();
-              w.report(a, WorkerReport.State.RUNNING);
+              w.report(a, Heartbeat.State.RUNNING);
               // 40 GB of cache, 20 and 20 in it: the older one is not counted on.
               assertEquals(0, w.ledger.stages().holders(0));
               assertEquals(1, w.ledger.stages().holders(1));
             }));
   }
 
-  private static List<Machine> busy(World w) {
+  private static List<Machine> busy(Simulation w) {
     List<Machine> out = new ArrayList<>();
     w.machines.forEach(
         m -> {
@@ -292,11 +293,12 @@
 
   @Test
   void todaysWorkersGetTodaysMessagesByteForByte() {
-    Order plain = new Order(Order.Kind.LAUNCH, "job-1", 0, 1, 0);
+    WorkerCommand plain = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
     assertEquals(
         "{\"baton\":3,\"orders\":[{\"order\":\"launch\",\"move\":\"job-1/0\",\"try\":1}]}",
         Json.text(WorkerCodec.orders(3, List.of(plain))));
-    Order told = new Order(Order.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
+    WorkerCommand told =
+        new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
     assertTrue(Json.text(WorkerCodec.orders(3, List.of(told))).contains("\"givers\":[\"h:1\"]"));
   }
 
@@ -304,13 +306,14 @@
   @Test
   void aWaveWithHandOnIsNearTheBoundWhateverHoldersDie() {
     for (boolean failures : new boolean[] {false, true}) {
-      FetchPolicy limit = new FetchPolicy(16, 0, 1, 2, 1);
-      FetchWave.Setting on = new FetchWave.Setting(200, 350, 20, limit, true, failures);
-      FetchWave.Figures f = new FetchWave(on, 1).play();
-      assertTrue(f.lastS() > 0 && f.lastS() <= 1.1 * FetchWave.bound(on), "last " + f.lastS());
-      FetchWave.Setting off =
-          new FetchWave.Setting(200, 350, 20, new FetchPolicy(0, 0, 0, 2, 1), false, failures);
-      FetchWave.Figures before = new FetchWave(off, 1).play();
+      ImageFetchPolicy limit = new ImageFetchPolicy(16, 0, 1, 2, 1);
+      ImageFetchWave.Setting on = new ImageFetchWave.Setting(200, 350, 20, limit, true, failures);
+      ImageFetchWave.Figures f = new ImageFetchWave(on, 1).play();
+      assertTrue(f.lastS() > 0 && f.lastS() <= 1.1 * ImageFetchWave.bound(on), "last " + f.lastS());
+      ImageFetchWave.Setting off =
+          new ImageFetchWave.Setting(
+              200, 350, 20, new ImageFetchPolicy(0, 0, 0, 2, 1), false, failures);
+      ImageFetchWave.Figures before = new ImageFetchWave(off, 1).play();
       assertTrue(before.firstS() > 5 * f.firstS(), "first " + before.firstS());
     }
   }
--- a/src/test/java/org/mallowroad/core/Specs.java
+++ b/src/test/java/org/mallowroad/core/JobSpecs.java
@@ -2,10 +2,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.mallowroad.core.hold.Ties;
+import org.mallowroad.core.dependency.JobDependencies;
 
 /** Builds job specs for the tables. */
-public final class Specs {
+public final class JobSpecs {
   private final String id;
   private final int tasks;
   private final double cpus;
@@ -20,69 +20,69 @@
   private int priority = 2;
   private double checkpoint;
   private double save;
-  private Ties ties = Ties.NONE;
+  private JobDependencies ties = JobDependencies.NONE;
 
-  private Specs(String id, int tasks, double cpus) {
+  private JobSpecs(String id, int tasks, double cpus) {
     this.id = id;
     this.tasks = tasks;
     this.cpus = cpus;
   }
 
-  public static Specs array(String id, int tasks, double cpus) {
-    return new Specs(id, tasks, cpus);
+  public static JobSpecs array(String id, int tasks, double cpus) {
+    return new JobSpecs(id, tasks, cpus);
   }
 
-  public Specs taskClass(int index) {
+  public JobSpecs taskClass(int index) {
     taskClass = index;
     return this;
   }
 
-  public Specs service() {
+  public JobSpecs service() {
     service = true;
     return this;
   }
 
-  public Specs gang() {
+  public JobSpecs gang() {
     gang = true;
     return this;
   }
 
-  public Specs together() {
+  public JobSpecs together() {
     together = true;
     return this;
   }
 
-  public Specs scatter() {
+  public JobSpecs scatter() {
     scatter = true;
     return this;
   }
 
-  public Specs spot() {
+  public JobSpecs spot() {
     spot = true;
     return this;
   }
 
-  public Specs zone(int z) {
+  public JobSpecs zone(int z) {
     zone = z;
     return this;
   }
 
-  public Specs team(int t) {
+  public JobSpecs team(int t) {
     team = t;
     return this;
   }
 
-  public Specs priority(int p) {
+  public JobSpecs priority(int p) {
     priority = p;
     return this;
   }
 
-  public Specs ties(Ties t) {
+  public JobSpecs ties(JobDependencies t) {
     ties = t;
     return this;
   }
 
-  public Specs saves(double everyS, double inS) {
+  public JobSpecs saves(double everyS, double inS) {
     checkpoint = everyS;
     save = inS;
     return this;
@@ -116,18 +116,18 @@
   }
 
   /** A report that lists all of a machine's attempts in one state. */
-  public static WorkerReport report(Machine m, long seq, long token, WorkerReport.State state) {
-    List<WorkerReport.Entry> tasks = new ArrayList<>();
+  public static Heartbeat report(Machine m, long seq, long token, Heartbeat.State state) {
+    List<Heartbeat.Entry> tasks = new ArrayList<>();
     for (Attempt a : m.attempts()) {
-      String why = state == WorkerReport.State.EXITED ? "done" : null;
-      tasks.add(new WorkerReport.Entry(a.job.spec.id(), a.task, a.number, state, why));
+      String why = state == Heartbeat.State.EXITED ? "done" : null;
+      tasks.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, why));
     }
-    return new WorkerReport(m.name, "h:1", m.type.name(), "a", m.spot, 1, seq, token, -1, tasks);
+    return new Heartbeat(m.name, "h:1", m.type.name(), "a", m.spot, 1, seq, token, -1, tasks);
   }
 
   /** Commits all that is dirty, with every start in it. */
-  public static void commit(Ledger ledger, long now) {
-    for (Chunk c : new ArrayList<>(ledger.dirty())) {
+  public static void commit(SchedulerState ledger, long now) {
+    for (AttemptRecord c : new ArrayList<>(ledger.dirty())) {
       List<Attempt> recorded = new ArrayList<>();
       for (int t = c.from(); t < c.to(); t++) {
         if (c.job.live(t) != null) {
--- a/src/test/java/org/mallowroad/core/LargestTest.java
+++ b/src/test/java/org/mallowroad/core/LargestJobsTest.java
@@ -7,37 +7,58 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.core.hold.Ties;
+import org.mallowroad.core.dependency.JobDependencies;
 
 /** The largest jobs, and those with large images, begin within four minutes as the others do. */
-final class LargestTest {
-  private final Names zones = new Names();
+final class LargestJobsTest {
+  private final NameIndex zones = new NameIndex();
   private final MachineType type =
       new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.4, 30, new int[] {0});
   private final List<Team> teams =
       List.of(new Team("large", 4, 0, 400, 0), new Team("small", 400, 0, 400, 0));
-  private final Ledger ledger;
-  private final Placement placement;
+  private final SchedulerState ledger;
+  private final TaskScheduler placement;
   private long now = 1_000_000;
   private long seq;
 
-  LargestTest() {
+  LargestJobsTest() {
     zones.intern("a");
-    ledger = new Ledger(1, 900, 600, teams, zones);
-    placement = new Placement(ledger);
+    ledger = new SchedulerState(1, 900, 600, teams, zones);
+    placement = new TaskScheduler(ledger);
   }
 
   private Job job(String id, int team, int tasks, double gb, double estimate) {
     JobSpec s =
         new JobSpec(
-            id, 0, team, false, false, 2, tasks, 4, 0, 1, 0, gb, null, -1, false, false, true,
-            estimate, 0, 0, 0, now, Ties.NONE);
+            id,
+            0,
+            team,
+            false,
+            false,
+            2,
+            tasks,
+            4,
+            0,
+            1,
+            0,
+            gb,
+            null,
+            -1,
+            false,
+            false,
+            true,
+            estimate,
+            0,
+            0,
+            0,
+            now,
+            JobDependencies.NONE);
     return ledger.accept(s, 5, 0, now);
   }
 
   private Machine machine(String name) {
     Machine m = ledger.meet(name, type, 0, false, now);
-    ledger.report(m, Specs.report(m, ++seq, 1, WorkerReport.State.RUNNING), true, now);
+    ledger.report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
     return m;
   }
 
@@ -57,8 +78,8 @@
     now += 90_000;
     assertEquals(List.of("job-1", "job-2"), order());
     placement.place(now);
-    Specs.commit(ledger, now);
-    ledger.report(m, Specs.report(m, ++seq, 1, WorkerReport.State.RUNNING), true, now);
+    JobSpecs.commit(ledger, now);
+    ledger.report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
     assertEquals(1, large.liveCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
--- a/src/test/java/org/mallowroad/core/ServedTest.java
+++ b/src/test/java/org/mallowroad/core/ObjectiveAttainmentTest.java
@@ -7,38 +7,38 @@
 import org.junit.jupiter.api.Test;
 
 /** Of what was due, how much is done, by class and team. */
-final class ServedTest {
-  private final Names classes = new Names();
-  private final Names zones = new Names();
+final class ObjectiveAttainmentTest {
+  private final NameIndex classes = new NameIndex();
+  private final NameIndex zones = new NameIndex();
   private final List<Team> teams = List.of(new Team("red", 8, 0, 0, 0));
 
-  private Ledger ledger() {
+  private SchedulerState ledger() {
     zones.intern("a");
-    return new Ledger(1, 26, 4, teams, zones);
+    return new SchedulerState(1, 26, 4, teams, zones);
   }
 
   @Test
   void aJobIsDueOnceItShouldBeOverAndCountsUntilItIs() {
     classes.intern("c");
-    Ledger ledger = ledger();
-    Served served = new Served(classes, teams);
-    Job done = ledger.accept(Specs.array("job-1", 1, 1).build(), 1, 0, 0);
-    ledger.accept(Specs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
+    SchedulerState ledger = ledger();
+    ObjectiveAttainment served = new ObjectiveAttainment(classes, teams);
+    Job done = ledger.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
+    ledger.accept(JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
     served.done(done);
     ledger.jobs().remove(done);
     assertEquals(
         List.of("class c 1.0 1", "team red 1.0 1", "largest c 0.0 0"),
-        lines(served, ledger, Served.PATIENCE_MS));
+        lines(served, ledger, ObjectiveAttainment.PATIENCE_MS));
     assertEquals(
         List.of("class c 0.5 1", "team red 0.5 1", "largest c 0.0 0"),
-        lines(served, ledger, Served.PATIENCE_MS + 1));
+        lines(served, ledger, ObjectiveAttainment.PATIENCE_MS + 1));
     ledger.cancel(ledger.job("job-2"), 0);
     assertEquals(
         List.of("class c 1.0 0", "team red 1.0 0", "largest c 1.0 0"),
-        lines(served, ledger, Served.PATIENCE_MS + 1));
+        lines(served, ledger, ObjectiveAttainment.PATIENCE_MS + 1));
   }
 
-  private static List<String> lines(Served served, Ledger ledger, long now) {
+  private static List<String> lines(ObjectiveAttainment served, SchedulerState ledger, long now) {
     return served.lines(ledger.jobs(), now).stream()
         .map(l -> l.kind() + " " + l.name() + " " + l.share() + " " + l.open())
         .toList();
@@ -46,11 +46,11 @@
 
   @Test
   void namesThatUsersMakeUpAreCountedAsOneBeyondABound() {
-    Served served = new Served(classes, teams);
-    Ledger ledger = ledger();
+    ObjectiveAttainment served = new ObjectiveAttainment(classes, teams);
+    SchedulerState ledger = ledger();
     for (int i = 0; i < 1_000; i++) {
       int c = classes.intern("c" + i);
-      JobSpec s = Specs.array("job-" + i, 1, 1).taskClass(c).build();
+      JobSpec s = JobSpecs.array("job-" + i, 1, 1).taskClass(c).build();
       served.done(ledger.accept(s, 1, 0, 0));
     }
     assertTrue(served.lines(List.of(), 0).size() <= 131);
--- a/src/test/java/org/mallowroad/core/ExplainTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -14,30 +14,30 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.Fleet.Coming;
-import org.mallowroad.core.Fleet.Variant;
-import org.mallowroad.core.explain.Explainer;
-import org.mallowroad.core.explain.Finding;
-import org.mallowroad.core.explain.JobPicture;
-import org.mallowroad.core.explain.Reason;
-import org.mallowroad.core.explain.Sketch;
-import org.mallowroad.core.explain.Supply;
+import org.mallowroad.core.Autoscaler.Coming;
+import org.mallowroad.core.Autoscaler.Variant;
+import org.mallowroad.core.explain.AutoscalerView;
+import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.PendingCause;
+import org.mallowroad.core.explain.PendingReason;
+import org.mallowroad.core.explain.PendingReasonExplainer;
+import org.mallowroad.core.explain.SnapshotBuilder;
 
 /** Each reason with what brings it about, and gone when that is taken away. */
-final class ExplainTest {
+final class PendingReasonExplainerTest {
   private static final long TERM = 7;
 
   /** Two teams, two zones of ten machines of 4 CPUs when all are there, virtual time. */
-  private static final class World implements Supply {
-    final Names zones = new Names();
-    final Names classes = new Names();
+  private static final class Simulation implements AutoscalerView {
+    final NameIndex zones = new NameIndex();
+    final NameIndex classes = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 16, 100, 1, 1.0, 0.4, 30, new int[] {0, 1});
     final Team team = new Team("team", 4, 0, 24, 0);
-    final Ledger ledger;
-    final Placement placement;
-    final Explainer explainer;
-    final Sketch sketch;
+    final SchedulerState ledger;
+    final TaskScheduler placement;
+    final PendingReasonExplainer explainer;
+    final SnapshotBuilder sketch;
     final List<Coming> coming = new ArrayList<>();
     boolean refusing;
     boolean firm = true;
@@ -45,14 +45,15 @@
     int seq;
     int named;
 
-    World() {
+    Simulation() {
       zones.intern("north");
       zones.intern("south");
       classes.intern("c");
-      ledger = new Ledger(TERM, 20, 3, List.of(team, new Team("other", 8, 0, 400, 0)), zones);
-      placement = new Placement(ledger);
-      explainer = new Explainer(ledger, placement, this, zones, classes);
-      sketch = new Sketch(ledger, this, zones, explainer);
+      ledger =
+          new SchedulerState(TERM, 20, 3, List.of(team, new Team("other", 8, 0, 400, 0)), zones);
+      placement = new TaskScheduler(ledger);
+      explainer = new PendingReasonExplainer(ledger, placement, this, zones, classes);
+      sketch = new SnapshotBuilder(ledger, this, zones, explainer);
     }
 
     Machine machine(int zone) {
@@ -68,34 +69,34 @@
     }
 
     void report(Machine m) {
-      List<WorkerReport.Entry> all = new ArrayList<>();
+      List<Heartbeat.Entry> all = new ArrayList<>();
       for (Attempt a : m.attempts()) {
         if (a.phase != Attempt.Phase.RECORDING) {
           all.add(
-              new WorkerReport.Entry(
-                  a.job.spec.id(), a.task, a.number, WorkerReport.State.RUNNING, null));
+              new Heartbeat.Entry(
+                  a.job.spec.id(), a.task, a.number, Heartbeat.State.RUNNING, null));
         }
       }
       ledger.report(
-          m, new WorkerReport(m.name, "h:1", "t4", "a", false, 1, ++seq, TERM, -1, all), true, now);
+          m, new Heartbeat(m.name, "h:1", "t4", "a", false, 1, ++seq, TERM, -1, all), true, now);
       m.answeredMs = now;
     }
 
-    Job job(Specs s) {
+    Job job(JobSpecs s) {
       return ledger.accept(s.build(), 5, 0, now);
     }
 
     void run() {
       placement.place(now);
-      Specs.commit(ledger, now);
+      JobSpecs.commit(ledger, now);
       for (Machine m : new ArrayList<>(ledger.machines())) {
-        if (ledger.unfit(m, now) != Ledger.Refusal.SILENT) {
+        if (ledger.unfit(m, now) != SchedulerState.Refusal.SILENT) {
           report(m);
         }
       }
     }
 
-    Finding why(Job j) {
+    PendingReason why(Job j) {
       explainer.begin(now);
       assertTrue(explainer.step(Integer.MAX_VALUE, Integer.MAX_VALUE));
       return explainer.finding(j);
@@ -148,21 +149,22 @@
 
   /** Brings the obstacle about and returns the job that waits. */
   private interface Setup {
-    Job in(World w);
+    Job in(Simulation w);
   }
 
   /** Takes the obstacle away. */
   private interface Remedy {
-    void in(World w);
+    void in(Simulation w);
   }
 
-  private static DynamicTest reason(Reason expected, String detail, Setup setup, Remedy remedy) {
+  private static DynamicTest reason(
+      PendingCause expected, String detail, Setup setup, Remedy remedy) {
     return DynamicTest.dynamicTest(
         expected + ": " + detail,
         () -> {
-          World w = new World();
+          Simulation w = new Simulation();
           Job j = setup.in(w);
-          Finding f = w.why(j);
+          PendingReason f = w.why(j);
           assertNotNull(f);
           assertEquals(expected, f.reason(), f.toString());
           assertTrue(f.detail().contains(detail), f.detail());
@@ -172,7 +174,7 @@
           if (w.firm) {
             w.placement.place(w.now);
           }
-          Finding then = w.why(j);
+          PendingReason then = w.why(j);
           assertTrue(
               j.waitingCount() < before || then == null || then.reason() != expected,
               "still " + then);
@@ -183,98 +185,98 @@
   Stream<DynamicTest> reasons() {
     return Stream.of(
         reason(
-            Reason.TEAM_LIMIT,
+            PendingCause.TEAM_LIMIT,
             "24 of 24 CPUs used by team",
             w -> {
               w.machines(10);
-              Job j = w.job(Specs.array("job-1", 20, 2));
+              Job j = w.job(JobSpecs.array("job-1", 20, 2));
               w.run();
               return j;
             },
             w -> w.team.usedCpus = 0),
         reason(
-            Reason.BEHIND,
+            PendingCause.BEHIND,
             "work of other that goes first runs on or waits for 40 CPUs",
             w -> {
               w.machines(10);
-              w.job(Specs.array("job-1", 10, 4).team(1).priority(1));
+              w.job(JobSpecs.array("job-1", 10, 4).team(1).priority(1));
               w.run();
-              return w.job(Specs.array("job-2", 3, 2));
+              return w.job(JobSpecs.array("job-2", 3, 2));
             },
             w -> w.machines(4)),
         reason(
-            Reason.NO_ROOM,
+            PendingCause.NO_ROOM,
             "2 machines full",
             w -> {
               w.machines(2);
-              w.job(Specs.array("job-1", 2, 4));
+              w.job(JobSpecs.array("job-1", 2, 4));
               w.run();
-              return w.job(Specs.array("job-2", 3, 2));
+              return w.job(JobSpecs.array("job-2", 3, 2));
             },
             w -> w.machines(2)),
         reason(
-            Reason.BOOTING,
+            PendingCause.BOOTING,
             "2 machines booting, the first a t4 in zone south",
             w -> {
               w.coming.add(new Coming(new Variant(w.type, 1, false), 2, w.now - 5_000));
-              return w.job(Specs.array("job-1", 3, 2));
+              return w.job(JobSpecs.array("job-1", 3, 2));
             },
             w -> {
               w.coming.clear();
               w.machine(1);
             }),
         reason(
-            Reason.CLOUD_REFUSES,
+            PendingCause.CLOUD_REFUSES,
             "the cloud refuses all it may run on, t4 in zone south",
             w -> {
               w.refusing = true;
               w.machine(0);
-              return w.job(Specs.array("job-1", 3, 2).zone(1));
+              return w.job(JobSpecs.array("job-1", 3, 2).zone(1));
             },
             w -> w.refusing = false),
         reason(
-            Reason.NO_MACHINES,
+            PendingCause.NO_MACHINES,
             "none of the types, zones and kinds it allows",
             w -> {
               w.machine(0);
-              return w.job(Specs.array("job-1", 3, 2).zone(1));
+              return w.job(JobSpecs.array("job-1", 3, 2).zone(1));
             },
             w -> w.machine(1)),
         reason(
-            Reason.ZONE_CUT,
+            PendingCause.ZONE_CUT,
             "10 silent machines in zone north",
             w -> {
               w.machines(20);
               w.silent(10_000, w.in(0));
-              return w.job(Specs.array("job-1", 3, 2).zone(0));
+              return w.job(JobSpecs.array("job-1", 3, 2).zone(0));
             },
             w -> w.in(0).forEach(w::report)),
         reason(
-            Reason.ZONE_CUT,
+            PendingCause.ZONE_CUT,
             "in zone north, which is cut off",
             w -> {
               w.machines(20);
-              Job j = w.job(Specs.array("job-1", 3, 2).zone(0));
+              Job j = w.job(JobSpecs.array("job-1", 3, 2).zone(0));
               w.run();
               w.silent(10_000, w.in(0));
               return j;
             },
             w -> w.in(0).forEach(m -> w.ledger.machineGone(m, w.now))),
         reason(
-            Reason.MACHINES_SILENT,
+            PendingCause.MACHINES_SILENT,
             "1 silent machine, most in zone north",
             w -> {
               w.machines(2);
               w.silent(10_000, w.in(0));
-              return w.job(Specs.array("job-1", 3, 2).zone(0));
+              return w.job(JobSpecs.array("job-1", 3, 2).zone(0));
             },
             w -> w.in(0).forEach(w::report)),
         reason(
-            Reason.NOT_PROVEN_GONE,
+            PendingCause.NOT_PROVEN_GONE,
             "2 tasks on silent machines, one on n-001 in zone north",
             w -> {
               w.machines(2);
-              Job j = w.job(Specs.array("job-1", 2, 2).zone(0));
+              Job j = w.job(JobSpecs.array("job-1", 2, 2).zone(0));
               w.run();
               w.silent(8_000, w.in(0));
               return j;
@@ -284,120 +286,120 @@
               w.ledger.expireSilent(w.now);
             }),
         reason(
-            Reason.GANG,
+            PendingCause.GANG,
             "places for 4 of 5 tasks",
             w -> {
               w.machines(4);
-              return w.job(Specs.array("job-1", 5, 3).gang());
+              return w.job(JobSpecs.array("job-1", 5, 3).gang());
             },
             w -> w.machines(1)),
         reason(
-            Reason.ZONE_RULES,
+            PendingCause.ZONE_RULES,
             "its other tasks are in north (together)",
             w -> {
               w.machine(0);
-              Job j = w.job(Specs.array("job-1", 3, 4).together());
+              Job j = w.job(JobSpecs.array("job-1", 3, 4).together());
               w.run();
               w.machines(8);
-              w.job(Specs.array("job-2", 4, 4).team(1).zone(0).priority(1));
+              w.job(JobSpecs.array("job-2", 4, 4).team(1).zone(0).priority(1));
               w.run();
               return j;
             },
             w -> w.machine(0)),
         reason(
-            Reason.ZONE_RULES,
+            PendingCause.ZONE_RULES,
             "never: all 4 tasks of the gang have to be in one zone, and scatter lets 2 be there",
             w -> {
               w.machines(8);
-              return w.job(Specs.array("job-1", 4, 1).gang().scatter().zone(0));
+              return w.job(JobSpecs.array("job-1", 4, 1).gang().scatter().zone(0));
             },
             w -> w.ledger.cancel(w.ledger.job("job-1"), w.now)),
         reason(
-            Reason.SLOW_MACHINES,
+            PendingCause.SLOW_MACHINES,
             "1 machine",
             w -> {
               w.machines(10);
               Machine m = w.machine(0);
-              w.job(Specs.array("job-0", 10, 4).team(1));
+              w.job(JobSpecs.array("job-0", 10, 4).team(1));
               for (int i = 0; i < 5; i++) {
                 w.ledger.health().failed(m.health, 100 + i, false, w.now);
               }
               assertTrue(m.health.doubted());
               w.run();
-              return w.job(Specs.array("job-1", 1, 1).priority(1));
+              return w.job(JobSpecs.array("job-1", 1, 1).priority(1));
             },
             w -> w.machine(0)),
         reason(
-            Reason.FAILED_THERE,
+            PendingCause.FAILED_THERE,
             "1 machine",
             w -> {
               w.machine(0);
-              Job j = w.job(Specs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.run();
-              w.ledger.resolve(j.live(0), Ledger.Outcome.ERROR, w.now);
+              w.ledger.resolve(j.live(0), SchedulerState.Outcome.ERROR, w.now);
               w.now += 2_000;
               w.ledger.machines().forEach(w::report);
               return j;
             },
             w -> w.machine(0)),
         reason(
-            Reason.HELD_BACK,
+            PendingCause.HELD_BACK,
             "1 failure in a row",
             w -> {
               w.machines(2);
-              Job j = w.job(Specs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.run();
-              w.ledger.resolve(j.live(0), Ledger.Outcome.REFUSED, w.now);
+              w.ledger.resolve(j.live(0), SchedulerState.Outcome.REFUSED, w.now);
               return j;
             },
             w -> w.now += 1_000),
         reason(
-            Reason.LEAVING,
+            PendingCause.LEAVING,
             "2 machines",
             w -> {
               w.machines(2);
               w.ledger.machines().forEach(m -> m.draining = true);
-              return w.job(Specs.array("job-1", 1, 1));
+              return w.job(JobSpecs.array("job-1", 1, 1));
             },
             w -> w.machine(0)),
         reason(
-            Reason.STATE_AWAY,
+            PendingCause.STATE_AWAY,
             "the lease is not renewed",
             w -> {
               w.machines(2);
               w.firm = false;
-              return w.job(Specs.array("job-1", 1, 1));
+              return w.job(JobSpecs.array("job-1", 1, 1));
             },
             w -> w.firm = true),
         reason(
-            Reason.AWAITS_COMMIT,
+            PendingCause.AWAITS_COMMIT,
             "1 start, 1 uncommitted record",
             w -> {
               w.machines(2);
-              Job j = w.job(Specs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.placement.place(w.now);
               return j;
             },
-            w -> Specs.commit(w.ledger, w.now)),
+            w -> JobSpecs.commit(w.ledger, w.now)),
         reason(
-            Reason.IMAGE,
+            PendingCause.IMAGE,
             "1 task without an image",
             w -> {
               Machine m = w.machine(0);
-              Job j = w.job(Specs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.placement.place(w.now);
-              Specs.commit(w.ledger, w.now);
+              JobSpecs.commit(w.ledger, w.now);
               w.ledger.report(
-                  m, Specs.report(m, ++w.seq, TERM, WorkerReport.State.PULLING), true, w.now);
+                  m, JobSpecs.report(m, ++w.seq, TERM, Heartbeat.State.PULLING), true, w.now);
               return j;
             },
             w -> w.ledger.machines().forEach(w::report)),
         reason(
-            Reason.STARTING,
+            PendingCause.STARTING,
             "there is room",
             w -> {
               w.machines(2);
-              return w.job(Specs.array("job-1", 1, 1));
+              return w.job(JobSpecs.array("job-1", 1, 1));
             },
             w -> {}));
   }
@@ -408,12 +410,12 @@
         DynamicTest.dynamicTest(
             "what runs has no reason, and a job says where its tasks are",
             () -> {
-              World w = new World();
+              Simulation w = new Simulation();
               w.machines(2);
-              Job j = w.job(Specs.array("job-1", 3, 2));
+              Job j = w.job(JobSpecs.array("job-1", 3, 2));
               w.run();
               assertNull(w.why(j));
-              JobPicture p = w.sketch.job("job-1", w.now + 4_000);
+              JobSnapshot p = w.sketch.job("job-1", w.now + 4_000);
               assertEquals(3, p.tasks().size());
               assertEquals("running", p.tasks().get(0).phase());
               assertEquals("n-001", p.tasks().get(0).machine());
@@ -424,10 +426,10 @@
         DynamicTest.dynamicTest(
             "a job that ends between two steps is left out, and the others are explained",
             () -> {
-              World w = new World();
+              Simulation w = new Simulation();
               w.machines(2);
               for (int i = 1; i <= 5; i++) {
-                w.job(Specs.array("job-" + i, 1, 4).zone(1));
+                w.job(JobSpecs.array("job-" + i, 1, 4).zone(1));
               }
               w.run();
               w.sketch.begin(w.now);
@@ -450,7 +452,7 @@
       @ForAll @Size(max = 12) List<@IntRange(max = 199) Integer> machines,
       @ForAll @Size(min = 1, max = 10) List<@IntRange(max = 99_999) Integer> jobs,
       @ForAll @IntRange(max = 15) int site) {
-    World w = new World();
+    Simulation w = new Simulation();
     for (int m : machines) {
       Machine made = w.machine(m % 2);
       made.draining = m / 2 % 10 == 9;
@@ -465,7 +467,7 @@
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < jobs.size(); i++) {
       int x = jobs.get(i);
-      Specs s = Specs.array("job-" + i, 1 + x % 5, 1 + x / 5 % 4).team(x / 20 % 2);
+      JobSpecs s = JobSpecs.array("job-" + i, 1 + x % 5, 1 + x / 5 % 4).team(x / 20 % 2);
       s = s.priority(x / 40 % 4).zone(x / 160 % 3 - 1);
       s = x / 480 % 4 == 1 ? s.gang() : s;
       s = x / 1920 % 4 == 1 ? s.together() : x / 1920 % 4 == 2 ? s.scatter() : s;
@@ -481,7 +483,7 @@
       if (!j.waiting()) {
         continue;
       }
-      Finding f = w.why(j);
+      PendingReason f = w.why(j);
       assertNotNull(f, "no reason for " + j.spec);
       if (f.detail().startsWith("never: ")) {
         continue; // Its own rules exclude each other, which nothing but its cancellation ends.
@@ -489,14 +491,14 @@
       without(w, j, f);
       int live = j.liveCount();
       w.placement.place(w.now);
-      Finding then = w.why(j);
+      PendingReason then = w.why(j);
       assertTrue(
           j.liveCount() > live || then == null || then.reason() != f.reason(),
           f + " was taken away and is still " + then);
     }
   }
 
-  private static void without(World w, Job j, Finding f) {
+  private static void without(Simulation w, Job j, PendingReason f) {
     switch (f.reason()) {
       case TEAM_LIMIT ->
           w.ledger
@@ -511,7 +513,7 @@
       case ZONE_RULES -> {
         for (int t = 0; t < j.spec.tasks(); t++) {
           if (j.live(t) != null) {
-            w.ledger.resolve(j.live(t), Ledger.Outcome.LOST, w.now);
+            w.ledger.resolve(j.live(t), SchedulerState.Outcome.LOST, w.now);
           }
         }
       }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.mallowroad.core.WorkerReport.State.RUNNING;
+import static org.mallowroad.core.Heartbeat.State.RUNNING;
 
 import java.util.BitSet;
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.explain.Explainer;
-import org.mallowroad.core.explain.Sketch;
-import org.mallowroad.core.explain.Supply;
-import org.mallowroad.core.health.Silence;
+import org.mallowroad.core.explain.AutoscalerView;
+import org.mallowroad.core.explain.PendingReasonExplainer;
+import org.mallowroad.core.explain.SnapshotBuilder;
+import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.state.Records;
 import org.mallowroad.wire.ConsoleCodec;
 import org.mallowroad.wire.Json;
@@ -27,54 +27,52 @@
   private static final int TASKS = 150;
 
   /** Machines of 32 CPUs in two zones, jobs of 150 tasks of 4 CPUs. */
-  private static final class World {
-    final Names zones = new Names();
+  private static final class Simulation {
+    final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t32", 32, 0, 256, 100, 1, 2.0, 0.5, 30, new int[] {0, 1});
-    final Ledger ledger;
-    final Placement placement;
-    final Fleet fleet;
+    final SchedulerState ledger;
+    final TaskScheduler placement;
+    final Autoscaler fleet;
     long now = 1_000_000;
 
-    World(int machines) {
+    Simulation(int machines) {
       zones.intern("north-eastern-zone");
       zones.intern("south-western-zone");
       Team team = new Team("team", 1e6, 0, 1e6, 0);
-      ledger = new Ledger(1, 26, 4, List.of(team, new Team("other", 1e6, 0, 1e6, 0)), zones);
-      placement = new Placement(ledger);
-      fleet = new Fleet(ledger, FleetPolicy.defaults(), new Objectives());
+      ledger =
+          new SchedulerState(1, 26, 4, List.of(team, new Team("other", 1e6, 0, 1e6, 0)), zones);
+      placement = new TaskScheduler(ledger);
+      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
       for (int i = 0; i < machines; i++) {
         String name = String.format("n-%06d", i);
         Machine m = ledger.meet(name, type, i % 2, false, now);
         ledger.report(
-            m,
-            new WorkerReport(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()),
-            true,
-            now);
+            m, new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()), true, now);
       }
     }
 
     void jobs(int priority) {
       for (int j = 0; j < JOBS; j++) {
         String id = "job-" + (100 * priority + j);
-        ledger.accept(Specs.array(id, TASKS, 4).priority(priority).spot().build(), 5, 0, now);
+        ledger.accept(JobSpecs.array(id, TASKS, 4).priority(priority).spot().build(), 5, 0, now);
       }
     }
 
-    Explainer explainer;
+    PendingReasonExplainer explainer;
 
-    Sketch sketch() {
-      Names classes = new Names();
+    SnapshotBuilder sketch() {
+      NameIndex classes = new NameIndex();
       classes.intern("class");
-      Supply nothing =
-          new Supply() {
+      AutoscalerView nothing =
+          new AutoscalerView() {
             @Override
-            public List<Fleet.Coming> coming(long at) {
+            public List<Autoscaler.Coming> coming(long at) {
               return List.of();
             }
 
             @Override
-            public long refusedSinceMs(Fleet.Variant v) {
+            public long refusedSinceMs(Autoscaler.Variant v) {
               return -1;
             }
 
@@ -93,21 +91,21 @@
               return now;
             }
           };
-      explainer = new Explainer(ledger, placement, nothing, zones, classes);
-      return new Sketch(ledger, nothing, zones, explainer);
+      explainer = new PendingReasonExplainer(ledger, placement, nothing, zones, classes);
+      return new SnapshotBuilder(ledger, nothing, zones, explainer);
     }
 
     void commit() {
-      Specs.commit(ledger, now);
+      JobSpecs.commit(ledger, now);
     }
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest scale(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World(MACHINES)));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(MACHINES)));
   }
 
   private static void atMost(long bound, long n) {
@@ -166,7 +164,7 @@
         scale(
             "silence is judged from the machines that are late, not from the fleet",
             w -> {
-              Silence s = w.ledger.health().silence();
+              FailureDetector s = w.ledger.health().silence();
               for (int i = 0; i < 100; i++) {
                 s.judge(w.now + 10L * i);
               }
@@ -186,7 +184,7 @@
             w -> {
               w.jobs(1);
               for (int i = 0; i < 4; i++) {
-                Specs s = Specs.array("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
+                JobSpecs s = JobSpecs.array("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
                 w.ledger.accept(s.spot().build(), 5, 0, w.now);
               }
               w.placement.place(w.now);
@@ -194,7 +192,7 @@
               int jobs = w.placement.queue(w.now).size();
               w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
               assertTrue(jobs >= 4, "jobs that wait: " + jobs);
-              assertEquals(Fleet.MOST_FORECAST, w.fleet.forecasts());
+              assertEquals(Autoscaler.MOST_FORECAST, w.fleet.forecasts());
             }),
         scale(
             "a forecast looks at the fleet once a job, not once a task",
@@ -207,9 +205,9 @@
                       .fleet
                       .rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
                       .stream()
-                      .mapToInt(Fleet.Rent::count)
+                      .mapToInt(Autoscaler.Rent::count)
                       .sum();
-              assertEquals(FleetPolicy.defaults().step(), rented);
+              assertEquals(AutoscalerPolicy.defaults().step(), rented);
               atMost((MACHINES + rented) * 2L * JOBS, w.fleet.looked());
             }),
         scale(
@@ -218,7 +216,7 @@
               w.jobs(2);
               w.placement.place(w.now);
               w.jobs(3);
-              for (Fleet.Rent r :
+              for (Autoscaler.Rent r :
                   w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
                 atMost(50, r.count());
               }
@@ -232,7 +230,7 @@
               w.ledger.outbox().clear();
               Machine m = w.ledger.machine("n-000007");
               Attempt a = m.attempts().iterator().next();
-              w.ledger.resolve(a, Ledger.Outcome.LOST, w.now);
+              w.ledger.resolve(a, SchedulerState.Outcome.LOST, w.now);
               assertEquals(1, w.ledger.dirty().size());
               assertEquals(0, w.ledger.urgent().size());
               assertEquals(1, w.placement.place(w.now).size());
@@ -244,7 +242,7 @@
         scale(
             "a full record stays well below the least value limit",
             w -> {
-              Job j = w.ledger.accept(Specs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
+              Job j = w.ledger.accept(JobSpecs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
               w.placement.place(w.now);
               String text = Json.text(Records.runValue(j.chunk(0), w.zones));
               atMost(6 * 1024, text.length());
@@ -258,7 +256,7 @@
         scale(
             "nobody asks: nothing is explained; one asks: each machine once a job, in bounded turns",
             w -> {
-              Sketch s = explained(w, 0.001);
+              SnapshotBuilder s = explained(w, 0.001);
               assertEquals(0, w.explainer.asked());
               s.begin(w.now);
               int turns = 1;
@@ -279,7 +277,7 @@
         scale(
             "jobs that the decision cannot tell apart are asked for once",
             w -> {
-              Sketch s = explained(w, 0);
+              SnapshotBuilder s = explained(w, 0);
               s.begin(w.now);
               assertTrue(s.step(10_000));
               atMost(2L * MACHINES + 301, w.explainer.asked());
@@ -288,40 +286,40 @@
         scale(
             "more jobs than a picture lists are counted and not explained",
             w -> {
-              for (int j = 0; j < Sketch.MOST_JOBS + 50; j++) {
-                w.ledger.accept(Specs.array("job-" + j, 1, 99).build(), 5, 0, w.now);
+              for (int j = 0; j < SnapshotBuilder.MOST_JOBS + 50; j++) {
+                w.ledger.accept(JobSpecs.array("job-" + j, 1, 99).build(), 5, 0, w.now);
               }
-              Sketch s = w.sketch();
+              SnapshotBuilder s = w.sketch();
               s.begin(w.now);
               while (!s.step(1_000_000)) {
-                atMost(Sketch.MOST_JOBS, s.jobs().size());
+                atMost(SnapshotBuilder.MOST_JOBS, s.jobs().size());
               }
-              assertEquals(Sketch.MOST_JOBS, s.jobs().size());
+              assertEquals(SnapshotBuilder.MOST_JOBS, s.jobs().size());
               assertEquals(50, s.jobsLeftOut());
             }));
   }
 
   /** For the measurement. */
-  static Sketch full(double differ) {
-    return explained(new World(MACHINES), differ);
+  static SnapshotBuilder full(double differ) {
+    return explained(new Simulation(MACHINES), differ);
   }
 
   /**
    * The fleet is full, and 300 jobs of two teams wait with 10,000 tasks; each wants so many more
    * CPUs than the one before.
    */
-  private static Sketch explained(World w, double differ) {
-    w.ledger.accept(Specs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
+  private static SnapshotBuilder explained(Simulation w, double differ) {
+    w.ledger.accept(JobSpecs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
     w.placement.place(w.now);
     w.commit();
     for (int j = 1; j <= 300; j++) {
       int tasks = j <= 100 ? 34 : 33;
       w.ledger.accept(
-          Specs.array("job-" + j, tasks, 4 + differ * j).team(j % 2).build(), 5, 0, w.now);
+          JobSpecs.array("job-" + j, tasks, 4 + differ * j).team(j % 2).build(), 5, 0, w.now);
     }
     w.ledger
         .machines()
-        .forEach(m -> w.ledger.report(m, Specs.report(m, 2, 1, RUNNING), true, w.now));
+        .forEach(m -> w.ledger.report(m, JobSpecs.report(m, 2, 1, RUNNING), true, w.now));
     return w.sketch();
   }
 
@@ -334,7 +332,7 @@
             w -> {
               w.jobs(2);
               w.placement.place(w.now);
-              World next = new World(MACHINES);
+              Simulation next = new Simulation(MACHINES);
               for (Job j : w.ledger.jobs()) {
                 Job taken = next.ledger.accept(j.spec, 5, 0, next.now);
                 for (int i = 0; i < j.chunkCount(); i++) {
@@ -362,7 +360,7 @@
         scale(
             "attempts come back from their record, each with its machine",
             w -> {
-              Job j = w.ledger.accept(Specs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
+              Job j = w.ledger.accept(JobSpecs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
               w.placement.place(w.now);
               List<Records.Live> live = Records.live(Records.runValue(j.chunk(0), w.zones));
               assertEquals(100, live.size());
--- a/src/test/java/org/mallowroad/core/LedgerTest.java
+++ b/src/test/java/org/mallowroad/core/SchedulerStateTest.java
@@ -9,37 +9,37 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.WorkerReport.State;
+import org.mallowroad.core.Heartbeat.State;
 
 /** Each rule with its failure: when a task may start, and when its attempt is proven gone. */
-final class LedgerTest {
+final class SchedulerStateTest {
   private static final long TERM = 7;
 
   /** A small world on virtual time: one team of 8 CPUs, machines of 4. */
-  static final class World {
-    final Names zones = new Names();
+  static final class Simulation {
+    final NameIndex zones = new NameIndex();
     final MachineType type;
-    final Ledger ledger;
-    final Placement placement;
+    final SchedulerState ledger;
+    final TaskScheduler placement;
     long now = 1_000_000;
     int seq;
 
-    World() {
+    Simulation() {
       zones.intern("a");
       zones.intern("b");
       type = new MachineType(0, "t4", 4, 0, 16, 100, 1, 1.0, 0.4, 30, new int[] {0, 1});
       ledger =
-          new Ledger(
+          new SchedulerState(
               TERM,
               20,
               3,
               List.of(new Team("team", 4, 0, 8, 0), new Team("other", 8, 0, 8, 0)),
               zones);
-      placement = new Placement(ledger);
+      placement = new TaskScheduler(ledger);
     }
 
     Job job(String id, int tasks, double cpus) {
-      return ledger.accept(Specs.array(id, tasks, cpus).build(), 5, 0, now);
+      return ledger.accept(JobSpecs.array(id, tasks, cpus).build(), 5, 0, now);
     }
 
     Machine machine(String name, int zone) {
@@ -48,15 +48,16 @@
       return m;
     }
 
-    List<Order> report(Machine m, long session, long token, WorkerReport.Entry... entries) {
+    List<WorkerCommand> report(Machine m, long session, long token, Heartbeat.Entry... entries) {
       return at(m, session, ++seq, token, entries);
     }
 
-    List<Order> at(Machine m, long session, long s, long token, WorkerReport.Entry... entries) {
-      List<Order> o =
+    List<WorkerCommand> at(
+        Machine m, long session, long s, long token, Heartbeat.Entry... entries) {
+      List<WorkerCommand> o =
           ledger.report(
               m,
-              new WorkerReport(
+              new Heartbeat(
                   m.name, "h:1", "t4", "a", false, session, s, token, -1, List.of(entries)),
               true,
               now);
@@ -71,20 +72,20 @@
     }
 
     void commit() {
-      Specs.commit(ledger, now);
+      JobSpecs.commit(ledger, now);
     }
 
-    static WorkerReport.Entry entry(Attempt a, State state, String why) {
-      return new WorkerReport.Entry(a.job.spec.id(), a.task, a.number, state, why);
+    static Heartbeat.Entry entry(Attempt a, State state, String why) {
+      return new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, why);
     }
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest rule(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
   }
 
   @TestFactory
@@ -116,7 +117,7 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-1", 1, 1), 0, m);
-              Order launch = new Order(Order.Kind.LAUNCH, "job-1", 0, 1, 0);
+              WorkerCommand launch = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
               assertEquals(List.of(launch), w.report(m, 1, TERM));
               assertEquals(List.of(launch), w.report(m, 1, TERM));
             }),
@@ -125,15 +126,15 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-1", 1, 1), 0, m);
-              WorkerReport r =
-                  new WorkerReport("n-1", "h:1", "t4", "a", false, 1, 99, TERM, -1, List.of());
+              Heartbeat r =
+                  new Heartbeat("n-1", "h:1", "t4", "a", false, 1, 99, TERM, -1, List.of());
               assertEquals(List.of(), w.ledger.report(m, r, false, w.now));
             }),
         rule(
             "a limit of 0 is none: a guest team without a guarantee runs",
             w -> {
               Team guest = new Team("guest", 0, 0, 0, 0);
-              JobSpec s = Specs.array("job-1", 900, 32).build();
+              JobSpec s = JobSpecs.array("job-1", 900, 32).build();
               assertTrue(guest.couldRun(s, 900));
               assertTrue(guest.allows(s, 900));
               assertFalse(guest.guarantees(s));
@@ -149,8 +150,8 @@
                 w.report(m, 1, TERM);
                 w.now += 2_500;
               }
-              assertEquals(Ledger.Refusal.DEAF, w.ledger.unfit(m, w.now));
-              assertEquals(Ledger.Refusal.DEAF, w.ledger.mayStart(j, 1, m, w.now));
+              assertEquals(SchedulerState.Refusal.DEAF, w.ledger.unfit(m, w.now));
+              assertEquals(SchedulerState.Refusal.DEAF, w.ledger.mayStart(j, 1, m, w.now));
               // Stopped, it is gone with the next report that does not list it.
               w.ledger.stop(a, 0, w.now);
               w.report(m, 1, TERM);
@@ -167,7 +168,7 @@
               Machine m = w.machine("n-1", 0);
               w.now += 4_000;
               w.report(m, 2, TERM);
-              assertEquals(Ledger.Refusal.DEAF, w.ledger.unfit(m, w.now));
+              assertEquals(SchedulerState.Refusal.DEAF, w.ledger.unfit(m, w.now));
               Machine n = w.machine("n-2", 0);
               w.now += 25_000;
               w.report(n, 2, TERM);
@@ -179,11 +180,11 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               long heard = m.reportedMs;
               w.now += 40_000;
               assertNull(w.at(m, 1, w.seq - 1, TERM));
-              assertNull(w.at(m, 1, w.seq, TERM, World.entry(a, State.EXITED, "done")));
+              assertNull(w.at(m, 1, w.seq, TERM, Simulation.entry(a, State.EXITED, "done")));
               assertEquals(Attempt.Phase.RUNNING, a.phase);
               assertEquals(heard, m.reportedMs);
               w.ledger.machineGone(m, w.now);
@@ -196,7 +197,7 @@
               Machine n = w.machine("n-2", 0);
               Job j = w.job("job-1", 1, 1);
               w.start(j, 0, m);
-              assertEquals(Ledger.Refusal.BUSY, w.ledger.mayStart(j, 0, n, w.now));
+              assertEquals(SchedulerState.Refusal.BUSY, w.ledger.mayStart(j, 0, n, w.now));
             }),
         rule(
             "unproven tasks use the team's limit",
@@ -205,7 +206,7 @@
               w.start(j, 0, w.machine("n-1", 0));
               w.start(j, 1, w.machine("n-2", 0));
               Machine free = w.machine("n-3", 0);
-              assertEquals(Ledger.Refusal.QUOTA, w.ledger.mayStart(j, 2, free, w.now));
+              assertEquals(SchedulerState.Refusal.QUOTA, w.ledger.mayStart(j, 2, free, w.now));
               w.ledger.machineGone(w.ledger.machine("n-1"), w.now);
               assertNull(w.ledger.mayStart(j, 2, free, w.now));
             }),
@@ -214,25 +215,27 @@
             w -> {
               Machine a = w.machine("n-1", 0);
               Machine b = w.machine("n-2", 1);
-              Job t = w.ledger.accept(Specs.array("job-1", 2, 1).together().build(), 5, 0, w.now);
+              Job t =
+                  w.ledger.accept(JobSpecs.array("job-1", 2, 1).together().build(), 5, 0, w.now);
               w.start(t, 0, a);
-              assertEquals(Ledger.Refusal.ZONE, w.ledger.mayStart(t, 1, b, w.now));
-              Job s = w.ledger.accept(Specs.array("job-2", 3, 0.5).scatter().build(), 5, 0, w.now);
+              assertEquals(SchedulerState.Refusal.ZONE, w.ledger.mayStart(t, 1, b, w.now));
+              Job s =
+                  w.ledger.accept(JobSpecs.array("job-2", 3, 0.5).scatter().build(), 5, 0, w.now);
               w.start(s, 0, a);
               w.start(s, 1, a);
-              assertEquals(Ledger.Refusal.ZONE, w.ledger.mayStart(s, 2, a, w.now));
+              assertEquals(SchedulerState.Refusal.ZONE, w.ledger.mayStart(s, 2, a, w.now));
               assertNull(w.ledger.mayStart(s, 2, b, w.now));
             }),
         rule(
             "type, zone and kind are the job's to allow",
             w -> {
               Machine m = w.machine("n-1", 0);
-              Job z = w.ledger.accept(Specs.array("job-1", 1, 1).zone(1).build(), 5, 0, w.now);
-              assertEquals(Ledger.Refusal.PLACE, w.ledger.mayStart(z, 0, m, w.now));
+              Job z = w.ledger.accept(JobSpecs.array("job-1", 1, 1).zone(1).build(), 5, 0, w.now);
+              assertEquals(SchedulerState.Refusal.PLACE, w.ledger.mayStart(z, 0, m, w.now));
               Machine spot = w.ledger.meet("n-2", w.type, 0, true, w.now);
               w.report(spot, 1, TERM);
-              Job o = w.ledger.accept(Specs.array("job-2", 1, 1).build(), 5, 0, w.now);
-              assertEquals(Ledger.Refusal.PLACE, w.ledger.mayStart(o, 0, spot, w.now));
+              Job o = w.ledger.accept(JobSpecs.array("job-2", 1, 1).build(), 5, 0, w.now);
+              assertEquals(SchedulerState.Refusal.PLACE, w.ledger.mayStart(o, 0, spot, w.now));
             }),
         rule(
             "a silent machine gets no work",
@@ -240,13 +243,14 @@
               Machine m = w.machine("n-1", 0);
               w.now += 7_000;
               assertEquals(
-                  Ledger.Refusal.SILENT, w.ledger.mayStart(w.job("job-1", 1, 1), 0, m, w.now));
+                  SchedulerState.Refusal.SILENT,
+                  w.ledger.mayStart(w.job("job-1", 1, 1), 0, m, w.now));
             }),
         rule(
             "a gang starts with all its tasks or not at all",
             w -> {
               w.machine("n-1", 0);
-              Job g = w.ledger.accept(Specs.array("job-1", 2, 4).gang().build(), 5, 0, w.now);
+              Job g = w.ledger.accept(JobSpecs.array("job-1", 2, 4).gang().build(), 5, 0, w.now);
               assertEquals(0, w.placement.place(w.now).size());
               w.machine("n-2", 1);
               assertEquals(2, w.placement.place(w.now).size());
@@ -263,13 +267,13 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
               Attempt a = w.start(j, 0, m);
-              WorkerReport.Entry exit = World.entry(a, State.EXITED, "done");
+              Heartbeat.Entry exit = Simulation.entry(a, State.EXITED, "done");
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
               assertTrue(j.isDone(0));
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
               w.commit();
               assertEquals(
-                  List.of(new Order(Order.Kind.CLEAR, "job-1", 0, 1, 0)),
+                  List.of(new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-1", 0, 1, 0)),
                   w.report(m, 1, TERM, exit));
             }),
         rule(
@@ -277,7 +281,7 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Attempt a = w.start(w.job("job-1", 1, 1), 0, m);
-              w.at(m, 1, 50, TERM, World.entry(a, State.RUNNING, null));
+              w.at(m, 1, 50, TERM, Simulation.entry(a, State.RUNNING, null));
               assertNull(w.at(m, 1, 49, TERM));
               assertEquals(Attempt.Phase.RUNNING, a.phase);
             }),
@@ -335,14 +339,14 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 4);
               Attempt a = w.start(j, 0, m);
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.ledger.cancel(j, w.now);
-              assertEquals(Ledger.Refusal.OVER, w.ledger.mayStart(j, 1, m, w.now));
+              assertEquals(SchedulerState.Refusal.OVER, w.ledger.mayStart(j, 1, m, w.now));
               assertEquals(
-                  List.of(new Order(Order.Kind.STOP, "job-1", 0, 1, 0)),
-                  w.report(m, 1, TERM, World.entry(a, State.RUNNING, null)));
+                  List.of(new WorkerCommand(WorkerCommand.Kind.STOP, "job-1", 0, 1, 0)),
+                  w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null)));
               assertEquals(4, w.ledger.team(j.spec).usedCpus());
-              w.report(m, 1, TERM, World.entry(a, State.EXITED, "stopped"));
+              w.report(m, 1, TERM, Simulation.entry(a, State.EXITED, "stopped"));
               assertEquals(0, w.ledger.team(j.spec).usedCpus());
               assertTrue(j.finished());
             }),
@@ -352,7 +356,7 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.ledger.start(j, 0, m, w.now);
-              Chunk c = j.chunk(0);
+              AttemptRecord c = j.chunk(0);
               long changes = c.changes;
               w.ledger.cancel(j, w.now);
               w.ledger.committed(c, 9, changes, List.of(a), w.now);
@@ -363,9 +367,10 @@
             "an attempt that no record knows is stopped, then cleared",
             w -> {
               Machine m = w.machine("n-1", 0);
-              WorkerReport.Entry e = new WorkerReport.Entry("job-9", 0, 3, State.RUNNING, null);
+              Heartbeat.Entry e = new Heartbeat.Entry("job-9", 0, 3, State.RUNNING, null);
               assertEquals(
-                  List.of(new Order(Order.Kind.STOP, "job-9", 0, 3, 0)), w.report(m, 1, TERM, e));
+                  List.of(new WorkerCommand(WorkerCommand.Kind.STOP, "job-9", 0, 3, 0)),
+                  w.report(m, 1, TERM, e));
             }),
         rule(
             "a job that fails everywhere is held back ever longer",
@@ -375,7 +380,7 @@
               for (int i = 1; i <= 4; i++) {
                 Machine m = w.machine("n-" + i, 0);
                 Attempt a = w.start(j, 0, m);
-                w.report(m, 1, TERM, World.entry(a, State.EXITED, "error"));
+                w.report(m, 1, TERM, Simulation.entry(a, State.EXITED, "error"));
                 assertTrue(j.notBeforeMs - w.now > last);
                 last = j.notBeforeMs - w.now;
               }
@@ -425,7 +430,7 @@
               w.start(w.job("job-2", 1, 1), 0, m);
               assertEquals(List.of(), w.ledger.dialogue().direct(m, false, w.now));
               assertEquals(
-                  List.of(new Order(Order.Kind.LAUNCH, "job-2", 0, 1, 0)),
+                  List.of(new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-2", 0, 1, 0)),
                   w.ledger.dialogue().direct(m, true, w.now));
               assertEquals(List.of(), w.ledger.dialogue().direct(m, true, w.now));
             }),
@@ -435,8 +440,8 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
               Attempt a = w.start(j, 0, m);
-              List<Order> sent = w.ledger.dialogue().direct(m, true, w.now);
-              WorkerReport.Entry exit = World.entry(a, State.EXITED, "done");
+              List<WorkerCommand> sent = w.ledger.dialogue().direct(m, true, w.now);
+              Heartbeat.Entry exit = Simulation.entry(a, State.EXITED, "done");
               w.report(m, 1, TERM, exit);
               w.commit();
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
@@ -444,9 +449,9 @@
               // Answered or not: a copy of the launch may come, so the token rises with the clear.
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
               assertEquals(TERM, m.token);
-              w.now += Dialogue.RAISE_MS;
+              w.now += HeartbeatReconciler.RAISE_MS;
               assertEquals(
-                  List.of(new Order(Order.Kind.CLEAR, "job-1", 0, 1, 0)),
+                  List.of(new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-1", 0, 1, 0)),
                   w.report(m, 1, TERM, exit));
               assertEquals(TERM + 1, m.token);
             }),
@@ -454,10 +459,10 @@
             "so many exits that wait for a higher token raise it at once",
             w -> {
               Machine m = w.machine("n-1", 0);
-              Job j = w.job("job-1", Dialogue.RAISE_AT, 0.1);
-              WorkerReport.Entry[] exits = new WorkerReport.Entry[Dialogue.RAISE_AT];
+              Job j = w.job("job-1", HeartbeatReconciler.RAISE_AT, 0.1);
+              Heartbeat.Entry[] exits = new Heartbeat.Entry[HeartbeatReconciler.RAISE_AT];
               for (int t = 0; t < exits.length; t++) {
-                exits[t] = World.entry(w.start(j, t, m), State.EXITED, "done");
+                exits[t] = Simulation.entry(w.start(j, t, m), State.EXITED, "done");
               }
               w.ledger.dialogue().direct(m, true, w.now);
               w.report(m, 1, TERM, exits);
@@ -472,7 +477,7 @@
               Machine m = w.machine("n-1", 0);
               Attempt a = w.start(w.job("job-1", 1, 1), 0, m);
               w.report(m, 1, TERM);
-              WorkerReport.Entry exit = World.entry(a, State.EXITED, "done");
+              Heartbeat.Entry exit = Simulation.entry(a, State.EXITED, "done");
               w.report(m, 1, TERM, exit);
               w.commit();
               assertEquals(1, w.report(m, 1, TERM, exit).size());
@@ -496,7 +501,7 @@
             "at the last token of the term launches go in answers only",
             w -> {
               Machine m = w.machine("n-1", 0);
-              m.token = Term.last(TERM);
+              m.token = FencingTokens.last(TERM);
               w.start(w.job("job-1", 1, 1), 0, m);
               assertEquals(List.of(), w.ledger.dialogue().direct(m, true, w.now));
               assertEquals(1, w.report(m, 1, TERM).size());
@@ -534,7 +539,7 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-1", 1, 1), 0, m);
-              List<Order> sent = w.ledger.dialogue().direct(m, true, w.now);
+              List<WorkerCommand> sent = w.ledger.dialogue().direct(m, true, w.now);
               w.ledger.dialogue().answered(m, sent);
               assertEquals(sent, w.report(m, 1, TERM));
             }));
@@ -548,26 +553,27 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Job saving =
-                  w.ledger.accept(Specs.array("job-1", 1, 1).saves(30, 4).build(), 5, 0, w.now);
+                  w.ledger.accept(JobSpecs.array("job-1", 1, 1).saves(30, 4).build(), 5, 0, w.now);
               Job other = w.job("job-2", 1, 1);
               Attempt a = w.start(saving, 0, m);
               Attempt b = w.start(other, 0, m);
-              WorkerReport.Entry ra = World.entry(a, State.RUNNING, null);
-              WorkerReport.Entry rb = World.entry(b, State.RUNNING, null);
+              Heartbeat.Entry ra = Simulation.entry(a, State.RUNNING, null);
+              Heartbeat.Entry rb = Simulation.entry(b, State.RUNNING, null);
               w.report(m, 1, TERM, ra, rb);
               w.ledger.report(
                   m,
-                  new WorkerReport(
+                  new Heartbeat(
                       "n-1", "h:1", "t4", "a", false, 1, ++w.seq, TERM, 15, List.of(ra, rb)),
                   true,
                   w.now);
               assertEquals(
-                  Ledger.Refusal.LEAVING, w.ledger.mayStart(w.job("job-3", 1, 1), 0, m, w.now));
+                  SchedulerState.Refusal.LEAVING,
+                  w.ledger.mayStart(w.job("job-3", 1, 1), 0, m, w.now));
               w.placement.drain(w.now);
               assertEquals(
                   List.of(
-                      new Order(Order.Kind.STOP, "job-1", 0, 1, 4),
-                      new Order(Order.Kind.STOP, "job-2", 0, 1, 0)),
+                      new WorkerCommand(WorkerCommand.Kind.STOP, "job-1", 0, 1, 4),
+                      new WorkerCommand(WorkerCommand.Kind.STOP, "job-2", 0, 1, 0)),
                   w.report(m, 1, TERM, ra, rb));
             }),
         rule(
@@ -575,7 +581,7 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Attempt a = w.start(w.job("job-1", 1, 1), 0, m);
-              WorkerReport.Entry e = World.entry(a, State.RUNNING, null);
+              Heartbeat.Entry e = Simulation.entry(a, State.RUNNING, null);
               w.report(m, 1, TERM, e);
               m.noticeMs = w.now + 90_000; // Estimated at 60 s.
               w.placement.drain(w.now);
@@ -592,15 +598,15 @@
               Machine m = w.machine("n-1", 0);
               Job low = w.job("job-1", 1, 4);
               Attempt a = w.start(low, 0, m);
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
-              w.ledger.accept(Specs.array("job-2", 1, 4).build(), 6, 0, w.now);
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
+              w.ledger.accept(JobSpecs.array("job-2", 1, 4).build(), 6, 0, w.now);
               w.now += 2_000;
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.placement.place(w.now);
               assertFalse(a.stopping());
-              w.ledger.accept(Specs.array("job-3", 1, 4).priority(1).build(), 7, 0, w.now);
+              w.ledger.accept(JobSpecs.array("job-3", 1, 4).priority(1).build(), 7, 0, w.now);
               w.now += 2_000;
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.placement.place(w.now);
               assertTrue(a.stopping());
             }),
@@ -612,12 +618,12 @@
               Job j = w.job("job-1", 2, 4);
               Attempt a = w.start(j, 0, m);
               Attempt b = w.start(j, 1, n);
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
-              w.report(n, 1, TERM, World.entry(b, State.RUNNING, null));
-              w.ledger.accept(Specs.array("job-2", 1, 4).team(1).build(), 6, 0, w.now);
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
+              w.report(n, 1, TERM, Simulation.entry(b, State.RUNNING, null));
+              w.ledger.accept(JobSpecs.array("job-2", 1, 4).team(1).build(), 6, 0, w.now);
               w.now += 5_000;
-              w.report(m, 1, TERM, World.entry(a, State.RUNNING, null));
-              w.report(n, 1, TERM, World.entry(b, State.RUNNING, null));
+              w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
+              w.report(n, 1, TERM, Simulation.entry(b, State.RUNNING, null));
               w.placement.place(w.now);
               assertEquals(1, (a.stopping() ? 1 : 0) + (b.stopping() ? 1 : 0));
             }));
--- a/src/test/java/org/mallowroad/core/PictureCost.java
+++ b/src/test/java/org/mallowroad/core/SnapshotCost.java
@@ -2,10 +2,10 @@
 
 import java.lang.management.ManagementFactory;
 import java.util.List;
-import org.mallowroad.core.explain.Picture;
-import org.mallowroad.core.explain.Picture.MachineLine;
-import org.mallowroad.core.explain.Picture.TeamLine;
-import org.mallowroad.core.explain.Sketch;
+import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
+import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
+import org.mallowroad.core.explain.SnapshotBuilder;
 import org.mallowroad.wire.ConsoleCodec;
 
 /**
@@ -13,15 +13,15 @@
  * machines costs, first and when warm (docs/results.md). With an argument each job wants so many
  * more CPUs than the one before, so that none is answered by another one's answer.
  */
-final class PictureCost {
-  private PictureCost() {}
+final class SnapshotCost {
+  private SnapshotCost() {}
 
   private static long cpu() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
   }
 
   public static void main(String[] args) {
-    Sketch s = ScaleTest.full(args.length == 0 ? 0 : Double.parseDouble(args[0]));
+    SnapshotBuilder s = ScaleTest.full(args.length == 0 ? 0 : Double.parseDouble(args[0]));
     for (int i = 0; i < 40; i++) {
       long began = cpu();
       s.begin(1_000_000);
@@ -34,11 +34,11 @@
       }
       List<TeamLine> teams = s.teams();
       List<MachineLine> machines = s.machines();
-      Picture p =
-          new Picture(
-              Picture.FORMAT,
+      NodeSnapshot p =
+          new NodeSnapshot(
+              NodeSnapshot.FORMAT,
               "n",
-              Picture.Phase.LEADING,
+              NodeSnapshot.Phase.LEADING,
               1,
               "n",
               0,
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -10,14 +10,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.Ledger;
+import org.mallowroad.core.JobSpecs;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.Names;
-import org.mallowroad.core.Specs;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.WorkerReport;
 
 /** How many jobs are admitted while records lag, and when they count as lagging. */
 final class AdmissionTest {
@@ -88,31 +88,33 @@
   }
 
   /** A fleet of one large machine, on which so many tasks are to be recorded. */
-  private static Ledger recording(int tasks, int priority, long now) {
-    Names zones = new Names();
+  private static SchedulerState recording(int tasks, int priority, long now) {
+    NameIndex zones = new NameIndex();
     zones.intern("a");
-    Ledger ledger = new Ledger(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
+    SchedulerState ledger = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
     MachineType type =
         new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
     Machine m = ledger.meet("n-1", type, 0, false, now);
     ledger.report(
         m,
-        new WorkerReport("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, new ArrayList<>()),
+        new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, new ArrayList<>()),
         true,
         now);
-    Job job = ledger.accept(Specs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
+    Job job =
+        ledger.accept(JobSpecs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
     for (int t = 0; t < tasks; t++) {
       ledger.start(job, t, m, now);
     }
     return ledger;
   }
 
-  private static DynamicTest lag(String name, Ledger ledger, long afterMs, boolean overloaded) {
+  private static DynamicTest lag(
+      String name, SchedulerState ledger, long afterMs, boolean overloaded) {
     return lag(name, ledger, 0, afterMs, overloaded);
   }
 
   private static DynamicTest lag(
-      String name, Ledger ledger, long servedFromMs, long afterMs, boolean overloaded) {
+      String name, SchedulerState ledger, long servedFromMs, long afterMs, boolean overloaded) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
--- a/src/test/java/org/mallowroad/core/cancel/CancellationViewTest.java
+++ b/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.cancel;
+package org.mallowroad.core.cancellation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -100,8 +100,9 @@
     }
   }
 
-  private static DynamicTest notices(String name, Consumer<Notices> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new Notices(2, 10_000)));
+  private static DynamicTest notices(String name, Consumer<PendingCancellationNotices> test) {
+    return DynamicTest.dynamicTest(
+        name, () -> test.accept(new PendingCancellationNotices(2, 10_000)));
   }
 
   @TestFactory
@@ -138,12 +139,12 @@
         notices(
             "no more than a peer's table and a message hold",
             n -> {
-              for (int i = 0; i < Notices.MOST + 10; i++) {
+              for (int i = 0; i < PendingCancellationNotices.MOST + 10; i++) {
                 n.learnt("j" + i, 0);
               }
-              assertEquals(Notices.MOST, n.untold(0));
+              assertEquals(PendingCancellationNotices.MOST, n.untold(0));
               List<String> first = n.take(0, 1);
-              assertEquals(Notices.MOST_AT_ONCE, first.size());
+              assertEquals(PendingCancellationNotices.MOST_AT_ONCE, first.size());
               assertEquals("j10", first.get(0));
             }));
   }
--- a/src/test/java/org/mallowroad/core/hold/HoldsTest.java
+++ b/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.hold;
+package org.mallowroad.core.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -16,23 +16,24 @@
 import org.junit.jupiter.api.TestFactory;
 
 /** Circles are refused when they would close; what a commit causes follows what it touches. */
-final class HoldsTest {
-  private static Ties on(String... jobs) {
-    return new Ties(Map.of(), List.of(jobs), List.of());
+final class DependencyGatesTest {
+  private static JobDependencies on(String... jobs) {
+    return new JobDependencies(Map.of(), List.of(jobs), List.of());
   }
 
-  private static Ties games(long upTo, int... folds) {
+  private static JobDependencies games(long upTo, int... folds) {
     Map<String, IntList> f = folds.length == 0 ? Map.of() : Map.of("l", IntArrayList.wrap(folds));
-    return new Ties(f, List.of(), List.of(new Ties.UpTo("l", upTo, null)));
+    return new JobDependencies(f, List.of(), List.of(new JobDependencies.UpTo("l", upTo, null)));
   }
 
-  private static Ties folding(int block, String... jobs) {
-    return new Ties(Map.of("l", IntArrayList.of(block)), List.of(jobs), List.of());
+  private static JobDependencies folding(int block, String... jobs) {
+    return new JobDependencies(Map.of("l", IntArrayList.of(block)), List.of(jobs), List.of());
   }
 
-  private static DynamicTest row(String name, String through, Ties own, Map<String, Ties> held) {
+  private static DynamicTest row(
+      String name, String through, JobDependencies own, Map<String, JobDependencies> held) {
     return DynamicTest.dynamicTest(
-        name, () -> assertEquals(through, Circles.closes("job-1", own, held)));
+        name, () -> assertEquals(through, DependencyCycles.closes("job-1", own, held)));
   }
 
   @TestFactory
@@ -68,7 +69,7 @@
   /** A thousand held jobs that wait for ten thousand: a commit looks at those that it touches. */
   @Test
   void whatACommitCausesFollowsWhatItTouches() {
-    Holds holds = new Holds();
+    DependencyGates holds = new DependencyGates();
     for (int i = 0; i < 1_000; i++) {
       String[] jobs = new String[10];
       for (int j = 0; j < 10; j++) {
@@ -83,7 +84,7 @@
     for (int j = 0; j < 10; j++) {
       holds.ended("job-" + (70 + j), true, Set.of());
     }
-    Holds.Hold h = holds.next();
+    DependencyGates.Hold h = holds.next();
     assertEquals("job-97", h.job);
     assertEquals(List.of(), h.left());
     assertNull(holds.next());
@@ -95,15 +96,15 @@
 
   @Test
   void whatIsPrintedIsNotLookedAtAgainAndWhatIsClosedIs() {
-    Holds holds = new Holds();
-    Holds.Hold a = holds.add("job-1", games(9));
-    Holds.Hold b = holds.add("job-2", games(9));
+    DependencyGates holds = new DependencyGates();
+    DependencyGates.Hold a = holds.add("job-1", games(9));
+    DependencyGates.Hold b = holds.add("job-2", games(9));
     Map<String, Boolean> seen = new HashMap<>();
-    for (Holds.Hold h = holds.next(); h != null; h = holds.next()) {
+    for (DependencyGates.Hold h = holds.next(); h != null; h = holds.next()) {
       seen.put(h.job, true);
     }
     assertEquals(2, seen.size());
-    a.state = Holds.State.PRINTED;
+    a.state = DependencyGates.State.PRINTED;
     holds.league("l");
     assertEquals(b, holds.next());
     assertNull(holds.next());
--- a/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** Each way in which a side of a game can stand, and what a claim of it comes to. */
@@ -27,7 +27,7 @@
   private static final BlockKey KEY = new BlockKey("l", 0);
   private static final Block.Side SIDE = new Block.Side(3, "m");
 
-  private static String decide(Fold there, long revision, Fate fate) {
+  private static String decide(Fold there, long revision, JobOutcome fate) {
     Block b = new Block();
     b.set(SIDE, there);
     Game g = new Game("l", 3, revision, false, List.of("m"));
@@ -46,7 +46,8 @@
     return new Fold(revision, false, job, settled, base);
   }
 
-  private static DynamicTest row(String name, Fold there, long revision, Fate fate, String is) {
+  private static DynamicTest row(
+      String name, Fold there, long revision, JobOutcome fate, String is) {
     return DynamicTest.dynamicTest(name, () -> assertEquals(is, decide(there, revision, fate)));
   }
 
@@ -57,32 +58,42 @@
         row("nobody's", null, 1, null, "1 over 0"),
         row("nobody's, claimed by a correction first", null, 2, null, "2 over 0"),
         row("its own claim of an earlier try", by("job-1", 1, false, null), 1, null, "granted"),
-        row("held", by("job-2", 1, false, null), 1, Fate.OPEN, "Waits"),
+        row("held", by("job-2", 1, false, null), 1, JobOutcome.OPEN, "Waits"),
         row(
             "held by a claim that is not accepted",
             by("job-2", 1, false, null),
             1,
-            Fate.CLAIMING,
+            JobOutcome.CLAIMING,
             "Waits"),
         row("nobody knows of whom", by("job-2", 1, false, null), 1, null, "Asks"),
-        row("folded, not written down yet", by("job-2", 1, false, null), 1, Fate.DONE, "Refused"),
+        row(
+            "folded, not written down yet",
+            by("job-2", 1, false, null),
+            1,
+            JobOutcome.DONE,
+            "Refused"),
         row("folded", folded, 1, null, "Refused"),
         row("folded, corrected", folded, 2, null, "2 over 1"),
         row("folded in a later revision", by("job-2", 3, true, null), 2, null, "Refused"),
-        row("withdrawn", by("job-2", 1, false, null), 1, Fate.CANCELLED, "1 over 0"),
-        row("a correction withdrawn", by("job-3", 2, false, folded), 2, Fate.CANCELLED, "2 over 1"),
+        row("withdrawn", by("job-2", 1, false, null), 1, JobOutcome.CANCELLED, "1 over 0"),
+        row(
+            "a correction withdrawn",
+            by("job-3", 2, false, folded),
+            2,
+            JobOutcome.CANCELLED,
+            "2 over 1"),
         row(
             "a correction withdrawn, then the first once more",
             by("job-3", 2, false, folded),
             1,
-            Fate.CANCELLED,
+            JobOutcome.CANCELLED,
             "Refused"),
-        row("a correction held", by("job-3", 2, false, folded), 3, Fate.OPEN, "Waits"),
+        row("a correction held", by("job-3", 2, false, folded), 3, JobOutcome.OPEN, "Waits"),
         row(
             "a correction done, not written down yet",
             by("job-3", 2, false, folded),
             3,
-            Fate.DONE,
+            JobOutcome.DONE,
             "3 over 2"));
   }
 
@@ -103,9 +114,16 @@
     b.set(new Block.Side(0, "a"), by("job-3", 1, false, null));
     b.set(new Block.Side(1, "a"), by("job-4", 2, false, folded));
     b.set(new Block.Side(2, "a"), by("job-5", 1, false, null));
-    assertSame(b, Claims.settled(b, j -> Fate.OPEN));
-    Map<String, Fate> fates =
-        new HashMap<>(Map.of("job-3", Fate.DONE, "job-4", Fate.CANCELLED, "job-5", Fate.CANCELLED));
+    assertSame(b, Claims.settled(b, j -> JobOutcome.OPEN));
+    Map<String, JobOutcome> fates =
+        new HashMap<>(
+            Map.of(
+                "job-3",
+                JobOutcome.DONE,
+                "job-4",
+                JobOutcome.CANCELLED,
+                "job-5",
+                JobOutcome.CANCELLED));
     Block s = Claims.settled(b, fates::get);
     assertEquals(by("job-3", 1, true, null), s.get(new Block.Side(0, "a")));
     assertEquals(folded, s.get(new Block.Side(1, "a")));
@@ -121,7 +139,8 @@
     b.set(new Block.Side(0, "a"), by("job-1", 1, true, null));
     b.set(new Block.Side(2, "a"), by("job-2", 1, false, null));
     b.set(new Block.Side(3, "a"), by("job-3", 1, false, null));
-    Map<String, Fate> fates = new HashMap<>(Map.of("job-2", Fate.OPEN, "job-3", Fate.CANCELLED));
+    Map<String, JobOutcome> fates =
+        new HashMap<>(Map.of("job-2", JobOutcome.OPEN, "job-3", JobOutcome.CANCELLED));
     i.take(0, b, fates::get);
     assertEquals(3, i.seenTo());
     assertEquals(List.of(1L, 3L), i.gaps(9));
@@ -141,7 +160,8 @@
 
   @Property(tries = 200)
   void aBlockSurvivesItsRecord(
-      @ForAll @Size(max = 60) List<@IntRange(max = 1_000_000) Integer> seeds) throws BadMessage {
+      @ForAll @Size(max = 60) List<@IntRange(max = 1_000_000) Integer> seeds)
+      throws InvalidMessageException {
     Block b = new Block();
     for (int s : seeds) {
       Fold base = s % 3 == 0 ? by("job-" + s % 11, 1 + s % 5, true, null) : null;
@@ -158,10 +178,10 @@
     Block b = new Block();
     b.set(SIDE, by("job-1", 1, false, null));
     ObjectNode newer = FoldCodec.encode(b).put("v", 2);
-    assertThrows(BadMessage.class, () -> FoldCodec.decode(newer));
+    assertThrows(InvalidMessageException.class, () -> FoldCodec.decode(newer));
     ObjectNode changed = FoldCodec.encode(b);
     changed.putArray("j").add("job-2");
-    assertThrows(BadMessage.class, () -> FoldCodec.decode(changed));
+    assertThrows(InvalidMessageException.class, () -> FoldCodec.decode(changed));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/core/health/HealthTest.java
+++ b/src/test/java/org/mallowroad/core/health/HealthTest.java
@@ -22,13 +22,13 @@
   private static final long REPORT_MS = 4_000;
 
   /** Two zones of ten machines that report every 4 s, and one job's peers. */
-  private static final class World {
+  private static final class Simulation {
     final Health health = new Health(HealthPolicy.defaults(), 2, REPORT_MS / 1000.0, 0);
     final List<MachineHealth> machines = new ArrayList<>();
-    final Peers job = new Peers(15);
+    final RunTimeBaseline job = new RunTimeBaseline(15);
     long now;
 
-    World(int a, int b) {
+    Simulation(int a, int b) {
       for (int i = 0; i < a + b; i++) {
         MachineHealth m = new MachineHealth("n-" + i, i < a ? 0 : 1);
         health.met(m, now);
@@ -61,11 +61,11 @@
   }
 
   private interface Case {
-    void run(World w);
+    void run(Simulation w);
   }
 
   private static DynamicTest rule(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new World(10, 10)));
+    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(10, 10)));
   }
 
   @TestFactory
@@ -141,7 +141,7 @@
         rule(
             "before many are overdue: with no zone heard at all nothing is said of anybody",
             few -> {
-              World w = new World(40, 40);
+              Simulation w = new Simulation(40, 40);
               w.pass(20_000, 0, 0);
               assertFalse(w.health.silence().deaf(w.now));
               w.now += 2_700;
@@ -155,7 +155,7 @@
             w -> {
               w.pass(20_000, 0, 0);
               w.now += 9_000;
-              Silence s = w.health.silence();
+              FailureDetector s = w.health.silence();
               s.judge(w.now);
               assertEquals(s.known(), s.lateCount());
               s.rerouted(0, w.now);
@@ -329,9 +329,9 @@
             "classes that users make up are bounded, and their indices are given again",
             w -> {
               for (int c = 0; c < 5_000; c++) {
-                w.health.finished(w.machines.get(0), new Peers(1), c, 1_000, 1, w.now);
+                w.health.finished(w.machines.get(0), new RunTimeBaseline(1), c, 1_000, 1, w.now);
               }
-              assertEquals(RunTimes.MOST_CLASSES, w.health.runTimes().classes());
+              assertEquals(StragglerDetector.MOST_CLASSES, w.health.runTimes().classes());
               BitSet used = new BitSet();
               used.set(3);
               w.health.runTimes().keep(used);
@@ -382,7 +382,7 @@
   @Property(tries = 200, seed = "43")
   void doubtIsBounded(
       @ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 3_999) Integer> events) {
-    World w = new World(20, 20);
+    Simulation w = new Simulation(20, 20);
     for (int e : events) {
       int machine = e % 40;
       double times = Math.pow(2, e / 40 % 8 - 2);
@@ -405,7 +405,7 @@
   @Property(tries = 200, seed = "44")
   void silenceCountsAgree(
       @ForAll @Size(min = 1, max = 300) List<@IntRange(min = 0, max = 2_399) Integer> events) {
-    Silence s = new Silence(2, 4, HealthPolicy.defaults(), 0);
+    FailureDetector s = new FailureDetector(2, 4, HealthPolicy.defaults(), 0);
     List<MachineHealth> all = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       all.add(new MachineHealth("n-" + i, i % 2));
--- a/src/test/java/org/mallowroad/core/links/LinksTest.java
+++ b/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core.links;
+package org.mallowroad.core.linkstate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,21 +13,23 @@
 import org.junit.jupiter.api.TestFactory;
 
 /** Which way things go when links are cut: a table of cases, no clock, no sockets. */
-final class LinksTest {
+final class LinkStateTableTest {
   private static final LinkPolicy POLICY = LinkPolicy.defaults();
 
   /** A node with two peers and two zones. */
   private static final class Here {
     private long now = 1_000_000;
-    private final Links links =
-        new Links(POLICY, "n0", List.of("n1", "n2"), List.of("a", "b"), 1, now);
-    private final Route route = new Route(links, Outside.STATE);
-    private final Carriage carriage = new Carriage(POLICY, 2);
+    private final LinkStateTable links =
+        new LinkStateTable(POLICY, "n0", List.of("n1", "n2"), List.of("a", "b"), 1, now);
+    private final RouteSelector route = new RouteSelector(links, ExternalService.STATE);
+    private final HeartbeatRelay carriage = new HeartbeatRelay(POLICY, 2);
     private long seq;
     private final java.util.Set<String> gone = new java.util.HashSet<>();
 
     private void row(String node, long stateMs) {
-      links.row(new Row(node, 1, ++seq, 1, false, stateMs, -1, List.of(), List.of()), now);
+      links.row(
+          new LinkStateAdvertisement(node, 1, ++seq, 1, false, stateMs, -1, List.of(), List.of()),
+          now);
       links.usedPeer(links.peer(node), true, now, now);
     }
 
@@ -50,36 +52,46 @@
         rule(
             "a failure of what was sent before a success says nothing against the link",
             h -> {
-              h.links.used(Outside.STATE, true, h.now - 10, h.now);
-              h.links.used(Outside.STATE, false, h.now - 20, h.now);
-              assertFalse(h.links.down(Outside.STATE));
-              h.links.used(Outside.STATE, false, h.now - 5, h.now);
-              assertTrue(h.links.down(Outside.STATE));
+              h.links.used(ExternalService.STATE, true, h.now - 10, h.now);
+              h.links.used(ExternalService.STATE, false, h.now - 20, h.now);
+              assertFalse(h.links.down(ExternalService.STATE));
+              h.links.used(ExternalService.STATE, false, h.now - 5, h.now);
+              assertTrue(h.links.down(ExternalService.STATE));
             }),
         rule(
             "a success that was sent before the failure does not bring the link up",
             h -> {
-              h.links.used(Outside.STATE, false, h.now - 5, h.now);
-              h.links.used(Outside.STATE, true, h.now - 10, h.now);
-              assertTrue(h.links.down(Outside.STATE));
+              h.links.used(ExternalService.STATE, false, h.now - 5, h.now);
+              h.links.used(ExternalService.STATE, true, h.now - 10, h.now);
+              assertTrue(h.links.down(ExternalService.STATE));
             }),
         rule(
             "an older row, a stranger's and one of an earlier process are left out",
             h -> {
-              Row newer = new Row("n1", 2, 1, 1, false, 10, 10, List.of(), List.of());
+              LinkStateAdvertisement newer =
+                  new LinkStateAdvertisement("n1", 2, 1, 1, false, 10, 10, List.of(), List.of());
               assertTrue(h.links.row(newer, h.now));
               assertFalse(
-                  h.links.row(new Row("n1", 1, 9, 1, false, 10, 10, List.of(), List.of()), h.now));
+                  h.links.row(
+                      new LinkStateAdvertisement(
+                          "n1", 1, 9, 1, false, 10, 10, List.of(), List.of()),
+                      h.now));
               assertFalse(h.links.row(newer, h.now));
               assertFalse(
-                  h.links.row(new Row("n9", 9, 1, 1, false, 10, 10, List.of(), List.of()), h.now));
+                  h.links.row(
+                      new LinkStateAdvertisement(
+                          "n9", 9, 1, 1, false, 10, 10, List.of(), List.of()),
+                      h.now));
             }),
         rule(
             "a process that is back before the time of day has moved on is not taken for an old one",
             h -> {
-              Links back = new Links(POLICY, "n1", List.of("n0"), List.of("a", "b"), 90, h.now);
+              LinkStateTable back =
+                  new LinkStateTable(POLICY, "n1", List.of("n0"), List.of("a", "b"), 90, h.now);
               assertTrue(
-                  h.links.row(new Row("n1", 100, 7, 1, true, 5, 5, List.of(), List.of()), h.now));
+                  h.links.row(
+                      new LinkStateAdvertisement("n1", 100, 7, 1, true, 5, 5, List.of(), List.of()),
+                      h.now));
               assertFalse(h.links.row(back.own(1, false, h.now), h.now));
               back.outrun(h.links.began("n1"));
               assertTrue(h.links.row(back.own(1, false, h.now), h.now));
@@ -92,16 +104,16 @@
             "a peer is a way while its row is fresh, its use too, and it is reached itself",
             h -> {
               h.row("n1", 10);
-              assertTrue(h.links.reaches(0, Outside.STATE, h.now));
+              assertTrue(h.links.reaches(0, ExternalService.STATE, h.now));
               h.links.usedPeer(0, false, h.now, h.now);
-              assertFalse(h.links.reaches(0, Outside.STATE, h.now));
+              assertFalse(h.links.reaches(0, ExternalService.STATE, h.now));
               h.row("n2", POLICY.freshMs() + 1);
-              assertFalse(h.links.reaches(1, Outside.STATE, h.now));
+              assertFalse(h.links.reaches(1, ExternalService.STATE, h.now));
               h.row("n2", -1);
-              assertFalse(h.links.reaches(1, Outside.STATE, h.now));
+              assertFalse(h.links.reaches(1, ExternalService.STATE, h.now));
               h.row("n2", 0);
               h.now += POLICY.freshMs() + 1;
-              assertFalse(h.links.reaches(1, Outside.STATE, h.now));
+              assertFalse(h.links.reaches(1, ExternalService.STATE, h.now));
               assertNull(h.links.fresh(1, h.now));
             }),
         rule(
@@ -109,9 +121,9 @@
             h -> {
               for (int i = 0; i < 200; i++) {
                 h.now += 10;
-                h.links.used(Outside.STATE, i % 2 == 1, h.now, h.now);
+                h.links.used(ExternalService.STATE, i % 2 == 1, h.now, h.now);
               }
-              List<Links.Change> changes = h.links.changes();
+              List<LinkStateTable.Change> changes = h.links.changes();
               assertEquals(64, changes.size());
               assertEquals(136, h.links.leftOut());
               assertEquals("n0 state true", text(changes.get(0)));
@@ -119,7 +131,7 @@
               h.row("n1", -1);
               assertEquals(
                   List.of("n1 state true"),
-                  h.links.changes().stream().map(LinksTest::text).toList());
+                  h.links.changes().stream().map(LinkStateTableTest::text).toList());
             }),
         rule(
             "lists of a broken peer's row are cut",
@@ -129,11 +141,14 @@
                 many.add("n" + i);
               }
               assertEquals(
-                  Row.MOST, new Row("n1", 1, 1, 1, false, 0, 0, many, List.of()).peers().size());
+                  LinkStateAdvertisement.MOST,
+                  new LinkStateAdvertisement("n1", 1, 1, 1, false, 0, 0, many, List.of())
+                      .peers()
+                      .size());
             }));
   }
 
-  private static String text(Links.Change c) {
+  private static String text(LinkStateTable.Change c) {
     return c.from() + " " + c.to() + " " + c.down();
   }
 
@@ -145,7 +160,7 @@
             h -> {
               h.row("n2", 10);
               h.direct(true);
-              assertEquals(Route.DIRECT, h.route.choose(h.now));
+              assertEquals(RouteSelector.DIRECT, h.route.choose(h.now));
               h.now += 100;
               h.direct(false);
               assertEquals(1, h.route.choose(h.now));
@@ -156,7 +171,7 @@
               h.row("n1", -1);
               h.row("n2", -1);
               h.direct(false);
-              assertEquals(Route.DIRECT, h.route.choose(h.now));
+              assertEquals(RouteSelector.DIRECT, h.route.choose(h.now));
             }),
         rule(
             "a peer that fails is left for another",
@@ -180,7 +195,7 @@
                 h.direct(false);
                 assertEquals(0, h.route.choose(h.now));
                 long from = h.now;
-                while (h.route.choose(h.now) != Route.DIRECT) {
+                while (h.route.choose(h.now) != RouteSelector.DIRECT) {
                   h.now += 100;
                   h.row("n1", 10);
                   h.direct(true);
@@ -275,7 +290,7 @@
               for (int i = 0; i < 10_000; i++) {
                 h.carry("m" + i, 3, -1);
               }
-              assertEquals(Carriage.MOST, h.carriage.size());
+              assertEquals(HeartbeatRelay.MOST, h.carriage.size());
               assertFalse(h.carriage.carry("m9999", 0, 3, 4, -1, h.now));
               assertEquals(1, h.carriage.size());
             }));
--- a/src/test/java/org/mallowroad/election/ElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -9,24 +9,24 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.Clockwork;
-import org.mallowroad.core.Term;
-import org.mallowroad.state.StateStore;
+import org.mallowroad.SteppedClock;
+import org.mallowroad.core.FencingTokens;
+import org.mallowroad.state.KeyValueStore;
 
 /** Processes that are back at once, and what the one before them left behind. */
-final class ElectionTest {
+final class LeaderElectionTest {
   /** Processes that elect, on one store. */
   private static final class Here {
-    private final Clockwork c = new Clockwork();
+    private final SteppedClock c = new SteppedClock();
 
-    private final class Process implements Election.Listener {
+    private final class Process implements LeaderElection.Listener {
       private long elected;
-      private final Clockwork.Process process = c.new Process();
-      private final Election election;
+      private final SteppedClock.Process process = c.new Process();
+      private final LeaderElection election;
 
       Process(String node) {
-        StateStore state = new StateStore(process, process, process);
-        election = new Election(process, state, node, node.hashCode(), () -> 0, this);
+        KeyValueStore state = new KeyValueStore(process, process, process);
+        election = new LeaderElection(process, state, node, node.hashCode(), () -> 0, this);
         election.start();
       }
 
@@ -50,7 +50,7 @@
     }
 
     private JsonNode leader() {
-      return c.store.value(Election.LEADER);
+      return c.store.value(LeaderElection.LEADER);
     }
   }
 
@@ -73,7 +73,7 @@
               assertEquals(0, after.elected);
               assertEquals(null, h.leader());
               h.run(1_400);
-              assertEquals(1 + Term.TOKENS, after.elected);
+              assertEquals(1 + FencingTokens.TOKENS, after.elected);
             }),
         rule(
             "the others have the office first when its holder's process is back",
@@ -109,16 +109,16 @@
               h.c.loseAnswers = false;
               h.run(6_000);
               assertTrue(after.election.leading());
-              assertTrue(after.elected > Term.last(1));
+              assertTrue(after.elected > FencingTokens.last(1));
             }),
         rule(
             "tokens within the term are one's own; the first beyond ends the office",
             h -> {
               Here.Process p = h.new Process("n0");
               h.run(200);
-              p.election.sawTerm(Term.last(p.elected));
+              p.election.sawTerm(FencingTokens.last(p.elected));
               assertTrue(p.election.leading());
-              p.election.sawTerm(Term.last(1) + 1);
+              p.election.sawTerm(FencingTokens.last(1) + 1);
               assertFalse(p.election.leading());
             }),
         rule(
@@ -128,7 +128,8 @@
               Here.Process p = h.new Process("n0");
               h.run(200);
               assertEquals(42, p.elected);
-              assertEquals(Term.last(42), h.c.store.value(Election.TERM).path("n").asLong());
+              assertEquals(
+                  FencingTokens.last(42), h.c.store.value(LeaderElection.TERM).path("n").asLong());
             }));
   }
 
@@ -143,7 +144,7 @@
             + "{\"put\":\"leader\",\"v\":{\"node\":\"n0\",\"term\":1},\"tenure\":"
             + lease
             + "},{\"put\":\"term\",\"v\":{\"n\":"
-            + Term.last(1)
+            + FencingTokens.last(1)
             + "}}]}");
   }
 
--- a/src/test/java/org/mallowroad/net/BudgetTest.java
+++ b/src/test/java/org/mallowroad/net/RateLimiterTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Waiting for a token bucket always ends. */
-final class BudgetTest {
+final class RateLimiterTest {
   static Stream<Arguments> waits() {
     return Stream.of(
         arguments(10.0, 10.0, 4.0, 4.0, 0L),
@@ -22,7 +22,7 @@
   @ParameterizedTest
   @MethodSource("waits")
   void waits(double perSecond, double burst, double taken, double wanted, long waitMs) {
-    Budget b = new Budget(perSecond, burst, 0);
+    RateLimiter b = new RateLimiter(perSecond, burst, 0);
     b.force(taken, 0);
     assertEquals(waitMs, b.waitMs(wanted, 0));
   }
--- a/src/test/java/org/mallowroad/net/XnioHostTest.java
+++ b/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
@@ -14,7 +14,7 @@
 import org.mallowroad.config.Settings.Endpoint;
 
 /** A fleet with more workers than the process may have sockets. */
-final class XnioHostTest {
+final class XnioEnvironmentTest {
   private static Settings settings(int sockets) {
     Endpoint any = new Endpoint("127.0.0.1", 0);
     return new Settings(
@@ -61,21 +61,21 @@
 
   @Test
   void moreWorkersThanSocketsAreAllServedInTurn() throws IOException {
-    XnioHost host = new XnioHost(settings(32));
+    XnioEnvironment host = new XnioEnvironment(settings(32));
     List<Socket> kept = new ArrayList<>();
     try {
       host.loop()
           .soon(
               () ->
                   host.listen(
-                      new Host.Front() {
+                      new NodeEnvironment.RequestHandler() {
                         @Override
-                        public void request(Incoming x) {
+                        public void request(IncomingRequest x) {
                           x.answer(200, "application/json", new byte[] {'{', '}'}, false);
                         }
 
                         @Override
-                        public void message(Incoming x) {}
+                        public void message(IncomingRequest x) {}
                       }));
       String[] at = null;
       for (int i = 0; i < 200 && at == null; i++) {
--- a/src/test/java/org/mallowroad/peer/ForwardingTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayTransportTest.java
@@ -10,23 +10,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings.Member;
-import org.mallowroad.core.links.LinkPolicy;
-import org.mallowroad.core.links.Links;
-import org.mallowroad.core.links.Outside;
-import org.mallowroad.core.links.Row;
-import org.mallowroad.net.Caller;
-import org.mallowroad.net.Host;
-import org.mallowroad.net.Incoming;
-import org.mallowroad.net.Loop;
-import org.mallowroad.wire.BadMessage;
+import org.mallowroad.core.linkstate.ExternalService;
+import org.mallowroad.core.linkstate.LinkPolicy;
+import org.mallowroad.core.linkstate.LinkStateAdvertisement;
+import org.mallowroad.core.linkstate.LinkStateTable;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.InvalidMessageException;
 
 /** What a peer's answer proves, and that nobody's garbage takes places for ever. */
-final class ForwardingTest {
+final class RelayTransportTest {
   private final List<String> said = new ArrayList<>();
   private int status;
 
-  private final Loop loop =
-      new Loop() {
+  private final EventLoop loop =
+      new EventLoop() {
         @Override
         public long nanos() {
           return 0;
@@ -49,15 +49,15 @@
       };
 
   /** Every peer answers with the status at hand. */
-  private final class Answering implements Host {
+  private final class Answering implements NodeEnvironment {
     @Override
-    public Loop loop() {
+    public EventLoop loop() {
       return loop;
     }
 
     @Override
-    public Caller caller(Endpoint to, String type, int maxOpen, int maxBody) {
-      return new Caller() {
+    public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
+      return new RequestSender() {
         @Override
         public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
           answer.answered(status, new byte[0]);
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void listen(Front front) {}
+    public void listen(RequestHandler front) {}
 
     @Override
     public long bytes() {
@@ -90,8 +90,8 @@
     public void stop() {}
   }
 
-  private final Caller.Answer answer =
-      new Caller.Answer() {
+  private final RequestSender.Answer answer =
+      new RequestSender.Answer() {
         @Override
         public void answered(int s, byte[] body) {
           said.add("answered " + s);
@@ -103,33 +103,38 @@
         }
       };
 
-  private final Forwarding.Listener listener =
-      new Forwarding.Listener() {
+  private final RelayTransport.Listener listener =
+      new RelayTransport.Listener() {
         @Override
-        public long row(Row row) {
+        public long row(LinkStateAdvertisement row) {
           return 0;
         }
 
         @Override
         public void forward(
-            Outside to, String method, String path, byte[] body, long ms, Caller.Answer back) {
+            ExternalService to,
+            String method,
+            String path,
+            byte[] body,
+            long ms,
+            RequestSender.Answer back) {
           back.answered(200, new byte[0]);
         }
 
         @Override
-        public void orders(String address, byte[] body, Caller.Answer back) {
+        public void orders(String address, byte[] body, RequestSender.Answer back) {
           back.failed(true);
         }
 
         @Override
-        public void carried(int peer, byte[] report, Caller.Answer back) {}
+        public void carried(int peer, byte[] report, RequestSender.Answer back) {}
       };
 
-  private final Forwarding forwarding =
-      new Forwarding(
+  private final RelayTransport forwarding =
+      new RelayTransport(
           new Answering(),
           List.of(new Member("n1", "a", new Endpoint("h", 1))),
-          new Links(LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, 0),
+          new LinkStateTable(LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, 0),
           listener);
 
   @ParameterizedTest
@@ -149,10 +154,11 @@
   }
 
   @Test
-  void messagesThatAreRefusedTakeNoPlaceForEver() throws BadMessage {
+  void messagesThatAreRefusedTakeNoPlaceForEver() throws InvalidMessageException {
     LinkCodec codec = new LinkCodec();
     for (int i = 0; i < 200; i++) {
-      assertThrows(BadMessage.class, () -> forwarding.message(incoming(codec, "NOBODY")));
+      assertThrows(
+          InvalidMessageException.class, () -> forwarding.message(incoming(codec, "NOBODY")));
     }
     for (int i = 0; i < 200; i++) {
       forwarding.message(incoming(codec, "STATE"));
@@ -160,9 +166,9 @@
     assertEquals(200, said.stream().filter("200"::equals).count());
   }
 
-  private Incoming incoming(LinkCodec codec, String to) {
+  private IncomingRequest incoming(LinkCodec codec, String to) {
     byte[] body = codec.encode(new LinkCodec.Forward(to, "GET", "/kv/a", new byte[0], 100));
-    return new Incoming() {
+    return new IncomingRequest() {
       @Override
       public String method() {
         return "POST";
--- a/src/test/java/org/mallowroad/peer/DetourTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
@@ -8,25 +8,27 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.Clockwork;
-import org.mallowroad.core.links.LinkPolicy;
-import org.mallowroad.core.links.Links;
-import org.mallowroad.core.links.Outside;
-import org.mallowroad.core.links.Route;
-import org.mallowroad.net.Caller;
+import org.mallowroad.SteppedClock;
+import org.mallowroad.core.linkstate.ExternalService;
+import org.mallowroad.core.linkstate.LinkPolicy;
+import org.mallowroad.core.linkstate.LinkStateTable;
+import org.mallowroad.core.linkstate.RouteSelector;
+import org.mallowroad.net.RequestSender;
 
 /** What a failed call says of the direct way to a party. */
-final class DetourTest {
-  private static DynamicTest rule(String name, Consumer<Caller.Answer> outcome, boolean astray) {
+final class RelayedCallerTest {
+  private static DynamicTest rule(
+      String name, Consumer<RequestSender.Answer> outcome, boolean astray) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          Clockwork.Process loop = new Clockwork().new Process();
-          Links links =
-              new Links(LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, loop.now());
-          Route route = new Route(links, Outside.STATE);
-          Caller direct =
-              new Caller() {
+          SteppedClock.Process loop = new SteppedClock().new Process();
+          LinkStateTable links =
+              new LinkStateTable(
+                  LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, loop.now());
+          RouteSelector route = new RouteSelector(links, ExternalService.STATE);
+          RequestSender direct =
+              new RequestSender() {
                 @Override
                 public void call(
                     String method, String path, byte[] body, long timeoutMs, Answer answer) {
@@ -36,15 +38,16 @@
                 @Override
                 public void close() {}
               };
-          Detour detour =
-              new Detour(loop, direct, Outside.STATE, route, (p, o, m, path, b, ms, a) -> {}, 400);
+          RelayedCaller detour =
+              new RelayedCaller(
+                  loop, direct, ExternalService.STATE, route, (p, o, m, path, b, ms, a) -> {}, 400);
           List<String> heard = new ArrayList<>();
           detour.call(
               "POST",
               "/multi",
               new byte[0],
               1_500,
-              new Caller.Answer() {
+              new RequestSender.Answer() {
                 @Override
                 public void answered(int status, byte[] body) {
                   heard.add("answered");
@@ -65,7 +68,7 @@
     return Stream.of(
         rule(
             "a caller without a free connection is no sign of a cut",
-            Caller.Answer::exhausted,
+            RequestSender.Answer::exhausted,
             false),
         rule("a call without an answer is one", answer -> answer.failed(true), true));
   }
--- a/src/test/java/org/mallowroad/world/MeetingsTest.java
+++ b/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.world.Fault.Kind;
+import org.mallowroad.simulation.Fault.Kind;
 
 /**
  * Two troubles that meet, each by a written plan on a few seeds: no rule breaks, all are served,
  * and the meeting came about. In these worlds a lease lasts 13 s and a cancellation 28 s. The rows
  * are those of docs/meetings.md, by name.
  */
-final class MeetingsTest {
+final class FaultCombinationsTest {
   private static final int SEEDS = 4;
   private static final int LEADER = -1;
 
@@ -39,26 +39,26 @@
     return new Fault(Kind.CANCEL_NOW, atMs, forMs, 0, 0, "a", "hang", 0, 8);
   }
 
-  private static Function<Long, Plan> of(Fault... faults) {
-    return seed -> new Plan(seed, 3, 10, 24, true, List.of(faults));
+  private static Function<Long, Scenario> of(Fault... faults) {
+    return seed -> new Scenario(seed, 3, 10, 24, true, List.of(faults));
   }
 
-  private static Function<Long, Plan> withoutLinks(Fault... faults) {
-    return seed -> new Plan(seed, 3, 10, 24, false, List.of(faults));
+  private static Function<Long, Scenario> withoutLinks(Fault... faults) {
+    return seed -> new Scenario(seed, 3, 10, 24, false, List.of(faults));
   }
 
-  private static Function<Long, Plan> crowded(Fault... faults) {
-    return seed -> new Plan(seed, 3, 3, 60, true, List.of(faults));
+  private static Function<Long, Scenario> crowded(Fault... faults) {
+    return seed -> new Scenario(seed, 3, 3, 60, true, List.of(faults));
   }
 
   /** All teams at half of their limits, more work than they admit at once. */
-  private static Function<Long, Plan> tight(Fault... faults) {
-    return seed -> new Plan(seed, 3, 10, 16, true, List.of(faults), 0, 0, 0, 0.5);
+  private static Function<Long, Scenario> tight(Fault... faults) {
+    return seed -> new Scenario(seed, 3, 10, 16, true, List.of(faults), 0, 0, 0, 0.5);
   }
 
-  private static World.Result play(Plan plan) {
+  private static Simulation.Result play(Scenario plan) {
     try {
-      return new World(plan).play();
+      return new Simulation(plan).play();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -66,11 +66,11 @@
 
   /** On all seeds nothing breaks; on at least one {@code came} is seen. */
   private static DynamicTest row(
-      String name, Function<Long, Plan> plan, Predicate<World.Result> came) {
+      String name, Function<Long, Scenario> plan, Predicate<Simulation.Result> came) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          List<World.Result> all =
+          List<Simulation.Result> all =
               LongStream.rangeClosed(1, SEEDS)
                   .parallel()
                   .mapToObj(seed -> play(plan.apply(seed)))
@@ -80,19 +80,20 @@
           assertEquals(List.of(), bad);
           assertTrue(
               all.stream().anyMatch(came),
-              () -> "the meeting came about: " + all.stream().map(World.Result::line).toList());
+              () ->
+                  "the meeting came about: " + all.stream().map(Simulation.Result::line).toList());
         });
   }
 
-  private static Predicate<World.Result> cancelled(int jobs) {
+  private static Predicate<Simulation.Result> cancelled(int jobs) {
     return r -> r.cancelled() >= jobs;
   }
 
-  private static Predicate<World.Result> terms(int terms) {
+  private static Predicate<Simulation.Result> terms(int terms) {
     return r -> r.terms() >= terms;
   }
 
-  private static Predicate<World.Result> killed() {
+  private static Predicate<Simulation.Result> killed() {
     return r -> r.killed() > 0;
   }
 
@@ -358,11 +359,11 @@
             r -> r.unfinished() == 0));
   }
 
-  private static Predicate<World.Result> looks(int jobs) {
+  private static Predicate<Simulation.Result> looks(int jobs) {
     return r -> r.looks() >= jobs;
   }
 
-  private static Predicate<World.Result> kept(int reports) {
+  private static Predicate<Simulation.Result> kept(int reports) {
     return r -> r.keptReports() >= reports;
   }
 
@@ -380,7 +381,7 @@
                 looks,
                 atEnd,
                 fault(Kind.STATE_REFUSES, 15_000, 15_000),
-                fault(Kind.STATE_REFUSES, 32_000, 15_000, Plan.FOLLOWER, 1),
+                fault(Kind.STATE_REFUSES, 32_000, 15_000, Scenario.FOLLOWER, 1),
                 cancel(33_000)),
             looks(15).and(cancelled(6))),
         row(
@@ -565,11 +566,11 @@
   void overload() {
     int carried = done(overloaded(1));
     for (int times : new int[] {2, 4, 7}) {
-      List<World.Result> all = overloaded(times);
+      List<Simulation.Result> all = overloaded(times);
       List<String> broken =
           all.stream()
               .flatMap(r -> r.breaches().stream())
-              .map(Checker.Breach::rule)
+              .map(InvariantChecker.Breach::rule)
               .filter(rule -> !rule.equals("served")) // Jobs that were turned away are not.
               .distinct()
               .toList();
@@ -578,16 +579,16 @@
     }
   }
 
-  private static List<World.Result> overloaded(int times) {
+  private static List<Simulation.Result> overloaded(int times) {
     Fault jobs = fault(Kind.SINGLE_JOBS, 15_000, 15_000, 0, 25 * times);
     return LongStream.rangeClosed(1, 3)
         .parallel()
-        .mapToObj(seed -> play(new Plan(seed, 3, 16, 12, true, List.of(jobs))))
+        .mapToObj(seed -> play(new Scenario(seed, 3, 16, 12, true, List.of(jobs))))
         .toList();
   }
 
-  private static int done(List<World.Result> all) {
-    return all.stream().mapToInt(World.Result::done).sum();
+  private static int done(List<Simulation.Result> all) {
+    return all.stream().mapToInt(Simulation.Result::done).sum();
   }
 
   /** One-task jobs as fast as the users' page has them. */
--- a/src/test/java/org/mallowroad/world/RatingModelTest.java
+++ b/src/test/java/org/mallowroad/simulation/RatingModelTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,18 +13,19 @@
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
-import org.mallowroad.standin.Store;
+import org.mallowroad.fake.InMemoryKeyValueStore;
 import org.mallowroad.state.Records;
-import org.mallowroad.wire.BadMessage;
 import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
 /** What the judge of folds and prints must see: each mutant of a good store breaks one rule. */
 final class RatingModelTest {
   /** Two jobs that fold game 0 and 1 of one member, and a print that waits for the first. */
   private static final class Told {
-    final Store store = new Store();
-    final Checker checker = new Checker(() -> 1_000, Map.of("blue", 99.0), 10_000);
+    final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
+    final InvariantChecker checker =
+        new InvariantChecker(() -> 1_000, Map.of("blue", 99.0), 10_000);
     final RatingModel model = new RatingModel(checker, store);
 
     Told() {
@@ -32,7 +33,8 @@
       model.wants("job-2", List.of(new RatingModel.Want(1, "m", 1)));
       model.prints("job-3", List.of("job-1"));
       for (String j : List.of("job-1", "job-2", "job-3")) {
-        checker.submits(new Checker.Submitted(j, "blue", "c", 1, 1, null, false, false, 0));
+        checker.submits(
+            new InvariantChecker.Submitted(j, "blue", "c", 1, 1, null, false, false, 0));
         checker.submitted(j, 201, "queued", 0);
       }
       sides("job-1", "job-2");
@@ -59,7 +61,7 @@
       }
       try {
         store.serve("POST", "/multi", Json.bytes(t), 0);
-      } catch (BadMessage e) {
+      } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
     }
@@ -79,7 +81,7 @@
           mutant.accept(t);
           t.model.end();
           List<String> rules =
-              t.checker.breaches().stream().map(Checker.Breach::rule).distinct().toList();
+              t.checker.breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList();
           assertEquals(rule.isEmpty() ? List.of() : List.of(rule), rules);
         });
   }
--- a/src/test/java/org/mallowroad/world/WorldTest.java
+++ b/src/test/java/org/mallowroad/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.world;
+package org.mallowroad.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Histories of failing machines with fixed seeds, and what the checker must see. */
-final class WorldTest {
+final class SimulationTest {
   private static final int HISTORIES = 60;
 
-  private static World.Result play(Plan plan) {
+  private static Simulation.Result play(Scenario plan) {
     try {
-      return new World(plan).play();
+      return new Simulation(plan).play();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -36,9 +36,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Plan.drawn(seed, true)))
+            .mapToObj(seed -> play(Scenario.drawn(seed, true)))
             .filter(r -> !r.good())
-            .map(World.Result::line)
+            .map(Simulation.Result::line)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -49,9 +49,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Plan.restarts(seed, true)))
+            .mapToObj(seed -> play(Scenario.restarts(seed, true)))
             .filter(r -> !r.good())
-            .map(World.Result::line)
+            .map(Simulation.Result::line)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -63,7 +63,7 @@
   @Test
   void whatTheFirstRestartsFoundStaysMended() {
     for (long seed : new long[] {350, 600, 1319}) {
-      World.Result r = play(Plan.restarts(seed, true));
+      Simulation.Result r = play(Scenario.restarts(seed, true));
       assertEquals(List.of(), r.breaches());
       assertEquals(0, r.unfinished());
     }
@@ -78,9 +78,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, 24)
             .parallel()
-            .mapToObj(seed -> play(new Plan(seed, 3, 10, 40, true, List.of(copies, end, die))))
+            .mapToObj(seed -> play(new Scenario(seed, 3, 10, 40, true, List.of(copies, end, die))))
             .filter(r -> !r.good())
-            .map(World.Result::line)
+            .map(Simulation.Result::line)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -88,17 +88,17 @@
   @Test
   void theSameSeedGivesTheSameHistory() {
     for (long seed : new long[] {3, 8}) {
-      String line = play(Plan.drawn(seed, true)).line();
-      assertEquals(line, play(Plan.drawn(seed, true)).line());
-      assertNotEquals(line, play(Plan.drawn(seed + 1, true)).line());
+      String line = play(Scenario.drawn(seed, true)).line();
+      assertEquals(line, play(Scenario.drawn(seed, true)).line());
+      assertNotEquals(line, play(Scenario.drawn(seed + 1, true)).line());
     }
   }
 
   @Test
   void noCutOfOneNodeFromOnePartyCostsATakeoverOrALease() {
     List<String> bad =
-        Plan.matrix(5, true).parallelStream()
-            .map(WorldTest::play)
+        Scenario.matrix(5, true).parallelStream()
+            .map(SimulationTest::play)
             .filter(r -> !r.good() || r.terms() > 1 || r.killed() > 0)
             .map(r -> r.plan().faults() + " " + r.line())
             .toList();
@@ -109,18 +109,18 @@
   @Test
   void withoutTheWaysRoundTheSameCutsCostTakeovers() {
     long terms =
-        Plan.matrix(5, false).parallelStream()
-            .map(WorldTest::play)
-            .mapToLong(World.Result::terms)
+        Scenario.matrix(5, false).parallelStream()
+            .map(SimulationTest::play)
+            .mapToLong(Simulation.Result::terms)
             .sum();
-    assertTrue(terms > Plan.matrix(5, false).size() + 10, "terms: " + terms);
+    assertTrue(terms > Scenario.matrix(5, false).size() + 10, "terms: " + terms);
   }
 
   /** Found by seeds 410 and 1820 of the first 2,000: attempts of an earlier session stayed. */
   @Test
   void whatTheFirstHistoriesFoundStaysMended() {
     for (long seed : new long[] {410, 1820}) {
-      World.Result r = play(Plan.drawn(seed, true));
+      Simulation.Result r = play(Scenario.drawn(seed, true));
       assertEquals(List.of(), r.breaches());
       assertEquals(0, r.unfinished());
     }
@@ -133,9 +133,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, 24)
             .parallel()
-            .mapToObj(seed -> play(new Plan(seed, 3, 10, 60, true, List.of(alone))))
+            .mapToObj(seed -> play(new Scenario(seed, 3, 10, 60, true, List.of(alone))))
             .filter(r -> !r.good())
-            .map(World.Result::line)
+            .map(Simulation.Result::line)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -149,9 +149,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Plan.unheard(seed, true)))
+            .mapToObj(seed -> play(Scenario.unheard(seed, true)))
             .filter(r -> !r.good() || r.recoveryMs() > 30_000)
-            .map(World.Result::line)
+            .map(Simulation.Result::line)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -161,7 +161,7 @@
    */
   @Test
   void whatTheFirstHistoriesOfTheUnheardFoundStaysMended() {
-    World.Result r = play(Plan.unheard(166, true));
+    Simulation.Result r = play(Scenario.unheard(166, true));
     assertEquals(List.of(), r.breaches());
     assertEquals(0, r.unfinished());
   }
@@ -172,9 +172,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Plan.ratings(seed, true)))
+            .mapToObj(seed -> play(Scenario.ratings(seed, true)))
             .filter(r -> !r.good())
-            .map(World.Result::line)
+            .map(Simulation.Result::line)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -182,28 +182,30 @@
   /** Many machines want the same large images; givers die, hang, go deaf; most workers hand on. */
   @Test
   void noRuleBreaksWhileManyMachinesWantTheSameImages() {
-    List<World.Result> all =
+    List<Simulation.Result> all =
         LongStream.rangeClosed(1, HISTORIES / 2)
             .parallel()
-            .mapToObj(seed -> play(Plan.waves(seed, true)))
+            .mapToObj(seed -> play(Scenario.waves(seed, true)))
             .toList();
-    assertEquals(List.of(), all.stream().filter(r -> !r.good()).map(World.Result::line).toList());
-    assertTrue(all.stream().mapToLong(World.Result::taken).sum() > 100, "images were handed on");
+    assertEquals(
+        List.of(), all.stream().filter(r -> !r.good()).map(Simulation.Result::line).toList());
+    assertTrue(
+        all.stream().mapToLong(Simulation.Result::taken).sum() > 100, "images were handed on");
   }
 
   @Test
   void aPlanSurvivesItsFile(@TempDir Path dir) throws IOException {
-    Plan plan = Plan.drawn(12, true);
+    Scenario plan = Scenario.drawn(12, true);
     Path f = dir.resolve("plan.toml");
     Files.writeString(f, plan.toml());
-    assertEquals(plan, Plan.load(f.toString()));
+    assertEquals(plan, Scenario.load(f.toString()));
   }
 
   /** An earlier build, led by which those tasks would start again, keeps all from writing them. */
   @Test
   void sharedStartsAreWrittenOnlyOnceEveryNodeReadsThem() throws IOException {
     for (boolean older : new boolean[] {false, true}) {
-      World world = new World(new Plan(1, 3, 10, 24, true, List.of()));
+      Simulation world = new Simulation(new Scenario(1, 3, 10, 24, true, List.of()));
       if (older) {
         // Two of them: whoever leads has one among its peers.
         world.unknownMessage(1, "/reads-shared-starts");
@@ -219,7 +221,7 @@
   void anAnswerThatIsOlderThanAnotherNodesIsSeen() throws IOException {
     Fault looks = new Fault(Fault.Kind.CLOSE_LOOKS, 1_000, 100_000, 0, 0, "a", "", 0, 1);
     Fault atEnd = new Fault(Fault.Kind.CANCEL_AT_END, 1_000, 100_000, 0, 0, "a", "", 0, 1);
-    World world = new World(new Plan(3, 3, 10, 24, true, List.of(looks, atEnd)));
+    Simulation world = new Simulation(new Scenario(3, 3, 10, 24, true, List.of(looks, atEnd)));
     Map<String, byte[]> before = new HashMap<>();
     world.filterAnswers(
         (from, target, body) -> {
@@ -231,14 +233,14 @@
         });
     assertEquals(
         List.of("went_back"),
-        world.play().breaches().stream().map(Checker.Breach::rule).distinct().toList());
+        world.play().breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList());
   }
 
   /** A history told by hand, with the clock in hand. */
   private static final class Told {
     private long now;
-    private final Checker checker =
-        new Checker(() -> now, Map.of("red", 4.0, "green", 100.0), 10_000);
+    private final InvariantChecker checker =
+        new InvariantChecker(() -> now, Map.of("red", 4.0, "green", 100.0), 10_000);
 
     Told() {
       submit("job-1", "red", 2, 2, null, false);
@@ -248,7 +250,7 @@
     private void submit(
         String id, String team, int tasks, double cpus, String zone, boolean together) {
       checker.submits(
-          new Checker.Submitted(id, team, "c", tasks, cpus, zone, together, false, now));
+          new InvariantChecker.Submitted(id, team, "c", tasks, cpus, zone, together, false, now));
       checker.submitted(id, 201, "queued", now);
     }
 
@@ -281,7 +283,7 @@
           mutant.accept(t);
           t.checker.end(250_000);
           List<String> rules =
-              t.checker.breaches().stream().map(Checker.Breach::rule).distinct().toList();
+              t.checker.breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList();
           assertEquals(rule.isEmpty() ? List.of() : List.of(rule), rules);
         });
   }
@@ -492,16 +494,16 @@
   private static List<String> waits(
       int tasks, double cpus, String zone, boolean gang, String team, long ms) {
     Told t = new Told();
-    Timeline time = new Timeline();
+    EventQueue time = new EventQueue();
     List<WorkerModel> up =
-        Plan.ZONES.stream()
+        Scenario.ZONES.stream()
             .map(
                 z ->
                     new WorkerModel(
                         time,
                         null,
                         new SplittableRandom(1),
-                        List.of(new SimHost(time, null, e -> null, 0, "n0", z, 0, 0)),
+                        List.of(new SimulatedEnvironment(time, null, e -> null, 0, "n0", z, 0, 0)),
                         null,
                         t.checker,
                         2_000,
@@ -512,15 +514,15 @@
             .toList();
     up.forEach(WorkerModel::up);
     t.checker.submits(
-        new Checker.Submitted("job-2", team, "c", tasks, cpus, zone, gang, gang, t.now));
+        new InvariantChecker.Submitted("job-2", team, "c", tasks, cpus, zone, gang, gang, t.now));
     t.checker.submitted("job-2", 201, "queued", t.now);
-    Waiting w = new Waiting(t.checker, () -> up, id -> false);
+    StarvationCheck w = new StarvationCheck(t.checker, () -> up, id -> false);
     for (t.now = 0; t.now <= 5_000 + ms; t.now += 1_000) {
       w.look(t.now, 5_000);
     }
     return t.checker.breaches().stream()
         .filter(b -> b.what().startsWith("job-2"))
-        .map(Checker.Breach::rule)
+        .map(InvariantChecker.Breach::rule)
         .toList();
   }
 
--- a/src/test/java/org/mallowroad/state/RepeatedTransactionTest.java
+++ b/src/test/java/org/mallowroad/state/TransactionRetryTest.java
@@ -9,16 +9,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.Clockwork;
-import org.mallowroad.state.StateStore.Txn;
+import org.mallowroad.SteppedClock;
+import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.wire.Json;
 
 /** Transactions whose answers are lost, and what their callers hear of them. */
-final class RepeatedTransactionTest {
+final class TransactionRetryTest {
   private static final class Here {
-    private final Clockwork c = new Clockwork();
-    private final Clockwork.Process p = c.new Process();
-    private final StateStore state = new StateStore(p, p, p);
+    private final SteppedClock c = new SteppedClock();
+    private final SteppedClock.Process p = c.new Process();
+    private final KeyValueStore state = new KeyValueStore(p, p, p);
     private final List<String> heard = new ArrayList<>();
     private int copies;
 
@@ -31,7 +31,7 @@
     }
 
     private void put(String key) {
-      Txn txn = new Txn().given(key, 0).put(key, Json.object());
+      Transaction txn = new Transaction().given(key, 0).put(key, Json.object());
       long sent = c.now;
       state.runRepeated(
           txn,
