--- a/src/test/java/org/mallowroad/wire/JobCodecTest.java
+++ b/src/test/java/org/mallowroad/wire/JobCodecTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.Names;
+import org.mallowroad.core.NameIndex;
 
 /** What bad submissions get. */
 final class JobCodecTest {
@@ -25,15 +25,15 @@
        "due_s":900.0}
       """;
 
-  private static JobSpec decode(String json) throws BadMessage {
-    Names teams = new Names();
+  private static JobSpec decode(String json) throws InvalidMessageException {
+    NameIndex teams = new NameIndex();
     teams.intern("vision");
-    return new JobCodec(teams, new Names(), new Names(), new Names(), new Names())
+    return new JobCodec(teams, new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex())
         .decode(Json.parseObject(json.getBytes(StandardCharsets.UTF_8)), 1);
   }
 
   @Test
-  void aGoodOneIsTaken() throws BadMessage {
+  void aGoodOneIsTaken() throws InvalidMessageException {
     JobSpec s = decode(GOOD);
     assertEquals(16, s.tasks());
     assertEquals(1, s.priority());
@@ -43,7 +43,7 @@
 
   /** What a submission must have, and what it may not be; what may be null may be absent. */
   @Test
-  void eachFieldIsJudgedByItsName() throws BadMessage {
+  void eachFieldIsJudgedByItsName() throws InvalidMessageException {
     ObjectNode good = Json.parseObject(GOOD.getBytes(StandardCharsets.UTF_8));
     Set<String> optional = Set.of("builds", "ground", "due_s");
     for (Iterator<String> it = good.fieldNames(); it.hasNext(); ) {
@@ -70,12 +70,14 @@
   private static void refused(ObjectNode good, String field, Consumer<ObjectNode> wrong) {
     ObjectNode o = good.deepCopy();
     wrong.accept(o);
-    BadMessage e = assertThrows(BadMessage.class, () -> CODEC.check(o), field + ": " + o);
+    InvalidMessageException e =
+        assertThrows(InvalidMessageException.class, () -> CODEC.check(o), field + ": " + o);
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
   private static final JobCodec CODEC =
-      new JobCodec(new Names(), new Names(), new Names(), new Names(), new Names());
+      new JobCodec(
+          new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex());
 
   @ParameterizedTest
   @CsvSource(
@@ -86,7 +88,7 @@
         "\"due_s\":900.0|\"due_s\":null",
         "\"due_s\":900.0|\"due_s\":900.0,\"later\":{}",
       })
-  void whatMayBeLeftOutMay(String from, String to) throws BadMessage {
+  void whatMayBeLeftOutMay(String from, String to) throws InvalidMessageException {
     decode(GOOD.replace(from, to == null ? "" : to));
   }
 
@@ -114,7 +116,7 @@
       })
   void aWrongFieldIsNamed(String from, String to, String field) {
     String json = GOOD.replace(from, to == null ? "" : to);
-    BadMessage e = assertThrows(BadMessage.class, () -> decode(json));
+    InvalidMessageException e = assertThrows(InvalidMessageException.class, () -> decode(json));
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
@@ -140,19 +142,20 @@
         "\"k\"|7|holds.games[0].league",
         "\"jobs\":[\"job-1\"],\"games\":[{\"league\":\"k\",\"up_to\":9}]||holds.jobs",
       })
-  void aWrongTieIsNamed(String from, String to, String field) throws BadMessage {
-    Names teams = new Names();
+  void aWrongTieIsNamed(String from, String to, String field) throws InvalidMessageException {
+    NameIndex teams = new NameIndex();
     teams.intern("vision");
-    JobCodec codec = new JobCodec(teams, new Names(), new Names(), new Names(), new Names());
+    JobCodec codec =
+        new JobCodec(teams, new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex());
     String good = GOOD.trim().replaceFirst("\\{", TIED);
     JobSpec s = codec.check(Json.parseObject(good.getBytes(StandardCharsets.UTF_8)));
     assertEquals(1, s.ties().leagues().size());
     assertEquals(9, s.ties().highest().get("k"));
     assertTrue(good.contains(from), "the row changes something");
     String bad = good.replace(from, to == null ? "" : to);
-    BadMessage e =
+    InvalidMessageException e =
         assertThrows(
-            BadMessage.class,
+            InvalidMessageException.class,
             () -> codec.check(Json.parseObject(bad.getBytes(StandardCharsets.UTF_8))));
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
@@ -162,9 +165,9 @@
       delimiter = '|',
       value = {"|not JSON", "{|not JSON", "[]|not an object", "{} {}|not JSON", "5|not an object"})
   void whatIsNoObjectIsRefused(String json, String reason) {
-    BadMessage e =
+    InvalidMessageException e =
         assertThrows(
-            BadMessage.class,
+            InvalidMessageException.class,
             () ->
                 Json.parseObject(
                     (json == null ? "{\"a\"" : json).getBytes(StandardCharsets.UTF_8)));
