--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -35,8 +35,8 @@
         id,
         new JobLookup.RecordListener() {
           @Override
-          public void open(JsonNode value, long mark) {
-            commit(x, id, value, mark, retries);
+          public void open(JsonNode value, long version) {
+            commit(x, id, value, version, retries);
           }
 
           @Override
@@ -56,21 +56,21 @@
         });
   }
 
-  private void commit(Responder x, String id, JsonNode value, long mark, int retries) {
-    Transaction txn =
+  private void commit(Responder x, String id, JsonNode value, long version, int retries) {
+    Transaction transaction =
         new Transaction()
-            .given(Records.open(id), mark)
+            .given(Records.open(id), version)
             .given(Records.end(id), 0)
             .put(Records.end(id), Records.endValue(false, 0, value))
             .delete(Records.open(id));
     if (value.path("job").has(DependencyCodec.HOLDS)) {
-      txn.delete(Records.held(id)).delete(Records.release(id));
+      transaction.delete(Records.held(id)).delete(Records.release(id));
     }
-    writes.force(txn.writes(), loop.now());
+    writes.force(transaction.writes(), loop.now());
     // Sent twice when an answer is late; one of the two that fails is read as what it found.
     state.runRepeated(
-        txn,
-        () -> writes.force(txn.writes(), loop.now()),
+        transaction,
+        () -> writes.force(transaction.writes(), loop.now()),
         (result, revision, failed) -> {
           if (result == Result.OK) {
             lookup.ended(id, false);
--- a/src/main/java/org/mallowroad/api/FoldBlocks.java
+++ b/src/main/java/org/mallowroad/api/FoldBlocks.java
@@ -27,7 +27,7 @@
   private final KeyValueStore state;
   private final int ops;
   private final Map<BlockKey, Block> blocks = new TreeMap<>();
-  private final Map<BlockKey, Long> marks = new HashMap<>();
+  private final Map<BlockKey, Long> versions = new HashMap<>();
   private String wrong;
 
   /** Of transactions with at most {@code ops} puts and deletes. */
@@ -83,7 +83,7 @@
   private boolean take(BlockKey k, KeyValueStore.VersionedValue item) {
     try {
       blocks.put(k, FoldCodec.decode(item.value()));
-      marks.put(k, item.mark());
+      versions.put(k, item.version());
       return true;
     } catch (InvalidMessageException e) {
       wrong = "block " + Records.fold(k) + " cannot be read: " + e.getMessage();
@@ -92,14 +92,14 @@
   }
 
   /** Writes blocks under their marks. */
-  void write(Transaction txn, Map<BlockKey, Block> some) {
+  void write(Transaction transaction, Map<BlockKey, Block> some) {
     some.forEach(
         (k, b) -> {
-          txn.given(Records.fold(k), marks.get(k));
+          transaction.given(Records.fold(k), versions.get(k));
           if (b.sides().isEmpty()) {
-            txn.delete(Records.fold(k));
+            transaction.delete(Records.fold(k));
           } else {
-            txn.put(Records.fold(k), FoldCodec.encode(b));
+            transaction.put(Records.fold(k), FoldCodec.encode(b));
           }
         });
   }
@@ -109,7 +109,7 @@
     some.forEach(
         (k, b) -> {
           blocks.put(k, b);
-          marks.put(k, b.sides().isEmpty() ? 0 : revision);
+          versions.put(k, b.sides().isEmpty() ? 0 : revision);
         });
   }
 
--- a/src/main/java/org/mallowroad/api/FoldClaim.java
+++ b/src/main/java/org/mallowroad/api/FoldClaim.java
@@ -32,7 +32,7 @@
 final class FoldClaim {
   /** Answers a caller that is left to go on. */
   private interface Got {
-    void got(JsonNode value, long mark);
+    void got(JsonNode value, long version);
   }
 
   /**
@@ -52,9 +52,9 @@
   private final Collection<BlockKey> keys;
   private final String hash;
   private final Folding.Done done;
-  private final JobDependencies ties;
+  private final JobDependencies dependencies;
   private final FoldBlocks blocks;
-  private final Map<String, JobOutcome> fates = new HashMap<>();
+  private final Map<String, JobOutcome> jobOutcomes = new HashMap<>();
 
   /** The mark of its intent; 0 while it has none. */
   private long intent;
@@ -72,14 +72,14 @@
       String id,
       ObjectNode value,
       List<Game> games,
-      JobDependencies ties,
+      JobDependencies dependencies,
       Folding.Done done) {
     this.folding = folding;
     this.loop = folding.loop;
     this.state = folding.state;
     this.writes = folding.writes;
     this.blocks = new FoldBlocks(state, folding.ops);
-    this.ties = ties;
+    this.dependencies = dependencies;
     this.id = id;
     this.value = value;
     this.games = games;
@@ -107,14 +107,14 @@
    * judged again, and sees the first.
    */
   private void readHolds(Runnable next) {
-    if (!ties.held()) {
+    if (!dependencies.held()) {
       next.run();
       return;
     }
     get(
         Records.HOLD_ORDER,
-        (v, mark) -> {
-          order = mark;
+        (v, version) -> {
+          order = version;
           state.list(
               Records.HELD,
               (result, items, revision) -> {
@@ -131,7 +131,7 @@
     Map<String, JobDependencies> held = new HashMap<>();
     for (KeyValueStore.VersionedValue i : items) {
       try {
-        held.put(i.key().substring(Records.HELD.length()), DependencyCodec.ties(i.value()));
+        held.put(i.key().substring(Records.HELD.length()), DependencyCodec.dependencies(i.value()));
       } catch (InvalidMessageException e) {
         end(Folding.End.AWAY, i.key() + " cannot be read: " + e.getMessage());
         return;
@@ -141,7 +141,7 @@
       next.run(); // Accepted before: its own record must not look like a circle.
       return;
     }
-    String through = DependencyCycles.closes(id, ties, held);
+    String through = DependencyCycles.closes(id, dependencies, held);
     if (through == null) {
       next.run();
       return;
@@ -158,7 +158,7 @@
   private Map<String, Long> lowest() {
     Map<String, Long> out = new TreeMap<>();
     games.forEach(g -> out.merge(g.league(), g.number(), Math::min));
-    ties.highest().keySet().forEach(l -> out.putIfAbsent(l, Long.MAX_VALUE));
+    dependencies.highest().keySet().forEach(l -> out.putIfAbsent(l, Long.MAX_VALUE));
     return out;
   }
 
@@ -183,10 +183,12 @@
     String l = left.poll();
     get(
         Records.league(l),
-        (v, mark) -> {
+        (v, version) -> {
           Folding.League read =
               new Folding.League(
-                  Folding.fieldsOf(v, Records.UP_TO), Folding.fieldsOf(v, Records.CHANGES), mark);
+                  Folding.fieldsOf(v, Records.UP_TO),
+                  Folding.fieldsOf(v, Records.CHANGES),
+                  version);
           mine.put(l, read);
           folding.remember(l, read);
           nextLeague(left, next);
@@ -200,7 +202,7 @@
           if (result != Result.OK) {
             away();
           } else {
-            got.got(item.value(), item.mark());
+            got.got(item.value(), item.version());
           }
         });
   }
@@ -211,7 +213,7 @@
             id,
             games,
             blocks.all(),
-            j -> fates.containsKey(j) ? fates.get(j) : folding.finals.apply(j));
+            j -> jobOutcomes.containsKey(j) ? jobOutcomes.get(j) : folding.finals.apply(j));
     if (o instanceof Claims.Asks a) {
       ask(new ArrayDeque<>(a.jobs()));
     } else if (o instanceof Claims.Granted g) {
@@ -235,14 +237,14 @@
       return;
     }
     String job = jobs.poll();
-    folding.fate(
+    folding.jobOutcome(
         job,
-        fate -> {
-          if (fate == null) {
+        jobOutcome -> {
+          if (jobOutcome == null) {
             away();
             return;
           }
-          fates.put(job, fate);
+          jobOutcomes.put(job, jobOutcome);
           ask(jobs);
         });
   }
@@ -278,32 +280,32 @@
    * Where holds depend on games that this touches, or this depends on games, the league's record
    * changes with it: what was confirmed for a hold under the mark of before is confirmed no more.
    */
-  private void touch(Transaction txn) {
+  private void touch(Transaction transaction) {
     lowest()
         .forEach(
             (l, game) -> {
               Folding.League known = mine.get(l);
-              txn.given(Records.league(l), known.mark());
-              boolean touches = known.mark() > 0 && game <= known.upTo();
-              long upTo = Math.max(known.upTo(), ties.highest().getOrDefault(l, -1L));
+              transaction.given(Records.league(l), known.version());
+              boolean touches = known.version() > 0 && game <= known.upTo();
+              long upTo = Math.max(known.upTo(), dependencies.highest().getOrDefault(l, -1L));
               if (touches || upTo > known.upTo()) {
                 long changes = Math.max(0, known.changes()) + (touches ? 1 : 0);
-                txn.put(Records.league(l), Records.leagueValue(upTo, changes));
+                transaction.put(Records.league(l), Records.leagueValue(upTo, changes));
               }
             });
-    if (ties.held()) {
-      txn.given(Records.HOLD_ORDER, order);
-      txn.put(Records.HOLD_ORDER, Json.object().put("by", id));
-      txn.put(Records.held(id), DependencyCodec.held(ties));
+    if (dependencies.held()) {
+      transaction.given(Records.HOLD_ORDER, order);
+      transaction.put(Records.HOLD_ORDER, Json.object().put("by", id));
+      transaction.put(Records.held(id), DependencyCodec.held(dependencies));
     }
   }
 
   private void atOnce(Map<BlockKey, Block> changed) {
-    Transaction txn = unknownId().given(Records.intent(id), 0).put(Records.open(id), value);
-    touch(txn);
-    blocks.write(txn, changed);
+    Transaction transaction = unknownId().given(Records.intent(id), 0).put(Records.open(id), value);
+    touch(transaction);
+    blocks.write(transaction, changed);
     send(
-        txn,
+        transaction,
         revision -> accepted(),
         // An intent was begun by an earlier try, perhaps on another node.
         failed -> refused(failed, this::adopt, changed.keySet()));
@@ -353,24 +355,24 @@
   private void adopt() {
     get(
         Records.intent(id),
-        (v, mark) -> {
+        (v, version) -> {
           if (v == null) {
             intent = 0;
             after(() -> blocks.read(keys, this::decide, this::away));
           } else if (v.has(FoldIntents.UNDO) || !v.path("hash").asText().equals(hash)) {
             end(Folding.End.WAITS, "folds: an earlier claim of this job is being given up");
           } else {
-            intent = mark;
+            intent = version;
             blocks.read(keys, this::decide, this::away);
           }
         });
   }
 
   private void step(Map<BlockKey, Block> some) {
-    Transaction txn = new Transaction().given(Records.intent(id), intent);
-    blocks.write(txn, some);
+    Transaction transaction = new Transaction().given(Records.intent(id), intent);
+    blocks.write(transaction, some);
     send(
-        txn,
+        transaction,
         revision -> {
           blocks.written(some, revision);
           decide();
@@ -379,17 +381,17 @@
   }
 
   private void finish() {
-    Transaction txn = unknownId().given(Records.intent(id), intent);
-    txn.put(Records.open(id), value).delete(Records.intent(id));
-    touch(txn);
-    send(txn, revision -> accepted(), failed -> refused(failed, this::gone, List.of()));
+    Transaction transaction = unknownId().given(Records.intent(id), intent);
+    transaction.put(Records.open(id), value).delete(Records.intent(id));
+    touch(transaction);
+    send(transaction, revision -> accepted(), failed -> refused(failed, this::gone, List.of()));
   }
 
   /** Its intent is not what it was: accepted by another try, or given up. */
   private void gone() {
     get(
         Records.intent(id),
-        (v, mark) -> {
+        (v, version) -> {
           if (v == null) {
             end(Folding.End.KNOWN, "");
           } else {
@@ -427,15 +429,15 @@
    * Runs a transaction to a known outcome where it can be had: without an answer the same is sent
    * again, and its marks tell whether the first was applied.
    */
-  private void send(Transaction txn, LongConsumer ok, Consumer<List<String>> no) {
-    long wait = writes.waitMs(txn.writes(), loop.now());
+  private void send(Transaction transaction, LongConsumer ok, Consumer<List<String>> no) {
+    long wait = writes.waitMs(transaction.writes(), loop.now());
     if (wait > 0) {
-      loop.after(wait, () -> send(txn, ok, no));
+      loop.after(wait, () -> send(transaction, ok, no));
       return;
     }
-    writes.force(txn.writes(), loop.now());
+    writes.force(transaction.writes(), loop.now());
     state.run(
-        txn,
+        transaction,
         (result, revision, failed) -> {
           switch (result) {
             case OK -> ok.accept(revision);
@@ -445,7 +447,7 @@
                 away();
               } else {
                 long ms = result == Result.UNKNOWN ? FoldIntents.RETRY_MS : CROWDED_MS;
-                loop.after(ms, () -> send(txn, ok, no));
+                loop.after(ms, () -> send(transaction, ok, no));
               }
             }
           }
--- a/src/main/java/org/mallowroad/api/FoldIntents.java
+++ b/src/main/java/org/mallowroad/api/FoldIntents.java
@@ -44,13 +44,13 @@
    *
    * @param told whether all of it is done; else whoever finds the intent does it again
    */
-  void undo(String id, long mark, Collection<BlockKey> keys, Consumer<Boolean> told) {
+  void undo(String id, long version, Collection<BlockKey> keys, Consumer<Boolean> told) {
     ObjectNode v = Json.object();
     v.put("at", loop.wallMs());
     v.put(UNDO, true);
     v.set("blocks", FoldCodec.blocks(keys));
     state.run(
-        new Transaction().given(Records.intent(id), mark).put(Records.intent(id), v),
+        new Transaction().given(Records.intent(id), version).put(Records.intent(id), v),
         (result, revision, failed) -> {
           if (result == Result.OK) {
             takeOut(id, revision, new ArrayDeque<>(keys), told);
@@ -60,10 +60,10 @@
         });
   }
 
-  private void takeOut(String id, long mark, ArrayDeque<BlockKey> left, Consumer<Boolean> told) {
+  private void takeOut(String id, long version, ArrayDeque<BlockKey> left, Consumer<Boolean> told) {
     if (left.isEmpty()) {
       state.run(
-          new Transaction().given(Records.intent(id), mark).delete(Records.intent(id)),
+          new Transaction().given(Records.intent(id), version).delete(Records.intent(id)),
           (result, revision, failed) -> told.accept(result == Result.OK));
       return;
     }
@@ -85,21 +85,21 @@
                     }
                   });
           if (changed.isEmpty()) {
-            takeOut(id, mark, left, told);
+            takeOut(id, version, left, told);
             return;
           }
           Map<BlockKey, Block> part = b.part(changed, 0);
-          Transaction txn = new Transaction().given(Records.intent(id), mark);
-          b.write(txn, part);
+          Transaction transaction = new Transaction().given(Records.intent(id), version);
+          b.write(transaction, part);
           state.run(
-              txn,
+              transaction,
               (result, revision, failed) -> {
                 if (result == Result.OK
                     || (result == Result.NO && !failed.contains(Records.intent(id)))) {
                   // What is not done, or was changed by others meanwhile, is read once more.
                   some.removeAll(result == Result.OK ? part.keySet() : List.of());
                   left.addAll(some);
-                  loop.after(RETRY_MS, () -> takeOut(id, mark, left, told));
+                  loop.after(RETRY_MS, () -> takeOut(id, version, left, told));
                 } else {
                   told.accept(false);
                 }
--- a/src/main/java/org/mallowroad/api/Folding.java
+++ b/src/main/java/org/mallowroad/api/Folding.java
@@ -84,7 +84,7 @@
   private int claims;
 
   /** A league's record: how far holds depend on its games, and its mark (0: there is none). */
-  record League(long upTo, long changes, long mark) {}
+  record League(long upTo, long changes, long version) {}
 
   /**
    * Over the state service.
@@ -120,13 +120,13 @@
    * @param value the open record, which names the blocks
    */
   public void accept(
-      String id, ObjectNode value, List<Game> games, JobDependencies ties, Done done) {
+      String id, ObjectNode value, List<Game> games, JobDependencies dependencies, Done done) {
     if (claims >= MOST_CLAIMS) {
       done.done(End.AWAY, "too many claims under way");
       return;
     }
     claims++;
-    new FoldClaim(this, id, value, games, ties, done).begin();
+    new FoldClaim(this, id, value, games, dependencies, done).begin();
   }
 
   /** An acceptance is over. */
@@ -166,7 +166,7 @@
   }
 
   /** What has become of a job: null when the state service does not say. */
-  public void fate(String job, Consumer<JobOutcome> told) {
+  public void jobOutcome(String job, Consumer<JobOutcome> told) {
     JobOutcome known = finals.apply(job);
     if (known != null) {
       told.accept(known);
@@ -202,8 +202,8 @@
    *
    * @param told whether all of it is done; else whoever finds the intent does it again
    */
-  public void undo(String id, long mark, Collection<BlockKey> keys, Consumer<Boolean> told) {
-    intents.undo(id, mark, keys, told);
+  public void undo(String id, long version, Collection<BlockKey> keys, Consumer<Boolean> told) {
+    intents.undo(id, version, keys, told);
   }
 
   /** The blocks that an intent names. */
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -31,7 +31,7 @@
   /** What a job's records say. */
   interface RecordListener {
     /** It is open: the value and version of its open record. */
-    void open(JsonNode value, long mark);
+    void open(JsonNode value, long version);
 
     /** It is over. */
     void over(boolean done);
@@ -77,8 +77,8 @@
   }
 
   /** A job was read or written as open. */
-  void opened(String id, long mark) {
-    openJobs.saw(id, mark);
+  void opened(String id, long version) {
+    openJobs.saw(id, version);
   }
 
   /** How many ends of jobs are remembered. */
@@ -92,7 +92,7 @@
   }
 
   /** The remembered end of a job, or null. */
-  JobOutcome fate(String id) {
+  JobOutcome jobOutcome(String id) {
     if (!ends.containsKey(id)) {
       return null;
     }
@@ -135,7 +135,7 @@
     RecordListener reader =
         new RecordListener() {
           @Override
-          public void open(JsonNode value, long mark) {
+          public void open(JsonNode value, long version) {
             unreachable(x); // The end record alone is read.
           }
 
@@ -192,7 +192,7 @@
             reader.failed();
           } else if (open.value() != null) {
             reads.giveBack(); // One call was enough.
-            reader.open(open.value(), open.mark());
+            reader.open(open.value(), open.version());
           } else {
             readEnd(id, reader);
           }
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -53,15 +53,15 @@
     final String id;
 
     /** Version of its open record, or 0 while only its existence was seen. */
-    final long mark;
+    final long version;
 
     int done;
     int running;
     long countedMs = Long.MIN_VALUE / 2;
 
-    Entry(String id, long mark) {
+    Entry(String id, long version) {
       this.id = id;
-      this.mark = mark;
+      this.version = version;
     }
   }
 
@@ -81,7 +81,7 @@
     }
   }
 
-  private record Question(String id, Kind kind, long mark, Listener listener) {
+  private record Question(String id, Kind kind, long version, Listener listener) {
     Question withBoth() {
       return new Question(id, Kind.BOTH_RECORDS, 0, listener);
     }
@@ -114,10 +114,10 @@
   }
 
   /** The job was read or written as open with this version. */
-  Entry saw(String id, long mark) {
+  Entry saw(String id, long version) {
     Entry entry = jobs.getAndMoveToLast(id);
-    if (entry == null || (mark != 0 && entry.mark != mark)) {
-      entry = new Entry(id, mark);
+    if (entry == null || (version != 0 && entry.version != version)) {
+      entry = new Entry(id, version);
       jobs.putAndMoveToLast(id, entry);
       if (jobs.size() > most) {
         jobs.removeFirst();
@@ -152,8 +152,8 @@
     if (known == null) {
       waiting.add(new Question(id, Kind.BOTH_RECORDS, 0, listener));
     } else {
-      Kind kind = known.mark == 0 ? Kind.OPEN_RECORD : Kind.VERSION;
-      waiting.add(new Question(id, kind, known.mark, listener));
+      Kind kind = known.version == 0 ? Kind.OPEN_RECORD : Kind.VERSION;
+      waiting.add(new Question(id, kind, known.version, listener));
     }
     send();
   }
@@ -201,15 +201,15 @@
       out--;
       return;
     }
-    Transaction txn = new Transaction();
+    Transaction transaction = new Transaction();
     for (Question q : batch) {
-      txn.given(Records.open(q.id), q.mark);
+      transaction.given(Records.open(q.id), q.version);
       if (q.kind == Kind.BOTH_RECORDS) {
-        txn.given(Records.end(q.id), 0);
+        transaction.given(Records.end(q.id), 0);
       }
     }
     state.runRepeated(
-        txn,
+        transaction,
         () -> {},
         (result, revision, failed) -> {
           out--;
@@ -230,7 +230,7 @@
   private boolean answer(Question q, Result result, List<String> failed) {
     if (result == Result.OK && q.kind != Kind.OPEN_RECORD) {
       boolean open = q.kind == Kind.VERSION;
-      q.listener.answered(open ? Status.OPEN : Status.ABSENT, open ? saw(q.id, q.mark) : null);
+      q.listener.answered(open ? Status.OPEN : Status.ABSENT, open ? saw(q.id, q.version) : null);
       return true;
     }
     if (result == Result.OK || (result == Result.NO && !failed.isEmpty())) {
--- a/src/main/java/org/mallowroad/api/ReadQueue.java
+++ b/src/main/java/org/mallowroad/api/ReadQueue.java
@@ -20,19 +20,19 @@
   private record Ask(int calls, long sinceMs, Runnable go, Runnable no) {}
 
   private final EventLoop loop;
-  private final RateLimiter budget;
+  private final RateLimiter rateLimiter;
   private final ArrayDeque<Ask> waiting = new ArrayDeque<>();
   private boolean turning;
 
-  ReadQueue(EventLoop loop, RateLimiter budget) {
+  ReadQueue(EventLoop loop, RateLimiter rateLimiter) {
     this.loop = loop;
-    this.budget = budget;
+    this.rateLimiter = rateLimiter;
   }
 
   /** Runs {@code go} once so many calls may be made, or {@code no} when that takes too long. */
   void take(int calls, Runnable go, Runnable no) {
     long now = loop.now();
-    if (waiting.isEmpty() && budget.take(calls, now)) {
+    if (waiting.isEmpty() && rateLimiter.take(calls, now)) {
       go.run();
     } else if (waiting.size() >= MOST_WAITING) {
       no.run();
@@ -44,22 +44,22 @@
 
   /** How long a call that is asked for now waits for its turn. */
   long delayMs() {
-    double calls = 1 - budget.ready(loop.now());
+    double calls = 1 - rateLimiter.ready(loop.now());
     for (Ask a : waiting) {
       calls += a.calls;
     }
-    return calls <= 0 ? 0 : Math.round(1000 * calls / budget.perSecond());
+    return calls <= 0 ? 0 : Math.round(1000 * calls / rateLimiter.perSecond());
   }
 
   /** Takes a call for what is merely nice to know: only while half of them are unused. */
   boolean spare(double burst) {
     long now = loop.now();
-    return waiting.isEmpty() && budget.ready(now) >= burst / 2 && budget.take(1, now);
+    return waiting.isEmpty() && rateLimiter.ready(now) >= burst / 2 && rateLimiter.take(1, now);
   }
 
   /** A call that was taken and not made. */
   void giveBack() {
-    budget.force(-1, loop.now());
+    rateLimiter.force(-1, loop.now());
   }
 
   private void later() {
@@ -77,7 +77,7 @@
       if (now - a.sinceMs > PATIENCE_MS) {
         waiting.poll();
         a.no.run();
-      } else if (budget.take(a.calls, now)) {
+      } else if (rateLimiter.take(a.calls, now)) {
         waiting.poll();
         a.go.run();
       } else {
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -84,7 +84,7 @@
       return;
     }
     String id = parsed.spec.id();
-    if (lookup.fate(id) != null) {
+    if (lookup.jobOutcome(id) != null) {
       lookup.answer(x, id, () -> JobLookup.unreachable(x));
       return;
     }
@@ -98,7 +98,7 @@
       lookup.answer(x, id, () -> x.answer(422, Reply.reason(hopeless), false));
       return;
     }
-    if (parsed.spec.ties() == JobDependencies.NONE && lookup.prompt()) {
+    if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.prompt()) {
       // A repeated submission costs a write of the service's budget even when it fails, and this
       // question none; where questions wait long it is not asked, since the submission would too.
       Runnable record = () -> record(x, parsed);
@@ -111,7 +111,7 @@
   private Parsed parse(ObjectNode o) throws InvalidMessageException {
     JobSpec spec = jobs.check(o);
     List<Game> games = FoldCodec.games(o);
-    if (spec.ties().folds().size() > Folding.MOST_LEAGUES) {
+    if (spec.dependencies().folds().size() > Folding.MOST_LEAGUES) {
       throw new InvalidMessageException("folds: at most " + Folding.MOST_LEAGUES + " leagues");
     }
     ObjectNode value = Records.openValue(o, loop.wallMs());
@@ -144,7 +144,7 @@
       x.answer(429, Reply.reason("too many submissions"), true);
       return;
     }
-    if (parsed.spec.ties() == JobDependencies.NONE) {
+    if (parsed.spec.dependencies() == JobDependencies.NONE) {
       accept(x, parsed.spec.id(), parsed.value, 0);
     } else {
       acceptTied(x, parsed);
@@ -158,7 +158,7 @@
         id,
         parsed.value,
         parsed.games,
-        parsed.spec.ties(),
+        parsed.spec.dependencies(),
         (end, reason) -> {
           switch (end) {
             case ACCEPTED -> x.answer(201, queued(id), false);
@@ -182,7 +182,7 @@
 
   private void accept(Responder x, String id, ObjectNode value, int tries) {
     long sentMs = loop.now();
-    Transaction txn =
+    Transaction transaction =
         new Transaction()
             .given(Records.open(id), 0)
             .given(Records.end(id), 0)
@@ -190,7 +190,7 @@
     // Sent twice when an answer is late: whichever is carried out first makes the other fail, and
     // the job that is found then is this one.
     state.runRepeated(
-        txn,
+        transaction,
         () -> writes.force(1, loop.now()),
         (result, revision, failed) -> {
           if (result == Result.NOT_DONE
--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -61,7 +61,8 @@
       int mostEnds) {
     ReadQueue users = new ReadQueue(loop, reads);
     this.lookup = new JobLookup(loop, state, users, burst, jobs, mostConditions, mostEnds);
-    this.folding = new Folding(loop, state, writes, mostConditions / 4, valueKb, lookup::fate);
+    this.folding =
+        new Folding(loop, state, writes, mostConditions / 4, valueKb, lookup::jobOutcome);
     this.submissions =
         new Submissions(loop, state, lookup, folding, jobs, writes, fairWrites, valueKb, burst);
     this.cancelRequests = new CancelRequests(loop, state, lookup, writes);
--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -29,7 +29,7 @@
   private final EventLoop loop;
   private final LogLimiter garbled = LogLimiter.usual();
   private final RequestSender caller;
-  private final RateLimiter budget;
+  private final RateLimiter rateLimiter;
   private final NameIndex typeNames;
   private final NameIndex zoneNames;
   private long wrong;
@@ -63,10 +63,14 @@
 
   /** Over a caller, within a budget. */
   public CloudClient(
-      EventLoop loop, RequestSender caller, RateLimiter budget, NameIndex types, NameIndex zones) {
+      EventLoop loop,
+      RequestSender caller,
+      RateLimiter rateLimiter,
+      NameIndex types,
+      NameIndex zones) {
     this.loop = loop;
     this.caller = caller;
-    this.budget = budget;
+    this.rateLimiter = rateLimiter;
     this.typeNames = types;
     this.zoneNames = zones;
   }
@@ -78,7 +82,7 @@
 
   /** Reads the machine types. */
   public void types(Got<MachineType> got) {
-    if (!budget.take(1, loop.now())) {
+    if (!rateLimiter.take(1, loop.now())) {
       got.got(null);
       return;
     }
@@ -106,7 +110,7 @@
   }
 
   private void page(String from, List<Listed> sofar, Got<Listed> got) {
-    if (!budget.take(1, loop.now())) {
+    if (!rateLimiter.take(1, loop.now())) {
       got.got(null);
       return;
     }
@@ -148,13 +152,14 @@
   }
 
   /** Rents machines under a name that is never used again for another request. */
-  public void rent(String hire, String type, String zone, boolean spot, int count, Rented rented) {
-    if (!budget.take(1, loop.now())) {
+  public void rent(
+      String rental, String type, String zone, boolean spot, int count, Rented rented) {
+    if (!rateLimiter.take(1, loop.now())) {
       rented.rented(null, false);
       return;
     }
     ObjectNode o = Json.object();
-    o.put(Fields.HIRE, hire);
+    o.put(Fields.HIRE, rental);
     o.put(Fields.TYPE, type);
     o.put(Fields.ZONE, zone);
     o.put(Fields.SPOT, spot);
@@ -192,7 +197,7 @@
 
   /** Deletes machines; with true they and all on them are gone. */
   public void delete(List<String> names, java.util.function.Consumer<Boolean> done) {
-    if (!budget.take(1, loop.now())) {
+    if (!rateLimiter.take(1, loop.now())) {
       done.accept(false);
       return;
     }
--- a/src/main/java/org/mallowroad/config/Settings.java
+++ b/src/main/java/org/mallowroad/config/Settings.java
@@ -21,7 +21,7 @@
     List<String> zones,
     List<TeamSetting> teams,
     List<Objective> objectives,
-    double reportS,
+    double heartbeatIntervalS,
     double leaseS,
     double cancelS,
     double stateRps,
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -84,7 +84,7 @@
                 + ": revision "
                 + f.revision()
                 + (f.taken() ? " (taken back) " : " ")
-                + look.fate(f)
+                + look.jobOutcome(f)
                 + (f.base() == null
                     ? ""
                     : "; until then revision "
@@ -115,7 +115,7 @@
       JsonNode term = value(LeaderElection.TERM);
       List<VersionedValue> open = list(Records.OPEN);
       List<VersionedValue> run = list(Records.RUN);
-      List<VersionedValue> hire = list(Records.HIRE);
+      List<VersionedValue> rental = list(Records.HIRE);
       Map<String, int[]> of = new LinkedHashMap<>();
       int attempts = 0;
       for (VersionedValue i : run) {
@@ -140,7 +140,7 @@
           term == null ? 0 : term.path("n").asLong(),
           jobs,
           attempts,
-          hire.size());
+          rental.size());
     }
 
     private JobLine line(VersionedValue i, Map<String, int[]> of) throws InvalidMessageException {
@@ -172,7 +172,7 @@
           "");
     }
 
-    private String fate(Fold f) throws InvalidMessageException {
+    private String jobOutcome(Fold f) throws InvalidMessageException {
       if (f.settled()) {
         return "folded by " + f.job();
       }
--- a/src/main/java/org/mallowroad/console/view/RecordedState.java
+++ b/src/main/java/org/mallowroad/console/view/RecordedState.java
@@ -14,7 +14,7 @@
  * @param term the highest term that was given out
  * @param jobs open jobs; running tasks are not told from starting ones in a record
  * @param attempts attempts that are not resolved
- * @param hires rental requests that are not settled
+ * @param rentals rental requests that are not settled
  */
 public record RecordedState(
     String address,
@@ -26,7 +26,7 @@
     long term,
     List<JobLine> jobs,
     int attempts,
-    int hires) {
+    int rentals) {
 
   /** Nothing was read. */
   public static RecordedState none(String address, String problem) {
--- a/src/main/java/org/mallowroad/console/view/Screen.java
+++ b/src/main/java/org/mallowroad/console/view/Screen.java
@@ -326,7 +326,7 @@
                           + " open jobs, "
                           + r.attempts()
                           + " attempts, "
-                          + r.hires()
+                          + r.rentals()
                           + " rents, "
                           + r.reads()
                           + " reads"
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -58,7 +58,7 @@
    * Forgets the names of images, classes and types that no job and no machine of the ledger has any
    * more, nor the settings, nor the cloud.
    */
-  void keepNames(SchedulerState ledger) {
+  void keepNames(SchedulerState schedulerState) {
     if (names() < MOST_NAMES) {
       return;
     }
@@ -67,10 +67,10 @@
     BitSet usedTypes = new BitSet();
     usedClasses.set(0, ownClasses);
     machineTypes.forEach(t -> usedTypes.set(t.index()));
-    ledger.names(usedImages, usedClasses, usedTypes);
+    schedulerState.names(usedImages, usedClasses, usedTypes);
     images.keep(usedImages);
     classes.keep(usedClasses);
-    ledger.health().runTimes().keep(usedClasses);
+    schedulerState.health().stragglerDetector().keep(usedClasses);
     types.keep(usedTypes);
   }
 
--- a/src/main/java/org/mallowroad/controller/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/CommitTransactionBuilder.java
@@ -41,26 +41,31 @@
 
   /** A chunk as the transaction carries it. */
   record WrittenChunk(
-      AttemptRecord chunk, long changes, boolean deleted, List<Attempt> recorded, JsonNode value) {}
+      AttemptRecord attemptRecord,
+      long changes,
+      boolean deleted,
+      List<Attempt> recorded,
+      JsonNode value) {}
 
   /** A shared record as the transaction carries it; without a value it is deleted. */
-  record WrittenShared(SharedAttemptRecord record, JsonNode value, List<WrittenChunk> chunks) {}
+  record WrittenShared(
+      SharedAttemptRecord record, JsonNode value, List<WrittenChunk> attemptRecords) {}
 
   /** Adds to the transaction what a held job's start needs. */
   interface Guard {
-    void guard(Job job, Transaction txn);
+    void guard(Job job, Transaction transaction);
   }
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final NameIndex zones;
   private final Guard guard;
   private final long now;
   private final int mostWrites;
   private final int mostConditions;
-  private final Transaction txn;
-  private final List<WrittenChunk> chunks = new ArrayList<>();
+  private final Transaction transaction;
+  private final List<WrittenChunk> attemptRecords = new ArrayList<>();
   private final List<WrittenShared> shared = new ArrayList<>();
-  private final ObjectLinkedOpenHashSet<SharedAttemptRecord> sharedRecords =
+  private final ObjectLinkedOpenHashSet<SharedAttemptRecord> sharedAttemptRecords =
       new ObjectLinkedOpenHashSet<>();
   private final List<WrittenChunk> sharedChunks = new ArrayList<>();
   private final ObjectOpenHashSet<AttemptRecord> seen = new ObjectOpenHashSet<>();
@@ -70,30 +75,30 @@
   private int bytes;
 
   CommitTransactionBuilder(
-      SchedulerState ledger,
+      SchedulerState schedulerState,
       NameIndex zones,
       Guard guard,
-      long leaderMark,
+      long leaderVersion,
       int mostWrites,
       int mostConditions,
       long now) {
-    this.ledger = ledger;
+    this.schedulerState = schedulerState;
     this.zones = zones;
     this.guard = guard;
     this.now = now;
     this.mostWrites = mostWrites;
     this.mostConditions = mostConditions;
-    this.txn = new Transaction().given(LeaderElection.LEADER, leaderMark);
+    this.transaction = new Transaction().given(LeaderElection.LEADER, leaderVersion);
   }
 
   /** The transaction, once {@link #finish} was called. */
-  Transaction txn() {
-    return txn;
+  Transaction transaction() {
+    return transaction;
   }
 
   /** Chunks with records of their own. */
-  List<WrittenChunk> chunks() {
-    return chunks;
+  List<WrittenChunk> attemptRecords() {
+    return attemptRecords;
   }
 
   /** Shared records. */
@@ -118,14 +123,14 @@
 
   /** Puts and deletes. */
   int writes() {
-    return txn.writes() + (shared.isEmpty() ? sharedRecords.size() : 0);
+    return transaction.writes() + (shared.isEmpty() ? sharedAttemptRecords.size() : 0);
   }
 
   /** True when nothing was to be recorded. */
   boolean empty() {
-    return chunks.isEmpty()
+    return attemptRecords.isEmpty()
         && sharedChunks.isEmpty()
-        && sharedRecords.isEmpty()
+        && sharedAttemptRecords.isEmpty()
         && ends.isEmpty()
         && deleted.isEmpty();
   }
@@ -135,13 +140,13 @@
   }
 
   private boolean hasConditions(int more) {
-    return txn.conditions() + sharedRecords.size() + more <= mostConditions;
+    return transaction.conditions() + sharedAttemptRecords.size() + more <= mostConditions;
   }
 
   /** Ends that are older than {@code ms}. */
   void addEnds(long ms) {
-    for (Job job : ledger.ending()) {
-      if (full(job.spec.ties().held() ? 4 : 2) || !hasConditions(2)) {
+    for (Job job : schedulerState.ending()) {
+      if (full(job.spec.dependencies().held() ? 4 : 2) || !hasConditions(2)) {
         return;
       }
       long least = ms > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_MS : ms;
@@ -153,25 +158,25 @@
 
   private void addEnd(Job job) {
     String id = job.spec.id();
-    txn.given(Records.open(id), job.mark).given(Records.end(id), 0);
-    txn.put(Records.end(id), Records.endValue(true, job.spec.tasks(), null));
-    txn.delete(Records.open(id));
-    if (job.spec.ties().held()) {
-      txn.delete(Records.held(id)).delete(Records.release(id));
+    transaction.given(Records.open(id), job.version).given(Records.end(id), 0);
+    transaction.put(Records.end(id), Records.endValue(true, job.spec.tasks(), null));
+    transaction.delete(Records.open(id));
+    if (job.spec.dependencies().held()) {
+      transaction.delete(Records.held(id)).delete(Records.release(id));
     }
     ends.add(job);
     bytes += END_BYTES;
-    for (int i = 0; i < job.chunkCount() && !full(1) && hasConditions(1); i++) {
-      AttemptRecord c = job.chunk(i);
-      if (c.mark > 0 && seen.add(c)) {
+    for (int i = 0; i < job.attemptRecordCount() && !full(1) && hasConditions(1); i++) {
+      AttemptRecord c = job.attemptRecord(i);
+      if (c.version > 0 && seen.add(c)) {
         delete(c);
       }
     }
   }
 
   private void delete(AttemptRecord c) {
-    txn.given(Records.run(c), c.mark).delete(Records.run(c));
-    chunks.add(new WrittenChunk(c, c.changes, true, List.of(), null));
+    transaction.given(Records.run(c), c.version).delete(Records.run(c));
+    attemptRecords.add(new WrittenChunk(c, c.changes, true, List.of(), null));
     bytes += KEY_BYTES;
   }
 
@@ -182,7 +187,7 @@
    */
   void addUrgent() {
     int idle = 0;
-    for (AttemptRecord c : ledger.urgent()) {
+    for (AttemptRecord c : schedulerState.urgent()) {
       idle += idle(c) ? 1 : 0;
     }
     addUrgent(false, Math.min(idle, mostWrites / 4));
@@ -191,7 +196,7 @@
   }
 
   private void addUrgent(boolean idle, int left) {
-    for (AttemptRecord c : ledger.urgent()) {
+    for (AttemptRecord c : schedulerState.urgent()) {
       if (full(1 + left)) {
         return;
       }
@@ -208,15 +213,15 @@
   /** What changed at least {@code ms} ago, and leftovers, as far as {@code spare} writes go. */
   void addLazy(long ms, int spare, Object2LongLinkedOpenHashMap<String> leftovers) {
     int most = writes() + spare;
-    for (AttemptRecord c : ledger.dirty()) {
+    for (AttemptRecord c : schedulerState.dirty()) {
       if (full(1) || writes() >= most) {
         return;
       }
-      if (now - c.dirtySinceMs >= ms || (c.job.finished() && c.mark == 0)) {
+      if (now - c.dirtySinceMs >= ms || (c.job.finished() && c.version == 0)) {
         add(c);
       }
     }
-    for (SharedAttemptRecord r : ledger.sharedRecords().all()) {
+    for (SharedAttemptRecord r : schedulerState.sharedAttemptRecords().all()) {
       if (full(1) || writes() >= most) {
         return;
       }
@@ -228,19 +233,19 @@
       if (full(1) || writes() >= most || !hasConditions(1)) {
         return;
       }
-      txn.given(e.getKey(), e.getLongValue()).delete(e.getKey());
+      transaction.given(e.getKey(), e.getLongValue()).delete(e.getKey());
       deleted.add(e.getKey());
       bytes += KEY_BYTES;
     }
   }
 
   private void add(AttemptRecord c) {
-    if (ledger.ending().contains(c.job) || seen.contains(c)) {
+    if (schedulerState.ending().contains(c.job) || seen.contains(c)) {
       return;
     }
     if (c.finished()) {
       addFinished(c);
-    } else if (ledger.sharedRecords().shares(c)) {
+    } else if (schedulerState.sharedAttemptRecords().shares(c)) {
       includeShared(c.shared);
     } else if (hasConditions(2 + GUARD_CONDITIONS)) {
       addOwn(c);
@@ -252,31 +257,31 @@
       return;
     }
     seen.add(c);
-    if (c.mark > 0) {
+    if (c.version > 0) {
       delete(c);
     } else {
-      chunks.add(new WrittenChunk(c, c.changes, true, List.of(), null));
+      attemptRecords.add(new WrittenChunk(c, c.changes, true, List.of(), null));
     }
   }
 
   private void addOwn(AttemptRecord c) {
     List<Attempt> recorded = recording(c);
-    if (!recorded.isEmpty() && c.job.spec.ties().held() && !guarded.contains(c.job)) {
+    if (!recorded.isEmpty() && c.job.spec.dependencies().held() && !guarded.contains(c.job)) {
       if (full(2)) {
         return; // Its release changes with the first start: the next transaction has room.
       }
-      guard.guard(c.job, txn);
+      guard.guard(c.job, transaction);
       guarded.add(c.job);
     }
     seen.add(c);
     c.own = true;
     if (!c.job.cancelled() && !c.job.ended()) {
       // The job must still be open when a start is recorded.
-      txn.given(Records.open(c.job.spec.id()), c.job.mark);
+      transaction.given(Records.open(c.job.spec.id()), c.job.version);
     }
     ObjectNode value = Records.runValue(c, zones);
-    txn.given(Records.run(c), c.mark).put(Records.run(c), value);
-    chunks.add(new WrittenChunk(c, c.changes, false, recorded, value));
+    transaction.given(Records.run(c), c.version).put(Records.run(c), value);
+    attemptRecords.add(new WrittenChunk(c, c.changes, false, recorded, value));
     bytes += Json.text(value).length() + KEY_BYTES;
   }
 
@@ -300,20 +305,20 @@
     for (AttemptRecord c : r.members()) {
       conditions += !seen.contains(c) && c.recording() > 0 ? 1 : 0;
     }
-    if (!hasConditions(conditions) || (!sharedRecords.contains(r) && full(1))) {
+    if (!hasConditions(conditions) || (!sharedAttemptRecords.contains(r) && full(1))) {
       return;
     }
-    sharedRecords.add(r);
+    sharedAttemptRecords.add(r);
     for (AttemptRecord c : r.members()) {
       if (!seen.add(c)) {
         continue;
       }
       List<Attempt> recorded = recording(c);
       if (!recorded.isEmpty()) {
-        txn.given(Records.open(c.job.spec.id()), c.job.mark);
+        transaction.given(Records.open(c.job.spec.id()), c.job.version);
       }
       bytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
-      if (!ledger.ending().contains(c.job)) {
+      if (!schedulerState.ending().contains(c.job)) {
         sharedChunks.add(new WrittenChunk(c, c.changes, c.finished(), recorded, null));
       }
     }
@@ -321,20 +326,20 @@
 
   /** Builds the values of shared records: nothing can be added from then on. */
   void finish() {
-    for (SharedAttemptRecord r : sharedRecords) {
+    for (SharedAttemptRecord r : sharedAttemptRecords) {
       // One that joined when there was no room for its conditions is written with the next one.
       List<AttemptRecord> left =
           r.members().stream().filter(c -> seen.contains(c) && !c.finished()).toList();
       List<WrittenChunk> written =
-          sharedChunks.stream().filter(w -> w.chunk().shared == r).toList();
-      txn.given(Records.starts(r), r.mark);
+          sharedChunks.stream().filter(w -> w.attemptRecord().shared == r).toList();
+      transaction.given(Records.starts(r), r.version);
       if (!left.isEmpty()) {
         JsonNode value = Records.sharedValue(left, zones);
-        txn.put(Records.starts(r), value);
+        transaction.put(Records.starts(r), value);
         shared.add(new WrittenShared(r, value, written));
       } else {
-        if (r.mark > 0) {
-          txn.delete(Records.starts(r));
+        if (r.version > 0) {
+          transaction.delete(Records.starts(r));
         }
         shared.add(new WrittenShared(r, null, written));
       }
--- a/src/main/java/org/mallowroad/controller/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/DependencyGateController.java
@@ -64,9 +64,9 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final Folding folding;
-  private final long mark;
+  private final long version;
   private final Runnable changed;
   private final Runnable deposed;
   private final DependencyGates holds = new DependencyGates();
@@ -78,16 +78,16 @@
   DependencyGateController(
       EventLoop loop,
       KeyValueStore state,
-      SchedulerState ledger,
+      SchedulerState schedulerState,
       Folding folding,
-      long mark,
+      long version,
       Runnable changed,
       Runnable deposed) {
     this.loop = loop;
     this.state = state;
-    this.ledger = ledger;
+    this.schedulerState = schedulerState;
     this.folding = folding;
-    this.mark = mark;
+    this.version = version;
     this.changed = changed;
     this.deposed = deposed;
   }
@@ -103,8 +103,8 @@
 
   /** An open job became known; held ones wait until their release is known. */
   void opened(Job job) {
-    if (job.spec.ties().held()) {
-      holds.add(job.spec.id(), job.spec.ties());
+    if (job.spec.dependencies().held()) {
+      holds.add(job.spec.id(), job.spec.dependencies());
       if (read) {
         look();
       }
@@ -126,7 +126,7 @@
           for (VersionedValue i : items) {
             Hold h = holds.get(i.key().substring(Records.RELEASE.length()));
             if (h != null) {
-              adopt(h, i.value(), i.mark());
+              adopt(h, i.value(), i.version());
             }
           }
           read = true;
@@ -137,7 +137,7 @@
 
   /** Takes a release as it is recorded. */
   private void adopt(Hold h, JsonNode v, long at) {
-    h.mark = at;
+    h.version = at;
     h.leagues.clear();
     if (v == null) {
       h.state = DependencyGates.State.CLOSED;
@@ -149,16 +149,16 @@
     h.superseded = v.path(SUPERSEDED).asBoolean();
     h.state =
         v.path(PRINTED).asBoolean() ? DependencyGates.State.PRINTED : DependencyGates.State.OPEN;
-    Job job = ledger.job(h.job);
+    Job job = schedulerState.job(h.job);
     if (job != null) {
-      ledger.open(job, loop.now());
+      schedulerState.open(job, loop.now());
     }
   }
 
   /** A job's end is committed, or was found. */
   void ended(Job job, boolean done) {
     holds.remove(job.spec.id());
-    holds.ended(job.spec.id(), done, job.spec.ties().leagues());
+    holds.ended(job.spec.id(), done, job.spec.dependencies().leagues());
     look();
   }
 
@@ -251,7 +251,7 @@
         true,
         (result, revision, failed) -> {
           if (result == Result.OK) {
-            h.mark = revision;
+            h.version = revision;
           }
         });
   }
@@ -274,24 +274,24 @@
   private void put(Hold h, boolean printed, KeyValueStore.Ended ended) {
     state.run(
         new Transaction()
-            .given(LeaderElection.LEADER, mark)
-            .given(Records.release(h.job), h.mark)
+            .given(LeaderElection.LEADER, version)
+            .given(Records.release(h.job), h.version)
             .put(Records.release(h.job), value(h, printed)),
         ended);
   }
 
   /** Adds to a start's transaction what makes it void once the hold is closed again. */
-  void guard(Job job, Transaction txn) {
+  void guard(Job job, Transaction transaction) {
     Hold h = holds.get(job.spec.id());
     if (h == null || h.state == DependencyGates.State.CLOSED) {
       // Not to be met: such a job is held. A condition that cannot be true keeps it so.
-      txn.given(Records.release(job.spec.id()), Long.MAX_VALUE);
+      transaction.given(Records.release(job.spec.id()), Long.MAX_VALUE);
       return;
     }
-    txn.given(Records.release(h.job), h.mark);
+    transaction.given(Records.release(h.job), h.version);
     if (h.state == DependencyGates.State.OPEN) {
-      h.leagues.forEach((l, m) -> txn.given(Records.league(l), m));
-      txn.put(Records.release(h.job), value(h, true));
+      h.leagues.forEach((l, m) -> transaction.given(Records.league(l), m));
+      transaction.put(Records.release(h.job), value(h, true));
     }
   }
 
@@ -300,7 +300,7 @@
     Hold h = holds.get(job.spec.id());
     if (h != null && h.state == DependencyGates.State.OPEN) {
       h.state = DependencyGates.State.PRINTED;
-      h.mark = revision;
+      h.version = revision;
       LOG.info("event=print_began job={} version={}", h.job, h.leagues);
     }
   }
@@ -309,7 +309,7 @@
   void reguard(Job job, Runnable next) {
     Hold h = holds.get(job.spec.id());
     if (h == null) {
-      ledger.close(job, loop.now());
+      schedulerState.close(job, loop.now());
       next.run();
       return;
     }
@@ -323,11 +323,11 @@
             loop.after(AGAIN_MS, () -> reguard(job, next));
             return;
           }
-          adopt(h, item.value(), item.mark());
+          adopt(h, item.value(), item.version());
           if (h.state != DependencyGates.State.PRINTED) {
             LOG.info("event=hold_closed job={}", h.job);
             h.state = DependencyGates.State.CLOSED;
-            ledger.close(job, loop.now());
+            schedulerState.close(job, loop.now());
             holds.touch(h);
             loop.soon(this::look);
           }
@@ -338,9 +338,9 @@
   /** One hold being confirmed. */
   private final class Confirmation {
     private final Hold hold;
-    private final Map<String, Long> marks = new LinkedHashMap<>();
+    private final Map<String, Long> versions = new LinkedHashMap<>();
     private final Map<String, Long> changes = new LinkedHashMap<>();
-    private final Map<String, JobOutcome> fates = new HashMap<>();
+    private final Map<String, JobOutcome> jobOutcomes = new HashMap<>();
     private final StringBuilder waits = new StringBuilder();
     private int waitsFor;
 
@@ -375,11 +375,13 @@
       }
       String j = left.poll();
       if (j == null) {
-        leagues(new ArrayDeque<>(hold.ties.highest().keySet()));
+        leagues(new ArrayDeque<>(hold.dependencies.highest().keySet()));
         return;
       }
-      if (ledger.job(j) != null && !ledger.job(j).ended() && !ledger.job(j).cancelled()) {
-        waitsFor(j + (ledger.job(j).held() ? " is held itself" : " is not done"));
+      if (schedulerState.job(j) != null
+          && !schedulerState.job(j).ended()
+          && !schedulerState.job(j).cancelled()) {
+        waitsFor(j + (schedulerState.job(j).held() ? " is held itself" : " is not done"));
         jobs(left);
         return;
       }
@@ -408,7 +410,7 @@
       }
       String l = left.poll();
       if (l == null) {
-        games(new ArrayDeque<>(hold.ties.games()));
+        games(new ArrayDeque<>(hold.dependencies.games()));
         return;
       }
       state.get(
@@ -417,7 +419,7 @@
             if (result != Result.OK) {
               again();
             } else {
-              marks.put(l, item.mark());
+              versions.put(l, item.version());
               long n = item.value() == null ? 0 : item.value().path(Records.CHANGES).asLong();
               changes.put(l, n);
               leagues(left);
@@ -483,7 +485,7 @@
       }
       ArrayDeque<String> asks = new ArrayDeque<>();
       for (Fold f : block.sides().values()) {
-        if (!f.settled() && !fates.containsKey(f.job()) && !asks.contains(f.job())) {
+        if (!f.settled() && !jobOutcomes.containsKey(f.job()) && !asks.contains(f.job())) {
           asks.add(f.job());
         }
       }
@@ -496,13 +498,13 @@
         next.run();
         return;
       }
-      folding.fate(
+      folding.jobOutcome(
           j,
-          fate -> {
-            if (fate == null) {
+          jobOutcome -> {
+            if (jobOutcome == null) {
               again();
             } else {
-              fates.put(j, fate);
+              jobOutcomes.put(j, jobOutcome);
               ask(jobs, next);
             }
           });
@@ -529,13 +531,13 @@
         }
         next = Math.max(next, number + 1);
         Fold f = e.getValue();
-        JobOutcome fate = f.settled() ? JobOutcome.DONE : fates.get(f.job());
+        JobOutcome jobOutcome = f.settled() ? JobOutcome.DONE : jobOutcomes.get(f.job());
         String game = "game " + number + " of " + g.league() + " for " + e.getKey().member();
-        if (fate == JobOutcome.CANCELLED && f.base() == null) {
+        if (jobOutcome == JobOutcome.CANCELLED && f.base() == null) {
           waitsFor(game + " was released by " + f.job());
-        } else if (fate == JobOutcome.OPEN) {
+        } else if (jobOutcome == JobOutcome.OPEN) {
           waitsFor(game + " is not folded yet by " + f.job());
-        } else if (fate == JobOutcome.CLAIMING && f.base() == null) {
+        } else if (jobOutcome == JobOutcome.CLAIMING && f.base() == null) {
           // A correction whose claim is not accepted yet leaves what counts as it is; when it is
           // accepted the league's record changes.
           waitsFor(game + " is being claimed by " + f.job());
@@ -545,7 +547,7 @@
     }
 
     private void decide() {
-      Job job = ledger.job(hold.job);
+      Job job = schedulerState.job(hold.job);
       if (job == null || stopped) {
         over();
         return;
@@ -558,27 +560,27 @@
         return;
       }
       hold.leagues.clear();
-      hold.leagues.putAll(marks);
+      hold.leagues.putAll(versions);
       hold.changes.clear();
       hold.changes.putAll(changes);
-      Transaction txn =
+      Transaction transaction =
           new Transaction()
-              .given(LeaderElection.LEADER, mark)
-              .given(Records.open(hold.job), job.mark)
-              .given(Records.release(hold.job), hold.mark);
-      marks.forEach((l, m) -> txn.given(Records.league(l), m));
-      txn.put(Records.release(hold.job), value(hold, false));
+              .given(LeaderElection.LEADER, version)
+              .given(Records.open(hold.job), job.version)
+              .given(Records.release(hold.job), hold.version);
+      versions.forEach((l, m) -> transaction.given(Records.league(l), m));
+      transaction.put(Records.release(hold.job), value(hold, false));
       state.run(
-          txn,
+          transaction,
           (result, revision, failed) -> {
             if (stopped) {
               return;
             }
             if (result == Result.OK) {
-              hold.mark = revision;
+              hold.version = revision;
               hold.state = DependencyGates.State.OPEN;
               hold.waitsFor = "";
-              ledger.open(job, loop.now());
+              schedulerState.open(job, loop.now());
               LOG.info("event=hold_opened job={} version={}", hold.job, hold.leagues);
               over();
               changed.run();
--- a/src/main/java/org/mallowroad/controller/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/FailureResponder.java
@@ -81,7 +81,7 @@
   /** Lines about single machines in each judgement. */
   private static final int MOST_LINES = 20;
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final Health health;
   private final NameIndex zones;
   private final long term;
@@ -96,16 +96,21 @@
   private int lines;
   private long leftOut;
 
-  /** For workers that report every {@code reportS} and hold leases of {@code leaseS}. */
+  /** For workers that report every {@code heartbeatIntervalS} and hold leases of {@code leaseS}. */
   FailureResponder(
-      SchedulerState ledger, NameIndex zones, double reportS, double leaseS, long term, long now) {
-    this.ledger = ledger;
-    this.health = ledger.health();
+      SchedulerState schedulerState,
+      NameIndex zones,
+      double heartbeatIntervalS,
+      double leaseS,
+      long term,
+      long now) {
+    this.schedulerState = schedulerState;
+    this.health = schedulerState.health();
     this.zones = zones;
     this.term = term;
     // Reports come up to a quarter late. A machine that has missed one is hung, cut off or dead:
     // the sooner it is returned, the sooner its tasks run elsewhere.
-    this.silentMs = (long) (reportS * 1500) + SILENT_MS;
+    this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENT_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy p = health.policy();
     this.returns = new TokenBucket(p.hasteShare(), p.hasteLeast(), leaseMs, now);
@@ -124,7 +129,7 @@
     long ms = health.still().turn(now);
     if (ms > 0) {
       LOG.warn("event=stood_still term={} ms={}", term, ms);
-      health.silence().listen(now);
+      health.failureDetector().listen(now);
     }
   }
 
@@ -170,7 +175,7 @@
       rerouted[zone] = false;
     } else if (!rerouted[zone] && now - directMs[zone] > REROUTED_MS) {
       rerouted[zone] = true;
-      health.silence().rerouted(zone, now);
+      health.failureDetector().rerouted(zone, now);
       LOG.warn("event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - directMs[zone]);
     }
   }
@@ -182,7 +187,7 @@
       if (a.stopping()) {
         continue;
       }
-      if (a.phase == Attempt.Phase.RUNNING && a.overdue(health.runTimes(), now)) {
+      if (a.phase == Attempt.Phase.RUNNING && a.overdue(health.stragglerDetector(), now)) {
         overdue++;
       } else if (a.phase == Attempt.Phase.PULLING) {
         double needS = a.job.spec.imageGb() / Math.max(1e-3, m.type.fetchGbPerS());
@@ -195,8 +200,8 @@
   /** Judges zones and machines; what is to be returned is marked. Only a firm leader may ask. */
   void judge(long now) {
     lines = 0;
-    FailureDetector silence = health.silence();
-    for (FailureDetector.Verdict v : silence.judge(now)) {
+    FailureDetector failureDetector = health.failureDetector();
+    for (FailureDetector.Verdict v : failureDetector.judge(now)) {
       LOG.warn(
           "event={} zone={} silent={} of={} lasted_ms={}",
           v.cut() ? "zone_silent" : "zone_back",
@@ -210,12 +215,12 @@
     }
     leftOut += health.unlogged();
     Arrays.fill(deafIn, 0);
-    for (Machine m : ledger.machines()) {
-      deafIn[m.zone] += m.health.answerDelivery().deaf() ? 1 : 0;
+    for (Machine m : schedulerState.machines()) {
+      deafIn[m.zone] += m.health.outboundReachability().deaf() ? 1 : 0;
     }
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       if (!m.returning) {
-        judge(m, silence, now);
+        judge(m, failureDetector, now);
       }
     }
     if (leftOut > 0) {
@@ -233,16 +238,19 @@
     };
   }
 
-  private void judge(Machine m, FailureDetector silence, long now) {
-    if (ledger.dialogue().mustFence(m, now)) {
+  private void judge(Machine m, FailureDetector failureDetector, long now) {
+    if (schedulerState.heartbeatReconciler().mustFence(m, now)) {
       m.returning = true;
       line(m.name, "machine_unfenced", 0);
-    } else if (m.health.answerDelivery().deaf()) {
+    } else if (m.health.outboundReachability().deaf()) {
       deaf(m, now);
-    } else if (silence.silentMs(m.health, now) > silentMs + (m.via >= 0 ? ROUND_MS : 0)) {
-      if (mayReturn(m, silence, now)) {
+    } else if (failureDetector.silentMs(m.health, now) > silentMs + (m.via >= 0 ? ROUND_MS : 0)) {
+      if (mayReturn(m, failureDetector, now)) {
         m.returning = true;
-        line(m.name, m.reportedMs < 0 ? "machine_unseen" : "machine_silent", now - m.reportedMs);
+        line(
+            m.name,
+            m.lastHeartbeatMs < 0 ? "machine_unseen" : "machine_silent",
+            now - m.lastHeartbeatMs);
       }
     } else if (m.draining && m.noticeMs == 0 && m.empty()) {
       m.returning = true;
@@ -262,41 +270,41 @@
   private void deaf(Machine m, long now) {
     for (Attempt a : m.attempts()) {
       if (a.phase == Attempt.Phase.READY && !a.stopping()) {
-        ledger.stop(a, 0, now);
+        schedulerState.stop(a, 0, now);
       }
     }
-    int known = health.silence().known(m.zone);
+    int known = health.failureDetector().known(m.zone);
     boolean may =
         deafIn[m.zone] >= health.policy().cutLeast()
             ? zoneReturns[m.zone].take(known, now)
-            : returns.take(ledger.machines().size(), now);
+            : returns.take(schedulerState.machines().size(), now);
     if (may) {
       m.returning = true;
-      line(m.name, "machine_deaf", m.session);
+      line(m.name, "machine_deaf", m.incarnation);
     }
   }
 
-  private boolean mayReturn(Machine m, FailureDetector silence, long now) {
-    long ms = silence.silentMs(m.health, now);
+  private boolean mayReturn(Machine m, FailureDetector failureDetector, long now) {
+    long ms = failureDetector.silentMs(m.health, now);
     int zone = m.zone;
-    if (silence.cut(zone)) {
+    if (failureDetector.cut(zone)) {
       // Nobody deletes a whole zone's machines in a hurry: they are needed when it is back. Of
       // those
       // with tasks a share goes at once, since the tasks run elsewhere sooner; the rest are free
       // once their leases ran out. No lease proves that of machines that have not seen this term:
       // their tasks only a deletion frees, so those go as fast as silent machines go anywhere.
-      if (!m.empty() && m.tokenSeen < term) {
-        return returns.take(ledger.machines().size(), now);
+      if (!m.empty() && m.highestTokenSeen < term) {
+        return returns.take(schedulerState.machines().size(), now);
       }
       // An empty one holds nothing up, but it may be gone for good: kept for ever it would hold the
       // zone cut, and nothing would be rented there any more.
       return (!m.empty() || ms > HOLD_LEASES * leaseMs)
-          && zoneReturns[zone].take(silence.known(zone), now);
+          && zoneReturns[zone].take(failureDetector.known(zone), now);
     }
-    if (silence.deaf(now) && ms <= leaseMs) {
+    if (failureDetector.deaf(now) && ms <= leaseMs) {
       return false; // When most are silent the fault is rather on this side.
     }
-    return returns.take(ledger.machines().size(), now);
+    return returns.take(schedulerState.machines().size(), now);
   }
 
   /**
@@ -318,7 +326,7 @@
   private void stopFetches(Machine m, long now) {
     for (Attempt a : m.attempts()) {
       if (a.phase == Attempt.Phase.PULLING) {
-        ledger.stop(a, 0, now);
+        schedulerState.stop(a, 0, now);
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/FoldMaintenance.java
@@ -64,7 +64,7 @@
   private final Folding folding;
   private final RateLimiter writes;
   private final int maxOps;
-  private final long mark;
+  private final long version;
   private final Object2ObjectLinkedOpenHashMap<String, LeagueIndex> leagues =
       new Object2ObjectLinkedOpenHashMap<>();
   private String at;
@@ -77,13 +77,13 @@
       Folding folding,
       RateLimiter writes,
       int maxOps,
-      long mark) {
+      long version) {
     this.loop = loop;
     this.state = state;
     this.folding = folding;
     this.writes = writes;
     this.maxOps = maxOps;
-    this.mark = mark;
+    this.version = version;
   }
 
   void begin() {
@@ -130,7 +130,7 @@
       undoing = true;
       folding.undo(
           job,
-          i.mark(),
+          i.version(),
           Folding.keysOf(i.value()),
           ok -> {
             undoing = false;
@@ -169,14 +169,14 @@
 
   private void take(List<VersionedValue> items) {
     Map<BlockKey, Block> blocks = new LinkedHashMap<>();
-    Map<BlockKey, Long> marks = new HashMap<>();
+    Map<BlockKey, Long> versions = new HashMap<>();
     ArrayDeque<String> asks = new ArrayDeque<>();
     for (VersionedValue i : items) {
       try {
         BlockKey key = Records.block(i.key());
         Block block = FoldCodec.decode(i.value());
         blocks.put(key, block);
-        marks.put(key, i.mark());
+        versions.put(key, i.version());
         for (Fold f : block.sides().values()) {
           if (!f.settled() && asks.size() < MOST_ASKED && !asks.contains(f.job())) {
             asks.add(f.job());
@@ -186,54 +186,56 @@
         LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
       }
     }
-    ask(asks, new HashMap<>(), fates -> judged(blocks, marks, fates));
+    ask(asks, new HashMap<>(), jobOutcomes -> judged(blocks, versions, jobOutcomes));
   }
 
   private void ask(
       ArrayDeque<String> jobs,
-      Map<String, JobOutcome> fates,
+      Map<String, JobOutcome> jobOutcomes,
       java.util.function.Consumer<Map<String, JobOutcome>> told) {
     String j = jobs.poll();
     if (j == null || stopped) {
-      told.accept(fates);
+      told.accept(jobOutcomes);
       return;
     }
-    folding.fate(
+    folding.jobOutcome(
         j,
-        fate -> {
-          if (fate != null) {
-            fates.put(j, fate);
+        jobOutcome -> {
+          if (jobOutcome != null) {
+            jobOutcomes.put(j, jobOutcome);
           }
-          ask(jobs, fates, told);
+          ask(jobs, jobOutcomes, told);
         });
   }
 
   private void judged(
-      Map<BlockKey, Block> blocks, Map<BlockKey, Long> marks, Map<String, JobOutcome> fates) {
+      Map<BlockKey, Block> blocks,
+      Map<BlockKey, Long> versions,
+      Map<String, JobOutcome> jobOutcomes) {
     if (stopped) {
       return;
     }
-    Transaction txn = new Transaction().given(LeaderElection.LEADER, mark);
+    Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
     blocks.forEach(
         (k, b) -> {
-          index(k.league()).take(k.index(), b, fates::get);
-          Block settled = Claims.settled(b, fates::get);
+          index(k.league()).take(k.index(), b, jobOutcomes::get);
+          Block settled = Claims.settled(b, jobOutcomes::get);
           if (settled != b
-              && txn.writes() < maxOps / 2
-              && writes.ready(loop.now()) - txn.writes() >= SPARE) {
-            txn.given(Records.fold(k), marks.get(k));
+              && transaction.writes() < maxOps / 2
+              && writes.ready(loop.now()) - transaction.writes() >= SPARE) {
+            transaction.given(Records.fold(k), versions.get(k));
             if (settled.sides().isEmpty()) {
-              txn.delete(Records.fold(k));
+              transaction.delete(Records.fold(k));
             } else {
-              txn.put(Records.fold(k), FoldCodec.encode(settled));
+              transaction.put(Records.fold(k), FoldCodec.encode(settled));
             }
           }
         });
     loop.after(PAGE_MS, this::page);
-    if (txn.writes() > 0) {
-      writes.force(txn.writes(), loop.now());
+    if (transaction.writes() > 0) {
+      writes.force(transaction.writes(), loop.now());
       // Whatever comes of it: the next walk sees what is left.
-      state.run(txn, (result, revision, failed) -> {});
+      state.run(transaction, (result, revision, failed) -> {});
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -61,16 +61,16 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final ClusterConfig site;
+  private final ClusterConfig clusterConfig;
   private final LeaderElection election;
   private final long term;
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final TaskScheduler placement;
   private final WriteBehindCommitter committer;
   private final MachineProvisioner fleet;
   private final FailureResponder responder;
   private final Listener listener;
-  private final IntSupplier peersNear;
+  private final IntSupplier reachablePeers;
   private final long startedMs;
   private final CancellationView view;
   private final int maxOps;
@@ -112,45 +112,54 @@
       EventLoop loop,
       KeyValueStore state,
       CloudClient cloud,
-      ClusterConfig site,
+      ClusterConfig clusterConfig,
       LeaderElection election,
       long term,
-      long mark,
+      long version,
       WorkerClient workers,
       Folding folding,
-      IntSupplier peersNear,
+      IntSupplier reachablePeers,
       Listener listener) {
     this.loop = loop;
     this.state = state;
-    this.site = site;
+    this.clusterConfig = clusterConfig;
     this.election = election;
     this.term = term;
     this.listener = listener;
-    this.peersNear = peersNear;
-    this.served = new ObjectiveAttainment(site.classes, site.teams());
+    this.reachablePeers = reachablePeers;
+    this.served = new ObjectiveAttainment(clusterConfig.classes, clusterConfig.teams());
     this.workers = workers;
     this.startedMs = loop.now();
     this.heardMs = startedMs;
-    this.ledger =
+    this.schedulerState =
         new SchedulerState(
             term,
-            site.settings.leaseS(),
-            site.settings.reportS(),
-            site.teams(),
-            site.zones,
+            clusterConfig.settings.leaseS(),
+            clusterConfig.settings.heartbeatIntervalS(),
+            clusterConfig.teams(),
+            clusterConfig.zones,
             new Health(
-                site.operator.health(), site.zones.size(), site.settings.reportS(), startedMs),
-            site.operator.fetches());
+                clusterConfig.operator.health(),
+                clusterConfig.zones.size(),
+                clusterConfig.settings.heartbeatIntervalS(),
+                startedMs),
+            clusterConfig.operator.fetches());
     this.responder =
         new FailureResponder(
-            ledger, site.zones, site.settings.reportS(), site.settings.leaseS(), term, startedMs);
-    this.placement = new TaskScheduler(ledger);
+            schedulerState,
+            clusterConfig.zones,
+            clusterConfig.settings.heartbeatIntervalS(),
+            clusterConfig.settings.leaseS(),
+            term,
+            startedMs);
+    this.placement = new TaskScheduler(schedulerState);
     this.view =
         new CancellationView(
-            CancellationView.mostAgeMs(site.settings.leaseS(), site.settings.cancelS()));
-    double writeRps = site.settings.stateWriteRps();
+            CancellationView.mostAgeMs(
+                clusterConfig.settings.leaseS(), clusterConfig.settings.cancelS()));
+    double writeRps = clusterConfig.settings.stateWriteRps();
     // A transaction larger than the bucket would wait for ever, so the one bounds the other.
-    this.maxOps = (int) Math.max(4, Math.min(site.settings.txnOps(), writeRps * 0.8));
+    this.maxOps = (int) Math.max(4, Math.min(clusterConfig.settings.txnOps(), writeRps * 0.8));
     RateLimiter writes =
         new RateLimiter(writeRps * 0.75, Math.max(maxOps, writeRps * 0.7), loop.now());
     this.share = new WriteRateLimiter(writeRps, writes, loop.now());
@@ -159,9 +168,9 @@
             loop,
             state,
             writes,
-            ledger,
-            site.zones,
-            mark,
+            schedulerState,
+            clusterConfig.zones,
+            version,
             maxOps,
             new WriteBehindCommitter.Events() {
               @Override
@@ -175,8 +184,8 @@
               }
 
               @Override
-              public void guard(Job job, KeyValueStore.Transaction txn) {
-                holds.guard(job, txn);
+              public void guard(Job job, KeyValueStore.Transaction transaction) {
+                holds.guard(job, transaction);
               }
 
               @Override
@@ -212,22 +221,29 @@
             });
     this.holds =
         new DependencyGateController(
-            loop, state, ledger, folding, mark, this::advance, () -> election.stepDown());
-    this.folds = new FoldMaintenance(loop, state, folding, writes, maxOps, mark);
+            loop,
+            state,
+            schedulerState,
+            folding,
+            version,
+            this::advance,
+            () -> election.stepDown());
+    this.folds = new FoldMaintenance(loop, state, folding, writes, maxOps, version);
     this.records =
-        new StateLoader(loop, state, site, ledger, committer, view, new RecordListener());
+        new StateLoader(
+            loop, state, clusterConfig, schedulerState, committer, view, new RecordListener());
     this.fleet =
         new MachineProvisioner(
             loop,
             state,
             cloud,
-            site,
-            ledger,
+            clusterConfig,
+            schedulerState,
             responder,
             writes,
             maxOps,
             term,
-            mark,
+            version,
             new MachineProvisioner.Listener() {
               @Override
               public boolean firm() {
@@ -253,8 +269,8 @@
 
   private final class RecordListener implements StateLoader.Listener {
     @Override
-    public void taken(int count, List<VersionedValue> hire) {
-      Leader.this.taken(count, hire);
+    public void taken(int count, List<VersionedValue> rental) {
+      Leader.this.taken(count, rental);
     }
 
     @Override
@@ -285,12 +301,12 @@
 
   /** A job of this term, or null. */
   Job job(String id) {
-    return loaded ? ledger.job(id) : null;
+    return loaded ? schedulerState.job(id) : null;
   }
 
   /** Read by metrics and pictures. */
-  SchedulerState ledger() {
-    return ledger;
+  SchedulerState schedulerState() {
+    return schedulerState;
   }
 
   /** Read by pictures. */
@@ -320,8 +336,10 @@
 
   /** Every controller reads shared records of starts: small jobs have them from now on. */
   void shareStarts() {
-    int valueBytes = (int) (site.settings.valueKb() * 1024);
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(maxOps), valueBytes);
+    int valueBytes = (int) (clusterConfig.settings.valueKb() * 1024);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(maxOps), valueBytes);
   }
 
   void start() {
@@ -349,11 +367,11 @@
     early.turnAway(Long.MAX_VALUE);
   }
 
-  private void taken(int records, List<VersionedValue> hire) {
+  private void taken(int records, List<VersionedValue> rental) {
     loaded = true;
     // After a lease: what a takeover has to write itself goes first.
     loop.after(
-        (long) (site.settings.leaseS() * 1000),
+        (long) (clusterConfig.settings.leaseS() * 1000),
         () -> {
           if (!stopped) {
             listener.recordsRead();
@@ -362,13 +380,13 @@
     holds.begin();
     folds.begin();
     fleet.start();
-    hire.forEach(i -> fleet.restore(i.key().substring(Records.HIRE.length()), i.value()));
+    rental.forEach(i -> fleet.restore(i.key().substring(Records.HIRE.length()), i.value()));
     LOG.info(
         "event=takeover term={} jobs={} records={} hires={} ms={}",
         term,
-        ledger.jobs().size(),
+        schedulerState.jobs().size(),
         records,
-        hire.size(),
+        rental.size(),
         loop.now() - startedMs);
     early.take(loop, this::take, this::report);
     load.tickedMs = loop.now();
@@ -378,15 +396,15 @@
     duties.add(loop.every(SERVED_MS, this::tellServed));
   }
 
-  private long reportRoundMs() {
-    return (long) (site.settings.reportS() * 1250) + 500;
+  private long heartbeatRoundMs() {
+    return (long) (clusterConfig.settings.heartbeatIntervalS() * 1250) + 500;
   }
 
   // The ordinary course.
 
   private void lookAtLag() {
     boolean before = recordLag.overloaded();
-    recordLag.look(ledger, firm() && !state.failing(), loop.now());
+    recordLag.look(schedulerState, firm() && !state.failing(), loop.now());
     if (recordLag.overloaded()) {
       listener.overloaded();
     }
@@ -407,13 +425,13 @@
       election.resign();
       return;
     }
-    if (!acting && now - startedMs > reportRoundMs()) {
+    if (!acting && now - startedMs > heartbeatRoundMs()) {
       acting = true;
-      LOG.info("event=acting term={} machines={}", term, ledger.machines().size());
+      LOG.info("event=acting term={} machines={}", term, schedulerState.machines().size());
       fleet.act();
     }
     tellView(now);
-    ledger.expireSilent(now);
+    schedulerState.expireSilent(now);
     if (firm()) {
       placement.drain(now);
     }
@@ -467,34 +485,36 @@
   private void push() {
     boolean firm = firm();
     long now = loop.now();
-    for (Iterator<Machine> it = ledger.outbox().iterator(); it.hasNext(); ) {
+    for (Iterator<Machine> it = schedulerState.outbox().iterator(); it.hasNext(); ) {
       Machine m = it.next();
       if (holding.contains(m.name) || workers.busy(m.address)) {
         continue;
       }
-      List<WorkerCommand> orders =
-          m.empty() || m.address.isEmpty() ? List.of() : ledger.dialogue().direct(m, firm, now);
-      if (firm || !orders.isEmpty()) {
+      List<WorkerCommand> commands =
+          m.empty() || m.address.isEmpty()
+              ? List.of()
+              : schedulerState.heartbeatReconciler().direct(m, firm, now);
+      if (firm || !commands.isEmpty()) {
         // What cannot be sent now travels in the answer to the next report.
         it.remove();
       }
-      if (orders.isEmpty()) {
+      if (commands.isEmpty()) {
         continue;
       }
       load.direct++;
       workers.send(
           m.address,
           m.via,
-          WorkerCodec.direct(m.token, m.session, orders),
+          WorkerCodec.direct(m.fencingToken, m.incarnation, commands),
           (result, report) -> {
-            if (stopped || ledger.machine(m.name) != m) {
+            if (stopped || schedulerState.machine(m.name) != m) {
               return;
             }
             if (result != WorkerClient.Result.UNKNOWN) {
-              ledger.dialogue().answered(m, orders);
+              schedulerState.heartbeatReconciler().answered(m, commands);
             }
             if (report != null && report.machine().equals(m.name)) {
-              ledger.report(m, report, false, loop.now());
+              schedulerState.report(m, report, false, loop.now());
               advance();
             }
           });
@@ -509,11 +529,12 @@
   private boolean cutFromWorkers(long now) {
     double reports = heard ? 1.5 : 3;
     // While this process stood still it heard nobody: that says nothing of the workers.
-    long listened = Math.max(heardMs, ledger.health().still().since());
+    long listened = Math.max(heardMs, schedulerState.health().still().since());
     // With peers at hand workers that lost their way here come by one of them first.
-    long round = peersNear.getAsInt() > 0 ? ROUND_MS : 0;
-    return site.settings.nodes() > 1
-        && now - listened > (long) (reports * site.settings.reportS() * 1000) + 2_000 + round
+    long round = reachablePeers.getAsInt() > 0 ? ROUND_MS : 0;
+    return clusterConfig.settings.nodes() > 1
+        && now - listened
+            > (long) (reports * clusterConfig.settings.heartbeatIntervalS() * 1000) + 2_000 + round
         && fleet.running() > (heard ? 0 : FEW_MACHINES);
   }
 
@@ -525,7 +546,7 @@
   /** Told, by whoever learnt it: never needed for a rule, and it saves work. */
   void cancelled(String id) {
     Job job = job(id);
-    if (job != null && !job.cancelled() && !job.ended() && !ledger.ending().contains(job)) {
+    if (job != null && !job.cancelled() && !job.ended() && !schedulerState.ending().contains(job)) {
       LOG.info("event=cancellation_told job={} view_ms={}", id, viewMs());
       committer.cancelled(job);
       advance();
@@ -545,18 +566,18 @@
    * apart, but a worker that looks round does ({@link FailureResponder#sendRound}).
    */
   private boolean alone(long now) {
-    return site.settings.nodes() > 1
-        && peersNear.getAsInt() == 0
+    return clusterConfig.settings.nodes() > 1
+        && reachablePeers.getAsInt() == 0
         && now - Math.max(election.renewedMs(), state.contactMs()) > ALONE_MS;
   }
 
   private Machine take(Heartbeat r) {
-    MachineType type = site.type(r.type());
-    int zone = site.zones.find(r.zone());
+    MachineType type = clusterConfig.type(r.type());
+    int zone = clusterConfig.zones.find(r.zone());
     if (type == null || zone < 0) {
       return null;
     }
-    return ledger.meet(r.machine(), type, zone, r.spot(), loop.now());
+    return schedulerState.meet(r.machine(), type, zone, r.spot(), loop.now());
   }
 
   /**
@@ -586,15 +607,15 @@
     }
     Machine m = take(r);
     if (m == null) {
-      reply.accept(WorkerCodec.orders(term, List.of()));
+      reply.accept(WorkerCodec.commands(term, List.of()));
       return;
     }
     load.reports++;
-    List<WorkerCommand> orders = ledger.report(m, r, firm(), now);
-    m.answeredMs = now;
-    if (orders == null) {
+    List<WorkerCommand> commands = schedulerState.report(m, r, firm(), now);
+    m.lastAnswerMs = now;
+    if (commands == null) {
       // A late copy, or overtaken by a newer one: nobody was heard by it.
-      reply.accept(WorkerCodec.orders(m.token, List.of()));
+      reply.accept(WorkerCodec.commands(m.fencingToken, List.of()));
       return;
     }
     heard = true;
@@ -604,13 +625,13 @@
     m.via = via;
     responder.reported(m, loop.now());
     advance();
-    if (!firm() || !ledger.mayGetWork(m, loop.now()) || !placement.anyWaiting()) {
-      reply.accept(WorkerCodec.orders(m.token, orders));
+    if (!firm() || !schedulerState.mayGetWork(m, loop.now()) || !placement.anyWaiting()) {
+      reply.accept(WorkerCodec.commands(m.fencingToken, commands));
       return;
     }
     // Work may come its way in a moment: then this answer carries the launches.
     holding.add(m.name);
-    Held held = new Held(r, m, orders, reply);
+    Held held = new Held(r, m, commands, reply);
     held.timer = loop.after(HOLD_MS, held::release);
     afterPass.add(held::placed);
   }
@@ -625,7 +646,7 @@
   }
 
   private void tellServed() {
-    for (ObjectiveAttainment.Line l : served.lines(ledger.jobs(), loop.now())) {
+    for (ObjectiveAttainment.Line l : served.lines(schedulerState.jobs(), loop.now())) {
       LOG.info(
           "event=served {}={} share={} done={} late={} open={} oldest_s={}",
           l.kind(),
@@ -651,7 +672,7 @@
     void log() {
       int waiting = 0;
       int live = 0;
-      for (Job j : ledger.jobs()) {
+      for (Job j : schedulerState.jobs()) {
         waiting += j.waitingCount();
         live += j.liveCount();
       }
@@ -666,18 +687,19 @@
           placement.stops(),
           committer.commits(),
           committer.writes(),
-          ledger.dirty().size(),
-          ledger.urgent().size(),
-          ledger.jobs().size(),
+          schedulerState.dirty().size(),
+          schedulerState.urgent().size(),
+          schedulerState.jobs().size(),
           waiting,
           live,
-          ledger.machines().size(),
+          schedulerState.machines().size(),
           MemoryMetrics.heapBytes() >> 20,
           MemoryMetrics.processBytes() >> 20);
-      if (ledger.started() > 0) {
-        LOG.info("event=fetches {}", ledger.stages().figures());
+      if (schedulerState.started() > 0) {
+        LOG.info("event=fetches {}", schedulerState.imageDistribution().figures());
       }
-      for (CostAccounting.Line l : ledger.spending().lines(ledger.machines(), loop.now())) {
+      for (CostAccounting.Line l :
+          schedulerState.spending().lines(schedulerState.machines(), loop.now())) {
         LOG.info(
             "event=spending type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
             l.type(),
@@ -689,7 +711,7 @@
             round(l.useful()),
             round(l.lost()));
       }
-      site.keepNames(ledger);
+      clusterConfig.keepNames(schedulerState);
       lastLagMs = lagMs;
       lagMs = 0;
       reports = 0;
@@ -703,17 +725,20 @@
   private final class Held {
     private final Heartbeat report;
     private final Machine machine;
-    private final List<WorkerCommand> orders;
+    private final List<WorkerCommand> commands;
     private final List<Attempt> recording = new ArrayList<>();
     private final Consumer<ObjectNode> reply;
     private EventLoop.Timer timer;
     private boolean over;
 
     Held(
-        Heartbeat report, Machine machine, List<WorkerCommand> orders, Consumer<ObjectNode> reply) {
+        Heartbeat report,
+        Machine machine,
+        List<WorkerCommand> commands,
+        Consumer<ObjectNode> reply) {
       this.report = report;
       this.machine = machine;
-      this.orders = orders;
+      this.commands = commands;
       this.reply = reply;
     }
 
@@ -758,15 +783,15 @@
       for (Attempt a : recording) {
         if (a.phase == Attempt.Phase.READY
             && !a.stopping()
-            && a.session == report.session()
+            && a.incarnation == report.incarnation()
             && firm()) {
           a.sent = true;
           a.told = true;
-          orders.add(ledger.dialogue().launch(a));
+          commands.add(schedulerState.heartbeatReconciler().launch(a));
         }
       }
-      machine.answeredMs = loop.now();
-      reply.accept(WorkerCodec.orders(machine.token, orders));
+      machine.lastAnswerMs = loop.now();
+      reply.accept(WorkerCodec.commands(machine.fencingToken, commands));
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -36,7 +36,7 @@
  *
  * <p><b>Why a carried report breaks no rule.</b> The worker counts its lease from when it
  * <i>sent</i> the report, and drops an answer after 4 s; the leader counts from when it
- * <i>answered</i> ({@code Machine.answeredMs}), which is later, by whichever way the report came.
+ * <i>answered</i> ({@code Machine.lastAnswerMs}), which is later, by whichever way the report came.
  * So the proof by lease in {@code SchedulerState} holds as it stands. The answer carries the token
  * of the leader that gave it: a deposed one's is dropped by every worker that has seen a later one,
  * and one that has not may stay with it exactly as if it reached it directly, until the leader's
@@ -70,7 +70,7 @@
 
   private final EventLoop loop;
   private final Settings settings;
-  private final ClusterConfig site;
+  private final ClusterConfig clusterConfig;
   private final LinkPolicy policy;
   private final LinkStateTable links;
   private final RouteSelector state;
@@ -100,13 +100,13 @@
   /** Over the direct ways to the outside parties. */
   LinkMonitor(
       NodeEnvironment host,
-      ClusterConfig site,
+      ClusterConfig clusterConfig,
       LinkPolicy policy,
       RequestSender stateDirect,
       RequestSender cloudDirect) {
     this.loop = host.loop();
-    this.site = site;
-    this.settings = site.settings();
+    this.clusterConfig = clusterConfig;
+    this.settings = clusterConfig.settings();
     this.policy = policy;
     this.stateDirect = stateDirect;
     this.cloudDirect = cloudDirect;
@@ -253,7 +253,7 @@
     } else {
       carriedMs = loop.now();
     }
-    links.heard(site.zones.find(r.zone()), direct, loop.now());
+    links.heard(clusterConfig.zones.find(r.zone()), direct, loop.now());
   }
 
   /** Carries a report to the leader where its worker does not get there; false: it is sent on. */
@@ -268,8 +268,8 @@
     boolean stay =
         carriage.carry(
             r.machine(),
-            site.zones.find(r.zone()),
-            r.token(),
+            clusterConfig.zones.find(r.zone()),
+            r.fencingToken(),
             election.leaderTerm(),
             h == null ? -1 : h.directMs(),
             now);
@@ -364,7 +364,7 @@
     }
 
     @Override
-    public void orders(String address, byte[] body, RequestSender.Answer answer) {
+    public void commands(String address, byte[] body, RequestSender.Answer answer) {
       workers.pass(address, body, answer);
     }
 
@@ -377,7 +377,7 @@
         answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
-      election.sawTerm(r.token());
+      election.sawTerm(r.fencingToken());
       if (!listener.leading() || peer < 0) {
         String leader = election.leader();
         if (leader == null || leader.equals(settings.node())) {
@@ -391,11 +391,11 @@
       listener.report(
           r,
           peer,
-          orders -> {
-            if (orders == null) {
+          commands -> {
+            if (commands == null) {
               answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
             } else {
-              answer.answered(200, Json.bytes(orders));
+              answer.answered(200, Json.bytes(commands));
             }
           });
     }
--- a/src/main/java/org/mallowroad/controller/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/MachineProvisioner.java
@@ -44,17 +44,17 @@
   private final EventLoop loop;
   private final KeyValueStore state;
   private final CloudClient cloud;
-  private final ClusterConfig site;
-  private final SchedulerState ledger;
+  private final ClusterConfig clusterConfig;
+  private final SchedulerState schedulerState;
   private final Autoscaler fleet;
   private final RateLimiter writes;
   private final int maxOps;
   private final FailureResponder responder;
   private final long term;
-  private final long mark;
+  private final long version;
   private final Listener listener;
   private final List<EventLoop.Timer> duties = new ArrayList<>();
-  private final Object2ObjectLinkedOpenHashMap<String, Hire> hires =
+  private final Object2ObjectLinkedOpenHashMap<String, Hire> rentals =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Object2ObjectLinkedOpenHashMap<String, Expected> expected =
       new Object2ObjectLinkedOpenHashMap<>();
@@ -110,25 +110,26 @@
       EventLoop loop,
       KeyValueStore state,
       CloudClient cloud,
-      ClusterConfig site,
-      SchedulerState ledger,
+      ClusterConfig clusterConfig,
+      SchedulerState schedulerState,
       FailureResponder responder,
       RateLimiter writes,
       int maxOps,
       long term,
-      long mark,
+      long version,
       Listener listener) {
     this.loop = loop;
     this.state = state;
     this.cloud = cloud;
-    this.site = site;
-    this.ledger = ledger;
+    this.clusterConfig = clusterConfig;
+    this.schedulerState = schedulerState;
     this.writes = writes;
     this.maxOps = maxOps;
     this.responder = responder;
-    this.fleet = new Autoscaler(ledger, site.operator.fleet(), site.objectives);
+    this.fleet =
+        new Autoscaler(schedulerState, clusterConfig.operator.fleet(), clusterConfig.objectives);
     this.term = term;
-    this.mark = mark;
+    this.version = version;
     this.listener = listener;
   }
 
@@ -141,7 +142,7 @@
 
   /** The report round is over: from now on machines are rented and returned. */
   void act() {
-    duties.add(loop.every(site.operator.fleet().cycleMs(), this::cycle));
+    duties.add(loop.every(clusterConfig.operator.fleet().cycleMs(), this::cycle));
     duties.add(loop.every(JUDGE_MS, this::judge));
     cycle();
   }
@@ -153,8 +154,8 @@
 
   /** Takes a recorded request on takeover; repeating it tells which machines it brought. */
   void restore(String name, JsonNode v) {
-    MachineType type = site.type(v.path("type").asText());
-    int zone = site.zones.find(v.path("zone").asText());
+    MachineType type = clusterConfig.type(v.path("type").asText());
+    int zone = clusterConfig.zones.find(v.path("zone").asText());
     if (type == null || zone < 0) {
       return;
     }
@@ -165,14 +166,14 @@
             v.path("count").asInt(),
             loop.now(),
             v.path(GANG).asText(null));
-    hires.put(name, h);
+    rentals.put(name, h);
     call(h);
   }
 
   /** Machines whose workers should report. */
   int running() {
     int n = 0;
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       if (!m.returning && !m.failed) {
         n++;
       }
@@ -184,7 +185,7 @@
   void reported(Machine m) {
     Expected e = expected.remove(m.name);
     if (e != null) {
-      ledger.spending().booted(m, loop.now() - e.rentedMs);
+      schedulerState.spending().booted(m, loop.now() - e.rentedMs);
     }
   }
 
@@ -192,7 +193,7 @@
     cloud.types(
         t -> {
           if (t != null && !stopped) {
-            site.machineTypes(t);
+            clusterConfig.machineTypes(t);
           }
         });
   }
@@ -212,27 +213,27 @@
   }
 
   private void listed(CloudClient.Listed l) {
-    MachineType type = site.type(l.type());
-    int zone = site.zones.find(l.zone());
-    if (type == null || zone < 0 || ledger.isGone(l.name())) {
+    MachineType type = clusterConfig.type(l.type());
+    int zone = clusterConfig.zones.find(l.zone());
+    if (type == null || zone < 0 || schedulerState.isGone(l.name())) {
       return;
     }
     long now = loop.now();
-    Machine m = ledger.machine(l.name());
+    Machine m = schedulerState.machine(l.name());
     if (l.state().equals(Fields.FAILED)) {
       if (m == null) {
-        m = ledger.meet(l.name(), type, zone, l.spot(), now);
+        m = schedulerState.meet(l.name(), type, zone, l.spot(), now);
       }
       if (!m.failed) {
         LOG.info("event=machine_failed machine={}", l.name());
-        ledger.machineFailed(m, now);
+        schedulerState.machineFailed(m, now);
         m.returning = true;
         expected.remove(l.name());
         listener.changed();
       }
       return;
     }
-    if (m == null || m.reportedMs < 0) {
+    if (m == null || m.lastHeartbeatMs < 0) {
       expected.putIfAbsent(
           l.name(),
           new Expected(
@@ -249,7 +250,7 @@
       return;
     }
     long now = loop.now();
-    for (Hire h : hires.values()) {
+    for (Hire h : rentals.values()) {
       if (!h.answered && !h.calling) {
         call(h);
       }
@@ -258,13 +259,13 @@
     List<Coming> coming = coming(now);
     List<Job> queue = listener.queue();
     // What one transaction cannot record is asked for again in the next cycle.
-    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, site.machineTypes(), now);
-    for (GangReservations.Change c : ledger.gathering().changes()) {
+    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, clusterConfig.machineTypes(), now);
+    for (GangReservations.Change c : schedulerState.gangReservations().changes()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
           c.what().name().toLowerCase(Locale.ROOT),
           c.job().spec.id(),
-          c.zone() < 0 ? "any" : site.zones.name(c.zone()),
+          c.zone() < 0 ? "any" : clusterConfig.zones.name(c.zone()),
           c.places(),
           c.need(),
           c.lastedMs());
@@ -294,7 +295,7 @@
   /** Machines rented and not yet reporting, those overdue left out. */
   List<Coming> coming(long now) {
     List<Coming> out = new ArrayList<>();
-    for (Hire h : hires.values()) {
+    for (Hire h : rentals.values()) {
       if (!h.answered) {
         out.add(new Coming(h.variant, h.count, h.sinceMs, h.gang));
       }
@@ -311,27 +312,27 @@
   /** Records requests, all in one transaction, before their calls. */
   private void rent(List<Autoscaler.Rent> rents, long now) {
     List<Hire> batch = new ArrayList<>();
-    Transaction txn = new Transaction().given(LeaderElection.LEADER, mark);
+    Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
     for (Autoscaler.Rent r : rents) {
       String name = "r-" + term + "-" + counter++;
       Hire h = new Hire(name, r.variant(), r.count(), now, r.gang());
       h.calling = true;
-      hires.put(name, h);
+      rentals.put(name, h);
       batch.add(h);
       ObjectNode v = Json.object();
       v.put("type", r.variant().type().name());
-      v.put("zone", site.zones.name(r.variant().zone()));
+      v.put("zone", clusterConfig.zones.name(r.variant().zone()));
       v.put("spot", r.variant().spot());
       v.put("count", r.count());
       if (r.gang() != null) {
         v.put(GANG, r.gang()); // The next leader goes on gathering for it.
       }
-      txn.given(Records.HIRE + name, 0).put(Records.HIRE + name, v);
+      transaction.given(Records.HIRE + name, 0).put(Records.HIRE + name, v);
     }
-    writes.force(txn.writes(), now);
+    writes.force(transaction.writes(), now);
     recording = true;
     state.run(
-        txn,
+        transaction,
         (result, revision, failed) -> {
           recording = false;
           if (stopped) {
@@ -343,7 +344,7 @@
             listener.deposed();
           } else {
             // Not known to be recorded: never called. The names stay unused.
-            batch.forEach(h -> hires.remove(h.name));
+            batch.forEach(h -> rentals.remove(h.name));
           }
         });
   }
@@ -351,12 +352,12 @@
   /** Machines of a variant that the cloud has given: known, or on their way. */
   private int there(Variant v) {
     int n = 0;
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       boolean is = m.type.index() == v.type().index() && m.zone == v.zone() && m.spot == v.spot();
       n += is && !m.failed ? 1 : 0;
     }
     for (Expected e : expected.values()) {
-      n += e.variant.key() == v.key() && ledger.machine(e.name) == null ? 1 : 0;
+      n += e.variant.key() == v.key() && schedulerState.machine(e.name) == null ? 1 : 0;
     }
     return n;
   }
@@ -367,13 +368,13 @@
         "event=rent hire={} type={} zone={} spot={} count={}",
         h.name,
         h.variant.type().name(),
-        site.zones.name(h.variant.zone()),
+        clusterConfig.zones.name(h.variant.zone()),
         h.variant.spot(),
         h.count);
     cloud.rent(
         h.name,
         h.variant.type().name(),
-        site.zones.name(h.variant.zone()),
+        clusterConfig.zones.name(h.variant.zone()),
         h.variant.spot(),
         h.count,
         (names, refused) -> {
@@ -398,13 +399,15 @@
           if (refused || names.size() < h.count) {
             LOG.info("event=rent_short hire={} got={} of={}", h.name, names.size(), h.count);
             fleet.refused(h.variant, now);
-            ledger.gathering().refused(h.variant, there(h.variant) + names.size(), now);
+            schedulerState
+                .gangReservations()
+                .refused(h.variant, there(h.variant) + names.size(), now);
           } else {
             fleet.granted(h.variant);
           }
           for (String n : names) {
-            Machine m = ledger.machine(n);
-            if ((m == null || m.reportedMs < 0) && !ledger.isGone(n)) {
+            Machine m = schedulerState.machine(n);
+            if ((m == null || m.lastHeartbeatMs < 0) && !schedulerState.isGone(n)) {
               // Over what a list said meanwhile, which does not know for whom it was rented.
               expected.put(n, new Expected(n, h.variant, h.sinceMs, now, h.gang));
             }
@@ -418,7 +421,7 @@
       return;
     }
     List<Hire> over = new ArrayList<>();
-    for (Hire h : hires.values()) {
+    for (Hire h : rentals.values()) {
       if (h.answered
           && over.size() < maxOps / 2
           && h.machines.stream().noneMatch(expected::containsKey)) {
@@ -431,16 +434,16 @@
         || (over.size() < maxOps / 2 && writes.ready(loop.now()) < over.size() + 2)) {
       return;
     }
-    Transaction txn = new Transaction().given(LeaderElection.LEADER, mark);
-    over.forEach(h -> txn.delete(Records.HIRE + h.name));
-    writes.force(txn.writes(), loop.now());
+    Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
+    over.forEach(h -> transaction.delete(Records.HIRE + h.name));
+    writes.force(transaction.writes(), loop.now());
     settling = true;
     state.run(
-        txn,
+        transaction,
         (result, revision, failed) -> {
           settling = false;
           if (result == Result.OK) {
-            over.forEach(h -> hires.remove(h.name));
+            over.forEach(h -> rentals.remove(h.name));
           }
         });
   }
@@ -451,9 +454,10 @@
       long late = (long) (e.variant.type().bootS() * 2500) + 10_000;
       if (now - e.rentedMs > late
           && now - e.metMs > MET_MS
-          && !ledger.health().silence().cut(e.variant.zone())) {
+          && !schedulerState.health().failureDetector().cut(e.variant.zone())) {
         LOG.info("event=machine_never_came machine={}", e.name);
-        Machine m = ledger.meet(e.name, e.variant.type(), e.variant.zone(), e.variant.spot(), now);
+        Machine m =
+            schedulerState.meet(e.name, e.variant.type(), e.variant.zone(), e.variant.spot(), now);
         if (m != null) {
           m.returning = true;
         }
@@ -467,7 +471,7 @@
       return;
     }
     List<String> names = new ArrayList<>();
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       if (m.returning && names.size() < 100) {
         names.add(m.name);
       }
@@ -485,9 +489,9 @@
           }
           LOG.info("event=deleted machines={}", names);
           for (String n : names) {
-            Machine m = ledger.machine(n);
+            Machine m = schedulerState.machine(n);
             if (m != null) {
-              ledger.machineGone(m, loop.now());
+              schedulerState.machineGone(m, loop.now());
             }
             expected.remove(n);
           }
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -32,13 +32,13 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final ClusterConfig site;
+  private final ClusterConfig clusterConfig;
   private boolean recalling;
 
-  MachineTypeCache(EventLoop loop, KeyValueStore state, ClusterConfig site) {
+  MachineTypeCache(EventLoop loop, KeyValueStore state, ClusterConfig clusterConfig) {
     this.loop = loop;
     this.state = state;
-    this.site = site;
+    this.clusterConfig = clusterConfig;
   }
 
   /** Begins: until types are known in any way, the record is asked as well. */
@@ -47,7 +47,7 @@
   }
 
   private void recall() {
-    if (recalling || !site.machineTypes().isEmpty()) {
+    if (recalling || !clusterConfig.machineTypes().isEmpty()) {
       return;
     }
     recalling = true;
@@ -63,14 +63,14 @@
   }
 
   private void take(VersionedValue item) {
-    if (!site.machineTypes().isEmpty()) {
+    if (!clusterConfig.machineTypes().isEmpty()) {
       return;
     }
     try {
       List<MachineType> t = decode(item);
       if (!t.isEmpty()) {
         LOG.info("event=types_recalled types={}", t.size());
-        site.machineTypes(t);
+        clusterConfig.machineTypes(t);
       }
     } catch (InvalidMessageException e) {
       LOG.error("event=record_unreadable key={} reason=\"{}\"", KEY, e.getMessage());
@@ -81,30 +81,30 @@
     if (!item.value().isObject()) {
       throw new InvalidMessageException("not an object");
     }
-    return TypeCodec.decode((ObjectNode) item.value(), site.types, site.zones);
+    return TypeCodec.decode((ObjectNode) item.value(), clusterConfig.types, clusterConfig.zones);
   }
 
   /** A leader writes down what it knows where the record says otherwise; prices do not count. */
-  void keep(long leaderMark) {
-    List<MachineType> now = site.machineTypes();
+  void keep(long leaderVersion) {
+    List<MachineType> now = clusterConfig.machineTypes();
     state.get(
         KEY,
         (result, item) -> {
           if (result != Result.OK || same(item, now)) {
             return;
           }
-          ObjectNode v = TypeCodec.encode(now, site.zones);
-          if (Json.bytes(v).length > site.settings.valueKb() * 1024) {
+          ObjectNode v = TypeCodec.encode(now, clusterConfig.zones);
+          if (Json.bytes(v).length > clusterConfig.settings.valueKb() * 1024) {
             LOG.warn("event=types_not_kept reason=\"too large\"");
             return;
           }
           // Lost, it is written by the next term.
-          Transaction txn =
+          Transaction transaction =
               new Transaction()
-                  .given(LeaderElection.LEADER, leaderMark)
-                  .given(KEY, item.mark())
+                  .given(LeaderElection.LEADER, leaderVersion)
+                  .given(KEY, item.version())
                   .put(KEY, v);
-          state.run(txn, (r, revision, failed) -> {});
+          state.run(transaction, (r, revision, failed) -> {});
         });
   }
 
@@ -137,7 +137,7 @@
                             t.bootS(),
                             t.zones()))
                 .toList(),
-            site.zones)
+            clusterConfig.zones)
         .toString();
   }
 }
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -67,7 +67,7 @@
 
   private static final double LEAST_REPEATS_PER_S = 4;
 
-  private final ClusterConfig site;
+  private final ClusterConfig clusterConfig;
   private final NodeEnvironment host;
   private final EventLoop loop;
   private final CloudClient cloud;
@@ -95,26 +95,27 @@
   private PrometheusMeterRegistry registry;
 
   /** A node on this machine. */
-  public Node(ClusterConfig site) throws IOException {
-    this(site, new XnioEnvironment(site.settings()));
+  public Node(ClusterConfig clusterConfig) throws IOException {
+    this(clusterConfig, new XnioEnvironment(clusterConfig.settings()));
   }
 
   /** Wires a node together; nothing runs before {@link #start()}. */
-  public Node(ClusterConfig site, NodeEnvironment host) throws IOException {
-    this.site = site;
+  public Node(ClusterConfig clusterConfig, NodeEnvironment host) throws IOException {
+    this.clusterConfig = clusterConfig;
     this.host = host;
     this.loop = host.loop();
-    Settings s = site.settings();
+    Settings s = clusterConfig.settings();
     String json = "application/json";
     // The largest answer of an outside service: a small part of the memory.
     int ram = (int) (s.ramMb() * 1024 * 1024);
     RequestSender stateCaller = host.caller(s.state(), json, STATE_CONNECTIONS, ram / 8);
     RequestSender cloudCaller = host.caller(s.cloud(), json, 8, ram / 8);
     RequestSender follower = host.caller(s.state(), json, 8, ram / 8);
-    boolean on = site.operator.links().isPresent() && !s.members().isEmpty();
+    boolean on = clusterConfig.operator.links().isPresent() && !s.members().isEmpty();
     this.links =
         on
-            ? new LinkMonitor(host, site, site.operator.links().get(), stateCaller, cloudCaller)
+            ? new LinkMonitor(
+                host, clusterConfig, clusterConfig.operator.links().get(), stateCaller, cloudCaller)
             : null;
     this.state =
         on
@@ -129,9 +130,9 @@
             loop,
             on ? links.cloud() : cloudCaller,
             new RateLimiter(s.cloudRps() * 0.8, s.cloudRps(), now),
-            site.types,
-            site.zones);
-    this.types = new MachineTypeCache(loop, state, site);
+            clusterConfig.types,
+            clusterConfig.zones);
+    this.types = new MachineTypeCache(loop, state, clusterConfig);
     this.workers = new WorkerClient(host, Math.max(16, s.maxSockets() / 8));
     double reads = Math.max(4, s.stateRps() * 0.6 / s.nodes());
     this.users =
@@ -163,15 +164,16 @@
     users.onCancelled(this::learntCancelled);
     // Not even its classes are loaded where it is off.
     this.console =
-        site.operator.console().isEmpty()
+        clusterConfig.operator.console().isEmpty()
             ? null
             : new ConsoleServer(
-                site.operator.console().get(),
-                new Watched(new SnapshotPublisher(loop, site, state, election, () -> leader)));
+                clusterConfig.operator.console().get(),
+                new Watched(
+                    new SnapshotPublisher(loop, clusterConfig, state, election, () -> leader)));
     this.router = new HttpRouter(this::serve, reports::report, this::healthy, this::metrics);
     if (on) {
       peers.forwarding(links.forwarding());
-      workers.bypass(links.forwarding()::orders);
+      workers.bypass(links.forwarding()::commands);
     }
   }
 
@@ -193,15 +195,21 @@
       started.join();
     } catch (CompletionException e) {
       stop();
-      throw new IOException(site.settings().listen() + ": " + e.getCause().getMessage(), e);
+      throw new IOException(
+          clusterConfig.settings().listen() + ": " + e.getCause().getMessage(), e);
     }
-    LOG.info("event=started node={} listen={}", site.settings.node(), site.settings.listen());
+    LOG.info(
+        "event=started node={} listen={}",
+        clusterConfig.settings.node(),
+        clusterConfig.settings.listen());
   }
 
   /** The same on the loop itself. */
   public void begin() {
     host.listen(new Inlet());
-    long most = CancellationView.mostAgeMs(site.settings.leaseS(), site.settings.cancelS());
+    long most =
+        CancellationView.mostAgeMs(
+            clusterConfig.settings.leaseS(), clusterConfig.settings.cancelS());
     if (most < SHORT_VIEW_MS) {
       // Kept even so; but a moment without the state service costs the fleet its leases.
       LOG.warn("event=cancel_s_short most_view_ms={}", most);
@@ -274,7 +282,7 @@
     } catch (RuntimeException e) {
       LOG.error(
           "event=console_not_started listen={} reason=\"{}\"",
-          site.operator.console().get().listen(),
+          clusterConfig.operator.console().get().listen(),
           e.getMessage());
     }
   }
@@ -318,7 +326,7 @@
     cloud.types(
         t -> {
           if (t != null && !t.isEmpty()) {
-            site.machineTypes(t);
+            clusterConfig.machineTypes(t);
             loop.after(60_000, this::types);
           } else {
             loop.after(500, this::types);
@@ -328,7 +336,7 @@
 
   /** Serves a user's request here or, without the state service, through a peer that has it. */
   private void serve(String method, String path, byte[] body, Responder answerer) {
-    if (site.settings().members().isEmpty()) {
+    if (clusterConfig.settings().members().isEmpty()) {
       users.serve(method, path, body, answerer);
     } else if (links != null && links.stateRoute().astray()) {
       // One hop to a peer that has the state service; with none at hand nobody waits to hear it.
@@ -364,7 +372,7 @@
 
   /** A node that is cut off from the state service and from all who have it sends users away. */
   private boolean healthy() {
-    return !site.machineTypes().isEmpty() && (links == null || !links.isolated());
+    return !clusterConfig.machineTypes().isEmpty() && (links == null || !links.isolated());
   }
 
   private String metrics() {
@@ -373,20 +381,26 @@
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
       gauge("mallowroad.leading", n -> n.leader == null ? 0 : 1);
       gauge("mallowroad.term", n -> n.election.seenTerm());
-      gauge("mallowroad.jobs.open", n -> n.leader == null ? 0 : n.leader.ledger().jobs().size());
-      gauge("mallowroad.machines", n -> n.leader == null ? 0 : n.leader.ledger().machines().size());
+      gauge(
+          "mallowroad.jobs.open",
+          n -> n.leader == null ? 0 : n.leader.schedulerState().jobs().size());
+      gauge(
+          "mallowroad.machines",
+          n -> n.leader == null ? 0 : n.leader.schedulerState().machines().size());
       gauge(
           "mallowroad.records.uncommitted",
-          n -> n.leader == null ? 0 : n.leader.ledger().dirty().size());
+          n -> n.leader == null ? 0 : n.leader.schedulerState().dirty().size());
       gauge(
           "mallowroad.records.urgent",
-          n -> n.leader == null ? 0 : n.leader.ledger().urgent().size());
+          n -> n.leader == null ? 0 : n.leader.schedulerState().urgent().size());
+      gauge(
+          "mallowroad.tasks.completed",
+          n -> n.leader == null ? 0 : n.leader.schedulerState().completed());
+      gauge("mallowroad.machines.late", n -> n.watched(h -> h.failureDetector().lateCount()));
+      gauge("mallowroad.machines.doubted", n -> n.watched(h -> h.stragglerDetector().doubted()));
       gauge(
-          "mallowroad.tasks.completed", n -> n.leader == null ? 0 : n.leader.ledger().completed());
-      gauge("mallowroad.machines.late", n -> n.watched(h -> h.silence().lateCount()));
-      gauge("mallowroad.machines.doubted", n -> n.watched(h -> h.runTimes().doubted()));
-      gauge("mallowroad.machines.slow.refused", n -> n.watched(h -> h.runTimes().refused()));
-      gauge("mallowroad.zones.cut", n -> n.watched(h -> h.silence().cuts()));
+          "mallowroad.machines.slow.refused", n -> n.watched(h -> h.stragglerDetector().refused()));
+      gauge("mallowroad.zones.cut", n -> n.watched(h -> h.failureDetector().cuts()));
       gauge("mallowroad.stood.still", n -> n.watched(h -> h.still().count()));
       gauge("mallowroad.stood.still.longest.ms", n -> n.watched(h -> h.still().longestMs()));
       gauge("mallowroad.loop.lag.ms", n -> n.leader == null ? 0 : n.leader.lagMs());
@@ -417,21 +431,21 @@
 
   /** What the leader on this node suspects; 0 elsewhere. */
   private double watched(ToDoubleFunction<Health> f) {
-    return leader == null ? 0 : f.applyAsDouble(leader.ledger().health());
+    return leader == null ? 0 : f.applyAsDouble(leader.schedulerState().health());
   }
 
   /**
    * The process's memory as the system counts it, and what of it are the heap and the collector.
    */
   private void memory() {
-    gauge("mallowroad.memory.limit.bytes", n -> n.site.settings().ramMb() * 1024 * 1024);
+    gauge("mallowroad.memory.limit.bytes", n -> n.clusterConfig.settings().ramMb() * 1024 * 1024);
     gauge("mallowroad.memory.process.bytes", n -> MemoryMetrics.processBytes());
     gauge("mallowroad.memory.heap.bytes", n -> MemoryMetrics.heapBytes());
     gauge("mallowroad.collector.share", n -> MemoryMetrics.collectorShare());
     gauge("mallowroad.bodies.bytes", n -> n.host.bytes());
     gauge("mallowroad.kept.ends", n -> n.users.ends());
     gauge("mallowroad.kept.opens", n -> n.users.opens());
-    gauge("mallowroad.kept.names", n -> n.site.names());
+    gauge("mallowroad.kept.names", n -> n.clusterConfig.names());
     gauge("mallowroad.kept.callers", n -> n.workers.kept());
   }
 
@@ -449,7 +463,7 @@
 
     @Override
     public String node() {
-      return site.settings.node();
+      return clusterConfig.settings.node();
     }
 
     @Override
@@ -484,26 +498,26 @@
 
   private final class ElectionListener implements LeaderElection.Listener {
     @Override
-    public void elected(long term, long mark) {
+    public void elected(long term, long version) {
       leader =
           new Leader(
               loop,
               state,
               cloud,
-              site,
+              clusterConfig,
               election,
               term,
-              mark,
+              version,
               workers,
               users.folding(),
               () -> links == null ? 0 : links.links().freshRows(loop.now()),
-              new LeaderDuties(term, mark));
+              new LeaderDuties(term, version));
       leader.start();
-      if (site.operator.records().shareStarts()) {
+      if (clusterConfig.operator.records().shareStarts()) {
         shareStarts(leader);
       }
       // After the takeover's first reads are under way: they matter more.
-      loop.after(100, () -> peers.announce(site.settings().node(), term));
+      loop.after(100, () -> peers.announce(clusterConfig.settings().node(), term));
     }
 
     @Override
@@ -518,16 +532,16 @@
   /** What a leader asks of its node. */
   private final class LeaderDuties implements Leader.Listener {
     private final long term;
-    private final long mark;
+    private final long version;
 
-    LeaderDuties(long term, long mark) {
+    LeaderDuties(long term, long version) {
       this.term = term;
-      this.mark = mark;
+      this.version = version;
     }
 
     @Override
     public void recordsRead() {
-      types.keep(mark);
+      types.keep(version);
     }
 
     @Override
@@ -550,17 +564,17 @@
 
     @Override
     public JobSpec check(JsonNode submission) throws InvalidMessageException {
-      return site.codec.check(submission);
+      return clusterConfig.codec.check(submission);
     }
 
     @Override
     public boolean ready() {
-      return !site.machineTypes().isEmpty();
+      return !clusterConfig.machineTypes().isEmpty();
     }
 
     @Override
     public String hopeless(JobSpec spec) {
-      return site.hopeless(spec);
+      return clusterConfig.hopeless(spec);
     }
 
     @Override
@@ -606,8 +620,8 @@
 
   private final class NodeReports implements HeartbeatApi.Reports {
     @Override
-    public void sawToken(long token) {
-      election.sawTerm(token);
+    public void sawToken(long fencingToken) {
+      election.sawTerm(fencingToken);
     }
 
     @Override
@@ -618,7 +632,7 @@
     @Override
     public String leader() {
       String l = election.leader();
-      return l == null || l.equals(site.settings.node()) ? null : l;
+      return l == null || l.equals(clusterConfig.settings.node()) ? null : l;
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -29,7 +29,7 @@
   private static final int TURN = 10_000;
 
   private final EventLoop loop;
-  private final ClusterConfig site;
+  private final ClusterConfig clusterConfig;
   private final KeyValueStore state;
   private final LeaderElection election;
   private final Supplier<Leader> leader;
@@ -41,12 +41,12 @@
 
   SnapshotPublisher(
       EventLoop loop,
-      ClusterConfig site,
+      ClusterConfig clusterConfig,
       KeyValueStore state,
       LeaderElection election,
       Supplier<Leader> leader) {
     this.loop = loop;
-    this.site = site;
+    this.clusterConfig = clusterConfig;
     this.state = state;
     this.election = election;
     this.leader = leader;
@@ -119,10 +119,11 @@
   private SnapshotBuilder sketch(Leader l) {
     AutoscalerView supply = new LeaderSupply(l);
     return new SnapshotBuilder(
-        l.ledger(),
+        l.schedulerState(),
         supply,
-        site.zones,
-        new PendingReasonExplainer(l.ledger(), l.placement(), supply, site.zones, site.classes));
+        clusterConfig.zones,
+        new PendingReasonExplainer(
+            l.schedulerState(), l.placement(), supply, clusterConfig.zones, clusterConfig.classes));
   }
 
   private NodeSnapshot full(Leader l, long began) {
@@ -153,10 +154,12 @@
     long silentMs = loop.now() - state.contactMs();
     return new NodeSnapshot(
         NodeSnapshot.FORMAT,
-        site.settings.node(),
+        clusterConfig.settings.node(),
         phase,
         l != null ? l.term() : election.seenTerm(),
-        l != null ? site.settings.node() : election.leader() == null ? "" : election.leader(),
+        l != null
+            ? clusterConfig.settings.node()
+            : election.leader() == null ? "" : election.leader(),
         loop.wallMs(),
         (tookNs + loop.nanos() - began) / 1000,
         l == null ? 0 : l.lagMs(),
@@ -190,7 +193,7 @@
 
     @Override
     public List<MachineType> types() {
-      return site.machineTypes();
+      return clusterConfig.machineTypes();
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/StateLoader.java
@@ -51,8 +51,8 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final ClusterConfig site;
-  private final SchedulerState ledger;
+  private final ClusterConfig clusterConfig;
+  private final SchedulerState schedulerState;
   private final WriteBehindCommitter committer;
   private final CancellationView view;
   private final Listener listener;
@@ -61,7 +61,7 @@
   /** What the leader must hear of. */
   interface Listener {
     /** All records are read: so many of runs, and these of rental requests. */
-    void taken(int count, List<VersionedValue> hire);
+    void taken(int count, List<VersionedValue> rental);
 
     /** An open job is in the ledger; told once or more. */
     void opened(Job job);
@@ -79,15 +79,15 @@
   StateLoader(
       EventLoop loop,
       KeyValueStore state,
-      ClusterConfig site,
-      SchedulerState ledger,
+      ClusterConfig clusterConfig,
+      SchedulerState schedulerState,
       WriteBehindCommitter committer,
       CancellationView view,
       Listener listener) {
     this.loop = loop;
     this.state = state;
-    this.site = site;
-    this.ledger = ledger;
+    this.clusterConfig = clusterConfig;
+    this.schedulerState = schedulerState;
     this.committer = committer;
     this.view = view;
     this.listener = listener;
@@ -102,7 +102,7 @@
     if (stopped) {
       return;
     }
-    if (site.machineTypes().isEmpty()) {
+    if (clusterConfig.machineTypes().isEmpty()) {
       loop.after(100, this::begin);
       return;
     }
@@ -112,7 +112,7 @@
     state.list(Records.OPEN, (r, items, revision) -> t.open(r, items, revision));
     state.list(Records.RUN, (r, items, revision) -> t.run(r, items));
     state.list(Records.STARTS, (r, items, revision) -> t.shared(r, items));
-    state.list(Records.HIRE, (r, items, revision) -> t.hire(r, items));
+    state.list(Records.HIRE, (r, items, revision) -> t.rental(r, items));
   }
 
   /** What a takeover reads, until it is complete. */
@@ -121,7 +121,7 @@
     private List<VersionedValue> open;
     private List<VersionedValue> run;
     private List<VersionedValue> shared;
-    private List<VersionedValue> hire;
+    private List<VersionedValue> rental;
     private long revision;
     private int lists;
     private boolean failed;
@@ -142,8 +142,8 @@
       read(r);
     }
 
-    void hire(Result r, List<VersionedValue> items) {
-      hire = items;
+    void rental(Result r, List<VersionedValue> items) {
+      rental = items;
       read(r);
     }
 
@@ -179,7 +179,7 @@
       }
       int to = Math.min(run.size(), from + TURN);
       for (VersionedValue i : run.subList(from, to)) {
-        Job job = ledger.job(jobOf(i.key()));
+        Job job = schedulerState.job(jobOf(i.key()));
         if (job != null) {
           restoreRun(job, i);
         }
@@ -201,12 +201,12 @@
         loop.soon(() -> restoreShared(to));
         return;
       }
-      for (Job j : ledger.jobs()) {
-        ledger.restored(j, loop.now());
+      for (Job j : schedulerState.jobs()) {
+        schedulerState.restored(j, loop.now());
       }
       // Of jobs that are over as well: restoreOver has read how each of them ended.
       view.answered(sentMs).applied();
-      listener.taken(run.size() + shared.size(), hire);
+      listener.taken(run.size() + shared.size(), rental);
       follow(revision);
     }
   }
@@ -228,7 +228,7 @@
         () -> {
           for (VersionedValue i : run) {
             if (done.contains(jobOf(i.key()))) {
-              committer.leftover(i.key(), i.mark());
+              committer.leftover(i.key(), i.version());
             }
           }
           next.run();
@@ -285,9 +285,9 @@
         if (v != null && !v.has("open")) {
           done.add(id);
         } else if (v != null) {
-          JobSpec spec = Records.spec(v.get("open"), site.codec);
+          JobSpec spec = Records.spec(v.get("open"), clusterConfig.codec);
           if (spec.team() >= 0) {
-            ledger.cancel(ledger.accept(spec, 0, 0, loop.now()), loop.now());
+            schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
           }
         }
       } catch (InvalidMessageException e) {
@@ -302,51 +302,53 @@
 
   private void restoreRun(Job job, VersionedValue i) {
     int index = Integer.parseInt(i.key().substring(i.key().lastIndexOf('/') + 1));
-    if (index < job.chunkCount()) {
-      restoreChunk(job.chunk(index), i.mark(), i.value(), i.key());
+    if (index < job.attemptRecordCount()) {
+      restoreChunk(job.attemptRecord(index), i.version(), i.value(), i.key());
     }
   }
 
   /** Jobs that are done stay listed until the record is written again: they are left out. */
   private void restoreShared(VersionedValue i) {
     SharedAttemptRecord r =
-        ledger.sharedRecords().restore(i.key().substring(Records.STARTS.length()), i.mark());
+        schedulerState
+            .sharedAttemptRecords()
+            .restore(i.key().substring(Records.STARTS.length()), i.version());
     for (Map.Entry<String, JsonNode> run : Records.sharedRuns(i.value())) {
-      Job job = ledger.job(run.getKey());
-      if (job != null && job.chunkCount() == 1) {
-        ledger.sharedRecords().restored(r, job.chunk(0));
-        restoreChunk(job.chunk(0), 0, run.getValue(), i.key());
+      Job job = schedulerState.job(run.getKey());
+      if (job != null && job.attemptRecordCount() == 1) {
+        schedulerState.sharedAttemptRecords().restored(r, job.attemptRecord(0));
+        restoreChunk(job.attemptRecord(0), 0, run.getValue(), i.key());
       }
     }
   }
 
-  private void restoreChunk(AttemptRecord c, long mark, JsonNode v, String key) {
+  private void restoreChunk(AttemptRecord c, long version, JsonNode v, String key) {
     Job job = c.job;
-    ledger.restore(c, mark, Records.done(v), v.path("high").asInt());
+    schedulerState.restore(c, version, Records.done(v), v.path("high").asInt());
     for (Records.Live a : Records.live(v)) {
-      MachineType type = site.type(a.type());
-      int zone = site.zones.find(a.zone());
+      MachineType type = clusterConfig.type(a.type());
+      int zone = clusterConfig.zones.find(a.zone());
       if (type == null || zone < 0) {
         LOG.error("event=record_unreadable key={} machine={}", key, a.machine());
         continue;
       }
-      Machine m = ledger.meet(a.machine(), type, zone, a.spot(), loop.now());
-      ledger.restoreAttempt(job, a.task(), a.number(), m, a.session(), loop.now());
+      Machine m = schedulerState.meet(a.machine(), type, zone, a.spot(), loop.now());
+      schedulerState.restoreAttempt(job, a.task(), a.number(), m, a.incarnation(), loop.now());
     }
     if (job.cancelled()) {
-      ledger.redo(c, loop.now());
+      schedulerState.redo(c, loop.now());
     }
   }
 
   private void opened(VersionedValue i) {
     try {
-      JobSpec spec = Records.spec(i.value(), site.codec);
+      JobSpec spec = Records.spec(i.value(), clusterConfig.codec);
       if (spec.team() < 0) {
         LOG.error("event=team_unknown job={}", spec.id());
         return;
       }
       listener.opened(
-          ledger.accept(spec, i.mark(), loop.wallMs() - spec.submittedMs(), loop.now()));
+          schedulerState.accept(spec, i.version(), loop.wallMs() - spec.submittedMs(), loop.now()));
     } catch (InvalidMessageException e) {
       LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
     }
@@ -388,8 +390,8 @@
 
   /** The view is no newer than how the job ended: until that is read, nothing of it is stopped. */
   private void closed(String id, CancellationView.Reading reading) {
-    Job job = ledger.job(id);
-    if (job != null && !job.cancelled() && !ledger.ending().contains(job)) {
+    Job job = schedulerState.job(id);
+    if (job != null && !job.cancelled() && !schedulerState.ending().contains(job)) {
       listener.cancelled();
       reading.waitsForOneMore();
       committer.reread(
@@ -421,11 +423,11 @@
           for (VersionedValue i : open) {
             String id = i.key().substring(Records.OPEN.length());
             ids.add(id);
-            if (ledger.job(id) == null) {
+            if (schedulerState.job(id) == null) {
               opened(i); // Records of open jobs never change: the others need not be read again.
             }
           }
-          for (Job j : new ArrayList<>(ledger.jobs())) {
+          for (Job j : new ArrayList<>(schedulerState.jobs())) {
             if (!ids.contains(j.spec.id())) {
               closed(j.spec.id(), reading);
             }
--- a/src/main/java/org/mallowroad/controller/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/WriteBehindCommitter.java
@@ -59,9 +59,9 @@
   private final EventLoop loop;
   private final KeyValueStore state;
   private final RateLimiter writes;
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final NameIndex zones;
-  private final long mark;
+  private final long version;
   private final int maxOps;
   private final Events events;
   private final List<Runnable> waiters = new ArrayList<>();
@@ -82,7 +82,7 @@
     void committed();
 
     /** What a start of a held job must carry along: conditions, and one write at the most. */
-    void guard(Job job, Transaction txn);
+    void guard(Job job, Transaction transaction);
 
     /** What {@link #guard} added is committed. */
     void guarded(Job job, long revision);
@@ -98,17 +98,17 @@
       EventLoop loop,
       KeyValueStore state,
       RateLimiter writes,
-      SchedulerState ledger,
+      SchedulerState schedulerState,
       NameIndex zones,
-      long mark,
+      long version,
       int maxOps,
       Events events) {
     this.loop = loop;
     this.state = state;
     this.writes = writes;
-    this.ledger = ledger;
+    this.schedulerState = schedulerState;
     this.zones = zones;
-    this.mark = mark;
+    this.version = version;
     this.maxOps = maxOps;
     this.events = events;
   }
@@ -152,11 +152,11 @@
     if (busy || stopped) {
       return;
     }
-    if (!ledger.urgent().isEmpty() || !ledger.ending().isEmpty()) {
+    if (!schedulerState.urgent().isEmpty() || !schedulerState.ending().isEmpty()) {
       send();
-    } else if (!ledger.dirty().isEmpty()
+    } else if (!schedulerState.dirty().isEmpty()
         || !leftovers.isEmpty()
-        || ledger.sharedRecords().anyToWrite()) {
+        || schedulerState.sharedAttemptRecords().anyToWrite()) {
       later(LAZY_MS);
     }
   }
@@ -185,15 +185,15 @@
     long now = loop.now();
     CommitTransactionBuilder draft = fill(now);
     if (draft.empty()) {
-      if (!ledger.dirty().isEmpty()
+      if (!schedulerState.dirty().isEmpty()
           || !leftovers.isEmpty()
-          || ledger.sharedRecords().anyToWrite()) {
+          || schedulerState.sharedAttemptRecords().anyToWrite()) {
         later(LAZY_MS);
       }
       return;
     }
     draft.finish();
-    int size = draft.txn().writes();
+    int size = draft.transaction().writes();
     if (size == 0) {
       applied(draft, 0);
       kick();
@@ -215,7 +215,7 @@
     written += size;
     busy = true;
     state.runRepeated(
-        draft.txn(),
+        draft.transaction(),
         () -> {
           writes.force(size, loop.now());
           written += size;
@@ -230,11 +230,11 @@
     int most = (int) Math.max(least, Math.min(maxOps, ready));
     CommitTransactionBuilder draft =
         new CommitTransactionBuilder(
-            ledger, zones, events::guard, mark, most, CONDITIONS_A_WRITE * maxOps, now);
+            schedulerState, zones, events::guard, version, most, CONDITIONS_A_WRITE * maxOps, now);
     draft.addEnds(END_MS);
     draft.addUrgent();
     draft.addEnds(0);
-    boolean idle = ledger.urgent().isEmpty() && ledger.ending().isEmpty();
+    boolean idle = schedulerState.urgent().isEmpty() && schedulerState.ending().isEmpty();
     // Exits leave half of the bucket to the starts to come.
     int half = (int) (ready - maxOps / 2.0);
     int spare = idle ? Math.max(least, half) : half;
@@ -249,7 +249,7 @@
    */
   private long lazyMs() {
     double perSecond = LAZY_SHARE * writes.perSecond();
-    long ms = (long) (1000 * ledger.dirty().size() / perSecond);
+    long ms = (long) (1000 * schedulerState.dirty().size() / perSecond);
     return Math.max(LAZY_MS, Math.min(MOST_LAZY_MS, ms));
   }
 
@@ -280,7 +280,7 @@
   }
 
   private void applied(CommitTransactionBuilder draft, long revision) {
-    for (WrittenChunk w : draft.chunks()) {
+    for (WrittenChunk w : draft.attemptRecords()) {
       committed(w, w.deleted() ? 0 : revision);
     }
     for (WrittenShared r : draft.shared()) {
@@ -289,22 +289,22 @@
     draft.deleted().forEach(leftovers::removeLong);
     draft.guarded().forEach(j -> events.guarded(j, revision));
     for (Job j : draft.ends()) {
-      ledger.ended(j, loop.now());
+      schedulerState.ended(j, loop.now());
       events.ended(j, true);
       tidy(j);
     }
-    draft.chunks().forEach(w -> tidy(w.chunk().job));
-    draft.shared().forEach(r -> r.chunks().forEach(w -> tidy(w.chunk().job)));
+    draft.attemptRecords().forEach(w -> tidy(w.attemptRecord().job));
+    draft.shared().forEach(r -> r.attemptRecords().forEach(w -> tidy(w.attemptRecord().job)));
   }
 
   private void committed(WrittenChunk w, long revision) {
-    ledger.committed(w.chunk(), revision, w.changes(), w.recorded(), loop.now());
+    schedulerState.committed(w.attemptRecord(), revision, w.changes(), w.recorded(), loop.now());
   }
 
   private void committed(WrittenShared r, long revision) {
     // A member has no record of its own, and so no version.
-    r.chunks().forEach(w -> committed(w, 0));
-    ledger.sharedRecords().written(r.record(), r.value() == null ? 0 : revision);
+    r.attemptRecords().forEach(w -> committed(w, 0));
+    schedulerState.sharedAttemptRecords().written(r.record(), r.value() == null ? 0 : revision);
   }
 
   /** Forgets a job once nothing of it is left; what records remain are deleted first. */
@@ -313,14 +313,14 @@
       return;
     }
     boolean left = false;
-    for (int i = 0; i < j.chunkCount(); i++) {
-      if (j.chunk(i).mark > 0) {
+    for (int i = 0; i < j.attemptRecordCount(); i++) {
+      if (j.attemptRecord(i).version > 0) {
         left = true;
-        ledger.redo(j.chunk(i), loop.now());
+        schedulerState.redo(j.attemptRecord(i), loop.now());
       }
     }
     if (!left) {
-      ledger.forget(j);
+      schedulerState.forget(j);
     }
   }
 
@@ -339,17 +339,17 @@
     Predicate<String> concerned = key -> failed.isEmpty() || failed.contains(key);
     List<Consumer<Runnable>> steps = new ArrayList<>();
     List<Job> jobs = new ArrayList<>(draft.ends());
-    for (WrittenChunk w : draft.chunks()) {
-      if (concerned.test(Records.run(w.chunk()))) {
+    for (WrittenChunk w : draft.attemptRecords()) {
+      if (concerned.test(Records.run(w.attemptRecord()))) {
         steps.add(next -> adopt(w, next));
       }
-      addOnce(jobs, w.chunk().job);
+      addOnce(jobs, w.attemptRecord().job);
     }
     for (WrittenShared r : draft.shared()) {
       if (concerned.test(Records.starts(r.record()))) {
         steps.add(next -> adopt(r, next));
       }
-      r.chunks().forEach(w -> addOnce(jobs, w.chunk().job));
+      r.attemptRecords().forEach(w -> addOnce(jobs, w.attemptRecord().job));
     }
     for (Job j : jobs) {
       String id = j.spec.id();
@@ -388,12 +388,12 @@
   /** Takes the version that is there; when the value is what was to be written, it was written. */
   private void adopt(WrittenChunk w, Runnable next) {
     read(
-        Records.run(w.chunk()),
+        Records.run(w.attemptRecord()),
         item -> {
           if (same(w.value(), item.value())) {
-            committed(w, item.mark());
+            committed(w, item.version());
           } else {
-            w.chunk().mark = item.mark();
+            w.attemptRecord().version = item.version();
           }
           next.run();
         });
@@ -404,9 +404,9 @@
         Records.starts(r.record()),
         item -> {
           if (same(r.value(), item.value())) {
-            committed(r, item.mark());
+            committed(r, item.version());
           } else {
-            r.record().mark = item.mark();
+            r.record().version = item.version();
           }
           next.run();
         });
@@ -457,7 +457,7 @@
             boolean done = item.value().path("end").asText().equals("done");
             if (done) {
               if (!j.ended()) { // Else it was told before.
-                ledger.ended(j, loop.now());
+                schedulerState.ended(j, loop.now());
                 events.ended(j, true);
               }
               tidy(j);
@@ -471,7 +471,7 @@
 
   /** It is a fact that the job was cancelled, whoever says so; told once or more. */
   void cancelled(Job j) {
-    ledger.cancel(j, loop.now());
+    schedulerState.cancel(j, loop.now());
     events.ended(j, false);
     tidy(j);
   }
--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -33,7 +33,7 @@
   public final Machine machine;
 
   /** The worker's session it was recorded for. */
-  public final long session;
+  public final long incarnation;
 
   /** How far it has come. */
   public Phase phase;
@@ -68,12 +68,12 @@
   long runningSinceMs;
   long stopSinceMs;
 
-  Attempt(Job job, int task, int number, Machine machine, long session, Phase phase, long now) {
+  Attempt(Job job, int task, int number, Machine machine, long incarnation, Phase phase, long now) {
     this.job = job;
     this.task = task;
     this.number = number;
     this.machine = machine;
-    this.session = session;
+    this.incarnation = incarnation;
     this.phase = phase;
     this.sinceMs = now;
   }
@@ -84,9 +84,9 @@
   }
 
   /** True when it has run for several times as long as its peers did. */
-  public boolean overdue(StragglerDetector runTimes, long now) {
+  public boolean overdue(StragglerDetector stragglerDetector, long now) {
     return runningSinceMs > 0
-        && runTimes.late(job.peers, now - runningSinceMs, job.spec.estimateS());
+        && stragglerDetector.late(job.peers, now - runningSinceMs, job.spec.estimateS());
   }
 
   /** How the worker names it. */
--- a/src/main/java/org/mallowroad/core/AttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/AttemptRecord.java
@@ -12,7 +12,7 @@
   public final int index;
 
   /** The record's version as last seen; 0 when there is none. */
-  public long mark;
+  public long version;
 
   /**
    * True once a record of its own may have been written, known or not: it never shares one then, or
--- a/src/main/java/org/mallowroad/core/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/Autoscaler.java
@@ -75,7 +75,7 @@
   /** A rent must bring a start forward by this much. */
   private static final long WORTH_MS = 5_000;
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final AutoscalerPolicy policy;
   private final ServiceLevelObjectives objectives;
   private long looked;
@@ -87,10 +87,10 @@
 
   /** A fleet over a ledger. */
   public Autoscaler(
-      SchedulerState ledger, AutoscalerPolicy policy, ServiceLevelObjectives objectives) {
+      SchedulerState schedulerState, AutoscalerPolicy policy, ServiceLevelObjectives objectives) {
     this.objectives = objectives;
-    this.ledger = ledger;
-    this.health = ledger.health();
+    this.schedulerState = schedulerState;
+    this.health = schedulerState.health();
     this.policy = policy;
   }
 
@@ -134,7 +134,7 @@
 
   private boolean refused(Variant v, int taken, long now) {
     // After a refusal one call shows whether there is room again.
-    return health.silence().cut(v.zone)
+    return health.failureDetector().cut(v.zone)
         || refusedUntil.get(v.key()) > now
         || (taken >= MOST_A_CALL && probing.contains(v.key()));
   }
@@ -161,7 +161,7 @@
         added.addTo(v, 1);
       }
     }
-    List<Rent> rents = new ArrayList<>(ledger.gathering().rents(every, types, now));
+    List<Rent> rents = new ArrayList<>(schedulerState.gangReservations().rents(every, types, now));
     for (Object2IntMap.Entry<Variant> e : added.object2IntEntrySet()) {
       for (int left = e.getIntValue(); left > 0; left -= MOST_A_CALL) {
         rents.add(new Rent(e.getKey(), Math.min(MOST_A_CALL, left)));
@@ -183,11 +183,11 @@
       Object2IntLinkedOpenHashMap<Variant> added,
       long now) {
     int[] counts = new int[queue.size()];
-    double[] teamCpus = new double[ledger.teams().size()];
+    double[] teamCpus = new double[schedulerState.teams().size()];
     int waiting = 0;
     for (int i = 0; i < counts.length; i++) {
       JobSpec s = queue.get(i).spec;
-      Team team = ledger.team(s);
+      Team team = schedulerState.team(s);
       // Tasks beyond their team's limit need no machine.
       double left = team.cpusMax - team.usedCpus - teamCpus[s.team()];
       counts[i] =
@@ -207,7 +207,7 @@
     }
     List<Slot> slots = new ArrayList<>();
     Replaced away = new Replaced(health.policy().replaceShare());
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       // A slow machine is no room for urgent work, and goes back when it is empty.
       if (m.usable()
           && m.heldFor == null
@@ -219,7 +219,7 @@
     int firstComing = slots.size();
     for (Coming c : coming) {
       for (int i = 0; i < c.count; i++) {
-        if (health.silence().cut(c.variant.zone) && away.replaced()) {
+        if (health.failureDetector().cut(c.variant.zone) && away.replaced()) {
           continue;
         }
         slots.add(new Slot(c.variant, Math.max(now + SOON_MS, c.sinceMs + boot(c.variant))));
@@ -369,7 +369,7 @@
         continue;
       }
       for (int zone : t.zones()) {
-        if (!health.silence().cut(zone)
+        if (!health.failureDetector().cut(zone)
             && (refusedUntil.get(new Variant(t, zone, true).key()) <= now
                 || refusedUntil.get(new Variant(t, zone, false).key()) <= now)) {
           return true;
@@ -470,7 +470,7 @@
   /** The design's trigger: spare averaged over unsaturated machines. */
   boolean spareIsLow(int waiting, List<Coming> coming) {
     int n = 0;
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       if (m.usable() && m.heldFor == null && !health.away(m.health)) {
         n++;
       }
@@ -486,7 +486,7 @@
     int unsaturated = 0;
     double spare = 0;
     if (each < policy.waitingLimit()) {
-      for (Machine m : ledger.machines()) {
+      for (Machine m : schedulerState.machines()) {
         if (m.usable()
             && m.heldFor == null
             && !health.away(m.health)
@@ -549,7 +549,7 @@
         continue;
       }
       for (int zone : t.zones()) {
-        if (health.silence().cut(zone)) {
+        if (health.failureDetector().cut(zone)) {
           continue; // Nothing there could report to this leader.
         }
         for (int k = 0; k < 2; k++) {
@@ -567,7 +567,7 @@
   /** Empty machines to be returned now, dearest first, as far as the headroom test allows. */
   public List<Machine> returns(boolean anyWaiting, long now) {
     double least = Double.MAX_VALUE;
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       least = Math.min(least, Math.min(m.type.price(), m.type.spotPrice()) / m.type.cpus());
     }
     List<Machine> empty = new ArrayList<>();
@@ -575,15 +575,15 @@
     double load = 0;
     double cpus = 0;
     int n = 0;
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       // Of a machine whose report is overdue nothing is known, least of all that it is empty.
-      if (!ledger.takesWork(m, now)) {
+      if (!schedulerState.takesWork(m, now)) {
         continue;
       }
       n++;
       load += (m.heldFor == null ? m.booked() : 1) * m.type.cpus();
       cpus += m.type.cpus();
-      if (m.heldFor != null || ledger.stages().gives(m)) {
+      if (m.heldFor != null || schedulerState.imageDistribution().gives(m)) {
         continue; // Held for a gang, or others fetch from it: as good as booked.
       }
       // The dearer its CPUs, the sooner an idle machine goes: it must pay for the next boot it
@@ -601,8 +601,8 @@
     int excess = idle - (int) Math.max(IDLE_LEAST, IDLE_SHARE * n);
     if (excess > empty.size()) {
       empty.clear();
-      for (Machine m : ledger.machines()) {
-        if (ledger.takesWork(m, now)
+      for (Machine m : schedulerState.machines()) {
+        if (schedulerState.takesWork(m, now)
             && m.heldFor == null
             && m.empty()
             && now - m.emptySinceMs >= SOON_MS) {
--- a/src/main/java/org/mallowroad/core/Heartbeat.java
+++ b/src/main/java/org/mallowroad/core/Heartbeat.java
@@ -13,9 +13,9 @@
     String type,
     String zone,
     boolean spot,
-    long session,
-    long seq,
-    long token,
+    long incarnation,
+    long sequence,
+    long fencingToken,
     double noticeS,
     List<Entry> entries,
     boolean handsOn) {
@@ -27,12 +27,23 @@
       String type,
       String zone,
       boolean spot,
-      long session,
-      long seq,
-      long token,
+      long incarnation,
+      long sequence,
+      long fencingToken,
       double noticeS,
       List<Entry> entries) {
-    this(machine, address, type, zone, spot, session, seq, token, noticeS, entries, false);
+    this(
+        machine,
+        address,
+        type,
+        zone,
+        spot,
+        incarnation,
+        sequence,
+        fencingToken,
+        noticeS,
+        entries,
+        false);
   }
 
   /** What a worker says of a task. */
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -28,7 +28,7 @@
   /** No more exits than this wait: reports must stay small. */
   static final int RAISE_AT = 16;
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final Map<String, Job> jobs;
   private final Health health;
   private final long term;
@@ -36,13 +36,13 @@
   private final long leaseMs;
 
   HeartbeatReconciler(
-      SchedulerState ledger,
+      SchedulerState schedulerState,
       Map<String, Job> jobs,
       Health health,
       long term,
       long freshMs,
       long leaseMs) {
-    this.ledger = ledger;
+    this.schedulerState = schedulerState;
     this.jobs = jobs;
     this.health = health;
     this.term = term;
@@ -57,33 +57,34 @@
    * @return null when the message is older than one seen before and must be ignored
    */
   public List<WorkerCommand> report(Machine m, Heartbeat r, boolean mayLaunch, long now) {
-    if (r.session() < m.session || (r.session() == m.session && r.seq() <= m.seq)) {
+    if (r.incarnation() < m.incarnation
+        || (r.incarnation() == m.incarnation && r.sequence() <= m.sequence)) {
       return null;
     }
     hear(m, r, mayLaunch, now);
-    if (r.session() > m.session) {
-      ledger.stages().lost(m); // Its cache may be empty.
+    if (r.incarnation() > m.incarnation) {
+      schedulerState.imageDistribution().lost(m); // Its cache may be empty.
       m.unfenced.clear(); // Orders for an earlier session are not executed any more.
       m.unclearedMs = -1;
     } else {
-      fenced(m, r.token());
+      fenced(m, r.fencingToken());
     }
     // Not only when the session is news: a takeover may have read records of two sessions, and the
     // earlier one's attempts would stay for ever (docs/incidents, stuck-of-an-earlier-session).
     for (Attempt a : new ArrayList<>(m.attempts)) {
-      if (a.session < r.session()) {
+      if (a.incarnation < r.incarnation()) {
         a.inFlight = false;
-        ledger.resolve(a, SchedulerState.Outcome.LOST, now);
+        schedulerState.resolve(a, SchedulerState.Outcome.LOST, now);
       }
     }
-    m.session = r.session();
-    m.seq = r.seq();
-    m.tokenSeen = Math.max(m.tokenSeen, r.token());
+    m.incarnation = r.incarnation();
+    m.sequence = r.sequence();
+    m.highestTokenSeen = Math.max(m.highestTokenSeen, r.fencingToken());
     if (m.health.late() && m.empty()) {
       m.emptySinceMs = now; // Nobody could use it meanwhile: it is not idle for long.
     }
     // A report that waited while this process stood still is as old as the standstill.
-    m.reportedMs = health.heard(m.health, now);
+    m.lastHeartbeatMs = health.heard(m.health, now);
     m.address = r.address();
     m.handsOn = r.handsOn();
     if (r.noticeS() >= 0) {
@@ -91,7 +92,7 @@
       m.noticeSinceMs = m.noticeSinceMs == 0 ? now : m.noticeSinceMs;
       m.draining = true;
     }
-    List<WorkerCommand> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     raise(m, r, now);
     ObjectOpenHashSet<Attempt> listed = new ObjectOpenHashSet<>();
     for (Heartbeat.Entry e : r.entries()) {
@@ -99,68 +100,69 @@
       Attempt a = null;
       if (job != null && e.task() >= 0 && e.task() < job.spec.tasks()) {
         a = job.live[e.task()];
-        if (a != null && (a.number != e.attempt() || a.machine != m || a.session != r.session())) {
+        if (a != null
+            && (a.number != e.attempt() || a.machine != m || a.incarnation != r.incarnation())) {
           a = null;
         }
       }
       if (a == null) {
-        orphan(m, e, job, now, orders);
+        orphan(m, e, job, now, commands);
       } else {
         if (a.told && a.phase == Attempt.Phase.READY) {
-          m.health.answerDelivery().heeded();
+          m.health.outboundReachability().heeded();
         }
         listed.add(a);
-        see(a, e, now, orders);
+        see(a, e, now, commands);
       }
     }
     boolean unheeded = false;
     for (Attempt a : new ArrayList<>(m.attempts)) {
-      if (a.session != r.session() || listed.contains(a)) {
+      if (a.incarnation != r.incarnation() || listed.contains(a)) {
         continue;
       }
       unheeded |= a.told && a.phase == Attempt.Phase.READY;
-      boolean fresh = r.token() >= term;
+      boolean fresh = r.fencingToken() >= term;
       if (a.phase == Attempt.Phase.READY) {
         if (a.stopping()) {
           // Launches travel in report responses only, so a newer report of a worker that obeys
           // this term and does not list the attempt proves that it never started.
           // A launch sent straight to the worker may still come.
           if (fresh && !a.inFlight) {
-            ledger.resolve(a, SchedulerState.Outcome.LOST, now);
+            schedulerState.resolve(a, SchedulerState.Outcome.LOST, now);
           }
         } else if (mayLaunch) {
           a.sent = true;
           a.told = true;
-          orders.add(launch(a));
+          commands.add(launch(a));
         }
       } else if (a.phase != Attempt.Phase.RECORDING && fresh && !a.inFlight) {
-        ledger.resolve(a, SchedulerState.Outcome.LOST, now);
+        schedulerState.resolve(a, SchedulerState.Outcome.LOST, now);
       }
     }
     // Reports that answer direct orders come many to one answer, which may still be on its way.
     if (unheeded && mayLaunch) {
-      m.health.answerDelivery().missed(now);
+      m.health.outboundReachability().missed(now);
     }
-    m.toldToken = m.token;
-    return orders;
+    m.toldToken = m.fencingToken;
+    return commands;
   }
 
   /** What the report shows of the answers before it; call before it is taken. */
   private void hear(Machine m, Heartbeat r, boolean ordinary, long now) {
-    OutboundReachability h = m.health.answerDelivery();
-    if (m.toldToken > 0 && r.token() < m.toldToken) {
+    OutboundReachability h = m.health.outboundReachability();
+    if (m.toldToken > 0 && r.fencingToken() < m.toldToken) {
       if (ordinary) {
         h.missed(now);
       }
-    } else if (m.toldToken > m.tokenSeen && m.toldToken > 0) {
+    } else if (m.toldToken > m.highestTokenSeen && m.toldToken > 0) {
       h.heeded();
     }
     // A copy or a hung machine does not look like this: each report that was counted was answered,
     // and a machine that hangs sends none.
-    if (m.session > 0
-        && r.session() > m.session
-        && m.reportedMs >= 0
-        && now - m.reportedMs < leaseMs / 2) {
+    if (m.incarnation > 0
+        && r.incarnation() > m.incarnation
+        && m.lastHeartbeatMs >= 0
+        && now - m.lastHeartbeatMs < leaseMs / 2) {
       h.sessionLost(now);
     }
   }
@@ -189,42 +191,43 @@
       due = exited >= RAISE_AT;
     }
     for (Attempt a : m.attempts) {
-      due |= a.inFlight && a.stopping() && a.launchToken == m.token;
+      due |= a.inFlight && a.stopping() && a.launchToken == m.fencingToken;
     }
-    due |= m.health.answerDelivery().probe(now);
+    due |= m.health.outboundReachability().probe(now);
     // The last token of the block is never raised: then launches go in answers only (direct).
-    if (due && m.token < FencingTokens.last(term)) {
-      m.token++;
+    if (due && m.fencingToken < FencingTokens.last(term)) {
+      m.fencingToken++;
       m.unclearedMs = -1;
     }
   }
 
-  private void orphan(Machine m, Heartbeat.Entry e, Job job, long now, List<WorkerCommand> orders) {
+  private void orphan(
+      Machine m, Heartbeat.Entry e, Job job, long now, List<WorkerCommand> commands) {
     if (e.state() != Heartbeat.State.EXITED) {
-      orders.add(new WorkerCommand(WorkerCommand.Kind.STOP, e.job(), e.task(), e.attempt(), 0));
+      commands.add(new WorkerCommand(WorkerCommand.Kind.STOP, e.job(), e.task(), e.attempt(), 0));
       return;
     }
     boolean uncommitted =
         job != null
             && e.task() >= 0
             && e.task() < job.spec.tasks()
-            && job.chunks[e.task() / AttemptRecord.TASKS].dirty;
+            && job.attemptRecords[e.task() / AttemptRecord.TASKS].dirty;
     if (uncommitted) {
       return;
     }
-    if (m.unfenced.getLong(Attempt.key(e.job(), e.task(), e.attempt())) >= m.token) {
+    if (m.unfenced.getLong(Attempt.key(e.job(), e.task(), e.attempt())) >= m.fencingToken) {
       m.unclearedMs = m.unclearedMs < 0 ? now : m.unclearedMs;
     } else {
-      orders.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, e.job(), e.task(), e.attempt(), 0));
+      commands.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, e.job(), e.task(), e.attempt(), 0));
     }
   }
 
-  private void see(Attempt a, Heartbeat.Entry e, long now, List<WorkerCommand> orders) {
+  private void see(Attempt a, Heartbeat.Entry e, long now, List<WorkerCommand> commands) {
     boolean ran = a.phase == Attempt.Phase.RUNNING || a.phase == Attempt.Phase.FLUSHING;
     switch (e.state()) {
       case PULLING -> {
         if (a.restored && a.phase == Attempt.Phase.READY) {
-          ledger.stages().found(a, now);
+          schedulerState.imageDistribution().found(a, now);
         }
         a.phase = Attempt.Phase.PULLING;
       }
@@ -233,18 +236,18 @@
           a.job.runningCount++;
           a.runningSinceMs = now;
           a.machine.useImage(a.job.spec.image(), a.job.spec.imageGb());
-          ledger.stages().runs(a);
+          schedulerState.imageDistribution().runs(a);
         }
         a.phase =
             e.state() == Heartbeat.State.RUNNING ? Attempt.Phase.RUNNING : Attempt.Phase.FLUSHING;
       }
       case EXITED -> {
-        ledger.resolve(a, outcome(e.why()), now);
+        schedulerState.resolve(a, outcome(e.why()), now);
         return;
       }
     }
     if (a.stopping() && (a.phase != Attempt.Phase.FLUSHING || a.stopGraceS == 0)) {
-      orders.add(order(WorkerCommand.Kind.STOP, a, a.stopGraceS));
+      commands.add(workerCommand(WorkerCommand.Kind.STOP, a, a.stopGraceS));
     }
   }
 
@@ -263,12 +266,13 @@
    * A launch as the attempt's worker is to have it: one that can take an image is told from whom.
    */
   public WorkerCommand launch(Attempt a) {
-    List<String> givers = a.machine.handsOn ? ledger.stages().givers(a) : List.of();
+    List<String> imageSources =
+        a.machine.handsOn ? schedulerState.imageDistribution().imageSources(a) : List.of();
     return new WorkerCommand(
-        WorkerCommand.Kind.LAUNCH, a.job.spec.id(), a.task, a.number, 0, givers);
+        WorkerCommand.Kind.LAUNCH, a.job.spec.id(), a.task, a.number, 0, imageSources);
   }
 
-  private static WorkerCommand order(WorkerCommand.Kind kind, Attempt a, double graceS) {
+  private static WorkerCommand workerCommand(WorkerCommand.Kind kind, Attempt a, double graceS) {
     return new WorkerCommand(kind, a.job.spec.id(), a.task, a.number, graceS);
   }
 
@@ -277,44 +281,44 @@
    * stops. Launches count as in flight until {@link #answered}.
    */
   public List<WorkerCommand> direct(Machine m, boolean mayLaunch, long now) {
-    List<WorkerCommand> orders = new ArrayList<>();
+    List<WorkerCommand> commands = new ArrayList<>();
     // Only a worker that obeys this term and was heard a moment ago is worth the risk.
     if (!m.usable()
-        || m.tokenSeen < term
-        || now - m.reportedMs > freshMs
-        || m.health.answerDelivery().deaf()) {
-      return orders;
+        || m.highestTokenSeen < term
+        || now - m.lastHeartbeatMs > freshMs
+        || m.health.outboundReachability().deaf()) {
+      return commands;
     }
     for (Attempt a : m.attempts) {
-      if (a.session != m.session) {
+      if (a.incarnation != m.incarnation) {
         continue;
       }
       if (a.phase == Attempt.Phase.READY
           && !a.sent
           && !a.stopping()
           && mayLaunch
-          && m.token < FencingTokens.last(term)) {
+          && m.fencingToken < FencingTokens.last(term)) {
         a.sent = true;
         a.inFlight = true;
-        a.launchToken = m.token;
-        m.unfenced.put(a.key(), m.token);
-        orders.add(launch(a));
+        a.launchToken = m.fencingToken;
+        m.unfenced.put(a.key(), m.fencingToken);
+        commands.add(launch(a));
       } else if (a.stopping()
           && !a.stopSent
           && (a.phase == Attempt.Phase.PULLING || a.phase == Attempt.Phase.RUNNING)) {
         a.stopSent = true;
-        orders.add(order(WorkerCommand.Kind.STOP, a, a.stopGraceS));
+        commands.add(workerCommand(WorkerCommand.Kind.STOP, a, a.stopGraceS));
       }
     }
-    return orders;
+    return commands;
   }
 
   /**
    * The worker answered direct orders, or certainly never got them: no launch is in flight. Copies
    * of one that was answered may still come, so the attempt stays unfenced.
    */
-  public void answered(Machine m, List<WorkerCommand> orders) {
-    for (WorkerCommand o : orders) {
+  public void answered(Machine m, List<WorkerCommand> commands) {
+    for (WorkerCommand o : commands) {
       for (Attempt a : m.attempts) {
         if (a.job.spec.id().equals(o.job()) && a.task == o.task() && a.number == o.attempt()) {
           a.inFlight = false;
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -11,12 +11,12 @@
   public final JobSpec spec;
 
   /** Version of the job's open record, which never changes while the job is open. */
-  public final long mark;
+  public final long version;
 
   final BitSet done = new BitSet();
   final int[] number;
   final Attempt[] live;
-  final AttemptRecord[] chunks;
+  final AttemptRecord[] attemptRecords;
   final IntArrayFIFOQueue pending = new IntArrayFIFOQueue();
   final int[] zoneLive;
 
@@ -74,30 +74,31 @@
   /** True once the job's end is recorded. */
   boolean ended;
 
-  Job(JobSpec spec, long mark, int zones, long submittedMs, long now) {
+  Job(JobSpec spec, long version, int zones, long submittedMs, long now) {
     this.submittedMs = submittedMs;
     this.lastStartMs = submittedMs;
     this.spec = spec;
-    this.mark = mark;
+    this.version = version;
     this.peers = new RunTimeBaseline(spec.tasks());
     this.number = new int[spec.tasks()];
     this.live = new Attempt[spec.tasks()];
-    this.chunks = new AttemptRecord[(spec.tasks() + AttemptRecord.TASKS - 1) / AttemptRecord.TASKS];
-    for (int i = 0; i < chunks.length; i++) {
-      chunks[i] = new AttemptRecord(this, i);
+    this.attemptRecords =
+        new AttemptRecord[(spec.tasks() + AttemptRecord.TASKS - 1) / AttemptRecord.TASKS];
+    for (int i = 0; i < attemptRecords.length; i++) {
+      attemptRecords[i] = new AttemptRecord(this, i);
     }
     this.zoneLive = new int[zones];
     this.waitingSinceMs = now;
   }
 
   /** The record that holds a task. */
-  public AttemptRecord chunk(int i) {
-    return chunks[i];
+  public AttemptRecord attemptRecord(int i) {
+    return attemptRecords[i];
   }
 
   /** How many records the job may have. */
-  public int chunkCount() {
-    return chunks.length;
+  public int attemptRecordCount() {
+    return attemptRecords.length;
   }
 
   /** True when the task is done. */
--- a/src/main/java/org/mallowroad/core/JobSpec.java
+++ b/src/main/java/org/mallowroad/core/JobSpec.java
@@ -11,7 +11,7 @@
  * @param zone the only allowed zone, or -1
  * @param dueS deadline after submission, or 0 for none
  * @param submittedMs time of day of the acceptance
- * @param ties the games that it folds, and what it waits for
+ * @param dependencies the games that it folds, and what it waits for
  */
 public record JobSpec(
     String id,
@@ -36,7 +36,7 @@
     double saveS,
     double dueS,
     long submittedMs,
-    JobDependencies ties) {
+    JobDependencies dependencies) {
 
   /** The priority of work that gives way to all other. */
   public static final int IDLE = 3;
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -30,25 +30,25 @@
   public int via = -1;
 
   /** Session and sequence of the newest message seen; 0 before the first one. */
-  public long session;
+  public long incarnation;
 
   /** Sequence of the newest message within the session. */
-  public long seq;
+  public long sequence;
 
   /** Highest token the worker said it has seen. */
-  public long tokenSeen;
+  public long highestTokenSeen;
 
   /** The token on every message to it: the term, raised now and then ({@link SchedulerState}). */
-  public long token;
+  public long fencingToken;
 
   /** The token on the answer to its newest report; 0 before the first one. */
   long toldToken;
 
   /** When this leader's newest report of it came, or -1. */
-  public long reportedMs = -1;
+  public long lastHeartbeatMs = -1;
 
   /** When this leader last answered it, which may have renewed its lease, or -1. */
-  public long answeredMs = -1;
+  public long lastAnswerMs = -1;
 
   /** When it was rented or first seen. */
   public long sinceMs;
@@ -95,8 +95,8 @@
   final ResourceVector free;
   final Int2DoubleLinkedOpenHashMap images = new Int2DoubleLinkedOpenHashMap();
 
-  Machine(String name, MachineType type, int zone, boolean spot, long token, long now) {
-    this.token = token;
+  Machine(String name, MachineType type, int zone, boolean spot, long fencingToken, long now) {
+    this.fencingToken = fencingToken;
     this.name = name;
     this.type = type;
     this.zone = zone;
@@ -109,7 +109,7 @@
 
   /** True once a report of this leader's term came and work may go to it. */
   public boolean usable() {
-    return reportedMs >= 0 && !draining && !returning && !failed;
+    return lastHeartbeatMs >= 0 && !draining && !returning && !failed;
   }
 
   /** Its unresolved attempts. */
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -107,47 +107,52 @@
   private long requeued;
   private final CostAccounting spending = new CostAccounting();
   private final Health health;
-  private final GangReservations gathering = new GangReservations(this);
-  private final HeartbeatReconciler dialogue;
-  private final ImageDistribution stages;
-  private final SharedAttemptRecords sharedRecords;
+  private final GangReservations gangReservations = new GangReservations(this);
+  private final HeartbeatReconciler heartbeatReconciler;
+  private final ImageDistribution imageDistribution;
+  private final SharedAttemptRecords sharedAttemptRecords;
 
   /** An empty ledger for a term that suspects by the default thresholds. */
   public SchedulerState(
-      long term, double leaseS, double reportS, List<Team> teams, NameIndex zones) {
+      long term, double leaseS, double heartbeatIntervalS, List<Team> teams, NameIndex zones) {
     this(
         term,
         leaseS,
-        reportS,
+        heartbeatIntervalS,
         teams,
         zones,
-        new Health(HealthPolicy.defaults(), zones.size(), reportS, 0));
+        new Health(HealthPolicy.defaults(), zones.size(), heartbeatIntervalS, 0));
   }
 
   /** An empty ledger for a term without limits on fetches. */
   public SchedulerState(
-      long term, double leaseS, double reportS, List<Team> teams, NameIndex zones, Health health) {
-    this(term, leaseS, reportS, teams, zones, health, ImageFetchPolicy.defaults());
+      long term,
+      double leaseS,
+      double heartbeatIntervalS,
+      List<Team> teams,
+      NameIndex zones,
+      Health health) {
+    this(term, leaseS, heartbeatIntervalS, teams, zones, health, ImageFetchPolicy.defaults());
   }
 
   /** An empty ledger for a term; machines whose report is overdue get no work. */
   public SchedulerState(
       long term,
       double leaseS,
-      double reportS,
+      double heartbeatIntervalS,
       List<Team> teams,
       NameIndex zones,
       Health health,
       ImageFetchPolicy fetches) {
-    this.stages = new ImageDistribution(fetches, zones.size());
-    this.sharedRecords = new SharedAttemptRecords(term);
+    this.imageDistribution = new ImageDistribution(fetches, zones.size());
+    this.sharedAttemptRecords = new SharedAttemptRecords(term);
     this.health = health;
-    this.freshMs = (long) (reportS * 1250) + 1_500;
+    this.freshMs = (long) (heartbeatIntervalS * 1250) + 1_500;
     this.term = term;
     // Clocks of two machines drift apart by up to 0.05%; half a second covers timers that fire
     // late.
     this.leaseMs = (long) (leaseS * 1000 * 1.001) + 500;
-    this.dialogue = new HeartbeatReconciler(this, jobs, health, term, freshMs, leaseMs);
+    this.heartbeatReconciler = new HeartbeatReconciler(this, jobs, health, term, freshMs, leaseMs);
     this.teams = teams;
     this.zones = zones;
   }
@@ -186,10 +191,10 @@
     sizes.put("dirty", dirty.size());
     sizes.put("urgent", urgent.size());
     sizes.put("outbox", outbox.size());
-    sizes.put("shared", sharedRecords.all().size());
+    sizes.put("shared", sharedAttemptRecords.all().size());
     sizes.put("ending", ending.size());
-    sizes.put("watched", health.silence().known());
-    sizes.put("classes", health.runTimes().classes());
+    sizes.put("watched", health.failureDetector().known());
+    sizes.put("classes", health.stragglerDetector().classes());
     return sizes;
   }
 
@@ -206,7 +211,7 @@
       types.set(m.type.index());
       m.images.keySet().forEach(images::set);
     }
-    stages.names(images);
+    imageDistribution.names(images);
   }
 
   /** The team of a job. */
@@ -258,18 +263,18 @@
   }
 
   /** Which small jobs share records. */
-  public SharedAttemptRecords sharedRecords() {
-    return sharedRecords;
+  public SharedAttemptRecords sharedAttemptRecords() {
+    return sharedAttemptRecords;
   }
 
   /** Which room is held for gangs. */
-  public GangReservations gathering() {
-    return gathering;
+  public GangReservations gangReservations() {
+    return gangReservations;
   }
 
   /** Who fetches which image, and from whom. */
-  public ImageDistribution stages() {
-    return stages;
+  public ImageDistribution imageDistribution() {
+    return imageDistribution;
   }
 
   /** True when a machine may be asked to hand an image on. */
@@ -302,27 +307,27 @@
    *
    * @param ageMs how long ago it was submitted
    */
-  public Job accept(JobSpec spec, long mark, long ageMs, long now) {
+  public Job accept(JobSpec spec, long version, long ageMs, long now) {
     Job known = jobs.get(spec.id());
     if (known != null) {
       return known;
     }
-    Job job = new Job(spec, mark, zones.size(), now - Math.max(0, ageMs), now);
+    Job job = new Job(spec, version, zones.size(), now - Math.max(0, ageMs), now);
     for (int t = 0; t < spec.tasks(); t++) {
       job.pending.enqueue(t);
     }
-    job.held = spec.ties().held();
+    job.held = spec.dependencies().held();
     jobs.put(spec.id(), job);
     return job;
   }
 
   /** Takes what the record of a chunk says, on takeover. */
-  public void restore(AttemptRecord chunk, long mark, BitSet doneInChunk, int high) {
-    Job job = chunk.job;
-    chunk.mark = mark;
-    for (int t = chunk.from(); t < chunk.to(); t++) {
+  public void restore(AttemptRecord attemptRecord, long version, BitSet doneInChunk, int high) {
+    Job job = attemptRecord.job;
+    attemptRecord.version = version;
+    for (int t = attemptRecord.from(); t < attemptRecord.to(); t++) {
       job.number[t] = high;
-      if (doneInChunk.get(t - chunk.from())) {
+      if (doneInChunk.get(t - attemptRecord.from())) {
         job.done.set(t);
       }
     }
@@ -330,18 +335,18 @@
 
   /** Takes a recorded attempt, on takeover: it counts until it is proven gone. */
   public void restoreAttempt(
-      Job job, int task, int number, Machine machine, long session, long now) {
+      Job job, int task, int number, Machine machine, long incarnation, long now) {
     if (task < 0 || task >= job.spec.tasks() || job.live[task] != null || job.done.get(task)) {
       return;
     }
-    Attempt a = new Attempt(job, task, number, machine, session, Attempt.Phase.READY, now);
+    Attempt a = new Attempt(job, task, number, machine, incarnation, Attempt.Phase.READY, now);
     a.restored = true;
     job.number[task] = Math.max(job.number[task], number);
     book(a);
     // A report of an earlier session must not look like news.
-    if (session > machine.session) {
-      machine.session = session;
-      machine.seq = 0;
+    if (incarnation > machine.incarnation) {
+      machine.incarnation = incarnation;
+      machine.sequence = 0;
     }
     if (job.cancelled) {
       stop(a, 0, now);
@@ -433,10 +438,10 @@
   public void forget(Job job) {
     jobs.remove(job.spec.id());
     ending.remove(job);
-    for (AttemptRecord c : job.chunks) {
+    for (AttemptRecord c : job.attemptRecords) {
       dirty.remove(c);
       urgent.remove(c);
-      sharedRecords.forget(c);
+      sharedAttemptRecords.forget(c);
     }
   }
 
@@ -470,10 +475,10 @@
     if (m.draining || m.returning || m.failed) {
       return Refusal.LEAVING;
     }
-    if (m.reportedMs < 0 || now - m.reportedMs > freshMs) {
+    if (m.lastHeartbeatMs < 0 || now - m.lastHeartbeatMs > freshMs) {
       return Refusal.SILENT;
     }
-    if (m.health.answerDelivery().deaf()) {
+    if (m.health.outboundReachability().deaf()) {
       return Refusal.DEAF;
     }
     return m.coolUntilMs > now ? Refusal.COOLING : null;
@@ -520,12 +525,13 @@
       throw new IllegalStateException("start refused: " + no);
     }
     Attempt a =
-        new Attempt(job, task, job.number[task] + 1, m, m.session, Attempt.Phase.RECORDING, now);
+        new Attempt(
+            job, task, job.number[task] + 1, m, m.incarnation, Attempt.Phase.RECORDING, now);
     job.number[task] = a.number;
     job.lastStartMs = now;
     started++;
     book(a);
-    stages.began(a, m.hasImage(job.spec.image()), x -> mayGive(x, now), now);
+    imageDistribution.began(a, m.hasImage(job.spec.image()), x -> mayGive(x, now), now);
     if (job.begunMs < 0 && job.liveCount + job.doneCount() >= team(job.spec).atOnce(job.spec)) {
       job.begunMs = now;
     }
@@ -544,7 +550,7 @@
   }
 
   private AttemptRecord touch(Job job, int task, long now) {
-    AttemptRecord c = job.chunks[task / AttemptRecord.TASKS];
+    AttemptRecord c = job.attemptRecords[task / AttemptRecord.TASKS];
     if (!c.dirty) {
       c.dirty = true;
       c.dirtySinceMs = now;
@@ -560,7 +566,7 @@
   }
 
   private void recorded(Attempt a) {
-    AttemptRecord c = a.job.chunks[a.task / AttemptRecord.TASKS];
+    AttemptRecord c = a.job.attemptRecords[a.task / AttemptRecord.TASKS];
     if (--c.recording == 0) {
       urgent.remove(c);
     }
@@ -568,8 +574,8 @@
 
   /** A commit of the chunk as it was at {@code changes} succeeded. */
   public void committed(
-      AttemptRecord c, long mark, long changes, List<Attempt> recorded, long now) {
-    c.mark = mark;
+      AttemptRecord c, long version, long changes, List<Attempt> recorded, long now) {
+    c.version = version;
     c.dirtySinceMs = now;
     if (c.changes == changes) {
       c.dirty = false;
@@ -601,7 +607,7 @@
       team(job.spec).stoppingCpus -= job.spec.cpus();
     }
     a.phase = Attempt.Phase.GONE;
-    stages.gone(a);
+    imageDistribution.gone(a);
     spending.resolved(a, outcome == Outcome.DONE, now);
     job.live[a.task] = null;
     job.liveCount--;
@@ -668,12 +674,12 @@
    * @return null when the message is older than one seen before and must be ignored
    */
   public List<WorkerCommand> report(Machine m, Heartbeat r, boolean mayLaunch, long now) {
-    return dialogue.report(m, r, mayLaunch, now);
+    return heartbeatReconciler.report(m, r, mayLaunch, now);
   }
 
   /** What is said to machines, and heard from them. */
-  public HeartbeatReconciler dialogue() {
-    return dialogue;
+  public HeartbeatReconciler heartbeatReconciler() {
+    return heartbeatReconciler;
   }
 
   /** The machine and all on it are proven gone. */
@@ -682,8 +688,8 @@
       resolve(a, Outcome.LOST, now);
     }
     machines.remove(m.name);
-    gathering.gone(m);
-    stages.lost(m);
+    gangReservations.gone(m);
+    imageDistribution.lost(m);
     health.gone(m.health);
     spending.gone(m, now);
     machinesVersion++;
@@ -723,7 +729,7 @@
    * which proves its attempts gone; -1 while no lease can prove that.
    */
   public long leaseEndsMs(Machine m) {
-    return m.tokenSeen >= term && m.answeredMs >= 0 ? m.answeredMs + leaseMs : -1;
+    return m.highestTokenSeen >= term && m.lastAnswerMs >= 0 ? m.lastAnswerMs + leaseMs : -1;
   }
 
   /** Asks for a stop of an attempt so that its machine can drain or another job gets room. */
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
@@ -9,7 +9,7 @@
   public final String name;
 
   /** The record's version as last seen; 0 when there is none. */
-  public long mark;
+  public long version;
 
   private final ObjectLinkedOpenHashSet<AttemptRecord> members = new ObjectLinkedOpenHashSet<>();
 
@@ -18,9 +18,9 @@
   /** True when the record still lists a cancelled job of which nothing is left. */
   private boolean outdated;
 
-  SharedAttemptRecord(String name, long mark) {
+  SharedAttemptRecord(String name, long version) {
     this.name = name;
-    this.mark = mark;
+    this.version = version;
   }
 
   /** Jobs whose attempts it holds, those that are finished and not yet forgotten too. */
@@ -51,12 +51,12 @@
 
   /** True when it is to be written or deleted although no member of it has changed. */
   public boolean toWrite() {
-    return mark > 0 && (outdated || members.isEmpty());
+    return version > 0 && (outdated || members.isEmpty());
   }
 
   /** It was written as it is in memory. */
-  public void written(long newMark) {
-    mark = newMark;
+  public void written(long newVersion) {
+    version = newVersion;
     outdated = false;
   }
 }
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
@@ -68,7 +68,11 @@
       return true;
     }
     JobSpec s = c.job.spec;
-    if (c.own || c.mark != 0 || s.tasks() > MOST_TASKS || s.ties().held() || s.service()) {
+    if (c.own
+        || c.version != 0
+        || s.tasks() > MOST_TASKS
+        || s.dependencies().held()
+        || s.service()) {
       return false;
     }
     int bytes = reservedBytes(c);
@@ -96,8 +100,8 @@
   }
 
   /** A record that an earlier leader wrote. */
-  public SharedAttemptRecord restore(String name, long mark) {
-    SharedAttemptRecord r = new SharedAttemptRecord(name, mark);
+  public SharedAttemptRecord restore(String name, long version) {
+    SharedAttemptRecord r = new SharedAttemptRecord(name, version);
     records.add(r);
     return r;
   }
@@ -116,14 +120,14 @@
   }
 
   /** The record was written or deleted. */
-  public void written(SharedAttemptRecord r, long mark) {
-    r.written(mark);
+  public void written(SharedAttemptRecord r, long version) {
+    r.written(version);
     drop(r);
   }
 
   /** A record that nobody needs and that is not there any more is forgotten. */
   private void drop(SharedAttemptRecord r) {
-    if (r.members().isEmpty() && r.mark == 0) {
+    if (r.members().isEmpty() && r.version == 0) {
       records.remove(r);
       filling = filling == r ? null : filling;
     }
--- a/src/main/java/org/mallowroad/core/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/TaskScheduler.java
@@ -54,7 +54,7 @@
   /** Fetches are planned at this rate until a machine is known. */
   private static final double FETCH_GB_PER_S = 0.3;
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private double fetchGbPerS = FETCH_GB_PER_S;
   private final ExpectedReleases releases = new ExpectedReleases(WAIT_S);
   private Machine[] order = new Machine[0];
@@ -68,8 +68,8 @@
   private long stops;
 
   /** A placement over a ledger. */
-  public TaskScheduler(SchedulerState ledger) {
-    this.ledger = ledger;
+  public TaskScheduler(SchedulerState schedulerState) {
+    this.schedulerState = schedulerState;
   }
 
   /** Machines looked at so far: what a pass costs. */
@@ -92,10 +92,10 @@
 
   /** Jobs with tasks that wait, in the order in which they get room. */
   public List<Job> queue(long now) {
-    double[] cpus = new double[ledger.teams().size()];
-    double[] cards = new double[ledger.teams().size()];
+    double[] cpus = new double[schedulerState.teams().size()];
+    double[] cards = new double[schedulerState.teams().size()];
     List<Job> open = new ArrayList<>();
-    for (Job j : ledger.jobs()) {
+    for (Job j : schedulerState.jobs()) {
       if (!j.cancelled && !j.ended && !j.held) {
         open.add(j);
       }
@@ -108,7 +108,7 @@
       int left = s.tasks() - j.doneCount();
       cpus[s.team()] += left * s.cpus();
       cards[s.team()] += left * s.cards();
-      Team team = ledger.team(s);
+      Team team = schedulerState.team(s);
       j.guaranteed =
           cpus[s.team()] <= team.cpus + ResourceVector.EPS
               && cards[s.team()] <= team.cards + ResourceVector.EPS;
@@ -162,12 +162,12 @@
    */
   public List<Attempt> place(long now) {
     List<Attempt> made = new ArrayList<>();
-    if (!anyWaiting() && ledger.gathering().size() == 0) {
+    if (!anyWaiting() && schedulerState.gangReservations().size() == 0) {
       return made;
     }
     List<Job> waiting = queue(now);
     sortMachines();
-    ledger.gathering().reserve(waiting, j -> !j.heldBack(now) && !overLimit(j), now);
+    schedulerState.gangReservations().reserve(waiting, j -> !j.heldBack(now) && !overLimit(j), now);
     findOpen(waiting, now);
     boolean seek = now - preemptedMs >= PREEMPT_EVERY_MS;
     boolean surveyed = false;
@@ -199,7 +199,7 @@
       if (seek && !job.pending.isEmpty() && stopping < PREEMPT_JOBS) {
         if (!surveyed) {
           surveyed = true;
-          releases.survey(ledger.jobs(), now);
+          releases.survey(schedulerState.jobs(), now);
         }
         if (preempt(job, now)) {
           stopping++;
@@ -243,7 +243,7 @@
 
   /** True while any task waits. */
   public boolean anyWaiting() {
-    for (Job j : ledger.jobs()) {
+    for (Job j : schedulerState.jobs()) {
       if (j.waiting()) {
         return true;
       }
@@ -252,11 +252,11 @@
   }
 
   private void sortMachines() {
-    if (orderVersion == ledger.machinesVersion()) {
+    if (orderVersion == schedulerState.machinesVersion()) {
       return;
     }
-    orderVersion = ledger.machinesVersion();
-    order = ledger.machines().toArray(new Machine[0]);
+    orderVersion = schedulerState.machinesVersion();
+    order = schedulerState.machines().toArray(new Machine[0]);
     open = new Machine[order.length];
     double least = Double.MAX_VALUE;
     for (Machine m : order) {
@@ -287,7 +287,7 @@
       if (cpus <= m.free.cpus + ResourceVector.EPS
           && memGb <= m.free.memGb + ResourceVector.EPS
           && m.heldFor == null
-          && ledger.takesWork(m, now)) {
+          && schedulerState.takesWork(m, now)) {
         open[openCount++] = m;
       }
     }
@@ -322,13 +322,13 @@
           return; // No other machine helps.
         }
         if (no == SchedulerState.Refusal.FETCHES) {
-          ledger.stages().heldBack();
+          schedulerState.imageDistribution().heldBack();
         }
         if (no != null) {
           break;
         }
         job.pending.dequeueInt();
-        made.add(ledger.start(job, task, m, now));
+        made.add(schedulerState.start(job, task, m, now));
         m.useImage(s.image(), s.imageGb());
       }
     }
@@ -340,11 +340,13 @@
    * failure are named, nothing else stands in the way: the machine has room.
    */
   public SchedulerState.Refusal refusal(Job job, Machine m, long now) {
-    SchedulerState.Refusal no = ledger.mayStart(job, job.pending.firstInt(), m, now);
+    SchedulerState.Refusal no = schedulerState.mayStart(job, job.pending.firstInt(), m, now);
     if (no == null
         && !job.spec.gang()
         && !m.hasImage(job.spec.image())
-        && !ledger.stages().mayFetch(job.spec, m, x -> ledger.mayGive(x, now))) {
+        && !schedulerState
+            .imageDistribution()
+            .mayFetch(job.spec, m, x -> schedulerState.mayGive(x, now))) {
       return SchedulerState.Refusal.FETCHES;
     }
     if (no == null && avoids(job.spec, m)) {
@@ -380,7 +382,7 @@
       return;
     }
     for (Machine m : places) {
-      made.add(ledger.start(job, job.pending.dequeueInt(), m, now));
+      made.add(schedulerState.start(job, job.pending.dequeueInt(), m, now));
       m.useImage(s.image(), s.imageGb());
     }
   }
@@ -389,7 +391,9 @@
    * True when the team's limit alone keeps the job's next task, or a gang's tasks, from a start.
    */
   public boolean overLimit(Job job) {
-    return !ledger.team(job.spec).allows(job.spec, job.spec.gang() ? job.pending.size() : 1);
+    return !schedulerState
+        .team(job.spec)
+        .allows(job.spec, job.spec.gang() ? job.pending.size() : 1);
   }
 
   /** Places for a gang's waiting tasks: one for each, or as many as any zone has. */
@@ -438,7 +442,7 @@
    */
   private boolean preempt(Job job, long now) {
     JobSpec s = job.spec;
-    Team team = ledger.team(s);
+    Team team = schedulerState.team(s);
     long waited = now - job.waitingSinceMs;
     int need = team.most(s, job.pending.size());
     int coming = releases.coming(s, need);
@@ -509,7 +513,7 @@
       if (still) {
         stops += o.victims.size();
         for (Attempt a : o.victims) {
-          ledger.stop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
+          schedulerState.stop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
         }
         need -= o.holds;
       }
@@ -522,7 +526,7 @@
    * not expected to finish in time are stopped so that they start again elsewhere at once.
    */
   public void drain(long now) {
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       if (m.noticeMs == 0) {
         continue;
       }
@@ -533,11 +537,11 @@
           continue;
         }
         if (s.checkpointS() > 0) {
-          ledger.stop(a, s.saveS(), now);
+          schedulerState.stop(a, s.saveS(), now);
         } else if (a.phase != Attempt.Phase.RUNNING
             || s.service()
             || s.estimateS() - (now - a.runningSinceMs) / 1000.0 > left) {
-          ledger.stop(a, 0, now);
+          schedulerState.stop(a, 0, now);
         }
       }
     }
@@ -561,7 +565,7 @@
         && theirs == ours
         && !a.job.goesFirst()
         && a.job.spec.team() != by.spec.team()
-        && ledger.team(a.job.spec).borrows(a.job.spec);
+        && schedulerState.team(a.job.spec).borrows(a.job.spec);
   }
 
   /** CPU seconds lost when the attempt is stopped now. */
--- a/src/main/java/org/mallowroad/core/admission/RecordLag.java
+++ b/src/main/java/org/mallowroad/core/admission/RecordLag.java
@@ -41,17 +41,17 @@
    * @param served whether the state service serves this leader: what waited in an outage waited for
    *     its end, and counts from then
    */
-  public void look(SchedulerState ledger, boolean served, long now) {
+  public void look(SchedulerState schedulerState, boolean served, long now) {
     if (!served || servedSinceMs < 0) {
       servedSinceMs = now;
       recordingSinceMs = -1;
     }
     long waited = now - servedSinceMs;
     boolean lags =
-        Math.min(waited, startsMs(ledger, now)) > STARTS_MS
-            || Math.min(waited, endsMs(ledger, now)) > ENDS_MS;
+        Math.min(waited, startsMs(schedulerState, now)) > STARTS_MS
+            || Math.min(waited, endsMs(schedulerState, now)) > ENDS_MS;
     sinceMs = !lags ? -1 : sinceMs < 0 ? now : sinceMs;
-    boolean recording = mostlyRecording(ledger);
+    boolean recording = mostlyRecording(schedulerState);
     recordingSinceMs = !recording ? -1 : recordingSinceMs < 0 ? now : recordingSinceMs;
     overloaded =
         (lags && now - sinceMs >= LASTING_MS)
@@ -63,24 +63,24 @@
     return overloaded;
   }
 
-  private static boolean mostlyRecording(SchedulerState ledger) {
+  private static boolean mostlyRecording(SchedulerState schedulerState) {
     int recording = 0;
-    for (AttemptRecord c : ledger.urgent()) {
+    for (AttemptRecord c : schedulerState.urgent()) {
       recording += c.job.spec.priority() < JobSpec.IDLE ? c.recording() : 0;
     }
     if (recording < RECORDING_LEAST) {
       return false;
     }
     int live = 0;
-    for (Job j : ledger.jobs()) {
+    for (Job j : schedulerState.jobs()) {
       live += j.liveCount();
     }
     return recording > RECORDING_SHARE * live;
   }
 
   /** How long the oldest start waits that is to be recorded. */
-  static long startsMs(SchedulerState ledger, long now) {
-    for (AttemptRecord c : ledger.urgent()) {
+  static long startsMs(SchedulerState schedulerState, long now) {
+    for (AttemptRecord c : schedulerState.urgent()) {
       if (c.job.spec.priority() >= JobSpec.IDLE) {
         continue;
       }
@@ -98,9 +98,9 @@
   }
 
   /** How long the oldest end waits that is to be recorded. */
-  static long endsMs(SchedulerState ledger, long now) {
+  static long endsMs(SchedulerState schedulerState, long now) {
     long longest = 0;
-    for (Job j : ledger.ending()) {
+    for (Job j : schedulerState.ending()) {
       if (j.spec.priority() < JobSpec.IDLE) {
         longest = Math.max(longest, now - j.allDoneMs());
       }
--- a/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
@@ -30,13 +30,13 @@
     public final String job;
 
     /** What it waits for. */
-    public final JobDependencies ties;
+    public final JobDependencies dependencies;
 
     /** How far it is. */
     public State state = State.CLOSED;
 
     /** Mark of its release record; 0 without one. */
-    public long mark;
+    public long version;
 
     /** Marks of the leagues' records when it was confirmed: conditions of starts until printed. */
     public final Map<String, Long> leagues = new Object2ObjectLinkedOpenHashMap<>();
@@ -53,15 +53,15 @@
     /** Dependencies that were seen done in this term: their ends never change. */
     final Set<String> done = new ObjectLinkedOpenHashSet<>();
 
-    private Hold(String job, JobDependencies ties) {
+    private Hold(String job, JobDependencies dependencies) {
       this.job = job;
-      this.ties = ties;
+      this.dependencies = dependencies;
     }
 
     /** Dependencies not seen done yet. */
     public List<String> left() {
       List<String> out = new ArrayList<>();
-      for (String j : ties.jobs()) {
+      for (String j : dependencies.jobs()) {
         if (!done.contains(j)) {
           out.add(j);
         }
@@ -88,15 +88,15 @@
   }
 
   /** A held job became known. */
-  public Hold add(String job, JobDependencies ties) {
+  public Hold add(String job, JobDependencies dependencies) {
     Hold h = holds.get(job);
     if (h == null) {
-      h = new Hold(job, ties);
+      h = new Hold(job, dependencies);
       holds.put(job, h);
-      for (String j : ties.jobs()) {
+      for (String j : dependencies.jobs()) {
         byJob.computeIfAbsent(j, k -> new ObjectLinkedOpenHashSet<>()).add(h);
       }
-      for (JobDependencies.UpTo g : ties.games()) {
+      for (JobDependencies.UpTo g : dependencies.games()) {
         byLeague.computeIfAbsent(g.league(), k -> new ObjectLinkedOpenHashSet<>()).add(h);
       }
       touched.add(h);
@@ -121,8 +121,8 @@
       return;
     }
     touched.remove(h);
-    h.ties.jobs().forEach(j -> drop(byJob, j, h));
-    h.ties.games().forEach(g -> drop(byLeague, g.league(), h));
+    h.dependencies.jobs().forEach(j -> drop(byJob, j, h));
+    h.dependencies.games().forEach(g -> drop(byLeague, g.league(), h));
   }
 
   private static void drop(Map<String, Set<Hold>> of, String key, Hold h) {
