--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -66,7 +66,7 @@
 
   private static final int PRIORITIES = 4;
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final TaskScheduler placement;
   private final AutoscalerView supply;
   private final NameIndex zones;
@@ -92,12 +92,12 @@
 
   /** Over one term's decisions; the names turn indices back into words. */
   public PendingReasonExplainer(
-      SchedulerState ledger,
+      SchedulerState schedulerState,
       TaskScheduler placement,
       AutoscalerView supply,
       NameIndex zones,
       NameIndex classes) {
-    this.ledger = ledger;
+    this.schedulerState = schedulerState;
     this.placement = placement;
     this.supply = supply;
     this.zones = zones;
@@ -121,12 +121,12 @@
     tallies.clear();
     List<Job> queue = placement.queue(now);
     jobs.addAll(queue);
-    for (Job j : ledger.jobs()) {
+    for (Job j : schedulerState.jobs()) {
       if (!j.waiting() && !j.ended()) {
         jobs.add(j);
       }
     }
-    ahead = new double[ledger.teams().size()][PRIORITIES][2];
+    ahead = new double[schedulerState.teams().size()][PRIORITIES][2];
     for (Job j : queue) {
       ahead[j.spec.team()][j.spec.priority()][j.guaranteed() ? 1 : 0] +=
           j.waitingCount() * j.spec.cpus();
@@ -143,7 +143,7 @@
   private void survey() {
     Object2ObjectLinkedOpenHashMap<Variant, Group> byVariant =
         new Object2ObjectLinkedOpenHashMap<>();
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       Group g = group(byVariant, new Variant(m.type, m.zone, m.spot));
       g.machines.add(m);
       boolean silent = unheard(m, now);
@@ -166,13 +166,13 @@
 
   /** Not heard: its report is overdue, in a cut zone, or it is being returned for that. */
   boolean unheard(Machine m, long at) {
-    return ledger.unfit(m, at) == SchedulerState.Refusal.SILENT
-        || ledger.health().away(m.health)
+    return schedulerState.unfit(m, at) == SchedulerState.Refusal.SILENT
+        || schedulerState.health().away(m.health)
         || (m.returning && !m.failed && m.health.late());
   }
 
   private Group group(Object2ObjectLinkedOpenHashMap<Variant, Group> byVariant, Variant v) {
-    return byVariant.computeIfAbsent(v, k -> new Group(v, ledger.teams().size()));
+    return byVariant.computeIfAbsent(v, k -> new Group(v, schedulerState.teams().size()));
   }
 
   private void count(Attempt a, Machine m, boolean silent) {
@@ -185,8 +185,8 @@
     Counts c = counts.computeIfAbsent(a.job, k -> new Counts());
     if (silent && a.phase != Attempt.Phase.RECORDING) {
       c.silent++;
-      long since = m.reportedMs < 0 ? m.sinceMs : m.reportedMs;
-      long gone = ledger.leaseEndsMs(m);
+      long since = m.lastHeartbeatMs < 0 ? m.sinceMs : m.lastHeartbeatMs;
+      long gone = schedulerState.leaseEndsMs(m);
       if (since < c.silentSinceMs) {
         c.silentSinceMs = since;
         c.silentOn = m;
@@ -277,19 +277,19 @@
         f.sinceMs(),
         f.dueMs(),
         f.zone() < 0 ? c.silentOn.zone : f.zone(),
-        f.detail() + "; besides, " + silence(c));
+        f.detail() + "; besides, " + failureDetector(c));
   }
 
   /** None of its tasks waits for a place, but some have not begun, or nobody hears of them. */
   private PendingReason underWay(Counts c) {
     if (c.silent > 0) {
-      boolean cut = ledger.health().silence().cut(c.silentOn.zone);
+      boolean cut = schedulerState.health().failureDetector().cut(c.silentOn.zone);
       return new PendingReason(
           cut ? PendingCause.ZONE_CUT : PendingCause.NOT_PROVEN_GONE,
           c.silentSinceMs,
           c.goneMs > 0 ? c.goneMs : -1,
           c.silentOn.zone,
-          silence(c));
+          failureDetector(c));
     }
     if (c.recording > 0) {
       PendingCause r = supply.firm() ? PendingCause.AWAITS_COMMIT : PendingCause.STATE_AWAY;
@@ -300,7 +300,7 @@
           -1,
           CountFormat.of(c.recording, "start")
               + ", "
-              + CountFormat.of(ledger.dirty().size(), "uncommitted record"));
+              + CountFormat.of(schedulerState.dirty().size(), "uncommitted record"));
     }
     if (c.pulling > 0) {
       return new PendingReason(
@@ -318,14 +318,14 @@
         c.ready + (c.ready == 1 ? " launch" : " launches"));
   }
 
-  private String silence(Counts c) {
+  private String failureDetector(Counts c) {
     Machine m = c.silentOn;
     return CountFormat.of(c.silent, "task")
         + " on silent machines, one on "
         + m.name
         + " in zone "
         + zones.name(m.zone)
-        + (ledger.health().silence().cut(m.zone) ? ", which is cut off" : "")
+        + (schedulerState.health().failureDetector().cut(m.zone) ? ", which is cut off" : "")
         + (c.goneMs > 0 ? "" : "; proven gone only by the machine's deletion or report");
   }
 
@@ -347,7 +347,7 @@
           -1,
           CountFormat.of(job.failures(), "failure") + " in a row");
     }
-    Team team = ledger.team(s);
+    Team team = schedulerState.team(s);
     if (placement.overLimit(job)) {
       return new PendingReason(
           PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
@@ -392,9 +392,9 @@
           plain(
               job,
               PendingCause.STAGED,
-              CountFormat.of(ledger.stages().fromSource(), "machine")
+              CountFormat.of(schedulerState.imageDistribution().fromSource(), "machine")
                   + " fetch from the source now, "
-                  + ledger.stages().holders(job.spec.image())
+                  + schedulerState.imageDistribution().holders(job.spec.image())
                   + " hold the image");
       case HELD ->
           plain(
@@ -420,12 +420,12 @@
 
   private PendingReason gang(Job job) {
     int places = placement.gangPlaces(job, now).size();
-    asked += ledger.machines().size();
+    asked += schedulerState.machines().size();
     if (places >= job.waitingCount()) {
       return aboutToStart(job);
     }
     String detail = "places for " + places + " of " + job.waitingCount() + " tasks";
-    GangReservations.State s = ledger.gathering().state(job, now);
+    GangReservations.State s = schedulerState.gangReservations().state(job, now);
     if (s == null) {
       return unsupplied(job, PendingCause.GANG, detail + "; waits for its turn to gather");
     }
@@ -481,10 +481,10 @@
 
   private PendingReason silent(Job job, Tally t) {
     int zone = t.silentZone();
-    if (ledger.health().silence().cut(zone)) {
+    if (schedulerState.health().failureDetector().cut(zone)) {
       return new PendingReason(
           PendingCause.ZONE_CUT,
-          now - ledger.health().silence().cutForMs(zone, now),
+          now - schedulerState.health().failureDetector().cutForMs(zone, now),
           -1,
           zone,
           CountFormat.of(t.silentIn[zone], "silent machine") + " in zone " + zones.name(zone));
@@ -552,7 +552,7 @@
 
   /** Whose work of a better rank holds the machines or waits for them. */
   private PendingReason behind(Job job, String detail) {
-    double[] cpus = new double[ledger.teams().size()];
+    double[] cpus = new double[schedulerState.teams().size()];
     int rank = job.spec.priority();
     for (Group g : groups) {
       if (g.allows(job.spec)) {
@@ -585,7 +585,7 @@
         PendingCause.BEHIND,
         detail
             + "; work of "
-            + ledger.teams().get(most).name
+            + schedulerState.teams().get(most).name
             + " that goes first runs on or waits for "
             + amount(cpus[most])
             + " CPUs");
@@ -665,7 +665,7 @@
         new Shape(
             s.team(),
             s.gang() || TaskScheduler.urgent(s),
-            ledger.stages().limited() ? s.image() : -1,
+            schedulerState.imageDistribution().limited() ? s.image() : -1,
             s.cpus(),
             s.cards(),
             s.memGb(),
@@ -687,7 +687,7 @@
         continue;
       }
       for (Machine m : g.machines) {
-        if (ledger.machine(m.name) != m) {
+        if (schedulerState.machine(m.name) != m) {
           continue; // Gone since the survey.
         }
         asked++;
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -28,7 +28,7 @@
   /** Open jobs that are explained and listed; those first in the queue, then those that run. */
   public static final int MOST_JOBS = 1_000;
 
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final AutoscalerView supply;
   private final NameIndex zones;
   private final PendingReasonExplainer explainer;
@@ -38,11 +38,11 @@
 
   /** Over one term's decisions. */
   public SnapshotBuilder(
-      SchedulerState ledger,
+      SchedulerState schedulerState,
       AutoscalerView supply,
       NameIndex zones,
       PendingReasonExplainer explainer) {
-    this.ledger = ledger;
+    this.schedulerState = schedulerState;
     this.supply = supply;
     this.zones = zones;
     this.explainer = explainer;
@@ -75,7 +75,7 @@
     double due = j.spec.dueS();
     return new JobLine(
         j.spec.id(),
-        ledger.team(j.spec).name,
+        schedulerState.team(j.spec).name,
         explainer.taskClass(j),
         j.spec.priority(),
         j.spec.tasks(),
@@ -121,15 +121,15 @@
 
   /** The teams in the order of the settings. */
   public List<TeamLine> teams() {
-    int[] waiting = new int[ledger.teams().size()];
+    int[] waiting = new int[schedulerState.teams().size()];
     int[] running = new int[waiting.length];
-    for (Job j : ledger.jobs()) {
+    for (Job j : schedulerState.jobs()) {
       waiting[j.spec.team()] += j.waitingCount();
       running[j.spec.team()] += j.runningCount();
     }
     List<TeamLine> out = new ArrayList<>();
     for (int t = 0; t < waiting.length; t++) {
-      Team team = ledger.teams().get(t);
+      Team team = schedulerState.teams().get(t);
       out.add(
           new TeamLine(
               team.name,
@@ -146,19 +146,19 @@
   public List<ZoneLine> zones() {
     int[] machines = new int[zones.size()];
     int[] silent = new int[zones.size()];
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       machines[m.zone]++;
       silent[m.zone] += explainer.unheard(m, now) ? 1 : 0;
     }
     List<ZoneLine> out = new ArrayList<>();
     for (int z = 0; z < machines.length; z++) {
-      long cutMs = ledger.health().silence().cutForMs(z, now);
+      long cutMs = schedulerState.health().failureDetector().cutForMs(z, now);
       out.add(
           new ZoneLine(
               zones.name(z),
               machines[z],
               silent[z],
-              ledger.health().silence().cut(z),
+              schedulerState.health().failureDetector().cut(z),
               seconds(cutMs)));
     }
     return out;
@@ -177,12 +177,12 @@
   /** Machines by zone, type and kind, those there and those on their way. */
   public List<MachineLine> machines() {
     Object2ObjectLinkedOpenHashMap<Variant, Sum> sums = new Object2ObjectLinkedOpenHashMap<>();
-    for (Machine m : ledger.machines()) {
+    for (Machine m : schedulerState.machines()) {
       Sum s = sums.computeIfAbsent(new Variant(m.type, m.zone, m.spot), k -> new Sum());
       s.machines++;
       s.empty += m.empty() ? 1 : 0;
       s.doubted += m.health.doubted() ? 1 : 0;
-      SchedulerState.Refusal no = ledger.unfit(m, now);
+      SchedulerState.Refusal no = schedulerState.unfit(m, now);
       s.silent += explainer.unheard(m, now) ? 1 : 0;
       s.leaving += no == SchedulerState.Refusal.LEAVING ? 1 : 0;
       s.booked += m.type.cpus() - m.freeCpus();
@@ -224,21 +224,21 @@
       starting += j.starting();
     }
     return new Totals(
-        ledger.jobs().size(),
+        schedulerState.jobs().size(),
         teams.stream().mapToInt(TeamLine::waiting).sum(),
         starting,
         teams.stream().mapToInt(TeamLine::running).sum(),
-        ledger.machines().size(),
+        schedulerState.machines().size(),
         machines.stream().mapToInt(MachineLine::booting).sum(),
-        ledger.started(),
-        ledger.completed(),
+        schedulerState.started(),
+        schedulerState.completed(),
         Math.rint(machines.stream().mapToDouble(MachineLine::moneyPerHour).sum() * 100) / 100,
-        ledger.dirty().size());
+        schedulerState.dirty().size());
   }
 
   /** One job's tasks and where they are; its line is of the newest explanation, or null. */
   public JobSnapshot job(String id, long at) {
-    Job job = ledger.job(id);
+    Job job = schedulerState.job(id);
     if (job == null) {
       return new JobSnapshot(id, null, "", List.of(), 0);
     }
--- a/src/main/java/org/mallowroad/core/fold/Claims.java
+++ b/src/main/java/org/mallowroad/core/fold/Claims.java
@@ -34,27 +34,30 @@
 
   private final String job;
   private final Map<BlockKey, Block> read;
-  private final Function<String, JobOutcome> fates;
+  private final Function<String, JobOutcome> jobOutcomes;
   private final Map<BlockKey, Block> changed = new TreeMap<>();
   private final Set<String> asks = new TreeSet<>();
   private String refused;
   private String waits;
 
-  private Claims(String job, Map<BlockKey, Block> read, Function<String, JobOutcome> fates) {
+  private Claims(String job, Map<BlockKey, Block> read, Function<String, JobOutcome> jobOutcomes) {
     this.job = job;
     this.read = read;
-    this.fates = fates;
+    this.jobOutcomes = jobOutcomes;
   }
 
   /**
    * Decides.
    *
    * @param read a block for each game, as it was read; an empty one where there is no record
-   * @param fates what is known of a job; null where nobody has asked
+   * @param jobOutcomes what is known of a job; null where nobody has asked
    */
   public static Outcome decide(
-      String job, List<Game> games, Map<BlockKey, Block> read, Function<String, JobOutcome> fates) {
-    return new Claims(job, read, fates).all(games);
+      String job,
+      List<Game> games,
+      Map<BlockKey, Block> read,
+      Function<String, JobOutcome> jobOutcomes) {
+    return new Claims(job, read, jobOutcomes).all(games);
   }
 
   private Outcome all(List<Game> games) {
@@ -80,12 +83,12 @@
       return; // Claimed by an earlier try of the same submission.
     }
     if (now != null && !now.settled()) {
-      JobOutcome fate = fates.apply(now.job());
-      if (fate == null) {
+      JobOutcome jobOutcome = jobOutcomes.apply(now.job());
+      if (jobOutcome == null) {
         asks.add(now.job());
         return;
       }
-      switch (fate) {
+      switch (jobOutcome) {
         case DONE -> now = now.asSettled();
         case CANCELLED -> now = now.base();
         default -> {
@@ -126,18 +129,18 @@
    * ones claimed is gone; the same object when nothing is. What a side means is not changed by it,
    * since it follows from final fates alone: so it may be done at any time, by anybody, or never.
    */
-  public static Block settled(Block block, Function<String, JobOutcome> fates) {
-    return rewritten(block, f -> fates.apply(f.job()));
+  public static Block settled(Block block, Function<String, JobOutcome> jobOutcomes) {
+    return rewritten(block, f -> jobOutcomes.apply(f.job()));
   }
 
-  private static Block rewritten(Block block, Function<Fold, JobOutcome> fates) {
+  private static Block rewritten(Block block, Function<Fold, JobOutcome> jobOutcomes) {
     Block out = block;
     for (Map.Entry<Block.Side, Fold> e : List.copyOf(block.sides().entrySet())) {
       Fold f = e.getValue();
-      JobOutcome fate = f.settled() ? null : fates.apply(f);
-      if (fate == JobOutcome.DONE || fate == JobOutcome.CANCELLED) {
+      JobOutcome jobOutcome = f.settled() ? null : jobOutcomes.apply(f);
+      if (jobOutcome == JobOutcome.DONE || jobOutcome == JobOutcome.CANCELLED) {
         out = out == block ? block.copy() : out;
-        out.set(e.getKey(), fate == JobOutcome.DONE ? f.asSettled() : f.base());
+        out.set(e.getKey(), jobOutcome == JobOutcome.DONE ? f.asSettled() : f.base());
       }
     }
     return out;
--- a/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
+++ b/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
@@ -28,7 +28,7 @@
   private final RoaringBitmap released = new RoaringBitmap();
 
   /** Takes a block anew; what is not in it any more and was there before is released. */
-  public void take(int index, Block block, Function<String, JobOutcome> fates) {
+  public void take(int index, Block block, Function<String, JobOutcome> jobOutcomes) {
     int from = index * Block.GAMES;
     RoaringBitmap before = new RoaringBitmap();
     before.add((long) from, (long) from + Block.GAMES);
@@ -40,10 +40,10 @@
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
       int game = from + e.getKey().game();
       Fold f = e.getValue();
-      JobOutcome fate = f.settled() ? JobOutcome.DONE : fates.apply(f.job());
-      if (fate == JobOutcome.DONE) {
+      JobOutcome jobOutcome = f.settled() ? JobOutcome.DONE : jobOutcomes.apply(f.job());
+      if (jobOutcome == JobOutcome.DONE) {
         folded.add(game);
-      } else if (fate == JobOutcome.CANCELLED) {
+      } else if (jobOutcome == JobOutcome.CANCELLED) {
         (f.base() == null ? released : folded).add(game);
       } else {
         claimed.add(game);
--- a/src/main/java/org/mallowroad/core/health/FailureDetector.java
+++ b/src/main/java/org/mallowroad/core/health/FailureDetector.java
@@ -48,11 +48,11 @@
   private final long[] listeningMs;
   private long looked;
 
-  /** For workers that report every {@code reportS}, give or take a quarter. */
-  public FailureDetector(int zones, double reportS, HealthPolicy policy, long now) {
+  /** For workers that report every {@code heartbeatIntervalS}, give or take a quarter. */
+  public FailureDetector(int zones, double heartbeatIntervalS, HealthPolicy policy, long now) {
     this.policy = policy;
-    this.reportMs = (long) (reportS * 1000);
-    this.lateMs = (long) (reportS * 1250) + 500;
+    this.reportMs = (long) (heartbeatIntervalS * 1000);
+    this.lateMs = (long) (heartbeatIntervalS * 1250) + 500;
     this.known = new int[zones];
     this.late = new int[zones];
     this.cut = new boolean[zones];
--- a/src/main/java/org/mallowroad/core/health/Health.java
+++ b/src/main/java/org/mallowroad/core/health/Health.java
@@ -15,19 +15,19 @@
   public record Change(MachineHealth machine, MachineHealth.Doubt doubt, double pace) {}
 
   private final HealthPolicy policy;
-  private final FailureDetector silence;
+  private final FailureDetector failureDetector;
   private final PauseDetector still;
-  private final StragglerDetector runTimes;
+  private final StragglerDetector stragglerDetector;
   private final List<Change> changes = new ArrayList<>();
   private long unlogged;
   private int fleet;
 
-  /** For workers of so many zones that report every {@code reportS}. */
-  public Health(HealthPolicy policy, int zones, double reportS, long now) {
+  /** For workers of so many zones that report every {@code heartbeatIntervalS}. */
+  public Health(HealthPolicy policy, int zones, double heartbeatIntervalS, long now) {
     this.policy = policy;
-    this.silence = new FailureDetector(zones, reportS, policy, now);
+    this.failureDetector = new FailureDetector(zones, heartbeatIntervalS, policy, now);
     this.still = new PauseDetector(policy.stillMs(), now);
-    this.runTimes = new StragglerDetector(policy);
+    this.stragglerDetector = new StragglerDetector(policy);
   }
 
   /** The thresholds. */
@@ -36,8 +36,8 @@
   }
 
   /** Who has not been heard. */
-  public FailureDetector silence() {
-    return silence;
+  public FailureDetector failureDetector() {
+    return failureDetector;
   }
 
   /** Whether this process itself stood still. */
@@ -46,21 +46,21 @@
   }
 
   /** Who is slow or faulty. */
-  public StragglerDetector runTimes() {
-    return runTimes;
+  public StragglerDetector stragglerDetector() {
+    return stragglerDetector;
   }
 
   /** The machine became known. */
   public void met(MachineHealth m, long now) {
-    silence.met(m, now);
+    failureDetector.met(m, now);
     fleet++;
   }
 
   /** A report of the machine is read; returns when it had come at the latest that is certain. */
   public long heard(MachineHealth m, long now) {
     long at = still.heard(now);
-    silence.heard(m, at);
-    if (runTimes.fade(m, now)) {
+    failureDetector.heard(m, at);
+    if (stragglerDetector.fade(m, now)) {
       changed(m);
     }
     return at;
@@ -68,36 +68,36 @@
 
   /** The machine is proven gone. */
   public void gone(MachineHealth m) {
-    silence.gone(m);
-    runTimes.gone(m);
+    failureDetector.gone(m);
+    stragglerDetector.gone(m);
     fleet--;
   }
 
   /** A task ended well. */
   public void finished(
       MachineHealth m, RunTimeBaseline job, int taskClass, long ranMs, double estimateS, long now) {
-    if (runTimes.finished(m, job, taskClass, ranMs, estimateS, fleet, now)) {
+    if (stragglerDetector.finished(m, job, taskClass, ranMs, estimateS, fleet, now)) {
       changed(m);
     }
   }
 
   /** A task failed; {@code jobAtFault} when its job has failed on several machines. */
   public void failed(MachineHealth m, int job, boolean jobAtFault, long now) {
-    if (runTimes.failed(m, job, jobAtFault, fleet, now)) {
+    if (stragglerDetector.failed(m, job, jobAtFault, fleet, now)) {
       changed(m);
     }
   }
 
   /** So many tasks on the machine have run for several times as long as their peers. */
   public void overdue(MachineHealth m, int tasks, long now) {
-    if (runTimes.overdue(m, tasks, fleet, now)) {
+    if (stragglerDetector.overdue(m, tasks, fleet, now)) {
       changed(m);
     }
   }
 
   /** A task has been waiting for its image. */
   public void fetching(MachineHealth m, long waitedMs, double needMs, long now) {
-    if (runTimes.fetching(m, waitedMs, needMs, fleet, now)) {
+    if (stragglerDetector.fetching(m, waitedMs, needMs, fleet, now)) {
       changed(m);
     }
   }
@@ -126,6 +126,6 @@
 
   /** True when the machine is in a zone that is cut off, and itself not heard. */
   public boolean away(MachineHealth m) {
-    return silence.cut(m.zone()) && silence.late(m);
+    return failureDetector.cut(m.zone()) && failureDetector.late(m);
   }
 }
--- a/src/main/java/org/mallowroad/core/health/MachineHealth.java
+++ b/src/main/java/org/mallowroad/core/health/MachineHealth.java
@@ -25,7 +25,7 @@
   final int zone;
   final double[] excess = new double[SAMPLES];
   final IntOpenHashSet errorJobs = new IntOpenHashSet(4);
-  private final OutboundReachability answerDelivery = new OutboundReachability();
+  private final OutboundReachability outboundReachability = new OutboundReachability();
   int samples;
   int overdue;
   long heardMs;
@@ -40,8 +40,8 @@
   }
 
   /** Whether what is said to it reaches it. */
-  public OutboundReachability answerDelivery() {
-    return answerDelivery;
+  public OutboundReachability outboundReachability() {
+    return outboundReachability;
   }
 
   /** What is held against it. */
--- a/src/main/java/org/mallowroad/core/image/ImageDistribution.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -52,12 +52,12 @@
   /** One machine's fetch of one image, whatever the number of tasks that wait for it. */
   private static final class BoundedHttpGet {
     private final long sinceMs;
-    private final List<Machine> givers;
+    private final List<Machine> imageSources;
     private int tasks;
 
-    BoundedHttpGet(long sinceMs, List<Machine> givers) {
+    BoundedHttpGet(long sinceMs, List<Machine> imageSources) {
       this.sinceMs = sinceMs;
-      this.givers = givers;
+      this.imageSources = imageSources;
     }
   }
 
@@ -111,7 +111,9 @@
     if (policy.machine() > 0 && fetches.getInt(m) >= policy.machine()) {
       return false;
     }
-    return policy.source() <= 0 || fromSource < policy.source() || !givers(w, m, fit).isEmpty();
+    return policy.source() <= 0
+        || fromSource < policy.source()
+        || !imageSources(w, m, fit).isEmpty();
   }
 
   /** A start was held back for a limit. */
@@ -132,7 +134,7 @@
       if (w.holders.contains(a.machine) || cached) {
         return;
       }
-      List<Machine> from = givers(w, a.machine, fit);
+      List<Machine> from = imageSources(w, a.machine, fit);
       f = new BoundedHttpGet(now, from);
       w.fetching.put(a.machine, f);
       fetches.addTo(a.machine, 1);
@@ -178,14 +180,14 @@
   }
 
   /** The addresses that a launch names: certain holders for a worker that can take from them. */
-  public List<String> givers(Attempt a) {
+  public List<String> imageSources(Attempt a) {
     Wave w = waves.get(a.job.spec.image());
     BoundedHttpGet f = w == null ? null : w.fetching.get(a.machine);
-    if (f == null || f.givers.isEmpty()) {
+    if (f == null || f.imageSources.isEmpty()) {
       return List.of();
     }
     List<String> out = new ArrayList<>();
-    for (Machine g : f.givers) {
+    for (Machine g : f.imageSources) {
       if (w.holders.contains(g) && !g.address.isEmpty()) {
         out.add(g.address);
       }
@@ -194,7 +196,7 @@
   }
 
   /** Who may hand the image on to the machine, the best first: its zone's, and those with least. */
-  private List<Machine> givers(Wave w, Machine m, Fit fit) {
+  private List<Machine> imageSources(Wave w, Machine m, Fit fit) {
     if (w == null || policy.takers() <= 0 || !m.handsOn || w.holders.isEmpty()) {
       return List.of();
     }
@@ -262,11 +264,11 @@
     if (fetches.getInt(m) <= 0) {
       fetches.removeInt(m);
     }
-    if (f.givers.isEmpty()) {
+    if (f.imageSources.isEmpty()) {
       fromSource--;
       return;
     }
-    Machine g = f.givers.get(0);
+    Machine g = f.imageSources.get(0);
     takers.addTo(g, -1);
     if (takers.getInt(g) <= 0) {
       takers.removeInt(g);
--- a/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
+++ b/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
@@ -58,19 +58,19 @@
   /**
    * True when the report is to be carried.
    *
-   * @param token the highest that the worker has seen
+   * @param fencingToken the highest that the worker has seen
    * @param leaderTerm the term of the leader it would be sent to
    * @param heardMs how long ago the leader, by its fresh row, heard this zone's workers itself; -1:
    *     never, or not known
    */
   public boolean carry(
-      String machine, int zone, long token, long leaderTerm, long heardMs, long now) {
+      String machine, int zone, long fencingToken, long leaderTerm, long heardMs, long now) {
     if (leaderTerm != term) {
       // Another leader is another link.
       term = leaderTerm;
       guests.clear();
     }
-    boolean served = leaderTerm > 0 && token >= leaderTerm;
+    boolean served = leaderTerm > 0 && fencingToken >= leaderTerm;
     Guest g = guests.getAndMoveToLast(machine);
     if (g == null) {
       g = new Guest();
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
@@ -7,7 +7,7 @@
  *
  * @param node who says it
  * @param started when its process began, by its time of day: orders rows across its restarts
- * @param seq rises with each row of a process
+ * @param sequence rises with each row of a process
  * @param term the term it leads, or the highest it has seen
  * @param leading whether it leads
  * @param stateMs age of its newest call that the state service has done, by its own link; -1: cut
@@ -18,7 +18,7 @@
 public record LinkStateAdvertisement(
     String node,
     long started,
-    long seq,
+    long sequence,
     long term,
     boolean leading,
     long stateMs,
@@ -44,7 +44,7 @@
 
   /** True when it is newer than another of the same node. */
   boolean newer(LinkStateAdvertisement other) {
-    return started != other.started ? started > other.started : seq > other.seq;
+    return started != other.started ? started > other.started : sequence > other.sequence;
   }
 
   /** Age of its newest use of an outside party; -1: cut. */
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
@@ -31,7 +31,7 @@
   private final long[] rowMs;
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
   private long leftOut;
-  private long seq;
+  private long sequence;
 
   /**
    * A link went down or came up.
@@ -189,7 +189,7 @@
     return new LinkStateAdvertisement(
         node,
         started,
-        ++seq,
+        ++sequence,
         term,
         leading,
         outside[0].ageMs(now),
--- a/src/main/java/org/mallowroad/election/LeaderElection.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -57,7 +57,7 @@
   private long seenTerm;
   private boolean leading;
   private long term;
-  private long mark;
+  private long version;
   private long lease;
   private boolean campaigning;
   private boolean renewing;
@@ -74,7 +74,7 @@
   /** Told of this node's own leadership. */
   public interface Listener {
     /** This node leads from now on. */
-    void elected(long term, long mark);
+    void elected(long term, long version);
 
     /** This node no longer leads. */
     void deposed();
@@ -138,9 +138,9 @@
             loop.after(300, this::look);
             return;
           }
-          saw(item.value(), item.mark());
-          if (item.mark() > 0) {
-            watch(item.mark());
+          saw(item.value(), item.version());
+          if (item.version() > 0) {
+            watch(item.version());
           } else {
             campaign();
             loop.after(400 + random.nextInt(200), this::look);
@@ -161,7 +161,7 @@
           boolean absent = false;
           for (KeyValueStore.VersionedValue e : events) {
             if (e.key().equals(LEADER)) {
-              saw(e.value(), e.mark());
+              saw(e.value(), e.version());
               absent = e.value() == null;
             }
           }
@@ -184,7 +184,7 @@
       }
       return;
     }
-    if (leading && seenMark > mark) {
+    if (leading && seenMark > version) {
       stepDown();
     }
     leader = value.path("node").asText();
@@ -256,14 +256,14 @@
     // The last token of the term's block: the next term is above all of them, whoever reads this.
     count.put("n", FencingTokens.last(newTerm));
     standing = id;
-    Transaction txn =
+    Transaction transaction =
         new Transaction()
             .given(LEADER, 0)
-            .given(TERM, before.mark())
+            .given(TERM, before.version())
             .put(LEADER, who, id)
             .put(TERM, count);
     state.run(
-        txn,
+        transaction,
         (result, revision, failed) -> {
           if (result == Result.OK) {
             confirm(newTerm, revision, id, sent);
@@ -300,7 +300,7 @@
               && item.value().path(LEASE).asLong() == id) {
             // By the lease: a transaction of the process before, applied late, has the same name
             // and may have the same term.
-            confirm(newTerm, item.mark(), id, sent);
+            confirm(newTerm, item.version(), id, sent);
           } else {
             over();
           }
@@ -312,10 +312,10 @@
    * another elected since. Then the lease is asked for first, and a leadership that is over is
    * never begun.
    */
-  private void confirm(long newTerm, long newMark, long id, long sent) {
+  private void confirm(long newTerm, long newVersion, long id, long sent) {
     if (loop.now() - sent < LIFE_MS) {
       campaigning = false;
-      elected(newTerm, newMark, id, sent);
+      elected(newTerm, newVersion, id, sent);
       return;
     }
     long again = loop.now();
@@ -324,16 +324,16 @@
         RENEW_TIMEOUT_MS,
         (result, lease) -> {
           if (result == Result.OK) {
-            confirm(newTerm, newMark, id, again);
+            confirm(newTerm, newVersion, id, again);
           } else if (result == Result.NO || loop.now() - sent > 10 * LIFE_MS) {
             over();
           } else {
-            loop.after(200, () -> confirm(newTerm, newMark, id, sent));
+            loop.after(200, () -> confirm(newTerm, newVersion, id, sent));
           }
         });
   }
 
-  private void elected(long newTerm, long newMark, long id, long sent) {
+  private void elected(long newTerm, long newVersion, long id, long sent) {
     if (leading) {
       return;
     }
@@ -341,12 +341,12 @@
     leader = node;
     leaderTerm = newTerm;
     term = newTerm;
-    mark = newMark;
+    version = newVersion;
     lease = id;
     renewedMs = sent;
     LOG.info("event=elected term={}", term);
     renewal = loop.every(RENEW_MS, this::renew);
-    listener.elected(term, mark);
+    listener.elected(term, version);
   }
 
   private void renew() {
--- a/src/main/java/org/mallowroad/fake/FakeCloud.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -28,7 +28,7 @@
   private final HttpServer server;
   private final ExecutorService pool = Executors.newCachedThreadPool(FakeStateService::daemon);
   private final Map<String, FakeWorker> workers = new TreeMap<>();
-  private final Map<String, ObjectNode> hires = new HashMap<>();
+  private final Map<String, ObjectNode> rentals = new HashMap<>();
   private final List<String> controllers;
   private final List<Type> types;
   private int count;
@@ -167,8 +167,8 @@
   }
 
   private ObjectNode rented(ObjectNode r) throws InvalidMessageException, IOException {
-    String hire = Json.string(r, "hire", 200);
-    ObjectNode o = hires.get(hire);
+    String rental = Json.string(r, "hire", 200);
+    ObjectNode o = rentals.get(rental);
     if (o != null) {
       return o;
     }
@@ -194,7 +194,7 @@
       names.add(w.name);
       pool.execute(w);
     }
-    hires.put(hire, o);
+    rentals.put(rental, o);
     return o;
   }
 }
--- a/src/main/java/org/mallowroad/fake/FakeWorker.java
+++ b/src/main/java/org/mallowroad/fake/FakeWorker.java
@@ -32,10 +32,10 @@
   private final Map<String, Long> next = new HashMap<>();
   private final long bornMs = System.currentTimeMillis();
   private volatile boolean gone;
-  private long token;
-  private long session = 1;
-  private long seq;
-  private long answeredMs;
+  private long fencingToken;
+  private long incarnation = 1;
+  private long sequence;
+  private long lastAnswerMs;
   private int at;
 
   FakeWorker(FakeCloud cloud, String name, String type, String zone, boolean spot, long bootMs)
@@ -46,10 +46,10 @@
     this.zone = zone;
     this.spot = spot;
     this.upMs = bornMs + bootMs;
-    this.answeredMs = upMs;
+    this.lastAnswerMs = upMs;
     this.server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
     server.setExecutor(cloud.pool());
-    server.createContext("/orders", this::orders);
+    server.createContext("/orders", this::commands);
     server.start();
   }
 
@@ -94,11 +94,11 @@
 
   /** Without an answer for its lease's time a worker kills and forgets all it has. */
   private synchronized void lease() {
-    if (System.currentTimeMillis() - answeredMs > cloud.leaseMs) {
+    if (System.currentTimeMillis() - lastAnswerMs > cloud.leaseMs) {
       cloud.running.values().removeIf(name::equals);
       tasks.clear();
-      session++;
-      answeredMs = System.currentTimeMillis();
+      incarnation++;
+      lastAnswerMs = System.currentTimeMillis();
     }
   }
 
@@ -166,21 +166,24 @@
   private ObjectNode state() {
     ObjectNode o = Json.object();
     o.put("hearth", name).put("address", address()).put("build", type).put("ground", zone);
-    o.put("driftwood", spot).put("watch", session).put("tally", ++seq).put("baton", token);
+    o.put("driftwood", spot)
+        .put("watch", incarnation)
+        .put("tally", ++sequence)
+        .put("baton", fencingToken);
     ArrayNode moves = o.putArray("moves");
     tasks.values().forEach(t -> moves.add(t.deepCopy()));
     return o;
   }
 
   /** Orders sent straight here; they renew no lease. */
-  private void orders(HttpExchange x) throws IOException {
+  private void commands(HttpExchange x) throws IOException {
     byte[] body = x.getRequestBody().readAllBytes();
     try {
       ObjectNode o = Json.parseObject(body);
       ObjectNode answer;
       boolean obeys;
       synchronized (this) {
-        obeys = !gone && !still() && o.path("watch").asLong() == session && obey(o, 0);
+        obeys = !gone && !still() && o.path("watch").asLong() == incarnation && obey(o, 0);
         answer = state();
       }
       FakeStateService.send(x, obeys ? 200 : 409, answer);
@@ -191,11 +194,11 @@
 
   /** False when the message is of an earlier term. */
   private synchronized boolean obey(ObjectNode r, long sentMs) {
-    if (!r.has("baton") || r.path("baton").asLong() < token || gone) {
+    if (!r.has("baton") || r.path("baton").asLong() < fencingToken || gone) {
       return false;
     }
-    token = r.path("baton").asLong();
-    answeredMs = Math.max(answeredMs, sentMs);
+    fencingToken = r.path("baton").asLong();
+    lastAnswerMs = Math.max(lastAnswerMs, sentMs);
     List<JsonNode> all = new ArrayList<>();
     r.path("orders").forEach(all::add);
     for (JsonNode o : all) {
--- a/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
+++ b/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
@@ -22,7 +22,7 @@
   /** Changes that watches can still be told of, as many as the protocol says. */
   private static final int MOST_CHANGES = 10_000;
 
-  private record Value(JsonNode v, long mark, long lease) {}
+  private record Value(JsonNode v, long version, long lease) {}
 
   private record Change(long revision, String key, JsonNode v) {}
 
@@ -48,9 +48,9 @@
   }
 
   /** The mark of a key; 0 where there is none. */
-  public long mark(String key) {
+  public long version(String key) {
     Value v = data.get(key);
-    return v == null ? 0 : v.mark;
+    return v == null ? 0 : v.version;
   }
 
   /** The keys with a prefix, in order. */
@@ -123,7 +123,7 @@
     ObjectNode o = Json.object();
     Value v = data.get(key);
     if (v != null) {
-      o.put("key", key).put("mark", v.mark).set("v", v.v);
+      o.put("key", key).put("mark", v.version).set("v", v.v);
     }
     o.put("epoch", revision);
     return new Answer(v == null ? 404 : 200, o);
@@ -148,7 +148,7 @@
       pairs
           .addObject()
           .put("key", e.getKey())
-          .put("mark", e.getValue().mark)
+          .put("mark", e.getValue().version)
           .set("v", e.getValue().v);
     }
     o.put("epoch", revision).put("truncated", more);
@@ -160,7 +160,7 @@
     ArrayNode failed = Json.array();
     for (JsonNode c : t.path("if")) {
       Value v = data.get(c.path("key").asText());
-      if ((v == null ? 0 : v.mark) != c.path("mark").asLong()) {
+      if ((v == null ? 0 : v.version) != c.path("mark").asLong()) {
         failed.add(c.path("key").asText());
       }
     }
--- a/src/main/java/org/mallowroad/fake/LoopbackSettings.java
+++ b/src/main/java/org/mallowroad/fake/LoopbackSettings.java
@@ -14,7 +14,7 @@
   private final List<TeamSetting> teams;
   private final int cloudPort;
   private final int statePort;
-  private final double reportS;
+  private final double heartbeatIntervalS;
   private final double leaseS;
 
   /** Of a site with stand-ins. */
@@ -23,13 +23,13 @@
       List<TeamSetting> teams,
       FakeCloud cloud,
       FakeStateService state,
-      double reportS,
+      double heartbeatIntervalS,
       double leaseS) {
     this.zones = zones;
     this.teams = teams;
     this.cloudPort = cloud.port();
     this.statePort = state.port();
-    this.reportS = reportS;
+    this.heartbeatIntervalS = heartbeatIntervalS;
     this.leaseS = leaseS;
   }
 
@@ -51,7 +51,7 @@
         zones,
         teams,
         List.of(),
-        reportS,
+        heartbeatIntervalS,
         leaseS,
         2 * leaseS + 2,
         1_000,
--- a/src/main/java/org/mallowroad/peer/LinkCodec.java
+++ b/src/main/java/org/mallowroad/peer/LinkCodec.java
@@ -146,7 +146,7 @@
     GenericRecord g = row.make();
     g.put("node", r.node());
     g.put("started", r.started());
-    g.put("seq", r.seq());
+    g.put("seq", r.sequence());
     g.put("term", r.term());
     g.put("leading", r.leading());
     g.put("stateMs", r.stateMs());
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -66,7 +66,7 @@
         RequestSender.Answer answer);
 
     /** Sends a peer's orders to a worker. */
-    void orders(String address, byte[] body, RequestSender.Answer answer);
+    void commands(String address, byte[] body, RequestSender.Answer answer);
 
     /** A report that came to a peer; the answer is what the worker is to get. */
     void carried(int peer, byte[] report, RequestSender.Answer answer);
@@ -149,7 +149,7 @@
   }
 
   /** Sends orders to a worker by way of a peer. */
-  public void orders(int peer, String address, byte[] body, RequestSender.Answer answer) {
+  public void commands(int peer, String address, byte[] body, RequestSender.Answer answer) {
     send(peer, WORKER, "POST", address, body, ORDERS_TIMEOUT_MS, answer);
   }
 
@@ -269,7 +269,7 @@
         serving++;
         RequestSender.Answer back = back(x, () -> serving--);
         if (to == null) {
-          listener.orders(f.path(), f.body(), back);
+          listener.commands(f.path(), f.body(), back);
         } else {
           byte[] body = f.body().length == 0 ? null : f.body();
           listener.forward(to, f.method(), f.path(), body, f.timeoutMs(), back);
--- a/src/main/java/org/mallowroad/simulation/CloudModel.java
+++ b/src/main/java/org/mallowroad/simulation/CloudModel.java
@@ -33,7 +33,7 @@
   private final int most;
   private final Function<String[], WorkerModel> maker;
   private final TreeMap<String, Rented> machines = new TreeMap<>();
-  private final Map<String, ObjectNode> hires = new HashMap<>();
+  private final Map<String, ObjectNode> rentals = new HashMap<>();
   private int count;
 
   /** Every call gets 503. */
@@ -138,8 +138,8 @@
   }
 
   private ObjectNode rent(ObjectNode r) throws InvalidMessageException {
-    String hire = Json.string(r, "hire", 200);
-    ObjectNode known = hires.get(hire);
+    String rental = Json.string(r, "hire", 200);
+    ObjectNode known = rentals.get(rental);
     if (known != null) {
       return known;
     }
@@ -156,7 +156,7 @@
       time.after(bootMs() * 1000, w, w::up);
     }
     if (!names.isEmpty()) {
-      hires.put(hire, o);
+      rentals.put(rental, o);
     }
     return o;
   }
--- a/src/main/java/org/mallowroad/simulation/EventQueue.java
+++ b/src/main/java/org/mallowroad/simulation/EventQueue.java
@@ -5,11 +5,11 @@
 
 /** Virtual time: events in the order of their time, and of their making where times are equal. */
 final class EventQueue {
-  private record Event(long us, long seq, Being of, int life, Runnable task)
+  private record Event(long us, long sequence, Being of, int life, Runnable task)
       implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
-      return us != o.us ? Long.compare(us, o.us) : Long.compare(seq, o.seq);
+      return us != o.us ? Long.compare(us, o.us) : Long.compare(sequence, o.sequence);
     }
   }
 
@@ -53,7 +53,7 @@
 
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
   private long us;
-  private long seq;
+  private long sequence;
   private long events;
 
   /** Microseconds since the beginning. */
@@ -73,7 +73,7 @@
 
   /** Runs the task after a while, unless its being's life is over by then; null: nobody's. */
   void after(long us, Being of, Runnable task) {
-    queue.add(new Event(this.us + Math.max(0, us), seq++, of, of == null ? 0 : of.life, task));
+    queue.add(new Event(this.us + Math.max(0, us), sequence++, of, of == null ? 0 : of.life, task));
   }
 
   /** What a frozen being has missed comes at once, in order. */
@@ -81,7 +81,7 @@
     b.still = false;
     Event e;
     while ((e = b.missed.pollFirst()) != null) {
-      queue.add(new Event(us, seq++, b, e.life, e.task));
+      queue.add(new Event(us, sequence++, b, e.life, e.task));
     }
   }
 
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -50,9 +50,9 @@
     private final Machine machine;
     private double left;
     private boolean holds;
-    private Worker giver;
+    private Worker imageSource;
     private int giving;
-    private long seq = 1;
+    private long sequence = 1;
 
     Worker(Machine machine) {
       this.machine = machine;
@@ -62,7 +62,7 @@
   private final Setting setting;
   private final SplittableRandom random;
   private final NameIndex zones = new NameIndex();
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final TaskScheduler placement;
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final MachineType type;
@@ -76,7 +76,7 @@
     zones.intern("a");
     zones.intern("b");
     type = new MachineType(0, "t", SLOTS, 0, 64, 400, RATE, 1, 0.5, 30, new int[] {0, 1});
-    ledger =
+    schedulerState =
         new SchedulerState(
             1,
             60,
@@ -85,14 +85,14 @@
             zones,
             new Health(HealthPolicy.defaults(), 2, 2, 0),
             setting.policy());
-    placement = new TaskScheduler(ledger);
+    placement = new TaskScheduler(schedulerState);
     for (int i = 0; i < setting.machines(); i++) {
       rise();
     }
   }
 
   private void rise() {
-    Machine m = ledger.meet("n-" + names, type, names % 2, false, now);
+    Machine m = schedulerState.meet("n-" + names, type, names % 2, false, now);
     names++;
     Worker w = new Worker(m);
     workers.put(m.name + ":1", w);
@@ -119,12 +119,12 @@
             zones.name(m.zone),
             false,
             1,
-            w.seq++,
+            w.sequence++,
             1,
             -1,
             all,
             setting.handsOn());
-    return ledger.report(m, r, true, now);
+    return schedulerState.report(m, r, true, now);
   }
 
   /** Plays it until all replicas run. */
@@ -154,7 +154,7 @@
             0,
             0,
             JobDependencies.NONE);
-    ledger.accept(spec, 1, 0, now);
+    schedulerState.accept(spec, 1, 0, now);
     int first = -1;
     int half = -1;
     for (int s = 0; s < MOST_S; s++) {
@@ -167,7 +167,7 @@
       tell();
       fetch();
       int running = 0;
-      for (Machine m : ledger.machines()) {
+      for (Machine m : schedulerState.machines()) {
         for (Attempt a : m.attempts()) {
           running += a.phase == Attempt.Phase.RUNNING ? 1 : 0;
         }
@@ -191,41 +191,41 @@
     some.sort((a, b) -> Integer.compare(b.giving, a.giving));
     Worker w = some.get(random.nextInt(Math.min(3, some.size())));
     workers.remove(w.machine.name + ":1");
-    ledger.machineGone(w.machine, now);
+    schedulerState.machineGone(w.machine, now);
     for (Worker t : workers.values()) {
-      if (t.giver == w) {
-        t.giver = null; // Falls back to the source, from where it was.
+      if (t.imageSource == w) {
+        t.imageSource = null; // Falls back to the source, from where it was.
       }
     }
     rise();
   }
 
   private void commit() {
-    for (AttemptRecord c : new ArrayList<>(ledger.dirty())) {
+    for (AttemptRecord c : new ArrayList<>(schedulerState.dirty())) {
       List<Attempt> recorded = new ArrayList<>();
       for (int t = c.from(); t < c.to(); t++) {
         if (c.job.live(t) != null && c.job.live(t).phase == Attempt.Phase.RECORDING) {
           recorded.add(c.job.live(t));
         }
       }
-      ledger.committed(c, 9, c.changes, recorded, now);
+      schedulerState.committed(c, 9, c.changes, recorded, now);
     }
   }
 
   /** Launches go to the workers, which begin to fetch. */
   private void tell() {
     for (Worker w : workers.values()) {
-      List<WorkerCommand> orders =
+      List<WorkerCommand> commands =
           report(w, w.holds ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING);
       boolean launched = false;
-      for (WorkerCommand o : orders) {
+      for (WorkerCommand o : commands) {
         launched |= o.kind() == WorkerCommand.Kind.LAUNCH;
         if (o.kind() == WorkerCommand.Kind.LAUNCH && !w.holds && w.left <= 0) {
           w.left = setting.gb();
-          for (String g : o.givers()) {
+          for (String g : o.imageSources()) {
             Worker from = workers.get(g);
-            if (w.giver == null && from != null && from.holds) {
-              w.giver = from;
+            if (w.imageSource == null && from != null && from.holds) {
+              w.imageSource = from;
               from.giving++;
             }
           }
@@ -247,19 +247,19 @@
   private void fetch() {
     int atSource = 0;
     for (Worker w : workers.values()) {
-      atSource += w.left > 0 && w.giver == null ? 1 : 0;
+      atSource += w.left > 0 && w.imageSource == null ? 1 : 0;
     }
     double share = RATE * Math.min(1, SOURCE / Math.max(1, atSource));
     for (Worker w : workers.values()) {
       if (w.left <= 0) {
         continue;
       }
-      w.left -= w.giver == null ? share : RATE / Math.max(1, w.giver.giving);
+      w.left -= w.imageSource == null ? share : RATE / Math.max(1, w.imageSource.giving);
       if (w.left <= 0) {
         w.holds = true;
-        if (w.giver != null) {
-          w.giver.giving--;
-          w.giver = null;
+        if (w.imageSource != null) {
+          w.imageSource.giving--;
+          w.imageSource = null;
         }
         report(w, Heartbeat.State.RUNNING);
       }
@@ -271,11 +271,11 @@
     int wanted = Math.min(s.machines(), (s.replicas() + SLOTS - 1) / SLOTS);
     double fetchS = s.gb() / RATE;
     double have = 0;
-    int stages = 0;
+    int imageDistribution = 0;
     while (have < wanted) {
       have = s.handsOn() ? 2 * have + SOURCE : have + SOURCE;
-      stages++;
+      imageDistribution++;
     }
-    return (int) Math.ceil(stages * fetchS);
+    return (int) Math.ceil(imageDistribution * fetchS);
   }
 }
--- a/src/main/java/org/mallowroad/simulation/InvariantChecker.java
+++ b/src/main/java/org/mallowroad/simulation/InvariantChecker.java
@@ -52,7 +52,7 @@
     private long cancelledMs = -1;
     private long doneMs = -1;
     private long askedMs = -1;
-    private long answeredMs = -1;
+    private long lastAnswerMs = -1;
     private long begunMs = -1;
     private final Set<Integer> completed = new HashSet<>();
     private final Set<String> seen = new HashSet<>();
@@ -117,7 +117,7 @@
   public void cancels(String id) {
     Job j = jobs.get(id);
     if (j.doneMs >= 0) {
-      j.answeredMs = now.getAsLong(); // Nobody has asked since its user was told.
+      j.lastAnswerMs = now.getAsLong(); // Nobody has asked since its user was told.
     }
     j.cancelAsked = true;
     note(jobs.get(id), "withdrawal asked");
@@ -158,12 +158,12 @@
       breach(j, "forgotten", id + " got 404");
     }
     if (status == 200) {
-      long gap = now.getAsLong() - Math.max(j.askedMs, j.answeredMs);
+      long gap = now.getAsLong() - Math.max(j.askedMs, j.lastAnswerMs);
       if (j.accepted && j.askedMs >= 0 && gap >= FORGOTTEN_MS) {
         breach(j, "forgotten", id + " had no answer for " + gap + " ms");
       }
       // However others fare, from the last trouble on.
-      long calm = now.getAsLong() - Math.max(calmMs, Math.max(j.askedMs, j.answeredMs));
+      long calm = now.getAsLong() - Math.max(calmMs, Math.max(j.askedMs, j.lastAnswerMs));
       if (j.accepted && j.askedMs >= 0 && !j.cancelAsked && calm >= FORGOTTEN_AFTER_MS) {
         breach(j, "forgotten", id + " had no answer for " + calm + " ms after all troubles");
       }
@@ -173,7 +173,7 @@
       if (j.askedMs >= 0 && j.doneMs < 0 && j.cancelledMs < 0) {
         longestMs = Math.max(longestMs, gap);
       }
-      j.answeredMs = now.getAsLong();
+      j.lastAnswerMs = now.getAsLong();
       told(j, standing, sentMs);
     }
   }
@@ -384,12 +384,12 @@
       breach(null, "nothing_ran", "no task was started");
     }
     for (Job j : jobs.values()) {
-      long from = Math.max(calmMs, Math.max(j.askedMs, j.answeredMs));
+      long from = Math.max(calmMs, Math.max(j.askedMs, j.lastAnswerMs));
       if (j.accepted
           && j.doneMs < 0
           && j.cancelledMs < 0
           && now.getAsLong() - from >= FORGOTTEN_AFTER_MS) {
-        breach(j, "forgotten", j.spec.id + " has no answer since " + j.answeredMs);
+        breach(j, "forgotten", j.spec.id + " has no answer since " + j.lastAnswerMs);
       }
       if (j.accepted && j.doneMs < 0 && j.cancelledMs < 0) {
         breach(j, "stuck", j.spec.id + " was accepted and has no end; on machines: " + j.on);
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -93,8 +93,8 @@
   }
 
   private void fold(String id, long at, int from, int games, long revision, boolean cancelled) {
-    ObjectNode ties = Json.object();
-    ArrayNode folds = ties.putArray(FoldCodec.FOLDS);
+    ObjectNode dependencies = Json.object();
+    ArrayNode folds = dependencies.putArray(FoldCodec.FOLDS);
     List<Want> want = new ArrayList<>();
     for (int g = from; g < from + games; g++) {
       ObjectNode o = folds.addObject().put("league", LEAGUE).put("game", g);
@@ -106,12 +106,12 @@
       }
     }
     wants(id, want);
-    submit(id, at, ties, cancelled ? 500 + random.nextLong(9_000) : 0);
+    submit(id, at, dependencies, cancelled ? 500 + random.nextLong(9_000) : 0);
   }
 
   private void print(String id, long at, int i, int game) {
-    ObjectNode ties = Json.object();
-    ObjectNode holds = ties.putObject("holds");
+    ObjectNode dependencies = Json.object();
+    ObjectNode holds = dependencies.putObject("holds");
     List<String> jobs = new ArrayList<>();
     jobs.add(String.format("job-8%05d", i));
     if (i >= 2 && random.nextBoolean()) {
@@ -126,15 +126,16 @@
     }
     prints(id, jobs);
     // Nobody waits for ever for what was cancelled or refused: then the print is cancelled as well.
-    submit(id, at, ties, 100_000);
+    submit(id, at, dependencies, 100_000);
   }
 
-  private void submit(String id, long at, ObjectNode ties, long cancelAfterMs) {
+  private void submit(String id, long at, ObjectNode dependencies, long cancelAfterMs) {
     InvariantChecker.Submitted s =
         new InvariantChecker.Submitted(
             id, "blue", "rating", 1 + random.nextInt(3), 1, null, false, false, at);
     long run = 500 + random.nextLong(4_000);
-    time.after(at * 1000, null, () -> users.job(s, "urgent", run, 300, cancelAfterMs, ties));
+    time.after(
+        at * 1000, null, () -> users.job(s, "urgent", run, 300, cancelAfterMs, dependencies));
   }
 
   private Map<BlockKey, Block> blocks() {
@@ -201,7 +202,7 @@
                     .forEach(
                         (s, f) -> {
                           long n = Block.number(k.index(), s.game());
-                          long claimed = store.mark(Records.open(f.job()));
+                          long claimed = store.version(Records.open(f.job()));
                           boolean later = claimed == 0 || claimed > confirmed;
                           boolean counts =
                               f.settled() || f.base() != null || isDone(f.job()) || later;
--- a/src/main/java/org/mallowroad/simulation/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -276,7 +276,7 @@
       long runMs,
       long fetchMs,
       long cancelAfterMs,
-      ObjectNode ties) {
+      ObjectNode dependencies) {
     times.put(s.id(), new long[] {runMs, fetchMs});
     jobs.put(s.id(), s);
     images.put(s.id(), "i-" + s.taskClass());
@@ -289,8 +289,8 @@
     o.put("kit", "i-" + s.taskClass()).put("size_gb", fetchMs / 1000.0);
     o.putNull("builds").put("ground", s.zone()).put("together", s.together());
     o.put("scatter", false).put("driftwood", true).put("reckon_s", runMs / 1000.0);
-    if (ties != null) {
-      o.setAll(ties);
+    if (dependencies != null) {
+      o.setAll(dependencies);
     }
     o.put("cairn_s", 0.0).put("stow_s", 0.0).put("due_s", 60.0);
     bodies.put(s.id(), o);
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -68,15 +68,15 @@
   /** How often an image came from another machine. */
   long taken;
 
-  private long token;
-  private long session = 1;
+  private long fencingToken;
+  private long incarnation = 1;
   private long tally;
   private long answeredSentMs;
   private int at;
   private boolean running;
   private boolean out;
   private boolean dirty;
-  private long reportedMs;
+  private long lastHeartbeatMs;
   private int beat;
   private long longestMs;
 
@@ -169,7 +169,7 @@
             }
             tasks.clear();
             images.clear();
-            session++;
+            incarnation++;
             answeredSentMs = time.ms();
             changed();
           }
@@ -192,7 +192,7 @@
   private void changed() {
     dirty = true;
     if (!out) {
-      next(Math.max(0, reportedMs + EAGER_MS - time.ms()));
+      next(Math.max(0, lastHeartbeatMs + EAGER_MS - time.ms()));
     }
   }
 
@@ -200,8 +200,8 @@
     out = true;
     dirty = false;
     long sentMs = time.ms();
-    reportedMs = sentMs;
-    long ofSession = session;
+    lastHeartbeatMs = sentMs;
+    long ofSession = incarnation;
     network.call(
         this,
         nodes.get(at),
@@ -216,7 +216,7 @@
             ObjectNode o = parsed(body);
             if (status == 200) {
               // One that must be dropped holds the worker here while its lease runs out.
-              if (ofSession == session && o.path("baton").asLong(-1) >= token) {
+              if (ofSession == incarnation && o.path("baton").asLong(-1) >= fencingToken) {
                 answeredSentMs = Math.max(answeredSentMs, sentMs);
                 saw(o.path("baton").asLong());
                 o.path("orders").forEach(WorkerModel.this::obey);
@@ -260,8 +260,8 @@
   }
 
   private void saw(long baton) {
-    if (baton > token) {
-      token = baton;
+    if (baton > fencingToken) {
+      fencingToken = baton;
       changed();
     }
   }
@@ -273,7 +273,7 @@
     if (handsOn) {
       o.put("hands_on", true);
     }
-    o.put("watch", session).put("tally", ++tally).put("baton", token);
+    o.put("watch", incarnation).put("tally", ++tally).put("baton", fencingToken);
     ArrayNode moves = o.putArray("moves");
     tasks.forEach(
         (key, t) -> {
@@ -290,7 +290,8 @@
   void take(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
     ObjectNode o = parsed(body);
     if (target.equals("/orders")) {
-      boolean stale = o.path("baton").asLong() < token || o.path("watch").asLong() != session;
+      boolean stale =
+          o.path("baton").asLong() < fencingToken || o.path("watch").asLong() != incarnation;
       if (!stale) {
         saw(o.path("baton").asLong());
         o.path("orders").forEach(this::obey);
@@ -325,7 +326,7 @@
     }
   }
 
-  private void launch(String id, int attempt, String key, JsonNode givers) {
+  private void launch(String id, int attempt, String key, JsonNode imageSources) {
     boolean there = false;
     for (Task t : tasks.values()) {
       there |= t.id.equals(id) && !t.standing.equals("exited");
@@ -343,7 +344,7 @@
     after(
         t,
         key,
-        fetchMs(image, times[1], givers),
+        fetchMs(image, times[1], imageSources),
         () -> {
           t.standing = "running";
           images.add(image);
@@ -362,8 +363,8 @@
   }
 
   /** From a giver in a third of the time; from the source where none of those named has it. */
-  private long fetchMs(String image, long fromSource, JsonNode givers) {
-    for (JsonNode g : givers) {
+  private long fetchMs(String image, long fromSource, JsonNode imageSources) {
+    for (JsonNode g : imageSources) {
       WorkerModel w = jobs.at(g.asText());
       if (w != null && !w.ever.contains(image)) {
         checker.breach("fetched_from_nobody", name + " is sent to " + w.name + " for " + image);
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -59,7 +59,7 @@
   }
 
   /** A key with its value and version; version 0 and no value when it does not exist. */
-  public record VersionedValue(String key, JsonNode value, long mark) {}
+  public record VersionedValue(String key, JsonNode value, long version) {}
 
   /** An answer to a read. */
   public interface Got {
@@ -256,10 +256,10 @@
    *
    * @param onRepeat told of each further copy, which counts against the service's limits as well
    */
-  public void runRepeated(Transaction txn, Runnable onRepeat, Ended ended) {
+  public void runRepeated(Transaction transaction, Runnable onRepeat, Ended ended) {
     new TransactionRetry(
             loop,
-            listener -> run(txn, listener),
+            listener -> run(transaction, listener),
             this::mayRepeat,
             () -> repeated(onRepeat),
             latency,
@@ -284,11 +284,11 @@
   }
 
   /** Runs a transaction. */
-  public void run(Transaction txn, Ended ended) {
+  public void run(Transaction transaction, Ended ended) {
     caller.call(
         "POST",
         "/multi",
-        Json.bytes(txn.json()),
+        Json.bytes(transaction.json()),
         TIMEOUT_MS,
         new Parsed() {
           @Override
@@ -466,10 +466,10 @@
     private final ArrayNode writes = o.putArray(Fields.WRITES);
 
     /** The key must have this version. */
-    public Transaction given(String key, long mark) {
+    public Transaction given(String key, long version) {
       ObjectNode c = conditions.addObject();
       c.put(Fields.KEY, key);
-      c.put(Fields.MARK, mark);
+      c.put(Fields.MARK, version);
       return this;
     }
 
--- a/src/main/java/org/mallowroad/state/Records.java
+++ b/src/main/java/org/mallowroad/state/Records.java
@@ -196,7 +196,7 @@
       if (a == null) {
         continue;
       }
-      String key = a.machine.name + " " + a.session;
+      String key = a.machine.name + " " + a.incarnation;
       ArrayNode group = groups.get(key);
       if (group == null) {
         Machine m = a.machine;
@@ -207,7 +207,7 @@
           kindOf.put(kind, k);
           kinds.addArray().add(m.type.name()).add(zones.name(m.zone)).add(m.spot);
         }
-        group = live.addArray().add(m.name).add(a.session).add(k);
+        group = live.addArray().add(m.name).add(a.incarnation).add(k);
         groups.put(key, group);
       }
       group.add(t).add(a.number);
@@ -225,7 +225,13 @@
 
   /** An unresolved attempt as a run record has it. */
   public record Live(
-      int task, int number, String machine, long session, String type, String zone, boolean spot) {}
+      int task,
+      int number,
+      String machine,
+      long incarnation,
+      String type,
+      String zone,
+      boolean spot) {}
 
   /** The unresolved attempts of a run record. */
   public static List<Live> live(JsonNode run) {
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -121,7 +121,7 @@
   }
 
   /** The ties of such a record. */
-  public static JobDependencies ties(JsonNode record) throws InvalidMessageException {
+  public static JobDependencies dependencies(JsonNode record) throws InvalidMessageException {
     JobDependencies h = holds(record);
     return new JobDependencies(FoldCodec.blocks(record), h.jobs(), h.games());
   }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -115,14 +115,14 @@
         save,
         due,
         submittedMs,
-        ties(o, service || gang, accepted));
+        dependencies(o, service || gang, accepted));
   }
 
   /**
    * The games that it folds and what it waits for. Of a record the blocks of the games are enough;
    * a submission is checked in full.
    */
-  private static JobDependencies ties(JsonNode o, boolean notArray, boolean accepted)
+  private static JobDependencies dependencies(JsonNode o, boolean notArray, boolean accepted)
       throws InvalidMessageException {
     Map<String, IntList> folds;
     if (accepted) {
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -59,18 +59,19 @@
   }
 
   /** A direct message to a worker's session. */
-  public static ObjectNode direct(long token, long session, List<WorkerCommand> orders) {
-    ObjectNode o = orders(token, orders);
-    o.put(Fields.SESSION, session);
+  public static ObjectNode direct(
+      long fencingToken, long incarnation, List<WorkerCommand> commands) {
+    ObjectNode o = commands(fencingToken, commands);
+    o.put(Fields.SESSION, incarnation);
     return o;
   }
 
   /** A response to a worker. */
-  public static ObjectNode orders(long token, List<WorkerCommand> orders) {
+  public static ObjectNode commands(long fencingToken, List<WorkerCommand> commands) {
     ObjectNode o = Json.object();
-    o.put(Fields.TOKEN, token);
+    o.put(Fields.TOKEN, fencingToken);
     ArrayNode list = o.putArray(Fields.ORDERS);
-    for (WorkerCommand c : orders) {
+    for (WorkerCommand c : commands) {
       ObjectNode e = list.addObject();
       e.put(
           Fields.ORDER,
@@ -81,9 +82,9 @@
           });
       e.put(Fields.TASK, c.job() + "/" + c.task());
       e.put(Fields.ATTEMPT, c.attempt());
-      if (!c.givers().isEmpty()) {
-        ArrayNode givers = e.putArray(Fields.GIVERS);
-        c.givers().forEach(givers::add);
+      if (!c.imageSources().isEmpty()) {
+        ArrayNode imageSources = e.putArray(Fields.GIVERS);
+        c.imageSources().forEach(imageSources::add);
       }
       if (c.kind() == WorkerCommand.Kind.STOP) {
         e.put(Fields.GRACE_S, c.graceS());
--- a/src/main/java/org/mallowroad/worker/HeartbeatApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -26,7 +26,7 @@
   /** What the node does with reports. */
   public interface Reports {
     /** A token in a report: a higher one than this node's ends its leadership. */
-    void sawToken(long token);
+    void sawToken(long fencingToken);
 
     /** True while this node leads. */
     boolean leading();
@@ -66,7 +66,7 @@
       Reply.error(x, 400, e.getMessage());
       return;
     }
-    reports.sawToken(r.token());
+    reports.sawToken(r.fencingToken());
     // Also read where no leader is: while one is sought the reports that come to each node compile
     // the
     // code that the next leader needs (docs/results.md).
@@ -86,11 +86,11 @@
     }
     reports.report(
         r,
-        orders -> {
-          if (orders == null) {
+        commands -> {
+          if (commands == null) {
             notNow(x, "not now");
           } else {
-            Reply.json(x, 200, orders);
+            Reply.json(x, 200, commands);
           }
         });
   }
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -75,7 +75,7 @@
   @FunctionalInterface
   public interface Bypass {
     /** Sends orders to a worker by way of a peer. */
-    void orders(int peer, String address, byte[] body, RequestSender.Answer answer);
+    void commands(int peer, String address, byte[] body, RequestSender.Answer answer);
   }
 
   /** The kept connections to a worker, or null when that is no address. */
@@ -118,7 +118,7 @@
     RequestSender.Answer answer = answer(address, sent);
     if (via >= 0 && bypass != null) {
       busy.add(address);
-      bypass.orders(via, address, Json.bytes(message), answer);
+      bypass.commands(via, address, Json.bytes(message), answer);
       return;
     }
     RequestSender caller = caller(address);
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -43,7 +43,7 @@
     }
   }
 
-  private record Due(Process by, long ms, long seq, Runnable task) {}
+  private record Due(Process by, long ms, long sequence, Runnable task) {}
 
   /** One history being played. */
   public static final class Stage {
@@ -63,7 +63,7 @@
     private final TreeMap<String, Runnable> offers = new TreeMap<>();
     private final TreeMap<String, Runnable> events = new TreeMap<>();
     private long now = 1_000;
-    private long seq;
+    private long sequence;
     private int troubles;
     private Scene scene;
 
@@ -102,7 +102,7 @@
     private String keys() {
       StringBuilder b = new StringBuilder();
       for (String k : store.keys("")) {
-        b.append(k).append('@').append(store.mark(k)).append('=').append(store.value(k));
+        b.append(k).append('@').append(store.version(k)).append('=').append(store.value(k));
         b.append(' ');
       }
       return b.toString();
@@ -195,7 +195,8 @@
         default -> {
           Due first = timers.get(0);
           for (Due d : timers) {
-            first = d.ms < first.ms || (d.ms == first.ms && d.seq < first.seq) ? d : first;
+            first =
+                d.ms < first.ms || (d.ms == first.ms && d.sequence < first.sequence) ? d : first;
           }
           timers.remove(first);
           now = Math.max(now, first.ms);
@@ -296,7 +297,7 @@
 
     @Override
     protected Timer schedule(long ms, Runnable task) {
-      Due d = new Due(this, stage.now + ms, stage.seq++, task);
+      Due d = new Due(this, stage.now + ms, stage.sequence++, task);
       stage.timers.add(d);
       return () -> stage.timers.remove(d);
     }
--- a/src/test/java/org/mallowroad/SteppedClock.java
+++ b/src/test/java/org/mallowroad/SteppedClock.java
@@ -11,10 +11,10 @@
 
 /** A clock, a store and loops of processes on it; each call to the store takes a millisecond. */
 public final class SteppedClock {
-  private record Due(long ms, long seq, Runnable task) {}
+  private record Due(long ms, long sequence, Runnable task) {}
 
   private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::ms).thenComparingLong(Due::seq));
+      new PriorityQueue<>(Comparator.comparingLong(Due::ms).thenComparingLong(Due::sequence));
 
   /** What the state service keeps. */
   public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
@@ -43,7 +43,7 @@
   /** Calls that reached the service. */
   public int calls;
 
-  private long seq;
+  private long sequence;
 
   /** Plays for a while. */
   public void run(long ms) {
@@ -92,7 +92,7 @@
       due.add(
           new Due(
               now + ms,
-              seq++,
+              sequence++,
               () -> {
                 if (!dead) {
                   task.run();
--- a/src/test/java/org/mallowroad/api/FoldingTest.java
+++ b/src/test/java/org/mallowroad/api/FoldingTest.java
@@ -216,7 +216,7 @@
       StateSpaceExplorer.Process p = s.process(name);
       try {
         folding(p, new KeyValueStore(p, p, p), 4)
-            .undo("job-1", s.store.mark(Records.intent("job-1")), Folding.keysOf(v), ok -> {});
+            .undo("job-1", s.store.version(Records.intent("job-1")), Folding.keysOf(v), ok -> {});
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -150,9 +150,9 @@
         x -> {
           asked[0]++;
           String query = x.getRequestURI().getQuery();
-          boolean hires = query != null && query.contains("under=hire/");
+          boolean rentals = query != null && query.contains("under=hire/");
           byte[] b =
-              (hires ? page.toString() : "{\"pairs\":[],\"truncated\":false}")
+              (rentals ? page.toString() : "{\"pairs\":[],\"truncated\":false}")
                   .getBytes(StandardCharsets.UTF_8);
           x.sendResponseHeaders(query == null ? 404 : 200, b.length);
           x.getResponseBody().write(b);
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -50,7 +50,7 @@
   private FakeStateService state;
   private FakeCloud cloud;
   private ClusterQuery asker;
-  private LoopbackSettings site;
+  private LoopbackSettings clusterConfig;
 
   @BeforeEach
   void start() throws Exception {
@@ -60,7 +60,7 @@
             controllers,
             List.of(new FakeCloud.Type("small", 4, 16, 1, 1, List.of("north", "south"))));
     cloud.taskMs = 600_000;
-    site =
+    clusterConfig =
         new LoopbackSettings(
             List.of("north", "south"),
             List.of(new TeamSetting("team", 8, 0, 64, 0), new TeamSetting("idle", 0, 0, 4, 0)),
@@ -72,7 +72,7 @@
     ConsoleSettings c = new ConsoleSettings(new Endpoint("127.0.0.1", 0), 1_000, 100, 10);
     List<String> consoles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Node n = new Node(new ClusterConfig(site.node(i, 3), d.with(c)));
+      Node n = new Node(new ClusterConfig(clusterConfig.node(i, 3), d.with(c)));
       n.start();
       nodes.put("n" + i, n);
       controllers.add(n.address());
@@ -260,7 +260,7 @@
     Endpoint taken = Endpoint.of(nodes.get("n0").consoleAddress());
     OperatorSettings d = OperatorSettings.defaults();
     ConsoleSettings c = new ConsoleSettings(taken, 1_000, 100, 10);
-    Node n = new Node(new ClusterConfig(site.node(3, 3), d.with(c)));
+    Node n = new Node(new ClusterConfig(clusterConfig.node(3, 3), d.with(c)));
     try {
       n.start();
       HttpResponse<String> r =
--- a/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
@@ -18,14 +18,16 @@
   private final List<String> known = new ArrayList<>();
   private final List<String> taken = new ArrayList<>();
 
-  private void comes(String machine, long seq, long now) {
-    Heartbeat r = new Heartbeat(machine, "h:1", "t", "a", false, 1, seq, 0, -1, List.of());
-    early.add(r, -1, orders -> turnedAway.add(machine + " " + seq), now);
+  private void comes(String machine, long sequence, long now) {
+    Heartbeat r = new Heartbeat(machine, "h:1", "t", "a", false, 1, sequence, 0, -1, List.of());
+    early.add(r, -1, commands -> turnedAway.add(machine + " " + sequence), now);
   }
 
   private void take() {
     early.take(
-        p, r -> known.add(r.machine()), (r, via, reply) -> taken.add(r.machine() + " " + r.seq()));
+        p,
+        r -> known.add(r.machine()),
+        (r, via, reply) -> taken.add(r.machine() + " " + r.sequence()));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/DependencyGateControllerTest.java
@@ -55,7 +55,7 @@
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
-      return s.store.mark(key);
+      return s.store.version(key);
     }
 
     private static Folding folding(StateSpaceExplorer.Process p) {
@@ -65,7 +65,7 @@
 
     @Override
     public void begin(StateSpaceExplorer.Stage s) {
-      JobDependencies ties =
+      JobDependencies dependencies =
           new JobDependencies(Map.of(), List.of(), List.of(new JobDependencies.UpTo("l", 0, null)));
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
@@ -74,9 +74,9 @@
       ObjectNode open = Json.object();
       open.put("at", 1)
           .putObject("job")
-          .set(DependencyCodec.HOLDS, DependencyCodec.held(ties).get("holds"));
-      long mark = put(s, Records.open("job-9"), open);
-      leader(s, "one", ties, mark);
+          .set(DependencyCodec.HOLDS, DependencyCodec.held(dependencies).get("holds"));
+      long version = put(s, Records.open("job-9"), open);
+      leader(s, "one", dependencies, version);
       // In one transaction, as FoldingTest explores it.
       if (successor) {
         s.inOrder = true;
@@ -84,7 +84,7 @@
       }
       s.event("correction", () -> correct(s));
       if (successor) {
-        s.event("successor", () -> leader(s, "two", ties, mark));
+        s.event("successor", () -> leader(s, "two", dependencies, version));
       }
     }
 
@@ -100,26 +100,28 @@
     }
 
     private static void leader(
-        StateSpaceExplorer.Stage s, String name, JobDependencies ties, long open) {
-      long mark = put(s, LeaderElection.LEADER, Json.object().put("node", name));
+        StateSpaceExplorer.Stage s, String name, JobDependencies dependencies, long open) {
+      long version = put(s, LeaderElection.LEADER, Json.object().put("node", name));
       StateSpaceExplorer.Process p = s.process(name);
       KeyValueStore state = new KeyValueStore(p, p, p);
       NameIndex zones = new NameIndex();
       zones.intern("a");
-      SchedulerState ledger =
+      SchedulerState schedulerState =
           new SchedulerState(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
-      JobSpec spec = JobSpecs.array("job-9", 1, 1).ties(ties).build();
-      Job job = ledger.accept(spec, open, 0, p.now());
+      JobSpec spec = JobSpecs.array("job-9", 1, 1).dependencies(dependencies).build();
+      Job job = schedulerState.accept(spec, open, 0, p.now());
       DependencyGateController[] keeper = new DependencyGateController[1];
       boolean[] busy = new boolean[1];
       Runnable start =
           () -> {
             if (!job.held() && !busy[0] && s.store.value(RUN) == null) {
               busy[0] = true;
-              start(s, state, keeper[0], job, mark, busy);
+              start(s, state, keeper[0], job, version, busy);
             }
           };
-      keeper[0] = new DependencyGateController(p, state, ledger, folding(p), mark, start, () -> {});
+      keeper[0] =
+          new DependencyGateController(
+              p, state, schedulerState, folding(p), version, start, () -> {});
       keeper[0].opened(job);
       keeper[0].begin();
     }
@@ -133,21 +135,21 @@
         KeyValueStore state,
         DependencyGateController keeper,
         Job job,
-        long mark,
+        long version,
         boolean[] busy) {
-      Transaction txn =
+      Transaction transaction =
           new Transaction()
-              .given(LeaderElection.LEADER, mark)
-              .given(Records.open("job-9"), job.mark);
-      keeper.guard(job, txn);
-      txn.given(RUN, 0).put(RUN, Json.object().put("by", mark));
+              .given(LeaderElection.LEADER, version)
+              .given(Records.open("job-9"), job.version);
+      keeper.guard(job, transaction);
+      transaction.given(RUN, 0).put(RUN, Json.object().put("by", version));
       state.run(
-          txn,
+          transaction,
           (result, revision, failed) -> {
             if (result == Result.OK) {
               keeper.guarded(job, revision);
             } else if (result == Result.UNKNOWN && s.store.value(RUN) == null) {
-              start(s, state, keeper, job, mark, busy);
+              start(s, state, keeper, job, version, busy);
             } else if (!failed.contains(LeaderElection.LEADER)) {
               keeper.reguard(job, () -> busy[0] = false);
             }
--- a/src/test/java/org/mallowroad/controller/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/FailureResponderTest.java
@@ -36,14 +36,14 @@
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0, 1});
     final Health health;
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final FailureResponder responder;
     final TaskScheduler placement;
     final Autoscaler fleet;
     final List<Machine> machines = new ArrayList<>();
     final Job job;
     final long[] heardToken = new long[40];
-    long seq;
+    long sequence;
     Machine pulling;
 
     /** Machines from and to which report and hear nothing: the token of their reports stays. */
@@ -57,23 +57,24 @@
       zones.intern("b");
       health = new Health(HealthPolicy.defaults(), 2, 4, now);
       Team team = new Team("t", 1e6, 0, 1e6, 0);
-      ledger = new SchedulerState(TERM, 26, 4, List.of(team), zones, health);
-      responder = new FailureResponder(ledger, zones, 4, 26, TERM, now);
-      placement = new TaskScheduler(ledger);
-      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
-      job = ledger.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
+      schedulerState = new SchedulerState(TERM, 26, 4, List.of(team), zones, health);
+      responder = new FailureResponder(schedulerState, zones, 4, 26, TERM, now);
+      placement = new TaskScheduler(schedulerState);
+      fleet =
+          new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
+      job = schedulerState.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
       for (int i = 0; i < 40; i++) {
-        machines.add(ledger.meet("n-" + i, type, i / 20, true, now));
+        machines.add(schedulerState.meet("n-" + i, type, i / 20, true, now));
       }
       if (takenOver) {
         for (int t = 0; t < 160; t++) {
-          ledger.restoreAttempt(job, t, 1, machines.get(t / 4), 1, now);
+          schedulerState.restoreAttempt(job, t, 1, machines.get(t / 4), 1, now);
         }
-        ledger.restored(job, now);
+        schedulerState.restored(job, now);
       } else {
         pass(8_000, 0, 0);
         assertEquals(160, placement.place(now).size());
-        JobSpecs.commit(ledger, now);
+        JobSpecs.commit(schedulerState, now);
         pass(8_000, 0, 0);
       }
     }
@@ -81,17 +82,17 @@
     void report(Machine m) {
       int i = machines.indexOf(m);
       boolean deaf = i >= deafFrom && i < deafTo;
-      heardToken[i] = deaf ? heardToken[i] : Math.max(TERM, m.token);
-      ledger.report(
+      heardToken[i] = deaf ? heardToken[i] : Math.max(TERM, m.fencingToken);
+      schedulerState.report(
           m,
           JobSpecs.report(
               m,
-              ++seq,
+              ++sequence,
               heardToken[i],
               m == pulling ? Heartbeat.State.PULLING : Heartbeat.State.RUNNING),
           true,
           now);
-      m.answeredMs = now;
+      m.lastAnswerMs = now;
       responder.reported(m, now);
     }
 
@@ -107,7 +108,7 @@
             report(m);
           }
         }
-        ledger.expireSilent(now);
+        schedulerState.expireSilent(now);
         responder.judge(now);
       }
     }
@@ -123,7 +124,7 @@
     int rented() {
       int n = 0;
       for (Autoscaler.Rent r : fleet.rents(placement.queue(now), List.of(), List.of(type), now)) {
-        assertFalse(health.silence().cut(r.variant().zone()), "rented in a cut zone");
+        assertFalse(health.failureDetector().cut(r.variant().zone()), "rented in a cut zone");
         n += r.count();
       }
       return n;
@@ -198,14 +199,15 @@
               for (int i = 0; i < 10; i++) {
                 w.pass(60_000, 0, 20);
                 // The cloud answers the deletions.
-                for (Machine m : List.copyOf(w.ledger.machines())) {
+                for (Machine m : List.copyOf(w.schedulerState.machines())) {
                   if (m.returning) {
-                    w.ledger.machineGone(m, w.now);
+                    w.schedulerState.machineGone(m, w.now);
                   }
                 }
               }
-              assertEquals(0, w.health.silence().cuts());
-              w.ledger.accept(JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
+              assertEquals(0, w.health.failureDetector().cuts());
+              w.schedulerState.accept(
+                  JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
               assertTrue(w.rented() > 0);
             }),
         day(
@@ -219,7 +221,7 @@
               for (Attempt a : m.attempts()) {
                 assertTrue(a.stopping());
               }
-              assertEquals(1, w.health.runTimes().doubted());
+              assertEquals(1, w.health.stragglerDetector().doubted());
             }),
         day(
             "half a fleet that hung to just within its lease is not returned, nor rented twice",
@@ -268,7 +270,7 @@
               w.pass(9_000, 0, 20);
               assertEquals(0, w.returned());
               w.pass(10_000, 0, 20);
-              assertTrue(w.health.silence().cut(0));
+              assertTrue(w.health.failureDetector().cut(0));
               assertTrue(w.returned() <= 11, "returned " + w.returned());
             }),
         day(
@@ -278,12 +280,12 @@
               Machine m = w.machines.get(3);
               w.deafFrom = 3;
               w.deafTo = 4;
-              m.token++; // Something that only an answer tells it.
+              m.fencingToken++; // Something that only an answer tells it.
               w.pass(20_000, 0, 0);
-              assertEquals(SchedulerState.Refusal.LEAVING, w.ledger.unfit(m, w.now));
+              assertEquals(SchedulerState.Refusal.LEAVING, w.schedulerState.unfit(m, w.now));
               assertEquals(1, w.returned());
               assertEquals(0, w.job.waitingCount()); // Nothing is freed by a suspicion.
-              w.ledger.machineGone(m, w.now);
+              w.schedulerState.machineGone(m, w.now);
               assertEquals(4, w.job.waitingCount());
             }),
         day(
@@ -292,19 +294,21 @@
             w -> {
               w.deafFrom = 0;
               w.deafTo = 20;
-              w.machines.forEach(m -> m.token++);
+              w.machines.forEach(m -> m.fencingToken++);
               w.pass(22_000, 0, 0);
               int gone = w.returned();
               assertTrue(gone >= 8 && gone <= 16, "returned " + gone);
               for (Machine m : w.machines.subList(0, 20)) {
-                assertTrue(m.returning || w.ledger.unfit(m, w.now) == SchedulerState.Refusal.DEAF);
+                assertTrue(
+                    m.returning || w.schedulerState.unfit(m, w.now) == SchedulerState.Refusal.DEAF);
               }
               w.deafTo = 0;
               w.pass(12_000, 0, 0);
               gone = w.returned();
               for (Machine m : w.machines.subList(0, 20)) {
                 assertEquals(
-                    m.returning ? SchedulerState.Refusal.LEAVING : null, w.ledger.unfit(m, w.now));
+                    m.returning ? SchedulerState.Refusal.LEAVING : null,
+                    w.schedulerState.unfit(m, w.now));
               }
               w.pass(20_000, 0, 0);
               assertEquals(gone, w.returned());
@@ -328,7 +332,7 @@
             false,
             w -> {
               w.pass(6_000, 0, 20);
-              assertTrue(w.health.silence().cut(0));
+              assertTrue(w.health.failureDetector().cut(0));
               w.pass(14_000, 0, 26);
               int taken = 0;
               for (int i = 20; i < 26; i++) {
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -39,7 +39,7 @@
   private static final int A_DAY = 600;
 
   @TempDir Path dir;
-  private ClusterConfig site;
+  private ClusterConfig clusterConfig;
 
   @BeforeEach
   void settings() throws Exception {
@@ -76,11 +76,21 @@
         [params.cloud]
         rps = 8.0
         """);
-    site = new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults());
-    site.machineTypes(
+    clusterConfig = new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults());
+    clusterConfig.machineTypes(
         List.of(
             new MachineType(
-                site.types.intern("t32"), "t32", 32, 0, 256, 9, 1, 2, 0.5, 30, new int[] {0})));
+                clusterConfig.types.intern("t32"),
+                "t32",
+                32,
+                0,
+                256,
+                9,
+                1,
+                2,
+                0.5,
+                30,
+                new int[] {0})));
   }
 
   private ObjectNode submission(int n) {
@@ -96,9 +106,10 @@
   /** Every job has names of its own, errors and an end; every machine serves a few and goes. */
   @Test
   void jobsAndMachinesThatAreOverLeaveNothingBehind() throws Exception {
-    SchedulerState ledger = new SchedulerState(1, 26, 4, site.teams(), site.zones);
-    TaskScheduler placement = new TaskScheduler(ledger);
-    MachineType type = site.type("t32");
+    SchedulerState schedulerState =
+        new SchedulerState(1, 26, 4, clusterConfig.teams(), clusterConfig.zones);
+    TaskScheduler placement = new TaskScheduler(schedulerState);
+    MachineType type = clusterConfig.type("t32");
     int n = 0;
     long now = 0;
     Machine m = null;
@@ -107,39 +118,39 @@
         now = day * DAY_MS + i * (DAY_MS / A_DAY);
         n++;
         if (m != null && n % 2 == 0) {
-          ledger.machineGone(m, now);
+          schedulerState.machineGone(m, now);
         }
         String name = "n-" + n / 2;
-        m = ledger.meet(name, type, 0, true, now);
-        ledger.report(
+        m = schedulerState.meet(name, type, 0, true, now);
+        schedulerState.report(
             m,
             new Heartbeat(name, "h:1", "t32", "a", true, 1, 2L * n, 1, -1, List.of()),
             true,
             now);
-        Job job = ledger.accept(site.codec.decode(submission(n), now), 5, 0, now);
+        Job job = schedulerState.accept(clusterConfig.codec.decode(submission(n), now), 5, 0, now);
         placement.place(now);
-        JobSpecs.commit(ledger, now);
+        JobSpecs.commit(schedulerState, now);
         if (n % 2 == 0) {
-          ledger.resolve(job.live(0), SchedulerState.Outcome.ERROR, now);
-          ledger.cancel(job, now);
+          schedulerState.resolve(job.live(0), SchedulerState.Outcome.ERROR, now);
+          schedulerState.cancel(job, now);
         }
         for (int t = 0; t < 4; t++) {
           if (job.live(t) != null) {
-            ledger.resolve(job.live(t), SchedulerState.Outcome.DONE, now);
+            schedulerState.resolve(job.live(t), SchedulerState.Outcome.DONE, now);
           }
         }
         if (n % 2 == 1) {
           assertTrue(job.allDone());
-          ledger.ended(job, now);
+          schedulerState.ended(job, now);
         }
         assertTrue(job.finished());
-        JobSpecs.commit(ledger, now);
-        ledger.forget(job);
-        ledger.outbox().clear();
+        JobSpecs.commit(schedulerState, now);
+        schedulerState.forget(job);
+        schedulerState.outbox().clear();
       }
-      site.keepNames(ledger);
+      clusterConfig.keepNames(schedulerState);
     }
-    Map<String, Integer> tables = ledger.tables();
+    Map<String, Integer> tables = schedulerState.tables();
     int classes = tables.remove("classes");
     assertEquals(
         Map.of(
@@ -165,35 +176,36 @@
     // Classes that users make up do not pile up as measures of speed either.
     assertTrue(classes <= 256, classes + " classes");
     // 72,000 names were made up; a day's worth is there at the most between two looks.
-    assertTrue(site.names() < ClusterConfig.MOST_NAMES, site.names() + " names");
-    assertTrue(site.classes.find("named-in-settings") == 0);
-    assertEquals(type.index(), site.types.find("t32"));
+    assertTrue(clusterConfig.names() < ClusterConfig.MOST_NAMES, clusterConfig.names() + " names");
+    assertTrue(clusterConfig.classes.find("named-in-settings") == 0);
+    assertEquals(type.index(), clusterConfig.types.find("t32"));
   }
 
   @Test
   void submissionsThatAreOnlyJudgedLeaveNoName() throws Exception {
-    int before = site.names();
+    int before = clusterConfig.names();
     for (int n = 0; n < 1_000; n++) {
-      site.codec.check(submission(n));
+      clusterConfig.codec.check(submission(n));
     }
-    assertEquals(before, site.names());
+    assertEquals(before, clusterConfig.names());
   }
 
   @Test
   void aNameThatIsUsedKeepsItsIndexAndOthersAreGivenAgain() throws Exception {
-    SchedulerState ledger = new SchedulerState(1, 26, 4, site.teams(), site.zones);
-    Job kept = ledger.accept(site.codec.decode(submission(7), 0), 5, 0, 0);
+    SchedulerState schedulerState =
+        new SchedulerState(1, 26, 4, clusterConfig.teams(), clusterConfig.zones);
+    Job kept = schedulerState.accept(clusterConfig.codec.decode(submission(7), 0), 5, 0, 0);
     for (int n = 100; n < 3_000; n++) {
-      site.codec.decode(submission(n), 0);
+      clusterConfig.codec.decode(submission(n), 0);
     }
-    site.keepNames(ledger);
-    assertEquals(kept.spec.image(), site.images.find("image-7"));
-    assertEquals(kept.spec.taskClass(), site.classes.find("class-7"));
-    assertTrue(kept.spec.types().get(site.types.find("type-7")));
-    assertEquals(-1, site.images.find("image-200"));
-    int fresh = site.images.intern("image-new");
+    clusterConfig.keepNames(schedulerState);
+    assertEquals(kept.spec.image(), clusterConfig.images.find("image-7"));
+    assertEquals(kept.spec.taskClass(), clusterConfig.classes.find("class-7"));
+    assertTrue(kept.spec.types().get(clusterConfig.types.find("type-7")));
+    assertEquals(-1, clusterConfig.images.find("image-200"));
+    int fresh = clusterConfig.images.intern("image-new");
     assertTrue(fresh != kept.spec.image() && fresh < 3_000);
-    assertEquals("image-new", site.images.name(fresh));
+    assertEquals("image-new", clusterConfig.images.name(fresh));
   }
 
   @Test
@@ -208,7 +220,7 @@
 
   @Test
   void connectionsToWorkersThatAreGoneAreNotKept() throws Exception {
-    XnioEnvironment host = new XnioEnvironment(site.settings());
+    XnioEnvironment host = new XnioEnvironment(clusterConfig.settings());
     try {
       WorkerClient client = new WorkerClient(host, 50);
       CompletableFuture<Integer> kept = new CompletableFuture<>();
--- a/src/test/java/org/mallowroad/controller/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/WriteBehindCommitterTest.java
@@ -31,21 +31,21 @@
   private final NameIndex zones = new NameIndex();
   private final MachineType type =
       new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final Machine machine;
-  private final long leaderMark;
+  private final long leaderVersion;
   private final WriteBehindCommitter committer;
 
   WriteBehindCommitterTest() {
     zones.intern("a");
-    ledger = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
-    machine = ledger.meet("n-1", type, 0, false, c.now);
-    ledger.report(
+    schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
+    machine = schedulerState.meet("n-1", type, 0, false, c.now);
+    schedulerState.report(
         machine,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
         c.now);
-    leaderMark = put(LeaderElection.LEADER);
+    leaderVersion = put(LeaderElection.LEADER);
     committer = committer(16);
   }
 
@@ -54,13 +54,13 @@
         p,
         state,
         new RateLimiter(RPS, 24, c.now),
-        ledger,
+        schedulerState,
         zones,
-        leaderMark,
+        leaderVersion,
         maxOps,
         new WriteBehindCommitter.Events() {
           @Override
-          public void guard(Job job, KeyValueStore.Transaction txn) {}
+          public void guard(Job job, KeyValueStore.Transaction transaction) {}
 
           @Override
           public void guarded(Job job, long revision) {}
@@ -90,8 +90,8 @@
 
   private Attempt start(String id, int priority) {
     JobSpec s = JobSpecs.array(id, 1, 1).priority(priority).build();
-    Job job = ledger.accept(s, put("open/" + id), 0, c.now);
-    return ledger.start(job, 0, machine, c.now);
+    Job job = schedulerState.accept(s, put("open/" + id), 0, c.now);
+    return schedulerState.start(job, 0, machine, c.now);
   }
 
   @Test
@@ -121,7 +121,9 @@
   /** Twenty starts of small jobs in one write; their ends in two each and one more for all. */
   @Test
   void smallJobsShareARecordOfTheirStarts() {
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(20);
     int before = c.writes;
     committer.kick();
@@ -130,21 +132,23 @@
     assertEquals(1, c.writes - before);
     assertEquals(1, c.store.keys("starts/").size());
     assertEquals(0, c.store.keys("run/").size());
-    all.forEach(a -> ledger.resolve(a, SchedulerState.Outcome.DONE, c.now));
+    all.forEach(a -> schedulerState.resolve(a, SchedulerState.Outcome.DONE, c.now));
     c.run(1_000);
     committer.kick();
     c.run(20_000);
     assertEquals(List.of(), List.copyOf(c.store.keys("starts/")));
     assertEquals(List.of(), List.copyOf(c.store.keys("open/")));
     assertEquals(1 + 2 * 20 + 1, c.writes - before);
-    assertEquals(0, ledger.jobs().size());
-    assertEquals(0, ledger.sharedRecords().all().size());
+    assertEquals(0, schedulerState.jobs().size());
+    assertEquals(0, schedulerState.sharedAttemptRecords().all().size());
   }
 
   /** One of them is cancelled before its start is recorded: the others' are recorded. */
   @Test
   void aJobThatIsOverKeepsNoOtherFromTheSharedRecord() {
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(5);
     cancelFirst();
     committer.kick();
@@ -157,13 +161,15 @@
   /** What a next leader would have to wait for is taken out of the record. */
   @Test
   void aCancelledJobOfWhichNothingIsLeftIsNotListedAnyMore() {
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(3);
     committer.kick();
     c.run(100);
     cancelFirst();
     committer.cancelled(all.get(0).job);
-    ledger.resolve(all.get(0), SchedulerState.Outcome.STOPPED, c.now);
+    schedulerState.resolve(all.get(0), SchedulerState.Outcome.STOPPED, c.now);
     committer.kick();
     c.run(10_000);
     committer.kick();
@@ -178,7 +184,9 @@
   void aCommitWhoseAnswerIsLostIsFoundAndNotWrittenOnceMore() {
     for (boolean shared : new boolean[] {false, true}) {
       if (shared) {
-        ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        schedulerState
+            .sharedAttemptRecords()
+            .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
       }
       List<Attempt> all = startMany(shared ? 3 : 1);
       int before = c.writes;
@@ -198,9 +206,9 @@
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       JobSpec s = JobSpecs.array("job-3" + i, 100, 1).build();
-      Job job = ledger.accept(s, put("open/job-3" + i), 0, c.now);
+      Job job = schedulerState.accept(s, put("open/job-3" + i), 0, c.now);
       for (int t = 0; t < 100; t++) {
-        ledger.start(job, t, machine, c.now);
+        schedulerState.start(job, t, machine, c.now);
       }
       jobs.add(job);
     }
@@ -209,7 +217,7 @@
     int before = c.writes;
     for (int t = 0; t < 40; t++) {
       for (Job job : jobs) {
-        ledger.resolve(job.live(t), SchedulerState.Outcome.DONE, c.now);
+        schedulerState.resolve(job.live(t), SchedulerState.Outcome.DONE, c.now);
       }
       committer.kick();
       c.run(500);
@@ -222,7 +230,9 @@
   /** More starts than one transaction has conditions for: what is listed is what is recorded. */
   @Test
   void aSharedRecordListsNoStartWithoutItsCondition() {
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(90);
     committer.kick();
     boolean some = false;
@@ -243,7 +253,9 @@
     committer.kick();
     c.run(1_000);
     c.loseAnswers = false;
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     c.run(10_000);
     assertEquals(1, recorded(all));
     assertEquals(List.of(), sharedJobs());
@@ -256,7 +268,9 @@
   @Test
   void sharedRecordsFitIntoTheSmallestTransactions() {
     int maxOps = 4;
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(maxOps), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(maxOps), VALUE_BYTES);
     List<Attempt> all = startMany(60);
     committer(maxOps).kick();
     c.run(10_000);
@@ -267,13 +281,16 @@
   @Test
   void sharedRecordsStayBelowTheLimitOfAValue() {
     int mostBytes = 2 * 1024;
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), mostBytes);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), mostBytes);
     List<Attempt> all = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
-      Job job = ledger.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, c.now);
+      Job job =
+          schedulerState.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, c.now);
       for (int t = 0; t < 4; t++) {
-        all.add(ledger.start(job, t, longNamed(t), c.now));
+        all.add(schedulerState.start(job, t, longNamed(t), c.now));
       }
     }
     committer.kick();
@@ -288,10 +305,12 @@
   /** It may run for years, and would keep the shared record for as long. */
   @Test
   void aServiceHasARecordOfItsOwn() {
-    ledger.sharedRecords().enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+    schedulerState
+        .sharedAttemptRecords()
+        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
     JobSpec s = JobSpecs.array("job-1", 1, 1).service().build();
-    Job job = ledger.accept(s, put("open/job-1"), 0, c.now);
-    List<Attempt> all = List.of(ledger.start(job, 0, machine, c.now));
+    Job job = schedulerState.accept(s, put("open/job-1"), 0, c.now);
+    List<Attempt> all = List.of(schedulerState.start(job, 0, machine, c.now));
     committer.kick();
     c.run(1_000);
     assertEquals(1, recorded(all));
@@ -300,8 +319,8 @@
   }
 
   private Machine longNamed(int i) {
-    Machine m = ledger.meet("machine-with-a-long-name-" + i, type, 0, false, c.now);
-    ledger.report(
+    Machine m = schedulerState.meet("machine-with-a-long-name-" + i, type, 0, false, c.now);
+    schedulerState.report(
         m, new Heartbeat(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()), true, c.now);
     return m;
   }
--- a/src/test/java/org/mallowroad/core/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/AutoscalerTest.java
@@ -18,12 +18,12 @@
 
   private static final class Simulation {
     final NameIndex zones = new NameIndex();
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final Autoscaler fleet;
     final TaskScheduler placement;
     final ServiceLevelObjectives objectives = new ServiceLevelObjectives();
     long now = 1_000_000;
-    long seq;
+    long sequence;
 
     Simulation() {
       this(64);
@@ -33,20 +33,22 @@
     Simulation(double cpus) {
       zones.intern("a");
       zones.intern("b");
-      ledger = new SchedulerState(1, 20, 3, List.of(new Team("team", cpus, 0, cpus, 0)), zones);
-      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), objectives);
-      placement = new TaskScheduler(ledger);
+      schedulerState =
+          new SchedulerState(1, 20, 3, List.of(new Team("team", cpus, 0, cpus, 0)), zones);
+      fleet = new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), objectives);
+      placement = new TaskScheduler(schedulerState);
     }
 
     Machine machine(String name, MachineType type, boolean spot) {
-      Machine m = ledger.meet(name, type, 0, spot, now);
-      Heartbeat r = new Heartbeat(name, "h:1", type.name(), "a", spot, 1, ++seq, 1, -1, List.of());
-      ledger.report(m, r, true, now);
+      Machine m = schedulerState.meet(name, type, 0, spot, now);
+      Heartbeat r =
+          new Heartbeat(name, "h:1", type.name(), "a", spot, 1, ++sequence, 1, -1, List.of());
+      schedulerState.report(m, r, true, now);
       return m;
     }
 
     Job job(String id, int tasks, double cpus) {
-      return ledger.accept(JobSpecs.array(id, tasks, cpus).spot().build(), 5, 0, now);
+      return schedulerState.accept(JobSpecs.array(id, tasks, cpus).spot().build(), 5, 0, now);
     }
 
     List<Autoscaler.Rent> rents(List<Autoscaler.Coming> coming) {
@@ -107,7 +109,7 @@
                 w.fleet.refused(new Autoscaler.Variant(LARGE, z, true), w.now);
               }
               Machine busy = w.machine("n-1", LARGE, false);
-              w.ledger.start(w.job("job-1", 1, 32), 0, busy, w.now);
+              w.schedulerState.start(w.job("job-1", 1, 32), 0, busy, w.now);
               w.objectives.finished(0, 400); // Estimated at 60 s, both have time enough.
               w.job("job-2", 1, 32);
               assertTrue(w.rents(List.of()).isEmpty());
@@ -187,7 +189,7 @@
               Machine busy = w.machine("n-1", SMALL, true);
               Machine idle = w.machine("n-2", SMALL, true);
               Job j = w.job("job-1", 1, 4);
-              w.ledger.start(j, 0, busy, w.now);
+              w.schedulerState.start(j, 0, busy, w.now);
               w.now += 60_000;
               w.machine("n-1", SMALL, true);
               w.machine("n-2", SMALL, true);
--- a/src/test/java/org/mallowroad/core/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/ExpectedReleasesTest.java
@@ -15,44 +15,45 @@
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0});
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final TaskScheduler placement;
-    long seq;
+    long sequence;
     long now = 1_000_000;
 
     Simulation() {
       zones.intern("a");
-      ledger = new SchedulerState(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
-      placement = new TaskScheduler(ledger);
+      schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
+      placement = new TaskScheduler(schedulerState);
       for (int i = 0; i < 100; i++) {
-        report(ledger.meet("n-" + i, type, 0, true, now));
+        report(schedulerState.meet("n-" + i, type, 0, true, now));
       }
     }
 
     void report(Machine m) {
-      ledger.report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
+      schedulerState.report(
+          m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     /** Normal tasks fill the fleet and have run for so long. */
     void fill(double cpus, long ranMs) {
       int n = (int) (400 / cpus);
-      ledger.accept(JobSpecs.array("job-1", n, cpus).spot().build(), 5, 0, now);
+      schedulerState.accept(JobSpecs.array("job-1", n, cpus).spot().build(), 5, 0, now);
       assertEquals(n, placement.place(now).size());
-      JobSpecs.commit(ledger, now);
-      for (Machine m : ledger.machines()) {
+      JobSpecs.commit(schedulerState, now);
+      for (Machine m : schedulerState.machines()) {
         report(m);
       }
       now += ranMs;
-      ledger.machines().forEach(this::report);
+      schedulerState.machines().forEach(this::report);
     }
 
     /** Urgent tasks wait for two seconds; how many others were stopped for them. */
     long urgent(int tasks) {
-      ledger.accept(
-          JobSpecs.array("job-2" + ++seq, tasks, 1).priority(1).spot().build(), 5, 0, now);
+      schedulerState.accept(
+          JobSpecs.array("job-2" + ++sequence, tasks, 1).priority(1).spot().build(), 5, 0, now);
       for (int i = 0; i < 5; i++) {
         now += 500;
-        ledger.machines().forEach(this::report);
+        schedulerState.machines().forEach(this::report);
         placement.place(now);
       }
       return placement.stops();
@@ -93,7 +94,7 @@
             "what comes goes to the jobs ahead first: it is not counted twice",
             w -> {
               w.fill(1, 40_000);
-              w.ledger.accept(
+              w.schedulerState.accept(
                   JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, w.now);
               long stops = w.urgent(30);
               assertTrue(stops >= 25 && stops <= 50, "stopped " + stops);
@@ -101,14 +102,17 @@
         full(
             "a task that was started four times is left to end, but for critical work",
             w -> {
-              Job j = w.ledger.accept(JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, w.now);
+              Job j =
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, w.now);
               for (int t = 0; t < 100; t++) {
-                w.ledger.restoreAttempt(j, t, 4, w.ledger.machine("n-" + t), 1, w.now);
+                w.schedulerState.restoreAttempt(
+                    j, t, 4, w.schedulerState.machine("n-" + t), 1, w.now);
               }
-              w.ledger.restored(j, w.now);
-              w.ledger.machines().forEach(w::report);
+              w.schedulerState.restored(j, w.now);
+              w.schedulerState.machines().forEach(w::report);
               assertEquals(0, w.urgent(20));
-              w.ledger.accept(
+              w.schedulerState.accept(
                   JobSpecs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, w.now);
               assertEquals(2, w.urgent(1));
             }),
@@ -116,7 +120,7 @@
             "small tasks that end here and there make no room for a large one",
             w -> {
               w.fill(1, 40_000);
-              w.ledger.accept(
+              w.schedulerState.accept(
                   JobSpecs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, w.now);
               assertEquals(4, w.urgent(1));
             }));
--- a/src/test/java/org/mallowroad/core/FailoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -11,47 +11,48 @@
   private final NameIndex zones = new NameIndex();
   private final MachineType type =
       new MachineType(0, "t8", 8, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0});
-  private long seq;
+  private long sequence;
 
-  private Machine report(SchedulerState ledger, Machine m, Heartbeat.State state, long now) {
-    ledger.report(m, JobSpecs.report(m, ++seq, 2, state), true, now);
+  private Machine report(
+      SchedulerState schedulerState, Machine m, Heartbeat.State state, long now) {
+    schedulerState.report(m, JobSpecs.report(m, ++sequence, 2, state), true, now);
     return m;
   }
 
   @Test
   void whatAnEarlierLeaderBeganMakesNobodySlow() {
     zones.intern("a");
-    SchedulerState ledger =
+    SchedulerState schedulerState =
         new SchedulerState(2, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
     long now = 1_000_000;
-    Job job = ledger.accept(JobSpecs.array("job-1", 80, 1).spot().build(), 5, 0, now);
+    Job job = schedulerState.accept(JobSpecs.array("job-1", 80, 1).spot().build(), 5, 0, now);
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      machines.add(ledger.meet("n-" + i, type, 0, true, now));
+      machines.add(schedulerState.meet("n-" + i, type, 0, true, now));
     }
     for (int t = 0; t < 40; t++) {
-      ledger.restoreAttempt(job, t, 1, machines.get(t / 8), 1, now);
+      schedulerState.restoreAttempt(job, t, 1, machines.get(t / 8), 1, now);
     }
-    ledger.restored(job, now);
+    schedulerState.restored(job, now);
     for (Machine m : machines) {
-      report(ledger, m, Heartbeat.State.RUNNING, now);
+      report(schedulerState, m, Heartbeat.State.RUNNING, now);
     }
     // The restored half ends a second after the takeover, the other half runs its ordinary minute.
     for (int t = 40; t < 80; t++) {
-      ledger.start(job, t, machines.get(t / 8), now);
+      schedulerState.start(job, t, machines.get(t / 8), now);
     }
-    JobSpecs.commit(ledger, now);
+    JobSpecs.commit(schedulerState, now);
     for (int i = 5; i < 10; i++) {
-      report(ledger, machines.get(i), Heartbeat.State.RUNNING, now);
+      report(schedulerState, machines.get(i), Heartbeat.State.RUNNING, now);
     }
     for (int i = 0; i < 5; i++) {
-      report(ledger, machines.get(i), Heartbeat.State.EXITED, now + 1_000);
+      report(schedulerState, machines.get(i), Heartbeat.State.EXITED, now + 1_000);
     }
     for (int i = 5; i < 10; i++) {
-      report(ledger, machines.get(i), Heartbeat.State.EXITED, now + 60_000);
+      report(schedulerState, machines.get(i), Heartbeat.State.EXITED, now + 60_000);
     }
     assertEquals(80, job.doneCount());
-    assertEquals(0, ledger.health().runTimes().doubted());
-    assertEquals(0, ledger.health().runTimes().refused());
+    assertEquals(0, schedulerState.health().stragglerDetector().doubted());
+    assertEquals(0, schedulerState.health().stragglerDetector().refused());
   }
 }
--- a/src/test/java/org/mallowroad/core/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/GangReservationsTest.java
@@ -24,30 +24,34 @@
 
   private static final class Simulation {
     final NameIndex zones = new NameIndex();
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final TaskScheduler placement;
     final Autoscaler fleet;
     final List<Coming> coming = new ArrayList<>();
     long now = 1_000_000;
-    long seq;
+    long sequence;
     int names;
 
     Simulation() {
       zones.intern("a");
       zones.intern("b");
-      ledger = new SchedulerState(1, 60, 600, List.of(new Team("team", 9e9, 0, 9e9, 0)), zones);
-      placement = new TaskScheduler(ledger);
-      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
+      schedulerState =
+          new SchedulerState(1, 60, 600, List.of(new Team("team", 9e9, 0, 9e9, 0)), zones);
+      placement = new TaskScheduler(schedulerState);
+      fleet =
+          new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
     }
 
     Machine machine(int zone) {
-      Machine m = ledger.meet("n-" + names++, BOX, zone, false, now);
-      ledger.dialogue().report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
+      Machine m = schedulerState.meet("n-" + names++, BOX, zone, false, now);
+      schedulerState
+          .heartbeatReconciler()
+          .report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
       return m;
     }
 
     Job gang(String id, int tasks) {
-      return ledger.accept(
+      return schedulerState.accept(
           JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
@@ -67,7 +71,7 @@
     /** The cloud answers a rent with some machines, which are up at once; the rest it refuses. */
     void give(Rent r, int some) {
       if (some < r.count()) {
-        ledger.gathering().refused(r.variant(), some, now);
+        schedulerState.gangReservations().refused(r.variant(), some, now);
       }
       for (int i = 0; i < some; i++) {
         machine(r.variant().zone());
@@ -79,19 +83,21 @@
       for (int zone = 0; zone < 2; zone++) {
         for (boolean spot : new boolean[] {false, true}) {
           int count = zone == 0 && !spot ? there : 0;
-          ledger.gathering().refused(new Variant(BOX, zone, spot), count, now);
+          schedulerState.gangReservations().refused(new Variant(BOX, zone, spot), count, now);
         }
       }
     }
 
     /** A report in which the machine's tasks run. */
     void hear(Machine m) {
-      ledger.dialogue().report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
+      schedulerState
+          .heartbeatReconciler()
+          .report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     int held(Job job) {
       int n = 0;
-      for (Machine m : ledger.machines()) {
+      for (Machine m : schedulerState.machines()) {
         n += m.heldFor == job ? 1 : 0;
       }
       return n;
@@ -133,12 +139,14 @@
               Job job = w.gang("job-1", 3);
               w.machine(0);
               w.begin();
-              Machine m = w.ledger.machine("n-0");
+              Machine m = w.schedulerState.machine("n-0");
               assertEquals(job, m.heldFor);
-              Job other = w.ledger.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
+              Job other =
+                  w.schedulerState.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
               w.cycle();
               assertEquals(0, other.liveCount());
-              assertEquals(SchedulerState.Refusal.HELD, w.ledger.mayStart(other, 0, m, w.now));
+              assertEquals(
+                  SchedulerState.Refusal.HELD, w.schedulerState.mayStart(other, 0, m, w.now));
               w.machine(0);
               w.machine(0);
               w.cycle();
@@ -154,7 +162,7 @@
               for (int i = 0; i < 3; i++) {
                 run(
                     w,
-                    w.ledger.accept(JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
+                    w.schedulerState.accept(JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
                     busy.get(i));
               }
               Job job = w.gang("job-9", 3);
@@ -168,7 +176,7 @@
               }
               w.cycle();
               assertEquals(3, w.held(job));
-              assertEquals(3, w.ledger.gathering().state(job, w.now).places());
+              assertEquals(3, w.schedulerState.gangReservations().state(job, w.now).places());
             }),
         gang(
             "a zone that cannot complete it is given up at once, and another is tried",
@@ -195,7 +203,7 @@
               for (int i = 0; i < 300; i++) {
                 for (Rent r : w.cycle()) {
                   rented += r.count();
-                  w.ledger.gathering().refused(r.variant(), 5, w.now);
+                  w.schedulerState.gangReservations().refused(r.variant(), 5, w.now);
                 }
               }
               // Ten minutes: a gathering asks for 84 at most, and the pause doubles each time.
@@ -208,17 +216,17 @@
               for (int i = 0; i < 10; i++) {
                 w.machine(0);
               }
-              w.ledger.gathering().refused(new Variant(BOX, 0, true), 10, w.now);
-              w.ledger.gathering().refused(new Variant(BOX, 0, false), 10, w.now);
-              w.ledger.gathering().refused(new Variant(BOX, 1, true), 0, w.now);
-              w.ledger.gathering().refused(new Variant(BOX, 1, false), 0, w.now);
+              w.schedulerState.gangReservations().refused(new Variant(BOX, 0, true), 10, w.now);
+              w.schedulerState.gangReservations().refused(new Variant(BOX, 0, false), 10, w.now);
+              w.schedulerState.gangReservations().refused(new Variant(BOX, 1, true), 0, w.now);
+              w.schedulerState.gangReservations().refused(new Variant(BOX, 1, false), 0, w.now);
               Job one = w.gang("job-1", 7);
               Job two = w.gang("job-2", 7);
               w.begin();
               assertEquals(7, one.liveCount());
               assertEquals(0, two.liveCount());
               for (Attempt a : live(one)) {
-                w.ledger.resolve(a, SchedulerState.Outcome.DONE, w.now);
+                w.schedulerState.resolve(a, SchedulerState.Outcome.DONE, w.now);
               }
               w.begin();
               assertEquals(7, two.liveCount());
@@ -229,12 +237,14 @@
               Machine m = w.machine(0);
               Machine n = w.machine(0);
               for (int z = 0; z < 2; z++) {
-                w.ledger.gathering().refused(new Variant(BOX, z, true), 2, w.now);
-                w.ledger.gathering().refused(new Variant(BOX, z, false), 2, w.now);
+                w.schedulerState.gangReservations().refused(new Variant(BOX, z, true), 2, w.now);
+                w.schedulerState.gangReservations().refused(new Variant(BOX, z, false), 2, w.now);
               }
-              Job equal = w.ledger.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
+              Job equal =
+                  w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
               Job idle =
-                  w.ledger.accept(JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
               Attempt a = run(w, equal, m);
               Attempt b = run(w, idle, n);
               Job job = w.gang("job-3", 2);
@@ -242,8 +252,8 @@
               assertEquals(2, w.held(job));
               assertFalse(a.stopping());
               assertTrue(b.stopping());
-              w.ledger.resolve(a, SchedulerState.Outcome.DONE, w.now);
-              w.ledger.resolve(b, SchedulerState.Outcome.STOPPED, w.now);
+              w.schedulerState.resolve(a, SchedulerState.Outcome.DONE, w.now);
+              w.schedulerState.resolve(b, SchedulerState.Outcome.STOPPED, w.now);
               w.cycle();
               assertEquals(2, job.liveCount());
             }),
@@ -254,10 +264,10 @@
               Job job = w.gang("job-1", 3);
               w.begin();
               assertEquals(1, w.held(job));
-              w.ledger.cancel(job, w.now);
+              w.schedulerState.cancel(job, w.now);
               w.cycle();
               assertEquals(0, w.held(job));
-              assertEquals(0, w.ledger.gathering().size());
+              assertEquals(0, w.schedulerState.gangReservations().size());
               Job again = w.gang("job-2", 3);
               w.begin();
               assertEquals(1, w.held(again));
@@ -265,7 +275,7 @@
               w.now += GangReservations.MOST_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
-              GangReservations.State s = w.ledger.gathering().state(again, w.now);
+              GangReservations.State s = w.schedulerState.gangReservations().state(again, w.now);
               assertTrue(s.givenUp() && s.untilMs() > w.now);
             }),
         gang(
@@ -275,7 +285,7 @@
                 w.machine(0);
               }
               Job job =
-                  w.ledger.accept(
+                  w.schedulerState.accept(
                       JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
               List<Rent> rents = w.begin();
               assertEquals(0, job.liveCount());
@@ -307,11 +317,11 @@
   }
 
   private static Attempt run(Simulation w, Job job, Machine m) {
-    Attempt a = w.ledger.start(job, job.pending.dequeueInt(), m, w.now);
-    JobSpecs.commit(w.ledger, w.now);
-    w.ledger
-        .dialogue()
-        .report(m, JobSpecs.report(m, ++w.seq, 1, Heartbeat.State.RUNNING), true, w.now);
+    Attempt a = w.schedulerState.start(job, job.pending.dequeueInt(), m, w.now);
+    JobSpecs.commit(w.schedulerState, w.now);
+    w.schedulerState
+        .heartbeatReconciler()
+        .report(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
     return a;
   }
 }
--- a/src/test/java/org/mallowroad/core/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/ImageDistributionTest.java
@@ -23,12 +23,12 @@
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t", 1, 0, 64, 40, 0.4, 1, 0.5, 30, new int[] {0, 1});
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final TaskScheduler placement;
     final List<Machine> machines = new ArrayList<>();
     final boolean handsOn;
     long now = 1_000_000;
-    long seq;
+    long sequence;
     int jobs;
 
     Simulation(ImageFetchPolicy p, boolean handsOn) {
@@ -36,13 +36,13 @@
       zones.intern("b");
       this.handsOn = handsOn;
       Health h = new Health(HealthPolicy.defaults(), 2, 600, now);
-      ledger =
+      schedulerState =
           new SchedulerState(1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, h, p);
-      placement = new TaskScheduler(ledger);
+      placement = new TaskScheduler(schedulerState);
     }
 
     Machine machine(int zone) {
-      Machine m = ledger.meet("n-" + machines.size(), type, zone, false, now);
+      Machine m = schedulerState.meet("n-" + machines.size(), type, zone, false, now);
       machines.add(m);
       report(m, null);
       return m;
@@ -53,18 +53,28 @@
       return report(m, state, 1);
     }
 
-    List<WorkerCommand> report(Machine m, Heartbeat.State state, long session) {
+    List<WorkerCommand> report(Machine m, Heartbeat.State state, long incarnation) {
       List<Heartbeat.Entry> all = new ArrayList<>();
       for (Attempt a : m.attempts()) {
-        if (state != null && a.phase != Attempt.Phase.RECORDING && a.session == session) {
+        if (state != null && a.phase != Attempt.Phase.RECORDING && a.incarnation == incarnation) {
           all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
         }
       }
       String zone = zones.name(m.zone);
-      return ledger.report(
+      return schedulerState.report(
           m,
           new Heartbeat(
-              m.name, m.name + ":1", "t", zone, false, session, ++seq, 1, -1, all, handsOn),
+              m.name,
+              m.name + ":1",
+              "t",
+              zone,
+              false,
+              incarnation,
+              ++sequence,
+              1,
+              -1,
+              all,
+              handsOn),
           true,
           now);
     }
@@ -96,18 +106,18 @@
               0,
               0,
               org.mallowroad.core.dependency.JobDependencies.NONE);
-      return ledger.accept(s, 5, 0, now);
+      return schedulerState.accept(s, 5, 0, now);
     }
 
     void place() {
       placement.place(now);
-      JobSpecs.commit(ledger, now);
+      JobSpecs.commit(schedulerState, now);
     }
 
-    List<String> givers(Machine m) {
+    List<String> imageSources(Machine m) {
       for (WorkerCommand o : report(m, null)) {
         if (o.kind() == WorkerCommand.Kind.LAUNCH) {
-          return o.givers();
+          return o.imageSources();
         }
       }
       return List.of("no launch");
@@ -126,7 +136,7 @@
   private static final ImageFetchPolicy TWO = new ImageFetchPolicy(2, 0, 1, 2, 1);
 
   @TestFactory
-  Stream<DynamicTest> stages() {
+  Stream<DynamicTest> imageDistribution() {
     return Stream.of(
         stage(
             "without a limit all fetch at once, whatever their workers can",
@@ -139,7 +149,7 @@
               Job j = w.job(6, 0);
               w.place();
               assertEquals(6, j.liveCount());
-              assertEquals(6, w.ledger.stages().fromSource());
+              assertEquals(6, w.schedulerState.imageDistribution().fromSource());
             }),
         stage(
             "a limit of the source holds the others back until one holds the image",
@@ -153,7 +163,7 @@
               w.place();
               assertEquals(2, j.liveCount());
               Machine first = busy(w).get(0);
-              assertEquals(List.of(), w.givers(first));
+              assertEquals(List.of(), w.imageSources(first));
               w.report(first, Heartbeat.State.PULLING);
               w.place();
               assertEquals(2, j.liveCount());
@@ -161,13 +171,13 @@
               w.place();
               // One more from the source, and one that the holder hands on to.
               assertEquals(4, j.liveCount());
-              assertEquals(2, w.ledger.stages().fromSource());
+              assertEquals(2, w.schedulerState.imageDistribution().fromSource());
               int handed = 0;
               for (Machine m : busy(w)) {
-                handed += w.givers(m).equals(List.of(first.address)) ? 1 : 0;
+                handed += w.imageSources(m).equals(List.of(first.address)) ? 1 : 0;
               }
               assertEquals(1, handed);
-              assertTrue(w.ledger.stages().gives(first));
+              assertTrue(w.schedulerState.imageDistribution().gives(first));
             }),
         stage(
             "today's workers are told of nobody, and the limit is kept for them as well",
@@ -183,7 +193,7 @@
               w.place();
               assertEquals(4, j.liveCount());
               for (Machine m : busy(w)) {
-                assertTrue(w.givers(m).isEmpty() || w.givers(m).contains("no launch"));
+                assertTrue(w.imageSources(m).isEmpty() || w.imageSources(m).contains("no launch"));
               }
             }),
         stage(
@@ -197,15 +207,15 @@
               w.report(a, Heartbeat.State.PULLING);
               Machine b = w.machine(0);
               w.place();
-              assertEquals(List.of(), w.givers(b));
+              assertEquals(List.of(), w.imageSources(b));
               w.report(a, Heartbeat.State.RUNNING);
               a.noticeMs = w.now + 9_000;
               Machine c = w.machine(0);
               w.place();
-              assertEquals(List.of(), w.givers(c));
+              assertEquals(List.of(), w.imageSources(c));
               a.noticeMs = 0;
               w.report(a, null, 2);
-              assertEquals(0, w.ledger.stages().holders(0));
+              assertEquals(0, w.schedulerState.imageDistribution().holders(0));
               assertEquals(3, j.liveCount() + j.waitingCount() - 1);
             }),
         stage(
@@ -225,7 +235,7 @@
               assertEquals(1 + 2 + 1, busy(w).size());
               Machine own = null;
               for (Machine m : busy(w)) {
-                if (m.zone == 1 && w.givers(m).contains(a.address)) {
+                if (m.zone == 1 && w.imageSources(m).contains(a.address)) {
                   own = m;
                 }
               }
@@ -233,7 +243,7 @@
               w.place();
               int from = 0;
               for (Machine m : busy(w)) {
-                from += w.givers(m).equals(List.of(own.address)) ? 1 : 0;
+                from += w.imageSources(m).equals(List.of(own.address)) ? 1 : 0;
               }
               assertEquals(2, from);
             }),
@@ -250,14 +260,16 @@
               Machine first = busy(w).get(0);
               w.report(first, Heartbeat.State.RUNNING);
               w.place();
-              w.ledger.machineGone(first, w.now);
-              assertEquals(0, w.ledger.stages().holders(0));
-              w.ledger.machines().forEach(m -> assertFalse(w.ledger.stages().gives(m)));
-              for (Machine m : List.copyOf(w.ledger.machines())) {
-                w.ledger.machineGone(m, w.now);
+              w.schedulerState.machineGone(first, w.now);
+              assertEquals(0, w.schedulerState.imageDistribution().holders(0));
+              w.schedulerState
+                  .machines()
+                  .forEach(m -> assertFalse(w.schedulerState.imageDistribution().gives(m)));
+              for (Machine m : List.copyOf(w.schedulerState.machines())) {
+                w.schedulerState.machineGone(m, w.now);
               }
-              assertEquals(0, w.ledger.stages().fromSource());
-              assertEquals(0, w.ledger.stages().images());
+              assertEquals(0, w.schedulerState.imageDistribution().fromSource());
+              assertEquals(0, w.schedulerState.imageDistribution().images());
             }),
         stage(
             "what later images may have pushed out of a cache is told to nobody",
@@ -268,15 +280,15 @@
               Job j = w.job(1, 0);
               w.place();
               w.report(a, Heartbeat.State.RUNNING);
-              assertEquals(1, w.ledger.stages().holders(0));
-              w.ledger.cancel(j, w.now);
-              w.ledger.resolve(j.live(0), SchedulerState.Outcome.STOPPED, w.now);
+              assertEquals(1, w.schedulerState.imageDistribution().holders(0));
+              w.schedulerState.cancel(j, w.now);
+              w.schedulerState.resolve(j.live(0), SchedulerState.Outcome.STOPPED, w.now);
               w.job(1, 1);
               w.place();
               w.report(a, Heartbeat.State.RUNNING);
               // 40 GB of cache, 20 and 20 in it: the older one is not counted on.
-              assertEquals(0, w.ledger.stages().holders(0));
-              assertEquals(1, w.ledger.stages().holders(1));
+              assertEquals(0, w.schedulerState.imageDistribution().holders(0));
+              assertEquals(1, w.schedulerState.imageDistribution().holders(1));
             }));
   }
 
@@ -296,10 +308,10 @@
     WorkerCommand plain = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
     assertEquals(
         "{\"baton\":3,\"orders\":[{\"order\":\"launch\",\"move\":\"job-1/0\",\"try\":1}]}",
-        Json.text(WorkerCodec.orders(3, List.of(plain))));
+        Json.text(WorkerCodec.commands(3, List.of(plain))));
     WorkerCommand told =
         new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
-    assertTrue(Json.text(WorkerCodec.orders(3, List.of(told))).contains("\"givers\":[\"h:1\"]"));
+    assertTrue(Json.text(WorkerCodec.commands(3, List.of(told))).contains("\"givers\":[\"h:1\"]"));
   }
 
   /** Virtual time; a source that gives what 16 machines can take. */
--- a/src/test/java/org/mallowroad/core/JobSpecs.java
+++ b/src/test/java/org/mallowroad/core/JobSpecs.java
@@ -20,7 +20,7 @@
   private int priority = 2;
   private double checkpoint;
   private double save;
-  private JobDependencies ties = JobDependencies.NONE;
+  private JobDependencies dependencies = JobDependencies.NONE;
 
   private JobSpecs(String id, int tasks, double cpus) {
     this.id = id;
@@ -77,8 +77,8 @@
     return this;
   }
 
-  public JobSpecs ties(JobDependencies t) {
-    ties = t;
+  public JobSpecs dependencies(JobDependencies t) {
+    dependencies = t;
     return this;
   }
 
@@ -112,29 +112,31 @@
         save,
         0,
         1_000,
-        ties);
+        dependencies);
   }
 
   /** A report that lists all of a machine's attempts in one state. */
-  public static Heartbeat report(Machine m, long seq, long token, Heartbeat.State state) {
+  public static Heartbeat report(
+      Machine m, long sequence, long fencingToken, Heartbeat.State state) {
     List<Heartbeat.Entry> tasks = new ArrayList<>();
     for (Attempt a : m.attempts()) {
       String why = state == Heartbeat.State.EXITED ? "done" : null;
       tasks.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, why));
     }
-    return new Heartbeat(m.name, "h:1", m.type.name(), "a", m.spot, 1, seq, token, -1, tasks);
+    return new Heartbeat(
+        m.name, "h:1", m.type.name(), "a", m.spot, 1, sequence, fencingToken, -1, tasks);
   }
 
   /** Commits all that is dirty, with every start in it. */
-  public static void commit(SchedulerState ledger, long now) {
-    for (AttemptRecord c : new ArrayList<>(ledger.dirty())) {
+  public static void commit(SchedulerState schedulerState, long now) {
+    for (AttemptRecord c : new ArrayList<>(schedulerState.dirty())) {
       List<Attempt> recorded = new ArrayList<>();
       for (int t = c.from(); t < c.to(); t++) {
         if (c.job.live(t) != null) {
           recorded.add(c.job.live(t));
         }
       }
-      ledger.committed(c, 9, c.changes, recorded, now);
+      schedulerState.committed(c, 9, c.changes, recorded, now);
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/LargestJobsTest.java
@@ -16,15 +16,15 @@
       new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.4, 30, new int[] {0});
   private final List<Team> teams =
       List.of(new Team("large", 4, 0, 400, 0), new Team("small", 400, 0, 400, 0));
-  private final SchedulerState ledger;
+  private final SchedulerState schedulerState;
   private final TaskScheduler placement;
   private long now = 1_000_000;
-  private long seq;
+  private long sequence;
 
   LargestJobsTest() {
     zones.intern("a");
-    ledger = new SchedulerState(1, 900, 600, teams, zones);
-    placement = new TaskScheduler(ledger);
+    schedulerState = new SchedulerState(1, 900, 600, teams, zones);
+    placement = new TaskScheduler(schedulerState);
   }
 
   private Job job(String id, int team, int tasks, double gb, double estimate) {
@@ -53,12 +53,12 @@
             0,
             now,
             JobDependencies.NONE);
-    return ledger.accept(s, 5, 0, now);
+    return schedulerState.accept(s, 5, 0, now);
   }
 
   private Machine machine(String name) {
-    Machine m = ledger.meet(name, type, 0, false, now);
-    ledger.report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
+    Machine m = schedulerState.meet(name, type, 0, false, now);
+    schedulerState.report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     return m;
   }
 
@@ -78,8 +78,8 @@
     now += 90_000;
     assertEquals(List.of("job-1", "job-2"), order());
     placement.place(now);
-    JobSpecs.commit(ledger, now);
-    ledger.report(m, JobSpecs.report(m, ++seq, 1, Heartbeat.State.RUNNING), true, now);
+    JobSpecs.commit(schedulerState, now);
+    schedulerState.report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     assertEquals(1, large.liveCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
--- a/src/test/java/org/mallowroad/core/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/ObjectiveAttainmentTest.java
@@ -12,7 +12,7 @@
   private final NameIndex zones = new NameIndex();
   private final List<Team> teams = List.of(new Team("red", 8, 0, 0, 0));
 
-  private SchedulerState ledger() {
+  private SchedulerState schedulerState() {
     zones.intern("a");
     return new SchedulerState(1, 26, 4, teams, zones);
   }
@@ -20,26 +20,28 @@
   @Test
   void aJobIsDueOnceItShouldBeOverAndCountsUntilItIs() {
     classes.intern("c");
-    SchedulerState ledger = ledger();
+    SchedulerState schedulerState = schedulerState();
     ObjectiveAttainment served = new ObjectiveAttainment(classes, teams);
-    Job done = ledger.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
-    ledger.accept(JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
+    Job done = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
+    schedulerState.accept(
+        JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
     served.done(done);
-    ledger.jobs().remove(done);
+    schedulerState.jobs().remove(done);
     assertEquals(
         List.of("class c 1.0 1", "team red 1.0 1", "largest c 0.0 0"),
-        lines(served, ledger, ObjectiveAttainment.PATIENCE_MS));
+        lines(served, schedulerState, ObjectiveAttainment.PATIENCE_MS));
     assertEquals(
         List.of("class c 0.5 1", "team red 0.5 1", "largest c 0.0 0"),
-        lines(served, ledger, ObjectiveAttainment.PATIENCE_MS + 1));
-    ledger.cancel(ledger.job("job-2"), 0);
+        lines(served, schedulerState, ObjectiveAttainment.PATIENCE_MS + 1));
+    schedulerState.cancel(schedulerState.job("job-2"), 0);
     assertEquals(
         List.of("class c 1.0 0", "team red 1.0 0", "largest c 1.0 0"),
-        lines(served, ledger, ObjectiveAttainment.PATIENCE_MS + 1));
+        lines(served, schedulerState, ObjectiveAttainment.PATIENCE_MS + 1));
   }
 
-  private static List<String> lines(ObjectiveAttainment served, SchedulerState ledger, long now) {
-    return served.lines(ledger.jobs(), now).stream()
+  private static List<String> lines(
+      ObjectiveAttainment served, SchedulerState schedulerState, long now) {
+    return served.lines(schedulerState.jobs(), now).stream()
         .map(l -> l.kind() + " " + l.name() + " " + l.share() + " " + l.open())
         .toList();
   }
@@ -47,11 +49,11 @@
   @Test
   void namesThatUsersMakeUpAreCountedAsOneBeyondABound() {
     ObjectiveAttainment served = new ObjectiveAttainment(classes, teams);
-    SchedulerState ledger = ledger();
+    SchedulerState schedulerState = schedulerState();
     for (int i = 0; i < 1_000; i++) {
       int c = classes.intern("c" + i);
       JobSpec s = JobSpecs.array("job-" + i, 1, 1).taskClass(c).build();
-      served.done(ledger.accept(s, 1, 0, 0));
+      served.done(schedulerState.accept(s, 1, 0, 0));
     }
     assertTrue(served.lines(List.of(), 0).size() <= 131);
   }
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -34,7 +34,7 @@
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 16, 100, 1, 1.0, 0.4, 30, new int[] {0, 1});
     final Team team = new Team("team", 4, 0, 24, 0);
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final TaskScheduler placement;
     final PendingReasonExplainer explainer;
     final SnapshotBuilder sketch;
@@ -42,22 +42,22 @@
     boolean refusing;
     boolean firm = true;
     long now = 1_000_000;
-    int seq;
+    int sequence;
     int named;
 
     Simulation() {
       zones.intern("north");
       zones.intern("south");
       classes.intern("c");
-      ledger =
+      schedulerState =
           new SchedulerState(TERM, 20, 3, List.of(team, new Team("other", 8, 0, 400, 0)), zones);
-      placement = new TaskScheduler(ledger);
-      explainer = new PendingReasonExplainer(ledger, placement, this, zones, classes);
-      sketch = new SnapshotBuilder(ledger, this, zones, explainer);
+      placement = new TaskScheduler(schedulerState);
+      explainer = new PendingReasonExplainer(schedulerState, placement, this, zones, classes);
+      sketch = new SnapshotBuilder(schedulerState, this, zones, explainer);
     }
 
     Machine machine(int zone) {
-      Machine m = ledger.meet(String.format("n-%03d", ++named), type, zone, false, now);
+      Machine m = schedulerState.meet(String.format("n-%03d", ++named), type, zone, false, now);
       report(m);
       return m;
     }
@@ -77,20 +77,23 @@
                   a.job.spec.id(), a.task, a.number, Heartbeat.State.RUNNING, null));
         }
       }
-      ledger.report(
-          m, new Heartbeat(m.name, "h:1", "t4", "a", false, 1, ++seq, TERM, -1, all), true, now);
-      m.answeredMs = now;
+      schedulerState.report(
+          m,
+          new Heartbeat(m.name, "h:1", "t4", "a", false, 1, ++sequence, TERM, -1, all),
+          true,
+          now);
+      m.lastAnswerMs = now;
     }
 
     Job job(JobSpecs s) {
-      return ledger.accept(s.build(), 5, 0, now);
+      return schedulerState.accept(s.build(), 5, 0, now);
     }
 
     void run() {
       placement.place(now);
-      JobSpecs.commit(ledger, now);
-      for (Machine m : new ArrayList<>(ledger.machines())) {
-        if (ledger.unfit(m, now) != SchedulerState.Refusal.SILENT) {
+      JobSpecs.commit(schedulerState, now);
+      for (Machine m : new ArrayList<>(schedulerState.machines())) {
+        if (schedulerState.unfit(m, now) != SchedulerState.Refusal.SILENT) {
           report(m);
         }
       }
@@ -106,19 +109,19 @@
     void silent(long ms, List<Machine> but) {
       for (long end = now + ms; now < end; ) {
         now += 500;
-        for (Machine m : new ArrayList<>(ledger.machines())) {
+        for (Machine m : new ArrayList<>(schedulerState.machines())) {
           if (!but.contains(m)) {
             report(m);
           }
         }
-        ledger.health().still().turn(now);
-        ledger.health().still().beat();
-        ledger.health().silence().judge(now);
+        schedulerState.health().still().turn(now);
+        schedulerState.health().still().beat();
+        schedulerState.health().failureDetector().judge(now);
       }
     }
 
     List<Machine> in(int zone) {
-      return ledger.machines().stream().filter(m -> m.zone == zone).toList();
+      return schedulerState.machines().stream().filter(m -> m.zone == zone).toList();
     }
 
     @Override
@@ -261,7 +264,7 @@
               w.silent(10_000, w.in(0));
               return j;
             },
-            w -> w.in(0).forEach(m -> w.ledger.machineGone(m, w.now))),
+            w -> w.in(0).forEach(m -> w.schedulerState.machineGone(m, w.now))),
         reason(
             PendingCause.MACHINES_SILENT,
             "1 silent machine, most in zone north",
@@ -283,7 +286,7 @@
             },
             w -> {
               w.now += 30_000;
-              w.ledger.expireSilent(w.now);
+              w.schedulerState.expireSilent(w.now);
             }),
         reason(
             PendingCause.GANG,
@@ -313,7 +316,7 @@
               w.machines(8);
               return w.job(JobSpecs.array("job-1", 4, 1).gang().scatter().zone(0));
             },
-            w -> w.ledger.cancel(w.ledger.job("job-1"), w.now)),
+            w -> w.schedulerState.cancel(w.schedulerState.job("job-1"), w.now)),
         reason(
             PendingCause.SLOW_MACHINES,
             "1 machine",
@@ -322,7 +325,7 @@
               Machine m = w.machine(0);
               w.job(JobSpecs.array("job-0", 10, 4).team(1));
               for (int i = 0; i < 5; i++) {
-                w.ledger.health().failed(m.health, 100 + i, false, w.now);
+                w.schedulerState.health().failed(m.health, 100 + i, false, w.now);
               }
               assertTrue(m.health.doubted());
               w.run();
@@ -336,9 +339,9 @@
               w.machine(0);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.run();
-              w.ledger.resolve(j.live(0), SchedulerState.Outcome.ERROR, w.now);
+              w.schedulerState.resolve(j.live(0), SchedulerState.Outcome.ERROR, w.now);
               w.now += 2_000;
-              w.ledger.machines().forEach(w::report);
+              w.schedulerState.machines().forEach(w::report);
               return j;
             },
             w -> w.machine(0)),
@@ -349,7 +352,7 @@
               w.machines(2);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.run();
-              w.ledger.resolve(j.live(0), SchedulerState.Outcome.REFUSED, w.now);
+              w.schedulerState.resolve(j.live(0), SchedulerState.Outcome.REFUSED, w.now);
               return j;
             },
             w -> w.now += 1_000),
@@ -358,7 +361,7 @@
             "2 machines",
             w -> {
               w.machines(2);
-              w.ledger.machines().forEach(m -> m.draining = true);
+              w.schedulerState.machines().forEach(m -> m.draining = true);
               return w.job(JobSpecs.array("job-1", 1, 1));
             },
             w -> w.machine(0)),
@@ -380,7 +383,7 @@
               w.placement.place(w.now);
               return j;
             },
-            w -> JobSpecs.commit(w.ledger, w.now)),
+            w -> JobSpecs.commit(w.schedulerState, w.now)),
         reason(
             PendingCause.IMAGE,
             "1 task without an image",
@@ -388,12 +391,12 @@
               Machine m = w.machine(0);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.placement.place(w.now);
-              JobSpecs.commit(w.ledger, w.now);
-              w.ledger.report(
-                  m, JobSpecs.report(m, ++w.seq, TERM, Heartbeat.State.PULLING), true, w.now);
+              JobSpecs.commit(w.schedulerState, w.now);
+              w.schedulerState.report(
+                  m, JobSpecs.report(m, ++w.sequence, TERM, Heartbeat.State.PULLING), true, w.now);
               return j;
             },
-            w -> w.ledger.machines().forEach(w::report)),
+            w -> w.schedulerState.machines().forEach(w::report)),
         reason(
             PendingCause.STARTING,
             "there is room",
@@ -434,15 +437,15 @@
               w.run();
               w.sketch.begin(w.now);
               assertEquals(false, w.sketch.step(1));
-              Job gone = w.ledger.job("job-4");
-              w.ledger.cancel(gone, w.now);
-              w.ledger.ended(gone, w.now);
-              w.ledger.forget(gone);
+              Job gone = w.schedulerState.job("job-4");
+              w.schedulerState.cancel(gone, w.now);
+              w.schedulerState.ended(gone, w.now);
+              w.schedulerState.forget(gone);
               while (!w.sketch.step(1)) {
                 assertTrue(w.sketch.jobs().size() < 5);
               }
               assertNull(w.explainer.finding(gone));
-              assertNotNull(w.explainer.finding(w.ledger.job("job-5")));
+              assertNotNull(w.explainer.finding(w.schedulerState.job("job-5")));
             }));
   }
 
@@ -501,7 +504,7 @@
   private static void without(Simulation w, Job j, PendingReason f) {
     switch (f.reason()) {
       case TEAM_LIMIT ->
-          w.ledger
+          w.schedulerState
               .teams()
               .forEach(
                   t -> {
@@ -509,11 +512,11 @@
                     t.usedCards = 0;
                   });
       case CLOUD_REFUSES -> w.refusing = false;
-      case MACHINES_SILENT, ZONE_CUT -> w.ledger.machines().forEach(w::report);
+      case MACHINES_SILENT, ZONE_CUT -> w.schedulerState.machines().forEach(w::report);
       case ZONE_RULES -> {
         for (int t = 0; t < j.spec.tasks(); t++) {
           if (j.live(t) != null) {
-            w.ledger.resolve(j.live(t), SchedulerState.Outcome.LOST, w.now);
+            w.schedulerState.resolve(j.live(t), SchedulerState.Outcome.LOST, w.now);
           }
         }
       }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -31,7 +31,7 @@
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t32", 32, 0, 256, 100, 1, 2.0, 0.5, 30, new int[] {0, 1});
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final TaskScheduler placement;
     final Autoscaler fleet;
     long now = 1_000_000;
@@ -40,14 +40,15 @@
       zones.intern("north-eastern-zone");
       zones.intern("south-western-zone");
       Team team = new Team("team", 1e6, 0, 1e6, 0);
-      ledger =
+      schedulerState =
           new SchedulerState(1, 26, 4, List.of(team, new Team("other", 1e6, 0, 1e6, 0)), zones);
-      placement = new TaskScheduler(ledger);
-      fleet = new Autoscaler(ledger, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
+      placement = new TaskScheduler(schedulerState);
+      fleet =
+          new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
       for (int i = 0; i < machines; i++) {
         String name = String.format("n-%06d", i);
-        Machine m = ledger.meet(name, type, i % 2, false, now);
-        ledger.report(
+        Machine m = schedulerState.meet(name, type, i % 2, false, now);
+        schedulerState.report(
             m, new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()), true, now);
       }
     }
@@ -55,7 +56,8 @@
     void jobs(int priority) {
       for (int j = 0; j < JOBS; j++) {
         String id = "job-" + (100 * priority + j);
-        ledger.accept(JobSpecs.array(id, TASKS, 4).priority(priority).spot().build(), 5, 0, now);
+        schedulerState.accept(
+            JobSpecs.array(id, TASKS, 4).priority(priority).spot().build(), 5, 0, now);
       }
     }
 
@@ -91,12 +93,12 @@
               return now;
             }
           };
-      explainer = new PendingReasonExplainer(ledger, placement, nothing, zones, classes);
-      return new SnapshotBuilder(ledger, nothing, zones, explainer);
+      explainer = new PendingReasonExplainer(schedulerState, placement, nothing, zones, classes);
+      return new SnapshotBuilder(schedulerState, nothing, zones, explainer);
     }
 
     void commit() {
-      JobSpecs.commit(ledger, now);
+      JobSpecs.commit(schedulerState, now);
     }
   }
 
@@ -164,14 +166,14 @@
         scale(
             "silence is judged from the machines that are late, not from the fleet",
             w -> {
-              FailureDetector s = w.ledger.health().silence();
+              FailureDetector s = w.schedulerState.health().failureDetector();
               for (int i = 0; i < 100; i++) {
                 s.judge(w.now + 10L * i);
               }
               atMost(100, s.looked());
-              for (Machine m : w.ledger.machines()) {
+              for (Machine m : w.schedulerState.machines()) {
                 if (!m.name.endsWith("7")) {
-                  w.ledger.health().heard(m.health, w.now + 6_000);
+                  w.schedulerState.health().heard(m.health, w.now + 6_000);
                 }
               }
               long before = s.looked();
@@ -185,7 +187,7 @@
               w.jobs(1);
               for (int i = 0; i < 4; i++) {
                 JobSpecs s = JobSpecs.array("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
-                w.ledger.accept(s.spot().build(), 5, 0, w.now);
+                w.schedulerState.accept(s.spot().build(), 5, 0, w.now);
               }
               w.placement.place(w.now);
               w.commit();
@@ -227,24 +229,26 @@
               w.jobs(2);
               w.placement.place(w.now);
               w.commit();
-              w.ledger.outbox().clear();
-              Machine m = w.ledger.machine("n-000007");
+              w.schedulerState.outbox().clear();
+              Machine m = w.schedulerState.machine("n-000007");
               Attempt a = m.attempts().iterator().next();
-              w.ledger.resolve(a, SchedulerState.Outcome.LOST, w.now);
-              assertEquals(1, w.ledger.dirty().size());
-              assertEquals(0, w.ledger.urgent().size());
+              w.schedulerState.resolve(a, SchedulerState.Outcome.LOST, w.now);
+              assertEquals(1, w.schedulerState.dirty().size());
+              assertEquals(0, w.schedulerState.urgent().size());
               assertEquals(1, w.placement.place(w.now).size());
-              assertEquals(1, w.ledger.urgent().size());
+              assertEquals(1, w.schedulerState.urgent().size());
               w.commit();
-              assertEquals(0, w.ledger.urgent().size());
-              assertEquals(List.of(m), List.copyOf(w.ledger.outbox()));
+              assertEquals(0, w.schedulerState.urgent().size());
+              assertEquals(List.of(m), List.copyOf(w.schedulerState.outbox()));
             }),
         scale(
             "a full record stays well below the least value limit",
             w -> {
-              Job j = w.ledger.accept(JobSpecs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
+              Job j =
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
               w.placement.place(w.now);
-              String text = Json.text(Records.runValue(j.chunk(0), w.zones));
+              String text = Json.text(Records.runValue(j.attemptRecord(0), w.zones));
               atMost(6 * 1024, text.length());
             }));
   }
@@ -287,7 +291,7 @@
             "more jobs than a picture lists are counted and not explained",
             w -> {
               for (int j = 0; j < SnapshotBuilder.MOST_JOBS + 50; j++) {
-                w.ledger.accept(JobSpecs.array("job-" + j, 1, 99).build(), 5, 0, w.now);
+                w.schedulerState.accept(JobSpecs.array("job-" + j, 1, 99).build(), 5, 0, w.now);
               }
               SnapshotBuilder s = w.sketch();
               s.begin(w.now);
@@ -309,17 +313,17 @@
    * CPUs than the one before.
    */
   private static SnapshotBuilder explained(Simulation w, double differ) {
-    w.ledger.accept(JobSpecs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
+    w.schedulerState.accept(JobSpecs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
     w.placement.place(w.now);
     w.commit();
     for (int j = 1; j <= 300; j++) {
       int tasks = j <= 100 ? 34 : 33;
-      w.ledger.accept(
+      w.schedulerState.accept(
           JobSpecs.array("job-" + j, tasks, 4 + differ * j).team(j % 2).build(), 5, 0, w.now);
     }
-    w.ledger
+    w.schedulerState
         .machines()
-        .forEach(m -> w.ledger.report(m, JobSpecs.report(m, 2, 1, RUNNING), true, w.now));
+        .forEach(m -> w.schedulerState.report(m, JobSpecs.report(m, 2, 1, RUNNING), true, w.now));
     return w.sketch();
   }
 
@@ -333,23 +337,24 @@
               w.jobs(2);
               w.placement.place(w.now);
               Simulation next = new Simulation(MACHINES);
-              for (Job j : w.ledger.jobs()) {
-                Job taken = next.ledger.accept(j.spec, 5, 0, next.now);
-                for (int i = 0; i < j.chunkCount(); i++) {
-                  next.ledger.restore(taken.chunk(i), 9, new BitSet(), 1);
+              for (Job j : w.schedulerState.jobs()) {
+                Job taken = next.schedulerState.accept(j.spec, 5, 0, next.now);
+                for (int i = 0; i < j.attemptRecordCount(); i++) {
+                  next.schedulerState.restore(taken.attemptRecord(i), 9, new BitSet(), 1);
                 }
                 for (int t = 0; t < TASKS; t++) {
                   Attempt a = j.live(t);
                   if (a != null) {
-                    Machine m = next.ledger.machine(a.machine.name);
-                    next.ledger.restoreAttempt(taken, t, a.number, m, a.session, next.now);
+                    Machine m = next.schedulerState.machine(a.machine.name);
+                    next.schedulerState.restoreAttempt(
+                        taken, t, a.number, m, a.incarnation, next.now);
                   }
                 }
-                next.ledger.restored(taken, next.now);
+                next.schedulerState.restored(taken, next.now);
                 assertEquals(j.waitingCount(), taken.waitingCount());
                 assertEquals(j.liveCount(), taken.liveCount());
               }
-              atMost(JOBS * TASKS, next.ledger.requeued());
+              atMost(JOBS * TASKS, next.schedulerState.requeued());
             }));
   }
 
@@ -360,15 +365,17 @@
         scale(
             "attempts come back from their record, each with its machine",
             w -> {
-              Job j = w.ledger.accept(JobSpecs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
+              Job j =
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
               w.placement.place(w.now);
-              List<Records.Live> live = Records.live(Records.runValue(j.chunk(0), w.zones));
+              List<Records.Live> live = Records.live(Records.runValue(j.attemptRecord(0), w.zones));
               assertEquals(100, live.size());
               for (Records.Live l : live) {
                 Attempt a = j.live(l.task());
                 assertEquals(a.machine.name, l.machine());
                 assertEquals(a.number, l.number());
-                assertEquals(a.session, l.session());
+                assertEquals(a.incarnation, l.incarnation());
                 assertEquals(w.zones.name(a.machine.zone), l.zone());
                 assertEquals("t32", l.type());
               }
--- a/src/test/java/org/mallowroad/core/SchedulerStateTest.java
+++ b/src/test/java/org/mallowroad/core/SchedulerStateTest.java
@@ -19,60 +19,70 @@
   static final class Simulation {
     final NameIndex zones = new NameIndex();
     final MachineType type;
-    final SchedulerState ledger;
+    final SchedulerState schedulerState;
     final TaskScheduler placement;
     long now = 1_000_000;
-    int seq;
+    int sequence;
 
     Simulation() {
       zones.intern("a");
       zones.intern("b");
       type = new MachineType(0, "t4", 4, 0, 16, 100, 1, 1.0, 0.4, 30, new int[] {0, 1});
-      ledger =
+      schedulerState =
           new SchedulerState(
               TERM,
               20,
               3,
               List.of(new Team("team", 4, 0, 8, 0), new Team("other", 8, 0, 8, 0)),
               zones);
-      placement = new TaskScheduler(ledger);
+      placement = new TaskScheduler(schedulerState);
     }
 
     Job job(String id, int tasks, double cpus) {
-      return ledger.accept(JobSpecs.array(id, tasks, cpus).build(), 5, 0, now);
+      return schedulerState.accept(JobSpecs.array(id, tasks, cpus).build(), 5, 0, now);
     }
 
     Machine machine(String name, int zone) {
-      Machine m = ledger.meet(name, type, zone, false, now);
+      Machine m = schedulerState.meet(name, type, zone, false, now);
       report(m, 1, TERM);
       return m;
     }
 
-    List<WorkerCommand> report(Machine m, long session, long token, Heartbeat.Entry... entries) {
-      return at(m, session, ++seq, token, entries);
+    List<WorkerCommand> report(
+        Machine m, long incarnation, long fencingToken, Heartbeat.Entry... entries) {
+      return at(m, incarnation, ++sequence, fencingToken, entries);
     }
 
     List<WorkerCommand> at(
-        Machine m, long session, long s, long token, Heartbeat.Entry... entries) {
+        Machine m, long incarnation, long s, long fencingToken, Heartbeat.Entry... entries) {
       List<WorkerCommand> o =
-          ledger.report(
+          schedulerState.report(
               m,
               new Heartbeat(
-                  m.name, "h:1", "t4", "a", false, session, s, token, -1, List.of(entries)),
+                  m.name,
+                  "h:1",
+                  "t4",
+                  "a",
+                  false,
+                  incarnation,
+                  s,
+                  fencingToken,
+                  -1,
+                  List.of(entries)),
               true,
               now);
-      m.answeredMs = now;
+      m.lastAnswerMs = now;
       return o;
     }
 
     Attempt start(Job j, int task, Machine m) {
-      Attempt a = ledger.start(j, task, m, now);
+      Attempt a = schedulerState.start(j, task, m, now);
       commit();
       return a;
     }
 
     void commit() {
-      JobSpecs.commit(ledger, now);
+      JobSpecs.commit(schedulerState, now);
     }
 
     static Heartbeat.Entry entry(Attempt a, State state, String why) {
@@ -95,7 +105,7 @@
             "a start that is not committed is not launched",
             w -> {
               Machine m = w.machine("n-1", 0);
-              w.ledger.start(w.job("job-1", 1, 1), 0, m, w.now);
+              w.schedulerState.start(w.job("job-1", 1, 1), 0, m, w.now);
               assertEquals(List.of(), w.report(m, 1, TERM));
             }),
         rule(
@@ -103,13 +113,13 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
-              Attempt recording = w.ledger.start(j, 0, m, w.now);
-              w.ledger.ended(j, w.now);
+              Attempt recording = w.schedulerState.start(j, 0, m, w.now);
+              w.schedulerState.ended(j, w.now);
               assertEquals(Attempt.Phase.GONE, recording.phase);
               assertTrue(j.finished());
               assertEquals(List.of(), w.report(m, 1, TERM));
               Attempt launched = w.start(w.job("job-2", 1, 1), 0, m);
-              w.ledger.ended(launched.job, w.now);
+              w.schedulerState.ended(launched.job, w.now);
               assertTrue(launched.stopping());
             }),
         rule(
@@ -128,7 +138,7 @@
               w.start(w.job("job-1", 1, 1), 0, m);
               Heartbeat r =
                   new Heartbeat("n-1", "h:1", "t4", "a", false, 1, 99, TERM, -1, List.of());
-              assertEquals(List.of(), w.ledger.report(m, r, false, w.now));
+              assertEquals(List.of(), w.schedulerState.report(m, r, false, w.now));
             }),
         rule(
             "a limit of 0 is none: a guest team without a guarantee runs",
@@ -150,17 +160,17 @@
                 w.report(m, 1, TERM);
                 w.now += 2_500;
               }
-              assertEquals(SchedulerState.Refusal.DEAF, w.ledger.unfit(m, w.now));
-              assertEquals(SchedulerState.Refusal.DEAF, w.ledger.mayStart(j, 1, m, w.now));
+              assertEquals(SchedulerState.Refusal.DEAF, w.schedulerState.unfit(m, w.now));
+              assertEquals(SchedulerState.Refusal.DEAF, w.schedulerState.mayStart(j, 1, m, w.now));
               // Stopped, it is gone with the next report that does not list it.
-              w.ledger.stop(a, 0, w.now);
+              w.schedulerState.stop(a, 0, w.now);
               w.report(m, 1, TERM);
               assertNull(j.live(0));
               w.now += 10_000;
               w.report(m, 1, TERM);
-              assertTrue(m.token > TERM, "told something that shows whether it hears");
-              w.report(m, 1, m.token);
-              assertNull(w.ledger.unfit(m, w.now));
+              assertTrue(m.fencingToken > TERM, "told something that shows whether it hears");
+              w.report(m, 1, m.fencingToken);
+              assertNull(w.schedulerState.unfit(m, w.now));
             }),
         rule(
             "a session that ends although its reports were answered makes it deaf; a hung one not",
@@ -168,11 +178,11 @@
               Machine m = w.machine("n-1", 0);
               w.now += 4_000;
               w.report(m, 2, TERM);
-              assertEquals(SchedulerState.Refusal.DEAF, w.ledger.unfit(m, w.now));
+              assertEquals(SchedulerState.Refusal.DEAF, w.schedulerState.unfit(m, w.now));
               Machine n = w.machine("n-2", 0);
               w.now += 25_000;
               w.report(n, 2, TERM);
-              assertNull(w.ledger.unfit(n, w.now));
+              assertNull(w.schedulerState.unfit(n, w.now));
             }),
         rule(
             "late copies of reports change nothing, whatever they say and whenever they come",
@@ -181,14 +191,14 @@
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
-              long heard = m.reportedMs;
+              long heard = m.lastHeartbeatMs;
               w.now += 40_000;
-              assertNull(w.at(m, 1, w.seq - 1, TERM));
-              assertNull(w.at(m, 1, w.seq, TERM, Simulation.entry(a, State.EXITED, "done")));
+              assertNull(w.at(m, 1, w.sequence - 1, TERM));
+              assertNull(w.at(m, 1, w.sequence, TERM, Simulation.entry(a, State.EXITED, "done")));
               assertEquals(Attempt.Phase.RUNNING, a.phase);
-              assertEquals(heard, m.reportedMs);
-              w.ledger.machineGone(m, w.now);
-              assertNull(w.ledger.meet("n-1", w.type, 0, false, w.now));
+              assertEquals(heard, m.lastHeartbeatMs);
+              w.schedulerState.machineGone(m, w.now);
+              assertNull(w.schedulerState.meet("n-1", w.type, 0, false, w.now));
             }),
         rule(
             "a task with an unresolved attempt does not start again",
@@ -197,7 +207,7 @@
               Machine n = w.machine("n-2", 0);
               Job j = w.job("job-1", 1, 1);
               w.start(j, 0, m);
-              assertEquals(SchedulerState.Refusal.BUSY, w.ledger.mayStart(j, 0, n, w.now));
+              assertEquals(SchedulerState.Refusal.BUSY, w.schedulerState.mayStart(j, 0, n, w.now));
             }),
         rule(
             "unproven tasks use the team's limit",
@@ -206,9 +216,10 @@
               w.start(j, 0, w.machine("n-1", 0));
               w.start(j, 1, w.machine("n-2", 0));
               Machine free = w.machine("n-3", 0);
-              assertEquals(SchedulerState.Refusal.QUOTA, w.ledger.mayStart(j, 2, free, w.now));
-              w.ledger.machineGone(w.ledger.machine("n-1"), w.now);
-              assertNull(w.ledger.mayStart(j, 2, free, w.now));
+              assertEquals(
+                  SchedulerState.Refusal.QUOTA, w.schedulerState.mayStart(j, 2, free, w.now));
+              w.schedulerState.machineGone(w.schedulerState.machine("n-1"), w.now);
+              assertNull(w.schedulerState.mayStart(j, 2, free, w.now));
             }),
         rule(
             "together keeps to one zone, scatter to half of the tasks a zone",
@@ -216,26 +227,31 @@
               Machine a = w.machine("n-1", 0);
               Machine b = w.machine("n-2", 1);
               Job t =
-                  w.ledger.accept(JobSpecs.array("job-1", 2, 1).together().build(), 5, 0, w.now);
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 2, 1).together().build(), 5, 0, w.now);
               w.start(t, 0, a);
-              assertEquals(SchedulerState.Refusal.ZONE, w.ledger.mayStart(t, 1, b, w.now));
+              assertEquals(SchedulerState.Refusal.ZONE, w.schedulerState.mayStart(t, 1, b, w.now));
               Job s =
-                  w.ledger.accept(JobSpecs.array("job-2", 3, 0.5).scatter().build(), 5, 0, w.now);
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-2", 3, 0.5).scatter().build(), 5, 0, w.now);
               w.start(s, 0, a);
               w.start(s, 1, a);
-              assertEquals(SchedulerState.Refusal.ZONE, w.ledger.mayStart(s, 2, a, w.now));
-              assertNull(w.ledger.mayStart(s, 2, b, w.now));
+              assertEquals(SchedulerState.Refusal.ZONE, w.schedulerState.mayStart(s, 2, a, w.now));
+              assertNull(w.schedulerState.mayStart(s, 2, b, w.now));
             }),
         rule(
             "type, zone and kind are the job's to allow",
             w -> {
               Machine m = w.machine("n-1", 0);
-              Job z = w.ledger.accept(JobSpecs.array("job-1", 1, 1).zone(1).build(), 5, 0, w.now);
-              assertEquals(SchedulerState.Refusal.PLACE, w.ledger.mayStart(z, 0, m, w.now));
-              Machine spot = w.ledger.meet("n-2", w.type, 0, true, w.now);
+              Job z =
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 1, 1).zone(1).build(), 5, 0, w.now);
+              assertEquals(SchedulerState.Refusal.PLACE, w.schedulerState.mayStart(z, 0, m, w.now));
+              Machine spot = w.schedulerState.meet("n-2", w.type, 0, true, w.now);
               w.report(spot, 1, TERM);
-              Job o = w.ledger.accept(JobSpecs.array("job-2", 1, 1).build(), 5, 0, w.now);
-              assertEquals(SchedulerState.Refusal.PLACE, w.ledger.mayStart(o, 0, spot, w.now));
+              Job o = w.schedulerState.accept(JobSpecs.array("job-2", 1, 1).build(), 5, 0, w.now);
+              assertEquals(
+                  SchedulerState.Refusal.PLACE, w.schedulerState.mayStart(o, 0, spot, w.now));
             }),
         rule(
             "a silent machine gets no work",
@@ -244,13 +260,15 @@
               w.now += 7_000;
               assertEquals(
                   SchedulerState.Refusal.SILENT,
-                  w.ledger.mayStart(w.job("job-1", 1, 1), 0, m, w.now));
+                  w.schedulerState.mayStart(w.job("job-1", 1, 1), 0, m, w.now));
             }),
         rule(
             "a gang starts with all its tasks or not at all",
             w -> {
               w.machine("n-1", 0);
-              Job g = w.ledger.accept(JobSpecs.array("job-1", 2, 4).gang().build(), 5, 0, w.now);
+              Job g =
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 2, 4).gang().build(), 5, 0, w.now);
               assertEquals(0, w.placement.place(w.now).size());
               w.machine("n-2", 1);
               assertEquals(2, w.placement.place(w.now).size());
@@ -291,7 +309,7 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
-              w.ledger.cancel(j, w.now);
+              w.schedulerState.cancel(j, w.now);
               w.report(m, 1, TERM - 1);
               assertEquals(Attempt.Phase.READY, a.phase);
               w.report(m, 1, TERM);
@@ -311,16 +329,16 @@
             "a silent worker's lease frees its tasks only if it had seen this term",
             w -> {
               Machine m = w.machine("n-1", 0);
-              Machine old = w.ledger.meet("n-2", w.type, 0, false, w.now);
+              Machine old = w.schedulerState.meet("n-2", w.type, 0, false, w.now);
               w.report(old, 1, TERM - 1);
               Job j = w.job("job-1", 2, 1);
               Attempt a = w.start(j, 0, m);
               Attempt b = w.start(j, 1, old);
               w.now += 20_000;
-              w.ledger.expireSilent(w.now);
+              w.schedulerState.expireSilent(w.now);
               assertEquals(Attempt.Phase.READY, a.phase);
               w.now += 1_000;
-              w.ledger.expireSilent(w.now);
+              w.schedulerState.expireSilent(w.now);
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertEquals(Attempt.Phase.READY, b.phase);
             }),
@@ -329,9 +347,9 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Attempt a = w.start(w.job("job-1", 1, 1), 0, m);
-              w.ledger.machineGone(m, w.now);
+              w.schedulerState.machineGone(m, w.now);
               assertEquals(Attempt.Phase.GONE, a.phase);
-              assertNull(w.ledger.meet("n-1", w.type, 0, false, w.now));
+              assertNull(w.schedulerState.meet("n-1", w.type, 0, false, w.now));
             }),
         rule(
             "a withdrawn job is stopped, starts nothing and counts until it is gone",
@@ -340,14 +358,14 @@
               Job j = w.job("job-1", 2, 4);
               Attempt a = w.start(j, 0, m);
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
-              w.ledger.cancel(j, w.now);
-              assertEquals(SchedulerState.Refusal.OVER, w.ledger.mayStart(j, 1, m, w.now));
+              w.schedulerState.cancel(j, w.now);
+              assertEquals(SchedulerState.Refusal.OVER, w.schedulerState.mayStart(j, 1, m, w.now));
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.STOP, "job-1", 0, 1, 0)),
                   w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null)));
-              assertEquals(4, w.ledger.team(j.spec).usedCpus());
+              assertEquals(4, w.schedulerState.team(j.spec).usedCpus());
               w.report(m, 1, TERM, Simulation.entry(a, State.EXITED, "stopped"));
-              assertEquals(0, w.ledger.team(j.spec).usedCpus());
+              assertEquals(0, w.schedulerState.team(j.spec).usedCpus());
               assertTrue(j.finished());
             }),
         rule(
@@ -355,11 +373,11 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
-              Attempt a = w.ledger.start(j, 0, m, w.now);
-              AttemptRecord c = j.chunk(0);
+              Attempt a = w.schedulerState.start(j, 0, m, w.now);
+              AttemptRecord c = j.attemptRecord(0);
               long changes = c.changes;
-              w.ledger.cancel(j, w.now);
-              w.ledger.committed(c, 9, changes, List.of(a), w.now);
+              w.schedulerState.cancel(j, w.now);
+              w.schedulerState.committed(c, 9, changes, List.of(a), w.now);
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertEquals(List.of(), w.report(m, 1, TERM));
             }),
@@ -390,28 +408,28 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
-              w.ledger.restore(j.chunk(0), 3, new java.util.BitSet(), 6);
+              w.schedulerState.restore(j.attemptRecord(0), 3, new java.util.BitSet(), 6);
               assertEquals(7, w.start(j, 0, m).number);
             }),
         rule(
             "a restored attempt counts, and reports of earlier sessions are dropped",
             w -> {
-              Machine m = w.ledger.meet("n-1", w.type, 0, false, w.now);
+              Machine m = w.schedulerState.meet("n-1", w.type, 0, false, w.now);
               Job j = w.job("job-1", 1, 1);
-              w.ledger.restoreAttempt(j, 0, 2, m, 4, w.now);
-              assertEquals(1, w.ledger.team(j.spec).usedCpus());
+              w.schedulerState.restoreAttempt(j, 0, 2, m, 4, w.now);
+              assertEquals(1, w.schedulerState.team(j.spec).usedCpus());
               assertNull(w.at(m, 3, 100, TERM));
             }),
         rule(
             "a report frees restored attempts of an earlier session, also where a later one is known",
             w -> {
-              Machine m = w.ledger.meet("n-1", w.type, 0, false, w.now);
+              Machine m = w.schedulerState.meet("n-1", w.type, 0, false, w.now);
               Job j = w.job("job-1", 2, 1);
-              w.ledger.restoreAttempt(j, 0, 1, m, 1, w.now);
-              w.ledger.restoreAttempt(j, 1, 1, m, 2, w.now);
-              w.ledger.restored(j, w.now);
+              w.schedulerState.restoreAttempt(j, 0, 1, m, 1, w.now);
+              w.schedulerState.restoreAttempt(j, 1, 1, m, 2, w.now);
+              w.schedulerState.restored(j, w.now);
               w.at(m, 2, 100, TERM - 1);
-              assertEquals(1, w.ledger.team(j.spec).usedCpus());
+              assertEquals(1, w.schedulerState.team(j.spec).usedCpus());
               assertEquals(1, j.waitingCount());
             }));
   }
@@ -422,17 +440,20 @@
         rule(
             "a launch is sent straight once, and only to a worker that obeys this term",
             w -> {
-              Machine old = w.ledger.meet("n-2", w.type, 0, false, w.now);
+              Machine old = w.schedulerState.meet("n-2", w.type, 0, false, w.now);
               w.report(old, 1, TERM - 1);
               w.start(w.job("job-1", 1, 1), 0, old);
-              assertEquals(List.of(), w.ledger.dialogue().direct(old, true, w.now));
+              assertEquals(
+                  List.of(), w.schedulerState.heartbeatReconciler().direct(old, true, w.now));
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-2", 1, 1), 0, m);
-              assertEquals(List.of(), w.ledger.dialogue().direct(m, false, w.now));
+              assertEquals(
+                  List.of(), w.schedulerState.heartbeatReconciler().direct(m, false, w.now));
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-2", 0, 1, 0)),
-                  w.ledger.dialogue().direct(m, true, w.now));
-              assertEquals(List.of(), w.ledger.dialogue().direct(m, true, w.now));
+                  w.schedulerState.heartbeatReconciler().direct(m, true, w.now));
+              assertEquals(
+                  List.of(), w.schedulerState.heartbeatReconciler().direct(m, true, w.now));
             }),
         rule(
             "an exit is not cleared while a launch of the attempt may still arrive",
@@ -440,20 +461,21 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
               Attempt a = w.start(j, 0, m);
-              List<WorkerCommand> sent = w.ledger.dialogue().direct(m, true, w.now);
+              List<WorkerCommand> sent =
+                  w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
               Heartbeat.Entry exit = Simulation.entry(a, State.EXITED, "done");
               w.report(m, 1, TERM, exit);
               w.commit();
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
-              w.ledger.dialogue().answered(m, sent);
+              w.schedulerState.heartbeatReconciler().answered(m, sent);
               // Answered or not: a copy of the launch may come, so the token rises with the clear.
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
-              assertEquals(TERM, m.token);
+              assertEquals(TERM, m.fencingToken);
               w.now += HeartbeatReconciler.RAISE_MS;
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-1", 0, 1, 0)),
                   w.report(m, 1, TERM, exit));
-              assertEquals(TERM + 1, m.token);
+              assertEquals(TERM + 1, m.fencingToken);
             }),
         rule(
             "so many exits that wait for a higher token raise it at once",
@@ -464,12 +486,12 @@
               for (int t = 0; t < exits.length; t++) {
                 exits[t] = Simulation.entry(w.start(j, t, m), State.EXITED, "done");
               }
-              w.ledger.dialogue().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
               w.report(m, 1, TERM, exits);
               w.commit();
               assertEquals(List.of(), w.report(m, 1, TERM, exits));
               assertEquals(exits.length, w.report(m, 1, TERM, exits).size());
-              assertEquals(TERM + 1, m.token);
+              assertEquals(TERM + 1, m.fencingToken);
             }),
         rule(
             "what was launched in answers alone is cleared at once, and the token stays",
@@ -481,7 +503,7 @@
               w.report(m, 1, TERM, exit);
               w.commit();
               assertEquals(1, w.report(m, 1, TERM, exit).size());
-              assertEquals(TERM, m.token);
+              assertEquals(TERM, m.fencingToken);
             }),
         rule(
             "a withdrawn launch in flight raises the token, and is gone once the worker has it",
@@ -489,10 +511,10 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               w.start(j, 0, m);
-              w.ledger.dialogue().direct(m, true, w.now);
-              w.ledger.cancel(j, w.now);
+              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.cancel(j, w.now);
               w.report(m, 1, TERM);
-              assertEquals(TERM + 1, m.token);
+              assertEquals(TERM + 1, m.fencingToken);
               assertFalse(j.finished());
               w.report(m, 1, TERM + 1);
               assertTrue(j.finished());
@@ -501,9 +523,10 @@
             "at the last token of the term launches go in answers only",
             w -> {
               Machine m = w.machine("n-1", 0);
-              m.token = FencingTokens.last(TERM);
+              m.fencingToken = FencingTokens.last(TERM);
               w.start(w.job("job-1", 1, 1), 0, m);
-              assertEquals(List.of(), w.ledger.dialogue().direct(m, true, w.now));
+              assertEquals(
+                  List.of(), w.schedulerState.heartbeatReconciler().direct(m, true, w.now));
               assertEquals(1, w.report(m, 1, TERM).size());
             }),
         rule(
@@ -512,15 +535,15 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
-              w.ledger.dialogue().direct(m, true, w.now);
-              w.ledger.cancel(j, w.now);
+              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.cancel(j, w.now);
               w.report(m, 1, TERM);
               w.report(m, 1, TERM);
               assertEquals(Attempt.Phase.READY, a.phase);
-              assertFalse(w.ledger.dialogue().mustFence(m, w.now));
+              assertFalse(w.schedulerState.heartbeatReconciler().mustFence(m, w.now));
               w.now += 9_000;
-              assertTrue(w.ledger.dialogue().mustFence(m, w.now));
-              w.ledger.machineGone(m, w.now);
+              assertTrue(w.schedulerState.heartbeatReconciler().mustFence(m, w.now));
+              w.schedulerState.machineGone(m, w.now);
               assertTrue(j.finished());
             }),
         rule(
@@ -529,7 +552,7 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
-              w.ledger.dialogue().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
               w.report(m, 2, TERM);
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertTrue(m.unfenced.isEmpty());
@@ -539,8 +562,9 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-1", 1, 1), 0, m);
-              List<WorkerCommand> sent = w.ledger.dialogue().direct(m, true, w.now);
-              w.ledger.dialogue().answered(m, sent);
+              List<WorkerCommand> sent =
+                  w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().answered(m, sent);
               assertEquals(sent, w.report(m, 1, TERM));
             }));
   }
@@ -553,22 +577,23 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Job saving =
-                  w.ledger.accept(JobSpecs.array("job-1", 1, 1).saves(30, 4).build(), 5, 0, w.now);
+                  w.schedulerState.accept(
+                      JobSpecs.array("job-1", 1, 1).saves(30, 4).build(), 5, 0, w.now);
               Job other = w.job("job-2", 1, 1);
               Attempt a = w.start(saving, 0, m);
               Attempt b = w.start(other, 0, m);
               Heartbeat.Entry ra = Simulation.entry(a, State.RUNNING, null);
               Heartbeat.Entry rb = Simulation.entry(b, State.RUNNING, null);
               w.report(m, 1, TERM, ra, rb);
-              w.ledger.report(
+              w.schedulerState.report(
                   m,
                   new Heartbeat(
-                      "n-1", "h:1", "t4", "a", false, 1, ++w.seq, TERM, 15, List.of(ra, rb)),
+                      "n-1", "h:1", "t4", "a", false, 1, ++w.sequence, TERM, 15, List.of(ra, rb)),
                   true,
                   w.now);
               assertEquals(
                   SchedulerState.Refusal.LEAVING,
-                  w.ledger.mayStart(w.job("job-3", 1, 1), 0, m, w.now));
+                  w.schedulerState.mayStart(w.job("job-3", 1, 1), 0, m, w.now));
               w.placement.drain(w.now);
               assertEquals(
                   List.of(
@@ -599,12 +624,13 @@
               Job low = w.job("job-1", 1, 4);
               Attempt a = w.start(low, 0, m);
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
-              w.ledger.accept(JobSpecs.array("job-2", 1, 4).build(), 6, 0, w.now);
+              w.schedulerState.accept(JobSpecs.array("job-2", 1, 4).build(), 6, 0, w.now);
               w.now += 2_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.placement.place(w.now);
               assertFalse(a.stopping());
-              w.ledger.accept(JobSpecs.array("job-3", 1, 4).priority(1).build(), 7, 0, w.now);
+              w.schedulerState.accept(
+                  JobSpecs.array("job-3", 1, 4).priority(1).build(), 7, 0, w.now);
               w.now += 2_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.placement.place(w.now);
@@ -620,7 +646,7 @@
               Attempt b = w.start(j, 1, n);
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.report(n, 1, TERM, Simulation.entry(b, State.RUNNING, null));
-              w.ledger.accept(JobSpecs.array("job-2", 1, 4).team(1).build(), 6, 0, w.now);
+              w.schedulerState.accept(JobSpecs.array("job-2", 1, 4).team(1).build(), 6, 0, w.now);
               w.now += 5_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.report(n, 1, TERM, Simulation.entry(b, State.RUNNING, null));
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -91,36 +91,42 @@
   private static SchedulerState recording(int tasks, int priority, long now) {
     NameIndex zones = new NameIndex();
     zones.intern("a");
-    SchedulerState ledger = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
+    SchedulerState schedulerState =
+        new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
     MachineType type =
         new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
-    Machine m = ledger.meet("n-1", type, 0, false, now);
-    ledger.report(
+    Machine m = schedulerState.meet("n-1", type, 0, false, now);
+    schedulerState.report(
         m,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, new ArrayList<>()),
         true,
         now);
     Job job =
-        ledger.accept(JobSpecs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
+        schedulerState.accept(
+            JobSpecs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
     for (int t = 0; t < tasks; t++) {
-      ledger.start(job, t, m, now);
+      schedulerState.start(job, t, m, now);
     }
-    return ledger;
+    return schedulerState;
   }
 
   private static DynamicTest lag(
-      String name, SchedulerState ledger, long afterMs, boolean overloaded) {
-    return lag(name, ledger, 0, afterMs, overloaded);
+      String name, SchedulerState schedulerState, long afterMs, boolean overloaded) {
+    return lag(name, schedulerState, 0, afterMs, overloaded);
   }
 
   private static DynamicTest lag(
-      String name, SchedulerState ledger, long servedFromMs, long afterMs, boolean overloaded) {
+      String name,
+      SchedulerState schedulerState,
+      long servedFromMs,
+      long afterMs,
+      boolean overloaded) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
           RecordLag lag = new RecordLag();
           for (long now = 0; now <= afterMs; now += 1_000) {
-            lag.look(ledger, now >= servedFromMs, now);
+            lag.look(schedulerState, now >= servedFromMs, now);
           }
           assertEquals(overloaded, lag.overloaded());
         });
--- a/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
@@ -27,11 +27,11 @@
   private static final BlockKey KEY = new BlockKey("l", 0);
   private static final Block.Side SIDE = new Block.Side(3, "m");
 
-  private static String decide(Fold there, long revision, JobOutcome fate) {
+  private static String decide(Fold there, long revision, JobOutcome jobOutcome) {
     Block b = new Block();
     b.set(SIDE, there);
     Game g = new Game("l", 3, revision, false, List.of("m"));
-    Claims.Outcome o = Claims.decide("job-1", List.of(g), Map.of(KEY, b), j -> fate);
+    Claims.Outcome o = Claims.decide("job-1", List.of(g), Map.of(KEY, b), j -> jobOutcome);
     if (o instanceof Claims.Granted x) {
       Block after = x.blocks().get(KEY);
       Fold f = after == null ? null : after.get(SIDE);
@@ -47,8 +47,9 @@
   }
 
   private static DynamicTest row(
-      String name, Fold there, long revision, JobOutcome fate, String is) {
-    return DynamicTest.dynamicTest(name, () -> assertEquals(is, decide(there, revision, fate)));
+      String name, Fold there, long revision, JobOutcome jobOutcome, String is) {
+    return DynamicTest.dynamicTest(
+        name, () -> assertEquals(is, decide(there, revision, jobOutcome)));
   }
 
   @TestFactory
@@ -115,7 +116,7 @@
     b.set(new Block.Side(1, "a"), by("job-4", 2, false, folded));
     b.set(new Block.Side(2, "a"), by("job-5", 1, false, null));
     assertSame(b, Claims.settled(b, j -> JobOutcome.OPEN));
-    Map<String, JobOutcome> fates =
+    Map<String, JobOutcome> jobOutcomes =
         new HashMap<>(
             Map.of(
                 "job-3",
@@ -124,7 +125,7 @@
                 JobOutcome.CANCELLED,
                 "job-5",
                 JobOutcome.CANCELLED));
-    Block s = Claims.settled(b, fates::get);
+    Block s = Claims.settled(b, jobOutcomes::get);
     assertEquals(by("job-3", 1, true, null), s.get(new Block.Side(0, "a")));
     assertEquals(folded, s.get(new Block.Side(1, "a")));
     assertEquals(2, s.sides().size());
@@ -139,20 +140,20 @@
     b.set(new Block.Side(0, "a"), by("job-1", 1, true, null));
     b.set(new Block.Side(2, "a"), by("job-2", 1, false, null));
     b.set(new Block.Side(3, "a"), by("job-3", 1, false, null));
-    Map<String, JobOutcome> fates =
+    Map<String, JobOutcome> jobOutcomes =
         new HashMap<>(Map.of("job-2", JobOutcome.OPEN, "job-3", JobOutcome.CANCELLED));
-    i.take(0, b, fates::get);
+    i.take(0, b, jobOutcomes::get);
     assertEquals(3, i.seenTo());
     assertEquals(List.of(1L, 3L), i.gaps(9));
     assertEquals(2, i.gapCount());
     assertEquals(LeagueIndex.Standing.RELEASED, i.standing(3));
     assertEquals(LeagueIndex.Standing.MISSING, i.standing(1));
     // Written down, the cancelled side is gone from the block, and known as released even so.
-    i.take(0, Claims.settled(b, fates::get), fates::get);
+    i.take(0, Claims.settled(b, jobOutcomes::get), jobOutcomes::get);
     assertEquals(List.of(1L, 3L), i.gaps(9));
     Block far = new Block();
     far.set(new Block.Side(31, "a"), by("job-1", 1, true, null));
-    i.take(3, far, fates::get);
+    i.take(3, far, jobOutcomes::get);
     assertEquals(127, i.seenTo());
     assertEquals(List.of(1L), i.gaps(1));
     assertTrue(i.bytes() < 400, "bytes " + i.bytes());
