--- a/src/test/java/org/mallowroad/core/health/HealthTest.java
+++ b/src/test/java/org/mallowroad/core/health/HealthTest.java
@@ -46,7 +46,7 @@
             health.heard(machines.get(i), now);
           }
         }
-        health.silence().judge(now);
+        health.failureDetector().judge(now);
       }
     }
 
@@ -69,18 +69,18 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> silence() {
+  Stream<DynamicTest> failureDetector() {
     return Stream.of(
         rule(
             "a zone of which nobody is heard while the others go on is cut, until it is back",
             w -> {
               w.pass(20_000, 0, 0);
               w.pass(7_000, 0, 10);
-              assertTrue(w.health.silence().cut(0));
-              assertFalse(w.health.silence().cut(1));
+              assertTrue(w.health.failureDetector().cut(0));
+              assertFalse(w.health.failureDetector().cut(1));
               assertTrue(w.health.away(w.machines.get(3)));
               w.pass(5_000, 0, 0);
-              assertFalse(w.health.silence().cut(0));
+              assertFalse(w.health.failureDetector().cut(0));
               assertFalse(w.health.away(w.machines.get(3)));
             }),
         rule(
@@ -94,11 +94,11 @@
               w.machines.sort(java.util.Comparator.comparingInt(MachineHealth::zone));
               w.pass(20_000, 0, 0);
               w.pass(3_500, 0, 110);
-              assertTrue(w.health.silence().lateCount() < 65);
-              assertTrue(w.health.silence().cut(0));
-              assertFalse(w.health.silence().cut(1));
+              assertTrue(w.health.failureDetector().lateCount() < 65);
+              assertTrue(w.health.failureDetector().cut(0));
+              assertFalse(w.health.failureDetector().cut(1));
               w.pass(3_000, 0, 0);
-              assertEquals(0, w.health.silence().cuts());
+              assertEquals(0, w.health.failureDetector().cuts());
             }),
         rule(
             "machines that came up together report together: a pause of half a report's time is no cut",
@@ -111,7 +111,7 @@
                     w.health.heard(m, w.now);
                   }
                 }
-                assertEquals(List.of(), w.health.silence().judge(w.now));
+                assertEquals(List.of(), w.health.failureDetector().judge(w.now));
               }
             }),
         rule(
@@ -119,43 +119,43 @@
             w -> {
               w.pass(20_000, 0, 0);
               w.pass(30_000, 0, 6);
-              assertEquals(6, w.health.silence().lateCount());
-              assertEquals(0, w.health.silence().cuts());
+              assertEquals(6, w.health.failureDetector().lateCount());
+              assertEquals(0, w.health.failureDetector().cuts());
             }),
         rule(
             "as many dead machines in both zones are no cut",
             w -> {
               w.pass(20_000, 0, 0);
               w.pass(20_000, 5, 15);
-              assertEquals(10, w.health.silence().lateCount());
-              assertEquals(0, w.health.silence().cuts());
+              assertEquals(10, w.health.failureDetector().lateCount());
+              assertEquals(0, w.health.failureDetector().cuts());
             }),
         rule(
             "when nobody is heard the fault is on this side",
             w -> {
               w.pass(20_000, 0, 0);
               w.pass(20_000, 0, 20);
-              assertTrue(w.health.silence().deaf(w.now));
-              assertEquals(0, w.health.silence().cuts());
+              assertTrue(w.health.failureDetector().deaf(w.now));
+              assertEquals(0, w.health.failureDetector().cuts());
             }),
         rule(
             "before many are overdue: with no zone heard at all nothing is said of anybody",
             few -> {
               Simulation w = new Simulation(40, 40);
               w.pass(20_000, 0, 0);
-              assertFalse(w.health.silence().deaf(w.now));
+              assertFalse(w.health.failureDetector().deaf(w.now));
               w.now += 2_700;
-              w.health.silence().judge(w.now);
-              int late = w.health.silence().lateCount();
-              assertTrue(late > 0 && 2 * late < w.health.silence().known());
-              assertTrue(w.health.silence().deaf(w.now));
+              w.health.failureDetector().judge(w.now);
+              int late = w.health.failureDetector().lateCount();
+              assertTrue(late > 0 && 2 * late < w.health.failureDetector().known());
+              assertTrue(w.health.failureDetector().deaf(w.now));
             }),
         rule(
             "a zone whose first report comes by a peer has time to find that way; others have not",
             w -> {
               w.pass(20_000, 0, 0);
               w.now += 9_000;
-              FailureDetector s = w.health.silence();
+              FailureDetector s = w.health.failureDetector();
               s.judge(w.now);
               assertEquals(s.known(), s.lateCount());
               s.rerouted(0, w.now);
@@ -170,7 +170,7 @@
             "a zone that is away when a leader begins is seen although it never reported",
             w -> {
               w.pass(12_000, 0, 10);
-              assertTrue(w.health.silence().cut(0));
+              assertTrue(w.health.failureDetector().cut(0));
             }),
         rule(
             "machines that are gone end a cut, and nothing of them is kept",
@@ -178,10 +178,10 @@
               w.pass(20_000, 0, 0);
               w.pass(10_000, 0, 10);
               w.machines.subList(0, 10).forEach(w.health::gone);
-              w.health.silence().judge(w.now);
-              assertEquals(0, w.health.silence().cuts());
-              assertEquals(10, w.health.silence().known());
-              assertEquals(0, w.health.silence().lateCount());
+              w.health.failureDetector().judge(w.now);
+              assertEquals(0, w.health.failureDetector().cuts());
+              assertEquals(10, w.health.failureDetector().known());
+              assertEquals(0, w.health.failureDetector().lateCount());
             }));
   }
 
@@ -208,16 +208,16 @@
               w.pass(10_000, 0, 0);
               w.now += 30_000;
               assertTrue(w.health.still().turn(w.now) > 0);
-              w.health.silence().listen(w.now);
-              w.health.silence().judge(w.now + 6_000);
-              assertEquals(0, w.health.silence().lateCount());
-              w.health.silence().judge(w.now + 9_000);
-              assertEquals(20, w.health.silence().lateCount());
+              w.health.failureDetector().listen(w.now);
+              w.health.failureDetector().judge(w.now + 6_000);
+              assertEquals(0, w.health.failureDetector().lateCount());
+              w.health.failureDetector().judge(w.now + 9_000);
+              assertEquals(20, w.health.failureDetector().lateCount());
             }));
   }
 
   @TestFactory
-  Stream<DynamicTest> runTimes() {
+  Stream<DynamicTest> stragglerDetector() {
     return Stream.of(
         rule(
             "a machine whose tasks take several times as long as their peers' is slow",
@@ -229,7 +229,7 @@
               }
               assertEquals(Doubt.SLOW, w.doubt(0));
               assertEquals(Doubt.NONE, w.doubt(1));
-              assertEquals(1, w.health.runTimes().doubted());
+              assertEquals(1, w.health.stragglerDetector().doubted());
               assertTrue(w.machines.get(0).pace() > 3);
             }),
         rule(
@@ -249,7 +249,7 @@
               for (int i = 0; i < 200; i++) {
                 w.task(i % 20, 6);
               }
-              assertEquals(0, w.health.runTimes().doubted());
+              assertEquals(0, w.health.stragglerDetector().doubted());
             }),
         rule(
             "nor is a job whose tasks differ widely",
@@ -257,7 +257,7 @@
               for (int i = 0; i < 400; i++) {
                 w.task(i % 20, i % 3 == 0 ? 3 : 0.8 + i % 7 / 5.0);
               }
-              assertEquals(0, w.health.runTimes().doubted());
+              assertEquals(0, w.health.stragglerDetector().doubted());
             }),
         rule(
             "on a day that turns slow at least nine of ten machines stay in favour",
@@ -268,7 +268,7 @@
               for (int i = 0; i < 400; i++) {
                 w.task(i % 20, 4);
               }
-              assertTrue(w.health.runTimes().doubted() <= 2);
+              assertTrue(w.health.stragglerDetector().doubted() <= 2);
             }),
         rule(
             "tasks that do not end although their peers did condemn a machine that hardly moves",
@@ -276,8 +276,8 @@
               for (int i = 0; i < 10; i++) {
                 w.task(1, 1);
               }
-              assertFalse(w.health.runTimes().late(w.job, 60_000, 40));
-              assertTrue(w.health.runTimes().late(w.job, 100_000, 40));
+              assertFalse(w.health.stragglerDetector().late(w.job, 60_000, 40));
+              assertTrue(w.health.stragglerDetector().late(w.job, 100_000, 40));
               w.health.overdue(w.machines.get(0), 4, w.now);
               assertEquals(Doubt.NONE, w.doubt(0));
               w.health.overdue(w.machines.get(0), 5, w.now);
@@ -301,7 +301,7 @@
               w.now += HealthPolicy.defaults().favourMs() + 1;
               w.health.heard(w.machines.get(1), w.now);
               assertEquals(Doubt.NONE, w.doubt(1));
-              assertEquals(0, w.health.runTimes().doubted());
+              assertEquals(0, w.health.stragglerDetector().doubted());
             }),
         rule(
             "errors of several jobs make a machine faulty, those of one job or a bad job do not",
@@ -331,11 +331,11 @@
               for (int c = 0; c < 5_000; c++) {
                 w.health.finished(w.machines.get(0), new RunTimeBaseline(1), c, 1_000, 1, w.now);
               }
-              assertEquals(StragglerDetector.MOST_CLASSES, w.health.runTimes().classes());
+              assertEquals(StragglerDetector.MOST_CLASSES, w.health.stragglerDetector().classes());
               BitSet used = new BitSet();
               used.set(3);
-              w.health.runTimes().keep(used);
-              assertEquals(1, w.health.runTimes().classes());
+              w.health.stragglerDetector().keep(used);
+              assertEquals(1, w.health.stragglerDetector().classes());
             }),
         rule(
             "changes of standing that nobody takes are bounded and counted",
@@ -396,7 +396,7 @@
       for (MachineHealth m : w.machines) {
         counted += m.doubted() ? 1 : 0;
       }
-      assertEquals(counted, w.health.runTimes().doubted());
+      assertEquals(counted, w.health.stragglerDetector().doubted());
       assertTrue(counted <= 4);
     }
   }
--- a/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
+++ b/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
@@ -23,12 +23,13 @@
         new LinkStateTable(POLICY, "n0", List.of("n1", "n2"), List.of("a", "b"), 1, now);
     private final RouteSelector route = new RouteSelector(links, ExternalService.STATE);
     private final HeartbeatRelay carriage = new HeartbeatRelay(POLICY, 2);
-    private long seq;
+    private long sequence;
     private final java.util.Set<String> gone = new java.util.HashSet<>();
 
     private void row(String node, long stateMs) {
       links.row(
-          new LinkStateAdvertisement(node, 1, ++seq, 1, false, stateMs, -1, List.of(), List.of()),
+          new LinkStateAdvertisement(
+              node, 1, ++sequence, 1, false, stateMs, -1, List.of(), List.of()),
           now);
       links.usedPeer(links.peer(node), true, now, now);
     }
@@ -37,8 +38,8 @@
       route.direct(worked, now - 5, now);
     }
 
-    private boolean carry(String machine, long token, long heardMs) {
-      return carriage.carry(machine, 0, token, 3, heardMs, now);
+    private boolean carry(String machine, long fencingToken, long heardMs) {
+      return carriage.carry(machine, 0, fencingToken, 3, heardMs, now);
     }
   }
 
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -35,7 +35,7 @@
       }
 
       @Override
-      public void elected(long term, long mark) {
+      public void elected(long term, long version) {
         elected = term;
       }
 
--- a/src/test/java/org/mallowroad/peer/RelayTransportTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayTransportTest.java
@@ -122,7 +122,7 @@
         }
 
         @Override
-        public void orders(String address, byte[] body, RequestSender.Answer back) {
+        public void commands(String address, byte[] body, RequestSender.Answer back) {
           back.failed(true);
         }
 
@@ -149,7 +149,7 @@
   })
   void onlyWhatDidNothingForCertainCountsAsUnsent(int peerSays, boolean sent) {
     status = peerSays;
-    forwarding.orders(0, "w:1", new byte[] {1}, answer);
+    forwarding.commands(0, "w:1", new byte[] {1}, answer);
     assertEquals(List.of("failed " + sent), said);
   }
 
--- a/src/test/java/org/mallowroad/state/TransactionRetryTest.java
+++ b/src/test/java/org/mallowroad/state/TransactionRetryTest.java
@@ -31,10 +31,10 @@
     }
 
     private void put(String key) {
-      Transaction txn = new Transaction().given(key, 0).put(key, Json.object());
+      Transaction transaction = new Transaction().given(key, 0).put(key, Json.object());
       long sent = c.now;
       state.runRepeated(
-          txn,
+          transaction,
           () -> copies++,
           (result, revision, failed) -> heard.add(result + " after " + (c.now - sent) / 100));
     }
