--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -6,7 +6,7 @@
 import javax.xml.XMLConstants;
 import javax.xml.parsers.DocumentBuilderFactory;
 import javax.xml.parsers.ParserConfigurationException;
-import org.mallowroad.core.AutoscalerPolicy;
+import org.mallowroad.core.autoscaling.AutoscalerPolicy;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.image.ImageFetchPolicy;
 import org.mallowroad.core.linkstate.LinkPolicy;
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -9,8 +9,8 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.ServiceLevelObjectives;
 import org.mallowroad.core.Team;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.wire.JobCodec;
 
 /** What a node knows of its deployment: names as indices, machine types, teams. */
--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -89,6 +89,11 @@
         && stragglerDetector.late(job.peers, now - runningSinceMs, job.spec.estimateS());
   }
 
+  /** When it was first reported to run, on the steady clock; 0 before. */
+  public long runningSinceMs() {
+    return runningSinceMs;
+  }
+
   /** How the worker names it. */
   String key() {
     return key(job.spec.id(), task, number);
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -17,23 +17,23 @@
   final int[] number;
   final Attempt[] live;
   final AttemptRecord[] attemptRecords;
-  final IntArrayFIFOQueue pending = new IntArrayFIFOQueue();
+  public final IntArrayFIFOQueue pending = new IntArrayFIFOQueue();
   final int[] zoneLive;
 
   /** How long its tasks took: the measure of the machines that run the others. */
   final RunTimeBaseline peers;
 
   /** Machines on which a task of this job ended with an error. */
-  final ObjectOpenHashSet<String> failedOn = new ObjectOpenHashSet<>();
+  public final ObjectOpenHashSet<String> failedOn = new ObjectOpenHashSet<>();
 
   /**
    * True when the job fits into its team's guarantee together with the team's earlier unfinished
    * jobs; as of the newest queue.
    */
-  boolean guaranteed;
+  public boolean guaranteed;
 
   /** True when it has waited so long that it goes before guaranteed work of its rank. */
-  boolean aged;
+  public boolean aged;
 
   /**
    * When as many of its tasks as its team's limit allows at once were under way or done, or -1:
@@ -162,7 +162,7 @@
   }
 
   /** True when it goes before other work of its rank: within a guarantee, or long overdue. */
-  boolean goesFirst() {
+  public boolean goesFirst() {
     return guaranteed || aged;
   }
 
@@ -172,11 +172,16 @@
   }
 
   /** False where its other tasks keep its next one from a zone. */
-  boolean mayBeIn(int zone) {
+  public boolean mayBeIn(int zone) {
     return !(spec.together() && liveCount > zoneLive[zone])
         && !(spec.scatter() && zoneLive[zone] >= spec.zoneCap());
   }
 
+  /** Number of unresolved attempts in each zone; a copy. */
+  public int[] liveByZone() {
+    return zoneLive.clone();
+  }
+
   /** True when unresolved attempts of it are in a zone. */
   public boolean liveIn(int zone) {
     return zoneLive[zone] > 0;
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -80,7 +80,7 @@
   /** Since when it holds nothing, or -1. */
   public long emptySinceMs;
 
-  final ObjectLinkedOpenHashSet<Attempt> attempts = new ObjectLinkedOpenHashSet<>();
+  public final ObjectLinkedOpenHashSet<Attempt> attempts = new ObjectLinkedOpenHashSet<>();
 
   /**
    * Attempts whose launch was sent straight to the worker, and the token on that message. It may
@@ -92,7 +92,7 @@
   /** Since when exited attempts stay uncleared for want of a higher token; -1: none does. */
   long unclearedMs = -1;
 
-  final ResourceVector free;
+  public final ResourceVector free;
   final Int2DoubleLinkedOpenHashMap images = new Int2DoubleLinkedOpenHashMap();
 
   Machine(String name, MachineType type, int zone, boolean spot, long fencingToken, long now) {
@@ -143,7 +143,7 @@
   }
 
   /** Remembers an image use; the least recently used ones go when the cache is full. */
-  void useImage(int image, double gb) {
+  public void useImage(int image, double gb) {
     images.putAndMoveToLast(image, gb);
     double sum = 0;
     for (double g : images.values()) {
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -243,7 +243,7 @@
   }
 
   /** Changes with every machine that comes or goes. */
-  long machinesVersion() {
+  public long machinesVersion() {
     return machinesVersion;
   }
 
@@ -278,7 +278,7 @@
   }
 
   /** True when a machine may be asked to hand an image on. */
-  boolean mayGive(Machine m, long now) {
+  public boolean mayGive(Machine m, long now) {
     return unfit(m, now) == null && !m.health.doubted() && m.noticeMs == 0;
   }
 
@@ -466,7 +466,7 @@
   }
 
   /** True when new work may go to the machine at all. */
-  boolean takesWork(Machine m, long now) {
+  public boolean takesWork(Machine m, long now) {
     return unfit(m, now) == null;
   }
 
--- a/src/main/java/org/mallowroad/core/Team.java
+++ b/src/main/java/org/mallowroad/core/Team.java
@@ -33,7 +33,7 @@
   }
 
   /** How many more tasks of the job stay within the limit, {@code n} at the most. */
-  int most(JobSpec job, int n) {
+  public int most(JobSpec job, int n) {
     return new ResourceVector(cpusMax - usedCpus, cardsMax - usedCards, Double.MAX_VALUE)
         .holds(job, n);
   }
@@ -50,13 +50,13 @@
   }
 
   /** True when one more task of the job keeps the team within its guarantee. */
-  boolean guarantees(JobSpec job) {
+  public boolean guarantees(JobSpec job) {
     return usedCpus + job.cpus() <= cpus + ResourceVector.EPS
         && usedCards + job.cards() <= cards + ResourceVector.EPS;
   }
 
   /** True when the team keeps its guarantee in full without one task of the job. */
-  boolean borrows(JobSpec job) {
+  public boolean borrows(JobSpec job) {
     // What is stopping already is as good as gone: many tasks may be stopped in one pass.
     return usedCpus - stoppingCpus - job.cpus() >= cpus - ResourceVector.EPS
         && (job.cards() == 0 || usedCards - job.cards() >= cards - ResourceVector.EPS);
@@ -67,6 +67,11 @@
     usedCards += n * job.cards();
   }
 
+  /** Guaranteed cards. */
+  public double cards() {
+    return cards;
+  }
+
   /** Guaranteed CPUs. */
   public double cpus() {
     return cpus;
--- a/src/main/java/org/mallowroad/core/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.autoscaling;
 
 import it.unimi.dsi.fastutil.longs.Long2LongOpenHashMap;
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
@@ -8,7 +8,16 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.ResourceVector;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 import org.mallowroad.core.health.Health;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
 
 /**
  * Sizes the fleet: rents the cheapest fitting variant on averaged spare, before machines saturate,
@@ -95,12 +104,12 @@
   }
 
   /** Tasks forecast so far. */
-  long forecasts() {
+  public long forecasts() {
     return forecast;
   }
 
   /** Machines looked at so far: what the forecasts cost. */
-  long looked() {
+  public long looked() {
     return looked;
   }
 
@@ -124,7 +133,7 @@
    * starts in minutes; what an array of 100,000 has beyond that rents nothing more, and forecasting
    * it held the loop up for over a second (docs/incidents, huge-array).
    */
-  static final int MOST_FORECAST = 16_000;
+  public static final int MOST_FORECAST = 16_000;
 
   /** The cloud gave all that was asked for: there may be more. */
   public void granted(Variant v) {
@@ -189,7 +198,7 @@
       JobSpec s = queue.get(i).spec;
       Team team = schedulerState.team(s);
       // Tasks beyond their team's limit need no machine.
-      double left = team.cpusMax - team.usedCpus - teamCpus[s.team()];
+      double left = team.cpusMax() - team.usedCpus() - teamCpus[s.team()];
       counts[i] =
           s.cpus() <= 0
               ? queue.get(i).pending.size()
--- a/src/main/java/org/mallowroad/core/AutoscalerPolicy.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/AutoscalerPolicy.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.autoscaling;
 
 /**
  * The design's open settings.
--- a/src/main/java/org/mallowroad/core/explain/AutoscalerView.java
+++ b/src/main/java/org/mallowroad/core/explain/AutoscalerView.java
@@ -1,9 +1,9 @@
 package org.mallowroad.core.explain;
 
 import java.util.List;
-import org.mallowroad.core.Autoscaler.Coming;
-import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.MachineType;
+import org.mallowroad.core.autoscaling.Autoscaler.Coming;
+import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 
 /** What the explanation asks of the leadership beyond ledger and placement. */
 public interface AutoscalerView {
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Locale;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Autoscaler.Coming;
-import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.TaskScheduler;
 import org.mallowroad.core.Team;
+import org.mallowroad.core.autoscaling.Autoscaler.Coming;
+import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /**
  * Finds for each open job why tasks of it wait. {@link #begin} looks at every machine and attempt
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Autoscaler.Coming;
-import org.mallowroad.core.Autoscaler.Rent;
-import org.mallowroad.core.Autoscaler.Variant;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.ResourceVector;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.autoscaling.Autoscaler.Coming;
+import org.mallowroad.core.autoscaling.Autoscaler.Rent;
+import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 
 /**
  * Holds room for gangs until all of a gang's tasks can start at once.
--- a/src/main/java/org/mallowroad/core/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.objective;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.ArrayDeque;
@@ -6,6 +6,11 @@
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.Team;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /**
  * Who is served in a term: of the jobs that should be over by now, how many are, by class and by
--- a/src/main/java/org/mallowroad/core/ServiceLevelObjectives.java
+++ b/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
@@ -1,7 +1,8 @@
-package org.mallowroad.core;
+package org.mallowroad.core.objective;
 
 import it.unimi.dsi.fastutil.ints.Int2DoubleOpenHashMap;
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
+import org.mallowroad.core.JobSpec;
 
 /** What users expect of each class of jobs, as the settings say. */
 public final class ServiceLevelObjectives {
--- a/src/main/java/org/mallowroad/core/ExpectedReleases.java
+++ b/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
@@ -1,8 +1,14 @@
-package org.mallowroad.core;
+package org.mallowroad.core.scheduling;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 import java.util.ArrayList;
 import java.util.List;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.ResourceVector;
+import org.mallowroad.core.autoscaling.Autoscaler;
 
 /**
  * How much room running tasks will set free by themselves within a few seconds. Stopping a task
@@ -53,11 +59,12 @@
     claimed = 0;
     Long2ObjectOpenHashMap<Ends> here = new Long2ObjectOpenHashMap<>();
     for (Job j : jobs) {
-      if (j.liveCount == 0 || j.spec.service()) {
+      if (j.liveCount() == 0 || j.spec.service()) {
         continue;
       }
       here.clear();
-      for (Attempt a : j.live) {
+      for (int task = 0; task < j.spec.tasks(); task++) {
+        Attempt a = j.live(task);
         if (a == null) {
           continue;
         }
@@ -83,7 +90,7 @@
       return 0; // What is stopping is counted by who looks at the machine.
     }
     double estimate = Math.max(1, a.job.spec.estimateS());
-    double ran = (now - a.runningSinceMs) / 1000.0 + horizonS - EARLY * estimate;
+    double ran = (now - a.runningSinceMs()) / 1000.0 + horizonS - EARLY * estimate;
     return ran <= 0 ? 0 : Math.min(1, Math.min(ran, horizonS) / (REST * estimate));
   }
 
--- a/src/main/java/org/mallowroad/core/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
@@ -1,10 +1,17 @@
-package org.mallowroad.core;
+package org.mallowroad.core.scheduling;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.Comparator;
 import java.util.List;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.ResourceVector;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 
 /**
  * Places waiting tasks first-fit: by priority, then teams within their guarantee, then deadline.
@@ -36,7 +43,7 @@
   private static final double YIELD = 0.3;
 
   /** Users expect every job to have begun by then, the largest ones too (PROTOCOL's additions). */
-  static final double BEGIN_S = 240;
+  public static final double BEGIN_S = 240;
 
   /**
    * A job that has waited so long, less the fetch of its image, goes before guaranteed work of its
@@ -73,12 +80,12 @@
   }
 
   /** Machines looked at so far: what a pass costs. */
-  long looked() {
+  public long looked() {
     return looked;
   }
 
   /** Attempts looked at so far for what will end soon. */
-  long surveyed() {
+  public long surveyed() {
     return releases.looked();
   }
 
@@ -96,7 +103,7 @@
     double[] cards = new double[schedulerState.teams().size()];
     List<Job> open = new ArrayList<>();
     for (Job j : schedulerState.jobs()) {
-      if (!j.cancelled && !j.ended && !j.held) {
+      if (!j.cancelled() && !j.ended() && !j.held()) {
         open.add(j);
       }
     }
@@ -110,8 +117,8 @@
       cards[s.team()] += left * s.cards();
       Team team = schedulerState.team(s);
       j.guaranteed =
-          cpus[s.team()] <= team.cpus + ResourceVector.EPS
-              && cards[s.team()] <= team.cards + ResourceVector.EPS;
+          cpus[s.team()] <= team.cpus() + ResourceVector.EPS
+              && cards[s.team()] <= team.cards() + ResourceVector.EPS;
       j.aged = now - j.sinceMs() > 1000 * Math.max(0, AGED_S - fetchS(s));
       if (j.waiting()) {
         ranks.add(new Rank(j, j.sinceMs() + (long) (1000 * patience(s))));
@@ -402,9 +409,9 @@
     JobSpec s = job.spec;
     int n = job.pending.size();
     List<Machine> most = List.of();
-    for (int zone = 0; zone < job.zoneLive.length && most.size() < n; zone++) {
+    for (int zone = 0; zone < schedulerState.zones() && most.size() < n; zone++) {
       List<Machine> places = new ArrayList<>();
-      int[] inZone = job.zoneLive.clone();
+      int[] inZone = job.liveByZone();
       for (Machine m : order) {
         if (s.together() && m.zone != zone) {
           continue;
@@ -443,7 +450,7 @@
   private boolean preempt(Job job, long now) {
     JobSpec s = job.spec;
     Team team = schedulerState.team(s);
-    long waited = now - job.waitingSinceMs;
+    long waited = now - job.waitingSinceMs();
     int need = team.most(s, job.pending.size());
     int coming = releases.coming(s, need);
     releases.claim(s, need);
@@ -461,8 +468,7 @@
           || !s.allows(m.type.index(), m.zone, m.spot)
           || !m.type.fits(s)
           || avoids(s, m)
-          || (s.together() && job.liveCount > job.zoneLive[m.zone])
-          || (s.scatter() && job.zoneLive[m.zone] >= s.zoneCap())) {
+          || !job.mayBeIn(m.zone)) {
         continue;
       }
       ResourceVector room = new ResourceVector(m.free.cpus, m.free.cards, m.free.memGb);
@@ -540,7 +546,7 @@
           schedulerState.stop(a, s.saveS(), now);
         } else if (a.phase != Attempt.Phase.RUNNING
             || s.service()
-            || s.estimateS() - (now - a.runningSinceMs) / 1000.0 > left) {
+            || s.estimateS() - (now - a.runningSinceMs()) / 1000.0 > left) {
           schedulerState.stop(a, 0, now);
         }
       }
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -13,13 +13,13 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.TaskScheduler;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.image.ImageFetchPolicy;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /**
  * How long a wave takes in which many machines want one image: the decisions themselves over a
--- a/src/test/java/org/mallowroad/config/SettingsTest.java
+++ b/src/test/java/org/mallowroad/config/SettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.mallowroad.core.AutoscalerPolicy;
+import org.mallowroad.core.autoscaling.AutoscalerPolicy;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.linkstate.LinkPolicy;
 
--- a/src/test/java/org/mallowroad/controller/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/FailureResponderTest.java
@@ -10,8 +10,6 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Attempt;
-import org.mallowroad.core.Autoscaler;
-import org.mallowroad.core.AutoscalerPolicy;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpecs;
@@ -19,11 +17,13 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.ServiceLevelObjectives;
-import org.mallowroad.core.TaskScheduler;
 import org.mallowroad.core.Team;
+import org.mallowroad.core.autoscaling.Autoscaler;
+import org.mallowroad.core.autoscaling.AutoscalerPolicy;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** Many machines fall together: what is returned, what is rented, what is only waited for. */
 final class FailureResponderTest {
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -23,7 +23,7 @@
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.TaskScheduler;
+import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.XnioEnvironment;
 import org.mallowroad.wire.Json;
--- a/src/test/java/org/mallowroad/core/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/GangReservationsTest.java
@@ -11,10 +11,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.Autoscaler.Coming;
-import org.mallowroad.core.Autoscaler.Rent;
-import org.mallowroad.core.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.Autoscaler;
+import org.mallowroad.core.autoscaling.Autoscaler.Coming;
+import org.mallowroad.core.autoscaling.Autoscaler.Rent;
+import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.AutoscalerPolicy;
 import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** Gangs gather: in one place, once, for a bounded time, and never against each other. */
 final class GangReservationsTest {
--- a/src/test/java/org/mallowroad/core/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/ImageDistributionTest.java
@@ -13,6 +13,7 @@
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.image.ImageFetchPolicy;
+import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.simulation.ImageFetchWave;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
--- a/src/test/java/org/mallowroad/core/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/LargestJobsTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.mallowroad.core.dependency.JobDependencies;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** The largest jobs, and those with large images, begin within four minutes as the others do. */
 final class LargestJobsTest {
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -14,14 +14,15 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.Autoscaler.Coming;
-import org.mallowroad.core.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.Autoscaler.Coming;
+import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.core.explain.PendingCause;
 import org.mallowroad.core.explain.PendingReason;
 import org.mallowroad.core.explain.PendingReasonExplainer;
 import org.mallowroad.core.explain.SnapshotBuilder;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** Each reason with what brings it about, and gone when that is taken away. */
 final class PendingReasonExplainerTest {
--- a/src/test/java/org/mallowroad/core/SchedulerStateTest.java
+++ b/src/test/java/org/mallowroad/core/SchedulerStateTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Heartbeat.State;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** Each rule with its failure: when a task may start, and when its attempt is proven gone. */
 final class SchedulerStateTest {
--- a/src/test/java/org/mallowroad/core/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,6 +7,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
+import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** Renting and returning as the design says, and its exceptions. */
 final class AutoscalerTest {
--- a/src/test/java/org/mallowroad/core/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -1,10 +1,16 @@
-package org.mallowroad.core;
+package org.mallowroad.core.objective;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 
 /** Of what was due, how much is done, by class and team. */
 final class ObjectiveAttainmentTest {
--- a/src/test/java/org/mallowroad/core/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,6 +7,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 
 /** Stopping is for room that does not come by itself. */
 final class ExpectedReleasesTest {
