--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.core.gang.MachinePool;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.image.ImageDistribution;
@@ -24,7 +25,7 @@
  *
  * <p>What is said to one machine and by it is the matter of {@link HeartbeatReconciler}.
  */
-public final class SchedulerState {
+public final class SchedulerState implements MachinePool {
   /** How an attempt ended. */
   public enum Outcome {
     /** Completed. */
@@ -168,11 +169,13 @@
   }
 
   /** All machines not proven gone. */
+  @Override
   public Collection<Machine> machines() {
     return machines.values();
   }
 
   /** A machine by name, or null. */
+  @Override
   public Machine machine(String name) {
     return machines.get(name);
   }
@@ -258,6 +261,7 @@
   }
 
   /** What is suspected in this term. */
+  @Override
   public Health health() {
     return health;
   }
@@ -283,6 +287,7 @@
   }
 
   /** How many zones there are. */
+  @Override
   public int zones() {
     return zones.size();
   }
@@ -466,6 +471,7 @@
   }
 
   /** True when new work may go to the machine at all. */
+  @Override
   public boolean takesWork(Machine m, long now) {
     return unfit(m, now) == null;
   }
@@ -733,6 +739,7 @@
   }
 
   /** Asks for a stop of an attempt so that its machine can drain or another job gets room. */
+  @Override
   public void stop(Attempt a, double graceS, long now) {
     if (!a.stopping()) {
       team(a.job.spec).stoppingCpus += a.job.spec.cpus();
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -15,7 +15,6 @@
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.ResourceVector;
-import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.autoscaling.Autoscaler.Coming;
 import org.mallowroad.core.autoscaling.Autoscaler.Rent;
 import org.mallowroad.core.autoscaling.Autoscaler.Variant;
@@ -27,7 +26,7 @@
  * that comes free one machine after the other goes to whatever fits there. So a gang that waits
  * gathers: in one zone where its tasks must be together, else in the whole fleet. A machine held
  * for it takes nothing else, and what is lacking is rented once, in that place. The rules are kept
- * elsewhere: a held machine is a machine on which {@link SchedulerState#mayStart} refuses others,
+ * elsewhere: a held machine is a machine on which {@code SchedulerState.mayStart} refuses others,
  * no more.
  *
  * <p><b>No deadlock, no rents without end.</b> In a zone one gang gathers at a time, and one more
@@ -129,7 +128,7 @@
     private int zone = ANYWHERE;
   }
 
-  private final SchedulerState schedulerState;
+  private final MachinePool machinePool;
   private final Reference2ObjectLinkedOpenHashMap<Job, Gather> gathers =
       new Reference2ObjectLinkedOpenHashMap<>();
   private final Reference2ObjectLinkedOpenHashMap<Job, MetricHistory> pasts =
@@ -142,9 +141,9 @@
   private long looked;
   private long clock;
 
-  /** Over one term's ledger. */
-  public GangReservations(SchedulerState schedulerState) {
-    this.schedulerState = schedulerState;
+  /** Without reservations, over the machines of one term. */
+  public GangReservations(MachinePool machinePool) {
+    this.machinePool = machinePool;
   }
 
   /** Machines and attempts looked at so far: what gathering costs. */
@@ -178,7 +177,7 @@
    * @param mayStart whether a gang's turn has come: neither held back nor beyond its team's limit
    */
   public void reserve(List<Job> queue, Predicate<Job> mayStart, long now) {
-    losses.watch(schedulerState.machines(), now);
+    losses.watch(machinePool.machines(), now);
     if (gathers.isEmpty() && queue.stream().noneMatch(j -> j.spec.gang())) {
       pasts.clear();
       return;
@@ -191,7 +190,7 @@
     }
     pasts.keySet().removeIf(j -> !j.waiting());
     for (Job job : queue) {
-      if (!job.spec.gang() || !mayStart.test(job) || job.spec.contradicts(schedulerState.zones())) {
+      if (!job.spec.gang() || !mayStart.test(job) || job.spec.contradicts(machinePool.zones())) {
         continue;
       }
       Gather g = gathers.get(job);
@@ -228,13 +227,13 @@
     long bestAt = Long.MAX_VALUE;
     int bestNear = -1;
     int from = job.spec.together() ? 0 : ANYWHERE;
-    int to = job.spec.together() ? schedulerState.zones() : 0;
+    int to = job.spec.together() ? machinePool.zones() : 0;
     for (int zone = from; zone < to; zone++) {
       if (taken(zone)
           || past.untilMs.get(zone) > now
           || (job.spec.zone() >= 0 && zone >= 0 && zone != job.spec.zone())
           || (job.spec.together() && job.liveCount() > 0 && !job.liveIn(zone))
-          || (zone >= 0 && schedulerState.health().failureDetector().cut(zone))) {
+          || (zone >= 0 && machinePool.health().failureDetector().cut(zone))) {
         continue;
       }
       long boot = bootMs(job.spec, zone, now);
@@ -261,7 +260,7 @@
 
   /** When the machines that there are have room for the whole gang; the largest long for never. */
   private long completeMs(Job job, int zone, long now) {
-    int[] inZone = new int[schedulerState.zones()];
+    int[] inZone = new int[machinePool.zones()];
     int places = 0;
     for (Option o : options(job, zone, now + HORIZON_MS)) {
       int some = Math.min(o.holds, job.spec.zoneCap() - inZone[o.machine.zone]);
@@ -303,7 +302,7 @@
 
   private int count(Variant v) {
     int n = 0;
-    for (Machine m : schedulerState.machines()) {
+    for (Machine m : machinePool.machines()) {
       boolean is = m.type.index() == v.type().index() && m.zone == v.zone() && m.spot == v.spot();
       n += is && !m.failed && !m.returning ? 1 : 0;
     }
@@ -321,7 +320,7 @@
       // One machine that is taken ends the run of all: what is cheap by the hour may cost more.
       double again = losses.repeats((s.tasks() + holds - 1) / holds, s.estimateS());
       for (int z : t.zones()) {
-        if ((zone >= 0 && z != zone) || schedulerState.health().failureDetector().cut(z)) {
+        if ((zone >= 0 && z != zone) || machinePool.health().failureDetector().cut(z)) {
           continue;
         }
         for (int k = 0; k < 2; k++) {
@@ -345,7 +344,7 @@
   private List<Option> options(Job job, int zone, long byMs) {
     List<Option> out = new ArrayList<>();
     long now = clock;
-    for (Machine m : schedulerState.machines()) {
+    for (Machine m : machinePool.machines()) {
       looked++;
       if ((zone < 0 || m.zone == zone) && allows(job, m, now)) {
         Option o = option(job, m, now, byMs);
@@ -365,7 +364,7 @@
   private boolean allows(Job job, Machine m, long now) {
     return (m.heldFor == null || m.heldFor == job)
         && !m.health.doubted()
-        && schedulerState.unfit(m, now) == null
+        && machinePool.takesWork(m, now)
         && job.spec.allows(m.type.index(), m.zone, m.spot)
         && m.type.fits(job.spec);
   }
@@ -413,7 +412,7 @@
 
   /** Tasks of the gang that have room, by its zone rules. */
   private int sum(Job job, Collection<Option> options) {
-    int[] inZone = new int[schedulerState.zones()];
+    int[] inZone = new int[machinePool.zones()];
     int sum = 0;
     for (Option o : options) {
       int some = Math.min(o.holds, job.spec.zoneCap() - inZone[o.machine.zone]);
@@ -428,7 +427,7 @@
     clock = now;
     boolean look = now - g.lookedMs >= LOOK_MS;
     for (Machine m : g.held.toArray(new Machine[0])) {
-      if (schedulerState.machine(m.name) != m || !allows(g.job, m, now)) {
+      if (machinePool.machine(m.name) != m || !allows(g.job, m, now)) {
         free(g, m);
       }
     }
@@ -447,7 +446,7 @@
                 >= need(g.job);
     long by = now + (enough ? boot : HORIZON_MS);
     int wanted = need(g.job) - g.coming;
-    int[] inZone = new int[schedulerState.zones()];
+    int[] inZone = new int[machinePool.zones()];
     int places = 0;
     for (Option o : options(g.job, g.zone, by)) {
       int some = Math.min(o.holds, g.job.spec.zoneCap() - inZone[o.machine.zone]);
@@ -467,7 +466,7 @@
 
   /** New machines and freed ones: cheap enough for every pass. */
   private void takeFree(Gather g, long now) {
-    for (Machine m : schedulerState.machines()) {
+    for (Machine m : machinePool.machines()) {
       if (g.places >= need(g.job) - g.coming) {
         return;
       }
@@ -501,7 +500,7 @@
           && a.job.spec.priority() > job.spec.priority()
           && a.number <= MOST_TRIES
           && (a.phase == Attempt.Phase.RUNNING || a.phase == Attempt.Phase.PULLING)) {
-        schedulerState.stop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
+        machinePool.stop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
       }
     }
   }
