--- /dev/null
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -0,0 +1,192 @@
+package org.mallowroad.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Chunk;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.Ledger;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.Names;
+import org.mallowroad.core.SharedRecord;
+import org.mallowroad.core.Team;
+import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.state.Records;
+import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.HoldCodec;
+import org.mallowroad.wire.JobCodec;
+import org.mallowroad.wire.Json;
+import org.mallowroad.wire.TypeCodec;
+
+/** Values of the state service that an earlier build wrote are read and written again as such. */
+final class RecordValuesGoldenTest {
+  private static final GoldenFile VALUES = new GoldenFile("record-values.txt");
+  private static final long NOW_MS = 1_000_000;
+
+  private static final String SUBMISSION =
+      "{\"name_id\":\"job-000412\",\"docket\":\"train\",\"crew\":\"vision\",\"form\":\"sweep\","
+          + "\"rank\":\"urgent\",\"moves\":300,\"cpus\":1.5,\"cards\":1.0,\"mem_gb\":64.25,"
+          + "\"kit\":\"img-07\",\"size_gb\":6.2,\"builds\":[\"g8\"],\"ground\":null,"
+          + "\"together\":true,\"scatter\":false,\"driftwood\":true,\"reckon_s\":240.0,"
+          + "\"cairn_s\":30.0,\"stow_s\":4.0,\"due_s\":900.0,\"unknown\":1,"
+          + "\"holds\":{\"jobs\":[\"job-1\"],\"games\":[{\"league\":\"l\",\"up_to\":9}]}}";
+
+  private static final String SECOND_SUBMISSION =
+      SUBMISSION.replace("job-000412", "job-7").replace("\"moves\":300", "\"moves\":4");
+
+  /** Names with indices, and machines that records speak of. */
+  private static final class Deployment {
+    private final Names zones = new Names();
+    private final Names types = new Names();
+    private final Names teams = new Names();
+    private final JobCodec codec = new JobCodec(teams, zones, types, new Names(), new Names());
+    private final Ledger ledger;
+    private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+
+    Deployment() {
+      zones.intern("a");
+      zones.intern("b");
+      teams.intern("vision");
+      for (String name : List.of("g8", "c16")) {
+        int index = types.intern(name);
+        machineTypes.put(
+            name, new MachineType(index, name, 96, 8, 768, 200, 1, 12, 4.5, 45, new int[] {0, 1}));
+      }
+      ledger = new Ledger(1, 20, 3, List.of(new Team("vision", 64, 0, 128, 0)), zones);
+    }
+
+    Job accept(String submission) throws BadMessage {
+      JsonNode record = Json.parseObject(submission.getBytes(StandardCharsets.UTF_8));
+      JobSpec spec = codec.decode(JobCodec.record((ObjectNode) record), NOW_MS);
+      return ledger.accept(spec, 5, 0, NOW_MS);
+    }
+
+    Chunk restore(Chunk chunk, JsonNode run) {
+      ledger.restore(chunk, 6, Records.done(run), run.path("high").asInt());
+      for (Records.Live live : Records.live(run)) {
+        MachineType type = machineTypes.get(live.type());
+        Machine machine =
+            ledger.meet(live.machine(), type, zones.find(live.zone()), live.spot(), NOW_MS);
+        ledger.restoreAttempt(
+            chunk.job, live.task(), live.number(), machine, live.session(), NOW_MS);
+      }
+      return chunk;
+    }
+  }
+
+  /** Reads a value and writes it again. */
+  @FunctionalInterface
+  private interface Rewrite {
+    JsonNode apply(ObjectNode value) throws BadMessage;
+  }
+
+  private record Case(String key, Rewrite rewrite) {}
+
+  private static List<Case> cases() {
+    return List.of(
+        new Case(Records.open("job-000412"), RecordValuesGoldenTest::rewriteOpen),
+        new Case(Records.open("job-7"), RecordValuesGoldenTest::rewriteOpen),
+        new Case(Records.end("job-000412"), RecordValuesGoldenTest::rewriteEnd),
+        new Case(Records.end("job-7"), RecordValuesGoldenTest::rewriteEnd),
+        new Case(
+            Records.RUN + "job-000412/0",
+            v -> {
+              Deployment d = new Deployment();
+              return Records.runValue(d.restore(d.accept(SUBMISSION).chunk(0), v), d.zones);
+            }),
+        new Case(
+            Records.RUN + "job-000412/2",
+            v -> {
+              Deployment d = new Deployment();
+              return Records.runValue(d.restore(d.accept(SUBMISSION).chunk(2), v), d.zones);
+            }),
+        new Case(Records.STARTS + "1-7", RecordValuesGoldenTest::rewriteShared),
+        new Case(
+            Records.league("pnw-2026"),
+            v ->
+                Records.leagueValue(
+                    v.get(Records.UP_TO).asLong(), v.get(Records.CHANGES).asLong())),
+        new Case(Records.held("job-000412"), v -> HoldCodec.held(HoldCodec.ties(v))),
+        new Case(Records.held("job-7"), v -> HoldCodec.held(HoldCodec.ties(v))),
+        new Case(
+            Records.fold(new BlockKey("pnw-2026", 31)), v -> FoldCodec.encode(FoldCodec.decode(v))),
+        new Case("types", RecordValuesGoldenTest::rewriteTypes));
+  }
+
+  private static JsonNode rewriteOpen(ObjectNode value) {
+    return Records.openValue((ObjectNode) value.get("job"), value.get("at").asLong());
+  }
+
+  private static JsonNode rewriteEnd(ObjectNode value) {
+    boolean done = value.get("end").asText().equals(Fields.DONE);
+    return Records.endValue(done, value.path("tasks").asInt(), value.get("open"));
+  }
+
+  private static JsonNode rewriteTypes(ObjectNode value) throws BadMessage {
+    Deployment deployment = new Deployment();
+    return TypeCodec.encode(
+        TypeCodec.decode(value, deployment.types, deployment.zones), deployment.zones);
+  }
+
+  private static JsonNode rewriteShared(ObjectNode value) throws BadMessage {
+    Deployment deployment = new Deployment();
+    SharedRecord shared = deployment.ledger.sharedRecords().restore("1-7", 6);
+    assertEquals(Records.STARTS + "1-7", Records.starts(shared));
+    List<Chunk> members = new ArrayList<>();
+    for (Map.Entry<String, JsonNode> run : Records.sharedRuns(value)) {
+      String submission =
+          SECOND_SUBMISSION.replace("job-7", run.getKey()).replace("\"moves\":4", "\"moves\":9");
+      members.add(deployment.restore(deployment.accept(submission).chunk(0), run.getValue()));
+    }
+    return Records.sharedValue(members, deployment.zones);
+  }
+
+  @TestFactory
+  Iterable<DynamicTest> valuesAreReadAndWrittenAgainByteForByte() {
+    return cases().stream()
+        .map(
+            c ->
+                DynamicTest.dynamicTest(
+                    c.key(),
+                    () -> {
+                      String golden = VALUES.entries().get(c.key());
+                      ObjectNode value = Json.parseObject(golden.getBytes(StandardCharsets.UTF_8));
+                      assertEquals(golden, Json.text(c.rewrite().apply(value)));
+                    }))
+        .toList();
+  }
+
+  @Test
+  void everyGoldenValueIsWrittenAgain() {
+    assertEquals(List.copyOf(VALUES.entries().keySet()), cases().stream().map(Case::key).toList());
+  }
+
+  @Test
+  void aSubmissionIsRecordedWithItsKnownFieldsInTheirOrder() throws BadMessage {
+    ObjectNode submission = Json.parseObject(SUBMISSION.getBytes(StandardCharsets.UTF_8));
+    assertEquals(
+        VALUES.entries().get(Records.open("job-000412")),
+        Json.text(Records.openValue(submission, 1_800_000_000_123L)));
+  }
+
+  @Test
+  void keysOfBlocksAreReadAndWrittenAgain() {
+    assertEquals("fold/pnw-2026/0000031", Records.fold(new BlockKey("pnw-2026", 31)));
+    assertEquals(new BlockKey("pnw-2026", 31), Records.block("fold/pnw-2026/0000031"));
+    assertEquals("intent/job-7", Records.intent("job-7"));
+    assertEquals("release/job-7", Records.release("job-7"));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mallowroad/peer/PeerMessages.java
@@ -0,0 +1,132 @@
+package org.mallowroad.peer;
+
+import java.lang.reflect.Field;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import org.apache.avro.Schema;
+import org.mallowroad.core.links.Row;
+import org.mallowroad.wire.BadMessage;
+
+/** One of each message between controllers, for tests of other packages. */
+public final class PeerMessages {
+  private static final PeerCodec PEERS = new PeerCodec();
+  private static final LinkCodec LINKS = new LinkCodec();
+  private static final byte[] BODY = "{\"moves\":16}".getBytes(StandardCharsets.UTF_8);
+
+  /** Reads a message and writes it again. */
+  @FunctionalInterface
+  private interface Rewrite {
+    byte[] apply(byte[] bytes) throws BadMessage;
+  }
+
+  private static final Map<String, byte[]> SAMPLES = new LinkedHashMap<>();
+  private static final Map<String, Rewrite> REWRITES = new LinkedHashMap<>();
+
+  static {
+    add(
+        "term announced",
+        PEERS.encode(new PeerCodec.Announce("hearth-1", 4_294_967_298L)),
+        b -> PEERS.encode(PEERS.announce(b)));
+    add(
+        "user's request",
+        PEERS.encode(new PeerCodec.Relay("POST", "/v1/jobs", BODY)),
+        b -> PEERS.encode(PEERS.relay(b)));
+    add(
+        "answer to a user's request",
+        PEERS.encode(new PeerCodec.Relayed(201, BODY)),
+        b -> PEERS.encode(PEERS.relayed(b)));
+    add(
+        "leader with too much to record",
+        PEERS.encode(new PeerCodec.Overloaded(7)),
+        b -> PEERS.encode(PEERS.overloaded(b)));
+    add(
+        "cancelled jobs",
+        PEERS.encode(new PeerCodec.Cancelled(List.of("job-000412", "job-7"))),
+        b -> PEERS.encode(PEERS.cancelled(b)));
+    add("no cancelled jobs", PEERS.encode(new PeerCodec.Cancelled(List.of())), null);
+    List<Row.Heard> zones = List.of(new Row.Heard("a", 250, -1), new Row.Heard("b", -1, 3_000));
+    Row row =
+        new Row(
+            "hearth-2", 1_800_000_000_123L, 88, 3, true, 40, -1, List.of("hearth-0", "n9"), zones);
+    add("row of links", LINKS.encode(row), b -> LINKS.encode(LINKS.row(b)));
+    add(
+        "call for another controller",
+        LINKS.encode(new LinkCodec.Forward("state", "POST", "/multi", BODY, 1_500)),
+        b -> LINKS.encode(LINKS.forward(b)));
+    add(
+        "answered call",
+        LINKS.encode(new LinkCodec.Forwarded(LinkCodec.ANSWERED, 200, BODY)),
+        b -> LINKS.encode(LINKS.forwarded(b)));
+    add(
+        "call that was not sent",
+        LINKS.encode(new LinkCodec.Forwarded(LinkCodec.NOT_SENT, 0, new byte[0])),
+        b -> LINKS.encode(LINKS.forwarded(b)));
+    add(
+        "call of unknown outcome",
+        LINKS.encode(new LinkCodec.Forwarded(LinkCodec.UNKNOWN, 0, new byte[0])),
+        b -> LINKS.encode(LINKS.forwarded(b)));
+    add(
+        "worker's report",
+        LINKS.encode(new LinkCodec.Carry("hearth-1", BODY)),
+        b -> LINKS.encode(LINKS.carry(b)));
+    add(
+        "later process",
+        LINKS.encode(new LinkCodec.Later(1_800_000_000_456L)),
+        b -> LINKS.encode(LINKS.later(b)));
+  }
+
+  private PeerMessages() {}
+
+  private static void add(String name, byte[] bytes, Rewrite rewrite) {
+    SAMPLES.put(name, bytes);
+    REWRITES.put(name, rewrite == null ? b -> PEERS.encode(PEERS.cancelled(b)) : rewrite);
+  }
+
+  /** The bytes of one message of each form, by what it says. */
+  public static Map<String, byte[]> samples() {
+    return SAMPLES;
+  }
+
+  /** Reads the bytes of a message and writes it again. */
+  public static byte[] rewritten(String name, byte[] bytes) throws BadMessage {
+    return REWRITES.get(name).apply(bytes);
+  }
+
+  /** All schemas of the messages, those of their parts as well. */
+  public static List<Schema> schemas() throws IllegalAccessException {
+    List<Schema> schemas = new ArrayList<>();
+    Set<String> seen = new TreeSet<>();
+    for (Object codec : List.of(PEERS, LINKS)) {
+      for (Field field : codec.getClass().getDeclaredFields()) {
+        field.setAccessible(true);
+        Schema schema = schema(field.get(codec));
+        if (schema != null && seen.add(schema.toString())) {
+          schemas.add(schema);
+        }
+      }
+    }
+    return schemas;
+  }
+
+  /** The value itself where it is a schema, or the schema that it holds, or null. */
+  private static Schema schema(Object value) throws IllegalAccessException {
+    if (value == null || value instanceof Schema) {
+      return (Schema) value;
+    }
+    if (value.getClass().getNestHost() != LinkCodec.class) {
+      return null;
+    }
+    for (Field field : value.getClass().getDeclaredFields()) {
+      if (field.getType() == Schema.class) {
+        field.setAccessible(true);
+        return (Schema) field.get(value);
+      }
+    }
+    return null;
+  }
+}
