--- /dev/null
+++ b/src/test/java/org/mallowroad/cli/CommandRuns.java
@@ -0,0 +1,62 @@
+package org.mallowroad.cli;
+
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import picocli.CommandLine;
+import picocli.CommandLine.Help.Ansi;
+
+/** Runs commands inside the process, for tests of other packages. */
+public final class CommandRuns {
+  private CommandRuns() {}
+
+  /** What came of a command. */
+  public record Outcome(int code, String out, String err) {}
+
+  /** Runs the command line without a node. */
+  public static Outcome run(String... args) {
+    PrintStream outBefore = System.out;
+    PrintStream errBefore = System.err;
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    ByteArrayOutputStream err = new ByteArrayOutputStream();
+    StringWriter help = new StringWriter();
+    StringWriter wrongUse = new StringWriter();
+    try {
+      System.setOut(new PrintStream(out, true, StandardCharsets.UTF_8));
+      System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
+      CommandLine line = commandLine();
+      line.setOut(new PrintWriter(help, true)).setErr(new PrintWriter(wrongUse, true));
+      int code = line.execute(args);
+      return new Outcome(
+          code,
+          help + out.toString(StandardCharsets.UTF_8),
+          wrongUse + err.toString(StandardCharsets.UTF_8));
+    } finally {
+      System.setOut(outBefore);
+      System.setErr(errBefore);
+    }
+  }
+
+  /** The help texts of all commands by their names. */
+  public static Map<String, String> help() {
+    Map<String, String> texts = new LinkedHashMap<>();
+    addHelp(commandLine(), texts);
+    return texts;
+  }
+
+  private static void addHelp(CommandLine command, Map<String, String> texts) {
+    texts.put(command.getCommandSpec().qualifiedName(), command.getUsageMessage(Ansi.OFF));
+    command.getSubcommands().values().forEach(sub -> addHelp(sub, texts));
+  }
+
+  private static CommandLine commandLine() {
+    CommandLine line = Main.line(false);
+    line.setColorScheme(CommandLine.Help.defaultColorScheme(Ansi.OFF));
+    line.setUsageHelpAutoWidth(false);
+    return line;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -0,0 +1,152 @@
+package org.mallowroad.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.explain.JobPicture;
+import org.mallowroad.core.explain.Picture;
+import org.mallowroad.core.explain.Reason;
+import org.mallowroad.core.explain.Sample;
+import org.mallowroad.core.explain.Sight;
+import org.mallowroad.core.links.Outside;
+import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.ConsoleCodec;
+
+/**
+ * The console's JSON, whose field names are those of Java record components, and the words of other
+ * messages that are the names of Java constants.
+ */
+final class ConsoleGoldenTest {
+  private static final GoldenFile ANSWERS = new GoldenFile("console.txt");
+  private static final String SIGHT = "node";
+  private static final String SIGHT_WITHOUT_PICTURE = "node without a picture";
+  private static final String JOB = "job";
+  private static final String CLOSED_JOB = "job that is not open";
+  private static final String HISTORY = "history";
+
+  private static final Picture.JobLine JOB_LINE =
+      new Picture.JobLine(
+          "job-000412",
+          "vision",
+          "train",
+          1,
+          16,
+          3,
+          4,
+          2,
+          7,
+          1,
+          61.5,
+          true,
+          -3.25,
+          true,
+          2,
+          Reason.BOOTING.name(),
+          12.5,
+          30.0,
+          "a",
+          "2 machines of g8");
+
+  private static Picture picture() {
+    return new Picture(
+        Picture.FORMAT,
+        "hearth-0",
+        Picture.Phase.LEADING,
+        3,
+        "hearth-0",
+        1_800_000_000_123L,
+        850,
+        4,
+        0.25,
+        true,
+        new Picture.Totals(1, 7, 2, 4, 5, 2, 90, 61, 12.75, 3),
+        List.of(new Picture.TeamLine("vision", 48.0, 64.0, 128.0, 7, 4)),
+        List.of(JOB_LINE),
+        5,
+        List.of(new Picture.ZoneLine("a", 4, 1, true, 9.5)),
+        List.of(new Picture.MachineLine("a", "g8", true, 4, 2, 1, 1, 0, 1, 384.0, 48.0, 4.5, -1.0)),
+        List.of(
+            new Picture.ReasonLine(
+                "vision", "train", Reason.BOOTING.name(), 1, 7, 12.5, "job-000412", "2 machines")));
+  }
+
+  private static Map<String, Object> samples() {
+    Map<String, Object> samples = new LinkedHashMap<>();
+    List<String> stack = List.of("one frame", "another");
+    samples.put(SIGHT, new Sight(1, "hearth-0", 1_250, stack, 0.5, picture()));
+    samples.put(SIGHT_WITHOUT_PICTURE, new Sight(1, "hearth-1", 0, List.of(), -1, null));
+    samples.put(
+        JOB,
+        new JobPicture(
+            "job-000412",
+            JOB_LINE,
+            Reason.BOOTING.remedy(),
+            List.of(
+                new JobPicture.TaskLine(
+                    3, 2, "running", "n-000231", "g8", "a", true, false, true, 61.5)),
+            9));
+    samples.put(CLOSED_JOB, new JobPicture("job-7", null, "", List.of(), 0));
+    samples.put(
+        HISTORY,
+        List.of(
+            new Sample(
+                1_800_000_000_123L,
+                3,
+                90,
+                61,
+                12.75,
+                new TreeMap<>(Map.of("vision", 7)),
+                new TreeMap<>(Map.of("vision", 4)),
+                new TreeMap<>(Map.of("g8 a", 4)),
+                new TreeMap<>(Map.of(Reason.BOOTING.name(), 7)))));
+    return samples;
+  }
+
+  @Test
+  void answersAreWrittenByteForByte() {
+    Map<String, String> json = new LinkedHashMap<>();
+    samples().forEach((name, value) -> json.put(name, GoldenFile.text(ConsoleCodec.bytes(value))));
+    ANSWERS.check(json);
+  }
+
+  @Test
+  void answersOfAnEarlierBuildAreReadAndWrittenAgain() throws BadMessage {
+    for (Map.Entry<String, String> answer : ANSWERS.entries().entrySet()) {
+      byte[] golden = answer.getValue().getBytes(StandardCharsets.UTF_8);
+      Object read =
+          switch (answer.getKey()) {
+            case SIGHT, SIGHT_WITHOUT_PICTURE -> ConsoleCodec.sight(golden);
+            case JOB, CLOSED_JOB -> ConsoleCodec.job(golden);
+            default -> ConsoleCodec.history(golden);
+          };
+      assertEquals(answer.getValue(), GoldenFile.text(ConsoleCodec.bytes(read)));
+      assertEquals(samples().get(answer.getKey()), read);
+    }
+  }
+
+  @Test
+  void wordsThatConstantsGiveToMessagesStay() {
+    Map<String, String> words = new LinkedHashMap<>();
+    words.put("path of the console", ConsoleCodec.PATH);
+    words.put("phases of a node", names(Picture.Phase.values()));
+    words.put("parties outside", names(Outside.values()));
+    words.put("phases of a task", names(Attempt.Phase.values()).toLowerCase(Locale.ROOT));
+    for (Reason reason : Reason.values()) {
+      words.put("reason " + reason.name(), reason.text() + "; " + reason.remedy());
+    }
+    new GoldenFile("words.txt").check(words);
+  }
+
+  private static String names(Enum<?>[] constants) {
+    return Stream.of(constants).map(Enum::name).collect(Collectors.joining(" "));
+  }
+}
--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -14,6 +14,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,6 +34,7 @@
 final class HistoryGoldenTest {
   private static final String OWN_RECORDS = "own-start-records";
   private static final String SHARED_RECORDS = "shared-start-records";
+  private static final String METRICS = "/metrics";
   private static final Pattern JOB = Pattern.compile("job-[0-9]+");
   private static final Pattern DIGITS = Pattern.compile("[0-9]+");
   private static final Map<String, Recording> RECORDINGS = new LinkedHashMap<>();
@@ -154,7 +156,9 @@
     private void add(int node, Party to, String what, String path, byte[] body) {
       parties.add(to);
       messageCount++;
-      if (path.equals("/metrics")) {
+      if (path.equals(METRICS)) {
+        // Their values are those of the machine too.
+        messageExamples.put("names n" + node + " " + what + path, metricNames(body));
         return;
       }
       allMessages.update((node + " " + what + path + "\n").getBytes(StandardCharsets.UTF_8));
@@ -184,6 +188,14 @@
       }
     }
 
+    private static String metricNames(byte[] body) {
+      return GoldenFile.text(body)
+          .lines()
+          .filter(line -> !line.startsWith("#"))
+          .map(line -> line.substring(0, line.lastIndexOf(' ')))
+          .collect(Collectors.joining(" "));
+    }
+
     private static String general(String path) {
       return DIGITS.matcher(path).replaceAll("0");
     }
--- /dev/null
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -0,0 +1,238 @@
+package org.mallowroad.golden;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+import org.mallowroad.Clockwork;
+import org.mallowroad.api.Reply;
+import org.mallowroad.cloud.CloudApi;
+import org.mallowroad.core.Names;
+import org.mallowroad.core.Order;
+import org.mallowroad.core.WorkerReport;
+import org.mallowroad.net.Budget;
+import org.mallowroad.net.Caller;
+import org.mallowroad.net.Loop;
+import org.mallowroad.state.StateStore;
+import org.mallowroad.wire.BadMessage;
+import org.mallowroad.wire.JobCodec;
+import org.mallowroad.wire.Json;
+import org.mallowroad.wire.WorkerCodec;
+
+/** Requests to the state service and the cloud, orders to workers, refusals to users. */
+final class RequestsGoldenTest {
+  private static final String SUBMISSION =
+      "{'name_id':'job-000412','docket':'train','crew':'vision','form':'sweep','rank':'urgent',"
+          + "'moves':16,'cpus':8.0,'cards':1.0,'mem_gb':64.0,'kit':'img-07','size_gb':6.2,"
+          + "'builds':['g8'],'ground':null,'together':true,'scatter':false,'driftwood':true,"
+          + "'reckon_s':240.0,'cairn_s':30.0,'stow_s':4.0,'due_s':900.0}";
+
+  /** Changes of the submission that make it wrong, as JSON to be merged into it. */
+  private static final List<String> WRONG =
+      List.of(
+          "{'name_id':null}",
+          "{'name_id':'job-x'}",
+          "{'docket':''}",
+          "{'crew':7}",
+          "{'form':'heap'}",
+          "{'rank':'high'}",
+          "{'moves':0}",
+          "{'moves':1.5}",
+          "{'cpus':-1}",
+          "{'cards':'x'}",
+          "{'mem_gb':1e12}",
+          "{'kit':null}",
+          "{'size_gb':null}",
+          "{'builds':[1]}",
+          "{'builds':'g8'}",
+          "{'ground':3}",
+          "{'together':null}",
+          "{'scatter':1}",
+          "{'driftwood':'yes'}",
+          "{'reckon_s':null}",
+          "{'cairn_s':-1}",
+          "{'stow_s':'x'}",
+          "{'due_s':-1}",
+          "{'folds':[]}",
+          "{'folds':[{'league':'l','game':1,'revision':0,'members':['m']}]}",
+          "{'folds':[{'league':'l/','game':1,'revision':1,'members':['m']}]}",
+          "{'folds':[{'league':'l','game':1,'revision':1,'members':['m','m']}]}",
+          "{'form':'gang','folds':[{'league':'l','game':1,'revision':1,'members':['m']}]}",
+          "{'holds':[]}",
+          "{'holds':{'jobs':[]}}",
+          "{'holds':{'jobs':['x']}}",
+          "{'holds':{'games':[{'league':'l','up_to':-1}]}}",
+          "{'holds':{'games':[{'league':'l','up_to':1,'member':'/'}]}}");
+
+  /** Keeps what is sent, and says that it was not. */
+  private static final class Recorder implements Caller {
+    private final Map<String, String> requests = new LinkedHashMap<>();
+    private String call = "";
+
+    @Override
+    public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+      String text = body == null ? "no body" : GoldenFile.text(body);
+      requests.put(call + ": " + method + " " + path + " within " + timeoutMs + " ms", text);
+      answer.failed(false);
+    }
+
+    @Override
+    public void close() {}
+
+    Recorder at(String name) {
+      call = name;
+      return this;
+    }
+  }
+
+  private static Loop loop() {
+    return new Clockwork().new Process();
+  }
+
+  @Test
+  void requestsToTheStateServiceStay() {
+    Recorder recorder = new Recorder();
+    StateStore store = new StateStore(loop(), recorder, recorder);
+    recorder.at("read");
+    store.get("fold/pnw-2026/0000031", (result, item) -> {});
+    recorder.at("list");
+    store.list("open/", (result, items, revision) -> {});
+    recorder.at("first of a range");
+    store.range("end/", null, 50, (result, items, revision) -> {});
+    recorder.at("rest of a range");
+    store.range("fold/", "fold/a b&c/0000031", 50, (result, items, revision) -> {});
+    recorder.at("lease");
+    store.lease(3_000, (result, lease) -> {});
+    recorder.at("renewal");
+    store.extend(7, 900, (result, lease) -> {});
+    recorder.at("end of a lease");
+    store.release(7);
+    recorder.at("watch");
+    store.follow("hold/", 431, 10_000, (result, events, revision) -> {});
+    recorder.at("transaction");
+    store.run(transaction(), (result, revision, failed) -> {});
+    recorder.at("repeated transaction");
+    store.runRepeated(transaction(), () -> {}, (result, revision, failed) -> {});
+    recorder.at("empty transaction");
+    store.run(new StateStore.Txn(), (result, revision, failed) -> {});
+    new GoldenFile("state-requests.txt").check(recorder.requests);
+  }
+
+  private static StateStore.Txn transaction() {
+    return new StateStore.Txn()
+        .given("a/b", 0)
+        .given("leader", 412)
+        .put("a/b", Json.object().put("number", 1.5))
+        .put("leader", Json.object().put("text", "\u00e9\""), 7)
+        .delete("c/d");
+  }
+
+  @Test
+  void requestsToTheCloudStay() {
+    Recorder recorder = new Recorder();
+    Loop loop = loop();
+    Budget budget = new Budget(10, 10, loop.now());
+    CloudApi cloud = new CloudApi(loop, recorder, budget, new Names(), new Names());
+    recorder.at("types");
+    cloud.types(types -> {});
+    recorder.at("machines");
+    cloud.machines(machines -> {});
+    recorder.at("spot machines");
+    cloud.rent("r-3-17", "g8", "a", true, 12, (names, refused) -> {});
+    recorder.at("ordinary machine");
+    cloud.rent("r-3-18", "c16", "b", false, 1, (names, refused) -> {});
+    recorder.at("deletion");
+    cloud.delete(List.of("n-000231", "n-000232"), done -> {});
+    new GoldenFile("cloud-requests.txt").check(recorder.requests);
+  }
+
+  @Test
+  void ordersToWorkersStay() {
+    Map<String, String> messages = new LinkedHashMap<>();
+    List<Order> orders =
+        List.of(
+            new Order(Order.Kind.LAUNCH, "job-000412", 4, 2, 0),
+            new Order(Order.Kind.LAUNCH, "job-000412", 5, 1, 0, List.of("10.1.0.2:9000", "h:1")),
+            new Order(Order.Kind.STOP, "job-000377", 1, 1, 10),
+            new Order(Order.Kind.STOP, "job-000377", 2, 1, 2.5),
+            new Order(Order.Kind.CLEAR, "job-000398", 0, 1, 0));
+    messages.put("answer to a report", Json.text(WorkerCodec.orders(41, orders)));
+    messages.put("answer without orders", Json.text(WorkerCodec.orders(41, List.of())));
+    messages.put("direct orders", Json.text(WorkerCodec.direct(4_294_967_296L, 3, orders)));
+    new GoldenFile("worker-orders.txt").check(messages);
+  }
+
+  @Test
+  void reportsOfWorkersAreReadAsBefore() throws BadMessage {
+    String report =
+        "{'hearth':'n-000231','address':'10.1.0.232:9000','build':'g8','ground':'a',"
+            + "'driftwood':true,'watch':2,'tally':88,'baton':41,'warning_s':31.5,'hands_on':true,"
+            + "'moves':[{'move':'job-000412/3','try':2,'standing':'running'},"
+            + "{'move':'job-000412/4','try':3,'standing':'flushing'},"
+            + "{'move':'job-000412/5','try':4,'standing':'pulling'},"
+            + "{'move':'job-000412/6','try':5,'standing':'later word'},"
+            + "{'move':'job-000398/0','try':1,'standing':'exited','cause':'done'}]}";
+    WorkerReport read = WorkerCodec.decode(json(report));
+    assertEquals("n-000231", read.machine());
+    assertEquals("10.1.0.232:9000", read.address());
+    assertEquals("g8", read.type());
+    assertEquals("a", read.zone());
+    assertEquals(true, read.spot());
+    assertEquals(2, read.session());
+    assertEquals(88, read.seq());
+    assertEquals(41, read.token());
+    assertEquals(31.5, read.noticeS());
+    assertEquals(true, read.handsOn());
+    assertEquals(
+        List.of(
+            new WorkerReport.Entry("job-000412", 3, 2, WorkerReport.State.RUNNING, null),
+            new WorkerReport.Entry("job-000412", 4, 3, WorkerReport.State.FLUSHING, null),
+            new WorkerReport.Entry("job-000412", 5, 4, WorkerReport.State.PULLING, null),
+            new WorkerReport.Entry("job-000412", 6, 5, WorkerReport.State.PULLING, null),
+            new WorkerReport.Entry("job-000398", 0, 1, WorkerReport.State.EXITED, "done")),
+        read.entries());
+  }
+
+  @Test
+  void refusalsOfWrongSubmissionsStay() throws BadMessage {
+    Names names = new Names();
+    JobCodec codec = new JobCodec(names, names, names, names, names);
+    codec.check(json(SUBMISSION));
+    Map<String, String> refusals = new LinkedHashMap<>();
+    for (String change : WRONG) {
+      ObjectNode submission = json(SUBMISSION);
+      submission.setAll(json(change));
+      refusals.put(change, refusal(codec, submission));
+    }
+    for (String body : List.of("", "nothing", "[]", "{} {}")) {
+      refusals.put("body '" + body + "'", refusal(body));
+    }
+    new GoldenFile("refusals.txt").check(refusals);
+  }
+
+  private static String refusal(JobCodec codec, ObjectNode submission) {
+    try {
+      codec.check(submission);
+      return "accepted";
+    } catch (BadMessage e) {
+      return Json.text(Reply.reason(e.getMessage()));
+    }
+  }
+
+  private static String refusal(String body) {
+    try {
+      return json(body).properties().stream().map(Object::toString).collect(Collectors.joining());
+    } catch (BadMessage e) {
+      return Json.text(Reply.reason(e.getMessage()));
+    }
+  }
+
+  private static ObjectNode json(String singleQuoted) throws BadMessage {
+    return Json.parseObject(singleQuoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -0,0 +1,140 @@
+package org.mallowroad.golden;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.mallowroad.config.BadSettings;
+import org.mallowroad.config.ConsoleSettings;
+import org.mallowroad.config.OperatorSettings;
+import org.mallowroad.config.Settings;
+import org.mallowroad.core.FleetPolicy;
+import org.mallowroad.core.fetch.FetchPolicy;
+import org.mallowroad.core.health.HealthPolicy;
+import org.mallowroad.core.links.LinkPolicy;
+
+/** What is read from the platform's and the operators' settings files. */
+final class SettingsGoldenTest {
+  private static final String SETTINGS = "src/test/resources/golden/settings.toml";
+
+  @Test
+  void everyFieldOfThePlatformsSettingsIsReadAsBefore() throws BadSettings {
+    Settings s = Settings.load(SETTINGS);
+    Map<String, String> values = new LinkedHashMap<>();
+    put(values, "node_name", s.node());
+    put(values, "site", s.zone());
+    put(values, "listen", s.listen());
+    put(values, "peer_listen", s.peerListen());
+    for (Settings.Member m : s.members()) {
+      put(values, "member " + m.node(), m.zone() + " " + m.endpoint());
+    }
+    put(values, "outside.cloud", s.cloud());
+    put(values, "outside.state", s.state());
+    put(values, "zones", s.zones());
+    for (Settings.TeamSetting t : s.teams()) {
+      put(
+          values,
+          "team " + t.name(),
+          t.cpus() + " " + t.cards() + " " + t.cpusMax() + " " + t.cardsMax());
+    }
+    for (int i = 0; i < s.objectives().size(); i++) {
+      Settings.Objective o = s.objectives().get(i);
+      put(values, "objective " + i, o.kind() + " " + o.taskClass() + " " + o.withinS());
+    }
+    put(values, "workers.report_s", s.reportS());
+    put(values, "workers.lease_s", s.leaseS());
+    put(values, "workers.cancel_s", s.cancelS());
+    put(values, "state.rps", s.stateRps());
+    put(values, "state.write_rps", s.stateWriteRps());
+    put(values, "state.value_kb", s.valueKb());
+    put(values, "state.txn_ops", s.txnOps());
+    put(values, "cloud.rps", s.cloudRps());
+    put(values, "cloud.list_lag_s", s.listLagS());
+    put(values, "resources.max_sockets", s.maxSockets());
+    put(values, "resources.ram_mb", s.ramMb());
+    put(values, "controllers", s.nodes());
+    new GoldenFile("settings.txt").check(values);
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "deploy/console.xml, operator-console.txt",
+    "deploy/fetch.xml, operator-fetch.txt",
+    "deploy/links.xml, operator-links.txt",
+    "src/test/resources/golden/operator.xml, operator.txt",
+  })
+  void everyFieldOfTheOperatorsSettingsIsReadAsBefore(String file, String golden)
+      throws BadSettings {
+    new GoldenFile(golden).check(values(OperatorSettings.load(file)));
+  }
+
+  @Test
+  void whatHoldsWithoutOperatorsSettingsStays() {
+    new GoldenFile("operator-defaults.txt").check(values(OperatorSettings.defaults()));
+  }
+
+  private static Map<String, String> values(OperatorSettings s) {
+    Map<String, String> values = new LinkedHashMap<>();
+    addFleet(s.fleet(), values);
+    addHealth(s.health(), values);
+    s.console().ifPresent(console -> addConsole(console, values));
+    s.links().ifPresent(links -> addLinks(links, values));
+    addFetch(s.fetches(), values);
+    put(values, "records/share-starts", s.records().shareStarts());
+    return values;
+  }
+
+  private static void addFleet(FleetPolicy fleet, Map<String, String> values) {
+    put(values, "fleet/booked-limit", fleet.bookedLimit());
+    put(values, "fleet/waiting-limit", fleet.waitingLimit());
+    put(values, "fleet/booked-spare", fleet.bookedSpare());
+    put(values, "fleet/waiting-spare", fleet.waitingSpare());
+    put(values, "fleet/cycle-s in ms", fleet.cycleMs());
+    put(values, "fleet/step", fleet.step());
+    put(values, "fleet/idle-s in ms", fleet.idleMs());
+  }
+
+  private static void addHealth(HealthPolicy health, Map<String, String> values) {
+    put(values, "health/slow-factor", health.slowFactor());
+    put(values, "health/slow-samples", health.slowSamples());
+    put(values, "health/slow-share", health.slowShare());
+    put(values, "health/favour-s in ms", health.favourMs());
+    put(values, "health/errors", health.errors());
+    put(values, "health/cut-share", health.cutShare());
+    put(values, "health/cut-least", health.cutLeast());
+    put(values, "health/cut-returns", health.cutReturns());
+    put(values, "health/haste-share", health.hasteShare());
+    put(values, "health/haste-least", health.hasteLeast());
+    put(values, "health/replace-share", health.replaceShare());
+    put(values, "health/still-s in ms", health.stillMs());
+  }
+
+  private static void addConsole(ConsoleSettings console, Map<String, String> values) {
+    put(values, "console/listen", console.listen());
+    put(values, "console/every-s in ms", console.everyMs());
+    put(values, "console/fresh-s in ms", console.freshMs());
+    put(values, "console/history", console.history());
+  }
+
+  private static void addLinks(LinkPolicy links, Map<String, String> values) {
+    put(values, "links/row-s in ms", links.rowMs());
+    put(values, "links/fresh-s in ms", links.freshMs());
+    put(values, "links/hedge-ms", links.hedgeMs());
+    put(values, "links/steady-s in ms", links.steadyMs());
+    put(values, "links/hold-s in ms", links.holdMs());
+    put(values, "links/canary-s in ms", links.canaryMs());
+  }
+
+  private static void addFetch(FetchPolicy fetch, Map<String, String> values) {
+    put(values, "fetch/source-limit", fetch.source());
+    put(values, "fetch/machine-limit", fetch.machine());
+    put(values, "fetch/takers", fetch.takers());
+    put(values, "fetch/across", fetch.across());
+    put(values, "fetch/least-gb", fetch.leastGb());
+  }
+
+  private static void put(Map<String, String> values, String name, Object value) {
+    values.put(name, String.valueOf(value));
+  }
+}
--- a/src/test/java/org/mallowroad/world/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/world/RecordedHistory.java
@@ -208,6 +208,19 @@
     at(66_000, () -> crash(leader()));
     at(82_000, () -> state.refused = 0);
     at(90_000, () -> state.refused = -1);
+    at(END_MS - 5_000, () -> hosts.forEach(this::askForMetrics));
+  }
+
+  private void askForMetrics(SimHost host) {
+    Caller.Answer ignored =
+        new Caller.Answer() {
+          @Override
+          public void answered(int status, byte[] body) {}
+
+          @Override
+          public void failed(boolean sent) {}
+        };
+    network.call(users, host, "GET", "/metrics", new byte[0], 1_000, ignored);
   }
 
   /** Cuts a controller, or the one so many places after the leader, off from a kind of party. */
