--- a/src/main/java/org/mallowroad/console/view/Screen.java
+++ b/src/main/java/org/mallowroad/console/view/Screen.java
@@ -326,7 +326,7 @@
                           + " open jobs, "
                           + r.attempts()
                           + " attempts, "
-                          + r.rentals()
+                          + r.hires()
                           + " rents, "
                           + r.reads()
                           + " reads"
