--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -79,6 +79,11 @@
     return codec;
   }
 
+  /** The zones, as the indices that machines and attempts carry. */
+  public NameIndex zones() {
+    return zones;
+  }
+
   /** The settings. */
   public Settings settings() {
     return settings;
@@ -102,7 +107,8 @@
     machineTypes = now;
   }
 
-  MachineType type(String name) {
+  /** The machine type of that name, or null. */
+  public MachineType type(String name) {
     for (MachineType t : machineTypes) {
       if (t.name().equals(name)) {
         return t;
--- a/src/main/java/org/mallowroad/controller/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.persistence;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/org/mallowroad/controller/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.persistence;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.core.AttemptRecord;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
@@ -28,7 +29,7 @@
  * Reads the records that a term begins with into its ledger, a few in a turn of the loop, and from
  * then on follows open jobs, which any node may record or cancel.
  */
-final class StateLoader {
+public final class StateLoader {
   private static final Logger LOG = LoggerFactory.getLogger(StateLoader.class);
 
   /**
@@ -59,7 +60,7 @@
   private boolean stopped;
 
   /** What the leader must hear of. */
-  interface Listener {
+  public interface Listener {
     /** All records are read: so many of runs, and these of rental requests. */
     void taken(int count, List<VersionedValue> rental);
 
@@ -76,7 +77,8 @@
     void changed();
   }
 
-  StateLoader(
+  /** A loader of one term. */
+  public StateLoader(
       EventLoop loop,
       KeyValueStore state,
       ClusterConfig clusterConfig,
@@ -93,12 +95,13 @@
     this.listener = listener;
   }
 
-  void stop() {
+  /** Reads nothing more. */
+  public void stop() {
     stopped = true;
   }
 
   /** Reads what there is, until it is whole. */
-  void begin() {
+  public void begin() {
     if (stopped) {
       return;
     }
@@ -285,7 +288,7 @@
         if (v != null && !v.has("open")) {
           done.add(id);
         } else if (v != null) {
-          JobSpec spec = Records.spec(v.get("open"), clusterConfig.codec);
+          JobSpec spec = Records.spec(v.get("open"), clusterConfig.codec());
           if (spec.team() >= 0) {
             schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
           }
@@ -327,7 +330,7 @@
     schedulerState.restore(c, version, Records.done(v), v.path("high").asInt());
     for (Records.Live a : Records.live(v)) {
       MachineType type = clusterConfig.type(a.type());
-      int zone = clusterConfig.zones.find(a.zone());
+      int zone = clusterConfig.zones().find(a.zone());
       if (type == null || zone < 0) {
         LOG.error("event=record_unreadable key={} machine={}", key, a.machine());
         continue;
@@ -342,7 +345,7 @@
 
   private void opened(VersionedValue i) {
     try {
-      JobSpec spec = Records.spec(i.value(), clusterConfig.codec);
+      JobSpec spec = Records.spec(i.value(), clusterConfig.codec());
       if (spec.team() < 0) {
         LOG.error("event=team_unknown job={}", spec.id());
         return;
--- a/src/main/java/org/mallowroad/controller/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.persistence;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import it.unimi.dsi.fastutil.objects.Object2LongLinkedOpenHashMap;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.mallowroad.controller.CommitTransactionBuilder.WrittenChunk;
-import org.mallowroad.controller.CommitTransactionBuilder.WrittenShared;
+import org.mallowroad.controller.persistence.CommitTransactionBuilder.WrittenChunk;
+import org.mallowroad.controller.persistence.CommitTransactionBuilder.WrittenShared;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
@@ -31,7 +31,7 @@
  * <p>No response leaves the outcome unknown: the next transaction carries the same marks, so
  * whichever comes first makes the other fail, and a 409 is settled by reading the marks anew.
  */
-final class WriteBehindCommitter {
+public final class WriteBehindCommitter {
   private static final Logger LOG = LoggerFactory.getLogger(WriteBehindCommitter.class);
 
   /** An end is told within 3 s, so it may give way to starts for a while. */
@@ -74,7 +74,7 @@
   private EventLoop.Timer lazy;
 
   /** What the leader must hear of. */
-  interface Events {
+  public interface Events {
     /** The leader's mark failed: another leads. */
     void deposed();
 
@@ -94,7 +94,13 @@
     void ended(Job job, boolean done);
   }
 
-  WriteBehindCommitter(
+  /**
+   * A committer of one term.
+   *
+   * @param version the version of the key {@code leader} in this term
+   * @param maxOps puts and deletes of a transaction, at most
+   */
+  public WriteBehindCommitter(
       EventLoop loop,
       KeyValueStore state,
       RateLimiter writes,
@@ -114,11 +120,12 @@
   }
 
   /** Members of a shared record: half of a transaction's conditions are left to other writes. */
-  static int mostSharedMembers(int maxOps) {
+  public static int mostSharedMembers(int maxOps) {
     return CONDITIONS_A_WRITE * maxOps / 2;
   }
 
-  void stop() {
+  /** Sends nothing more; what waits for a transaction is released. */
+  public void stop() {
     stopped = true;
     if (lazy != null) {
       lazy.cancel();
@@ -127,17 +134,17 @@
   }
 
   /** Transactions of this term. */
-  long commits() {
+  public long commits() {
     return commits;
   }
 
   /** Puts and deletes of this term. */
-  long writes() {
+  public long writes() {
     return written;
   }
 
   /** Runs the waiter after the next transaction, whatever its outcome. */
-  void afterNext(Runnable waiter) {
+  public void afterNext(Runnable waiter) {
     waiters.add(waiter);
   }
 
@@ -148,7 +155,7 @@
   }
 
   /** Commits what is urgent now; exits alone wait a little for company. */
-  void kick() {
+  public void kick() {
     if (busy || stopped) {
       return;
     }
@@ -470,7 +477,7 @@
   }
 
   /** It is a fact that the job was cancelled, whoever says so; told once or more. */
-  void cancelled(Job j) {
+  public void cancelled(Job j) {
     schedulerState.cancel(j, loop.now());
     events.ended(j, false);
     tidy(j);
--- a/src/main/java/org/mallowroad/controller/WriteRateLimiter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteRateLimiter.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.persistence;
 
 import org.mallowroad.net.RateLimiter;
 
@@ -8,7 +8,7 @@
  * wait for a moment. So the leader keeps to what those of the last seconds leave, at least half and
  * at most three quarters, and loses no more than that to a burst it could not see coming.
  */
-final class WriteRateLimiter {
+public final class WriteRateLimiter {
   private static final double MOST = 0.75;
   private static final double LEAST = 0.5;
 
@@ -31,24 +31,30 @@
   private double perSecond;
   private long sinceMs;
 
-  WriteRateLimiter(double rps, RateLimiter writes, long now) {
+  /**
+   * The leader's share of the service's writes.
+   *
+   * @param rps writes a second that the service takes
+   * @param writes the leader's bucket, whose rate is set
+   */
+  public WriteRateLimiter(double rps, RateLimiter writes, long now) {
     this.rps = rps;
     this.writes = writes;
     this.sinceMs = now;
   }
 
   /** A job was accepted by some node. */
-  void accepted() {
+  public void accepted() {
     others += ACCEPT_WRITES;
   }
 
   /** A job was cancelled by some node. */
-  void cancelled() {
+  public void cancelled() {
     others += CANCEL_WRITES;
   }
 
   /** Call often. */
-  void turn(long now) {
+  public void turn(long now) {
     long ms = now - sinceMs;
     if (ms < EVERY_MS) {
       return;
--- a/src/test/java/org/mallowroad/controller/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
