--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -63,14 +63,14 @@
             .given(Records.end(id), 0)
             .put(Records.end(id), Records.endValue(false, 0, value))
             .delete(Records.open(id));
-    if (value.path("job").has(DependencyCodec.HOLDS)) {
+    if (value.path("job").has(DependencyCodec.DEPENDENCIES)) {
       transaction.delete(Records.held(id)).delete(Records.release(id));
     }
-    writes.force(transaction.writes(), loop.now());
+    writes.forceAcquire(transaction.writes(), loop.now());
     // Sent twice when an answer is late; one of the two that fails is read as what it found.
     state.runRepeated(
         transaction,
-        () -> writes.force(transaction.writes(), loop.now()),
+        () -> writes.forceAcquire(transaction.writes(), loop.now()),
         (result, revision, failed) -> {
           if (result == Result.OK) {
             lookup.ended(id, false);
--- a/src/main/java/org/mallowroad/api/FoldBlocks.java
+++ b/src/main/java/org/mallowroad/api/FoldBlocks.java
@@ -82,7 +82,7 @@
 
   private boolean take(BlockKey k, KeyValueStore.VersionedValue item) {
     try {
-      blocks.put(k, FoldCodec.decode(item.value()));
+      blocks.put(k, FoldCodec.decodeBlock(item.value()));
       versions.put(k, item.version());
       return true;
     } catch (InvalidMessageException e) {
@@ -99,7 +99,7 @@
           if (b.sides().isEmpty()) {
             transaction.delete(Records.fold(k));
           } else {
-            transaction.put(Records.fold(k), FoldCodec.encode(b));
+            transaction.put(Records.fold(k), FoldCodec.encodeBlock(b));
           }
         });
   }
@@ -118,7 +118,7 @@
     Map<BlockKey, Block> out = new TreeMap<>();
     int bytes = 0;
     for (Map.Entry<BlockKey, Block> e : all.entrySet()) {
-      bytes += Json.text(FoldCodec.encode(e.getValue())).length() + 150;
+      bytes += Json.text(FoldCodec.encodeBlock(e.getValue())).length() + 150;
       if (!out.isEmpty() && (out.size() + others >= ops || bytes > MOST_BYTES)) {
         break;
       }
--- a/src/main/java/org/mallowroad/api/FoldClaim.java
+++ b/src/main/java/org/mallowroad/api/FoldClaim.java
@@ -131,7 +131,7 @@
     Map<String, JobDependencies> held = new HashMap<>();
     for (KeyValueStore.VersionedValue i : items) {
       try {
-        held.put(i.key().substring(Records.HELD.length()), DependencyCodec.dependencies(i.value()));
+        held.put(i.key().substring(Records.HELD.length()), DependencyCodec.decodeRecord(i.value()));
       } catch (InvalidMessageException e) {
         end(Folding.End.AWAY, i.key() + " cannot be read: " + e.getMessage());
         return;
@@ -251,7 +251,7 @@
 
   private void granted(Map<BlockKey, Block> changed) {
     for (Block b : changed.values()) {
-      if (Json.text(FoldCodec.encode(b)).length() > folding.valueBytes) {
+      if (Json.text(FoldCodec.encodeBlock(b)).length() > folding.valueBytes) {
         end(
             Folding.End.REFUSED,
             "folds: the record of these games is full, with too many members' names");
@@ -296,7 +296,7 @@
     if (dependencies.held()) {
       transaction.given(Records.HOLD_ORDER, order);
       transaction.put(Records.HOLD_ORDER, Json.object().put("by", id));
-      transaction.put(Records.held(id), DependencyCodec.held(dependencies));
+      transaction.put(Records.held(id), DependencyCodec.encodeRecord(dependencies));
     }
   }
 
@@ -331,7 +331,7 @@
     ObjectNode v = Json.object();
     v.put("at", loop.wallMs());
     v.put("hash", hash);
-    v.set("blocks", FoldCodec.blocks(keys));
+    v.set("blocks", FoldCodec.encodeBlockKeys(keys));
     if (Json.text(v).length() > folding.valueBytes) {
       end(Folding.End.REFUSED, "folds: the games are in too many parts of their leagues");
       return;
@@ -430,12 +430,12 @@
    * again, and its marks tell whether the first was applied.
    */
   private void send(Transaction transaction, LongConsumer ok, Consumer<List<String>> no) {
-    long wait = writes.waitMs(transaction.writes(), loop.now());
+    long wait = writes.millisUntilAvailable(transaction.writes(), loop.now());
     if (wait > 0) {
       loop.after(wait, () -> send(transaction, ok, no));
       return;
     }
-    writes.force(transaction.writes(), loop.now());
+    writes.forceAcquire(transaction.writes(), loop.now());
     state.run(
         transaction,
         (result, revision, failed) -> {
--- a/src/main/java/org/mallowroad/api/FoldIntents.java
+++ b/src/main/java/org/mallowroad/api/FoldIntents.java
@@ -48,7 +48,7 @@
     ObjectNode v = Json.object();
     v.put("at", loop.wallMs());
     v.put(UNDO, true);
-    v.set("blocks", FoldCodec.blocks(keys));
+    v.set("blocks", FoldCodec.encodeBlockKeys(keys));
     state.run(
         new Transaction().given(Records.intent(id), version).put(Records.intent(id), v),
         (result, revision, failed) -> {
--- a/src/main/java/org/mallowroad/api/Folding.java
+++ b/src/main/java/org/mallowroad/api/Folding.java
@@ -211,7 +211,7 @@
     ObjectNode o = Json.object();
     o.set(FoldCodec.BLOCKS, intent.path("blocks"));
     TreeSet<BlockKey> keys = new TreeSet<>();
-    for (Map.Entry<String, IntList> e : FoldCodec.blocks(o).entrySet()) {
+    for (Map.Entry<String, IntList> e : FoldCodec.decodeBlockKeys(o).entrySet()) {
       e.getValue().forEach(i -> keys.add(new BlockKey(e.getKey(), i)));
     }
     return keys;
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -219,7 +219,7 @@
   static ObjectNode status(String id, boolean done) {
     ObjectNode o = Json.object();
     o.put(Fields.ID, id);
-    o.put(Fields.STATE, done ? Fields.DONE : Fields.WITHDRAWN);
+    o.put(Fields.STATE, done ? Fields.DONE : Fields.CANCELLED);
     return o;
   }
 }
--- a/src/main/java/org/mallowroad/api/ReadQueue.java
+++ b/src/main/java/org/mallowroad/api/ReadQueue.java
@@ -32,7 +32,7 @@
   /** Runs {@code go} once so many calls may be made, or {@code no} when that takes too long. */
   void take(int calls, Runnable go, Runnable no) {
     long now = loop.now();
-    if (waiting.isEmpty() && rateLimiter.take(calls, now)) {
+    if (waiting.isEmpty() && rateLimiter.tryAcquire(calls, now)) {
       go.run();
     } else if (waiting.size() >= MOST_WAITING) {
       no.run();
@@ -44,22 +44,24 @@
 
   /** How long a call that is asked for now waits for its turn. */
   long delayMs() {
-    double calls = 1 - rateLimiter.ready(loop.now());
+    double calls = 1 - rateLimiter.availablePermits(loop.now());
     for (Ask a : waiting) {
       calls += a.calls;
     }
-    return calls <= 0 ? 0 : Math.round(1000 * calls / rateLimiter.perSecond());
+    return calls <= 0 ? 0 : Math.round(1000 * calls / rateLimiter.permitsPerSecond());
   }
 
   /** Takes a call for what is merely nice to know: only while half of them are unused. */
   boolean spare(double burst) {
     long now = loop.now();
-    return waiting.isEmpty() && rateLimiter.ready(now) >= burst / 2 && rateLimiter.take(1, now);
+    return waiting.isEmpty()
+        && rateLimiter.availablePermits(now) >= burst / 2
+        && rateLimiter.tryAcquire(1, now);
   }
 
   /** A call that was taken and not made. */
   void giveBack() {
-    rateLimiter.force(-1, loop.now());
+    rateLimiter.forceAcquire(-1, loop.now());
   }
 
   private void later() {
@@ -77,7 +79,7 @@
       if (now - a.sinceMs > PATIENCE_MS) {
         waiting.poll();
         a.no.run();
-      } else if (rateLimiter.take(a.calls, now)) {
+      } else if (rateLimiter.tryAcquire(a.calls, now)) {
         waiting.poll();
         a.go.run();
       } else {
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -110,13 +110,14 @@
 
   private Parsed parse(ObjectNode o) throws InvalidMessageException {
     JobSpec spec = jobs.check(o);
-    List<Game> games = FoldCodec.games(o);
+    List<Game> games = FoldCodec.decodeGames(o);
     if (spec.dependencies().folds().size() > Folding.MOST_LEAGUES) {
       throw new InvalidMessageException("folds: at most " + Folding.MOST_LEAGUES + " leagues");
     }
     ObjectNode value = Records.openValue(o, loop.wallMs());
     if (!games.isEmpty()) {
-      ((ObjectNode) value.get("job")).set(FoldCodec.BLOCKS, FoldCodec.blocks(Folding.keys(games)));
+      ((ObjectNode) value.get("job"))
+          .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(Folding.keys(games)));
     }
     if (Json.bytes(value).length > valueKb * 1024 - ENVELOPE_BYTES) {
       throw new InvalidMessageException("the submission is too large");
@@ -191,12 +192,12 @@
     // the job that is found then is this one.
     state.runRepeated(
         transaction,
-        () -> writes.force(1, loop.now()),
+        () -> writes.forceAcquire(1, loop.now()),
         (result, revision, failed) -> {
           if (result == Result.NOT_DONE
               && state.crowdedMs() >= sentMs
               && tries < MOST_RETRIES
-              && retries.take(1, loop.now())) {
+              && retries.tryAcquire(1, loop.now())) {
             // Refused for the service's limits: a moment later there is room, and a user who is
             // turned away comes back no sooner than after a second.
             loop.after(RETRY_MS, () -> accept(x, id, value, tries + 1));
@@ -221,6 +222,6 @@
   private boolean mayWrite() {
     long now = loop.now();
     boolean crowded = now - state.crowdedMs() < CROWDED_MS;
-    return (crowded ? fairWrites : writes).take(1, now);
+    return (crowded ? fairWrites : writes).tryAcquire(1, now);
   }
 }
--- a/src/main/java/org/mallowroad/calendar/file/TableFile.java
+++ b/src/main/java/org/mallowroad/calendar/file/TableFile.java
@@ -285,13 +285,14 @@
   }
 
   private static final Set<String> WORDS =
-      Set.of(Fields.CLASS, Fields.TEAM, Fields.KIND, Fields.PRIORITY, Fields.IMAGE, Fields.ZONE);
+      Set.of(
+          Fields.TASK_CLASS, Fields.TEAM, Fields.KIND, Fields.PRIORITY, Fields.IMAGE, Fields.ZONE);
   private static final Set<String> SWITCHES = Set.of(Fields.TOGETHER, Fields.SCATTER, Fields.SPOT);
   private static final Map<String, String> OTHERWISE =
       Map.of(
           Fields.CARDS, "0",
-          Fields.CHECKPOINT_S, "0",
-          Fields.SAVE_S, "0",
+          Fields.CHECKPOINT_INTERVAL_S, "0",
+          Fields.CHECKPOINT_SAVE_S, "0",
           Fields.TOGETHER, "false",
           Fields.SCATTER, "false",
           Fields.SPOT, "false");
@@ -309,7 +310,7 @@
             o.put(k, v);
           } else if (SWITCHES.contains(k)) {
             o.put(k, v.equals("true") || v.equals("1"));
-          } else if (k.equals(Fields.TYPES)) {
+          } else if (k.equals(Fields.MACHINE_TYPES)) {
             var types = o.putArray(k);
             for (String t : v.split("\\s+")) {
               types.add(t);
--- a/src/main/java/org/mallowroad/cli/InspectCommands.java
+++ b/src/main/java/org/mallowroad/cli/InspectCommands.java
@@ -104,7 +104,7 @@
         return code != 0 ? code : 1;
       }
       if (json) {
-        System.out.println(new String(ConsoleCodec.bytes(p), StandardCharsets.UTF_8));
+        System.out.println(new String(ConsoleCodec.encode(p), StandardCharsets.UTF_8));
       } else {
         print(new Screen(Screen.LEAST_WIDTH, 0).job(p, o.source()));
       }
--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -79,7 +79,7 @@
     if (json || once) {
       Overview o = asker.look();
       if (json) {
-        System.out.println(new String(ConsoleCodec.bytes(o), StandardCharsets.UTF_8));
+        System.out.println(new String(ConsoleCodec.encode(o), StandardCharsets.UTF_8));
       } else {
         print(new Screen(width, 0).draw(o, new Screen.InspectCommands(show, sort, filter, 0)));
       }
--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -14,7 +14,7 @@
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
-import org.mallowroad.wire.TypeCodec;
+import org.mallowroad.wire.MachineTypeCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -82,7 +82,7 @@
 
   /** Reads the machine types. */
   public void types(Got<MachineType> got) {
-    if (!rateLimiter.take(1, loop.now())) {
+    if (!rateLimiter.tryAcquire(1, loop.now())) {
       got.got(null);
       return;
     }
@@ -94,7 +94,7 @@
         new Parsed() {
           @Override
           void ok(int status, ObjectNode o) throws InvalidMessageException {
-            got.got(TypeCodec.decode(o, typeNames, zoneNames));
+            got.got(MachineTypeCodec.decode(o, typeNames, zoneNames));
           }
 
           @Override
@@ -110,7 +110,7 @@
   }
 
   private void page(String from, List<Listed> sofar, Got<Listed> got) {
-    if (!rateLimiter.take(1, loop.now())) {
+    if (!rateLimiter.tryAcquire(1, loop.now())) {
       got.got(null);
       return;
     }
@@ -129,7 +129,7 @@
               sofar.add(
                   new Listed(
                       last,
-                      Json.string(m, Fields.TYPE, 200),
+                      Json.string(m, Fields.MACHINE_TYPE, 200),
                       Json.string(m, Fields.ZONE, 200),
                       Json.bool(m, Fields.SPOT),
                       address == null ? "" : address,
@@ -154,13 +154,13 @@
   /** Rents machines under a name that is never used again for another request. */
   public void rent(
       String rental, String type, String zone, boolean spot, int count, Rented rented) {
-    if (!rateLimiter.take(1, loop.now())) {
+    if (!rateLimiter.tryAcquire(1, loop.now())) {
       rented.rented(null, false);
       return;
     }
     ObjectNode o = Json.object();
-    o.put(Fields.HIRE, rental);
-    o.put(Fields.TYPE, type);
+    o.put(Fields.RENTAL_REQUEST, rental);
+    o.put(Fields.MACHINE_TYPE, type);
     o.put(Fields.ZONE, zone);
     o.put(Fields.SPOT, spot);
     o.put(Fields.COUNT, count);
@@ -197,7 +197,7 @@
 
   /** Deletes machines; with true they and all on them are gone. */
   public void delete(List<String> names, java.util.function.Consumer<Boolean> done) {
-    if (!rateLimiter.take(1, loop.now())) {
+    if (!rateLimiter.tryAcquire(1, loop.now())) {
       done.accept(false);
       return;
     }
@@ -222,7 +222,7 @@
         });
   }
 
-  private abstract class Parsed implements RequestSender.Answer {
+  private abstract class Parsed implements RequestSender.ResponseHandler {
     abstract void ok(int status, ObjectNode o) throws InvalidMessageException;
 
     abstract void none();
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -161,15 +161,15 @@
   private void handle(HttpServerExchange x) {
     String path = x.getRequestPath();
     if (!x.getRequestMethod().equals(Methods.GET)) {
-      send(x, 405, ConsoleCodec.bytes(new Refusal("only GET is known here")));
+      send(x, 405, ConsoleCodec.encode(new Refusal("only GET is known here")));
     } else if (path.equals(ConsoleCodec.PATH + "picture")) {
       picture(x);
     } else if (path.equals(ConsoleCodec.PATH + "history")) {
-      send(x, 200, ConsoleCodec.bytes(past.points()));
+      send(x, 200, ConsoleCodec.encode(past.points()));
     } else if (path.startsWith(ConsoleCodec.PATH + "jobs/")) {
       job(x, path.substring((ConsoleCodec.PATH + "jobs/").length()));
     } else {
-      send(x, 404, ConsoleCodec.bytes(new Refusal("no such page")));
+      send(x, 404, ConsoleCodec.encode(new Refusal("no such page")));
     }
   }
 
@@ -203,21 +203,21 @@
             stack,
             picture == null ? -1 : (now - pictureMs) / 1000.0,
             picture);
-    send(x, 200, ConsoleCodec.bytes(s));
+    send(x, 200, ConsoleCodec.encode(s));
   }
 
   private void job(HttpServerExchange x, String id) {
     if (!JobCodec.ID.matcher(id).matches()) {
-      send(x, 404, ConsoleCodec.bytes(new Refusal("not a job id")));
+      send(x, 404, ConsoleCodec.encode(new Refusal("not a job id")));
       return;
     }
     if (probe.stuck(own.now()) || jobsAsked >= MOST_WAITING) {
-      send(x, 503, ConsoleCodec.bytes(new Refusal("the loop does not answer")));
+      send(x, 503, ConsoleCodec.encode(new Refusal("the loop does not answer")));
       return;
     }
     // Each costs the loop a look at all machines, and a picture serves many where this serves one.
-    if (!jobs.take(1, own.now())) {
-      send(x, 429, ConsoleCodec.bytes(new Refusal("too many questions about single jobs")));
+    if (!jobs.tryAcquire(1, own.now())) {
+      send(x, 429, ConsoleCodec.encode(new Refusal("too many questions about single jobs")));
       return;
     }
     x.dispatch(
@@ -245,7 +245,7 @@
       if (!over) {
         over = true;
         timer.cancel();
-        send(exchange, p.job() == null ? 404 : 200, ConsoleCodec.bytes(p));
+        send(exchange, p.job() == null ? 404 : 200, ConsoleCodec.encode(p));
       }
     }
 
@@ -253,7 +253,7 @@
     void late() {
       if (!over) {
         over = true;
-        send(exchange, 503, ConsoleCodec.bytes(new Refusal("the loop does not answer")));
+        send(exchange, 503, ConsoleCodec.encode(new Refusal("the loop does not answer")));
       }
     }
   }
--- a/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
+++ b/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
@@ -149,7 +149,7 @@
           address, Standing.STRANGE, "answers " + a.status() + ": not a console of this build", ms);
     }
     try {
-      return NodeView.answered(address, ms, ConsoleCodec.sight(a.body()));
+      return NodeView.answered(address, ms, ConsoleCodec.decodeStatus(a.body()));
     } catch (InvalidMessageException e) {
       return NodeView.silent(address, Standing.STRANGE, e.getMessage(), ms);
     }
@@ -161,7 +161,7 @@
         n -> {
           BoundedHttpGet.Answer a = fetch.get(n, ConsoleCodec.PATH + "jobs/" + id);
           try {
-            return a.status() == 200 ? ConsoleCodec.job(a.body()) : null;
+            return a.status() == 200 ? ConsoleCodec.decodeJob(a.body()) : null;
           } catch (InvalidMessageException e) {
             return null;
           }
@@ -198,7 +198,7 @@
   private List<MetricSample> history(String node) {
     BoundedHttpGet.Answer a = fetch.get(node, ConsoleCodec.PATH + "history");
     try {
-      return a.status() == 200 ? ConsoleCodec.history(a.body()) : List.of();
+      return a.status() == 200 ? ConsoleCodec.decodeHistory(a.body()) : List.of();
     } catch (InvalidMessageException e) {
       return List.of();
     }
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -74,7 +74,7 @@
   List<String> game(String league, long number) throws InvalidMessageException {
     InspectCommands look = new InspectCommands();
     BlockKey key = new BlockKey(league, (int) (number / Block.GAMES));
-    Block block = FoldCodec.decode(look.value(Records.fold(key)));
+    Block block = FoldCodec.decodeBlock(look.value(Records.fold(key)));
     List<String> out = new ArrayList<>();
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
       if (e.getKey().game() == Block.place(number)) {
@@ -152,7 +152,7 @@
       return new JobLine(
           s.id(),
           job.path(Fields.TEAM).asText(),
-          job.path(Fields.CLASS).asText(),
+          job.path(Fields.TASK_CLASS).asText(),
           s.priority(),
           s.tasks(),
           counts[0],
@@ -206,7 +206,7 @@
         if (o == null) {
           throw new InvalidMessageException("has no lists: not a state service");
         }
-        for (JsonNode n : Json.list(o, Fields.PAIRS)) {
+        for (JsonNode n : Json.list(o, Fields.ITEMS)) {
           from = Json.string(n, Fields.KEY, 400);
           if (!from.startsWith(prefix) || !(n.get(Fields.VALUE) instanceof ObjectNode v)) {
             throw new InvalidMessageException("answers with something else than records");
@@ -228,7 +228,7 @@
     /** Null for 404. */
     private ObjectNode ask(String path) throws InvalidMessageException {
       reads++;
-      while (!budget.take(1, millis())) {
+      while (!budget.tryAcquire(1, millis())) {
         try {
           Thread.sleep(20);
         } catch (InterruptedException e) {
--- a/src/main/java/org/mallowroad/controller/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/DependencyGateController.java
@@ -477,7 +477,7 @@
       }
       Block block;
       try {
-        block = FoldCodec.decode(items.get(i).value());
+        block = FoldCodec.decodeBlock(items.get(i).value());
       } catch (InvalidMessageException e) {
         waitsFor(items.get(i).key() + " cannot be read: " + e.getMessage());
         games(left);
--- a/src/main/java/org/mallowroad/controller/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/FoldMaintenance.java
@@ -174,7 +174,7 @@
     for (VersionedValue i : items) {
       try {
         BlockKey key = Records.block(i.key());
-        Block block = FoldCodec.decode(i.value());
+        Block block = FoldCodec.decodeBlock(i.value());
         blocks.put(key, block);
         versions.put(key, i.version());
         for (Fold f : block.sides().values()) {
@@ -222,18 +222,18 @@
           Block settled = Claims.settled(b, jobOutcomes::get);
           if (settled != b
               && transaction.writes() < maxOps / 2
-              && writes.ready(loop.now()) - transaction.writes() >= SPARE) {
+              && writes.availablePermits(loop.now()) - transaction.writes() >= SPARE) {
             transaction.given(Records.fold(k), versions.get(k));
             if (settled.sides().isEmpty()) {
               transaction.delete(Records.fold(k));
             } else {
-              transaction.put(Records.fold(k), FoldCodec.encode(settled));
+              transaction.put(Records.fold(k), FoldCodec.encodeBlock(settled));
             }
           }
         });
     loop.after(PAGE_MS, this::page);
     if (transaction.writes() > 0) {
-      writes.force(transaction.writes(), loop.now());
+      writes.forceAcquire(transaction.writes(), loop.now());
       // Whatever comes of it: the next walk sees what is left.
       state.run(transaction, (result, revision, failed) -> {});
     }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -508,7 +508,7 @@
       workers.send(
           m.address,
           m.via,
-          WorkerCodec.direct(m.fencingToken, m.incarnation, commands),
+          WorkerCodec.encodeDirectCommands(m.fencingToken, m.incarnation, commands),
           (result, report) -> {
             if (stopped || schedulerState.machine(m.name) != m) {
               return;
@@ -610,7 +610,7 @@
     }
     Machine m = take(r);
     if (m == null) {
-      reply.accept(WorkerCodec.commands(term, List.of()));
+      reply.accept(WorkerCodec.encodeCommands(term, List.of()));
       return;
     }
     load.reports++;
@@ -618,7 +618,7 @@
     m.lastAnswerMs = now;
     if (commands == null) {
       // A late copy, or overtaken by a newer one: nobody was heard by it.
-      reply.accept(WorkerCodec.commands(m.fencingToken, List.of()));
+      reply.accept(WorkerCodec.encodeCommands(m.fencingToken, List.of()));
       return;
     }
     heard = true;
@@ -629,7 +629,7 @@
     responder.reported(m, loop.now());
     advance();
     if (!firm() || !schedulerState.mayGetWork(m, loop.now()) || !placement.anyWaiting()) {
-      reply.accept(WorkerCodec.commands(m.fencingToken, commands));
+      reply.accept(WorkerCodec.encodeCommands(m.fencingToken, commands));
       return;
     }
     // Work may come its way in a moment: then this answer carries the launches.
@@ -794,7 +794,7 @@
         }
       }
       machine.lastAnswerMs = loop.now();
-      reply.accept(WorkerCodec.commands(machine.fencingToken, commands));
+      reply.accept(WorkerCodec.encodeCommands(machine.fencingToken, commands));
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -226,7 +226,7 @@
         path,
         null,
         PROBE_TIMEOUT_MS,
-        new RequestSender.Answer() {
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {
             done(!ofState || status != 503);
@@ -290,7 +290,7 @@
         peer,
         settings.node(),
         x.body(),
-        new RequestSender.Answer() {
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {
             carrying--;
@@ -330,7 +330,7 @@
         String path,
         byte[] body,
         long timeoutMs,
-        RequestSender.Answer answer) {
+        RequestSender.ResponseHandler answer) {
       RouteSelector own = to == ExternalService.STATE ? state : cloud;
       if (links.down(to)) {
         answer.failed(false);
@@ -343,7 +343,7 @@
               path,
               body,
               timeoutMs,
-              new RequestSender.Answer() {
+              new RequestSender.ResponseHandler() {
                 @Override
                 public void answered(int status, byte[] bytes) {
                   boolean refused = to == ExternalService.STATE && status == 503;
@@ -364,15 +364,15 @@
     }
 
     @Override
-    public void commands(String address, byte[] body, RequestSender.Answer answer) {
+    public void commands(String address, byte[] body, RequestSender.ResponseHandler answer) {
       workers.pass(address, body, answer);
     }
 
     @Override
-    public void carried(int peer, byte[] report, RequestSender.Answer answer) {
+    public void carried(int peer, byte[] report, RequestSender.ResponseHandler answer) {
       Heartbeat r;
       try {
-        r = WorkerCodec.decode(Json.parseObject(report));
+        r = WorkerCodec.decodeHeartbeat(Json.parseObject(report));
       } catch (InvalidMessageException e) {
         answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
--- a/src/main/java/org/mallowroad/controller/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/MachineProvisioner.java
@@ -329,7 +329,7 @@
       }
       transaction.given(Records.HIRE + name, 0).put(Records.HIRE + name, v);
     }
-    writes.force(transaction.writes(), now);
+    writes.forceAcquire(transaction.writes(), now);
     recording = true;
     state.run(
         transaction,
@@ -431,12 +431,12 @@
     // Nobody waits for this, so it leaves the budget to the starts; but a takeover repeats each
     // recorded request, so they must not pile up.
     if (over.isEmpty()
-        || (over.size() < maxOps / 2 && writes.ready(loop.now()) < over.size() + 2)) {
+        || (over.size() < maxOps / 2 && writes.availablePermits(loop.now()) < over.size() + 2)) {
       return;
     }
     Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
     over.forEach(h -> transaction.delete(Records.HIRE + h.name));
-    writes.force(transaction.writes(), loop.now());
+    writes.forceAcquire(transaction.writes(), loop.now());
     settling = true;
     state.run(
         transaction,
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -11,7 +11,7 @@
 import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
-import org.mallowroad.wire.TypeCodec;
+import org.mallowroad.wire.MachineTypeCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -81,7 +81,8 @@
     if (!item.value().isObject()) {
       throw new InvalidMessageException("not an object");
     }
-    return TypeCodec.decode((ObjectNode) item.value(), clusterConfig.types, clusterConfig.zones);
+    return MachineTypeCodec.decode(
+        (ObjectNode) item.value(), clusterConfig.types, clusterConfig.zones);
   }
 
   /** A leader writes down what it knows where the record says otherwise; prices do not count. */
@@ -93,7 +94,7 @@
           if (result != Result.OK || same(item, now)) {
             return;
           }
-          ObjectNode v = TypeCodec.encode(now, clusterConfig.zones);
+          ObjectNode v = MachineTypeCodec.encode(now, clusterConfig.zones);
           if (Json.bytes(v).length > clusterConfig.settings.valueKb() * 1024) {
             LOG.warn("event=types_not_kept reason=\"too large\"");
             return;
@@ -120,7 +121,7 @@
   }
 
   private String priceless(List<MachineType> types) {
-    return TypeCodec.encode(
+    return MachineTypeCodec.encode(
             types.stream()
                 .map(
                     t ->
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -108,9 +108,9 @@
     String json = "application/json";
     // The largest answer of an outside service: a small part of the memory.
     int ram = (int) (s.ramMb() * 1024 * 1024);
-    RequestSender stateCaller = host.caller(s.state(), json, STATE_CONNECTIONS, ram / 8);
-    RequestSender cloudCaller = host.caller(s.cloud(), json, 8, ram / 8);
-    RequestSender follower = host.caller(s.state(), json, 8, ram / 8);
+    RequestSender stateCaller = host.requestSender(s.state(), json, STATE_CONNECTIONS, ram / 8);
+    RequestSender cloudCaller = host.requestSender(s.cloud(), json, 8, ram / 8);
+    RequestSender follower = host.requestSender(s.state(), json, 8, ram / 8);
     boolean on = clusterConfig.operator.links().isPresent() && !s.members().isEmpty();
     this.links =
         on
@@ -294,12 +294,12 @@
 
   /** Where users and workers reach this node once it has started. */
   public String address() {
-    return host.bound(0);
+    return host.boundAddress(0);
   }
 
   /** Where the other controllers reach this node once it has started. */
   public String peerAddress() {
-    return host.bound(1);
+    return host.boundAddress(1);
   }
 
   /** Where the console listens once it has started; empty while it is off. */
@@ -442,7 +442,7 @@
     gauge("mallowroad.memory.process.bytes", n -> MemoryMetrics.processBytes());
     gauge("mallowroad.memory.heap.bytes", n -> MemoryMetrics.heapBytes());
     gauge("mallowroad.collector.share", n -> MemoryMetrics.collectorShare());
-    gauge("mallowroad.bodies.bytes", n -> n.host.bytes());
+    gauge("mallowroad.bodies.bytes", n -> n.host.bufferedBodyBytes());
     gauge("mallowroad.kept.ends", n -> n.users.ends());
     gauge("mallowroad.kept.opens", n -> n.users.opens());
     gauge("mallowroad.kept.names", n -> n.clusterConfig.names());
--- a/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
@@ -206,7 +206,7 @@
       kick();
       return;
     }
-    long wait = writes.waitMs(size, now);
+    long wait = writes.millisUntilAvailable(size, now);
     if (wait > 0) {
       busy = true;
       loop.after(
@@ -217,14 +217,14 @@
           });
       return;
     }
-    writes.force(size, now);
+    writes.forceAcquire(size, now);
     commits++;
     written += size;
     busy = true;
     state.runRepeated(
         draft.transaction(),
         () -> {
-          writes.force(size, loop.now());
+          writes.forceAcquire(size, loop.now());
           written += size;
         },
         (result, revision, failed) -> outcome(draft, result, revision, failed));
@@ -232,7 +232,7 @@
 
   /** As large as the budget allows now: what waits for tokens would hold up what need not. */
   private CommitTransactionBuilder fill(long now) {
-    double ready = writes.ready(now);
+    double ready = writes.availablePermits(now);
     int least = Math.min(LEAST_WRITES, maxOps);
     int most = (int) Math.max(least, Math.min(maxOps, ready));
     CommitTransactionBuilder draft =
@@ -255,7 +255,7 @@
    * in that time, whatever number of tasks end in it meanwhile.
    */
   private long lazyMs() {
-    double perSecond = LAZY_SHARE * writes.perSecond();
+    double perSecond = LAZY_SHARE * writes.permitsPerSecond();
     long ms = (long) (1000 * schedulerState.dirty().size() / perSecond);
     return Math.max(LAZY_MS, Math.min(MOST_LAZY_MS, ms));
   }
--- a/src/main/java/org/mallowroad/controller/persistence/WriteRateLimiter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteRateLimiter.java
@@ -63,6 +63,6 @@
     others = 0;
     sinceMs = now;
     double left = rps * (1 - FREE) - perSecond;
-    writes.rate(Math.max(rps * LEAST, Math.min(rps * MOST, left)), now);
+    writes.setRate(Math.max(rps * LEAST, Math.min(rps * MOST, left)), now);
   }
 }
--- a/src/main/java/org/mallowroad/net/HttpRequestSender.java
+++ b/src/main/java/org/mallowroad/net/HttpRequestSender.java
@@ -62,7 +62,8 @@
 
   /** With no answer in time the connection is closed. */
   @Override
-  public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+  public void call(
+      String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
     Call call = new Call(new HttpString(method), path, body, answer);
     ClientConnection c;
     while ((c = idle.pollFirst()) != null) {
@@ -121,14 +122,14 @@
     private final HttpString method;
     private final String path;
     private final byte[] body;
-    private final Answer answer;
+    private final ResponseHandler answer;
     private EventLoop.Timer timer;
     private ClientConnection connection;
     private boolean connecting;
     private boolean sent;
     private boolean over;
 
-    Call(HttpString method, String path, byte[] body, Answer answer) {
+    Call(HttpString method, String path, byte[] body, ResponseHandler answer) {
       this.method = method;
       this.path = path;
       this.body = body;
--- a/src/main/java/org/mallowroad/net/NodeEnvironment.java
+++ b/src/main/java/org/mallowroad/net/NodeEnvironment.java
@@ -22,16 +22,16 @@
    * @param maxOpen connections at once, beyond which a call fails unsent
    * @param maxBody bytes of an answer, beyond which it counts as none
    */
-  RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody);
+  RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody);
 
   /** Begins to listen; called on the loop. */
   void listen(RequestHandler front);
 
   /** Bytes of the bodies in hand. */
-  long bytes();
+  long bufferedBodyBytes();
 
   /** Where listener 0 (users, workers) or 1 (controllers) is bound, as host:port. */
-  String bound(int listener);
+  String boundAddress(int listener);
 
   /** The thread that turns the loop: whoever watches over the loop from outside looks at it. */
   Thread thread();
--- a/src/main/java/org/mallowroad/net/RateLimiter.java
+++ b/src/main/java/org/mallowroad/net/RateLimiter.java
@@ -21,18 +21,18 @@
   }
 
   /** Tokens that come a second. */
-  public double perSecond() {
+  public double permitsPerSecond() {
     return perMs * 1000;
   }
 
   /** From now on so many come a second. */
-  public void rate(double perSecond, long now) {
+  public void setRate(double perSecond, long now) {
     refill(now);
     perMs = perSecond / 1000;
   }
 
   /** Takes {@code n} tokens if they are there. */
-  public boolean take(double n, long now) {
+  public boolean tryAcquire(double n, long now) {
     refill(now);
     if (tokens < n) {
       return false;
@@ -42,19 +42,19 @@
   }
 
   /** Tokens that are there now; below 0 in debt. */
-  public double ready(long now) {
+  public double availablePermits(long now) {
     refill(now);
     return tokens;
   }
 
   /** Takes {@code n} tokens even if that leaves a debt, for what must not wait. */
-  public void force(double n, long now) {
+  public void forceAcquire(double n, long now) {
     refill(now);
     tokens -= n;
   }
 
   /** Milliseconds until {@code n} tokens are there. */
-  public long waitMs(double n, long now) {
+  public long millisUntilAvailable(double n, long now) {
     refill(now);
     // More than a full bucket is never there: a full one must do, or the caller waits for ever.
     double need = Math.min(n, burst);
--- a/src/main/java/org/mallowroad/net/RequestSender.java
+++ b/src/main/java/org/mallowroad/net/RequestSender.java
@@ -3,7 +3,7 @@
 /** Sends requests to one endpoint. */
 public interface RequestSender {
   /** What comes of a request; exactly one method is called, once, on the loop. */
-  interface Answer {
+  interface ResponseHandler {
     /** A complete response. */
     void answered(int status, byte[] body);
 
@@ -28,7 +28,7 @@
    *
    * @param body null for none
    */
-  void call(String method, String path, byte[] body, long timeoutMs, Answer answer);
+  void call(String method, String path, byte[] body, long timeoutMs, ResponseHandler answer);
 
   /** Closes what is kept; calls that are out still get their answers. */
   void close();
--- a/src/main/java/org/mallowroad/net/XnioEnvironment.java
+++ b/src/main/java/org/mallowroad/net/XnioEnvironment.java
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
+  public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
     return new HttpRequestSender(loop, buffers, to, type, maxOpen, maxBody);
   }
 
@@ -111,13 +111,13 @@
   }
 
   @Override
-  public long bytes() {
+  public long bufferedBodyBytes() {
     return reports.bytes() + others.bytes() + messages.bytes();
   }
 
   /** The listeners in the order in which they were added; a port 0 in the settings is any port. */
   @Override
-  public String bound(int listener) {
+  public String boundAddress(int listener) {
     InetSocketAddress a = (InetSocketAddress) server.getListenerInfo().get(listener).getAddress();
     return a.getHostString() + ":" + a.getPort();
   }
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -63,7 +63,7 @@
     this.loop = host.loop();
     this.listener = listener;
     for (Member m : members) {
-      callers.add(host.caller(m.endpoint(), AVRO, 16, 128 * 1024));
+      callers.add(host.requestSender(m.endpoint(), AVRO, 16, 128 * 1024));
     }
   }
 
@@ -99,7 +99,7 @@
         ANNOUNCE,
         message,
         TIMEOUT_MS,
-        new RequestSender.Answer() {
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {}
 
@@ -126,7 +126,7 @@
             READS_SHARED_STARTS,
             new byte[0],
             TIMEOUT_MS,
-            new RequestSender.Answer() {
+            new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
                 told.accept(status == 204);
@@ -148,7 +148,7 @@
           OVERLOADED,
           message,
           TIMEOUT_MS,
-          new RequestSender.Answer() {
+          new RequestSender.ResponseHandler() {
             @Override
             public void answered(int status, byte[] body) {}
 
@@ -167,7 +167,7 @@
             CANCELLED,
             codec().encode(new PeerCodec.Cancelled(jobs)),
             TIMEOUT_MS,
-            new RequestSender.Answer() {
+            new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
                 // An earlier build's 404 is an answer: it will never take it.
@@ -199,7 +199,7 @@
             RELAY,
             codec().encode(new PeerCodec.Relay(method, path, body)),
             TIMEOUT_MS,
-            new RequestSender.Answer() {
+            new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] bytes) {
                 try {
@@ -231,7 +231,7 @@
             RELAY,
             message,
             TIMEOUT_MS,
-            new RequestSender.Answer() {
+            new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] bytes) {
                 try {
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -63,13 +63,13 @@
         String path,
         byte[] body,
         long timeoutMs,
-        RequestSender.Answer answer);
+        RequestSender.ResponseHandler answer);
 
     /** Sends a peer's orders to a worker. */
-    void commands(String address, byte[] body, RequestSender.Answer answer);
+    void commands(String address, byte[] body, RequestSender.ResponseHandler answer);
 
     /** A report that came to a peer; the answer is what the worker is to get. */
-    void carried(int peer, byte[] report, RequestSender.Answer answer);
+    void carried(int peer, byte[] report, RequestSender.ResponseHandler answer);
   }
 
   /** Over the members, whose order gives them their indices. */
@@ -80,9 +80,9 @@
     this.listener = listener;
     this.rowOut = new boolean[members.size()];
     for (Member m : members) {
-      rows.add(host.caller(m.endpoint(), PeerMessenger.AVRO, 2, 1024));
-      calls.add(host.caller(m.endpoint(), PeerMessenger.AVRO, MOST_CALLS, MOST_ANSWER));
-      reports.add(host.caller(m.endpoint(), PeerMessenger.AVRO, MOST_CARRIED, 128 * 1024));
+      rows.add(host.requestSender(m.endpoint(), PeerMessenger.AVRO, 2, 1024));
+      calls.add(host.requestSender(m.endpoint(), PeerMessenger.AVRO, MOST_CALLS, MOST_ANSWER));
+      reports.add(host.requestSender(m.endpoint(), PeerMessenger.AVRO, MOST_CARRIED, 128 * 1024));
     }
   }
 
@@ -108,7 +108,7 @@
                 ROW,
                 message,
                 ROW_TIMEOUT_MS,
-                new RequestSender.Answer() {
+                new RequestSender.ResponseHandler() {
                   @Override
                   public void answered(int status, byte[] body) {
                     rowOut[peer] = false;
@@ -144,12 +144,13 @@
       String path,
       byte[] body,
       long timeoutMs,
-      RequestSender.Answer answer) {
+      RequestSender.ResponseHandler answer) {
     send(peer, party.name(), method, path, body, timeoutMs, answer);
   }
 
   /** Sends orders to a worker by way of a peer. */
-  public void commands(int peer, String address, byte[] body, RequestSender.Answer answer) {
+  public void commands(
+      int peer, String address, byte[] body, RequestSender.ResponseHandler answer) {
     send(peer, WORKER, "POST", address, body, ORDERS_TIMEOUT_MS, answer);
   }
 
@@ -160,7 +161,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      RequestSender.Answer answer) {
+      RequestSender.ResponseHandler answer) {
     byte[] message =
         codec()
             .encode(
@@ -173,7 +174,7 @@
             FORWARD,
             message,
             timeoutMs + GRACE_MS,
-            new RequestSender.Answer() {
+            new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] bytes) {
                 links.usedPeer(peer, true, sentMs, loop.now());
@@ -210,7 +211,7 @@
   }
 
   /** Takes a worker's report to a peer that leads; the answer is what the worker is to get. */
-  public void carry(int peer, String self, byte[] report, RequestSender.Answer answer) {
+  public void carry(int peer, String self, byte[] report, RequestSender.ResponseHandler answer) {
     long sentMs = loop.now();
     reports
         .get(peer)
@@ -219,7 +220,7 @@
             CARRY,
             codec().encode(new LinkCodec.Carry(self, report)),
             CARRY_TIMEOUT_MS,
-            new RequestSender.Answer() {
+            new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
                 links.usedPeer(peer, true, sentMs, loop.now());
@@ -267,7 +268,7 @@
         // Before it is counted: a message that is refused must not take a place for ever.
         ExternalService to = f.to().equals(WORKER) ? null : party(f.to());
         serving++;
-        RequestSender.Answer back = back(x, () -> serving--);
+        RequestSender.ResponseHandler back = back(x, () -> serving--);
         if (to == null) {
           listener.commands(f.path(), f.body(), back);
         } else {
@@ -295,8 +296,8 @@
     throw new InvalidMessageException("no such party");
   }
 
-  private RequestSender.Answer back(IncomingRequest x, Runnable first) {
-    return new RequestSender.Answer() {
+  private RequestSender.ResponseHandler back(IncomingRequest x, Runnable first) {
+    return new RequestSender.ResponseHandler() {
       @Override
       public void answered(int status, byte[] body) {
         say(LinkCodec.ANSWERED, status, body);
--- a/src/main/java/org/mallowroad/peer/RelayedCaller.java
+++ b/src/main/java/org/mallowroad/peer/RelayedCaller.java
@@ -45,7 +45,7 @@
         String path,
         byte[] body,
         long timeoutMs,
-        Answer answer);
+        ResponseHandler answer);
   }
 
   private final EventLoop loop;
@@ -74,7 +74,8 @@
   }
 
   @Override
-  public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+  public void call(
+      String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
     new Call(method, path, body, timeoutMs, answer).start();
   }
 
@@ -102,7 +103,7 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Answer answer;
+    private final ResponseHandler answer;
     private final long sentMs = loop.now();
     private final long untilMs;
     private final List<EventLoop.Timer> timers = new ArrayList<>(1);
@@ -111,7 +112,7 @@
     private boolean over;
     private boolean sentAny;
 
-    Call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+    Call(String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
       this.method = method;
       this.path = path;
       this.body = body;
@@ -143,7 +144,7 @@
           path,
           body,
           untilMs - from,
-          new Answer() {
+          new ResponseHandler() {
             @Override
             public void answered(int status, byte[] bytes) {
               // The state service serves every node or none, but for the one that it refuses; a
@@ -205,7 +206,7 @@
           path,
           body,
           left(),
-          new Answer() {
+          new ResponseHandler() {
             @Override
             public void answered(int status, byte[] bytes) {
               route.through(peer, true, loop.now());
--- a/src/main/java/org/mallowroad/simulation/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -220,7 +220,7 @@
       String target,
       byte[] body,
       long timeoutMs,
-      RequestSender.Answer answer) {
+      RequestSender.ResponseHandler answer) {
     Call call = new Call(a);
     time.after(timeoutMs * 1000, a, () -> call.end(() -> answer.failed(true)));
     Runnable arrival =
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -142,7 +142,7 @@
     Map<BlockKey, Block> out = new TreeMap<>();
     for (String key : store.keys(Records.FOLD)) {
       try {
-        out.put(Records.block(key), FoldCodec.decode(store.value(key)));
+        out.put(Records.block(key), FoldCodec.decodeBlock(store.value(key)));
       } catch (InvalidMessageException e) {
         checker.breach("folded_twice", key + ": " + e.getMessage());
       }
--- a/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
+++ b/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
@@ -77,13 +77,14 @@
   }
 
   @Override
-  public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
+  public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
     Network.Party party = directory.apply(to);
     return new RequestSender() {
       private int open;
 
       @Override
-      public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+      public void call(
+          String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
         if (open >= maxOpen || party == null) {
           answer.failed(false);
           return;
@@ -96,7 +97,7 @@
             path,
             body == null ? NOTHING : body,
             timeoutMs,
-            new Answer() {
+            new ResponseHandler() {
               @Override
               public void answered(int status, byte[] bytes) {
                 open--;
@@ -126,12 +127,12 @@
   }
 
   @Override
-  public long bytes() {
+  public long bufferedBodyBytes() {
     return 0;
   }
 
   @Override
-  public String bound(int listener) {
+  public String boundAddress(int listener) {
     return name;
   }
 
--- a/src/main/java/org/mallowroad/simulation/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -96,7 +96,7 @@
         "/healthz",
         NOTHING,
         PROBE_MS,
-        new RequestSender.Answer() {
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {
             judge(seen.get(i), status == 200);
@@ -248,7 +248,7 @@
         target,
         body,
         ms,
-        new RequestSender.Answer() {
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] bytes) {
             got.got(status, standing(bytes));
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -209,7 +209,7 @@
         "/v1/report",
         Json.bytes(state()),
         ANSWER_MS,
-        new RequestSender.Answer() {
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {
             out = false;
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -157,7 +157,7 @@
     return new VersionedValue(
         Json.string(o, Fields.KEY, 400),
         o.get(Fields.VALUE),
-        Json.integer(o, Fields.MARK, 0, Long.MAX_VALUE));
+        Json.integer(o, Fields.VERSION, 0, Long.MAX_VALUE));
   }
 
   /** Lists all keys with a prefix, page by page. */
@@ -187,13 +187,13 @@
               return;
             }
             String last = null;
-            for (JsonNode n : Json.list(o, Fields.PAIRS)) {
+            for (JsonNode n : Json.list(o, Fields.ITEMS)) {
               VersionedValue it = item(n);
               sofar.add(it);
               last = it.key();
             }
             long first =
-                revision >= 0 ? revision : Json.integer(o, Fields.EPOCH, 0, Long.MAX_VALUE);
+                revision >= 0 ? revision : Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE);
             JsonNode more = o.get(Fields.TRUNCATED);
             if (more != null && more.asBoolean() && last != null) {
               page(prefix, last, sofar, first, 0, listed);
@@ -232,10 +232,10 @@
               return;
             }
             List<VersionedValue> items = new ArrayList<>();
-            for (JsonNode n : Json.list(o, Fields.PAIRS)) {
+            for (JsonNode n : Json.list(o, Fields.ITEMS)) {
               items.add(item(n));
             }
-            listed.listed(Result.OK, items, Json.integer(o, Fields.EPOCH, 0, Long.MAX_VALUE));
+            listed.listed(Result.OK, items, Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE));
           }
 
           @Override
@@ -280,7 +280,7 @@
   /** Copies are a small part of the calls, and none is sent while calls are refused. */
   private boolean mayRepeat() {
     long now = loop.now();
-    return now - crowdedMs > CROWDED_MS && !failing() && repeats.take(1, now);
+    return now - crowdedMs > CROWDED_MS && !failing() && repeats.tryAcquire(1, now);
   }
 
   /** Runs a transaction. */
@@ -294,7 +294,8 @@
           @Override
           void ok(int status, ObjectNode o) throws InvalidMessageException {
             if (status == 200) {
-              ended.ended(Result.OK, Json.integer(o, Fields.EPOCH, 0, Long.MAX_VALUE), List.of());
+              ended.ended(
+                  Result.OK, Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE), List.of());
             } else if (status == 409) {
               List<String> failed = new ArrayList<>();
               for (JsonNode n : o.path("failed")) {
@@ -319,7 +320,7 @@
   /** Asks for a lease. */
   public void lease(long lifeMs, Leased leased) {
     ObjectNode o = Json.object();
-    o.put(Fields.LIFE_MS, lifeMs);
+    o.put(Fields.LEASE_DURATION_MS, lifeMs);
     lease("POST", "/leases", Json.bytes(o), TIMEOUT_MS, leased);
   }
 
@@ -387,9 +388,10 @@
                   new VersionedValue(
                       key,
                       gone != null ? null : e.get(Fields.VALUE),
-                      Json.integer(e, Fields.MARK, 0, Long.MAX_VALUE)));
+                      Json.integer(e, Fields.VERSION, 0, Long.MAX_VALUE)));
             }
-            followed.followed(Result.OK, events, Json.integer(o, Fields.EPOCH, 0, Long.MAX_VALUE));
+            followed.followed(
+                Result.OK, events, Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE));
           }
 
           @Override
@@ -400,7 +402,7 @@
   }
 
   /** Parses the body; what cannot be understood counts as no answer. */
-  private abstract class Parsed implements RequestSender.Answer {
+  private abstract class Parsed implements RequestSender.ResponseHandler {
     private final long sentMs = loop.now();
 
     abstract void ok(int status, ObjectNode o) throws InvalidMessageException;
@@ -462,14 +464,14 @@
   /** A transaction under construction. */
   public static final class Transaction {
     private final ObjectNode o = Json.object();
-    private final ArrayNode conditions = o.putArray(Fields.IF);
+    private final ArrayNode conditions = o.putArray(Fields.CONDITIONS);
     private final ArrayNode writes = o.putArray(Fields.WRITES);
 
     /** The key must have this version. */
     public Transaction given(String key, long version) {
       ObjectNode c = conditions.addObject();
       c.put(Fields.KEY, key);
-      c.put(Fields.MARK, version);
+      c.put(Fields.VERSION, version);
       return this;
     }
 
--- a/src/main/java/org/mallowroad/state/Records.java
+++ b/src/main/java/org/mallowroad/state/Records.java
@@ -164,7 +164,7 @@
   /** An end record: done, or cancelled with the job, whose tasks may still be on machines. */
   public static ObjectNode endValue(boolean done, int tasks, JsonNode openValue) {
     ObjectNode o = Json.object();
-    o.put("end", done ? Fields.DONE : Fields.WITHDRAWN);
+    o.put("end", done ? Fields.DONE : Fields.CANCELLED);
     if (done) {
       o.put("tasks", tasks);
     } else {
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -28,7 +28,7 @@
   private ConsoleCodec() {}
 
   /** The bytes of any record of {@code core.explain}, or of a list of them. */
-  public static byte[] bytes(Object o) {
+  public static byte[] encode(Object o) {
     try {
       return MAPPER.writeValueAsBytes(o);
     } catch (JsonProcessingException e) {
@@ -37,7 +37,7 @@
   }
 
   /** A node's answer; its lists are there and its form is one that this build knows. */
-  public static NodeStatus sight(byte[] body) throws InvalidMessageException {
+  public static NodeStatus decodeStatus(byte[] body) throws InvalidMessageException {
     NodeStatus s = read(body, NodeStatus.class);
     if (s.format() < 1 || s.node() == null || s.stack() == null) {
       throw new InvalidMessageException("not a console's answer");
@@ -64,7 +64,7 @@
   }
 
   /** One job's answer. */
-  public static JobSnapshot job(byte[] body) throws InvalidMessageException {
+  public static JobSnapshot decodeJob(byte[] body) throws InvalidMessageException {
     JobSnapshot j = read(body, JobSnapshot.class);
     if (j.id() == null || j.tasks() == null) {
       throw new InvalidMessageException("not a console's answer");
@@ -73,7 +73,7 @@
   }
 
   /** A node's past. */
-  public static List<MetricSample> history(byte[] body) throws InvalidMessageException {
+  public static List<MetricSample> decodeHistory(byte[] body) throws InvalidMessageException {
     for (MetricSample s : read(body, MetricSample[].class)) {
       if (s.waiting() == null
           || s.running() == null
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -14,16 +14,16 @@
 /** What a job waits for, in submissions and records. */
 public final class DependencyCodec {
   /** The field of a submission. */
-  public static final String HOLDS = "holds";
+  public static final String DEPENDENCIES = "holds";
 
   /** Jobs that one submission may wait for. */
-  public static final int MOST_JOBS = 500;
+  public static final int MAX_JOBS = 500;
 
   /** Leagues and members that one submission may wait for. */
-  public static final int MOST_GAMES = 64;
+  public static final int MAX_GAMES = 64;
 
   /** Different leagues among them: each is a condition of starts. */
-  public static final int MOST_LEAGUES = 16;
+  public static final int MAX_LEAGUES = 16;
 
   private static final String JOBS = "jobs";
   private static final String GAMES = "games";
@@ -31,13 +31,13 @@
   private DependencyCodec() {}
 
   /** What a submission or record waits for; the folds of the result are empty. */
-  public static JobDependencies holds(JsonNode o) throws InvalidMessageException {
-    JsonNode n = o.get(HOLDS);
+  public static JobDependencies decodeDependencies(JsonNode o) throws InvalidMessageException {
+    JsonNode n = o.get(DEPENDENCIES);
     if (n == null || n.isNull()) {
       return JobDependencies.NONE;
     }
     if (!n.isObject()) {
-      throw new InvalidMessageException(HOLDS + ": an object with jobs and games is needed");
+      throw new InvalidMessageException(DEPENDENCIES + ": an object with jobs and games is needed");
     }
     try {
       JobDependencies t = new JobDependencies(Map.of(), jobs(n), games(n));
@@ -46,7 +46,7 @@
       }
       return t;
     } catch (InvalidMessageException e) {
-      throw new InvalidMessageException(HOLDS + "." + e.getMessage());
+      throw new InvalidMessageException(DEPENDENCIES + "." + e.getMessage());
     }
   }
 
@@ -55,8 +55,8 @@
       return List.of();
     }
     ArrayNode a = Json.list(n, JOBS);
-    if (a.size() > MOST_JOBS) {
-      throw new InvalidMessageException(JOBS + ": at most " + MOST_JOBS + " jobs");
+    if (a.size() > MAX_JOBS) {
+      throw new InvalidMessageException(JOBS + ": at most " + MAX_JOBS + " jobs");
     }
     Set<String> out = new LinkedHashSet<>();
     for (JsonNode j : a) {
@@ -73,8 +73,8 @@
       return List.of();
     }
     ArrayNode a = Json.list(n, GAMES);
-    if (a.size() > MOST_GAMES) {
-      throw new InvalidMessageException(GAMES + ": at most " + MOST_GAMES + " of them");
+    if (a.size() > MAX_GAMES) {
+      throw new InvalidMessageException(GAMES + ": at most " + MAX_GAMES + " of them");
     }
     List<UpTo> out = new ArrayList<>();
     for (int i = 0; i < a.size(); i++) {
@@ -91,21 +91,21 @@
           throw new InvalidMessageException(
               "member: letters, digits, dots, dashes and underscores are needed");
         }
-        out.add(new UpTo(league, Json.integer(g, "up_to", 0, FoldCodec.MOST_NUMBER), member));
+        out.add(new UpTo(league, Json.integer(g, "up_to", 0, FoldCodec.MAX_NUMBER), member));
       } catch (InvalidMessageException e) {
         throw new InvalidMessageException(at + e.getMessage());
       }
     }
-    if (out.stream().map(UpTo::league).distinct().count() > MOST_LEAGUES) {
-      throw new InvalidMessageException(GAMES + ": at most " + MOST_LEAGUES + " leagues");
+    if (out.stream().map(UpTo::league).distinct().count() > MAX_LEAGUES) {
+      throw new InvalidMessageException(GAMES + ": at most " + MAX_LEAGUES + " leagues");
     }
     return List.copyOf(out);
   }
 
   /** The record of a held job that is not over: what the next held job is judged by. */
-  public static ObjectNode held(JobDependencies t) {
+  public static ObjectNode encodeRecord(JobDependencies t) {
     ObjectNode o = Json.object();
-    ObjectNode h = o.putObject(HOLDS);
+    ObjectNode h = o.putObject(DEPENDENCIES);
     ArrayNode jobs = h.putArray(JOBS);
     t.jobs().forEach(jobs::add);
     ArrayNode games = h.putArray(GAMES);
@@ -121,8 +121,8 @@
   }
 
   /** The ties of such a record. */
-  public static JobDependencies dependencies(JsonNode record) throws InvalidMessageException {
-    JobDependencies h = holds(record);
-    return new JobDependencies(FoldCodec.blocks(record), h.jobs(), h.games());
+  public static JobDependencies decodeRecord(JsonNode record) throws InvalidMessageException {
+    JobDependencies h = decodeDependencies(record);
+    return new JobDependencies(FoldCodec.decodeBlockKeys(record), h.jobs(), h.games());
   }
 }
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -30,13 +30,13 @@
   public static final String BLOCKS = "fold_blocks";
 
   /** Games in one submission. */
-  public static final int MOST_GAMES = 1_000;
+  public static final int MAX_GAMES = 1_000;
 
   /** Members of a game in one submission. */
-  public static final int MOST_MEMBERS = 8;
+  public static final int MAX_MEMBERS = 8;
 
   /** Numbers of games; bitmaps count in 31 bits. */
-  public static final long MOST_NUMBER = 100_000_000;
+  public static final long MAX_NUMBER = 100_000_000;
 
   /** The newest form of a block that this build reads and writes. */
   static final int VERSION = 1;
@@ -54,14 +54,14 @@
   private FoldCodec() {}
 
   /** The games that a submission folds; none without the field. Wrong ones are named. */
-  public static List<Game> games(JsonNode submission) throws InvalidMessageException {
+  public static List<Game> decodeGames(JsonNode submission) throws InvalidMessageException {
     JsonNode n = submission.get(FOLDS);
     if (n == null || n.isNull()) {
       return List.of();
     }
-    if (!n.isArray() || n.isEmpty() || n.size() > MOST_GAMES) {
+    if (!n.isArray() || n.isEmpty() || n.size() > MAX_GAMES) {
       throw new InvalidMessageException(
-          FOLDS + ": a list of 1 to " + MOST_GAMES + " games is needed");
+          FOLDS + ": a list of 1 to " + MAX_GAMES + " games is needed");
     }
     List<Game> out = new ArrayList<>();
     Set<String> seen = new HashSet<>();
@@ -86,12 +86,12 @@
       throw new InvalidMessageException(
           "league: letters, digits, dots, dashes and underscores are needed");
     }
-    long number = Json.integer(g, "game", 0, MOST_NUMBER);
+    long number = Json.integer(g, "game", 0, MAX_NUMBER);
     long revision = Json.integer(g, "revision", 1, 1_000_000);
     boolean taken = g.hasNonNull("taken_back") && Json.bool(g, "taken_back");
     ArrayNode members = Json.list(g, "members");
-    if (members.isEmpty() || members.size() > MOST_MEMBERS) {
-      throw new InvalidMessageException("members: 1 to " + MOST_MEMBERS + " members are needed");
+    if (members.isEmpty() || members.size() > MAX_MEMBERS) {
+      throw new InvalidMessageException("members: 1 to " + MAX_MEMBERS + " members are needed");
     }
     Set<String> names = new LinkedHashSet<>();
     for (JsonNode m : members) {
@@ -107,7 +107,7 @@
   }
 
   /** Names blocks for a record. */
-  public static ObjectNode blocks(Iterable<BlockKey> keys) {
+  public static ObjectNode encodeBlockKeys(Iterable<BlockKey> keys) {
     List<BlockKey> list = new ArrayList<>();
     keys.forEach(list::add);
     ObjectNode o = Json.object();
@@ -116,7 +116,8 @@
   }
 
   /** The blocks that a record names; none without the field. */
-  public static Map<String, IntList> blocks(JsonNode record) throws InvalidMessageException {
+  public static Map<String, IntList> decodeBlockKeys(JsonNode record)
+      throws InvalidMessageException {
     Map<String, IntList> out = new TreeMap<>();
     JsonNode n = record.get(BLOCKS);
     if (n == null || !n.isObject()) {
@@ -124,7 +125,7 @@
     }
     try {
       for (Map.Entry<String, JsonNode> e : n.properties()) {
-        out.put(e.getKey(), Ranges.numbers(e.getValue().asText(), MOST_GAMES));
+        out.put(e.getKey(), Ranges.numbers(e.getValue().asText(), MAX_GAMES));
       }
     } catch (IllegalArgumentException e) {
       throw new InvalidMessageException(BLOCKS + ": " + e.getMessage());
@@ -136,7 +137,7 @@
    * A block for its record: names once each, sides as numbers, and a checksum over both, so that a
    * record that somebody changed by hand is told from one of ours.
    */
-  public static ObjectNode encode(Block block) {
+  public static ObjectNode encodeBlock(Block block) {
     Object2IntLinkedOpenHashMap<String> members = new Object2IntLinkedOpenHashMap<>();
     Object2IntLinkedOpenHashMap<String> jobs = new Object2IntLinkedOpenHashMap<>();
     ArrayNode sides = Json.array();
@@ -182,7 +183,7 @@
   }
 
   /** A block from its record; an empty one where there is none. What is not ours is refused. */
-  public static Block decode(JsonNode v) throws InvalidMessageException {
+  public static Block decodeBlock(JsonNode v) throws InvalidMessageException {
     Block out = new Block();
     if (v == null) {
       return out;
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -60,7 +60,7 @@
     if (!ID.matcher(id).matches()) {
       throw new InvalidMessageException(Fields.ID + ": not a job id");
     }
-    String taskClass = Json.string(o, Fields.CLASS, 200);
+    String taskClass = Json.string(o, Fields.TASK_CLASS, 200);
     String team = Json.string(o, Fields.TEAM, 200);
     String kind = Json.string(o, Fields.KIND, 20);
     boolean service = kind.equals(Fields.KIND_SERVICE);
@@ -75,7 +75,7 @@
     int tasks = (int) Json.integer(o, Fields.TASKS, 1, 100_000);
     double cpus = Json.amount(o, Fields.CPUS, MAX_AMOUNT);
     double cards = Json.amount(o, Fields.CARDS, MAX_AMOUNT);
-    double memGb = Json.amount(o, Fields.MEM_GB, MAX_AMOUNT);
+    double memGb = Json.amount(o, Fields.MEMORY_GB, MAX_AMOUNT);
     String image = Json.string(o, Fields.IMAGE, 500);
     double imageGb = Json.amount(o, Fields.IMAGE_GB, MAX_AMOUNT);
     BitSet allowed = types(o, accepted);
@@ -88,10 +88,10 @@
     boolean together = Json.bool(o, Fields.TOGETHER);
     boolean scatter = Json.bool(o, Fields.SCATTER);
     boolean spot = Json.bool(o, Fields.SPOT);
-    double estimate = Json.amount(o, Fields.ESTIMATE_S, MAX_AMOUNT);
-    double checkpoint = Json.amount(o, Fields.CHECKPOINT_S, MAX_AMOUNT);
-    double save = Json.amount(o, Fields.SAVE_S, MAX_AMOUNT);
-    double due = Json.amountOr(o, Fields.DUE_S, MAX_AMOUNT, 0);
+    double estimate = Json.amount(o, Fields.ESTIMATED_RUNTIME_S, MAX_AMOUNT);
+    double checkpoint = Json.amount(o, Fields.CHECKPOINT_INTERVAL_S, MAX_AMOUNT);
+    double save = Json.amount(o, Fields.CHECKPOINT_SAVE_S, MAX_AMOUNT);
+    double due = Json.amountOr(o, Fields.DEADLINE_S, MAX_AMOUNT, 0);
     return new JobSpec(
         id,
         accepted ? classes.intern(taskClass) : classes.find(taskClass),
@@ -126,29 +126,29 @@
       throws InvalidMessageException {
     Map<String, IntList> folds;
     if (accepted) {
-      folds = FoldCodec.blocks(o);
+      folds = FoldCodec.decodeBlockKeys(o);
     } else {
-      List<BlockKey> keys = FoldCodec.games(o).stream().map(Game::block).toList();
+      List<BlockKey> keys = FoldCodec.decodeGames(o).stream().map(Game::block).toList();
       if (notArray && !keys.isEmpty()) {
         throw new InvalidMessageException(FoldCodec.FOLDS + ": only an array folds games");
       }
       folds = Ranges.byLeague(keys);
     }
-    JobDependencies held = DependencyCodec.holds(o);
+    JobDependencies held = DependencyCodec.decodeDependencies(o);
     return folds.isEmpty() && !held.held()
         ? JobDependencies.NONE
         : new JobDependencies(folds, held.jobs(), held.games());
   }
 
   private BitSet types(JsonNode o, boolean accepted) throws InvalidMessageException {
-    JsonNode n = o.get(Fields.TYPES);
+    JsonNode n = o.get(Fields.MACHINE_TYPES);
     if (n == null || n.isNull()) {
       return null;
     }
     BitSet set = new BitSet();
-    for (JsonNode t : Json.list(o, Fields.TYPES)) {
+    for (JsonNode t : Json.list(o, Fields.MACHINE_TYPES)) {
       if (!t.isTextual() || t.textValue().isEmpty() || t.textValue().length() > 200) {
-        throw new InvalidMessageException(Fields.TYPES + ": type names are needed");
+        throw new InvalidMessageException(Fields.MACHINE_TYPES + ": type names are needed");
       }
       // A type the cloud does not know yet may be offered later: it keeps its own index.
       int type = accepted ? types.intern(t.textValue()) : types.find(t.textValue());
@@ -165,26 +165,26 @@
     for (String f :
         List.of(
             Fields.ID,
-            Fields.CLASS,
+            Fields.TASK_CLASS,
             Fields.TEAM,
             Fields.KIND,
             Fields.PRIORITY,
             Fields.TASKS,
             Fields.CPUS,
             Fields.CARDS,
-            Fields.MEM_GB,
+            Fields.MEMORY_GB,
             Fields.IMAGE,
             Fields.IMAGE_GB,
-            Fields.TYPES,
+            Fields.MACHINE_TYPES,
             Fields.ZONE,
             Fields.TOGETHER,
             Fields.SCATTER,
             Fields.SPOT,
-            Fields.ESTIMATE_S,
-            Fields.CHECKPOINT_S,
-            Fields.SAVE_S,
-            Fields.DUE_S,
-            DependencyCodec.HOLDS)) {
+            Fields.ESTIMATED_RUNTIME_S,
+            Fields.CHECKPOINT_INTERVAL_S,
+            Fields.CHECKPOINT_SAVE_S,
+            Fields.DEADLINE_S,
+            DependencyCodec.DEPENDENCIES)) {
       JsonNode v = submission.get(f);
       if (v != null && !v.isNull()) {
         out.set(f, v);
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -13,7 +13,7 @@
   private WorkerCodec() {}
 
   /** Decodes a report. */
-  public static Heartbeat decode(JsonNode o) throws InvalidMessageException {
+  public static Heartbeat decodeHeartbeat(JsonNode o) throws InvalidMessageException {
     List<Heartbeat.Entry> entries = new ArrayList<>();
     for (JsonNode t : Json.list(o, Fields.TASKS)) {
       String name = Json.string(t, Fields.TASK, 200);
@@ -41,40 +41,42 @@
               task,
               (int) Json.integer(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
               state,
-              Json.stringOrNull(t, Fields.WHY, 200)));
+              Json.stringOrNull(t, Fields.CAUSE, 200)));
     }
     String address = Json.stringOrNull(o, Fields.ADDRESS, 200);
     return new Heartbeat(
         Json.string(o, Fields.MACHINE, 150),
         address == null ? "" : address,
-        Json.string(o, Fields.TYPE, 200),
+        Json.string(o, Fields.MACHINE_TYPE, 200),
         Json.string(o, Fields.ZONE, 200),
         Json.bool(o, Fields.SPOT),
-        Json.integer(o, Fields.SESSION, 0, Long.MAX_VALUE),
-        Json.integer(o, Fields.SEQ, 0, Long.MAX_VALUE),
-        o.get(Fields.TOKEN) == null ? 0 : Json.integer(o, Fields.TOKEN, 0, Long.MAX_VALUE),
-        Json.amountOr(o, Fields.NOTICE_S, 1e9, -1),
+        Json.integer(o, Fields.INCARNATION, 0, Long.MAX_VALUE),
+        Json.integer(o, Fields.SEQUENCE, 0, Long.MAX_VALUE),
+        o.get(Fields.FENCING_TOKEN) == null
+            ? 0
+            : Json.integer(o, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
+        Json.amountOr(o, Fields.PREEMPTION_NOTICE_S, 1e9, -1),
         entries,
-        o.path(Fields.HANDS_ON).asBoolean(false));
+        o.path(Fields.SHARES_IMAGES).asBoolean(false));
   }
 
   /** A direct message to a worker's session. */
-  public static ObjectNode direct(
+  public static ObjectNode encodeDirectCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
-    ObjectNode o = commands(fencingToken, commands);
-    o.put(Fields.SESSION, incarnation);
+    ObjectNode o = encodeCommands(fencingToken, commands);
+    o.put(Fields.INCARNATION, incarnation);
     return o;
   }
 
   /** A response to a worker. */
-  public static ObjectNode commands(long fencingToken, List<WorkerCommand> commands) {
+  public static ObjectNode encodeCommands(long fencingToken, List<WorkerCommand> commands) {
     ObjectNode o = Json.object();
-    o.put(Fields.TOKEN, fencingToken);
-    ArrayNode list = o.putArray(Fields.ORDERS);
+    o.put(Fields.FENCING_TOKEN, fencingToken);
+    ArrayNode list = o.putArray(Fields.COMMANDS);
     for (WorkerCommand c : commands) {
       ObjectNode e = list.addObject();
       e.put(
-          Fields.ORDER,
+          Fields.COMMAND,
           switch (c.kind()) {
             case LAUNCH -> Fields.LAUNCH;
             case STOP -> Fields.STOP;
@@ -83,11 +85,11 @@
       e.put(Fields.TASK, c.job() + "/" + c.task());
       e.put(Fields.ATTEMPT, c.attempt());
       if (!c.imageSources().isEmpty()) {
-        ArrayNode imageSources = e.putArray(Fields.GIVERS);
+        ArrayNode imageSources = e.putArray(Fields.IMAGE_SOURCES);
         c.imageSources().forEach(imageSources::add);
       }
       if (c.kind() == WorkerCommand.Kind.STOP) {
-        e.put(Fields.GRACE_S, c.graceS());
+        e.put(Fields.GRACE_PERIOD_S, c.graceS());
       }
     }
     return o;
--- a/src/main/java/org/mallowroad/worker/HeartbeatApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -56,7 +56,7 @@
   public void report(IncomingRequest x) {
     Heartbeat r;
     try {
-      r = WorkerCodec.decode(Json.parseObject(x.body()));
+      r = WorkerCodec.decodeHeartbeat(Json.parseObject(x.body()));
     } catch (InvalidMessageException e) {
       wrong++;
       long left = garbled.line(loop.now());
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -75,7 +75,7 @@
   @FunctionalInterface
   public interface Bypass {
     /** Sends orders to a worker by way of a peer. */
-    void commands(int peer, String address, byte[] body, RequestSender.Answer answer);
+    void commands(int peer, String address, byte[] body, RequestSender.ResponseHandler answer);
   }
 
   /** The kept connections to a worker, or null when that is no address. */
@@ -90,7 +90,7 @@
         return null;
       }
       Endpoint to = new Endpoint(address.substring(0, Math.max(0, colon)), port);
-      caller = host.caller(to, "application/json", 2, MOST_BYTES);
+      caller = host.requestSender(to, "application/json", 2, MOST_BYTES);
       callers.put(address, caller);
       if (callers.size() > maxWorkers) {
         callers.removeFirst().close();
@@ -100,7 +100,7 @@
   }
 
   /** Passes a peer's orders on as they are. */
-  public void pass(String address, byte[] body, RequestSender.Answer answer) {
+  public void pass(String address, byte[] body, RequestSender.ResponseHandler answer) {
     RequestSender caller = caller(address);
     if (caller == null) {
       answer.failed(false);
@@ -115,7 +115,7 @@
    * @param via the peer that its report came through, or -1: orders go the way the reports come
    */
   public void send(String address, int via, ObjectNode message, Sent sent) {
-    RequestSender.Answer answer = answer(address, sent);
+    RequestSender.ResponseHandler answer = answer(address, sent);
     if (via >= 0 && bypass != null) {
       busy.add(address);
       bypass.commands(via, address, Json.bytes(message), answer);
@@ -130,8 +130,8 @@
     caller.call("POST", ORDERS, Json.bytes(message), TIMEOUT_MS, answer);
   }
 
-  private RequestSender.Answer answer(String address, Sent sent) {
-    return new RequestSender.Answer() {
+  private RequestSender.ResponseHandler answer(String address, Sent sent) {
+    return new RequestSender.ResponseHandler() {
       @Override
       public void answered(int status, byte[] body) {
         busy.remove(address);
@@ -146,7 +146,7 @@
         }
         Heartbeat r = null;
         try {
-          r = WorkerCodec.decode(Json.parseObject(body));
+          r = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
         } catch (InvalidMessageException e) {
           long left = odd.line(loop.now());
           if (left >= 0) {
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -36,7 +36,7 @@
   }
 
   private record Call(
-      Process by, String method, String path, byte[] body, RequestSender.Answer answer) {
+      Process by, String method, String path, byte[] body, RequestSender.ResponseHandler answer) {
     String text() {
       String b = body == null ? "" : new String(body, StandardCharsets.UTF_8);
       return by.name + " " + method + " " + path + " " + b;
@@ -303,7 +303,8 @@
     }
 
     @Override
-    public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+    public void call(
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
       stage.waiting.add(new Call(this, method, path, body, answer));
     }
   }
--- a/src/test/java/org/mallowroad/SteppedClock.java
+++ b/src/test/java/org/mallowroad/SteppedClock.java
@@ -102,7 +102,8 @@
     }
 
     @Override
-    public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+    public void call(
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
       after(1, () -> serve(method, path, body, timeoutMs, answer));
     }
 
@@ -114,7 +115,8 @@
       }
     }
 
-    private void serve(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+    private void serve(
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
       calls++;
       boolean multi = path.equals("/multi");
       if (now < crowdedUntilMs) {
--- a/src/test/java/org/mallowroad/api/FoldingTest.java
+++ b/src/test/java/org/mallowroad/api/FoldingTest.java
@@ -43,7 +43,7 @@
   private static ObjectNode value(List<Game> games) {
     ObjectNode v = Json.object();
     v.put("at", 1);
-    v.putObject("job").set(FoldCodec.BLOCKS, FoldCodec.blocks(Folding.keys(games)));
+    v.putObject("job").set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(Folding.keys(games)));
     return v;
   }
 
@@ -56,7 +56,7 @@
     Map<Long, String> out = new TreeMap<>();
     for (String key : store.keys(Records.FOLD)) {
       try {
-        Block b = FoldCodec.decode(store.value(key));
+        Block b = FoldCodec.decodeBlock(store.value(key));
         int index = Records.block(key).index();
         for (Map.Entry<Block.Side, Fold> e : b.sides().entrySet()) {
           out.put(Block.number(index, e.getKey().game()), e.getValue().job());
--- a/src/test/java/org/mallowroad/controller/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/DependencyGateControllerTest.java
@@ -69,12 +69,14 @@
           new JobDependencies(Map.of(), List.of(), List.of(new JobDependencies.UpTo("l", 0, null)));
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
-      put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encode(b));
+      put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
       put(s, Records.league("l"), Records.leagueValue(0, 0));
       ObjectNode open = Json.object();
       open.put("at", 1)
           .putObject("job")
-          .set(DependencyCodec.HOLDS, DependencyCodec.held(dependencies).get("holds"));
+          .set(
+              DependencyCodec.DEPENDENCIES,
+              DependencyCodec.encodeRecord(dependencies).get("holds"));
       long version = put(s, Records.open("job-9"), open);
       leader(s, "one", dependencies, version);
       // In one transaction, as FoldingTest explores it.
@@ -95,7 +97,7 @@
       ObjectNode open = Json.object();
       open.put("at", 1).putObject("job");
       put(s, Records.open("job-2"), open);
-      put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encode(b));
+      put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
       put(s, Records.league("l"), Records.leagueValue(0, 1));
     }
 
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -280,7 +280,7 @@
               assertEquals(10_000, s.jobs().stream().mapToInt(j -> j.waiting()).sum());
               // Two teams of one class that wait for the same thing are two lines.
               assertEquals(2, s.reasons().size());
-              atMost(1_000_000, ConsoleCodec.bytes(s.jobs()).length);
+              atMost(1_000_000, ConsoleCodec.encode(s.jobs()).length);
             }),
         scale(
             "jobs that the decision cannot tell apart are asked for once",
--- a/src/test/java/org/mallowroad/core/SnapshotCost.java
+++ b/src/test/java/org/mallowroad/core/SnapshotCost.java
@@ -54,7 +54,7 @@
               machines,
               s.reasons());
       long made = cpu();
-      int bytes = ConsoleCodec.bytes(p).length;
+      int bytes = ConsoleCodec.encode(p).length;
       long served = cpu();
       if (i < 3 || i % 10 == 9) {
         System.out.printf(
--- a/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
@@ -170,19 +170,19 @@
           new Block.Side(s % 32, "m-" + s % 17),
           new Fold(2 + s % 9, s % 2 == 0, "job-" + s % 13, s % 5 == 0 && base == null, base));
     }
-    ObjectNode v = FoldCodec.encode(b);
-    assertEquals(b, FoldCodec.decode(Json.parseObject(Json.bytes(v))));
+    ObjectNode v = FoldCodec.encodeBlock(b);
+    assertEquals(b, FoldCodec.decodeBlock(Json.parseObject(Json.bytes(v))));
   }
 
   @Test
   void anotherVersionOrAChangedBlockIsRefused() {
     Block b = new Block();
     b.set(SIDE, by("job-1", 1, false, null));
-    ObjectNode newer = FoldCodec.encode(b).put("v", 2);
-    assertThrows(InvalidMessageException.class, () -> FoldCodec.decode(newer));
-    ObjectNode changed = FoldCodec.encode(b);
+    ObjectNode newer = FoldCodec.encodeBlock(b).put("v", 2);
+    assertThrows(InvalidMessageException.class, () -> FoldCodec.decodeBlock(newer));
+    ObjectNode changed = FoldCodec.encodeBlock(b);
     changed.putArray("j").add("job-2");
-    assertThrows(InvalidMessageException.class, () -> FoldCodec.decode(changed));
+    assertThrows(InvalidMessageException.class, () -> FoldCodec.decodeBlock(changed));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/net/RateLimiterTest.java
+++ b/src/test/java/org/mallowroad/net/RateLimiterTest.java
@@ -23,7 +23,7 @@
   @MethodSource("waits")
   void waits(double perSecond, double burst, double taken, double wanted, long waitMs) {
     RateLimiter b = new RateLimiter(perSecond, burst, 0);
-    b.force(taken, 0);
-    assertEquals(waitMs, b.waitMs(wanted, 0));
+    b.forceAcquire(taken, 0);
+    assertEquals(waitMs, b.millisUntilAvailable(wanted, 0));
   }
 }
--- a/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
+++ b/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
@@ -80,7 +80,7 @@
       String[] at = null;
       for (int i = 0; i < 200 && at == null; i++) {
         try {
-          at = host.bound(0).split(":");
+          at = host.boundAddress(0).split(":");
         } catch (RuntimeException e) {
           Thread.sleep(20);
         }
--- a/src/test/java/org/mallowroad/peer/RelayTransportTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayTransportTest.java
@@ -56,10 +56,11 @@
     }
 
     @Override
-    public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
+    public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
       return new RequestSender() {
         @Override
-        public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+        public void call(
+            String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
           answer.answered(status, new byte[0]);
         }
 
@@ -72,12 +73,12 @@
     public void listen(RequestHandler front) {}
 
     @Override
-    public long bytes() {
+    public long bufferedBodyBytes() {
       return 0;
     }
 
     @Override
-    public String bound(int listener) {
+    public String boundAddress(int listener) {
       return "";
     }
 
@@ -90,8 +91,8 @@
     public void stop() {}
   }
 
-  private final RequestSender.Answer answer =
-      new RequestSender.Answer() {
+  private final RequestSender.ResponseHandler answer =
+      new RequestSender.ResponseHandler() {
         @Override
         public void answered(int s, byte[] body) {
           said.add("answered " + s);
@@ -117,17 +118,17 @@
             String path,
             byte[] body,
             long ms,
-            RequestSender.Answer back) {
+            RequestSender.ResponseHandler back) {
           back.answered(200, new byte[0]);
         }
 
         @Override
-        public void commands(String address, byte[] body, RequestSender.Answer back) {
+        public void commands(String address, byte[] body, RequestSender.ResponseHandler back) {
           back.failed(true);
         }
 
         @Override
-        public void carried(int peer, byte[] report, RequestSender.Answer back) {}
+        public void carried(int peer, byte[] report, RequestSender.ResponseHandler back) {}
       };
 
   private final RelayTransport forwarding =
--- a/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
@@ -18,7 +18,7 @@
 /** What a failed call says of the direct way to a party. */
 final class RelayedCallerTest {
   private static DynamicTest rule(
-      String name, Consumer<RequestSender.Answer> outcome, boolean astray) {
+      String name, Consumer<RequestSender.ResponseHandler> outcome, boolean astray) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
@@ -31,7 +31,11 @@
               new RequestSender() {
                 @Override
                 public void call(
-                    String method, String path, byte[] body, long timeoutMs, Answer answer) {
+                    String method,
+                    String path,
+                    byte[] body,
+                    long timeoutMs,
+                    ResponseHandler answer) {
                   outcome.accept(answer);
                 }
 
@@ -47,7 +51,7 @@
               "/multi",
               new byte[0],
               1_500,
-              new RequestSender.Answer() {
+              new RequestSender.ResponseHandler() {
                 @Override
                 public void answered(int status, byte[] body) {
                   heard.add("answered");
@@ -68,7 +72,7 @@
     return Stream.of(
         rule(
             "a caller without a free connection is no sign of a cut",
-            RequestSender.Answer::exhausted,
+            RequestSender.ResponseHandler::exhausted,
             false),
         rule("a call without an answer is one", answer -> answer.failed(true), true));
   }
--- a/src/test/java/org/mallowroad/simulation/RatingModelTest.java
+++ b/src/test/java/org/mallowroad/simulation/RatingModelTest.java
@@ -48,7 +48,7 @@
       if (second != null) {
         b.set(new Block.Side(1, "m"), new Fold(1, false, second, false, null));
       }
-      put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encode(b));
+      put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
     }
 
     void put(String key, JsonNode v) {
@@ -98,7 +98,7 @@
               Block b = new Block();
               Fold base = new Fold(1, false, "job-1", true, null);
               b.set(new Block.Side(0, "m"), new Fold(2, false, "job-5", false, base));
-              t.put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encode(b));
+              t.put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
               t.printed();
             }),
         breaks(
@@ -117,7 +117,7 @@
               b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", false, null));
               b.set(new Block.Side(1, "m"), new Fold(1, false, "job-2", false, null));
               b.set(new Block.Side(2, "m"), new Fold(1, false, "job-6", false, null));
-              t.put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encode(b));
+              t.put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
               t.printed();
             }),
         breaks(
