--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
+import org.mallowroad.controller.provisioning.MachineTypeCatalog;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -14,7 +15,7 @@
 import org.mallowroad.wire.JobCodec;
 
 /** What a node knows of its deployment: names as indices, machine types, teams. */
-public final class ClusterConfig {
+public final class ClusterConfig implements MachineTypeCatalog {
   /** More names than this, and those that nothing uses any more are forgotten. */
   static final int MOST_NAMES = 2_000;
 
@@ -99,15 +100,17 @@
   }
 
   /** The machine types as last read; empty before the first answer. */
+  @Override
   public List<MachineType> machineTypes() {
     return machineTypes;
   }
 
-  void machineTypes(List<MachineType> now) {
-    machineTypes = now;
+  @Override
+  public void replaceMachineTypes(List<MachineType> types) {
+    machineTypes = types;
   }
 
-  /** The machine type of that name, or null. */
+  @Override
   public MachineType type(String name) {
     for (MachineType t : machineTypes) {
       if (t.name().equals(name)) {
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -9,9 +9,13 @@
 import java.util.function.IntSupplier;
 import org.mallowroad.api.Folding;
 import org.mallowroad.cloud.CloudClient;
+import org.mallowroad.controller.dependency.DependencyGateController;
+import org.mallowroad.controller.dependency.FoldMaintenance;
 import org.mallowroad.controller.persistence.StateLoader;
 import org.mallowroad.controller.persistence.WriteBehindCommitter;
 import org.mallowroad.controller.persistence.WriteRateLimiter;
+import org.mallowroad.controller.provisioning.FailureResponder;
+import org.mallowroad.controller.provisioning.MachineProvisioner;
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.CostAccounting;
 import org.mallowroad.core.Heartbeat;
@@ -241,6 +245,9 @@
             state,
             cloud,
             clusterConfig,
+            clusterConfig.zones,
+            clusterConfig.operator.fleet(),
+            clusterConfig.objectives,
             schedulerState,
             responder,
             writes,
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -70,7 +70,7 @@
       List<MachineType> t = decode(item);
       if (!t.isEmpty()) {
         LOG.info("event=types_recalled types={}", t.size());
-        clusterConfig.machineTypes(t);
+        clusterConfig.replaceMachineTypes(t);
       }
     } catch (InvalidMessageException e) {
       LOG.error("event=record_unreadable key={} reason=\"{}\"", KEY, e.getMessage());
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -326,7 +326,7 @@
     cloud.types(
         t -> {
           if (t != null && !t.isEmpty()) {
-            clusterConfig.machineTypes(t);
+            clusterConfig.replaceMachineTypes(t);
             loop.after(60_000, this::types);
           } else {
             loop.after(500, this::types);
--- a/src/main/java/org/mallowroad/controller/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.dependency;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -43,7 +43,7 @@
  *
  * <p>One hold is confirmed at a time, and only when something that it waits for has changed.
  */
-final class DependencyGateController {
+public final class DependencyGateController {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyGateController.class);
   private static final long AGAIN_MS = 400;
   private static final long WATCH_MS = 10_000;
@@ -75,7 +75,7 @@
   private boolean following;
   private boolean stopped;
 
-  DependencyGateController(
+  public DependencyGateController(
       EventLoop loop,
       KeyValueStore state,
       SchedulerState schedulerState,
@@ -92,7 +92,7 @@
     this.deposed = deposed;
   }
 
-  void stop() {
+  public void stop() {
     stopped = true;
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** An open job became known; held ones wait until their release is known. */
-  void opened(Job job) {
+  public void opened(Job job) {
     if (job.spec.dependencies().held()) {
       holds.add(job.spec.id(), job.spec.dependencies());
       if (read) {
@@ -112,7 +112,7 @@
   }
 
   /** All open jobs are known: the releases that earlier leaders recorded are read. */
-  void begin() {
+  public void begin() {
     state.list(
         Records.RELEASE,
         (result, items, revision) -> {
@@ -156,7 +156,7 @@
   }
 
   /** A job's end is committed, or was found. */
-  void ended(Job job, boolean done) {
+  public void ended(Job job, boolean done) {
     holds.remove(job.spec.id());
     holds.ended(job.spec.id(), done, job.spec.dependencies().leagues());
     look();
@@ -281,7 +281,7 @@
   }
 
   /** Adds to a start's transaction what makes it void once the hold is closed again. */
-  void guard(Job job, Transaction transaction) {
+  public void guard(Job job, Transaction transaction) {
     Hold h = holds.get(job.spec.id());
     if (h == null || h.state == DependencyGates.State.CLOSED) {
       // Not to be met: such a job is held. A condition that cannot be true keeps it so.
@@ -296,7 +296,7 @@
   }
 
   /** Starts were recorded under the release: from now on it cannot be called back. */
-  void guarded(Job job, long revision) {
+  public void guarded(Job job, long revision) {
     Hold h = holds.get(job.spec.id());
     if (h != null && h.state == DependencyGates.State.OPEN) {
       h.state = DependencyGates.State.PRINTED;
@@ -306,7 +306,7 @@
   }
 
   /** A start failed under the release: it is read again, and confirmed anew if need be. */
-  void reguard(Job job, Runnable next) {
+  public void reguard(Job job, Runnable next) {
     Hold h = holds.get(job.spec.id());
     if (h == null) {
       schedulerState.close(job, loop.now());
--- a/src/main/java/org/mallowroad/controller/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.dependency;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import it.unimi.dsi.fastutil.longs.LongList;
@@ -34,7 +34,7 @@
  * games are nobody's. Walks the blocks a page at a time with what the budget leaves, and rests
  * where there are none; a takeover begins the walk anew.
  */
-final class FoldMaintenance {
+public final class FoldMaintenance {
   private static final Logger LOG = LoggerFactory.getLogger(FoldMaintenance.class);
 
   /** Users try a submission for 60 s; then, and some for clocks, nobody goes on with its claim. */
@@ -71,7 +71,7 @@
   private boolean undoing;
   private boolean stopped;
 
-  FoldMaintenance(
+  public FoldMaintenance(
       EventLoop loop,
       KeyValueStore state,
       Folding folding,
@@ -86,12 +86,12 @@
     this.version = version;
   }
 
-  void begin() {
+  public void begin() {
     loop.after(SWEEP_MS, this::sweep);
     loop.after(PAGE_MS, this::page);
   }
 
-  void stop() {
+  public void stop() {
     stopped = true;
   }
 
--- a/src/main/java/org/mallowroad/controller/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.provisioning;
 
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Arrays;
@@ -50,7 +50,7 @@
  * one finds it false; workers are answered only once the lease has been asked for again; and
  * silence counts anew, for this side did not listen.
  */
-final class FailureResponder {
+public final class FailureResponder {
   private static final Logger LOG = LoggerFactory.getLogger(FailureResponder.class);
 
   private static final long SILENT_MS = 2_000;
@@ -97,7 +97,7 @@
   private long leftOut;
 
   /** For workers that report every {@code heartbeatIntervalS} and hold leases of {@code leaseS}. */
-  FailureResponder(
+  public FailureResponder(
       SchedulerState schedulerState,
       NameIndex zones,
       double heartbeatIntervalS,
@@ -125,7 +125,7 @@
   }
 
   /** Call with each turn of the loop and before each message is taken. */
-  void turn(long now) {
+  public void turn(long now) {
     long ms = health.still().turn(now);
     if (ms > 0) {
       LOG.warn("event=stood_still term={} ms={}", term, ms);
@@ -134,7 +134,7 @@
   }
 
   /** Call with each regular beat of the loop, after {@link #turn}. */
-  void beat() {
+  public void beat() {
     health.still().beat();
   }
 
@@ -143,7 +143,7 @@
    * may lead, and an answer would hold workers here that it waits for. Bounded, since in an outage
    * of the state service nobody else can lead and the answers keep the workers' leases alive.
    */
-  boolean unsure(long renewedMs, long now) {
+  public boolean unsure(long renewedMs, long now) {
     PauseDetector still = health.still();
     return still.count() > 0 && renewedMs < still.since() && now - still.since() < UNSURE_MS;
   }
@@ -156,7 +156,7 @@
    * nodes, well within its lease, and is answered. No answer is given that was not given before, so
    * no proof changes.
    */
-  boolean sendRound(Heartbeat r, long now) {
+  public boolean sendRound(Heartbeat r, long now) {
     long last = rounds.getOrDefault(r.machine(), Long.MIN_VALUE / 2);
     if (now - last < leaseMs) {
       return false;
@@ -169,7 +169,7 @@
   }
 
   /** By which way a zone's report came: the first that is carried, and none came by itself. */
-  void came(int zone, boolean direct, long now) {
+  public void came(int zone, boolean direct, long now) {
     if (direct) {
       directMs[zone] = now;
       rerouted[zone] = false;
@@ -181,7 +181,7 @@
   }
 
   /** What a report says of its machine's health besides that it was sent: costs its own tasks. */
-  void reported(Machine m, long now) {
+  public void reported(Machine m, long now) {
     int overdue = 0;
     for (Attempt a : m.attempts()) {
       if (a.stopping()) {
--- a/src/main/java/org/mallowroad/controller/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.provisioning;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,11 +10,14 @@
 import org.mallowroad.core.Job;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.autoscaling.Autoscaler;
 import org.mallowroad.core.autoscaling.Autoscaler.Coming;
 import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.AutoscalerPolicy;
 import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
@@ -30,7 +33,7 @@
 /**
  * Rents and returns machines as {@link Autoscaler} decides; every rent is recorded before its call.
  */
-final class MachineProvisioner {
+public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
   private static final long LIST_MS = 4_000;
   private static final long TYPES_MS = 30_000;
@@ -44,7 +47,9 @@
   private final EventLoop loop;
   private final KeyValueStore state;
   private final CloudClient cloud;
-  private final ClusterConfig clusterConfig;
+  private final MachineTypeCatalog machineTypes;
+  private final NameIndex zones;
+  private final AutoscalerPolicy policy;
   private final SchedulerState schedulerState;
   private final Autoscaler fleet;
   private final RateLimiter writes;
@@ -66,7 +71,7 @@
   private boolean stopped;
 
   /** What the manager asks of the leader. */
-  interface Listener {
+  public interface Listener {
     /** True while the leader reaches the state service and its lease holds. */
     boolean firm();
 
@@ -106,11 +111,14 @@
   /** A machine that was rented or listed and has not reported in this term. */
   private record Expected(String name, Variant variant, long rentedMs, long metMs, String gang) {}
 
-  MachineProvisioner(
+  public MachineProvisioner(
       EventLoop loop,
       KeyValueStore state,
       CloudClient cloud,
-      ClusterConfig clusterConfig,
+      MachineTypeCatalog machineTypes,
+      NameIndex zones,
+      AutoscalerPolicy policy,
+      ServiceLevelObjectives objectives,
       SchedulerState schedulerState,
       FailureResponder responder,
       RateLimiter writes,
@@ -121,41 +129,42 @@
     this.loop = loop;
     this.state = state;
     this.cloud = cloud;
-    this.clusterConfig = clusterConfig;
+    this.machineTypes = machineTypes;
+    this.zones = zones;
+    this.policy = policy;
     this.schedulerState = schedulerState;
     this.writes = writes;
     this.maxOps = maxOps;
     this.responder = responder;
-    this.fleet =
-        new Autoscaler(schedulerState, clusterConfig.operator.fleet(), clusterConfig.objectives);
+    this.fleet = new Autoscaler(schedulerState, policy, objectives);
     this.term = term;
     this.version = version;
     this.listener = listener;
   }
 
   /** Begins; decisions wait until {@link #act()}. */
-  void start() {
+  public void start() {
     duties.add(loop.every(LIST_MS, this::list));
     duties.add(loop.every(TYPES_MS, this::types));
     list();
   }
 
   /** The report round is over: from now on machines are rented and returned. */
-  void act() {
-    duties.add(loop.every(clusterConfig.operator.fleet().cycleMs(), this::cycle));
+  public void act() {
+    duties.add(loop.every(policy.cycleMs(), this::cycle));
     duties.add(loop.every(JUDGE_MS, this::judge));
     cycle();
   }
 
-  void stop() {
+  public void stop() {
     stopped = true;
     duties.forEach(EventLoop.Timer::cancel);
   }
 
   /** Takes a recorded request on takeover; repeating it tells which machines it brought. */
-  void restore(String name, JsonNode v) {
-    MachineType type = clusterConfig.type(v.path("type").asText());
-    int zone = clusterConfig.zones.find(v.path("zone").asText());
+  public void restore(String name, JsonNode v) {
+    MachineType type = machineTypes.type(v.path("type").asText());
+    int zone = zones.find(v.path("zone").asText());
     if (type == null || zone < 0) {
       return;
     }
@@ -171,7 +180,7 @@
   }
 
   /** Machines whose workers should report. */
-  int running() {
+  public int running() {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
       if (!m.returning && !m.failed) {
@@ -182,7 +191,7 @@
   }
 
   /** The machine reported: it is no longer on its way. */
-  void reported(Machine m) {
+  public void reported(Machine m) {
     Expected e = expected.remove(m.name);
     if (e != null) {
       schedulerState.spending().booted(m, loop.now() - e.rentedMs);
@@ -193,7 +202,7 @@
     cloud.types(
         t -> {
           if (t != null && !stopped) {
-            clusterConfig.machineTypes(t);
+            machineTypes.replaceMachineTypes(t);
           }
         });
   }
@@ -213,8 +222,8 @@
   }
 
   private void listed(CloudClient.Listed l) {
-    MachineType type = clusterConfig.type(l.type());
-    int zone = clusterConfig.zones.find(l.zone());
+    MachineType type = machineTypes.type(l.type());
+    int zone = zones.find(l.zone());
     if (type == null || zone < 0 || schedulerState.isGone(l.name())) {
       return;
     }
@@ -259,13 +268,13 @@
     List<Coming> coming = coming(now);
     List<Job> queue = listener.queue();
     // What one transaction cannot record is asked for again in the next cycle.
-    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, clusterConfig.machineTypes(), now);
+    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, machineTypes.machineTypes(), now);
     for (GangReservations.Change c : schedulerState.gangReservations().changes()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
           c.what().name().toLowerCase(Locale.ROOT),
           c.job().spec.id(),
-          c.zone() < 0 ? "any" : clusterConfig.zones.name(c.zone()),
+          c.zone() < 0 ? "any" : zones.name(c.zone()),
           c.places(),
           c.need(),
           c.lastedMs());
@@ -288,12 +297,12 @@
   }
 
   /** Since when the cloud has refused the variant; -1 while it has not. */
-  long refusedSinceMs(Variant v) {
+  public long refusedSinceMs(Variant v) {
     return fleet.refusedSinceMs(v);
   }
 
   /** Machines rented and not yet reporting, those overdue left out. */
-  List<Coming> coming(long now) {
+  public List<Coming> coming(long now) {
     List<Coming> out = new ArrayList<>();
     for (Hire h : rentals.values()) {
       if (!h.answered) {
@@ -321,7 +330,7 @@
       batch.add(h);
       ObjectNode v = Json.object();
       v.put("type", r.variant().type().name());
-      v.put("zone", clusterConfig.zones.name(r.variant().zone()));
+      v.put("zone", zones.name(r.variant().zone()));
       v.put("spot", r.variant().spot());
       v.put("count", r.count());
       if (r.gang() != null) {
@@ -368,13 +377,13 @@
         "event=rent hire={} type={} zone={} spot={} count={}",
         h.name,
         h.variant.type().name(),
-        clusterConfig.zones.name(h.variant.zone()),
+        zones.name(h.variant.zone()),
         h.variant.spot(),
         h.count);
     cloud.rent(
         h.name,
         h.variant.type().name(),
-        clusterConfig.zones.name(h.variant.zone()),
+        zones.name(h.variant.zone()),
         h.variant.spot(),
         h.count,
         (names, refused) -> {
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -77,7 +77,7 @@
         rps = 8.0
         """);
     clusterConfig = new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults());
-    clusterConfig.machineTypes(
+    clusterConfig.replaceMachineTypes(
         List.of(
             new MachineType(
                 clusterConfig.types.intern("t32"),
--- a/src/test/java/org/mallowroad/controller/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/org/mallowroad/controller/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.provisioning;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
