--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -9,6 +9,13 @@
 import java.util.function.IntSupplier;
 import org.mallowroad.api.Folding;
 import org.mallowroad.cloud.CloudClient;
+import org.mallowroad.controller.dependency.DependencyGateController;
+import org.mallowroad.controller.dependency.FoldMaintenance;
+import org.mallowroad.controller.persistence.StateLoader;
+import org.mallowroad.controller.persistence.WriteBehindCommitter;
+import org.mallowroad.controller.persistence.WriteRateLimiter;
+import org.mallowroad.controller.provisioning.FailureResponder;
+import org.mallowroad.controller.provisioning.MachineProvisioner;
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.CostAccounting;
 import org.mallowroad.core.Heartbeat;
@@ -238,6 +245,9 @@
             state,
             cloud,
             clusterConfig,
+            clusterConfig.zones,
+            clusterConfig.operator.fleet(),
+            clusterConfig.objectives,
             schedulerState,
             responder,
             writes,
@@ -505,7 +515,7 @@
       workers.send(
           m.address,
           m.via,
-          WorkerCodec.direct(m.fencingToken, m.incarnation, commands),
+          WorkerCodec.encodeDirectCommands(m.fencingToken, m.incarnation, commands),
           (result, report) -> {
             if (stopped || schedulerState.machine(m.name) != m) {
               return;
@@ -607,7 +617,7 @@
     }
     Machine m = take(r);
     if (m == null) {
-      reply.accept(WorkerCodec.commands(term, List.of()));
+      reply.accept(WorkerCodec.encodeCommands(term, List.of()));
       return;
     }
     load.reports++;
@@ -615,7 +625,7 @@
     m.lastAnswerMs = now;
     if (commands == null) {
       // A late copy, or overtaken by a newer one: nobody was heard by it.
-      reply.accept(WorkerCodec.commands(m.fencingToken, List.of()));
+      reply.accept(WorkerCodec.encodeCommands(m.fencingToken, List.of()));
       return;
     }
     heard = true;
@@ -626,7 +636,7 @@
     responder.reported(m, loop.now());
     advance();
     if (!firm() || !schedulerState.mayGetWork(m, loop.now()) || !placement.anyWaiting()) {
-      reply.accept(WorkerCodec.commands(m.fencingToken, commands));
+      reply.accept(WorkerCodec.encodeCommands(m.fencingToken, commands));
       return;
     }
     // Work may come its way in a moment: then this answer carries the launches.
@@ -791,7 +801,7 @@
         }
       }
       machine.lastAnswerMs = loop.now();
-      reply.accept(WorkerCodec.commands(machine.fencingToken, commands));
+      reply.accept(WorkerCodec.encodeCommands(machine.fencingToken, commands));
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -1,4 +1,4 @@
-package org.mallowroad.controller;
+package org.mallowroad.controller.dependency;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import it.unimi.dsi.fastutil.longs.LongList;
@@ -34,7 +34,7 @@
  * games are nobody's. Walks the blocks a page at a time with what the budget leaves, and rests
  * where there are none; a takeover begins the walk anew.
  */
-final class FoldMaintenance {
+public final class FoldMaintenance {
   private static final Logger LOG = LoggerFactory.getLogger(FoldMaintenance.class);
 
   /** Users try a submission for 60 s; then, and some for clocks, nobody goes on with its claim. */
@@ -71,7 +71,7 @@
   private boolean undoing;
   private boolean stopped;
 
-  FoldMaintenance(
+  public FoldMaintenance(
       EventLoop loop,
       KeyValueStore state,
       Folding folding,
@@ -86,12 +86,12 @@
     this.version = version;
   }
 
-  void begin() {
+  public void begin() {
     loop.after(SWEEP_MS, this::sweep);
     loop.after(PAGE_MS, this::page);
   }
 
-  void stop() {
+  public void stop() {
     stopped = true;
   }
 
@@ -174,7 +174,7 @@
     for (VersionedValue i : items) {
       try {
         BlockKey key = Records.block(i.key());
-        Block block = FoldCodec.decode(i.value());
+        Block block = FoldCodec.decodeBlock(i.value());
         blocks.put(key, block);
         versions.put(key, i.version());
         for (Fold f : block.sides().values()) {
@@ -222,18 +222,18 @@
           Block settled = Claims.settled(b, jobOutcomes::get);
           if (settled != b
               && transaction.writes() < maxOps / 2
-              && writes.ready(loop.now()) - transaction.writes() >= SPARE) {
+              && writes.availablePermits(loop.now()) - transaction.writes() >= SPARE) {
             transaction.given(Records.fold(k), versions.get(k));
             if (settled.sides().isEmpty()) {
               transaction.delete(Records.fold(k));
             } else {
-              transaction.put(Records.fold(k), FoldCodec.encode(settled));
+              transaction.put(Records.fold(k), FoldCodec.encodeBlock(settled));
             }
           }
         });
     loop.after(PAGE_MS, this::page);
     if (transaction.writes() > 0) {
-      writes.force(transaction.writes(), loop.now());
+      writes.forceAcquire(transaction.writes(), loop.now());
       // Whatever comes of it: the next walk sees what is left.
       state.run(transaction, (result, revision, failed) -> {});
     }
