--- a/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -123,7 +123,7 @@
   @Test
   void answersAreWrittenByteForByte() {
     Map<String, String> json = new LinkedHashMap<>();
-    samples().forEach((name, value) -> json.put(name, GoldenFile.text(ConsoleCodec.bytes(value))));
+    samples().forEach((name, value) -> json.put(name, GoldenFile.text(ConsoleCodec.encode(value))));
     ANSWERS.check(json);
   }
 
@@ -133,11 +133,11 @@
       byte[] golden = answer.getValue().getBytes(StandardCharsets.UTF_8);
       Object read =
           switch (answer.getKey()) {
-            case SIGHT, SIGHT_WITHOUT_PICTURE -> ConsoleCodec.sight(golden);
-            case JOB, CLOSED_JOB -> ConsoleCodec.job(golden);
-            default -> ConsoleCodec.history(golden);
+            case SIGHT, SIGHT_WITHOUT_PICTURE -> ConsoleCodec.decodeStatus(golden);
+            case JOB, CLOSED_JOB -> ConsoleCodec.decodeJob(golden);
+            default -> ConsoleCodec.decodeHistory(golden);
           };
-      assertEquals(answer.getValue(), GoldenFile.text(ConsoleCodec.bytes(read)));
+      assertEquals(answer.getValue(), GoldenFile.text(ConsoleCodec.encode(read)));
       assertEquals(samples().get(answer.getKey()), read);
     }
   }
--- a/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
@@ -90,8 +90,8 @@
   private String request(
       ServerSocket server, Endpoint endpoint, String method, String path, byte[] body, String type)
       throws IOException {
-    RequestSender.Answer ignored =
-        new RequestSender.Answer() {
+    RequestSender.ResponseHandler ignored =
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] answer) {}
 
@@ -101,7 +101,7 @@
     host.loop()
         .soon(
             () ->
-                host.caller(endpoint, type, 1, 1_000)
+                host.requestSender(endpoint, type, 1, 1_000)
                     .call(method, path, body, PATIENCE_MS, ignored));
     server.setSoTimeout(PATIENCE_MS);
     try (Socket connection = server.accept()) {
@@ -142,7 +142,7 @@
   }
 
   private String answer(int listener, String requestLine) throws IOException {
-    Endpoint at = Endpoint.of(host.bound(listener));
+    Endpoint at = Endpoint.of(host.boundAddress(listener));
     try (Socket connection = new Socket(at.host(), at.port())) {
       connection.setSoTimeout(PATIENCE_MS);
       String headers = "\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
--- a/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -29,7 +29,7 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
-import org.mallowroad.wire.TypeCodec;
+import org.mallowroad.wire.MachineTypeCodec;
 
 /** Values of the state service that an earlier build wrote are read and written again as such. */
 final class RecordValuesGoldenTest {
@@ -122,10 +122,14 @@
                 Records.leagueValue(
                     v.get(Records.UP_TO).asLong(), v.get(Records.CHANGES).asLong())),
         new Case(
-            Records.held("job-000412"), v -> DependencyCodec.held(DependencyCodec.dependencies(v))),
-        new Case(Records.held("job-7"), v -> DependencyCodec.held(DependencyCodec.dependencies(v))),
+            Records.held("job-000412"),
+            v -> DependencyCodec.encodeRecord(DependencyCodec.decodeRecord(v))),
         new Case(
-            Records.fold(new BlockKey("pnw-2026", 31)), v -> FoldCodec.encode(FoldCodec.decode(v))),
+            Records.held("job-7"),
+            v -> DependencyCodec.encodeRecord(DependencyCodec.decodeRecord(v))),
+        new Case(
+            Records.fold(new BlockKey("pnw-2026", 31)),
+            v -> FoldCodec.encodeBlock(FoldCodec.decodeBlock(v))),
         new Case("types", RecordValuesGoldenTest::rewriteTypes));
   }
 
@@ -140,8 +144,8 @@
 
   private static JsonNode rewriteTypes(ObjectNode value) throws InvalidMessageException {
     Deployment deployment = new Deployment();
-    return TypeCodec.encode(
-        TypeCodec.decode(value, deployment.types, deployment.zones), deployment.zones);
+    return MachineTypeCodec.encode(
+        MachineTypeCodec.decode(value, deployment.types, deployment.zones), deployment.zones);
   }
 
   private static JsonNode rewriteShared(ObjectNode value) throws InvalidMessageException {
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -75,7 +75,8 @@
     private String call = "";
 
     @Override
-    public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+    public void call(
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
       String text = body == null ? "no body" : GoldenFile.text(body);
       requests.put(call + ": " + method + " " + path + " within " + timeoutMs + " ms", text);
       answer.failed(false);
@@ -162,9 +163,10 @@
             new WorkerCommand(WorkerCommand.Kind.STOP, "job-000377", 1, 1, 10),
             new WorkerCommand(WorkerCommand.Kind.STOP, "job-000377", 2, 1, 2.5),
             new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-000398", 0, 1, 0));
-    messages.put("answer to a report", Json.text(WorkerCodec.commands(41, commands)));
-    messages.put("answer without orders", Json.text(WorkerCodec.commands(41, List.of())));
-    messages.put("direct orders", Json.text(WorkerCodec.direct(4_294_967_296L, 3, commands)));
+    messages.put("answer to a report", Json.text(WorkerCodec.encodeCommands(41, commands)));
+    messages.put("answer without orders", Json.text(WorkerCodec.encodeCommands(41, List.of())));
+    messages.put(
+        "direct orders", Json.text(WorkerCodec.encodeDirectCommands(4_294_967_296L, 3, commands)));
     new GoldenFile("worker-orders.txt").check(messages);
   }
 
@@ -178,7 +180,7 @@
             + "{'move':'job-000412/5','try':4,'standing':'pulling'},"
             + "{'move':'job-000412/6','try':5,'standing':'later word'},"
             + "{'move':'job-000398/0','try':1,'standing':'exited','cause':'done'}]}";
-    Heartbeat read = WorkerCodec.decode(json(report));
+    Heartbeat read = WorkerCodec.decodeHeartbeat(json(report));
     assertEquals("n-000231", read.machine());
     assertEquals("10.1.0.232:9000", read.address());
     assertEquals("g8", read.type());
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -212,8 +212,8 @@
   }
 
   private void askForMetrics(SimulatedEnvironment host) {
-    RequestSender.Answer ignored =
-        new RequestSender.Answer() {
+    RequestSender.ResponseHandler ignored =
+        new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {}
 
@@ -330,12 +330,13 @@
     }
 
     @Override
-    public RequestSender caller(Endpoint to, String type, int maxOpen, int maxBody) {
-      RequestSender caller = host.caller(to, type, maxOpen, maxBody);
+    public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
+      RequestSender caller = host.requestSender(to, type, maxOpen, maxBody);
       Party party = party(to);
       return new RequestSender() {
         @Override
-        public void call(String method, String path, byte[] body, long timeoutMs, Answer answer) {
+        public void call(
+            String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
           listener.request(host.index, party, method, path, body == null ? new byte[0] : body);
           caller.call(method, path, body, timeoutMs, answer);
         }
@@ -374,13 +375,13 @@
     }
 
     @Override
-    public long bytes() {
-      return host.bytes();
+    public long bufferedBodyBytes() {
+      return host.bufferedBodyBytes();
     }
 
     @Override
-    public String bound(int index) {
-      return host.bound(index);
+    public String boundAddress(int index) {
+      return host.boundAddress(index);
     }
 
     @Override
