--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.mallowroad.core.MachineType;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot;
@@ -182,12 +182,12 @@
     }
 
     @Override
-    public List<Coming> coming(long now) {
+    public List<PendingMachines> coming(long now) {
       return leader.fleet().coming(now);
     }
 
     @Override
-    public long refusedSinceMs(Variant v) {
+    public long refusedSinceMs(MachineVariant v) {
       return leader.fleet().refusedSinceMs(v);
     }
 
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -13,9 +13,10 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.autoscaling.Autoscaler;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 import org.mallowroad.core.gang.GangReservations;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.election.LeaderElection;
@@ -88,7 +89,7 @@
   /** A recorded rental request. */
   private static final class Hire {
     final String name;
-    final Variant variant;
+    final MachineVariant variant;
     final int count;
     final long sinceMs;
 
@@ -99,7 +100,7 @@
     boolean answered;
     List<String> machines = List.of();
 
-    Hire(String name, Variant variant, int count, long sinceMs, String gang) {
+    Hire(String name, MachineVariant variant, int count, long sinceMs, String gang) {
       this.gang = gang;
       this.name = name;
       this.variant = variant;
@@ -109,7 +110,8 @@
   }
 
   /** A machine that was rented or listed and has not reported in this term. */
-  private record Expected(String name, Variant variant, long rentedMs, long metMs, String gang) {}
+  private record Expected(
+      String name, MachineVariant variant, long rentedMs, long metMs, String gang) {}
 
   public MachineProvisioner(
       EventLoop loop,
@@ -171,7 +173,7 @@
     Hire h =
         new Hire(
             name,
-            new Variant(type, zone, v.path("spot").asBoolean()),
+            new MachineVariant(type, zone, v.path("spot").asBoolean()),
             v.path("count").asInt(),
             loop.now(),
             v.path(GANG).asText(null));
@@ -247,7 +249,7 @@
           l.name(),
           new Expected(
               l.name(),
-              new Variant(type, zone, l.spot()),
+              new MachineVariant(type, zone, l.spot()),
               now - (long) (l.ageS() * 1000),
               now,
               null));
@@ -265,10 +267,10 @@
       }
     }
     settle();
-    List<Coming> coming = coming(now);
+    List<PendingMachines> coming = coming(now);
     List<Job> queue = listener.queue();
     // What one transaction cannot record is asked for again in the next cycle.
-    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, machineTypes.machineTypes(), now);
+    List<ScaleOutRequest> rents = fleet.rents(queue, coming, machineTypes.machineTypes(), now);
     for (GangReservations.Change c : schedulerState.gangReservations().changes()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
@@ -297,32 +299,32 @@
   }
 
   /** Since when the cloud has refused the variant; -1 while it has not. */
-  public long refusedSinceMs(Variant v) {
+  public long refusedSinceMs(MachineVariant v) {
     return fleet.refusedSinceMs(v);
   }
 
   /** Machines rented and not yet reporting, those overdue left out. */
-  public List<Coming> coming(long now) {
-    List<Coming> out = new ArrayList<>();
+  public List<PendingMachines> coming(long now) {
+    List<PendingMachines> out = new ArrayList<>();
     for (Hire h : rentals.values()) {
       if (!h.answered) {
-        out.add(new Coming(h.variant, h.count, h.sinceMs, h.gang));
+        out.add(new PendingMachines(h.variant, h.count, h.sinceMs, h.gang));
       }
     }
     for (Expected e : expected.values()) {
       // One that is long overdue may never come: it no longer holds back a replacement.
       if (now - e.rentedMs < (long) (e.variant.type().bootS() * 1800) + 4000) {
-        out.add(new Coming(e.variant, 1, e.rentedMs, e.gang));
+        out.add(new PendingMachines(e.variant, 1, e.rentedMs, e.gang));
       }
     }
     return out;
   }
 
   /** Records requests, all in one transaction, before their calls. */
-  private void rent(List<Autoscaler.Rent> rents, long now) {
+  private void rent(List<ScaleOutRequest> rents, long now) {
     List<Hire> batch = new ArrayList<>();
     Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
-    for (Autoscaler.Rent r : rents) {
+    for (ScaleOutRequest r : rents) {
       String name = "r-" + term + "-" + counter++;
       Hire h = new Hire(name, r.variant(), r.count(), now, r.gang());
       h.calling = true;
@@ -359,7 +361,7 @@
   }
 
   /** Machines of a variant that the cloud has given: known, or on their way. */
-  private int there(Variant v) {
+  private int there(MachineVariant v) {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
       boolean is = m.type.index() == v.type().index() && m.zone == v.zone() && m.spot == v.spot();
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -25,46 +25,6 @@
  * type in a zone, ordinary or spot.
  */
 public final class Autoscaler {
-  /** A type in a zone, ordinary or spot. */
-  public record Variant(MachineType type, int zone, boolean spot) {
-    /** The same number for the same variant, and no other's. */
-    public long key() {
-      return ((long) type.index() << 32) | ((long) zone << 1) | (spot ? 1 : 0);
-    }
-
-    /** What one costs an hour. */
-    public double price() {
-      return type.price(spot);
-    }
-  }
-
-  /**
-   * Machines to be rented of one variant.
-   *
-   * @param gang the gang that they are gathered for, or null
-   */
-  public record Rent(Variant variant, int count, String gang) {
-    /** For whatever waits. */
-    public Rent(Variant variant, int count) {
-      this(variant, count, null);
-    }
-  }
-
-  /**
-   * Machines rented and not yet reporting: they will take waiting tasks.
-   *
-   * @param gang the gang that they were rented for, or null
-   */
-  public record Coming(Variant variant, int count, long sinceMs, String gang) {
-    /** For whatever waits. */
-    public Coming(Variant variant, int count, long sinceMs) {
-      this(variant, count, sinceMs, null);
-    }
-  }
-
-  /** The cloud rents no more machines at once. */
-  private static final int MOST_A_CALL = 50;
-
   private static final long REFUSED_MS = 15_000;
   private static final long SOON_MS = 3_000;
 
@@ -114,7 +74,7 @@
   }
 
   /** The cloud had none, or fewer than asked: other variants are tried for a while. */
-  public void refused(Variant v, long now) {
+  public void refused(MachineVariant v, long now) {
     refusedUntil.put(v.key(), now + REFUSED_MS);
     if (probing.add(v.key())) {
       refusedSince.put(v.key(), now);
@@ -124,7 +84,7 @@
   /**
    * Since when the cloud has refused the variant, or given fewer than asked; -1 while it has not.
    */
-  public long refusedSinceMs(Variant v) {
+  public long refusedSinceMs(MachineVariant v) {
     return probing.contains(v.key()) ? refusedSince.get(v.key()) : -1;
   }
 
@@ -136,16 +96,16 @@
   public static final int MOST_FORECAST = 16_000;
 
   /** The cloud gave all that was asked for: there may be more. */
-  public void granted(Variant v) {
+  public void granted(MachineVariant v) {
     probing.remove(v.key());
     refusedSince.remove(v.key());
   }
 
-  private boolean refused(Variant v, int taken, long now) {
+  private boolean refused(MachineVariant v, int taken, long now) {
     // After a refusal one call shows whether there is room again.
-    return health.failureDetector().cut(v.zone)
+    return health.failureDetector().cut(v.zone())
         || refusedUntil.get(v.key()) > now
-        || (taken >= MOST_A_CALL && probing.contains(v.key()));
+        || (taken >= ScaleOutRequest.MAX_MACHINES && probing.contains(v.key()));
   }
 
   /**
@@ -157,23 +117,25 @@
    * would be sooner, is one rented for it. So work that can wait for room does not rent dear
    * machines.
    */
-  public List<Rent> rents(List<Job> all, List<Coming> every, List<MachineType> types, long now) {
+  public List<ScaleOutRequest> rents(
+      List<Job> all, List<PendingMachines> every, List<MachineType> types, long now) {
     // Gangs gather by themselves (core.gang): in the averages and the forecasts their tasks would
     // rent one machine after the other, in each zone, and none of them would wait for the others.
     List<Job> queue = all.stream().filter(j -> !j.spec.gang()).toList();
-    List<Coming> coming = every.stream().filter(c -> c.gang() == null).toList();
-    Object2IntLinkedOpenHashMap<Variant> added = new Object2IntLinkedOpenHashMap<>();
+    List<PendingMachines> coming = every.stream().filter(c -> c.gang() == null).toList();
+    Object2IntLinkedOpenHashMap<MachineVariant> added = new Object2IntLinkedOpenHashMap<>();
     int waiting = forecast(queue, coming, types, added, now);
     if (added.isEmpty() && spareIsLow(waiting, coming)) {
-      Variant v = cheapestOf(queue, types, now);
+      MachineVariant v = cheapestOf(queue, types, now);
       if (v != null) {
         added.addTo(v, 1);
       }
     }
-    List<Rent> rents = new ArrayList<>(schedulerState.gangReservations().rents(every, types, now));
-    for (Object2IntMap.Entry<Variant> e : added.object2IntEntrySet()) {
-      for (int left = e.getIntValue(); left > 0; left -= MOST_A_CALL) {
-        rents.add(new Rent(e.getKey(), Math.min(MOST_A_CALL, left)));
+    List<ScaleOutRequest> rents =
+        new ArrayList<>(schedulerState.gangReservations().rents(every, types, now));
+    for (Object2IntMap.Entry<MachineVariant> e : added.object2IntEntrySet()) {
+      for (int left = e.getIntValue(); left > 0; left -= ScaleOutRequest.MAX_MACHINES) {
+        rents.add(new ScaleOutRequest(e.getKey(), Math.min(ScaleOutRequest.MAX_MACHINES, left)));
       }
     }
     return rents;
@@ -187,9 +149,9 @@
    */
   private int forecast(
       List<Job> queue,
-      List<Coming> coming,
+      List<PendingMachines> coming,
       List<MachineType> types,
-      Object2IntLinkedOpenHashMap<Variant> added,
+      Object2IntLinkedOpenHashMap<MachineVariant> added,
       long now) {
     int[] counts = new int[queue.size()];
     double[] teamCpus = new double[schedulerState.teams().size()];
@@ -226,12 +188,14 @@
       }
     }
     int firstComing = slots.size();
-    for (Coming c : coming) {
-      for (int i = 0; i < c.count; i++) {
-        if (health.failureDetector().cut(c.variant.zone) && away.replaced()) {
+    for (PendingMachines c : coming) {
+      for (int i = 0; i < c.count(); i++) {
+        if (health.failureDetector().cut(c.variant().zone()) && away.replaced()) {
           continue;
         }
-        slots.add(new Slot(c.variant, Math.max(now + SOON_MS, c.sinceMs + boot(c.variant))));
+        slots.add(
+            new Slot(
+                c.variant(), Math.max(now + SOON_MS, c.sinceMs() + c.variant().plannedBootMs())));
       }
     }
     int most = MOST_FORECAST;
@@ -280,7 +244,7 @@
       List<Slot> slots,
       int firstComing,
       List<MachineType> types,
-      Object2IntLinkedOpenHashMap<Variant> added,
+      Object2IntLinkedOpenHashMap<MachineVariant> added,
       int[] rented,
       long now) {
     PriorityQueue<Start> starts =
@@ -291,7 +255,7 @@
       // Room in a zone where its other tasks do not let it be is none (docs/incidents,
       // room-in-the-other-zone).
       long at =
-          job.mayBeIn(slots.get(i).variant.zone) ? slots.get(i).start(job.spec) : Long.MAX_VALUE;
+          job.mayBeIn(slots.get(i).variant.zone()) ? slots.get(i).start(job.spec) : Long.MAX_VALUE;
       if (at < Long.MAX_VALUE) {
         starts.add(new Start(at, i));
       }
@@ -312,20 +276,20 @@
         }
       }
       if (best == null || best.at > now) {
-        Variant v = cheapest(job, left, types, added, now);
+        MachineVariant v = cheapest(job, left, types, added, now);
         if (v != null && cheap(v, types) && (best == null || best.at > now + LATE_MS)) {
           // What has to wait although machines are cheap goes to new ones, and leaves the room that
           // others set free to what comes next: otherwise a lasting burst is always just about to
           // find room, and nothing is rented for it.
           while (fresh < slots.size()
-              && !(job.mayBeIn(slots.get(fresh).variant.zone)
+              && !(job.mayBeIn(slots.get(fresh).variant.zone())
                   && slots.get(fresh).holds(job.spec))) {
             fresh++;
           }
-          if (fresh == slots.size() && rented[v.type.index()] < policy.step()) {
-            rented[v.type.index()]++;
+          if (fresh == slots.size() && rented[v.type().index()] < policy.step()) {
+            rented[v.type().index()]++;
             added.addTo(v, 1);
-            slots.add(new Slot(v, now + boot(v)));
+            slots.add(new Slot(v, now + v.plannedBootMs()));
           }
           if (fresh < slots.size()) {
             slots.get(fresh).take(job.spec, slots.get(fresh).at);
@@ -334,11 +298,11 @@
           }
         }
         if (v != null
-            && rented[v.type.index()] < policy.step()
+            && rented[v.type().index()] < policy.step()
             && worth(job, v, best == null ? Long.MAX_VALUE : best.at, types, now)) {
-          rented[v.type.index()]++;
+          rented[v.type().index()]++;
           added.addTo(v, 1);
-          best = new Start(now + boot(v), slots.size());
+          best = new Start(now + v.plannedBootMs(), slots.size());
           slots.add(new Slot(v, best.at));
           starts.add(best);
         }
@@ -358,15 +322,15 @@
   }
 
   /** True when a machine of the variant rented now would bring a late start forward enough. */
-  private boolean worth(Job job, Variant v, long start, List<MachineType> types, long now) {
-    if (start <= now + boot(v) + WORTH_MS) {
+  private boolean worth(Job job, MachineVariant v, long start, List<MachineType> types, long now) {
+    if (start <= now + v.plannedBootMs() + WORTH_MS) {
       return false;
     }
     if (cheap(v, types)) {
       return true; // Waiting saves nothing where machines are cheap.
     }
-    double fetchS = job.spec.imageGb() / v.type.fetchGbPerS();
-    double readyS = (now + boot(v) - job.sinceMs()) / 1000.0 + fetchS;
+    double fetchS = job.spec.imageGb() / v.type().fetchGbPerS();
+    double readyS = (now + v.plannedBootMs() - job.sinceMs()) / 1000.0 + fetchS;
     double within = objectives.startWithinS(job.spec, fetchS, job.guaranteed, readyS);
     return start > (long) Math.min(Long.MAX_VALUE / 4.0, job.sinceMs() + 1000 * PATIENCE * within);
   }
@@ -379,8 +343,8 @@
       }
       for (int zone : t.zones()) {
         if (!health.failureDetector().cut(zone)
-            && (refusedUntil.get(new Variant(t, zone, true).key()) <= now
-                || refusedUntil.get(new Variant(t, zone, false).key()) <= now)) {
+            && (refusedUntil.get(new MachineVariant(t, zone, true).key()) <= now
+                || refusedUntil.get(new MachineVariant(t, zone, false).key()) <= now)) {
           return true;
         }
       }
@@ -392,36 +356,32 @@
   private record Start(long at, int slot) {}
 
   /** True when a CPU of the variant costs little more than the cheapest one of all. */
-  private static boolean cheap(Variant v, List<MachineType> types) {
+  private static boolean cheap(MachineVariant v, List<MachineType> types) {
     double least = Double.MAX_VALUE;
     for (MachineType t : types) {
       least = Math.min(least, Math.min(t.price(), t.spotPrice()) / t.cpus());
     }
-    return v.price() / v.type.cpus() <= CHEAP * least;
-  }
-
-  private static long boot(Variant v) {
-    return (long) (v.type.bootS() * 1050);
+    return v.price() / v.type().cpus() <= CHEAP * least;
   }
 
   /** A machine as the forecast sees it: room from a time on, and when more is set free. */
   private static final class Slot {
-    private final Variant variant;
+    private final MachineVariant variant;
     private final ResourceVector room;
     private final List<Release> releases = new ArrayList<>();
     private long at;
 
     private record Release(long at, JobSpec job) {}
 
-    Slot(Variant variant, long at) {
+    Slot(MachineVariant variant, long at) {
       this.variant = variant;
       this.at = at;
       this.room =
-          new ResourceVector(variant.type.cpus(), variant.type.cards(), variant.type.memGb());
+          new ResourceVector(variant.type().cpus(), variant.type().cards(), variant.type().memGb());
     }
 
     static Slot of(Machine m, long now) {
-      Slot s = new Slot(new Variant(m.type, m.zone, m.spot), now);
+      Slot s = new Slot(new MachineVariant(m.type, m.zone, m.spot), now);
       for (Attempt a : m.attempts) {
         s.room.add(a.job.spec, -1);
         double est = a.job.spec.service() ? 1e9 : a.job.spec.estimateS();
@@ -442,12 +402,13 @@
 
     /** True when a task has room here without waiting for another to end. */
     boolean holds(JobSpec s) {
-      return s.allows(variant.type.index(), variant.zone, variant.spot) && room.fits(s);
+      return s.allows(variant.type().index(), variant.zone(), variant.spot()) && room.fits(s);
     }
 
     /** When a task of the job would have room; the largest long for never. */
     long start(JobSpec s) {
-      if (!s.allows(variant.type.index(), variant.zone, variant.spot) || !variant.type.fits(s)) {
+      if (!s.allows(variant.type().index(), variant.zone(), variant.spot())
+          || !variant.type().fits(s)) {
         return Long.MAX_VALUE;
       }
       if (room.fits(s)) {
@@ -471,13 +432,13 @@
       releases.subList(0, freed).clear();
       at = Math.max(at, start);
       room.add(s, -1);
-      double run = s.estimateS() + s.imageGb() / variant.type.fetchGbPerS();
+      double run = s.estimateS() + s.imageGb() / variant.type().fetchGbPerS();
       add(at + (long) (run * 1000), s);
     }
   }
 
   /** The design's trigger: spare averaged over unsaturated machines. */
-  boolean spareIsLow(int waiting, List<Coming> coming) {
+  boolean spareIsLow(int waiting, List<PendingMachines> coming) {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
       if (m.usable() && m.heldFor == null && !health.away(m.health)) {
@@ -485,8 +446,8 @@
       }
     }
     int soon = 0;
-    for (Coming c : coming) {
-      soon += c.count;
+    for (PendingMachines c : coming) {
+      soon += c.count();
     }
     if (n + soon == 0) {
       return false;
@@ -515,13 +476,13 @@
   }
 
   /** The variant on which the job's waiting tasks cost least, as far as they fill a machine. */
-  private Variant cheapest(
+  private MachineVariant cheapest(
       Job job,
       int left,
       List<MachineType> types,
-      Object2IntLinkedOpenHashMap<Variant> added,
+      Object2IntLinkedOpenHashMap<MachineVariant> added,
       long now) {
-    Variant best = null;
+    MachineVariant best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType t : types) {
       if (!t.fits(job.spec)) {
@@ -530,9 +491,9 @@
       int holds = Math.min(left, t.holds(job.spec));
       for (int zone : t.zones()) {
         for (int k = 0; k < 2; k++) {
-          Variant v = new Variant(t, zone, k == 0);
+          MachineVariant v = new MachineVariant(t, zone, k == 0);
           int taken = added.getInt(v);
-          if (!job.spec.allows(t.index(), zone, v.spot)
+          if (!job.spec.allows(t.index(), zone, v.spot())
               || refused(v, taken, now)
               || !job.mayBeIn(zone)) {
             continue;
@@ -550,8 +511,8 @@
   }
 
   /** The cheapest variant; while it is refused the spare trigger rents nothing dearer. */
-  private Variant cheapestOf(List<Job> queue, List<MachineType> types, long now) {
-    Variant best = null;
+  private MachineVariant cheapestOf(List<Job> queue, List<MachineType> types, long now) {
+    MachineVariant best = null;
     double price = Double.MAX_VALUE;
     for (MachineType t : types) {
       if (!queue.isEmpty() && queue.stream().noneMatch(j -> t.fits(j.spec))) {
@@ -562,7 +523,7 @@
           continue; // Nothing there could report to this leader.
         }
         for (int k = 0; k < 2; k++) {
-          Variant v = new Variant(t, zone, k == 0);
+          MachineVariant v = new MachineVariant(t, zone, k == 0);
           if (v.price() < price || (v.price() == price && refusedUntil.get(best.key()) > now)) {
             price = v.price();
             best = v;
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -16,8 +16,8 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.gang.GangReservations;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
@@ -46,14 +46,14 @@
 
   /** Machines alike in type, zone and kind, and what holds them. */
   private static final class Group {
-    private final Variant variant;
+    private final MachineVariant variant;
     private final List<Machine> machines = new ArrayList<>();
     private final double[][] held;
     private int coming;
     private long dueMs = Long.MAX_VALUE;
     private long rentedMs;
 
-    Group(Variant variant, int teams) {
+    Group(MachineVariant variant, int teams) {
       this.variant = variant;
       this.held = new double[teams][PRIORITIES];
     }
@@ -74,7 +74,7 @@
 
   private final List<Job> jobs = new ArrayList<>();
   private final List<Group> groups = new ArrayList<>();
-  private final List<Variant> offered = new ArrayList<>();
+  private final List<MachineVariant> offered = new ArrayList<>();
   private final Reference2ObjectOpenHashMap<Job, Counts> counts =
       new Reference2ObjectOpenHashMap<>();
   private final Object2ObjectOpenHashMap<Shape, Tally> tallies = new Object2ObjectOpenHashMap<>();
@@ -134,17 +134,17 @@
     survey();
     for (MachineType t : supply.types()) {
       for (int zone : t.zones()) {
-        offered.add(new Variant(t, zone, true));
-        offered.add(new Variant(t, zone, false));
+        offered.add(new MachineVariant(t, zone, true));
+        offered.add(new MachineVariant(t, zone, false));
       }
     }
   }
 
   private void survey() {
-    Object2ObjectLinkedOpenHashMap<Variant, Group> byVariant =
+    Object2ObjectLinkedOpenHashMap<MachineVariant, Group> byVariant =
         new Object2ObjectLinkedOpenHashMap<>();
     for (Machine m : schedulerState.machines()) {
-      Group g = group(byVariant, new Variant(m.type, m.zone, m.spot));
+      Group g = group(byVariant, new MachineVariant(m.type, m.zone, m.spot));
       g.machines.add(m);
       boolean silent = unheard(m, now);
       for (Attempt a : m.attempts()) {
@@ -152,7 +152,7 @@
         count(a, m, silent);
       }
     }
-    for (Coming c : supply.coming(now)) {
+    for (PendingMachines c : supply.coming(now)) {
       Group g = group(byVariant, c.variant());
       g.coming += c.count();
       long due = c.sinceMs() + (long) (c.variant().type().bootS() * 1000);
@@ -171,7 +171,8 @@
         || (m.returning && !m.failed && m.health.late());
   }
 
-  private Group group(Object2ObjectLinkedOpenHashMap<Variant, Group> byVariant, Variant v) {
+  private Group group(
+      Object2ObjectLinkedOpenHashMap<MachineVariant, Group> byVariant, MachineVariant v) {
     return byVariant.computeIfAbsent(v, k -> new Group(v, schedulerState.teams().size()));
   }
 
@@ -526,9 +527,9 @@
               + name(booting.variant));
     }
     long refused = Long.MAX_VALUE;
-    Variant refusedOne = null;
+    MachineVariant refusedOne = null;
     boolean all = true;
-    for (Variant v : offered) {
+    for (MachineVariant v : offered) {
       if (!job.spec.allows(v.type().index(), v.zone(), v.spot()) || !v.type().fits(job.spec)) {
         continue;
       }
@@ -706,7 +707,7 @@
     return t;
   }
 
-  private String name(Variant v) {
+  private String name(MachineVariant v) {
     return v.type().name() + (v.spot() ? " (spot)" : "") + " in zone " + zones.name(v.zone());
   }
 
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -11,8 +11,8 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.explain.NodeSnapshot.JobLine;
 import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
 import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
@@ -176,9 +176,10 @@
 
   /** Machines by zone, type and kind, those there and those on their way. */
   public List<MachineLine> machines() {
-    Object2ObjectLinkedOpenHashMap<Variant, Sum> sums = new Object2ObjectLinkedOpenHashMap<>();
+    Object2ObjectLinkedOpenHashMap<MachineVariant, Sum> sums =
+        new Object2ObjectLinkedOpenHashMap<>();
     for (Machine m : schedulerState.machines()) {
-      Sum s = sums.computeIfAbsent(new Variant(m.type, m.zone, m.spot), k -> new Sum());
+      Sum s = sums.computeIfAbsent(new MachineVariant(m.type, m.zone, m.spot), k -> new Sum());
       s.machines++;
       s.empty += m.empty() ? 1 : 0;
       s.doubted += m.health.doubted() ? 1 : 0;
@@ -187,7 +188,7 @@
       s.leaving += no == SchedulerState.Refusal.LEAVING ? 1 : 0;
       s.booked += m.type.cpus() - m.freeCpus();
     }
-    for (Coming c : supply.coming(now)) {
+    for (PendingMachines c : supply.coming(now)) {
       sums.computeIfAbsent(c.variant(), k -> new Sum()).booting += c.count();
     }
     List<MachineLine> out = new ArrayList<>();
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -15,9 +15,9 @@
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.ResourceVector;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Rent;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 
 /**
  * Holds room for gangs until all of a gang's tasks can start at once.
@@ -39,7 +39,8 @@
  * stated time.
  *
  * <p>It holds for one term: a leader that follows begins anew, with the place where most of the
- * room is; machines that were rented for a gang are known by their records ({@code Coming#gang}).
+ * room is; machines that were rented for a gang are known by their records ({@code
+ * PendingMachines#gang}).
  */
 public final class GangReservations {
   /** A gathering that takes longer is given up. */
@@ -77,9 +78,6 @@
   /** More gangs than this do not gather at once: the others wait their turn. */
   private static final int MOST_AT_ONCE = 32;
 
-  /** The cloud rents no more machines at once. */
-  private static final int MOST_A_CALL = 50;
-
   /** A task that was started more often is not stopped again. */
   private static final int MOST_TRIES = 3;
 
@@ -275,8 +273,8 @@
 
   /** How long a machine rented now for the gang takes; -1 where none can be rented. */
   private long bootMs(JobSpec s, int zone, long now) {
-    Variant v = cheapest(s, zone, now);
-    return v == null ? -1 : (long) (v.type().bootS() * 1050);
+    MachineVariant v = cheapest(s, zone, now);
+    return v == null ? -1 : v.plannedBootMs();
   }
 
   /**
@@ -288,7 +286,7 @@
     for (MachineType t : types) {
       for (int z : t.zones()) {
         for (int k = 0; k < 2; k++) {
-          Variant v = new Variant(t, z, k == 0);
+          MachineVariant v = new MachineVariant(t, z, k == 0);
           if ((zone < 0 || z == zone) && t.fits(s) && s.allows(t.index(), z, v.spot())) {
             long[] c = ceilings.get(v.key());
             boolean unknown = c == null || c[0] < now;
@@ -300,7 +298,7 @@
     return sum;
   }
 
-  private int count(Variant v) {
+  private int count(MachineVariant v) {
     int n = 0;
     for (Machine m : machinePool.machines()) {
       boolean is = m.type.index() == v.type().index() && m.zone == v.zone() && m.spot == v.spot();
@@ -309,8 +307,8 @@
     return n;
   }
 
-  private Variant cheapest(JobSpec s, int zone, long now) {
-    Variant best = null;
+  private MachineVariant cheapest(JobSpec s, int zone, long now) {
+    MachineVariant best = null;
     double least = Double.MAX_VALUE;
     for (MachineType t : types) {
       if (!t.fits(s)) {
@@ -324,7 +322,7 @@
           continue;
         }
         for (int k = 0; k < 2; k++) {
-          Variant v = new Variant(t, z, k == 0);
+          MachineVariant v = new MachineVariant(t, z, k == 0);
           if (s.allows(t.index(), z, v.spot())
               && refusedUntil.get(v.key()) <= now
               && v.price() * (v.spot() ? again : 1) / holds < least) {
@@ -509,10 +507,11 @@
    * What is lacking, to be rented now; places that cannot be completed are given up here, since
    * this is when it is known what the cloud has.
    */
-  public List<Rent> rents(List<Coming> coming, List<MachineType> offered, long now) {
+  public List<ScaleOutRequest> rents(
+      List<PendingMachines> coming, List<MachineType> offered, long now) {
     types = offered;
     clock = now;
-    List<Rent> out = new ArrayList<>();
+    List<ScaleOutRequest> out = new ArrayList<>();
     for (Gather g : new ArrayList<>(gathers.values())) {
       if (now - g.sinceMs > MOST_MS) {
         fail(g, now);
@@ -520,7 +519,7 @@
       }
       JobSpec s = g.job.spec;
       g.coming = 0;
-      for (Coming c : coming) {
+      for (PendingMachines c : coming) {
         if (s.id().equals(c.gang()) && (g.zone < 0 || c.variant().zone() == g.zone)) {
           g.coming += c.count() * Math.max(1, c.variant().type().holds(s));
         }
@@ -530,7 +529,7 @@
       if (lack <= 0) {
         continue;
       }
-      Variant v = cheapest(s, g.zone, now);
+      MachineVariant v = cheapest(s, g.zone, now);
       if (v == null) {
         // The cloud has no more: what is there and coming must do, or another place.
         if (there < need(g.job)
@@ -549,8 +548,8 @@
         left = Math.min(left, Math.max(1, s.zoneCap() / each));
       }
       g.rented += Math.max(0, left);
-      for (; left > 0; left -= MOST_A_CALL) {
-        out.add(new Rent(v, Math.min(MOST_A_CALL, left), s.id()));
+      for (; left > 0; left -= ScaleOutRequest.MAX_MACHINES) {
+        out.add(new ScaleOutRequest(v, Math.min(ScaleOutRequest.MAX_MACHINES, left), s.id()));
       }
     }
     return out;
@@ -561,7 +560,7 @@
    *
    * @param there how many of it there are then, those on their way included
    */
-  public void refused(Variant v, int there, long now) {
+  public void refused(MachineVariant v, int there, long now) {
     refusedUntil.put(v.key(), now + REFUSED_MS);
     ceilings.put(v.key(), new long[] {now + CEILING_MS, there});
   }
--- a/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
+++ b/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
@@ -8,7 +8,7 @@
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.ResourceVector;
-import org.mallowroad.core.autoscaling.Autoscaler;
+import org.mallowroad.core.autoscaling.MachineVariant;
 
 /**
  * How much room running tasks will set free by themselves within a few seconds. Stopping a task
@@ -29,10 +29,10 @@
   /** Ends expected of one job's tasks on one type, zone and kind of machine. */
   private static final class Ends {
     private final JobSpec job;
-    private final Autoscaler.Variant on;
+    private final MachineVariant on;
     private double expected;
 
-    Ends(JobSpec job, Autoscaler.Variant on) {
+    Ends(JobSpec job, MachineVariant on) {
       this.job = job;
       this.on = on;
     }
@@ -72,7 +72,7 @@
         double p = probability(a, now);
         if (p > 0 && a.machine.usable()) {
           Machine m = a.machine;
-          Autoscaler.Variant on = new Autoscaler.Variant(m.type, m.zone, m.spot);
+          MachineVariant on = new MachineVariant(m.type, m.zone, m.spot);
           Ends e = here.get(on.key());
           if (e == null) {
             e = new Ends(j.spec, on);
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -20,6 +20,7 @@
 import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.Autoscaler;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
@@ -123,7 +124,7 @@
 
     int rented() {
       int n = 0;
-      for (Autoscaler.Rent r : fleet.rents(placement.queue(now), List.of(), List.of(type), now)) {
+      for (ScaleOutRequest r : fleet.rents(placement.queue(now), List.of(), List.of(type), now)) {
         assertFalse(health.failureDetector().cut(r.variant().zone()), "rented in a cut zone");
         n += r.count();
       }
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.core.explain.PendingCause;
@@ -39,7 +39,7 @@
     final TaskScheduler placement;
     final PendingReasonExplainer explainer;
     final SnapshotBuilder sketch;
-    final List<Coming> coming = new ArrayList<>();
+    final List<PendingMachines> coming = new ArrayList<>();
     boolean refusing;
     boolean firm = true;
     long now = 1_000_000;
@@ -126,12 +126,12 @@
     }
 
     @Override
-    public List<Coming> coming(long at) {
+    public List<PendingMachines> coming(long at) {
       return coming;
     }
 
     @Override
-    public long refusedSinceMs(Variant v) {
+    public long refusedSinceMs(MachineVariant v) {
       return refusing ? 990_000 : -1;
     }
 
@@ -222,7 +222,8 @@
             PendingCause.BOOTING,
             "2 machines booting, the first a t4 in zone south",
             w -> {
-              w.coming.add(new Coming(new Variant(w.type, 1, false), 2, w.now - 5_000));
+              w.coming.add(
+                  new PendingMachines(new MachineVariant(w.type, 1, false), 2, w.now - 5_000));
               return w.job(JobSpecs.array("job-1", 3, 2));
             },
             w -> {
@@ -466,7 +467,7 @@
     }
     w.refusing = site % 2 == 1;
     if (site / 2 % 4 == 3) {
-      w.coming.add(new Coming(new Variant(w.type, site / 8, false), 1, w.now));
+      w.coming.add(new PendingMachines(new MachineVariant(w.type, site / 8, false), 1, w.now));
     }
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < jobs.size(); i++) {
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -11,6 +11,9 @@
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.autoscaling.Autoscaler;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.PendingReasonExplainer;
 import org.mallowroad.core.explain.SnapshotBuilder;
@@ -73,12 +76,12 @@
       AutoscalerView nothing =
           new AutoscalerView() {
             @Override
-            public List<Autoscaler.Coming> coming(long at) {
+            public List<PendingMachines> coming(long at) {
               return List.of();
             }
 
             @Override
-            public long refusedSinceMs(Autoscaler.Variant v) {
+            public long refusedSinceMs(MachineVariant v) {
               return -1;
             }
 
@@ -211,7 +214,7 @@
                       .fleet
                       .rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
                       .stream()
-                      .mapToInt(Autoscaler.Rent::count)
+                      .mapToInt(ScaleOutRequest::count)
                       .sum();
               assertEquals(AutoscalerPolicy.defaults().step(), rented);
               atMost((MACHINES + rented) * 2L * JOBS, w.fleet.looked());
@@ -222,7 +225,7 @@
               w.jobs(2);
               w.placement.place(w.now);
               w.jobs(3);
-              for (Autoscaler.Rent r :
+              for (ScaleOutRequest r :
                   w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
                 atMost(50, r.count());
               }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -61,7 +61,7 @@
       return schedulerState.accept(JobSpecs.array(id, tasks, cpus).spot().build(), 5, 0, now);
     }
 
-    List<Autoscaler.Rent> rents(List<Autoscaler.Coming> coming) {
+    List<ScaleOutRequest> rents(List<PendingMachines> coming) {
       return fleet.rents(placement.queue(now), coming, TYPES, now);
     }
   }
@@ -81,9 +81,9 @@
             "the cheapest fitting variant is rented",
             w -> {
               w.job("job-1", 1, 4);
-              List<Autoscaler.Rent> r = w.rents(List.of());
+              List<ScaleOutRequest> r = w.rents(List.of());
               assertEquals(1, r.size());
-              assertEquals(new Autoscaler.Variant(SMALL, 0, true), r.get(0).variant());
+              assertEquals(new MachineVariant(SMALL, 0, true), r.get(0).variant());
               assertEquals(1, r.get(0).count());
             }),
         policy(
@@ -96,10 +96,10 @@
             "a refused variant is left out for a while, its next cheapest is taken",
             w -> {
               w.job("job-1", 1, 4);
-              w.fleet.refused(new Autoscaler.Variant(SMALL, 0, true), w.now);
-              w.fleet.refused(new Autoscaler.Variant(SMALL, 1, true), w.now);
+              w.fleet.refused(new MachineVariant(SMALL, 0, true), w.now);
+              w.fleet.refused(new MachineVariant(SMALL, 1, true), w.now);
               assertEquals(
-                  new Autoscaler.Variant(SMALL, 0, false), w.rents(List.of()).get(0).variant());
+                  new MachineVariant(SMALL, 0, false), w.rents(List.of()).get(0).variant());
             }),
         policy(
             "machines on their way take waiting tasks, so nothing is rented twice",
@@ -108,15 +108,14 @@
               assertTrue(
                   w.rents(
                           List.of(
-                              new Autoscaler.Coming(
-                                  new Autoscaler.Variant(SMALL, 0, true), 1, w.now)))
+                              new PendingMachines(new MachineVariant(SMALL, 0, true), 1, w.now)))
                       .isEmpty());
             }),
         policy(
             "work that can wait for room rents nothing, urgent work does",
             w -> {
               for (int z = 0; z < 2; z++) {
-                w.fleet.refused(new Autoscaler.Variant(LARGE, z, true), w.now);
+                w.fleet.refused(new MachineVariant(LARGE, z, true), w.now);
               }
               Machine busy = w.machine("n-1", LARGE, false);
               w.schedulerState.start(w.job("job-1", 1, 32), 0, busy, w.now);
@@ -137,32 +136,32 @@
               w.now += 40_000; // 20 s of the estimated 60 are left, less than a boot takes.
               w.machine("n-1", SMALL, true);
               w.job("job-2", 2, 4);
-              assertEquals(2, w.rents(List.of()).stream().mapToInt(Autoscaler.Rent::count).sum());
+              assertEquals(2, w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
               w.now += 16_000;
               w.machine("n-1", SMALL, true);
               w.job("job-3", 1, 4);
-              Autoscaler.Coming two =
-                  new Autoscaler.Coming(new Autoscaler.Variant(SMALL, 0, true), 2, w.now);
+              PendingMachines two =
+                  new PendingMachines(new MachineVariant(SMALL, 0, true), 2, w.now);
               assertEquals(
-                  1, w.rents(List.of(two)).stream().mapToInt(Autoscaler.Rent::count).sum());
+                  1, w.rents(List.of(two)).stream().mapToInt(ScaleOutRequest::count).sum());
             }),
         policy(
             "after a refusal one call shows whether there is room again",
             narrow -> {
               Simulation w = new Simulation(1_000);
-              Autoscaler.Variant v = new Autoscaler.Variant(SMALL, 0, true);
+              MachineVariant v = new MachineVariant(SMALL, 0, true);
               w.fleet.refused(v, w.now);
               w.now += 20_000;
               for (int z = 0; z < 2; z++) {
-                w.fleet.refused(new Autoscaler.Variant(LARGE, z, true), w.now);
-                w.fleet.refused(new Autoscaler.Variant(LARGE, z, false), w.now);
-                w.fleet.refused(new Autoscaler.Variant(SMALL, z, false), w.now);
+                w.fleet.refused(new MachineVariant(LARGE, z, true), w.now);
+                w.fleet.refused(new MachineVariant(LARGE, z, false), w.now);
+                w.fleet.refused(new MachineVariant(SMALL, z, false), w.now);
               }
-              w.fleet.refused(new Autoscaler.Variant(SMALL, 1, true), w.now);
+              w.fleet.refused(new MachineVariant(SMALL, 1, true), w.now);
               w.job("job-1", 200, 4);
-              assertEquals(List.of(new Autoscaler.Rent(v, 50)), w.rents(List.of()));
+              assertEquals(List.of(new ScaleOutRequest(v, 50)), w.rents(List.of()));
               w.fleet.granted(v);
-              assertEquals(200, w.rents(List.of()).stream().mapToInt(Autoscaler.Rent::count).sum());
+              assertEquals(200, w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
             }),
         policy(
             "a large fleet that runs empty goes back at once, but for what a burst may want",
@@ -177,7 +176,7 @@
             "tasks beyond their team's limit rent nothing",
             w -> {
               w.job("job-1", 40, 4);
-              int n = w.rents(List.of()).stream().mapToInt(Autoscaler.Rent::count).sum();
+              int n = w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum();
               assertTrue(
                   n > 0 && n <= 16, n + " machines"); // The limit lets 16 of the 40 tasks run.
             }),
--- a/src/test/java/org/mallowroad/core/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.gang;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,20 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.Autoscaler;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Rent;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
-import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
@@ -31,7 +39,7 @@
     final SchedulerState schedulerState;
     final TaskScheduler placement;
     final Autoscaler fleet;
-    final List<Coming> coming = new ArrayList<>();
+    final List<PendingMachines> coming = new ArrayList<>();
     long now = 1_000_000;
     long sequence;
     int names;
@@ -59,21 +67,21 @@
           JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
-    List<Rent> cycle() {
+    List<ScaleOutRequest> cycle() {
       placement.place(now);
-      List<Rent> r = fleet.rents(placement.queue(now), coming, TYPES, now);
+      List<ScaleOutRequest> r = fleet.rents(placement.queue(now), coming, TYPES, now);
       now += 2_000;
       return r;
     }
 
     /** Two cycles: the first tells what is offered. */
-    List<Rent> begin() {
+    List<ScaleOutRequest> begin() {
       cycle();
       return cycle();
     }
 
     /** The cloud answers a rent with some machines, which are up at once; the rest it refuses. */
-    void give(Rent r, int some) {
+    void give(ScaleOutRequest r, int some) {
       if (some < r.count()) {
         schedulerState.gangReservations().refused(r.variant(), some, now);
       }
@@ -87,7 +95,9 @@
       for (int zone = 0; zone < 2; zone++) {
         for (boolean spot : new boolean[] {false, true}) {
           int count = zone == 0 && !spot ? there : 0;
-          schedulerState.gangReservations().refused(new Variant(BOX, zone, spot), count, now);
+          schedulerState
+              .gangReservations()
+              .refused(new MachineVariant(BOX, zone, spot), count, now);
         }
       }
     }
@@ -116,8 +126,8 @@
     return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
   }
 
-  private static int sum(List<Rent> rents) {
-    return rents.stream().mapToInt(Rent::count).sum();
+  private static int sum(List<ScaleOutRequest> rents) {
+    return rents.stream().mapToInt(ScaleOutRequest::count).sum();
   }
 
   @TestFactory
@@ -128,11 +138,12 @@
             w -> {
               w.machine(1);
               w.gang("job-1", 12);
-              List<Rent> rents = w.begin();
+              List<ScaleOutRequest> rents = w.begin();
               assertEquals(12, sum(rents)); // 11 lacking and 6% of it
               assertTrue(rents.stream().allMatch(r -> r.variant().zone() == 1));
               assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gang())));
-              rents.forEach(r -> w.coming.add(new Coming(r.variant(), r.count(), w.now, r.gang())));
+              rents.forEach(
+                  r -> w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gang())));
               for (int i = 0; i < 5; i++) {
                 assertEquals(List.of(), w.cycle());
               }
@@ -186,17 +197,17 @@
             "a zone that cannot complete it is given up at once, and another is tried",
             w -> {
               Job job = w.gang("job-1", 10);
-              List<Rent> first = w.begin();
+              List<ScaleOutRequest> first = w.begin();
               int zone = first.get(0).variant().zone();
               w.give(first.get(0), 4);
               // The ordinary kind of the same zone is asked before it is given up.
-              List<Rent> second = w.cycle();
+              List<ScaleOutRequest> second = w.cycle();
               assertEquals(zone, second.get(0).variant().zone());
               assertNotEquals(first.get(0).variant().spot(), second.get(0).variant().spot());
               w.give(second.get(0), 0);
               w.cycle();
               assertEquals(0, w.held(job));
-              List<Rent> third = w.begin();
+              List<ScaleOutRequest> third = w.begin();
               assertEquals(1 - zone, third.get(0).variant().zone());
             }),
         gang(
@@ -205,7 +216,7 @@
               w.gang("job-1", 40);
               int rented = 0;
               for (int i = 0; i < 300; i++) {
-                for (Rent r : w.cycle()) {
+                for (ScaleOutRequest r : w.cycle()) {
                   rented += r.count();
                   w.schedulerState.gangReservations().refused(r.variant(), 5, w.now);
                 }
@@ -220,10 +231,18 @@
               for (int i = 0; i < 10; i++) {
                 w.machine(0);
               }
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 0, true), 10, w.now);
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 0, false), 10, w.now);
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 1, true), 0, w.now);
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 1, false), 0, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 0, true), 10, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 0, false), 10, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 1, true), 0, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 1, false), 0, w.now);
               Job one = w.gang("job-1", 7);
               Job two = w.gang("job-2", 7);
               w.begin();
@@ -241,8 +260,12 @@
               Machine m = w.machine(0);
               Machine n = w.machine(0);
               for (int z = 0; z < 2; z++) {
-                w.schedulerState.gangReservations().refused(new Variant(BOX, z, true), 2, w.now);
-                w.schedulerState.gangReservations().refused(new Variant(BOX, z, false), 2, w.now);
+                w.schedulerState
+                    .gangReservations()
+                    .refused(new MachineVariant(BOX, z, true), 2, w.now);
+                w.schedulerState
+                    .gangReservations()
+                    .refused(new MachineVariant(BOX, z, false), 2, w.now);
               }
               Job equal =
                   w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
@@ -275,7 +298,8 @@
               Job again = w.gang("job-2", 3);
               w.begin();
               assertEquals(1, w.held(again));
-              w.coming.add(new Coming(new Variant(BOX, 0, true), 2, w.now, "job-2"));
+              w.coming.add(
+                  new PendingMachines(new MachineVariant(BOX, 0, true), 2, w.now, "job-2"));
               w.now += GangReservations.MOST_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
@@ -291,7 +315,7 @@
               Job job =
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
-              List<Rent> rents = w.begin();
+              List<ScaleOutRequest> rents = w.begin();
               assertEquals(0, job.liveCount());
               assertTrue(sum(rents) >= 2);
               w.machine(1);
@@ -305,7 +329,8 @@
               w.machine(0);
               w.gang("job-1", 30);
               w.begin();
-              w.coming.add(new Coming(new Variant(BOX, 0, true), 40, w.now, "job-1"));
+              w.coming.add(
+                  new PendingMachines(new MachineVariant(BOX, 0, true), 40, w.now, "job-1"));
               assertEquals(List.of(), w.cycle());
             }));
   }
--- a/src/test/java/org/mallowroad/core/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.image;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,9 +10,19 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
+import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.health.Health;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.image.ImageFetchPolicy;
 import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.simulation.ImageFetchWave;
 import org.mallowroad.wire.Json;
--- a/src/test/java/org/mallowroad/core/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 import org.mallowroad.core.dependency.JobDependencies;
-import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** The largest jobs, and those with large images, begin within four minutes as the others do. */
 final class LargestJobsTest {
