--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -68,11 +68,11 @@
     BitSet usedTypes = new BitSet();
     usedClasses.set(0, ownClasses);
     machineTypes.forEach(t -> usedTypes.set(t.index()));
-    schedulerState.names(usedImages, usedClasses, usedTypes);
-    images.keep(usedImages);
-    classes.keep(usedClasses);
+    schedulerState.markUsedNames(usedImages, usedClasses, usedTypes);
+    images.retain(usedImages);
+    classes.retain(usedClasses);
     schedulerState.health().stragglerDetector().keep(usedClasses);
-    types.keep(usedTypes);
+    types.retain(usedTypes);
   }
 
   /** Decodes submissions. */
@@ -126,14 +126,14 @@
       return "unknown team";
     }
     Team team = teams().get(s.team());
-    if (!team.couldRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
+    if (!team.couldEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
       return "more than the team's limit";
     }
     for (MachineType t : machineTypes) {
       if (!s.allowsType(t.index()) || !t.fits(s)) {
         continue;
       }
-      if (s.zone() < 0 ? t.zones().length > 0 : t.in(s.zone())) {
+      if (s.zone() < 0 ? t.zones().length > 0 : t.isOfferedIn(s.zone())) {
         return null;
       }
     }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -218,7 +218,7 @@
                       (loop.now() - job.submittedMs()) / 1000,
                       (long) job.spec.dueS(),
                       (job.lastStartMs() - job.submittedMs()) / 1000,
-                      job.tries(),
+                      job.maxAttemptNumber(),
                       job.spec.cpus(),
                       job.spec.estimateS());
                   served.done(job);
@@ -441,7 +441,7 @@
       fleet.act();
     }
     tellView(now);
-    schedulerState.expireSilent(now);
+    schedulerState.expireLeases(now);
     if (firm()) {
       placement.drain(now);
     }
@@ -495,15 +495,16 @@
   private void push() {
     boolean firm = firm();
     long now = loop.now();
-    for (Iterator<Machine> it = schedulerState.outbox().iterator(); it.hasNext(); ) {
+    for (Iterator<Machine> it = schedulerState.machinesWithUnsentCommands().iterator();
+        it.hasNext(); ) {
       Machine m = it.next();
       if (holding.contains(m.name) || workers.busy(m.address)) {
         continue;
       }
       List<WorkerCommand> commands =
-          m.empty() || m.address.isEmpty()
+          m.isEmpty() || m.address.isEmpty()
               ? List.of()
-              : schedulerState.heartbeatReconciler().direct(m, firm, now);
+              : schedulerState.heartbeatReconciler().takeDirectCommands(m, firm, now);
       if (firm || !commands.isEmpty()) {
         // What cannot be sent now travels in the answer to the next report.
         it.remove();
@@ -514,17 +515,17 @@
       load.direct++;
       workers.send(
           m.address,
-          m.via,
+          m.relayPeer,
           WorkerCodec.encodeDirectCommands(m.fencingToken, m.incarnation, commands),
           (result, report) -> {
             if (stopped || schedulerState.machine(m.name) != m) {
               return;
             }
             if (result != WorkerClient.Result.UNKNOWN) {
-              schedulerState.heartbeatReconciler().answered(m, commands);
+              schedulerState.heartbeatReconciler().directCommandsAnswered(m, commands);
             }
             if (report != null && report.machine().equals(m.name)) {
-              schedulerState.report(m, report, false, loop.now());
+              schedulerState.processHeartbeat(m, report, false, loop.now());
               advance();
             }
           });
@@ -556,7 +557,10 @@
   /** Told, by whoever learnt it: never needed for a rule, and it saves work. */
   void cancelled(String id) {
     Job job = job(id);
-    if (job != null && !job.cancelled() && !job.ended() && !schedulerState.ending().contains(job)) {
+    if (job != null
+        && !job.isCancelled()
+        && !job.isEnded()
+        && !schedulerState.jobsToComplete().contains(job)) {
       LOG.info("event=cancellation_told job={} view_ms={}", id, viewMs());
       committer.cancelled(job);
       advance();
@@ -587,7 +591,7 @@
     if (type == null || zone < 0) {
       return null;
     }
-    return schedulerState.meet(r.machine(), type, zone, r.spot(), loop.now());
+    return schedulerState.registerMachine(r.machine(), type, zone, r.spot(), loop.now());
   }
 
   /**
@@ -621,8 +625,8 @@
       return;
     }
     load.reports++;
-    List<WorkerCommand> commands = schedulerState.report(m, r, firm(), now);
-    m.lastAnswerMs = now;
+    List<WorkerCommand> commands = schedulerState.processHeartbeat(m, r, firm(), now);
+    m.lastResponseMs = now;
     if (commands == null) {
       // A late copy, or overtaken by a newer one: nobody was heard by it.
       reply.accept(WorkerCodec.encodeCommands(m.fencingToken, List.of()));
@@ -632,10 +636,10 @@
     heardMs = now;
     responder.came(m.zone, via < 0, now);
     fleet.reported(m);
-    m.via = via;
+    m.relayPeer = via;
     responder.reported(m, loop.now());
     advance();
-    if (!firm() || !schedulerState.mayGetWork(m, loop.now()) || !placement.anyWaiting()) {
+    if (!firm() || !schedulerState.canReceiveTasks(m, loop.now()) || !placement.anyWaiting()) {
       reply.accept(WorkerCodec.encodeCommands(m.fencingToken, commands));
       return;
     }
@@ -684,7 +688,7 @@
       int live = 0;
       for (Job j : schedulerState.jobs()) {
         waiting += j.waitingCount();
-        live += j.liveCount();
+        live += j.liveAttemptCount();
       }
       LOG.info(
           "event=load lag_ms={} reports={} direct={} passes={} pass_ms={} stops={} commits={} writes={}"
@@ -697,19 +701,19 @@
           placement.stops(),
           committer.commits(),
           committer.writes(),
-          schedulerState.dirty().size(),
-          schedulerState.urgent().size(),
+          schedulerState.dirtyRecords().size(),
+          schedulerState.urgentRecords().size(),
           schedulerState.jobs().size(),
           waiting,
           live,
           schedulerState.machines().size(),
           MemoryMetrics.heapBytes() >> 20,
           MemoryMetrics.processBytes() >> 20);
-      if (schedulerState.started() > 0) {
+      if (schedulerState.attemptsStarted() > 0) {
         LOG.info("event=fetches {}", schedulerState.imageDistribution().figures());
       }
       for (CostAccounting.Line l :
-          schedulerState.spending().lines(schedulerState.machines(), loop.now())) {
+          schedulerState.costAccounting().lines(schedulerState.machines(), loop.now())) {
         LOG.info(
             "event=spending type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
             l.type(),
@@ -791,16 +795,16 @@
         return;
       }
       for (Attempt a : recording) {
-        if (a.phase == Attempt.Phase.READY
-            && !a.stopping()
+        if (a.phase == Attempt.Phase.COMMITTED
+            && !a.isStopping()
             && a.incarnation == report.incarnation()
             && firm()) {
-          a.sent = true;
-          a.told = true;
-          commands.add(schedulerState.heartbeatReconciler().launch(a));
+          a.launchSent = true;
+          a.launchInHeartbeatResponse = true;
+          commands.add(schedulerState.heartbeatReconciler().launchCommand(a));
         }
       }
-      machine.lastAnswerMs = loop.now();
+      machine.lastResponseMs = loop.now();
       reply.accept(WorkerCodec.encodeCommands(machine.fencingToken, commands));
     }
   }
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -389,13 +389,13 @@
           n -> n.leader == null ? 0 : n.leader.schedulerState().machines().size());
       gauge(
           "mallowroad.records.uncommitted",
-          n -> n.leader == null ? 0 : n.leader.schedulerState().dirty().size());
+          n -> n.leader == null ? 0 : n.leader.schedulerState().dirtyRecords().size());
       gauge(
           "mallowroad.records.urgent",
-          n -> n.leader == null ? 0 : n.leader.schedulerState().urgent().size());
+          n -> n.leader == null ? 0 : n.leader.schedulerState().urgentRecords().size());
       gauge(
           "mallowroad.tasks.completed",
-          n -> n.leader == null ? 0 : n.leader.schedulerState().completed());
+          n -> n.leader == null ? 0 : n.leader.schedulerState().attemptsCompleted());
       gauge("mallowroad.machines.late", n -> n.watched(h -> h.failureDetector().lateCount()));
       gauge("mallowroad.machines.doubted", n -> n.watched(h -> h.stragglerDetector().doubted()));
       gauge(
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -151,7 +151,7 @@
         v.path(PRINTED).asBoolean() ? DependencyGates.State.PRINTED : DependencyGates.State.OPEN;
     Job job = schedulerState.job(h.job);
     if (job != null) {
-      schedulerState.open(job, loop.now());
+      schedulerState.release(job, loop.now());
     }
   }
 
@@ -309,7 +309,7 @@
   public void reguard(Job job, Runnable next) {
     Hold h = holds.get(job.spec.id());
     if (h == null) {
-      schedulerState.close(job, loop.now());
+      schedulerState.hold(job, loop.now());
       next.run();
       return;
     }
@@ -327,7 +327,7 @@
           if (h.state != DependencyGates.State.PRINTED) {
             LOG.info("event=hold_closed job={}", h.job);
             h.state = DependencyGates.State.CLOSED;
-            schedulerState.close(job, loop.now());
+            schedulerState.hold(job, loop.now());
             holds.touch(h);
             loop.soon(this::look);
           }
@@ -379,9 +379,9 @@
         return;
       }
       if (schedulerState.job(j) != null
-          && !schedulerState.job(j).ended()
-          && !schedulerState.job(j).cancelled()) {
-        waitsFor(j + (schedulerState.job(j).held() ? " is held itself" : " is not done"));
+          && !schedulerState.job(j).isEnded()
+          && !schedulerState.job(j).isCancelled()) {
+        waitsFor(j + (schedulerState.job(j).isHeld() ? " is held itself" : " is not done"));
         jobs(left);
         return;
       }
@@ -555,7 +555,7 @@
       if (waitsFor > 0) {
         int more = waitsFor - MOST_NAMED;
         hold.waitsFor = waits + (more > 0 ? "; and " + more + " more" : "");
-        job.holdText = hold.waitsFor;
+        job.holdReason = hold.waitsFor;
         over();
         return;
       }
@@ -580,7 +580,7 @@
               hold.version = revision;
               hold.state = DependencyGates.State.OPEN;
               hold.waitsFor = "";
-              schedulerState.open(job, loop.now());
+              schedulerState.release(job, loop.now());
               LOG.info("event=hold_opened job={} version={}", hold.job, hold.leagues);
               over();
               changed.run();
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -145,7 +145,7 @@
 
   /** Ends that are older than {@code ms}. */
   void addEnds(long ms) {
-    for (Job job : schedulerState.ending()) {
+    for (Job job : schedulerState.jobsToComplete()) {
       if (full(job.spec.dependencies().held() ? 4 : 2) || !hasConditions(2)) {
         return;
       }
@@ -176,7 +176,7 @@
 
   private void delete(AttemptRecord c) {
     transaction.given(Records.run(c), c.version).delete(Records.run(c));
-    attemptRecords.add(new WrittenChunk(c, c.changes, true, List.of(), null));
+    attemptRecords.add(new WrittenChunk(c, c.changeCount, true, List.of(), null));
     bytes += KEY_BYTES;
   }
 
@@ -187,7 +187,7 @@
    */
   void addUrgent() {
     int idle = 0;
-    for (AttemptRecord c : schedulerState.urgent()) {
+    for (AttemptRecord c : schedulerState.urgentRecords()) {
       idle += idle(c) ? 1 : 0;
     }
     addUrgent(false, Math.min(idle, mostWrites / 4));
@@ -196,7 +196,7 @@
   }
 
   private void addUrgent(boolean idle, int left) {
-    for (AttemptRecord c : schedulerState.urgent()) {
+    for (AttemptRecord c : schedulerState.urgentRecords()) {
       if (full(1 + left)) {
         return;
       }
@@ -213,19 +213,19 @@
   /** What changed at least {@code ms} ago, and leftovers, as far as {@code spare} writes go. */
   void addLazy(long ms, int spare, Object2LongLinkedOpenHashMap<String> leftovers) {
     int most = writes() + spare;
-    for (AttemptRecord c : schedulerState.dirty()) {
+    for (AttemptRecord c : schedulerState.dirtyRecords()) {
       if (full(1) || writes() >= most) {
         return;
       }
-      if (now - c.dirtySinceMs >= ms || (c.job.finished() && c.version == 0)) {
+      if (now - c.dirtySinceMs >= ms || (c.job.isFinished() && c.version == 0)) {
         add(c);
       }
     }
-    for (SharedAttemptRecord r : schedulerState.sharedAttemptRecords().all()) {
+    for (SharedAttemptRecord r : schedulerState.sharedAttemptRecords().records()) {
       if (full(1) || writes() >= most) {
         return;
       }
-      if (r.toWrite()) {
+      if (r.needsWrite()) {
         includeShared(r);
       }
     }
@@ -240,13 +240,13 @@
   }
 
   private void add(AttemptRecord c) {
-    if (schedulerState.ending().contains(c.job) || seen.contains(c)) {
+    if (schedulerState.jobsToComplete().contains(c.job) || seen.contains(c)) {
       return;
     }
-    if (c.finished()) {
+    if (c.isFinished()) {
       addFinished(c);
-    } else if (schedulerState.sharedAttemptRecords().shares(c)) {
-      includeShared(c.shared);
+    } else if (schedulerState.sharedAttemptRecords().assignRecord(c)) {
+      includeShared(c.sharedRecord);
     } else if (hasConditions(2 + GUARD_CONDITIONS)) {
       addOwn(c);
     }
@@ -260,7 +260,7 @@
     if (c.version > 0) {
       delete(c);
     } else {
-      attemptRecords.add(new WrittenChunk(c, c.changes, true, List.of(), null));
+      attemptRecords.add(new WrittenChunk(c, c.changeCount, true, List.of(), null));
     }
   }
 
@@ -274,21 +274,21 @@
       guarded.add(c.job);
     }
     seen.add(c);
-    c.own = true;
-    if (!c.job.cancelled() && !c.job.ended()) {
+    c.mayHaveOwnRecord = true;
+    if (!c.job.isCancelled() && !c.job.isEnded()) {
       // The job must still be open when a start is recorded.
       transaction.given(Records.open(c.job.spec.id()), c.job.version);
     }
     ObjectNode value = Records.runValue(c, zones);
     transaction.given(Records.run(c), c.version).put(Records.run(c), value);
-    attemptRecords.add(new WrittenChunk(c, c.changes, false, recorded, value));
+    attemptRecords.add(new WrittenChunk(c, c.changeCount, false, recorded, value));
     bytes += Json.text(value).length() + KEY_BYTES;
   }
 
   private static List<Attempt> recording(AttemptRecord c) {
     List<Attempt> recording = new ArrayList<>();
-    for (int t = c.from(); t < c.to(); t++) {
-      Attempt a = c.job.live(t);
+    for (int t = c.firstTask(); t < c.endTask(); t++) {
+      Attempt a = c.job.liveAttempt(t);
       if (a != null && a.phase == Attempt.Phase.RECORDING) {
         recording.add(a);
       }
@@ -303,7 +303,7 @@
   private void includeShared(SharedAttemptRecord r) {
     int conditions = 1;
     for (AttemptRecord c : r.members()) {
-      conditions += !seen.contains(c) && c.recording() > 0 ? 1 : 0;
+      conditions += !seen.contains(c) && c.uncommittedStarts() > 0 ? 1 : 0;
     }
     if (!hasConditions(conditions) || (!sharedAttemptRecords.contains(r) && full(1))) {
       return;
@@ -318,8 +318,8 @@
         transaction.given(Records.open(c.job.spec.id()), c.job.version);
       }
       bytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
-      if (!schedulerState.ending().contains(c.job)) {
-        sharedChunks.add(new WrittenChunk(c, c.changes, c.finished(), recorded, null));
+      if (!schedulerState.jobsToComplete().contains(c.job)) {
+        sharedChunks.add(new WrittenChunk(c, c.changeCount, c.isFinished(), recorded, null));
       }
     }
   }
@@ -329,9 +329,9 @@
     for (SharedAttemptRecord r : sharedAttemptRecords) {
       // One that joined when there was no room for its conditions is written with the next one.
       List<AttemptRecord> left =
-          r.members().stream().filter(c -> seen.contains(c) && !c.finished()).toList();
+          r.members().stream().filter(c -> seen.contains(c) && !c.isFinished()).toList();
       List<WrittenChunk> written =
-          sharedChunks.stream().filter(w -> w.attemptRecord().shared == r).toList();
+          sharedChunks.stream().filter(w -> w.attemptRecord().sharedRecord == r).toList();
       transaction.given(Records.starts(r), r.version);
       if (!left.isEmpty()) {
         JsonNode value = Records.sharedValue(left, zones);
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -205,7 +205,7 @@
         return;
       }
       for (Job j : schedulerState.jobs()) {
-        schedulerState.restored(j, loop.now());
+        schedulerState.finishRestore(j, loop.now());
       }
       // Of jobs that are over as well: restoreOver has read how each of them ended.
       view.answered(sentMs).applied();
@@ -319,7 +319,7 @@
     for (Map.Entry<String, JsonNode> run : Records.sharedRuns(i.value())) {
       Job job = schedulerState.job(run.getKey());
       if (job != null && job.attemptRecordCount() == 1) {
-        schedulerState.sharedAttemptRecords().restored(r, job.attemptRecord(0));
+        schedulerState.sharedAttemptRecords().restoreMember(r, job.attemptRecord(0));
         restoreChunk(job.attemptRecord(0), 0, run.getValue(), i.key());
       }
     }
@@ -327,7 +327,7 @@
 
   private void restoreChunk(AttemptRecord c, long version, JsonNode v, String key) {
     Job job = c.job;
-    schedulerState.restore(c, version, Records.done(v), v.path("high").asInt());
+    schedulerState.restoreRecord(c, version, Records.done(v), v.path("high").asInt());
     for (Records.Live a : Records.live(v)) {
       MachineType type = clusterConfig.type(a.type());
       int zone = clusterConfig.zones().find(a.zone());
@@ -335,11 +335,11 @@
         LOG.error("event=record_unreadable key={} machine={}", key, a.machine());
         continue;
       }
-      Machine m = schedulerState.meet(a.machine(), type, zone, a.spot(), loop.now());
+      Machine m = schedulerState.registerMachine(a.machine(), type, zone, a.spot(), loop.now());
       schedulerState.restoreAttempt(job, a.task(), a.number(), m, a.incarnation(), loop.now());
     }
-    if (job.cancelled()) {
-      schedulerState.redo(c, loop.now());
+    if (job.isCancelled()) {
+      schedulerState.markForRewrite(c, loop.now());
     }
   }
 
@@ -394,7 +394,7 @@
   /** The view is no newer than how the job ended: until that is read, nothing of it is stopped. */
   private void closed(String id, CancellationView.Reading reading) {
     Job job = schedulerState.job(id);
-    if (job != null && !job.cancelled() && !schedulerState.ending().contains(job)) {
+    if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.cancelled();
       reading.waitsForOneMore();
       committer.reread(
--- a/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
@@ -159,11 +159,11 @@
     if (busy || stopped) {
       return;
     }
-    if (!schedulerState.urgent().isEmpty() || !schedulerState.ending().isEmpty()) {
+    if (!schedulerState.urgentRecords().isEmpty() || !schedulerState.jobsToComplete().isEmpty()) {
       send();
-    } else if (!schedulerState.dirty().isEmpty()
+    } else if (!schedulerState.dirtyRecords().isEmpty()
         || !leftovers.isEmpty()
-        || schedulerState.sharedAttemptRecords().anyToWrite()) {
+        || schedulerState.sharedAttemptRecords().anyNeedsWrite()) {
       later(LAZY_MS);
     }
   }
@@ -192,9 +192,9 @@
     long now = loop.now();
     CommitTransactionBuilder draft = fill(now);
     if (draft.empty()) {
-      if (!schedulerState.dirty().isEmpty()
+      if (!schedulerState.dirtyRecords().isEmpty()
           || !leftovers.isEmpty()
-          || schedulerState.sharedAttemptRecords().anyToWrite()) {
+          || schedulerState.sharedAttemptRecords().anyNeedsWrite()) {
         later(LAZY_MS);
       }
       return;
@@ -241,7 +241,8 @@
     draft.addEnds(END_MS);
     draft.addUrgent();
     draft.addEnds(0);
-    boolean idle = schedulerState.urgent().isEmpty() && schedulerState.ending().isEmpty();
+    boolean idle =
+        schedulerState.urgentRecords().isEmpty() && schedulerState.jobsToComplete().isEmpty();
     // Exits leave half of the bucket to the starts to come.
     int half = (int) (ready - maxOps / 2.0);
     int spare = idle ? Math.max(least, half) : half;
@@ -256,7 +257,7 @@
    */
   private long lazyMs() {
     double perSecond = LAZY_SHARE * writes.permitsPerSecond();
-    long ms = (long) (1000 * schedulerState.dirty().size() / perSecond);
+    long ms = (long) (1000 * schedulerState.dirtyRecords().size() / perSecond);
     return Math.max(LAZY_MS, Math.min(MOST_LAZY_MS, ms));
   }
 
@@ -296,7 +297,7 @@
     draft.deleted().forEach(leftovers::removeLong);
     draft.guarded().forEach(j -> events.guarded(j, revision));
     for (Job j : draft.ends()) {
-      schedulerState.ended(j, loop.now());
+      schedulerState.markEnded(j, loop.now());
       events.ended(j, true);
       tidy(j);
     }
@@ -305,29 +306,30 @@
   }
 
   private void committed(WrittenChunk w, long revision) {
-    schedulerState.committed(w.attemptRecord(), revision, w.changes(), w.recorded(), loop.now());
+    schedulerState.recordCommitted(
+        w.attemptRecord(), revision, w.changes(), w.recorded(), loop.now());
   }
 
   private void committed(WrittenShared r, long revision) {
     // A member has no record of its own, and so no version.
     r.attemptRecords().forEach(w -> committed(w, 0));
-    schedulerState.sharedAttemptRecords().written(r.record(), r.value() == null ? 0 : revision);
+    schedulerState.sharedAttemptRecords().markWritten(r.record(), r.value() == null ? 0 : revision);
   }
 
   /** Forgets a job once nothing of it is left; what records remain are deleted first. */
   private void tidy(Job j) {
-    if (!j.finished()) {
+    if (!j.isFinished()) {
       return;
     }
     boolean left = false;
     for (int i = 0; i < j.attemptRecordCount(); i++) {
       if (j.attemptRecord(i).version > 0) {
         left = true;
-        schedulerState.redo(j.attemptRecord(i), loop.now());
+        schedulerState.markForRewrite(j.attemptRecord(i), loop.now());
       }
     }
     if (!left) {
-      schedulerState.forget(j);
+      schedulerState.removeJob(j);
     }
   }
 
@@ -463,8 +465,8 @@
           if (item.value() != null) {
             boolean done = item.value().path("end").asText().equals("done");
             if (done) {
-              if (!j.ended()) { // Else it was told before.
-                schedulerState.ended(j, loop.now());
+              if (!j.isEnded()) { // Else it was told before.
+                schedulerState.markEnded(j, loop.now());
                 events.ended(j, true);
               }
               tidy(j);
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -184,14 +184,14 @@
   public void reported(Machine m, long now) {
     int overdue = 0;
     for (Attempt a : m.attempts()) {
-      if (a.stopping()) {
+      if (a.isStopping()) {
         continue;
       }
-      if (a.phase == Attempt.Phase.RUNNING && a.overdue(health.stragglerDetector(), now)) {
+      if (a.phase == Attempt.Phase.RUNNING && a.isOverdue(health.stragglerDetector(), now)) {
         overdue++;
       } else if (a.phase == Attempt.Phase.PULLING) {
         double needS = a.job.spec.imageGb() / Math.max(1e-3, m.type.fetchGbPerS());
-        health.fetching(m.health, now - a.sinceMs, needS * 1000, now);
+        health.fetching(m.health, now - a.createdMs, needS * 1000, now);
       }
     }
     health.overdue(m.health, overdue, now);
@@ -219,7 +219,7 @@
       deafIn[m.zone] += m.health.outboundReachability().deaf() ? 1 : 0;
     }
     for (Machine m : schedulerState.machines()) {
-      if (!m.returning) {
+      if (!m.deleting) {
         judge(m, failureDetector, now);
       }
     }
@@ -239,21 +239,22 @@
   }
 
   private void judge(Machine m, FailureDetector failureDetector, long now) {
-    if (schedulerState.heartbeatReconciler().mustFence(m, now)) {
-      m.returning = true;
+    if (schedulerState.heartbeatReconciler().needsDeletionToFence(m, now)) {
+      m.deleting = true;
       line(m.name, "machine_unfenced", 0);
     } else if (m.health.outboundReachability().deaf()) {
       deaf(m, now);
-    } else if (failureDetector.silentMs(m.health, now) > silentMs + (m.via >= 0 ? ROUND_MS : 0)) {
+    } else if (failureDetector.silentMs(m.health, now)
+        > silentMs + (m.relayPeer >= 0 ? ROUND_MS : 0)) {
       if (mayReturn(m, failureDetector, now)) {
-        m.returning = true;
+        m.deleting = true;
         line(
             m.name,
             m.lastHeartbeatMs < 0 ? "machine_unseen" : "machine_silent",
             now - m.lastHeartbeatMs);
       }
-    } else if (m.draining && m.noticeMs == 0 && m.empty()) {
-      m.returning = true;
+    } else if (m.draining && m.interruptionMs == 0 && m.isEmpty()) {
+      m.deleting = true;
     } else if (!m.draining && worthDraining(m)) {
       m.draining = true;
       stopFetches(m, now);
@@ -269,8 +270,8 @@
    */
   private void deaf(Machine m, long now) {
     for (Attempt a : m.attempts()) {
-      if (a.phase == Attempt.Phase.READY && !a.stopping()) {
-        schedulerState.stop(a, 0, now);
+      if (a.phase == Attempt.Phase.COMMITTED && !a.isStopping()) {
+        schedulerState.requestStop(a, 0, now);
       }
     }
     int known = health.failureDetector().known(m.zone);
@@ -279,7 +280,7 @@
             ? zoneReturns[m.zone].take(known, now)
             : returns.take(schedulerState.machines().size(), now);
     if (may) {
-      m.returning = true;
+      m.deleting = true;
       line(m.name, "machine_deaf", m.incarnation);
     }
   }
@@ -293,12 +294,12 @@
       // with tasks a share goes at once, since the tasks run elsewhere sooner; the rest are free
       // once their leases ran out. No lease proves that of machines that have not seen this term:
       // their tasks only a deletion frees, so those go as fast as silent machines go anywhere.
-      if (!m.empty() && m.highestTokenSeen < term) {
+      if (!m.isEmpty() && m.highestTokenSeen < term) {
         return returns.take(schedulerState.machines().size(), now);
       }
       // An empty one holds nothing up, but it may be gone for good: kept for ever it would hold the
       // zone cut, and nothing would be rented there any more.
-      return (!m.empty() || ms > HOLD_LEASES * leaseMs)
+      return (!m.isEmpty() || ms > HOLD_LEASES * leaseMs)
           && zoneReturns[zone].take(failureDetector.known(zone), now);
     }
     if (failureDetector.deaf(now) && ms <= leaseMs) {
@@ -326,7 +327,7 @@
   private void stopFetches(Machine m, long now) {
     for (Attempt a : m.attempts()) {
       if (a.phase == Attempt.Phase.PULLING) {
-        schedulerState.stop(a, 0, now);
+        schedulerState.requestStop(a, 0, now);
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -185,7 +185,7 @@
   public int running() {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
-      if (!m.returning && !m.failed) {
+      if (!m.deleting && !m.failed) {
         n++;
       }
     }
@@ -196,7 +196,7 @@
   public void reported(Machine m) {
     Expected e = expected.remove(m.name);
     if (e != null) {
-      schedulerState.spending().booted(m, loop.now() - e.rentedMs);
+      schedulerState.costAccounting().machineBooted(m, loop.now() - e.rentedMs);
     }
   }
 
@@ -226,19 +226,19 @@
   private void listed(CloudClient.Listed l) {
     MachineType type = machineTypes.type(l.type());
     int zone = zones.find(l.zone());
-    if (type == null || zone < 0 || schedulerState.isGone(l.name())) {
+    if (type == null || zone < 0 || schedulerState.isDeleted(l.name())) {
       return;
     }
     long now = loop.now();
     Machine m = schedulerState.machine(l.name());
     if (l.state().equals(Fields.FAILED)) {
       if (m == null) {
-        m = schedulerState.meet(l.name(), type, zone, l.spot(), now);
+        m = schedulerState.registerMachine(l.name(), type, zone, l.spot(), now);
       }
       if (!m.failed) {
         LOG.info("event=machine_failed machine={}", l.name());
         schedulerState.machineFailed(m, now);
-        m.returning = true;
+        m.deleting = true;
         expected.remove(l.name());
         listener.changed();
       }
@@ -285,8 +285,8 @@
       rent(rents.subList(0, Math.min(rents.size(), maxOps)), now);
     }
     for (Machine m : fleet.returns(!queue.isEmpty(), now)) {
-      LOG.info("event=return machine={} idle_ms={}", m.name, now - m.emptySinceMs);
-      m.returning = true;
+      LOG.info("event=return machine={} idle_ms={}", m.name, now - m.idleSinceMs);
+      m.deleting = true;
     }
   }
 
@@ -418,7 +418,7 @@
           }
           for (String n : names) {
             Machine m = schedulerState.machine(n);
-            if ((m == null || m.lastHeartbeatMs < 0) && !schedulerState.isGone(n)) {
+            if ((m == null || m.lastHeartbeatMs < 0) && !schedulerState.isDeleted(n)) {
               // Over what a list said meanwhile, which does not know for whom it was rented.
               expected.put(n, new Expected(n, h.variant, h.sinceMs, now, h.gang));
             }
@@ -468,9 +468,10 @@
           && !schedulerState.health().failureDetector().cut(e.variant.zone())) {
         LOG.info("event=machine_never_came machine={}", e.name);
         Machine m =
-            schedulerState.meet(e.name, e.variant.type(), e.variant.zone(), e.variant.spot(), now);
+            schedulerState.registerMachine(
+                e.name, e.variant.type(), e.variant.zone(), e.variant.spot(), now);
         if (m != null) {
-          m.returning = true;
+          m.deleting = true;
         }
         expected.remove(e.name);
       }
@@ -483,7 +484,7 @@
     }
     List<String> names = new ArrayList<>();
     for (Machine m : schedulerState.machines()) {
-      if (m.returning && names.size() < 100) {
+      if (m.deleting && names.size() < 100) {
         names.add(m.name);
       }
     }
@@ -502,7 +503,7 @@
           for (String n : names) {
             Machine m = schedulerState.machine(n);
             if (m != null) {
-              schedulerState.machineGone(m, loop.now());
+              schedulerState.machineDeleted(m, loop.now());
             }
             expected.remove(n);
           }
--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -9,7 +9,7 @@
     /** Not yet committed: must not be launched. */
     RECORDING,
     /** Committed: its launch is sent until the worker reports it. */
-    READY,
+    COMMITTED,
     /** Waiting for its image. */
     PULLING,
     /** Running. */
@@ -42,31 +42,31 @@
   public double stopGraceS = -1;
 
   /** When it was recorded and when it began to run, on the steady clock. */
-  public final long sinceMs;
+  public final long createdMs;
 
   /** True once a stop was sent straight to the worker. */
-  boolean stopSent;
+  boolean stopSentDirectly;
 
   /** True when an earlier leader began it: when it began to run is not known then. */
-  boolean restored;
+  boolean restoredFromRecord;
 
   /** True once an answer to a report carried its launch. */
-  public boolean told;
+  public boolean launchInHeartbeatResponse;
 
   /** True once its launch was sent in any way. */
-  public boolean sent;
+  public boolean launchSent;
 
   /**
    * A launch sent straight to the worker has no answer yet: it may be executed at any later time,
    * unless the worker's session or token moves on or its machine goes.
    */
-  public boolean inFlight;
+  public boolean launchInFlight;
 
   /** The token on the message that carried its launch straight to the worker; 0: none did. */
   long launchToken;
 
   long runningSinceMs;
-  long stopSinceMs;
+  long stopRequestedMs;
 
   Attempt(Job job, int task, int number, Machine machine, long incarnation, Phase phase, long now) {
     this.job = job;
@@ -75,18 +75,18 @@
     this.machine = machine;
     this.incarnation = incarnation;
     this.phase = phase;
-    this.sinceMs = now;
+    this.createdMs = now;
   }
 
   /** True once the worker was told to stop it, or will be. */
-  public boolean stopping() {
+  public boolean isStopping() {
     return stopGraceS >= 0;
   }
 
   /** True when it has run for several times as long as its peers did. */
-  public boolean overdue(StragglerDetector stragglerDetector, long now) {
+  public boolean isOverdue(StragglerDetector stragglerDetector, long now) {
     return runningSinceMs > 0
-        && stragglerDetector.late(job.peers, now - runningSinceMs, job.spec.estimateS());
+        && stragglerDetector.late(job.runTimes, now - runningSinceMs, job.spec.estimateS());
   }
 
   /** When it was first reported to run, on the steady clock; 0 before. */
@@ -107,8 +107,8 @@
   void stop(double graceS, long now) {
     if (stopGraceS < 0 || graceS < stopGraceS) {
       stopGraceS = graceS;
-      stopSent = false;
-      stopSinceMs = now;
+      stopSentDirectly = false;
+      stopRequestedMs = now;
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/AttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/AttemptRecord.java
@@ -3,7 +3,7 @@
 /** The part of a job's tasks that one record in the state service holds. */
 public final class AttemptRecord {
   /** Tasks a record: small enough that a full record stays below the value limit. */
-  public static final int TASKS = 128;
+  public static final int TASKS_PER_RECORD = 128;
 
   /** The job it belongs to and its place in it. */
   public final Job job;
@@ -18,23 +18,23 @@
    * True once a record of its own may have been written, known or not: it never shares one then, or
    * a next leader could find two and take the older one's attempts.
    */
-  public boolean own;
+  public boolean mayHaveOwnRecord;
 
   /** The record that it shares with other small jobs, or null: then it has one of its own. */
-  public SharedAttemptRecord shared;
+  public SharedAttemptRecord sharedRecord;
 
   /** True when memory knows more than the record. */
   public boolean dirty;
 
   /** Counts changes, so that a commit clears {@link #dirty} only if nothing came after it. */
-  public long changes;
+  public long changeCount;
 
   /** How many of its attempts wait for a commit before they may be launched. */
-  int recording;
+  int uncommittedStarts;
 
   /** How many of its attempts are not on record yet. */
-  public int recording() {
-    return recording;
+  public int uncommittedStarts() {
+    return uncommittedStarts;
   }
 
   /** Since when it is dirty. */
@@ -46,24 +46,24 @@
   }
 
   /** True when nothing of it will be on record any more: its job is over and nothing runs. */
-  public boolean finished() {
-    return (job.cancelled || job.ended) && !hasLive();
+  public boolean isFinished() {
+    return (job.cancelled || job.ended) && !hasLiveAttempts();
   }
 
   /** First task of the chunk. */
-  public int from() {
-    return index * TASKS;
+  public int firstTask() {
+    return index * TASKS_PER_RECORD;
   }
 
   /** One past the last task of the chunk. */
-  public int to() {
-    return Math.min(job.spec.tasks(), from() + TASKS);
+  public int endTask() {
+    return Math.min(job.spec.tasks(), firstTask() + TASKS_PER_RECORD);
   }
 
   /** True when a task of the chunk has an attempt that is not proven gone. */
-  public boolean hasLive() {
-    for (int t = from(); t < to(); t++) {
-      if (job.live[t] != null) {
+  public boolean hasLiveAttempts() {
+    for (int t = firstTask(); t < endTask(); t++) {
+      if (job.liveAttempts[t] != null) {
         return true;
       }
     }
--- a/src/main/java/org/mallowroad/core/CostAccounting.java
+++ b/src/main/java/org/mallowroad/core/CostAccounting.java
@@ -14,7 +14,7 @@
  * from then.
  */
 public final class CostAccounting {
-  private static final double MS_AN_HOUR = 3_600_000;
+  private static final double MS_PER_HOUR = 3_600_000;
 
   private final Int2ObjectLinkedOpenHashMap<Kind> kinds = new Int2ObjectLinkedOpenHashMap<>();
 
@@ -50,9 +50,9 @@
   public List<Line> lines(Collection<Machine> machines, long now) {
     Reference2DoubleOpenHashMap<Kind> living = new Reference2DoubleOpenHashMap<>();
     for (Machine m : machines) {
-      double sum = money(m, 1, now - m.sinceMs);
+      double sum = cost(m, 1, now - m.firstSeenMs);
       for (Attempt a : m.attempts) {
-        sum -= money(m, share(a.job.spec, m.type), now - a.sinceMs);
+        sum -= cost(m, share(a.job.spec, m.type), now - a.createdMs);
       }
       living.addTo(kind(m.type, m.spot), sum);
     }
@@ -74,33 +74,33 @@
     return k;
   }
 
-  private static double money(Machine m, double share, long ms) {
-    return share * m.type.price(m.spot) * ms / MS_AN_HOUR;
+  private static double cost(Machine m, double share, long ms) {
+    return share * m.type.price(m.spot) * ms / MS_PER_HOUR;
   }
 
   /** A machine reported for the first time, this long after it was rented. */
-  public void booted(Machine m, long ms) {
-    kind(m.type, m.spot).boot += money(m, 1, ms);
+  public void machineBooted(Machine m, long ms) {
+    kind(m.type, m.spot).boot += cost(m, 1, ms);
   }
 
   /** An attempt is proven gone. */
-  void resolved(Attempt a, boolean done, long now) {
+  void attemptResolved(Attempt a, boolean done, long now) {
     Kind k = kind(a.machine.type, a.machine.spot);
     double share = share(a.job.spec, a.machine.type);
     long ran = a.runningSinceMs > 0 ? now - a.runningSinceMs : 0;
-    k.starting += money(a.machine, share, now - a.sinceMs - ran);
+    k.starting += cost(a.machine, share, now - a.createdMs - ran);
     if (done) {
-      k.useful += money(a.machine, share, ran);
+      k.useful += cost(a.machine, share, ran);
     } else {
-      k.lost += money(a.machine, share, ran);
+      k.lost += cost(a.machine, share, ran);
     }
   }
 
   /** A machine is proven gone. */
-  void gone(Machine m, long now) {
+  void machineDeleted(Machine m, long now) {
     Kind k = kind(m.type, m.spot);
     k.machines++;
-    k.life += money(m, 1, now - m.sinceMs);
+    k.life += cost(m, 1, now - m.firstSeenMs);
   }
 
   /** What of a machine's price a task stands for: its part of the scarcest resource. */
--- a/src/main/java/org/mallowroad/core/FencingTokens.java
+++ b/src/main/java/org/mallowroad/core/FencingTokens.java
@@ -7,12 +7,12 @@
  */
 public final class FencingTokens {
   /** Tokens of a term: a worker's may be raised every ten seconds for four months. */
-  public static final long TOKENS = 1L << 20;
+  public static final long TOKENS_PER_TERM = 1L << 20;
 
   private FencingTokens() {}
 
   /** The last token of a term. */
   public static long last(long term) {
-    return term + TOKENS - 1;
+    return term + TOKENS_PER_TERM - 1;
   }
 }
--- a/src/main/java/org/mallowroad/core/Heartbeat.java
+++ b/src/main/java/org/mallowroad/core/Heartbeat.java
@@ -5,7 +5,7 @@
 /**
  * A worker's message about itself and the tasks it holds.
  *
- * @param handsOn true when the worker takes images from other workers, and hands its own on
+ * @param servesImages true when the worker takes images from other workers, and hands its own on
  */
 public record Heartbeat(
     String machine,
@@ -16,9 +16,9 @@
     long incarnation,
     long sequence,
     long fencingToken,
-    double noticeS,
+    double interruptionNoticeS,
     List<Entry> entries,
-    boolean handsOn) {
+    boolean servesImages) {
 
   /** Of a worker that hands no images on. */
   public Heartbeat(
@@ -61,7 +61,7 @@
   /**
    * One task on the machine.
    *
-   * @param why for an exited task, the cause as the worker gave it, else null
+   * @param exitReason for an exited task, the cause as the worker gave it, else null
    */
-  public record Entry(String job, int task, int attempt, State state, String why) {}
+  public record Entry(String job, int task, int attempt, State state, String exitReason) {}
 }
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -13,18 +13,18 @@
   /** Version of the job's open record, which never changes while the job is open. */
   public final long version;
 
-  final BitSet done = new BitSet();
-  final int[] number;
-  final Attempt[] live;
+  final BitSet doneTasks = new BitSet();
+  final int[] highestAttemptNumbers;
+  final Attempt[] liveAttempts;
   final AttemptRecord[] attemptRecords;
-  public final IntArrayFIFOQueue pending = new IntArrayFIFOQueue();
-  final int[] zoneLive;
+  public final IntArrayFIFOQueue pendingTasks = new IntArrayFIFOQueue();
+  final int[] liveAttemptsByZone;
 
   /** How long its tasks took: the measure of the machines that run the others. */
-  final RunTimeBaseline peers;
+  final RunTimeBaseline runTimes;
 
   /** Machines on which a task of this job ended with an error. */
-  public final ObjectOpenHashSet<String> failedOn = new ObjectOpenHashSet<>();
+  public final ObjectOpenHashSet<String> failedMachines = new ObjectOpenHashSet<>();
 
   /**
    * True when the job fits into its team's guarantee together with the team's earlier unfinished
@@ -48,15 +48,15 @@
   boolean held;
 
   /** When its hold was opened in this term, or 0. */
-  long openedMs;
+  long releasedMs;
 
   /** What it still waits for, for people. */
-  public String holdText = "";
+  public String holdReason = "";
 
-  int liveCount;
+  int liveAttemptCount;
   int runningCount;
-  int failures;
-  long notBeforeMs;
+  int consecutiveFailures;
+  long retryNotBeforeMs;
   long waitingSinceMs;
 
   /** When its last task was done. */
@@ -79,15 +79,16 @@
     this.lastStartMs = submittedMs;
     this.spec = spec;
     this.version = version;
-    this.peers = new RunTimeBaseline(spec.tasks());
-    this.number = new int[spec.tasks()];
-    this.live = new Attempt[spec.tasks()];
+    this.runTimes = new RunTimeBaseline(spec.tasks());
+    this.highestAttemptNumbers = new int[spec.tasks()];
+    this.liveAttempts = new Attempt[spec.tasks()];
     this.attemptRecords =
-        new AttemptRecord[(spec.tasks() + AttemptRecord.TASKS - 1) / AttemptRecord.TASKS];
+        new AttemptRecord
+            [(spec.tasks() + AttemptRecord.TASKS_PER_RECORD - 1) / AttemptRecord.TASKS_PER_RECORD];
     for (int i = 0; i < attemptRecords.length; i++) {
       attemptRecords[i] = new AttemptRecord(this, i);
     }
-    this.zoneLive = new int[zones];
+    this.liveAttemptsByZone = new int[zones];
     this.waitingSinceMs = now;
   }
 
@@ -103,52 +104,52 @@
 
   /** True when the task is done. */
   public boolean isDone(int task) {
-    return done.get(task);
+    return doneTasks.get(task);
   }
 
   /** The unresolved attempt of a task, or null. */
-  public Attempt live(int task) {
-    return live[task];
+  public Attempt liveAttempt(int task) {
+    return liveAttempts[task];
   }
 
   /** Highest attempt number that a task has had. */
-  public int number(int task) {
-    return number[task];
+  public int highestAttemptNumber(int task) {
+    return highestAttemptNumbers[task];
   }
 
   /** Number of tasks done. */
   public int doneCount() {
-    return done.cardinality();
+    return doneTasks.cardinality();
   }
 
   /** Number of tasks that wait to be started. */
   public int waitingCount() {
-    return pending.size();
+    return pendingTasks.size();
   }
 
   /** Number of unresolved attempts. */
-  public int liveCount() {
-    return liveCount;
+  public int liveAttemptCount() {
+    return liveAttemptCount;
   }
 
   /** True while it is tried again only later, after failures. */
-  public boolean heldBack(long now) {
-    return notBeforeMs > now;
+  public boolean isBackingOff(long now) {
+    return retryNotBeforeMs > now;
   }
 
   /** Until when it is held back after failures, on this process's steady clock. */
-  public long notBeforeMs() {
-    return notBeforeMs;
+  public long retryNotBeforeMs() {
+    return retryNotBeforeMs;
   }
 
   /** Failures in a row, without a task that completed between them. */
-  public int failures() {
-    return failures;
+  public int consecutiveFailures() {
+    return consecutiveFailures;
   }
 
   /** True when there are machines on which a task of it ended with an error. */
-  public boolean failedSomewhere() {
-    return !failedOn.isEmpty();
+  public boolean hasFailedMachines() {
+    return !failedMachines.isEmpty();
   }
 
   /** Since when tasks of it have waited without a break, on this process's steady clock. */
@@ -157,12 +158,12 @@
   }
 
   /** True when it was within its team's guarantee in the newest queue. */
-  public boolean guaranteed() {
+  public boolean isGuaranteed() {
     return guaranteed;
   }
 
   /** True when it goes before other work of its rank: within a guarantee, or long overdue. */
-  public boolean goesFirst() {
+  public boolean hasPrecedence() {
     return guaranteed || aged;
   }
 
@@ -172,19 +173,19 @@
   }
 
   /** False where its other tasks keep its next one from a zone. */
-  public boolean mayBeIn(int zone) {
-    return !(spec.together() && liveCount > zoneLive[zone])
-        && !(spec.scatter() && zoneLive[zone] >= spec.zoneCap());
+  public boolean allowsZone(int zone) {
+    return !(spec.together() && liveAttemptCount > liveAttemptsByZone[zone])
+        && !(spec.scatter() && liveAttemptsByZone[zone] >= spec.maxTasksPerZone());
   }
 
   /** Number of unresolved attempts in each zone; a copy. */
-  public int[] liveByZone() {
-    return zoneLive.clone();
+  public int[] copyLiveAttemptsByZone() {
+    return liveAttemptsByZone.clone();
   }
 
   /** True when unresolved attempts of it are in a zone. */
-  public boolean liveIn(int zone) {
-    return zoneLive[zone] > 0;
+  public boolean hasLiveAttemptIn(int zone) {
+    return liveAttemptsByZone[zone] > 0;
   }
 
   /** Number of tasks known to run. */
@@ -203,9 +204,9 @@
   }
 
   /** The most attempts that one of its tasks has had. */
-  public int tries() {
+  public int maxAttemptNumber() {
     int most = 0;
-    for (int n : number) {
+    for (int n : highestAttemptNumbers) {
       most = Math.max(most, n);
     }
     return most;
@@ -217,37 +218,37 @@
   }
 
   /** True when all tasks are done. */
-  public boolean allDone() {
-    return done.cardinality() == spec.tasks();
+  public boolean areAllTasksDone() {
+    return doneTasks.cardinality() == spec.tasks();
   }
 
   /** True while it is held. */
-  public boolean held() {
+  public boolean isHeld() {
     return held;
   }
 
   /** Since when it could have started: its submission, or the opening of its hold. */
-  public long sinceMs() {
-    return Math.max(submittedMs, openedMs);
+  public long eligibleSinceMs() {
+    return Math.max(submittedMs, releasedMs);
   }
 
   /** True while tasks wait and may be started. */
-  public boolean waiting() {
-    return !held && !cancelled && !ended && !pending.isEmpty();
+  public boolean hasWaitingTasks() {
+    return !held && !cancelled && !ended && !pendingTasks.isEmpty();
   }
 
   /** True once the user's cancellation is known. */
-  public boolean cancelled() {
+  public boolean isCancelled() {
     return cancelled;
   }
 
   /** True once the job's end is recorded as done. */
-  public boolean ended() {
+  public boolean isEnded() {
     return ended;
   }
 
   /** True when nothing of an ended job is left on any machine. */
-  public boolean finished() {
-    return (cancelled || ended) && liveCount == 0;
+  public boolean isFinished() {
+    return (cancelled || ended) && liveAttemptCount == 0;
   }
 }
--- a/src/main/java/org/mallowroad/core/JobSpec.java
+++ b/src/main/java/org/mallowroad/core/JobSpec.java
@@ -56,12 +56,12 @@
    * may be in one zone, and all have to be. The protocol has no refusal for that, so it is
    * accepted, and shown for what it is.
    */
-  public boolean contradicts(int zones) {
-    return gang && scatter && zoneCap() < tasks && (together || zone >= 0 || zones < 2);
+  public boolean isUnsatisfiable(int zones) {
+    return gang && scatter && maxTasksPerZone() < tasks && (together || zone >= 0 || zones < 2);
   }
 
   /** The most tasks that may be in one zone at the same time. */
-  public int zoneCap() {
+  public int maxTasksPerZone() {
     return scatter ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -27,7 +27,7 @@
   public String address = "";
 
   /** The peer that brought its newest report, or -1: it came by itself. */
-  public int via = -1;
+  public int relayPeer = -1;
 
   /** Session and sequence of the newest message seen; 0 before the first one. */
   public long incarnation;
@@ -42,43 +42,43 @@
   public long fencingToken;
 
   /** The token on the answer to its newest report; 0 before the first one. */
-  long toldToken;
+  long lastResponseToken;
 
   /** When this leader's newest report of it came, or -1. */
   public long lastHeartbeatMs = -1;
 
   /** When this leader last answered it, which may have renewed its lease, or -1. */
-  public long lastAnswerMs = -1;
+  public long lastResponseMs = -1;
 
   /** When it was rented or first seen. */
-  public long sinceMs;
+  public long firstSeenMs;
 
   /** When the cloud will take it, or 0. */
-  public long noticeMs;
+  public long interruptionMs;
 
   /** When its notice came, or 0. */
-  public long noticeSinceMs;
+  public long interruptionNoticeMs;
 
   /** True when its worker can hand images on to others, and take them; it said so itself. */
-  public boolean handsOn;
+  public boolean servesImages;
 
   /** No new work goes to it. */
   public boolean draining;
 
   /** A delete request is to be sent, or was sent and not yet answered. */
-  public boolean returning;
+  public boolean deleting;
 
   /** The list said it has failed. */
   public boolean failed;
 
   /** The gang that this machine is held for: nothing else starts here; null for none. */
-  public Job heldFor;
+  public Job reservedFor;
 
   /** No new work before this time, after it refused a task. */
-  long coolUntilMs;
+  long backoffUntilMs;
 
   /** Since when it holds nothing, or -1. */
-  public long emptySinceMs;
+  public long idleSinceMs;
 
   public final ObjectLinkedOpenHashSet<Attempt> attempts = new ObjectLinkedOpenHashSet<>();
 
@@ -87,13 +87,13 @@
    * come late, or once more; were the attempt cleared before the worker has seen a higher token, it
    * would start again.
    */
-  final Object2LongOpenHashMap<String> unfenced = new Object2LongOpenHashMap<>();
+  final Object2LongOpenHashMap<String> unfencedLaunches = new Object2LongOpenHashMap<>();
 
   /** Since when exited attempts stay uncleared for want of a higher token; -1: none does. */
-  long unclearedMs = -1;
+  long exitsUnclearedSinceMs = -1;
 
-  public final ResourceVector free;
-  final Int2DoubleLinkedOpenHashMap images = new Int2DoubleLinkedOpenHashMap();
+  public final ResourceVector freeResources;
+  final Int2DoubleLinkedOpenHashMap cachedImages = new Int2DoubleLinkedOpenHashMap();
 
   Machine(String name, MachineType type, int zone, boolean spot, long fencingToken, long now) {
     this.fencingToken = fencingToken;
@@ -101,15 +101,15 @@
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.free = new ResourceVector(type.cpus(), type.cards(), type.memGb());
+    this.freeResources = new ResourceVector(type.cpus(), type.cards(), type.memGb());
     this.health = new MachineHealth(name, zone);
-    this.sinceMs = now;
-    this.emptySinceMs = now;
+    this.firstSeenMs = now;
+    this.idleSinceMs = now;
   }
 
   /** True once a report of this leader's term came and work may go to it. */
-  public boolean usable() {
-    return lastHeartbeatMs >= 0 && !draining && !returning && !failed;
+  public boolean isUsable() {
+    return lastHeartbeatMs >= 0 && !draining && !deleting && !failed;
   }
 
   /** Its unresolved attempts. */
@@ -118,23 +118,23 @@
   }
 
   /** True when it has no unresolved attempt. */
-  public boolean empty() {
+  public boolean isEmpty() {
     return attempts.isEmpty();
   }
 
   /** True when the image was fetched here and is most likely still cached. */
   public boolean hasImage(int image) {
-    return images.containsKey(image);
+    return cachedImages.containsKey(image);
   }
 
   /** True when the images used since leave it in that part of the cache. */
-  public boolean sureOf(int image, double share) {
+  public boolean isLikelyCached(int image, double share) {
     double sum = 0;
     for (IntBidirectionalIterator it =
-            images.keySet().iterator(images.isEmpty() ? 0 : images.lastIntKey());
+            cachedImages.keySet().iterator(cachedImages.isEmpty() ? 0 : cachedImages.lastIntKey());
         it.hasPrevious(); ) {
       int i = it.previousInt();
-      sum += images.get(i);
+      sum += cachedImages.get(i);
       if (i == image) {
         return sum <= share * type.cacheGb();
       }
@@ -143,54 +143,54 @@
   }
 
   /** Remembers an image use; the least recently used ones go when the cache is full. */
-  public void useImage(int image, double gb) {
-    images.putAndMoveToLast(image, gb);
+  public void recordImageUse(int image, double gb) {
+    cachedImages.putAndMoveToLast(image, gb);
     double sum = 0;
-    for (double g : images.values()) {
+    for (double g : cachedImages.values()) {
       sum += g;
     }
-    while (sum > type.cacheGb() && images.size() > 1) {
-      sum -= images.removeFirstDouble();
+    while (sum > type.cacheGb() && cachedImages.size() > 1) {
+      sum -= cachedImages.removeFirstDouble();
     }
   }
 
   /** What no unresolved attempt takes: a copy. */
-  public ResourceVector room() {
-    return new ResourceVector(free.cpus, free.cards, free.memGb);
+  public ResourceVector copyFreeResources() {
+    return new ResourceVector(freeResources.cpus, freeResources.cards, freeResources.memGb);
   }
 
   /** CPUs that no unresolved attempt takes. */
   public double freeCpus() {
-    return free.cpus;
+    return freeResources.cpus;
   }
 
   /** Booked share of the scarcest resource. */
-  public double booked() {
-    double b = 1 - free.cpus / type.cpus();
+  public double bookedShare() {
+    double b = 1 - freeResources.cpus / type.cpus();
     if (type.memGb() > 0) {
-      b = Math.max(b, 1 - free.memGb / type.memGb());
+      b = Math.max(b, 1 - freeResources.memGb / type.memGb());
     }
     if (type.cards() > 0) {
-      b = Math.max(b, 1 - free.cards / type.cards());
+      b = Math.max(b, 1 - freeResources.cards / type.cards());
     }
     return b;
   }
 
   void add(Attempt a) {
     attempts.add(a);
-    free.add(a.job.spec, -1);
-    emptySinceMs = -1;
+    freeResources.add(a.job.spec, -1);
+    idleSinceMs = -1;
   }
 
   void remove(Attempt a, long now) {
     attempts.remove(a);
-    free.add(a.job.spec, 1);
+    freeResources.add(a.job.spec, 1);
     if (attempts.isEmpty()) {
       // Start again from exact figures so that rounding never adds up.
-      free.cpus = type.cpus();
-      free.cards = type.cards();
-      free.memGb = type.memGb();
-      emptySinceMs = now;
+      freeResources.cpus = type.cpus();
+      freeResources.cards = type.cards();
+      freeResources.memGb = type.memGb();
+      idleSinceMs = now;
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/MachineType.java
+++ b/src/main/java/org/mallowroad/core/MachineType.java
@@ -16,18 +16,18 @@
 
   /** True when an empty machine of this type has room for one task of the job. */
   public boolean fits(JobSpec job) {
-    return job.cpus() <= cpus + ResourceVector.EPS
-        && job.cards() <= cards + ResourceVector.EPS
-        && job.memGb() <= memGb + ResourceVector.EPS;
+    return job.cpus() <= cpus + ResourceVector.EPSILON
+        && job.cards() <= cards + ResourceVector.EPSILON
+        && job.memGb() <= memGb + ResourceVector.EPSILON;
   }
 
   /** How many tasks of the job an empty machine of this type holds. */
-  public int holds(JobSpec job) {
-    return new ResourceVector(cpus, cards, memGb).holds(job, 1_000_000);
+  public int capacityFor(JobSpec job) {
+    return new ResourceVector(cpus, cards, memGb).capacityFor(job, 1_000_000);
   }
 
   /** True when machines of this type are rented in the zone. */
-  public boolean in(int zone) {
+  public boolean isOfferedIn(int zone) {
     for (int z : zones) {
       if (z == zone) {
         return true;
--- a/src/main/java/org/mallowroad/core/NameIndex.java
+++ b/src/main/java/org/mallowroad/core/NameIndex.java
@@ -10,7 +10,7 @@
 public final class NameIndex {
   private final Object2IntOpenHashMap<String> index = new Object2IntOpenHashMap<>();
   private final List<String> names = new ArrayList<>();
-  private final IntArrayList unused = new IntArrayList();
+  private final IntArrayList freeIndices = new IntArrayList();
 
   /** An empty table. */
   public NameIndex() {
@@ -21,11 +21,11 @@
   public int intern(String name) {
     int i = index.getInt(name);
     if (i < 0) {
-      if (unused.isEmpty()) {
+      if (freeIndices.isEmpty()) {
         i = names.size();
         names.add(name);
       } else {
-        i = unused.popInt();
+        i = freeIndices.popInt();
         names.set(i, name);
       }
       index.put(name, i);
@@ -52,13 +52,13 @@
    * Forgets the names whose indices are not used any more, so that names which users make up do not
    * pile up; the indices are given to new names.
    */
-  public void keep(BitSet used) {
+  public void retain(BitSet used) {
     for (int i = 0; i < names.size(); i++) {
       String name = names.get(i);
       if (name != null && !used.get(i)) {
         index.removeInt(name);
         names.set(i, null);
-        unused.push(i);
+        freeIndices.push(i);
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/ResourceVector.java
+++ b/src/main/java/org/mallowroad/core/ResourceVector.java
@@ -3,7 +3,7 @@
 /** Free or taken amounts of the three resources of a machine. */
 public final class ResourceVector {
   /** Amounts are decimal numbers, so sums are compared with this slack. */
-  public static final double EPS = 1e-6;
+  public static final double EPSILON = 1e-6;
 
   /** Amounts. */
   public double cpus;
@@ -23,20 +23,22 @@
 
   /** True when one task of the job fits. */
   public boolean fits(JobSpec job) {
-    return job.cpus() <= cpus + EPS && job.cards() <= cards + EPS && job.memGb() <= memGb + EPS;
+    return job.cpus() <= cpus + EPSILON
+        && job.cards() <= cards + EPSILON
+        && job.memGb() <= memGb + EPSILON;
   }
 
   /** How many tasks of the job fit, {@code most} at the most. */
-  public int holds(JobSpec job, int most) {
+  public int capacityFor(JobSpec job, int most) {
     double n = most;
     if (job.cpus() > 0) {
-      n = Math.min(n, (cpus + EPS) / job.cpus());
+      n = Math.min(n, (cpus + EPSILON) / job.cpus());
     }
     if (job.cards() > 0) {
-      n = Math.min(n, (cards + EPS) / job.cards());
+      n = Math.min(n, (cards + EPSILON) / job.cards());
     }
     if (job.memGb() > 0) {
-      n = Math.min(n, (memGb + EPS) / job.memGb());
+      n = Math.min(n, (memGb + EPSILON) / job.memGb());
     }
     return (int) Math.max(0, n);
   }
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -26,87 +26,42 @@
  * <p>What is said to one machine and by it is the matter of {@link HeartbeatReconciler}.
  */
 public final class SchedulerState implements MachinePool {
-  /** How an attempt ended. */
-  public enum Outcome {
-    /** Completed. */
-    DONE,
-    /** Stopped by command. */
-    STOPPED,
-    /** Failed by itself. */
-    ERROR,
-    /** The worker refused it for want of room. */
-    NO_ROOM,
-    /** The worker refused it for another reason. */
-    REFUSED,
-    /** Gone with its machine or its session, or never started. */
-    LOST
-  }
-
-  /** Why a task may not start on a machine. */
-  public enum Refusal {
-    /** Its job is over. */
-    OVER,
-    /** It is done or has an unresolved attempt. */
-    BUSY,
-    /** The machine is being emptied or returned, or has failed. */
-    LEAVING,
-    /** The machine's report is overdue, or it has not reported to this leader. */
-    SILENT,
-    /** The machine refused a task a moment ago. */
-    COOLING,
-    /** The machine is held for a gang that gathers. */
-    HELD,
-    /** The machine reports, and nothing that is said to it arrives. */
-    DEAF,
-    /** It would have to fetch the image, and as many fetch as the operators allow. */
-    FETCHES,
-    /** The machine is slow or faulty, and the job urgent or a gang. */
-    DOUBTED,
-    /** A task of the job failed on the machine. */
-    FAILED_HERE,
-    /** The job does not allow the type, zone or kind. */
-    PLACE,
-    /** Not enough free room. */
-    ROOM,
-    /** The team's limit. */
-    QUOTA,
-    /** The zone rules of the job with its other tasks. */
-    ZONE
-  }
-
   /**
    * Deleted machines that are remembered: reports and lists that still have them come minutes late
    * at the most. One that came later yet would be met as an unexpected machine and returned.
    */
-  static final int MOST_GONE = 10_000;
+  static final int MAX_DELETED_NAMES = 10_000;
 
   private final long term;
   private final long leaseMs;
-  private final long freshMs;
+  private final long heartbeatOverdueMs;
   private final List<Team> teams;
   private final NameIndex zones;
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
   private final Object2ObjectLinkedOpenHashMap<String, Machine> machines =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final ObjectLinkedOpenHashSet<String> gone = new ObjectLinkedOpenHashSet<>();
-  private final ObjectLinkedOpenHashSet<AttemptRecord> dirty = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<String> deletedNames = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<AttemptRecord> dirtyRecords =
+      new ObjectLinkedOpenHashSet<>();
 
   /** The dirty records for which starts wait, in the order in which they were placed. */
-  private final ObjectLinkedOpenHashSet<AttemptRecord> urgent = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<AttemptRecord> urgentRecords =
+      new ObjectLinkedOpenHashSet<>();
 
   /** Machines for which a launch or a stop may be due that no message has carried yet. */
-  private final ObjectLinkedOpenHashSet<Machine> outbox = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<Machine> machinesWithUnsentCommands =
+      new ObjectLinkedOpenHashSet<>();
 
   /** Changes with every machine that comes or goes. */
   private long machinesVersion;
 
-  private final ObjectLinkedOpenHashSet<Job> ending = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<Job> jobsToComplete = new ObjectLinkedOpenHashSet<>();
 
-  private long started;
-  private long completed;
-  private long requeued;
-  private final CostAccounting spending = new CostAccounting();
+  private long attemptsStarted;
+  private long attemptsCompleted;
+  private long rebuiltQueueTasks;
+  private final CostAccounting costAccounting = new CostAccounting();
   private final Health health;
   private final GangReservations gangReservations = new GangReservations(this);
   private final HeartbeatReconciler heartbeatReconciler;
@@ -148,12 +103,13 @@
     this.imageDistribution = new ImageDistribution(fetches, zones.size());
     this.sharedAttemptRecords = new SharedAttemptRecords(term);
     this.health = health;
-    this.freshMs = (long) (heartbeatIntervalS * 1250) + 1_500;
+    this.heartbeatOverdueMs = (long) (heartbeatIntervalS * 1250) + 1_500;
     this.term = term;
     // Clocks of two machines drift apart by up to 0.05%; half a second covers timers that fire
     // late.
     this.leaseMs = (long) (leaseS * 1000 * 1.001) + 500;
-    this.heartbeatReconciler = new HeartbeatReconciler(this, jobs, health, term, freshMs, leaseMs);
+    this.heartbeatReconciler =
+        new HeartbeatReconciler(this, jobs, health, term, heartbeatOverdueMs, leaseMs);
     this.teams = teams;
     this.zones = zones;
   }
@@ -181,28 +137,28 @@
   }
 
   /** True when the machine was deleted in this term. */
-  public boolean isGone(String machine) {
-    return gone.contains(machine);
+  public boolean isDeleted(String machine) {
+    return deletedNames.contains(machine);
   }
 
   /** How many entries each table holds: what an operator looks at when memory grows. */
-  public Map<String, Integer> tables() {
+  public Map<String, Integer> tableSizes() {
     Map<String, Integer> sizes = new LinkedHashMap<>();
     sizes.put("jobs", jobs.size());
     sizes.put("machines", machines.size());
-    sizes.put("gone", gone.size());
-    sizes.put("dirty", dirty.size());
-    sizes.put("urgent", urgent.size());
-    sizes.put("outbox", outbox.size());
-    sizes.put("shared", sharedAttemptRecords.all().size());
-    sizes.put("ending", ending.size());
+    sizes.put("gone", deletedNames.size());
+    sizes.put("dirty", dirtyRecords.size());
+    sizes.put("urgent", urgentRecords.size());
+    sizes.put("outbox", machinesWithUnsentCommands.size());
+    sizes.put("shared", sharedAttemptRecords.records().size());
+    sizes.put("ending", jobsToComplete.size());
     sizes.put("watched", health.failureDetector().known());
     sizes.put("classes", health.stragglerDetector().classes());
     return sizes;
   }
 
   /** Marks the names that jobs and machines have. */
-  public void names(BitSet images, BitSet classes, BitSet types) {
+  public void markUsedNames(BitSet images, BitSet classes, BitSet types) {
     for (Job j : jobs.values()) {
       images.set(j.spec.image());
       classes.set(j.spec.taskClass());
@@ -212,7 +168,7 @@
     }
     for (Machine m : machines.values()) {
       types.set(m.type.index());
-      m.images.keySet().forEach(images::set);
+      m.cachedImages.keySet().forEach(images::set);
     }
     imageDistribution.names(images);
   }
@@ -228,21 +184,21 @@
   }
 
   /** Records that changed since they were committed. */
-  public Collection<AttemptRecord> dirty() {
-    return dirty;
+  public Collection<AttemptRecord> dirtyRecords() {
+    return dirtyRecords;
   }
 
   /** The dirty records for which starts wait. */
-  public Collection<AttemptRecord> urgent() {
-    return urgent;
+  public Collection<AttemptRecord> urgentRecords() {
+    return urgentRecords;
   }
 
   /**
    * Machines that may have orders to be sent straight away. The caller removes those it has dealt
    * with: a message a worker must not cost a walk over the fleet.
    */
-  public Collection<Machine> outbox() {
-    return outbox;
+  public Collection<Machine> machinesWithUnsentCommands() {
+    return machinesWithUnsentCommands;
   }
 
   /** Changes with every machine that comes or goes. */
@@ -251,13 +207,13 @@
   }
 
   /** Jobs whose tasks are all done and whose end is to be committed. */
-  public Collection<Job> ending() {
-    return ending;
+  public Collection<Job> jobsToComplete() {
+    return jobsToComplete;
   }
 
   /** Tasks looked at so far to make queues anew: what a takeover costs. */
-  long requeued() {
-    return requeued;
+  long rebuiltQueueTasks() {
+    return rebuiltQueueTasks;
   }
 
   /** What is suspected in this term. */
@@ -282,8 +238,8 @@
   }
 
   /** True when a machine may be asked to hand an image on. */
-  public boolean mayGive(Machine m, long now) {
-    return unfit(m, now) == null && !m.health.doubted() && m.noticeMs == 0;
+  public boolean canServeImages(Machine m, long now) {
+    return machineRefusal(m, now) == null && !m.health.doubted() && m.interruptionMs == 0;
   }
 
   /** How many zones there are. */
@@ -293,18 +249,18 @@
   }
 
   /** Where the money of this term went. */
-  public CostAccounting spending() {
-    return spending;
+  public CostAccounting costAccounting() {
+    return costAccounting;
   }
 
   /** Number of attempts made in this term. */
-  public long started() {
-    return started;
+  public long attemptsStarted() {
+    return attemptsStarted;
   }
 
   /** Number of attempts that completed in this term. */
-  public long completed() {
-    return completed;
+  public long attemptsCompleted() {
+    return attemptsCompleted;
   }
 
   /**
@@ -319,7 +275,7 @@
     }
     Job job = new Job(spec, version, zones.size(), now - Math.max(0, ageMs), now);
     for (int t = 0; t < spec.tasks(); t++) {
-      job.pending.enqueue(t);
+      job.pendingTasks.enqueue(t);
     }
     job.held = spec.dependencies().held();
     jobs.put(spec.id(), job);
@@ -327,13 +283,14 @@
   }
 
   /** Takes what the record of a chunk says, on takeover. */
-  public void restore(AttemptRecord attemptRecord, long version, BitSet doneInChunk, int high) {
+  public void restoreRecord(
+      AttemptRecord attemptRecord, long version, BitSet doneInChunk, int high) {
     Job job = attemptRecord.job;
     attemptRecord.version = version;
-    for (int t = attemptRecord.from(); t < attemptRecord.to(); t++) {
-      job.number[t] = high;
-      if (doneInChunk.get(t - attemptRecord.from())) {
-        job.done.set(t);
+    for (int t = attemptRecord.firstTask(); t < attemptRecord.endTask(); t++) {
+      job.highestAttemptNumbers[t] = high;
+      if (doneInChunk.get(t - attemptRecord.firstTask())) {
+        job.doneTasks.set(t);
       }
     }
   }
@@ -341,12 +298,15 @@
   /** Takes a recorded attempt, on takeover: it counts until it is proven gone. */
   public void restoreAttempt(
       Job job, int task, int number, Machine machine, long incarnation, long now) {
-    if (task < 0 || task >= job.spec.tasks() || job.live[task] != null || job.done.get(task)) {
+    if (task < 0
+        || task >= job.spec.tasks()
+        || job.liveAttempts[task] != null
+        || job.doneTasks.get(task)) {
       return;
     }
-    Attempt a = new Attempt(job, task, number, machine, incarnation, Attempt.Phase.READY, now);
-    a.restored = true;
-    job.number[task] = Math.max(job.number[task], number);
+    Attempt a = new Attempt(job, task, number, machine, incarnation, Attempt.Phase.COMMITTED, now);
+    a.restoredFromRecord = true;
+    job.highestAttemptNumbers[task] = Math.max(job.highestAttemptNumbers[task], number);
     book(a);
     // A report of an earlier session must not look like news.
     if (incarnation > machine.incarnation) {
@@ -354,7 +314,7 @@
       machine.sequence = 0;
     }
     if (job.cancelled) {
-      stop(a, 0, now);
+      requestStop(a, 0, now);
     }
   }
 
@@ -362,23 +322,23 @@
    * Call once all chunks of a restored job were taken: its queue is made anew here, once a job and
    * not once an attempt, since a takeover runs cold code on a fraction of a core.
    */
-  public void restored(Job job, long now) {
+  public void finishRestore(Job job, long now) {
     rebuildPending(job);
-    if (!job.cancelled && job.allDone()) {
+    if (!job.cancelled && job.areAllTasksDone()) {
       job.allDoneMs = now;
-      ending.add(job);
+      jobsToComplete.add(job);
     }
   }
 
   private void rebuildPending(Job job) {
-    job.pending.clear();
+    job.pendingTasks.clear();
     if (job.cancelled || job.ended) {
       return;
     }
-    requeued += job.spec.tasks();
+    rebuiltQueueTasks += job.spec.tasks();
     for (int t = 0; t < job.spec.tasks(); t++) {
-      if (!job.done.get(t) && job.live[t] == null) {
-        job.pending.enqueue(t);
+      if (!job.doneTasks.get(t) && job.liveAttempts[t] == null) {
+        job.pendingTasks.enqueue(t);
       }
     }
   }
@@ -394,25 +354,25 @@
 
   /** Nothing of a job that is over starts any more, and what there is of it ends. */
   private void over(Job job, long now) {
-    job.pending.clear();
-    ending.remove(job);
-    for (Attempt a : job.live) {
+    job.pendingTasks.clear();
+    jobsToComplete.remove(job);
+    for (Attempt a : job.liveAttempts) {
       if (a == null) {
         continue;
       }
       if (a.phase == Attempt.Phase.RECORDING) {
-        resolve(a, Outcome.LOST, now); // Its launch was never sent, and never will be.
+        resolve(a, AttemptOutcome.LOST, now); // Its launch was never sent, and never will be.
       } else {
-        stop(a, 0, now);
+        requestStop(a, 0, now);
       }
     }
   }
 
   /** A release of the job is on record: its tasks may start under it. */
-  public void open(Job job, long now) {
+  public void release(Job job, long now) {
     if (job.held) {
       job.held = false;
-      job.openedMs = now;
+      job.releasedMs = now;
       job.waitingSinceMs = now;
     }
   }
@@ -421,10 +381,10 @@
    * The release on record does not hold any more. What was to be recorded under it is not: its
    * launches were never sent, and never will be.
    */
-  public void close(Job job, long now) {
-    for (Attempt a : job.live) {
+  public void hold(Job job, long now) {
+    for (Attempt a : job.liveAttempts) {
       if (a != null && a.phase == Attempt.Phase.RECORDING) {
-        resolve(a, Outcome.LOST, now);
+        resolve(a, AttemptOutcome.LOST, now);
       }
     }
     job.held = true;
@@ -434,25 +394,25 @@
    * The job's end is committed, or was found. A leader that took a list of open jobs which was
    * older than that end may have placed tasks of it again (docs/incidents, done-job-placed-again).
    */
-  public void ended(Job job, long now) {
+  public void markEnded(Job job, long now) {
     job.ended = true;
     over(job, now);
   }
 
   /** Drops a job of which nothing is left, once its records are deleted. */
-  public void forget(Job job) {
+  public void removeJob(Job job) {
     jobs.remove(job.spec.id());
-    ending.remove(job);
+    jobsToComplete.remove(job);
     for (AttemptRecord c : job.attemptRecords) {
-      dirty.remove(c);
-      urgent.remove(c);
-      sharedAttemptRecords.forget(c);
+      dirtyRecords.remove(c);
+      urgentRecords.remove(c);
+      sharedAttemptRecords.remove(c);
     }
   }
 
   /** The machine, made known if it is new; null when it is proven gone. */
-  public Machine meet(String name, MachineType type, int zone, boolean spot, long now) {
-    if (gone.contains(name)) {
+  public Machine registerMachine(String name, MachineType type, int zone, boolean spot, long now) {
+    if (deletedNames.contains(name)) {
       return null;
     }
     Machine m = machines.get(name);
@@ -466,140 +426,147 @@
   }
 
   /** True when a pass of placement may give the machine work, or has just done so. */
-  public boolean mayGetWork(Machine m, long now) {
-    return takesWork(m, now) && m.free.cpus > ResourceVector.EPS;
+  public boolean canReceiveTasks(Machine m, long now) {
+    return acceptsNewTasks(m, now) && m.freeResources.cpus > ResourceVector.EPSILON;
   }
 
   /** True when new work may go to the machine at all. */
   @Override
-  public boolean takesWork(Machine m, long now) {
-    return unfit(m, now) == null;
+  public boolean acceptsNewTasks(Machine m, long now) {
+    return machineRefusal(m, now) == null;
   }
 
   /** Why no new work goes to the machine at all; null when it may. */
-  public Refusal unfit(Machine m, long now) {
-    if (m.draining || m.returning || m.failed) {
-      return Refusal.LEAVING;
+  public StartRefusal machineRefusal(Machine m, long now) {
+    if (m.draining || m.deleting || m.failed) {
+      return StartRefusal.DRAINING_OR_FAILED;
     }
-    if (m.lastHeartbeatMs < 0 || now - m.lastHeartbeatMs > freshMs) {
-      return Refusal.SILENT;
+    if (m.lastHeartbeatMs < 0 || now - m.lastHeartbeatMs > heartbeatOverdueMs) {
+      return StartRefusal.HEARTBEAT_OVERDUE;
     }
     if (m.health.outboundReachability().deaf()) {
-      return Refusal.DEAF;
+      return StartRefusal.OUTBOUND_UNREACHABLE;
     }
-    return m.coolUntilMs > now ? Refusal.COOLING : null;
+    return m.backoffUntilMs > now ? StartRefusal.BACKING_OFF_AFTER_REFUSAL : null;
   }
 
   /** The one place that decides whether a task may start on a machine: null when it may. */
-  public Refusal mayStart(Job job, int task, Machine m, long now) {
+  public StartRefusal startRefusal(Job job, int task, Machine m, long now) {
     JobSpec s = job.spec;
     if (job.cancelled || job.ended || job.held) {
-      return Refusal.OVER;
+      return StartRefusal.JOB_NOT_ELIGIBLE;
     }
-    if (job.done.get(task) || job.live[task] != null) {
-      return Refusal.BUSY;
+    if (job.doneTasks.get(task) || job.liveAttempts[task] != null) {
+      return StartRefusal.TASK_NOT_PENDING;
     }
-    Refusal unfit = unfit(m, now);
+    StartRefusal unfit = machineRefusal(m, now);
     if (unfit != null) {
       return unfit;
     }
-    if (m.heldFor != null && m.heldFor != job) {
-      return Refusal.HELD;
+    if (m.reservedFor != null && m.reservedFor != job) {
+      return StartRefusal.RESERVED_FOR_GANG;
     }
     if (!s.allows(m.type.index(), m.zone, m.spot)) {
-      return Refusal.PLACE;
+      return StartRefusal.CONSTRAINTS;
     }
-    if (!m.free.fits(s)) {
-      return Refusal.ROOM;
+    if (!m.freeResources.fits(s)) {
+      return StartRefusal.RESOURCES;
     }
     if (!team(s).allows(s, 1)) {
-      return Refusal.QUOTA;
+      return StartRefusal.QUOTA;
     }
-    if (s.together() && job.liveCount > job.zoneLive[m.zone]) {
-      return Refusal.ZONE;
+    if (s.together() && job.liveAttemptCount > job.liveAttemptsByZone[m.zone]) {
+      return StartRefusal.ZONE_RULES;
     }
-    if (s.scatter() && job.zoneLive[m.zone] >= s.zoneCap()) {
-      return Refusal.ZONE;
+    if (s.scatter() && job.liveAttemptsByZone[m.zone] >= s.maxTasksPerZone()) {
+      return StartRefusal.ZONE_RULES;
     }
     return null;
   }
 
   /** Makes an attempt; it must be committed before its launch is sent. */
   public Attempt start(Job job, int task, Machine m, long now) {
-    Refusal no = mayStart(job, task, m, now);
+    StartRefusal no = startRefusal(job, task, m, now);
     if (no != null) {
       throw new IllegalStateException("start refused: " + no);
     }
     Attempt a =
         new Attempt(
-            job, task, job.number[task] + 1, m, m.incarnation, Attempt.Phase.RECORDING, now);
-    job.number[task] = a.number;
+            job,
+            task,
+            job.highestAttemptNumbers[task] + 1,
+            m,
+            m.incarnation,
+            Attempt.Phase.RECORDING,
+            now);
+    job.highestAttemptNumbers[task] = a.number;
     job.lastStartMs = now;
-    started++;
+    attemptsStarted++;
     book(a);
-    imageDistribution.began(a, m.hasImage(job.spec.image()), x -> mayGive(x, now), now);
-    if (job.begunMs < 0 && job.liveCount + job.doneCount() >= team(job.spec).atOnce(job.spec)) {
+    imageDistribution.began(a, m.hasImage(job.spec.image()), x -> canServeImages(x, now), now);
+    if (job.begunMs < 0
+        && job.liveAttemptCount + job.doneCount() >= team(job.spec).maxConcurrentTasks(job.spec)) {
       job.begunMs = now;
     }
-    AttemptRecord c = touch(job, task, now);
-    c.recording++;
-    urgent.add(c);
+    AttemptRecord c = markDirty(job, task, now);
+    c.uncommittedStarts++;
+    urgentRecords.add(c);
     return a;
   }
 
   private void book(Attempt a) {
-    a.job.live[a.task] = a;
-    a.job.liveCount++;
-    a.job.zoneLive[a.machine.zone]++;
+    a.job.liveAttempts[a.task] = a;
+    a.job.liveAttemptCount++;
+    a.job.liveAttemptsByZone[a.machine.zone]++;
     a.machine.add(a);
     team(a.job.spec).add(a.job.spec, 1);
   }
 
-  private AttemptRecord touch(Job job, int task, long now) {
-    AttemptRecord c = job.attemptRecords[task / AttemptRecord.TASKS];
+  private AttemptRecord markDirty(Job job, int task, long now) {
+    AttemptRecord c = job.attemptRecords[task / AttemptRecord.TASKS_PER_RECORD];
     if (!c.dirty) {
       c.dirty = true;
       c.dirtySinceMs = now;
     }
-    c.changes++;
-    dirty.add(c);
+    c.changeCount++;
+    dirtyRecords.add(c);
     return c;
   }
 
   /** The chunk's record is to be written or deleted once more. */
-  public void redo(AttemptRecord c, long now) {
-    touch(c.job, c.from(), now);
+  public void markForRewrite(AttemptRecord c, long now) {
+    markDirty(c.job, c.firstTask(), now);
   }
 
   private void recorded(Attempt a) {
-    AttemptRecord c = a.job.attemptRecords[a.task / AttemptRecord.TASKS];
-    if (--c.recording == 0) {
-      urgent.remove(c);
+    AttemptRecord c = a.job.attemptRecords[a.task / AttemptRecord.TASKS_PER_RECORD];
+    if (--c.uncommittedStarts == 0) {
+      urgentRecords.remove(c);
     }
   }
 
   /** A commit of the chunk as it was at {@code changes} succeeded. */
-  public void committed(
+  public void recordCommitted(
       AttemptRecord c, long version, long changes, List<Attempt> recorded, long now) {
     c.version = version;
     c.dirtySinceMs = now;
-    if (c.changes == changes) {
+    if (c.changeCount == changes) {
       c.dirty = false;
-      dirty.remove(c);
+      dirtyRecords.remove(c);
     } else {
-      dirty.addAndMoveToLast(c); // The others have waited longer.
+      dirtyRecords.addAndMoveToLast(c); // The others have waited longer.
     }
     for (Attempt a : recorded) {
       if (a.phase == Attempt.Phase.RECORDING) {
-        a.phase = Attempt.Phase.READY;
+        a.phase = Attempt.Phase.COMMITTED;
         recorded(a);
-        outbox.add(a.machine);
+        machinesWithUnsentCommands.add(a.machine);
       }
     }
   }
 
   /** Frees what an attempt takes, now that it is proven gone. */
-  public void resolve(Attempt a, Outcome outcome, long now) {
+  public void resolve(Attempt a, AttemptOutcome outcome, long now) {
     if (a.phase == Attempt.Phase.GONE) {
       return;
     }
@@ -609,68 +576,69 @@
     } else if (a.phase == Attempt.Phase.RECORDING) {
       recorded(a);
     }
-    if (a.stopping()) {
+    if (a.isStopping()) {
       team(job.spec).stoppingCpus -= job.spec.cpus();
     }
     a.phase = Attempt.Phase.GONE;
     imageDistribution.gone(a);
-    spending.resolved(a, outcome == Outcome.DONE, now);
-    job.live[a.task] = null;
-    job.liveCount--;
-    job.zoneLive[a.machine.zone]--;
+    costAccounting.attemptResolved(a, outcome == AttemptOutcome.COMPLETED, now);
+    job.liveAttempts[a.task] = null;
+    job.liveAttemptCount--;
+    job.liveAttemptsByZone[a.machine.zone]--;
     a.machine.remove(a, now);
     team(job.spec).add(job.spec, -1);
-    touch(job, a.task, now);
-    if (outcome == Outcome.DONE && !job.spec.service()) {
-      completed++;
+    markDirty(job, a.task, now);
+    if (outcome == AttemptOutcome.COMPLETED && !job.spec.service()) {
+      attemptsCompleted++;
       // What an earlier leader began was seen to run for a part of its time only; and a task that
       // had completed before ends at once when it is started again.
-      if (a.runningSinceMs > 0 && !a.restored && a.number == 1) {
+      if (a.runningSinceMs > 0 && !a.restoredFromRecord && a.number == 1) {
         health.finished(
             a.machine.health,
-            job.peers,
+            job.runTimes,
             job.spec.taskClass(),
             now - a.runningSinceMs,
             job.spec.estimateS(),
             now);
       }
-      job.done.set(a.task);
-      job.failures = 0;
-      if (!job.cancelled && job.allDone()) {
+      job.doneTasks.set(a.task);
+      job.consecutiveFailures = 0;
+      if (!job.cancelled && job.areAllTasksDone()) {
         job.allDoneMs = now;
-        ending.add(job);
+        jobsToComplete.add(job);
       }
       return;
     }
     switch (outcome) {
-      case ERROR -> {
-        job.failures++;
+      case FAILED -> {
+        job.consecutiveFailures++;
         // Where it fails on three it is at fault itself: more of them are not asked for.
-        if (job.failedOn.size() < 3) {
-          job.failedOn.add(a.machine.name);
+        if (job.failedMachines.size() < 3) {
+          job.failedMachines.add(a.machine.name);
         }
-        health.failed(a.machine.health, job.spec.id().hashCode(), job.failedOn.size() >= 3, now);
+        health.failed(
+            a.machine.health, job.spec.id().hashCode(), job.failedMachines.size() >= 3, now);
         holdBack(job, now);
       }
-      case REFUSED, DONE -> {
-        job.failures++;
+      case LAUNCH_REFUSED, COMPLETED -> {
+        job.consecutiveFailures++;
         holdBack(job, now);
       }
-      case NO_ROOM -> a.machine.coolUntilMs = now + 3000;
+      case INSUFFICIENT_RESOURCES -> a.machine.backoffUntilMs = now + 3000;
       default -> {}
     }
     if (!job.cancelled && !job.ended) {
-      if (job.pending.isEmpty()) {
+      if (job.pendingTasks.isEmpty()) {
         job.waitingSinceMs = now;
       }
-      job.pending.enqueueFirst(a.task);
+      job.pendingTasks.enqueueFirst(a.task);
     }
   }
 
   /** A job that keeps failing is tried again ever more seldom, never in a tight loop. */
   private static void holdBack(Job job, long now) {
-    long wait = Math.min(60_000L, 250L << Math.min(8, job.failures));
-    job.notBeforeMs = Math.max(job.notBeforeMs, now + wait);
+    long wait = Math.min(60_000L, 250L << Math.min(8, job.consecutiveFailures));
+    job.retryNotBeforeMs = Math.max(job.retryNotBeforeMs, now + wait);
   }
 
   /**
@@ -679,8 +647,8 @@
    * @param mayLaunch false while the leader cannot reach the state service
    * @return null when the message is older than one seen before and must be ignored
    */
-  public List<WorkerCommand> report(Machine m, Heartbeat r, boolean mayLaunch, long now) {
-    return heartbeatReconciler.report(m, r, mayLaunch, now);
+  public List<WorkerCommand> processHeartbeat(Machine m, Heartbeat r, boolean mayLaunch, long now) {
+    return heartbeatReconciler.reconcile(m, r, mayLaunch, now);
   }
 
   /** What is said to machines, and heard from them. */
@@ -689,20 +657,20 @@
   }
 
   /** The machine and all on it are proven gone. */
-  public void machineGone(Machine m, long now) {
+  public void machineDeleted(Machine m, long now) {
     for (Attempt a : new ArrayList<>(m.attempts)) {
-      resolve(a, Outcome.LOST, now);
+      resolve(a, AttemptOutcome.LOST, now);
     }
     machines.remove(m.name);
     gangReservations.gone(m);
     imageDistribution.lost(m);
     health.gone(m.health);
-    spending.gone(m, now);
+    costAccounting.machineDeleted(m, now);
     machinesVersion++;
-    outbox.remove(m);
-    gone.add(m.name);
-    if (gone.size() > MOST_GONE) {
-      gone.removeFirst();
+    machinesWithUnsentCommands.remove(m);
+    deletedNames.add(m.name);
+    if (deletedNames.size() > MAX_DELETED_NAMES) {
+      deletedNames.removeFirst();
     }
   }
 
@@ -710,7 +678,7 @@
   public void machineFailed(Machine m, long now) {
     m.failed = true;
     for (Attempt a : new ArrayList<>(m.attempts)) {
-      resolve(a, Outcome.LOST, now);
+      resolve(a, AttemptOutcome.LOST, now);
     }
   }
 
@@ -718,12 +686,12 @@
    * Frees the attempts of workers whose leases must have run out: the worker had seen this term, so
    * only this leader's answers renewed its lease, and the last one is long enough ago.
    */
-  public void expireSilent(long now) {
+  public void expireLeases(long now) {
     for (Machine m : machines.values()) {
-      if (!m.attempts.isEmpty() && leaseEndsMs(m) >= 0 && now > leaseEndsMs(m)) {
+      if (!m.attempts.isEmpty() && leaseExpiryMs(m) >= 0 && now > leaseExpiryMs(m)) {
         for (Attempt a : new ArrayList<>(m.attempts)) {
           if (a.phase != Attempt.Phase.RECORDING) {
-            resolve(a, Outcome.LOST, now);
+            resolve(a, AttemptOutcome.LOST, now);
           }
         }
       }
@@ -734,17 +702,17 @@
    * When the lease of the machine's worker must have run out if no answer reaches it any more,
    * which proves its attempts gone; -1 while no lease can prove that.
    */
-  public long leaseEndsMs(Machine m) {
-    return m.highestTokenSeen >= term && m.lastAnswerMs >= 0 ? m.lastAnswerMs + leaseMs : -1;
+  public long leaseExpiryMs(Machine m) {
+    return m.highestTokenSeen >= term && m.lastResponseMs >= 0 ? m.lastResponseMs + leaseMs : -1;
   }
 
   /** Asks for a stop of an attempt so that its machine can drain or another job gets room. */
   @Override
-  public void stop(Attempt a, double graceS, long now) {
-    if (!a.stopping()) {
+  public void requestStop(Attempt a, double graceS, long now) {
+    if (!a.isStopping()) {
       team(a.job.spec).stoppingCpus += a.job.spec.cpus();
     }
     a.stop(graceS, now);
-    outbox.add(a.machine);
+    machinesWithUnsentCommands.add(a.machine);
   }
 }
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
@@ -16,7 +16,7 @@
   private int reservedBytes;
 
   /** True when the record still lists a cancelled job of which nothing is left. */
-  private boolean outdated;
+  private boolean listsCancelledJob;
 
   SharedAttemptRecord(String name, long version) {
     this.name = name;
@@ -34,7 +34,7 @@
   }
 
   void add(AttemptRecord c) {
-    c.shared = this;
+    c.sharedRecord = this;
     if (members.add(c)) {
       reservedBytes += SharedAttemptRecords.reservedBytes(c);
     }
@@ -46,17 +46,17 @@
     }
     // A next leader would restore a cancelled job's attempts, and wait for proof that they are
     // gone; a done job's it ignores.
-    outdated |= c.job.cancelled;
+    listsCancelledJob |= c.job.cancelled;
   }
 
   /** True when it is to be written or deleted although no member of it has changed. */
-  public boolean toWrite() {
-    return version > 0 && (outdated || members.isEmpty());
+  public boolean needsWrite() {
+    return version > 0 && (listsCancelledJob || members.isEmpty());
   }
 
   /** It was written as it is in memory. */
-  public void written(long newVersion) {
+  public void markWritten(long newVersion) {
     version = newVersion;
-    outdated = false;
+    listsCancelledJob = false;
   }
 }
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
@@ -16,10 +16,10 @@
  */
 public final class SharedAttemptRecords {
   /** Jobs of more tasks have records of their own. */
-  static final int MOST_TASKS = 4;
+  static final int MAX_TASKS = 4;
 
   /** Members of a record, where the limits of transactions and values allow so many. */
-  public static final int MOST_MEMBERS = 24;
+  public static final int MAX_MEMBERS = 24;
 
   /** Bytes of a member without its id and its attempts. */
   private static final int MEMBER_BYTES = 40;
@@ -30,10 +30,10 @@
   private final long term;
   private final ObjectLinkedOpenHashSet<SharedAttemptRecord> records =
       new ObjectLinkedOpenHashSet<>();
-  private SharedAttemptRecord filling;
-  private long count;
-  private int mostMembers;
-  private int mostBytes;
+  private SharedAttemptRecord openRecord;
+  private long createdCount;
+  private int maxMembers;
+  private int maxBytes;
 
   SharedAttemptRecords(long term) {
     this.term = term;
@@ -47,8 +47,8 @@
    * @param mostBytes the largest value that the state service takes
    */
   public void enable(int mostMembers, int mostBytes) {
-    this.mostMembers = Math.min(MOST_MEMBERS, mostMembers);
-    this.mostBytes = mostBytes;
+    this.maxMembers = Math.min(MAX_MEMBERS, mostMembers);
+    this.maxBytes = mostBytes;
   }
 
   /** The most that a job can take of a record's value, wherever its tasks are placed. */
@@ -58,41 +58,41 @@
   }
 
   /** All records that there are. */
-  public Collection<SharedAttemptRecord> all() {
+  public Collection<SharedAttemptRecord> records() {
     return records;
   }
 
   /** True when the chunk is to be written into a shared record, which it has from then on. */
-  public boolean shares(AttemptRecord c) {
-    if (c.shared != null) {
+  public boolean assignRecord(AttemptRecord c) {
+    if (c.sharedRecord != null) {
       return true;
     }
     JobSpec s = c.job.spec;
-    if (c.own
+    if (c.mayHaveOwnRecord
         || c.version != 0
-        || s.tasks() > MOST_TASKS
+        || s.tasks() > MAX_TASKS
         || s.dependencies().held()
         || s.service()) {
       return false;
     }
     int bytes = reservedBytes(c);
-    if (mostMembers == 0 || bytes > mostBytes) {
+    if (maxMembers == 0 || bytes > maxBytes) {
       return false;
     }
-    if (filling == null
-        || filling.members().size() >= mostMembers
-        || filling.reservedBytes() + bytes > mostBytes) {
-      filling = new SharedAttemptRecord(term + "-" + count++, 0);
-      records.add(filling);
+    if (openRecord == null
+        || openRecord.members().size() >= maxMembers
+        || openRecord.reservedBytes() + bytes > maxBytes) {
+      openRecord = new SharedAttemptRecord(term + "-" + createdCount++, 0);
+      records.add(openRecord);
     }
-    filling.add(c);
+    openRecord.add(c);
     return true;
   }
 
   /** True when a record is to be written or deleted although no member of it has changed. */
-  public boolean anyToWrite() {
+  public boolean anyNeedsWrite() {
     for (SharedAttemptRecord r : records) {
-      if (r.toWrite()) {
+      if (r.needsWrite()) {
         return true;
       }
     }
@@ -107,29 +107,29 @@
   }
 
   /** A member of it was read from it. */
-  public void restored(SharedAttemptRecord r, AttemptRecord c) {
+  public void restoreMember(SharedAttemptRecord r, AttemptRecord c) {
     r.add(c);
   }
 
   /** Nothing of the job is left. */
-  void forget(AttemptRecord c) {
-    if (c.shared != null) {
-      c.shared.remove(c);
-      drop(c.shared);
+  void remove(AttemptRecord c) {
+    if (c.sharedRecord != null) {
+      c.sharedRecord.remove(c);
+      removeIfUnused(c.sharedRecord);
     }
   }
 
   /** The record was written or deleted. */
-  public void written(SharedAttemptRecord r, long version) {
-    r.written(version);
-    drop(r);
+  public void markWritten(SharedAttemptRecord r, long version) {
+    r.markWritten(version);
+    removeIfUnused(r);
   }
 
   /** A record that nobody needs and that is not there any more is forgotten. */
-  private void drop(SharedAttemptRecord r) {
+  private void removeIfUnused(SharedAttemptRecord r) {
     if (r.members().isEmpty() && r.version == 0) {
       records.remove(r);
-      filling = filling == r ? null : filling;
+      openRecord = openRecord == r ? null : openRecord;
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/Team.java
+++ b/src/main/java/org/mallowroad/core/Team.java
@@ -28,38 +28,38 @@
 
   /** True when {@code n} more tasks of the job stay within the limit. */
   public boolean allows(JobSpec job, int n) {
-    return usedCpus + n * job.cpus() <= cpusMax + ResourceVector.EPS
-        && usedCards + n * job.cards() <= cardsMax + ResourceVector.EPS;
+    return usedCpus + n * job.cpus() <= cpusMax + ResourceVector.EPSILON
+        && usedCards + n * job.cards() <= cardsMax + ResourceVector.EPSILON;
   }
 
   /** How many more tasks of the job stay within the limit, {@code n} at the most. */
-  public int most(JobSpec job, int n) {
+  public int maxTasks(JobSpec job, int n) {
     return new ResourceVector(cpusMax - usedCpus, cardsMax - usedCards, Double.MAX_VALUE)
-        .holds(job, n);
+        .capacityFor(job, n);
   }
 
   /** How many of the job's tasks the limit allows at once, with nothing else of the team. */
-  public int atOnce(JobSpec job) {
-    return new ResourceVector(cpusMax, cardsMax, Double.MAX_VALUE).holds(job, job.tasks());
+  public int maxConcurrentTasks(JobSpec job) {
+    return new ResourceVector(cpusMax, cardsMax, Double.MAX_VALUE).capacityFor(job, job.tasks());
   }
 
   /** True when {@code n} tasks of the job alone stay within the limit. */
-  public boolean couldRun(JobSpec job, int n) {
-    return n * job.cpus() <= cpusMax + ResourceVector.EPS
-        && n * job.cards() <= cardsMax + ResourceVector.EPS;
+  public boolean couldEverRun(JobSpec job, int n) {
+    return n * job.cpus() <= cpusMax + ResourceVector.EPSILON
+        && n * job.cards() <= cardsMax + ResourceVector.EPSILON;
   }
 
   /** True when one more task of the job keeps the team within its guarantee. */
-  public boolean guarantees(JobSpec job) {
-    return usedCpus + job.cpus() <= cpus + ResourceVector.EPS
-        && usedCards + job.cards() <= cards + ResourceVector.EPS;
+  public boolean staysWithinGuarantee(JobSpec job) {
+    return usedCpus + job.cpus() <= cpus + ResourceVector.EPSILON
+        && usedCards + job.cards() <= cards + ResourceVector.EPSILON;
   }
 
   /** True when the team keeps its guarantee in full without one task of the job. */
-  public boolean borrows(JobSpec job) {
+  public boolean keepsGuaranteeWithout(JobSpec job) {
     // What is stopping already is as good as gone: many tasks may be stopped in one pass.
-    return usedCpus - stoppingCpus - job.cpus() >= cpus - ResourceVector.EPS
-        && (job.cards() == 0 || usedCards - job.cards() >= cards - ResourceVector.EPS);
+    return usedCpus - stoppingCpus - job.cpus() >= cpus - ResourceVector.EPSILON
+        && (job.cards() == 0 || usedCards - job.cards() >= cards - ResourceVector.EPSILON);
   }
 
   void add(JobSpec job, int n) {
--- a/src/main/java/org/mallowroad/core/admission/RecordLag.java
+++ b/src/main/java/org/mallowroad/core/admission/RecordLag.java
@@ -65,31 +65,31 @@
 
   private static boolean mostlyRecording(SchedulerState schedulerState) {
     int recording = 0;
-    for (AttemptRecord c : schedulerState.urgent()) {
-      recording += c.job.spec.priority() < JobSpec.IDLE ? c.recording() : 0;
+    for (AttemptRecord c : schedulerState.urgentRecords()) {
+      recording += c.job.spec.priority() < JobSpec.IDLE ? c.uncommittedStarts() : 0;
     }
     if (recording < RECORDING_LEAST) {
       return false;
     }
     int live = 0;
     for (Job j : schedulerState.jobs()) {
-      live += j.liveCount();
+      live += j.liveAttemptCount();
     }
     return recording > RECORDING_SHARE * live;
   }
 
   /** How long the oldest start waits that is to be recorded. */
   static long startsMs(SchedulerState schedulerState, long now) {
-    for (AttemptRecord c : schedulerState.urgent()) {
+    for (AttemptRecord c : schedulerState.urgentRecords()) {
       if (c.job.spec.priority() >= JobSpec.IDLE) {
         continue;
       }
       // They stand in the order in which they were placed.
       long oldest = now;
-      for (int t = c.from(); t < c.to(); t++) {
-        Attempt a = c.job.live(t);
+      for (int t = c.firstTask(); t < c.endTask(); t++) {
+        Attempt a = c.job.liveAttempt(t);
         if (a != null && a.phase == Attempt.Phase.RECORDING) {
-          oldest = Math.min(oldest, a.sinceMs);
+          oldest = Math.min(oldest, a.createdMs);
         }
       }
       return now - oldest;
@@ -100,7 +100,7 @@
   /** How long the oldest end waits that is to be recorded. */
   static long endsMs(SchedulerState schedulerState, long now) {
     long longest = 0;
-    for (Job j : schedulerState.ending()) {
+    for (Job j : schedulerState.jobsToComplete()) {
       if (j.spec.priority() < JobSpec.IDLE) {
         longest = Math.max(longest, now - j.allDoneMs());
       }
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -163,12 +163,13 @@
       double left = team.cpusMax() - team.usedCpus() - teamCpus[s.team()];
       counts[i] =
           s.cpus() <= 0
-              ? queue.get(i).pending.size()
+              ? queue.get(i).pendingTasks.size()
               : (int)
                   Math.max(
                       0,
                       Math.min(
-                          queue.get(i).pending.size(), (left + ResourceVector.EPS) / s.cpus()));
+                          queue.get(i).pendingTasks.size(),
+                          (left + ResourceVector.EPSILON) / s.cpus()));
       teamCpus[s.team()] += counts[i] * s.cpus();
       waiting += counts[i];
     }
@@ -180,8 +181,8 @@
     Replaced away = new Replaced(health.policy().replaceShare());
     for (Machine m : schedulerState.machines()) {
       // A slow machine is no room for urgent work, and goes back when it is empty.
-      if (m.usable()
-          && m.heldFor == null
+      if (m.isUsable()
+          && m.reservedFor == null
           && !m.health.doubted()
           && !(health.away(m.health) && away.replaced())) {
         slots.add(Slot.of(m, now));
@@ -255,7 +256,9 @@
       // Room in a zone where its other tasks do not let it be is none (docs/incidents,
       // room-in-the-other-zone).
       long at =
-          job.mayBeIn(slots.get(i).variant.zone()) ? slots.get(i).start(job.spec) : Long.MAX_VALUE;
+          job.allowsZone(slots.get(i).variant.zone())
+              ? slots.get(i).start(job.spec)
+              : Long.MAX_VALUE;
       if (at < Long.MAX_VALUE) {
         starts.add(new Start(at, i));
       }
@@ -282,7 +285,7 @@
           // others set free to what comes next: otherwise a lasting burst is always just about to
           // find room, and nothing is rented for it.
           while (fresh < slots.size()
-              && !(job.mayBeIn(slots.get(fresh).variant.zone())
+              && !(job.allowsZone(slots.get(fresh).variant.zone())
                   && slots.get(fresh).holds(job.spec))) {
             fresh++;
           }
@@ -330,9 +333,10 @@
       return true; // Waiting saves nothing where machines are cheap.
     }
     double fetchS = job.spec.imageGb() / v.type().fetchGbPerS();
-    double readyS = (now + v.plannedBootMs() - job.sinceMs()) / 1000.0 + fetchS;
+    double readyS = (now + v.plannedBootMs() - job.eligibleSinceMs()) / 1000.0 + fetchS;
     double within = objectives.startWithinS(job.spec, fetchS, job.guaranteed, readyS);
-    return start > (long) Math.min(Long.MAX_VALUE / 4.0, job.sinceMs() + 1000 * PATIENCE * within);
+    return start
+        > (long) Math.min(Long.MAX_VALUE / 4.0, job.eligibleSinceMs() + 1000 * PATIENCE * within);
   }
 
   /** True while any variant may still be rented in this cycle. */
@@ -386,7 +390,9 @@
         s.room.add(a.job.spec, -1);
         double est = a.job.spec.service() ? 1e9 : a.job.spec.estimateS();
         double left =
-            a.stopping() ? a.job.spec.saveS() : Math.max(est - (now - a.sinceMs) / 1000.0, est / 4);
+            a.isStopping()
+                ? a.job.spec.saveS()
+                : Math.max(est - (now - a.createdMs) / 1000.0, est / 4);
         s.add(now + (long) (left * 1000), a.job.spec);
       }
       return s;
@@ -441,7 +447,7 @@
   boolean spareIsLow(int waiting, List<PendingMachines> coming) {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
-      if (m.usable() && m.heldFor == null && !health.away(m.health)) {
+      if (m.isUsable() && m.reservedFor == null && !health.away(m.health)) {
         n++;
       }
     }
@@ -457,12 +463,12 @@
     double spare = 0;
     if (each < policy.waitingLimit()) {
       for (Machine m : schedulerState.machines()) {
-        if (m.usable()
-            && m.heldFor == null
+        if (m.isUsable()
+            && m.reservedFor == null
             && !health.away(m.health)
-            && m.booked() < policy.bookedLimit()) {
+            && m.bookedShare() < policy.bookedLimit()) {
           unsaturated++;
-          spare += policy.bookedLimit() - m.booked();
+          spare += policy.bookedLimit() - m.bookedShare();
         }
       }
       unsaturated += soon;
@@ -488,14 +494,14 @@
       if (!t.fits(job.spec)) {
         continue;
       }
-      int holds = Math.min(left, t.holds(job.spec));
+      int holds = Math.min(left, t.capacityFor(job.spec));
       for (int zone : t.zones()) {
         for (int k = 0; k < 2; k++) {
           MachineVariant v = new MachineVariant(t, zone, k == 0);
           int taken = added.getInt(v);
           if (!job.spec.allows(t.index(), zone, v.spot())
               || refused(v, taken, now)
-              || !job.mayBeIn(zone)) {
+              || !job.allowsZone(zone)) {
             continue;
           }
           // Equal prices spread over the zones, so that one zone's loss takes less.
@@ -547,21 +553,21 @@
     int n = 0;
     for (Machine m : schedulerState.machines()) {
       // Of a machine whose report is overdue nothing is known, least of all that it is empty.
-      if (!schedulerState.takesWork(m, now)) {
+      if (!schedulerState.acceptsNewTasks(m, now)) {
         continue;
       }
       n++;
-      load += (m.heldFor == null ? m.booked() : 1) * m.type.cpus();
+      load += (m.reservedFor == null ? m.bookedShare() : 1) * m.type.cpus();
       cpus += m.type.cpus();
-      if (m.heldFor != null || schedulerState.imageDistribution().gives(m)) {
+      if (m.reservedFor != null || schedulerState.imageDistribution().gives(m)) {
         continue; // Held for a gang, or others fetch from it: as good as booked.
       }
       // The dearer its CPUs, the sooner an idle machine goes: it must pay for the next boot it
       // saves.
       double dear = least * m.type.cpus() / Math.max(1e-9, m.type.price(m.spot));
-      if (m.empty()) {
+      if (m.isEmpty()) {
         idle++;
-        if (now - m.emptySinceMs
+        if (now - m.idleSinceMs
             >= (m.health.doubted() ? SOON_MS : policy.idleMs() * Math.min(1, dear))) {
           empty.add(m);
         }
@@ -572,10 +578,10 @@
     if (excess > empty.size()) {
       empty.clear();
       for (Machine m : schedulerState.machines()) {
-        if (schedulerState.takesWork(m, now)
-            && m.heldFor == null
-            && m.empty()
-            && now - m.emptySinceMs >= SOON_MS) {
+        if (schedulerState.acceptsNewTasks(m, now)
+            && m.reservedFor == null
+            && m.isEmpty()
+            && now - m.idleSinceMs >= SOON_MS) {
           empty.add(m);
         }
       }
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -15,6 +15,7 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.MachineVariant;
 import org.mallowroad.core.autoscaling.PendingMachines;
@@ -122,13 +123,13 @@
     List<Job> queue = placement.queue(now);
     jobs.addAll(queue);
     for (Job j : schedulerState.jobs()) {
-      if (!j.waiting() && !j.ended()) {
+      if (!j.hasWaitingTasks() && !j.isEnded()) {
         jobs.add(j);
       }
     }
     ahead = new double[schedulerState.teams().size()][PRIORITIES][2];
     for (Job j : queue) {
-      ahead[j.spec.team()][j.spec.priority()][j.guaranteed() ? 1 : 0] +=
+      ahead[j.spec.team()][j.spec.priority()][j.isGuaranteed() ? 1 : 0] +=
           j.waitingCount() * j.spec.cpus();
     }
     survey();
@@ -166,9 +167,9 @@
 
   /** Not heard: its report is overdue, in a cut zone, or it is being returned for that. */
   boolean unheard(Machine m, long at) {
-    return schedulerState.unfit(m, at) == SchedulerState.Refusal.SILENT
+    return schedulerState.machineRefusal(m, at) == StartRefusal.HEARTBEAT_OVERDUE
         || schedulerState.health().away(m.health)
-        || (m.returning && !m.failed && m.health.late());
+        || (m.deleting && !m.failed && m.health.late());
   }
 
   private Group group(
@@ -179,15 +180,15 @@
   private void count(Attempt a, Machine m, boolean silent) {
     if (!silent
         && a.phase != Attempt.Phase.RECORDING
-        && a.phase != Attempt.Phase.READY
+        && a.phase != Attempt.Phase.COMMITTED
         && a.phase != Attempt.Phase.PULLING) {
       return;
     }
     Counts c = counts.computeIfAbsent(a.job, k -> new Counts());
     if (silent && a.phase != Attempt.Phase.RECORDING) {
       c.silent++;
-      long since = m.lastHeartbeatMs < 0 ? m.sinceMs : m.lastHeartbeatMs;
-      long gone = schedulerState.leaseEndsMs(m);
+      long since = m.lastHeartbeatMs < 0 ? m.firstSeenMs : m.lastHeartbeatMs;
+      long gone = schedulerState.leaseExpiryMs(m);
       if (since < c.silentSinceMs) {
         c.silentSinceMs = since;
         c.silentOn = m;
@@ -196,10 +197,10 @@
       c.goneMs = gone < 0 || c.goneMs < 0 ? -1 : Math.max(c.goneMs, gone);
       return;
     }
-    c.oldestMs = Math.min(c.oldestMs, a.sinceMs);
+    c.oldestMs = Math.min(c.oldestMs, a.createdMs);
     switch (a.phase) {
       case RECORDING -> c.recording++;
-      case READY -> c.ready++;
+      case COMMITTED -> c.ready++;
       default -> c.pulling++;
     }
   }
@@ -259,14 +260,14 @@
   }
 
   private PendingReason find(Job job) {
-    if (job.ended() || (job.cancelled() && job.liveCount() == 0)) {
+    if (job.isEnded() || (job.isCancelled() && job.liveAttemptCount() == 0)) {
       return null;
     }
     Counts c = counts.get(job);
-    if (job.held() && !job.cancelled()) {
-      return plain(job, PendingCause.HELD_BY_TIES, job.holdText);
+    if (job.isHeld() && !job.isCancelled()) {
+      return plain(job, PendingCause.HELD_BY_TIES, job.holdReason);
     }
-    if (!job.waiting()) {
+    if (!job.hasWaitingTasks()) {
       return c == null ? null : underWay(c);
     }
     PendingReason f = pending(job);
@@ -301,7 +302,7 @@
           -1,
           CountFormat.of(c.recording, "start")
               + ", "
-              + CountFormat.of(schedulerState.dirty().size(), "uncommitted record"));
+              + CountFormat.of(schedulerState.dirtyRecords().size(), "uncommitted record"));
     }
     if (c.pulling > 0) {
       return new PendingReason(
@@ -340,27 +341,27 @@
           -1,
           "the lease is not renewed: nothing is placed");
     }
-    if (job.heldBack(now)) {
+    if (job.isBackingOff(now)) {
       return new PendingReason(
           PendingCause.HELD_BACK,
           job.waitingSinceMs(),
-          job.notBeforeMs(),
+          job.retryNotBeforeMs(),
           -1,
-          CountFormat.of(job.failures(), "failure") + " in a row");
+          CountFormat.of(job.consecutiveFailures(), "failure") + " in a row");
     }
     Team team = schedulerState.team(s);
     if (placement.overLimit(job)) {
       return new PendingReason(
           PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
     }
-    if (s.contradicts(zones.size())) {
+    if (s.isUnsatisfiable(zones.size())) {
       return plain(
           job,
           PendingCause.ZONE_RULES,
           "never: all "
               + s.tasks()
               + " tasks of the gang have to be in one zone, and scatter lets "
-              + s.zoneCap()
+              + s.maxTasksPerZone()
               + " be there");
     }
     Tally t = ask(job);
@@ -372,24 +373,24 @@
       return s.gang() ? gang(job) : aboutToStart(job);
     }
     return switch (t.most()) {
-      case ROOM ->
+      case RESOURCES ->
           unsupplied(
               job,
               PendingCause.NO_ROOM,
-              CountFormat.of(t.of(SchedulerState.Refusal.ROOM), "machine") + " full");
-      case ZONE -> zoneRules(job);
-      case SILENT -> silent(job, t);
-      case DOUBTED ->
+              CountFormat.of(t.of(StartRefusal.RESOURCES), "machine") + " full");
+      case ZONE_RULES -> zoneRules(job);
+      case HEARTBEAT_OVERDUE -> silent(job, t);
+      case SUSPECTED_SLOW_OR_FAULTY ->
           plain(
               job,
               PendingCause.SLOW_MACHINES,
-              CountFormat.of(t.of(SchedulerState.Refusal.DOUBTED), "machine"));
-      case FAILED_HERE ->
+              CountFormat.of(t.of(StartRefusal.SUSPECTED_SLOW_OR_FAULTY), "machine"));
+      case FAILED_ON_MACHINE ->
           plain(
               job,
               PendingCause.FAILED_THERE,
-              CountFormat.of(t.of(SchedulerState.Refusal.FAILED_HERE), "machine"));
-      case FETCHES ->
+              CountFormat.of(t.of(StartRefusal.FAILED_ON_MACHINE), "machine"));
+      case IMAGE_FETCH_LIMIT ->
           plain(
               job,
               PendingCause.STAGED,
@@ -397,14 +398,16 @@
                   + " fetch from the source now, "
                   + schedulerState.imageDistribution().holders(job.spec.image())
                   + " hold the image");
-      case HELD ->
+      case RESERVED_FOR_GANG ->
           plain(
-              job, PendingCause.HELD, CountFormat.of(t.of(SchedulerState.Refusal.HELD), "machine"));
-      case DEAF ->
+              job,
+              PendingCause.HELD,
+              CountFormat.of(t.of(StartRefusal.RESERVED_FOR_GANG), "machine"));
+      case OUTBOUND_UNREACHABLE ->
           plain(
               job,
               PendingCause.MACHINES_DEAF,
-              CountFormat.of(t.of(SchedulerState.Refusal.DEAF), "machine"));
+              CountFormat.of(t.of(StartRefusal.OUTBOUND_UNREACHABLE), "machine"));
       case QUOTA ->
           new PendingReason(PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
       default -> plain(job, PendingCause.LEAVING, CountFormat.of(t.allowed, "machine"));
@@ -470,7 +473,7 @@
   private PendingReason zoneRules(Job job) {
     StringBuilder b = new StringBuilder("its other tasks are in");
     for (int z = 0; z < zones.size(); z++) {
-      if (job.liveIn(z)) {
+      if (job.hasLiveAttemptIn(z)) {
         b.append(' ').append(zones.name(z));
       }
     }
@@ -495,7 +498,7 @@
         job.waitingSinceMs(),
         -1,
         zone,
-        CountFormat.of(t.of(SchedulerState.Refusal.SILENT), "silent machine")
+        CountFormat.of(t.of(StartRefusal.HEARTBEAT_OVERDUE), "silent machine")
             + ", most in zone "
             + zones.name(zone));
   }
@@ -568,7 +571,7 @@
       for (int p = 0; p < rank; p++) {
         cpus[t] += ahead[t][p][0] + ahead[t][p][1];
       }
-      if (!job.guaranteed()) {
+      if (!job.isGuaranteed()) {
         cpus[t] += ahead[t][rank][1];
       }
     }
@@ -594,15 +597,15 @@
 
   /** How the decision answered for the machines that a job allows. */
   private static final class Tally {
-    private static final List<SchedulerState.Refusal> ALONE =
+    private static final List<StartRefusal> ALONE =
         List.of(
-            SchedulerState.Refusal.ZONE,
-            SchedulerState.Refusal.FAILED_HERE,
-            SchedulerState.Refusal.DOUBTED,
-            SchedulerState.Refusal.FETCHES,
-            SchedulerState.Refusal.QUOTA);
+            StartRefusal.ZONE_RULES,
+            StartRefusal.FAILED_ON_MACHINE,
+            StartRefusal.SUSPECTED_SLOW_OR_FAULTY,
+            StartRefusal.IMAGE_FETCH_LIMIT,
+            StartRefusal.QUOTA);
 
-    private final int[] of = new int[SchedulerState.Refusal.values().length];
+    private final int[] of = new int[StartRefusal.values().length];
     private final int[] silentIn;
     private int allowed;
     private boolean free;
@@ -611,19 +614,19 @@
       silentIn = new int[zones];
     }
 
-    int of(SchedulerState.Refusal r) {
+    int of(StartRefusal r) {
       return of[r.ordinal()];
     }
 
     /** What stands in the way: where a single rule is all that does, it counts before numbers. */
-    SchedulerState.Refusal most() {
-      for (SchedulerState.Refusal r : ALONE) {
+    StartRefusal most() {
+      for (StartRefusal r : ALONE) {
         if (of(r) > 0) {
           return r;
         }
       }
-      SchedulerState.Refusal best = SchedulerState.Refusal.ROOM;
-      for (SchedulerState.Refusal r : SchedulerState.Refusal.values()) {
+      StartRefusal best = StartRefusal.RESOURCES;
+      for (StartRefusal r : StartRefusal.values()) {
         if (of(r) > of(best)) {
           best = r;
         }
@@ -659,7 +662,7 @@
    */
   private Tally ask(Job job) {
     JobSpec s = job.spec;
-    if (s.together() || s.scatter() || job.failedSomewhere()) {
+    if (s.together() || s.scatter() || job.hasFailedMachines()) {
       return askEach(job);
     }
     Shape shape =
@@ -693,13 +696,13 @@
         }
         asked++;
         t.allowed++;
-        SchedulerState.Refusal no = placement.refusal(job, m, now);
+        StartRefusal no = placement.refusal(job, m, now);
         if (no == null) {
           t.free = true;
           return t;
         }
         t.of[no.ordinal()]++;
-        if (no == SchedulerState.Refusal.SILENT) {
+        if (no == StartRefusal.HEARTBEAT_OVERDUE) {
           t.silentIn[m.zone]++;
         }
       }
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -10,6 +10,7 @@
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.MachineVariant;
 import org.mallowroad.core.autoscaling.PendingMachines;
@@ -87,8 +88,8 @@
         ageS,
         due > 0,
         due > 0 ? tenths(due - ageS) : 0,
-        j.guaranteed(),
-        j.failures(),
+        j.isGuaranteed(),
+        j.consecutiveFailures(),
         f == null ? "" : f.reason().name(),
         f == null ? -1 : seconds(Math.max(0, now - f.sinceMs())),
         f == null || f.dueMs() < 0 ? -1 : seconds(Math.max(0, f.dueMs() - now)),
@@ -181,11 +182,11 @@
     for (Machine m : schedulerState.machines()) {
       Sum s = sums.computeIfAbsent(new MachineVariant(m.type, m.zone, m.spot), k -> new Sum());
       s.machines++;
-      s.empty += m.empty() ? 1 : 0;
+      s.empty += m.isEmpty() ? 1 : 0;
       s.doubted += m.health.doubted() ? 1 : 0;
-      SchedulerState.Refusal no = schedulerState.unfit(m, now);
+      StartRefusal no = schedulerState.machineRefusal(m, now);
       s.silent += explainer.unheard(m, now) ? 1 : 0;
-      s.leaving += no == SchedulerState.Refusal.LEAVING ? 1 : 0;
+      s.leaving += no == StartRefusal.DRAINING_OR_FAILED ? 1 : 0;
       s.booked += m.type.cpus() - m.freeCpus();
     }
     for (PendingMachines c : supply.coming(now)) {
@@ -231,10 +232,10 @@
         teams.stream().mapToInt(TeamLine::running).sum(),
         schedulerState.machines().size(),
         machines.stream().mapToInt(MachineLine::booting).sum(),
-        schedulerState.started(),
-        schedulerState.completed(),
+        schedulerState.attemptsStarted(),
+        schedulerState.attemptsCompleted(),
         Math.rint(machines.stream().mapToDouble(MachineLine::moneyPerHour).sum() * 100) / 100,
-        schedulerState.dirty().size());
+        schedulerState.dirtyRecords().size());
   }
 
   /** One job's tasks and where they are; its line is of the newest explanation, or null. */
@@ -248,7 +249,7 @@
     List<JobSnapshot.TaskLine> tasks = new ArrayList<>();
     int left = 0;
     for (int t = 0; t < job.spec.tasks(); t++) {
-      Attempt a = job.live(t);
+      Attempt a = job.liveAttempt(t);
       if (a == null) {
         continue;
       }
@@ -267,8 +268,8 @@
               zones.name(m.zone),
               m.spot,
               explainer.unheard(m, at),
-              a.stopping(),
-              seconds(at - a.sinceMs)));
+              a.isStopping(),
+              seconds(at - a.createdMs)));
     }
     return new JobSnapshot(id, line(job, f), f == null ? "" : f.reason().remedy(), tasks, left);
   }
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -26,8 +26,8 @@
  * that comes free one machine after the other goes to whatever fits there. So a gang that waits
  * gathers: in one zone where its tasks must be together, else in the whole fleet. A machine held
  * for it takes nothing else, and what is lacking is rented once, in that place. The rules are kept
- * elsewhere: a held machine is a machine on which {@code SchedulerState.mayStart} refuses others,
- * no more.
+ * elsewhere: a held machine is a machine on which {@code SchedulerState.startRefusal} refuses
+ * others, no more.
  *
  * <p><b>No deadlock, no rents without end.</b> In a zone one gang gathers at a time, and one more
  * in the whole fleet; a machine is held for one gang. A gathering ends when the gang starts, when
@@ -181,14 +181,16 @@
       return;
     }
     for (Gather g : new ArrayList<>(gathers.values())) {
-      if (!g.job.waiting() || !mayStart.test(g.job)) {
+      if (!g.job.hasWaitingTasks() || !mayStart.test(g.job)) {
         changed(g, Change.What.ENDS, now);
         end(g);
       }
     }
-    pasts.keySet().removeIf(j -> !j.waiting());
+    pasts.keySet().removeIf(j -> !j.hasWaitingTasks());
     for (Job job : queue) {
-      if (!job.spec.gang() || !mayStart.test(job) || job.spec.contradicts(machinePool.zones())) {
+      if (!job.spec.gang()
+          || !mayStart.test(job)
+          || job.spec.isUnsatisfiable(machinePool.zones())) {
         continue;
       }
       Gather g = gathers.get(job);
@@ -230,7 +232,7 @@
       if (taken(zone)
           || past.untilMs.get(zone) > now
           || (job.spec.zone() >= 0 && zone >= 0 && zone != job.spec.zone())
-          || (job.spec.together() && job.liveCount() > 0 && !job.liveIn(zone))
+          || (job.spec.together() && job.liveAttemptCount() > 0 && !job.hasLiveAttemptIn(zone))
           || (zone >= 0 && machinePool.health().failureDetector().cut(zone))) {
         continue;
       }
@@ -261,7 +263,7 @@
     int[] inZone = new int[machinePool.zones()];
     int places = 0;
     for (Option o : options(job, zone, now + HORIZON_MS)) {
-      int some = Math.min(o.holds, job.spec.zoneCap() - inZone[o.machine.zone]);
+      int some = Math.min(o.holds, job.spec.maxTasksPerZone() - inZone[o.machine.zone]);
       inZone[o.machine.zone] += Math.max(0, some);
       places += Math.max(0, some);
       if (places >= need(job)) {
@@ -290,7 +292,7 @@
           if ((zone < 0 || z == zone) && t.fits(s) && s.allows(t.index(), z, v.spot())) {
             long[] c = ceilings.get(v.key());
             boolean unknown = c == null || c[0] < now;
-            sum += unknown ? s.tasks() : Math.max(0, c[1] - count(v)) * t.holds(s);
+            sum += unknown ? s.tasks() : Math.max(0, c[1] - count(v)) * t.capacityFor(s);
           }
         }
       }
@@ -302,7 +304,7 @@
     int n = 0;
     for (Machine m : machinePool.machines()) {
       boolean is = m.type.index() == v.type().index() && m.zone == v.zone() && m.spot == v.spot();
-      n += is && !m.failed && !m.returning ? 1 : 0;
+      n += is && !m.failed && !m.deleting ? 1 : 0;
     }
     return n;
   }
@@ -314,7 +316,7 @@
       if (!t.fits(s)) {
         continue;
       }
-      int holds = Math.max(1, Math.min(s.tasks(), t.holds(s)));
+      int holds = Math.max(1, Math.min(s.tasks(), t.capacityFor(s)));
       // One machine that is taken ends the run of all: what is cheap by the hour may cost more.
       double again = losses.repeats((s.tasks() + holds - 1) / holds, s.estimateS());
       for (int z : t.zones()) {
@@ -353,24 +355,24 @@
     }
     out.sort(
         Comparator.comparingLong((Option o) -> o.atMs)
-            .thenComparingInt(o -> o.machine.empty() ? 0 : 1)
+            .thenComparingInt(o -> o.machine.isEmpty() ? 0 : 1)
             .thenComparingInt(o -> o.machine.spot ? 1 : 0)
             .thenComparing(o -> o.machine.name));
     return out;
   }
 
   private boolean allows(Job job, Machine m, long now) {
-    return (m.heldFor == null || m.heldFor == job)
+    return (m.reservedFor == null || m.reservedFor == job)
         && !m.health.doubted()
-        && machinePool.takesWork(m, now)
+        && machinePool.acceptsNewTasks(m, now)
         && job.spec.allows(m.type.index(), m.zone, m.spot)
         && m.type.fits(job.spec);
   }
 
   private Option option(Job job, Machine m, long now, long byMs) {
-    ResourceVector room = m.room();
+    ResourceVector room = m.copyFreeResources();
     int most = need(job);
-    int holds = room.holds(job.spec, most);
+    int holds = room.capacityFor(job.spec, most);
     long at = now;
     if (byMs > now) {
       List<Release> ends = new ArrayList<>();
@@ -384,7 +386,7 @@
           break;
         }
         room.add(r.spec, 1);
-        int more = room.holds(job.spec, most);
+        int more = room.capacityFor(job.spec, most);
         if (more > holds) {
           holds = more;
           at = r.atMs;
@@ -398,13 +400,13 @@
 
   private static long endMs(Attempt a, long now) {
     JobSpec s = a.job.spec;
-    if (a.stopping()) {
+    if (a.isStopping()) {
       return now + (long) (s.saveS() * 1000) + 2_000;
     }
     if (s.service()) {
       return Long.MAX_VALUE;
     }
-    double left = Math.max(s.estimateS() - (now - a.sinceMs) / 1000.0, s.estimateS() / 4);
+    double left = Math.max(s.estimateS() - (now - a.createdMs) / 1000.0, s.estimateS() / 4);
     return now + (long) (left * 1000);
   }
 
@@ -413,7 +415,7 @@
     int[] inZone = new int[machinePool.zones()];
     int sum = 0;
     for (Option o : options) {
-      int some = Math.min(o.holds, job.spec.zoneCap() - inZone[o.machine.zone]);
+      int some = Math.min(o.holds, job.spec.maxTasksPerZone() - inZone[o.machine.zone]);
       inZone[o.machine.zone] += Math.max(0, some);
       sum += Math.max(0, some);
     }
@@ -447,7 +449,7 @@
     int[] inZone = new int[machinePool.zones()];
     int places = 0;
     for (Option o : options(g.job, g.zone, by)) {
-      int some = Math.min(o.holds, g.job.spec.zoneCap() - inZone[o.machine.zone]);
+      int some = Math.min(o.holds, g.job.spec.maxTasksPerZone() - inZone[o.machine.zone]);
       if (places >= wanted || some <= 0) {
         free(g, o.machine);
         continue;
@@ -469,36 +471,36 @@
         return;
       }
       looked++;
-      if (m.heldFor == null
+      if (m.reservedFor == null
           && (g.zone < 0 || m.zone == g.zone)
-          && m.empty()
+          && m.isEmpty()
           && allows(g.job, m, now)) {
         take(g, m);
-        g.places += m.type.holds(g.job.spec);
+        g.places += m.type.capacityFor(g.job.spec);
       }
     }
   }
 
   private static void take(Gather g, Machine m) {
     if (g.held.add(m)) {
-      m.heldFor = g.job;
+      m.reservedFor = g.job;
     }
   }
 
   private static void free(Gather g, Machine m) {
-    if (g.held.remove(m) && m.heldFor == g.job) {
-      m.heldFor = null;
+    if (g.held.remove(m) && m.reservedFor == g.job) {
+      m.reservedFor = null;
     }
   }
 
   /** Less important work on a held machine makes room at once, by the rank rules alone. */
   private void giveWay(Job job, Machine m, long now) {
     for (Attempt a : m.attempts()) {
-      if (!a.stopping()
+      if (!a.isStopping()
           && a.job.spec.priority() > job.spec.priority()
           && a.number <= MOST_TRIES
           && (a.phase == Attempt.Phase.RUNNING || a.phase == Attempt.Phase.PULLING)) {
-        machinePool.stop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
+        machinePool.requestStop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
       }
     }
   }
@@ -521,7 +523,7 @@
       g.coming = 0;
       for (PendingMachines c : coming) {
         if (s.id().equals(c.gang()) && (g.zone < 0 || c.variant().zone() == g.zone)) {
-          g.coming += c.count() * Math.max(1, c.variant().type().holds(s));
+          g.coming += c.count() * Math.max(1, c.variant().type().capacityFor(s));
         }
       }
       int there = g.places + g.coming;
@@ -538,14 +540,14 @@
         }
         continue;
       }
-      int each = Math.max(1, v.type().holds(s));
+      int each = Math.max(1, v.type().capacityFor(s));
       int bound = 2 * ((s.tasks() + each - 1) / each) + RENT_SLACK;
       int machines = (lack + each - 1) / each;
       // One that never comes holds all the others up for twice a boot: a few more cost less.
       machines += machines >= SOME ? (int) Math.ceil(machines * NEVER_COME) : 0;
       int left = Math.min(machines, bound - g.rented);
       if (s.scatter()) {
-        left = Math.min(left, Math.max(1, s.zoneCap() / each));
+        left = Math.min(left, Math.max(1, s.maxTasksPerZone() / each));
       }
       g.rented += Math.max(0, left);
       for (; left > 0; left -= ScaleOutRequest.MAX_MACHINES) {
@@ -590,8 +592,8 @@
 
   private void end(Gather g) {
     for (Machine m : g.held) {
-      if (m.heldFor == g.job) {
-        m.heldFor = null;
+      if (m.reservedFor == g.job) {
+        m.reservedFor = null;
       }
     }
     gathers.remove(g.job);
@@ -599,12 +601,12 @@
 
   /** The machine is gone. */
   public void gone(Machine m) {
-    if (m.heldFor != null) {
-      Gather g = gathers.get(m.heldFor);
+    if (m.reservedFor != null) {
+      Gather g = gathers.get(m.reservedFor);
       if (g != null) {
         free(g, m);
       }
-      m.heldFor = null;
+      m.reservedFor = null;
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/gang/MachinePool.java
+++ b/src/main/java/org/mallowroad/core/gang/MachinePool.java
@@ -23,12 +23,12 @@
   Health health();
 
   /** True when new work may be started on the machine at all. */
-  boolean takesWork(Machine machine, long now);
+  boolean acceptsNewTasks(Machine machine, long now);
 
   /**
    * Asks for a stop of an attempt.
    *
    * @param graceS seconds that it has to save its progress
    */
-  void stop(Attempt attempt, double graceS, long now);
+  void requestStop(Attempt attempt, double graceS, long now);
 }
--- a/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
+++ b/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
@@ -31,7 +31,7 @@
       if (m.spot && !m.failed) {
         hours += h;
         // A notice counts once: in the turn in which it is first seen.
-        taken += m.noticeSinceMs > lastMs && m.noticeSinceMs <= now ? 1 : 0;
+        taken += m.interruptionNoticeMs > lastMs && m.interruptionNoticeMs <= now ? 1 : 0;
       }
     }
     lastMs = now;
--- a/src/main/java/org/mallowroad/core/image/ImageDistribution.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -197,7 +197,7 @@
 
   /** Who may hand the image on to the machine, the best first: its zone's, and those with least. */
   private List<Machine> imageSources(Wave w, Machine m, Fit fit) {
-    if (w == null || policy.takers() <= 0 || !m.handsOn || w.holders.isEmpty()) {
+    if (w == null || policy.takers() <= 0 || !m.servesImages || w.holders.isEmpty()) {
       return List.of();
     }
     List<Machine> own = new ArrayList<>();
@@ -209,7 +209,7 @@
         break;
       }
       ownZone |= g.zone == m.zone;
-      if (g != m && g.handsOn && takers.getInt(g) < policy.takers() && fit.fit(g)) {
+      if (g != m && g.servesImages && takers.getInt(g) < policy.takers() && fit.fit(g)) {
         (g.zone == m.zone ? own : others).add(g);
       }
     }
@@ -239,7 +239,7 @@
     }
     // What its cache may have dropped since is told to nobody.
     for (int image : waves.keySet().toIntArray()) {
-      if (image != s.image() && !a.machine.sureOf(image, SURE)) {
+      if (image != s.image() && !a.machine.isLikelyCached(image, SURE)) {
         waves.get(image).holders.remove(a.machine);
       }
     }
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -83,7 +83,7 @@
     Sum s = sum(byClass, classes.name(job.spec.taskClass()));
     s.done++;
     long begunMs = job.begunMs() < 0 ? job.lastStartMs() : job.begunMs();
-    s.begun.addLast(new Begun(job.spec.tasks(), begunMs - job.sinceMs() <= BEGIN_MS));
+    s.begun.addLast(new Begun(job.spec.tasks(), begunMs - job.eligibleSinceMs() <= BEGIN_MS));
     if (s.begun.size() > SIZES) {
       s.begun.removeFirst();
     }
@@ -106,11 +106,11 @@
         new Object2ObjectLinkedOpenHashMap<>();
     byClass.forEach((n, s) -> due.put(n, new ArrayList<>(s.begun)));
     for (Job j : open) {
-      if (j.cancelled() || j.held()) {
+      if (j.isCancelled() || j.isHeld()) {
         continue; // A held job waits for others by its user's word.
       }
-      boolean inTime = j.begunMs() >= 0 && j.begunMs() - j.sinceMs() <= BEGIN_MS;
-      if (inTime || now - j.sinceMs() > BEGIN_MS) {
+      boolean inTime = j.begunMs() >= 0 && j.begunMs() - j.eligibleSinceMs() <= BEGIN_MS;
+      if (inTime || now - j.eligibleSinceMs() > BEGIN_MS) {
         String name = classes.name(j.spec.taskClass());
         due.computeIfAbsent(
                 byClass.containsKey(name) || byClass.size() < MOST ? name : OTHERS,
@@ -120,7 +120,7 @@
       if (j.spec.service()) {
         continue;
       }
-      long age = now - j.sinceMs();
+      long age = now - j.eligibleSinceMs();
       count(sum(byClass, classes.name(j.spec.taskClass())), age, dueMs(j.spec));
       count(sum(byTeam, teams.get(j.spec.team()).name), age, dueMs(j.spec));
     }
--- a/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
+++ b/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
@@ -59,18 +59,18 @@
     claimed = 0;
     Long2ObjectOpenHashMap<Ends> here = new Long2ObjectOpenHashMap<>();
     for (Job j : jobs) {
-      if (j.liveCount() == 0 || j.spec.service()) {
+      if (j.liveAttemptCount() == 0 || j.spec.service()) {
         continue;
       }
       here.clear();
       for (int task = 0; task < j.spec.tasks(); task++) {
-        Attempt a = j.live(task);
+        Attempt a = j.liveAttempt(task);
         if (a == null) {
           continue;
         }
         looked++;
         double p = probability(a, now);
-        if (p > 0 && a.machine.usable()) {
+        if (p > 0 && a.machine.isUsable()) {
           Machine m = a.machine;
           MachineVariant on = new MachineVariant(m.type, m.zone, m.spot);
           Ends e = here.get(on.key());
@@ -86,7 +86,7 @@
   }
 
   private double probability(Attempt a, long now) {
-    if (a.phase != Attempt.Phase.RUNNING || a.stopping()) {
+    if (a.phase != Attempt.Phase.RUNNING || a.isStopping()) {
       return 0; // What is stopping is counted by who looks at the machine.
     }
     double estimate = Math.max(1, a.job.spec.estimateS());
@@ -116,6 +116,6 @@
   }
 
   private static int holds(JobSpec ended, JobSpec s) {
-    return new ResourceVector(ended.cpus(), ended.cards(), ended.memGb()).holds(s, 1_000);
+    return new ResourceVector(ended.cpus(), ended.cards(), ended.memGb()).capacityFor(s, 1_000);
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
@@ -11,6 +11,7 @@
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.ResourceVector;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
 import org.mallowroad.core.Team;
 
 /**
@@ -103,7 +104,7 @@
     double[] cards = new double[schedulerState.teams().size()];
     List<Job> open = new ArrayList<>();
     for (Job j : schedulerState.jobs()) {
-      if (!j.cancelled() && !j.ended() && !j.held()) {
+      if (!j.isCancelled() && !j.isEnded() && !j.isHeld()) {
         open.add(j);
       }
     }
@@ -117,16 +118,16 @@
       cards[s.team()] += left * s.cards();
       Team team = schedulerState.team(s);
       j.guaranteed =
-          cpus[s.team()] <= team.cpus() + ResourceVector.EPS
-              && cards[s.team()] <= team.cards() + ResourceVector.EPS;
-      j.aged = now - j.sinceMs() > 1000 * Math.max(0, AGED_S - fetchS(s));
-      if (j.waiting()) {
-        ranks.add(new Rank(j, j.sinceMs() + (long) (1000 * patience(s))));
+          cpus[s.team()] <= team.cpus() + ResourceVector.EPSILON
+              && cards[s.team()] <= team.cards() + ResourceVector.EPSILON;
+      j.aged = now - j.eligibleSinceMs() > 1000 * Math.max(0, AGED_S - fetchS(s));
+      if (j.hasWaitingTasks()) {
+        ranks.add(new Rank(j, j.eligibleSinceMs() + (long) (1000 * patience(s))));
       }
     }
     ranks.sort(
         Comparator.comparingInt((Rank r) -> r.job.spec.priority())
-            .thenComparingInt(r -> r.job.goesFirst() ? 0 : 1)
+            .thenComparingInt(r -> r.job.hasPrecedence() ? 0 : 1)
             .thenComparingDouble(Rank::dueMs)
             .thenComparing(r -> r.job.spec.id()));
     queue.clear();
@@ -174,7 +175,9 @@
     }
     List<Job> waiting = queue(now);
     sortMachines();
-    schedulerState.gangReservations().reserve(waiting, j -> !j.heldBack(now) && !overLimit(j), now);
+    schedulerState
+        .gangReservations()
+        .reserve(waiting, j -> !j.isBackingOff(now) && !overLimit(j), now);
     findOpen(waiting, now);
     boolean seek = now - preemptedMs >= PREEMPT_EVERY_MS;
     boolean surveyed = false;
@@ -186,7 +189,7 @@
     keptFor.clear();
     for (int i = 0; i < waiting.size(); i++) {
       Job job = waiting.get(i);
-      if (job.spec.gang() && overLimit(job) && job.goesFirst() && !job.heldBack(now)) {
+      if (job.spec.gang() && overLimit(job) && job.hasPrecedence() && !job.isBackingOff(now)) {
         // Its team's limit comes free a task at a time; what stands behind it would take that.
         keptFor.set(job.spec.team());
       }
@@ -194,7 +197,7 @@
         from = i;
         fillCached(waiting, from, made, now);
       }
-      if (job.heldBack(now)) {
+      if (job.isBackingOff(now)) {
         continue;
       }
       if (job.spec.gang()) {
@@ -203,7 +206,7 @@
       }
       fill(job, true, made, now);
       fill(job, false, made, now);
-      if (seek && !job.pending.isEmpty() && stopping < PREEMPT_JOBS) {
+      if (seek && !job.pendingTasks.isEmpty() && stopping < PREEMPT_JOBS) {
         if (!surveyed) {
           surveyed = true;
           releases.survey(schedulerState.jobs(), now);
@@ -217,7 +220,7 @@
   }
 
   private static boolean alike(Job a, Job b) {
-    return a.spec.priority() == b.spec.priority() && a.goesFirst() == b.goesFirst();
+    return a.spec.priority() == b.spec.priority() && a.hasPrecedence() == b.hasPrecedence();
   }
 
   /**
@@ -227,11 +230,11 @@
   private void fillCached(List<Job> waiting, int from, List<Attempt> made, long now) {
     for (int i = from; i < waiting.size() && alike(waiting.get(i), waiting.get(from)); i++) {
       Job job = waiting.get(i);
-      if (job.heldBack(now) || job.spec.gang()) {
+      if (job.isBackingOff(now) || job.spec.gang()) {
         continue;
       }
       fill(job, true, made, now);
-      if (!job.pending.isEmpty() && now - job.sinceMs() > 1000 * yieldS(job.spec)) {
+      if (!job.pendingTasks.isEmpty() && now - job.eligibleSinceMs() > 1000 * yieldS(job.spec)) {
         return;
       }
     }
@@ -251,7 +254,7 @@
   /** True while any task waits. */
   public boolean anyWaiting() {
     for (Job j : schedulerState.jobs()) {
-      if (j.waiting()) {
+      if (j.hasWaitingTasks()) {
         return true;
       }
     }
@@ -291,10 +294,10 @@
     openCount = 0;
     looked += order.length;
     for (Machine m : order) {
-      if (cpus <= m.free.cpus + ResourceVector.EPS
-          && memGb <= m.free.memGb + ResourceVector.EPS
-          && m.heldFor == null
-          && schedulerState.takesWork(m, now)) {
+      if (cpus <= m.freeResources.cpus + ResourceVector.EPSILON
+          && memGb <= m.freeResources.memGb + ResourceVector.EPSILON
+          && m.reservedFor == null
+          && schedulerState.acceptsNewTasks(m, now)) {
         open[openCount++] = m;
       }
     }
@@ -307,7 +310,7 @@
         Comparator.comparing((Machine m) -> m.health.doubted())
             .thenComparingDouble(m -> m.type.cpus())
             .thenComparingDouble(m -> m.type.price(m.spot))
-            .thenComparingDouble(m -> m.free.cpus));
+            .thenComparingDouble(m -> m.freeResources.cpus));
   }
 
   /** Places waiting tasks of a job on open machines, first-fit, that have its image or have not. */
@@ -316,27 +319,27 @@
     if (keptFor.get(s.team())) {
       return;
     }
-    for (int i = 0; i < openCount && !job.pending.isEmpty(); i++) {
+    for (int i = 0; i < openCount && !job.pendingTasks.isEmpty(); i++) {
       Machine m = open[i];
       looked++;
-      if (!m.free.fits(s) || m.hasImage(s.image()) != cached) {
+      if (!m.freeResources.fits(s) || m.hasImage(s.image()) != cached) {
         continue;
       }
-      while (!job.pending.isEmpty()) {
-        int task = job.pending.firstInt();
-        SchedulerState.Refusal no = refusal(job, m, now);
-        if (no == SchedulerState.Refusal.QUOTA) {
+      while (!job.pendingTasks.isEmpty()) {
+        int task = job.pendingTasks.firstInt();
+        StartRefusal no = refusal(job, m, now);
+        if (no == StartRefusal.QUOTA) {
           return; // No other machine helps.
         }
-        if (no == SchedulerState.Refusal.FETCHES) {
+        if (no == StartRefusal.IMAGE_FETCH_LIMIT) {
           schedulerState.imageDistribution().heldBack();
         }
         if (no != null) {
           break;
         }
-        job.pending.dequeueInt();
+        job.pendingTasks.dequeueInt();
         made.add(schedulerState.start(job, task, m, now));
-        m.useImage(s.image(), s.imageGb());
+        m.recordImageUse(s.image(), s.imageGb());
       }
     }
   }
@@ -346,24 +349,24 @@
    * goes by it, so what is shown to people is what was decided. Where the zone rules, a doubt or a
    * failure are named, nothing else stands in the way: the machine has room.
    */
-  public SchedulerState.Refusal refusal(Job job, Machine m, long now) {
-    SchedulerState.Refusal no = schedulerState.mayStart(job, job.pending.firstInt(), m, now);
+  public StartRefusal refusal(Job job, Machine m, long now) {
+    StartRefusal no = schedulerState.startRefusal(job, job.pendingTasks.firstInt(), m, now);
     if (no == null
         && !job.spec.gang()
         && !m.hasImage(job.spec.image())
         && !schedulerState
             .imageDistribution()
-            .mayFetch(job.spec, m, x -> schedulerState.mayGive(x, now))) {
-      return SchedulerState.Refusal.FETCHES;
+            .mayFetch(job.spec, m, x -> schedulerState.canServeImages(x, now))) {
+      return StartRefusal.IMAGE_FETCH_LIMIT;
     }
     if (no == null && avoids(job.spec, m)) {
-      return SchedulerState.Refusal.DOUBTED;
+      return StartRefusal.SUSPECTED_SLOW_OR_FAULTY;
     }
     if (no == null
         && !job.spec.gang()
-        && job.failedOn.size() < 3
-        && job.failedOn.contains(m.name)) {
-      return SchedulerState.Refusal.FAILED_HERE;
+        && job.failedMachines.size() < 3
+        && job.failedMachines.contains(m.name)) {
+      return StartRefusal.FAILED_ON_MACHINE;
     }
     return no;
   }
@@ -381,16 +384,16 @@
   /** Places all waiting tasks of a gang or none of them. */
   private void placeGang(Job job, List<Attempt> made, long now) {
     JobSpec s = job.spec;
-    if (job.pending.isEmpty() || overLimit(job)) {
+    if (job.pendingTasks.isEmpty() || overLimit(job)) {
       return;
     }
     List<Machine> places = gangPlaces(job, now);
-    if (places.size() < job.pending.size()) {
+    if (places.size() < job.pendingTasks.size()) {
       return;
     }
     for (Machine m : places) {
-      made.add(schedulerState.start(job, job.pending.dequeueInt(), m, now));
-      m.useImage(s.image(), s.imageGb());
+      made.add(schedulerState.start(job, job.pendingTasks.dequeueInt(), m, now));
+      m.recordImageUse(s.image(), s.imageGb());
     }
   }
 
@@ -400,26 +403,27 @@
   public boolean overLimit(Job job) {
     return !schedulerState
         .team(job.spec)
-        .allows(job.spec, job.spec.gang() ? job.pending.size() : 1);
+        .allows(job.spec, job.spec.gang() ? job.pendingTasks.size() : 1);
   }
 
   /** Places for a gang's waiting tasks: one for each, or as many as any zone has. */
   public List<Machine> gangPlaces(Job job, long now) {
     sortMachines();
     JobSpec s = job.spec;
-    int n = job.pending.size();
+    int n = job.pendingTasks.size();
     List<Machine> most = List.of();
     for (int zone = 0; zone < schedulerState.zones() && most.size() < n; zone++) {
       List<Machine> places = new ArrayList<>();
-      int[] inZone = job.liveByZone();
+      int[] inZone = job.copyLiveAttemptsByZone();
       for (Machine m : order) {
         if (s.together() && m.zone != zone) {
           continue;
         }
-        ResourceVector room = new ResourceVector(m.free.cpus, m.free.cards, m.free.memGb);
+        ResourceVector room =
+            new ResourceVector(m.freeResources.cpus, m.freeResources.cards, m.freeResources.memGb);
         while (places.size() < n
             && room.fits(s)
-            && inZone[m.zone] < s.zoneCap()
+            && inZone[m.zone] < s.maxTasksPerZone()
             && refusal(job, m, now) == null) {
           room.add(s, -1);
           inZone[m.zone]++;
@@ -451,30 +455,32 @@
     JobSpec s = job.spec;
     Team team = schedulerState.team(s);
     long waited = now - job.waitingSinceMs();
-    int need = team.most(s, job.pending.size());
+    int need = team.maxTasks(s, job.pendingTasks.size());
     int coming = releases.coming(s, need);
     releases.claim(s, need);
     need -= coming;
     if (waited < PREEMPT_AFTER_MS || need <= 0) {
       return false;
     }
-    boolean guarantee = waited >= GUARANTEE_AFTER_MS && job.guaranteed && team.guarantees(s);
+    boolean guarantee =
+        waited >= GUARANTEE_AFTER_MS && job.guaranteed && team.staysWithinGuarantee(s);
     List<Stops> options = new ArrayList<>();
     looked += order.length;
     for (Machine m : order) {
-      if (m.empty()
-          || !m.usable()
-          || m.heldFor != null
+      if (m.isEmpty()
+          || !m.isUsable()
+          || m.reservedFor != null
           || !s.allows(m.type.index(), m.zone, m.spot)
           || !m.type.fits(s)
           || avoids(s, m)
-          || !job.mayBeIn(m.zone)) {
+          || !job.allowsZone(m.zone)) {
         continue;
       }
-      ResourceVector room = new ResourceVector(m.free.cpus, m.free.cards, m.free.memGb);
+      ResourceVector room =
+          new ResourceVector(m.freeResources.cpus, m.freeResources.cards, m.freeResources.memGb);
       List<Attempt> candidates = null;
       for (Attempt a : m.attempts) {
-        if (a.stopping()) {
+        if (a.isStopping()) {
           room.add(a.job.spec, 1);
         } else if (stoppable(a, job, guarantee)) {
           if (candidates == null) {
@@ -484,7 +490,7 @@
         }
       }
       // What is stopping already will make room.
-      int stopped = room.holds(s, need);
+      int stopped = room.capacityFor(s, need);
       need -= stopped;
       if (need == 0) {
         return true;
@@ -504,7 +510,7 @@
         loss += loss(a, now);
       }
       if (!victims.isEmpty() && room.fits(s)) {
-        options.add(new Stops(victims, room.holds(s, need), loss));
+        options.add(new Stops(victims, room.capacityFor(s, need), loss));
       }
     }
     options.sort(Comparator.comparingDouble(o -> o.loss / o.holds));
@@ -519,7 +525,7 @@
       if (still) {
         stops += o.victims.size();
         for (Attempt a : o.victims) {
-          schedulerState.stop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
+          schedulerState.requestStop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0, now);
         }
         need -= o.holds;
       }
@@ -533,28 +539,28 @@
    */
   public void drain(long now) {
     for (Machine m : schedulerState.machines()) {
-      if (m.noticeMs == 0) {
+      if (m.interruptionMs == 0) {
         continue;
       }
-      double left = (m.noticeMs - now) / 1000.0;
+      double left = (m.interruptionMs - now) / 1000.0;
       for (Attempt a : m.attempts) {
         JobSpec s = a.job.spec;
-        if (a.stopping() || a.phase == Attempt.Phase.RECORDING) {
+        if (a.isStopping() || a.phase == Attempt.Phase.RECORDING) {
           continue;
         }
         if (s.checkpointS() > 0) {
-          schedulerState.stop(a, s.saveS(), now);
+          schedulerState.requestStop(a, s.saveS(), now);
         } else if (a.phase != Attempt.Phase.RUNNING
             || s.service()
             || s.estimateS() - (now - a.runningSinceMs()) / 1000.0 > left) {
-          schedulerState.stop(a, 0, now);
+          schedulerState.requestStop(a, 0, now);
         }
       }
     }
   }
 
   private boolean stoppable(Attempt a, Job by, boolean guarantee) {
-    if (a.phase == Attempt.Phase.RECORDING || a.phase == Attempt.Phase.READY) {
+    if (a.phase == Attempt.Phase.RECORDING || a.phase == Attempt.Phase.COMMITTED) {
       return false;
     }
     int theirs = a.job.spec.priority();
@@ -569,14 +575,14 @@
     // otherwise it would take the room again at once, and the two would stop each other for ever.
     return guarantee
         && theirs == ours
-        && !a.job.goesFirst()
+        && !a.job.hasPrecedence()
         && a.job.spec.team() != by.spec.team()
-        && schedulerState.team(a.job.spec).borrows(a.job.spec);
+        && schedulerState.team(a.job.spec).keepsGuaranteeWithout(a.job.spec);
   }
 
   /** CPU seconds lost when the attempt is stopped now. */
   private static double loss(Attempt a, long now) {
-    double ran = (now - a.sinceMs) / 1000.0;
+    double ran = (now - a.createdMs) / 1000.0;
     double cp = a.job.spec.checkpointS();
     return (cp > 0 ? Math.min(ran, cp) : ran) * Math.max(0.1, a.job.spec.cpus());
   }
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -92,7 +92,7 @@
   }
 
   private void rise() {
-    Machine m = schedulerState.meet("n-" + names, type, names % 2, false, now);
+    Machine m = schedulerState.registerMachine("n-" + names, type, names % 2, false, now);
     names++;
     Worker w = new Worker(m);
     workers.put(m.name + ":1", w);
@@ -102,7 +102,7 @@
   private List<WorkerCommand> report(Worker w, Heartbeat.State state) {
     List<Heartbeat.Entry> all = new ArrayList<>();
     for (Attempt a : w.machine.attempts()) {
-      if (a.phase != Attempt.Phase.RECORDING && a.phase != Attempt.Phase.READY) {
+      if (a.phase != Attempt.Phase.RECORDING && a.phase != Attempt.Phase.COMMITTED) {
         all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
       }
     }
@@ -124,7 +124,7 @@
             -1,
             all,
             setting.handsOn());
-    return schedulerState.report(m, r, true, now);
+    return schedulerState.processHeartbeat(m, r, true, now);
   }
 
   /** Plays it until all replicas run. */
@@ -191,7 +191,7 @@
     some.sort((a, b) -> Integer.compare(b.giving, a.giving));
     Worker w = some.get(random.nextInt(Math.min(3, some.size())));
     workers.remove(w.machine.name + ":1");
-    schedulerState.machineGone(w.machine, now);
+    schedulerState.machineDeleted(w.machine, now);
     for (Worker t : workers.values()) {
       if (t.imageSource == w) {
         t.imageSource = null; // Falls back to the source, from where it was.
@@ -201,14 +201,14 @@
   }
 
   private void commit() {
-    for (AttemptRecord c : new ArrayList<>(schedulerState.dirty())) {
+    for (AttemptRecord c : new ArrayList<>(schedulerState.dirtyRecords())) {
       List<Attempt> recorded = new ArrayList<>();
-      for (int t = c.from(); t < c.to(); t++) {
-        if (c.job.live(t) != null && c.job.live(t).phase == Attempt.Phase.RECORDING) {
-          recorded.add(c.job.live(t));
+      for (int t = c.firstTask(); t < c.endTask(); t++) {
+        if (c.job.liveAttempt(t) != null && c.job.liveAttempt(t).phase == Attempt.Phase.RECORDING) {
+          recorded.add(c.job.liveAttempt(t));
         }
       }
-      schedulerState.committed(c, 9, c.changes, recorded, now);
+      schedulerState.recordCommitted(c, 9, c.changeCount, recorded, now);
     }
   }
 
--- a/src/main/java/org/mallowroad/simulation/Simulation.java
+++ b/src/main/java/org/mallowroad/simulation/Simulation.java
@@ -240,7 +240,7 @@
 
   private long term() {
     com.fasterxml.jackson.databind.JsonNode term = state.store().value("term");
-    return term == null ? 0 : term.path("n").asLong() / FencingTokens.TOKENS;
+    return term == null ? 0 : term.path("n").asLong() / FencingTokens.TOKENS_PER_TERM;
   }
 
   /** Kept reports reach every controller as soon as another one leads than before. */
--- a/src/main/java/org/mallowroad/state/Records.java
+++ b/src/main/java/org/mallowroad/state/Records.java
@@ -187,12 +187,12 @@
     Object2ObjectLinkedOpenHashMap<String, ArrayNode> groups =
         new Object2ObjectLinkedOpenHashMap<>();
     Object2IntOpenHashMap<String> kindOf = new Object2IntOpenHashMap<>();
-    for (int t = c.from(); t < c.to(); t++) {
+    for (int t = c.firstTask(); t < c.endTask(); t++) {
       if (c.job.isDone(t)) {
-        done.set(t - c.from());
+        done.set(t - c.firstTask());
       }
-      high = Math.max(high, c.job.number(t));
-      Attempt a = c.job.live(t);
+      high = Math.max(high, c.job.highestAttemptNumber(t));
+      Attempt a = c.job.liveAttempt(t);
       if (a == null) {
         continue;
       }
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -248,7 +248,7 @@
     Overview o =
         await("takeover", WITHIN_NS, x -> x.obstacle().equals(PendingCause.TAKING_OVER.name()));
     assertTrue(
-        o.first().get(0).contains("takes over in term " + (1 + FencingTokens.TOKENS)),
+        o.first().get(0).contains("takes over in term " + (1 + FencingTokens.TOKENS_PER_TERM)),
         o.first().toString());
     o = await("its end", 20_000_000_000L, x -> x.obstacle().isEmpty());
     assertEquals(13, o.picture().totals().running());
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -17,6 +17,7 @@
 import org.mallowroad.api.UserApi;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
+import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpecs;
@@ -118,11 +119,11 @@
         now = day * DAY_MS + i * (DAY_MS / A_DAY);
         n++;
         if (m != null && n % 2 == 0) {
-          schedulerState.machineGone(m, now);
+          schedulerState.machineDeleted(m, now);
         }
         String name = "n-" + n / 2;
-        m = schedulerState.meet(name, type, 0, true, now);
-        schedulerState.report(
+        m = schedulerState.registerMachine(name, type, 0, true, now);
+        schedulerState.processHeartbeat(
             m,
             new Heartbeat(name, "h:1", "t32", "a", true, 1, 2L * n, 1, -1, List.of()),
             true,
@@ -131,26 +132,26 @@
         placement.place(now);
         JobSpecs.commit(schedulerState, now);
         if (n % 2 == 0) {
-          schedulerState.resolve(job.live(0), SchedulerState.Outcome.ERROR, now);
+          schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
           schedulerState.cancel(job, now);
         }
         for (int t = 0; t < 4; t++) {
-          if (job.live(t) != null) {
-            schedulerState.resolve(job.live(t), SchedulerState.Outcome.DONE, now);
+          if (job.liveAttempt(t) != null) {
+            schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, now);
           }
         }
         if (n % 2 == 1) {
-          assertTrue(job.allDone());
-          schedulerState.ended(job, now);
+          assertTrue(job.areAllTasksDone());
+          schedulerState.markEnded(job, now);
         }
-        assertTrue(job.finished());
+        assertTrue(job.isFinished());
         JobSpecs.commit(schedulerState, now);
-        schedulerState.forget(job);
-        schedulerState.outbox().clear();
+        schedulerState.removeJob(job);
+        schedulerState.machinesWithUnsentCommands().clear();
       }
       clusterConfig.keepNames(schedulerState);
     }
-    Map<String, Integer> tables = schedulerState.tables();
+    Map<String, Integer> tables = schedulerState.tableSizes();
     int classes = tables.remove("classes");
     assertEquals(
         Map.of(
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -314,7 +314,8 @@
     await("end of the job", () -> is("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
     assertTrue(
-        state.term() == term + FencingTokens.TOKENS, "the one that stood still did not campaign");
+        state.term() == term + FencingTokens.TOKENS_PER_TERM,
+        "the one that stood still did not campaign");
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -116,7 +116,7 @@
       boolean[] busy = new boolean[1];
       Runnable start =
           () -> {
-            if (!job.held() && !busy[0] && s.store.value(RUN) == null) {
+            if (!job.isHeld() && !busy[0] && s.store.value(RUN) == null) {
               busy[0] = true;
               start(s, state, keeper[0], job, version, busy);
             }
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.mallowroad.SteppedClock;
 import org.mallowroad.core.Attempt;
+import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
@@ -39,8 +40,8 @@
   WriteBehindCommitterTest() {
     zones.intern("a");
     schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
-    machine = schedulerState.meet("n-1", type, 0, false, c.now);
-    schedulerState.report(
+    machine = schedulerState.registerMachine("n-1", type, 0, false, c.now);
+    schedulerState.processHeartbeat(
         machine,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
@@ -132,7 +133,7 @@
     assertEquals(1, c.writes - before);
     assertEquals(1, c.store.keys("starts/").size());
     assertEquals(0, c.store.keys("run/").size());
-    all.forEach(a -> schedulerState.resolve(a, SchedulerState.Outcome.DONE, c.now));
+    all.forEach(a -> schedulerState.resolve(a, AttemptOutcome.COMPLETED, c.now));
     c.run(1_000);
     committer.kick();
     c.run(20_000);
@@ -140,7 +141,7 @@
     assertEquals(List.of(), List.copyOf(c.store.keys("open/")));
     assertEquals(1 + 2 * 20 + 1, c.writes - before);
     assertEquals(0, schedulerState.jobs().size());
-    assertEquals(0, schedulerState.sharedAttemptRecords().all().size());
+    assertEquals(0, schedulerState.sharedAttemptRecords().records().size());
   }
 
   /** One of them is cancelled before its start is recorded: the others' are recorded. */
@@ -169,7 +170,7 @@
     c.run(100);
     cancelFirst();
     committer.cancelled(all.get(0).job);
-    schedulerState.resolve(all.get(0), SchedulerState.Outcome.STOPPED, c.now);
+    schedulerState.resolve(all.get(0), AttemptOutcome.STOPPED, c.now);
     committer.kick();
     c.run(10_000);
     committer.kick();
@@ -217,7 +218,7 @@
     int before = c.writes;
     for (int t = 0; t < 40; t++) {
       for (Job job : jobs) {
-        schedulerState.resolve(job.live(t), SchedulerState.Outcome.DONE, c.now);
+        schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, c.now);
       }
       committer.kick();
       c.run(500);
@@ -319,8 +320,9 @@
   }
 
   private Machine longNamed(int i) {
-    Machine m = schedulerState.meet("machine-with-a-long-name-" + i, type, 0, false, c.now);
-    schedulerState.report(
+    Machine m =
+        schedulerState.registerMachine("machine-with-a-long-name-" + i, type, 0, false, c.now);
+    schedulerState.processHeartbeat(
         m, new Heartbeat(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()), true, c.now);
     return m;
   }
@@ -355,6 +357,6 @@
   }
 
   private static long recorded(List<Attempt> of) {
-    return of.stream().filter(a -> a.phase == Attempt.Phase.READY).count();
+    return of.stream().filter(a -> a.phase == Attempt.Phase.COMMITTED).count();
   }
 }
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -17,6 +17,7 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.Autoscaler;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
@@ -65,13 +66,13 @@
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
       job = schedulerState.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
       for (int i = 0; i < 40; i++) {
-        machines.add(schedulerState.meet("n-" + i, type, i / 20, true, now));
+        machines.add(schedulerState.registerMachine("n-" + i, type, i / 20, true, now));
       }
       if (takenOver) {
         for (int t = 0; t < 160; t++) {
           schedulerState.restoreAttempt(job, t, 1, machines.get(t / 4), 1, now);
         }
-        schedulerState.restored(job, now);
+        schedulerState.finishRestore(job, now);
       } else {
         pass(8_000, 0, 0);
         assertEquals(160, placement.place(now).size());
@@ -84,7 +85,7 @@
       int i = machines.indexOf(m);
       boolean deaf = i >= deafFrom && i < deafTo;
       heardToken[i] = deaf ? heardToken[i] : Math.max(TERM, m.fencingToken);
-      schedulerState.report(
+      schedulerState.processHeartbeat(
           m,
           JobSpecs.report(
               m,
@@ -93,7 +94,7 @@
               m == pulling ? Heartbeat.State.PULLING : Heartbeat.State.RUNNING),
           true,
           now);
-      m.lastAnswerMs = now;
+      m.lastResponseMs = now;
       responder.reported(m, now);
     }
 
@@ -105,11 +106,11 @@
         for (int i = 0; i < machines.size(); i++) {
           Machine m = machines.get(i);
           boolean heard = i < from || i >= to;
-          if (heard && !m.returning && (now / 250) % 16 == i % 16) {
+          if (heard && !m.deleting && (now / 250) % 16 == i % 16) {
             report(m);
           }
         }
-        schedulerState.expireSilent(now);
+        schedulerState.expireLeases(now);
         responder.judge(now);
       }
     }
@@ -117,7 +118,7 @@
     int returned() {
       int n = 0;
       for (Machine m : machines) {
-        n += m.returning ? 1 : 0;
+        n += m.deleting ? 1 : 0;
       }
       return n;
     }
@@ -150,7 +151,7 @@
               w.pass(4_000, 3, 4);
               assertEquals(0, w.returned());
               w.pass(9_000, 3, 4);
-              assertTrue(w.machines.get(3).returning);
+              assertTrue(w.machines.get(3).deleting);
               assertEquals(1, w.returned());
             }),
         day(
@@ -201,8 +202,8 @@
                 w.pass(60_000, 0, 20);
                 // The cloud answers the deletions.
                 for (Machine m : List.copyOf(w.schedulerState.machines())) {
-                  if (m.returning) {
-                    w.schedulerState.machineGone(m, w.now);
+                  if (m.deleting) {
+                    w.schedulerState.machineDeleted(m, w.now);
                   }
                 }
               }
@@ -220,7 +221,7 @@
               w.pass(60_000, 0, 0);
               assertTrue(m.draining);
               for (Attempt a : m.attempts()) {
-                assertTrue(a.stopping());
+                assertTrue(a.isStopping());
               }
               assertEquals(1, w.health.stragglerDetector().doubted());
             }),
@@ -283,10 +284,11 @@
               w.deafTo = 4;
               m.fencingToken++; // Something that only an answer tells it.
               w.pass(20_000, 0, 0);
-              assertEquals(SchedulerState.Refusal.LEAVING, w.schedulerState.unfit(m, w.now));
+              assertEquals(
+                  StartRefusal.DRAINING_OR_FAILED, w.schedulerState.machineRefusal(m, w.now));
               assertEquals(1, w.returned());
               assertEquals(0, w.job.waitingCount()); // Nothing is freed by a suspicion.
-              w.schedulerState.machineGone(m, w.now);
+              w.schedulerState.machineDeleted(m, w.now);
               assertEquals(4, w.job.waitingCount());
             }),
         day(
@@ -301,15 +303,17 @@
               assertTrue(gone >= 8 && gone <= 16, "returned " + gone);
               for (Machine m : w.machines.subList(0, 20)) {
                 assertTrue(
-                    m.returning || w.schedulerState.unfit(m, w.now) == SchedulerState.Refusal.DEAF);
+                    m.deleting
+                        || w.schedulerState.machineRefusal(m, w.now)
+                            == StartRefusal.OUTBOUND_UNREACHABLE);
               }
               w.deafTo = 0;
               w.pass(12_000, 0, 0);
               gone = w.returned();
               for (Machine m : w.machines.subList(0, 20)) {
                 assertEquals(
-                    m.returning ? SchedulerState.Refusal.LEAVING : null,
-                    w.schedulerState.unfit(m, w.now));
+                    m.deleting ? StartRefusal.DRAINING_OR_FAILED : null,
+                    w.schedulerState.machineRefusal(m, w.now));
               }
               w.pass(20_000, 0, 0);
               assertEquals(gone, w.returned());
@@ -337,7 +341,7 @@
               w.pass(14_000, 0, 26);
               int taken = 0;
               for (int i = 20; i < 26; i++) {
-                taken += w.machines.get(i).returning ? 1 : 0;
+                taken += w.machines.get(i).deleting ? 1 : 0;
               }
               assertEquals(6, taken);
               assertTrue(w.returned() <= 6 + 13, "returned " + w.returned());
--- a/src/test/java/org/mallowroad/core/FailoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -15,7 +15,7 @@
 
   private Machine report(
       SchedulerState schedulerState, Machine m, Heartbeat.State state, long now) {
-    schedulerState.report(m, JobSpecs.report(m, ++sequence, 2, state), true, now);
+    schedulerState.processHeartbeat(m, JobSpecs.report(m, ++sequence, 2, state), true, now);
     return m;
   }
 
@@ -28,12 +28,12 @@
     Job job = schedulerState.accept(JobSpecs.array("job-1", 80, 1).spot().build(), 5, 0, now);
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      machines.add(schedulerState.meet("n-" + i, type, 0, true, now));
+      machines.add(schedulerState.registerMachine("n-" + i, type, 0, true, now));
     }
     for (int t = 0; t < 40; t++) {
       schedulerState.restoreAttempt(job, t, 1, machines.get(t / 8), 1, now);
     }
-    schedulerState.restored(job, now);
+    schedulerState.finishRestore(job, now);
     for (Machine m : machines) {
       report(schedulerState, m, Heartbeat.State.RUNNING, now);
     }
--- a/src/test/java/org/mallowroad/core/JobSpecs.java
+++ b/src/test/java/org/mallowroad/core/JobSpecs.java
@@ -129,14 +129,14 @@
 
   /** Commits all that is dirty, with every start in it. */
   public static void commit(SchedulerState schedulerState, long now) {
-    for (AttemptRecord c : new ArrayList<>(schedulerState.dirty())) {
+    for (AttemptRecord c : new ArrayList<>(schedulerState.dirtyRecords())) {
       List<Attempt> recorded = new ArrayList<>();
-      for (int t = c.from(); t < c.to(); t++) {
-        if (c.job.live(t) != null) {
-          recorded.add(c.job.live(t));
+      for (int t = c.firstTask(); t < c.endTask(); t++) {
+        if (c.job.liveAttempt(t) != null) {
+          recorded.add(c.job.liveAttempt(t));
         }
       }
-      schedulerState.committed(c, 9, c.changes, recorded, now);
+      schedulerState.recordCommitted(c, 9, c.changeCount, recorded, now);
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -58,7 +58,8 @@
     }
 
     Machine machine(int zone) {
-      Machine m = schedulerState.meet(String.format("n-%03d", ++named), type, zone, false, now);
+      Machine m =
+          schedulerState.registerMachine(String.format("n-%03d", ++named), type, zone, false, now);
       report(m);
       return m;
     }
@@ -78,12 +79,12 @@
                   a.job.spec.id(), a.task, a.number, Heartbeat.State.RUNNING, null));
         }
       }
-      schedulerState.report(
+      schedulerState.processHeartbeat(
           m,
           new Heartbeat(m.name, "h:1", "t4", "a", false, 1, ++sequence, TERM, -1, all),
           true,
           now);
-      m.lastAnswerMs = now;
+      m.lastResponseMs = now;
     }
 
     Job job(JobSpecs s) {
@@ -94,7 +95,7 @@
       placement.place(now);
       JobSpecs.commit(schedulerState, now);
       for (Machine m : new ArrayList<>(schedulerState.machines())) {
-        if (schedulerState.unfit(m, now) != SchedulerState.Refusal.SILENT) {
+        if (schedulerState.machineRefusal(m, now) != StartRefusal.HEARTBEAT_OVERDUE) {
           report(m);
         }
       }
@@ -266,7 +267,7 @@
               w.silent(10_000, w.in(0));
               return j;
             },
-            w -> w.in(0).forEach(m -> w.schedulerState.machineGone(m, w.now))),
+            w -> w.in(0).forEach(m -> w.schedulerState.machineDeleted(m, w.now))),
         reason(
             PendingCause.MACHINES_SILENT,
             "1 silent machine, most in zone north",
@@ -288,7 +289,7 @@
             },
             w -> {
               w.now += 30_000;
-              w.schedulerState.expireSilent(w.now);
+              w.schedulerState.expireLeases(w.now);
             }),
         reason(
             PendingCause.GANG,
@@ -341,7 +342,7 @@
               w.machine(0);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.run();
-              w.schedulerState.resolve(j.live(0), SchedulerState.Outcome.ERROR, w.now);
+              w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.FAILED, w.now);
               w.now += 2_000;
               w.schedulerState.machines().forEach(w::report);
               return j;
@@ -354,7 +355,7 @@
               w.machines(2);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.run();
-              w.schedulerState.resolve(j.live(0), SchedulerState.Outcome.REFUSED, w.now);
+              w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.LAUNCH_REFUSED, w.now);
               return j;
             },
             w -> w.now += 1_000),
@@ -394,7 +395,7 @@
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
               w.placement.place(w.now);
               JobSpecs.commit(w.schedulerState, w.now);
-              w.schedulerState.report(
+              w.schedulerState.processHeartbeat(
                   m, JobSpecs.report(m, ++w.sequence, TERM, Heartbeat.State.PULLING), true, w.now);
               return j;
             },
@@ -441,8 +442,8 @@
               assertEquals(false, w.sketch.step(1));
               Job gone = w.schedulerState.job("job-4");
               w.schedulerState.cancel(gone, w.now);
-              w.schedulerState.ended(gone, w.now);
-              w.schedulerState.forget(gone);
+              w.schedulerState.markEnded(gone, w.now);
+              w.schedulerState.removeJob(gone);
               while (!w.sketch.step(1)) {
                 assertTrue(w.sketch.jobs().size() < 5);
               }
@@ -462,7 +463,7 @@
       Machine made = w.machine(m % 2);
       made.draining = m / 2 % 10 == 9;
       if (m / 20 % 5 == 4) {
-        made.coolUntilMs = w.now + 60_000;
+        made.backoffUntilMs = w.now + 60_000;
       }
     }
     w.refusing = site % 2 == 1;
@@ -485,7 +486,7 @@
       w.silent(9_000, w.in(0));
     }
     for (Job j : all) {
-      if (!j.waiting()) {
+      if (!j.hasWaitingTasks()) {
         continue;
       }
       PendingReason f = w.why(j);
@@ -494,11 +495,11 @@
         continue; // Its own rules exclude each other, which nothing but its cancellation ends.
       }
       without(w, j, f);
-      int live = j.liveCount();
+      int live = j.liveAttemptCount();
       w.placement.place(w.now);
       PendingReason then = w.why(j);
       assertTrue(
-          j.liveCount() > live || then == null || then.reason() != f.reason(),
+          j.liveAttemptCount() > live || then == null || then.reason() != f.reason(),
           f + " was taken away and is still " + then);
     }
   }
@@ -517,8 +518,8 @@
       case MACHINES_SILENT, ZONE_CUT -> w.schedulerState.machines().forEach(w::report);
       case ZONE_RULES -> {
         for (int t = 0; t < j.spec.tasks(); t++) {
-          if (j.live(t) != null) {
-            w.schedulerState.resolve(j.live(t), SchedulerState.Outcome.LOST, w.now);
+          if (j.liveAttempt(t) != null) {
+            w.schedulerState.resolve(j.liveAttempt(t), AttemptOutcome.LOST, w.now);
           }
         }
       }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -54,8 +54,8 @@
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
       for (int i = 0; i < machines; i++) {
         String name = String.format("n-%06d", i);
-        Machine m = schedulerState.meet(name, type, i % 2, false, now);
-        schedulerState.report(
+        Machine m = schedulerState.registerMachine(name, type, i % 2, false, now);
+        schedulerState.processHeartbeat(
             m, new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()), true, now);
       }
     }
@@ -236,17 +236,17 @@
               w.jobs(2);
               w.placement.place(w.now);
               w.commit();
-              w.schedulerState.outbox().clear();
+              w.schedulerState.machinesWithUnsentCommands().clear();
               Machine m = w.schedulerState.machine("n-000007");
               Attempt a = m.attempts().iterator().next();
-              w.schedulerState.resolve(a, SchedulerState.Outcome.LOST, w.now);
-              assertEquals(1, w.schedulerState.dirty().size());
-              assertEquals(0, w.schedulerState.urgent().size());
+              w.schedulerState.resolve(a, AttemptOutcome.LOST, w.now);
+              assertEquals(1, w.schedulerState.dirtyRecords().size());
+              assertEquals(0, w.schedulerState.urgentRecords().size());
               assertEquals(1, w.placement.place(w.now).size());
-              assertEquals(1, w.schedulerState.urgent().size());
+              assertEquals(1, w.schedulerState.urgentRecords().size());
               w.commit();
-              assertEquals(0, w.schedulerState.urgent().size());
-              assertEquals(List.of(m), List.copyOf(w.schedulerState.outbox()));
+              assertEquals(0, w.schedulerState.urgentRecords().size());
+              assertEquals(List.of(m), List.copyOf(w.schedulerState.machinesWithUnsentCommands()));
             }),
         scale(
             "a full record stays well below the least value limit",
@@ -330,7 +330,10 @@
     }
     w.schedulerState
         .machines()
-        .forEach(m -> w.schedulerState.report(m, JobSpecs.report(m, 2, 1, RUNNING), true, w.now));
+        .forEach(
+            m ->
+                w.schedulerState.processHeartbeat(
+                    m, JobSpecs.report(m, 2, 1, RUNNING), true, w.now));
     return w.sketch();
   }
 
@@ -347,21 +350,21 @@
               for (Job j : w.schedulerState.jobs()) {
                 Job taken = next.schedulerState.accept(j.spec, 5, 0, next.now);
                 for (int i = 0; i < j.attemptRecordCount(); i++) {
-                  next.schedulerState.restore(taken.attemptRecord(i), 9, new BitSet(), 1);
+                  next.schedulerState.restoreRecord(taken.attemptRecord(i), 9, new BitSet(), 1);
                 }
                 for (int t = 0; t < TASKS; t++) {
-                  Attempt a = j.live(t);
+                  Attempt a = j.liveAttempt(t);
                   if (a != null) {
                     Machine m = next.schedulerState.machine(a.machine.name);
                     next.schedulerState.restoreAttempt(
                         taken, t, a.number, m, a.incarnation, next.now);
                   }
                 }
-                next.schedulerState.restored(taken, next.now);
+                next.schedulerState.finishRestore(taken, next.now);
                 assertEquals(j.waitingCount(), taken.waitingCount());
-                assertEquals(j.liveCount(), taken.liveCount());
+                assertEquals(j.liveAttemptCount(), taken.liveAttemptCount());
               }
-              atMost(JOBS * TASKS, next.schedulerState.requeued());
+              atMost(JOBS * TASKS, next.schedulerState.rebuiltQueueTasks());
             }));
   }
 
@@ -379,7 +382,7 @@
               List<Records.Live> live = Records.live(Records.runValue(j.attemptRecord(0), w.zones));
               assertEquals(100, live.size());
               for (Records.Live l : live) {
-                Attempt a = j.live(l.task());
+                Attempt a = j.liveAttempt(l.task());
                 assertEquals(a.machine.name, l.machine());
                 assertEquals(a.number, l.number());
                 assertEquals(a.incarnation, l.incarnation());
