--- a/src/test/java/org/mallowroad/core/SchedulerStateTest.java
+++ b/src/test/java/org/mallowroad/core/SchedulerStateTest.java
@@ -44,7 +44,7 @@
     }
 
     Machine machine(String name, int zone) {
-      Machine m = schedulerState.meet(name, type, zone, false, now);
+      Machine m = schedulerState.registerMachine(name, type, zone, false, now);
       report(m, 1, TERM);
       return m;
     }
@@ -57,7 +57,7 @@
     List<WorkerCommand> at(
         Machine m, long incarnation, long s, long fencingToken, Heartbeat.Entry... entries) {
       List<WorkerCommand> o =
-          schedulerState.report(
+          schedulerState.processHeartbeat(
               m,
               new Heartbeat(
                   m.name,
@@ -72,7 +72,7 @@
                   List.of(entries)),
               true,
               now);
-      m.lastAnswerMs = now;
+      m.lastResponseMs = now;
       return o;
     }
 
@@ -115,13 +115,13 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
               Attempt recording = w.schedulerState.start(j, 0, m, w.now);
-              w.schedulerState.ended(j, w.now);
+              w.schedulerState.markEnded(j, w.now);
               assertEquals(Attempt.Phase.GONE, recording.phase);
-              assertTrue(j.finished());
+              assertTrue(j.isFinished());
               assertEquals(List.of(), w.report(m, 1, TERM));
               Attempt launched = w.start(w.job("job-2", 1, 1), 0, m);
-              w.schedulerState.ended(launched.job, w.now);
-              assertTrue(launched.stopping());
+              w.schedulerState.markEnded(launched.job, w.now);
+              assertTrue(launched.isStopping());
             }),
         rule(
             "a lost launch is sent again as the same attempt",
@@ -139,17 +139,17 @@
               w.start(w.job("job-1", 1, 1), 0, m);
               Heartbeat r =
                   new Heartbeat("n-1", "h:1", "t4", "a", false, 1, 99, TERM, -1, List.of());
-              assertEquals(List.of(), w.schedulerState.report(m, r, false, w.now));
+              assertEquals(List.of(), w.schedulerState.processHeartbeat(m, r, false, w.now));
             }),
         rule(
             "a limit of 0 is none: a guest team without a guarantee runs",
             w -> {
               Team guest = new Team("guest", 0, 0, 0, 0);
               JobSpec s = JobSpecs.array("job-1", 900, 32).build();
-              assertTrue(guest.couldRun(s, 900));
+              assertTrue(guest.couldEverRun(s, 900));
               assertTrue(guest.allows(s, 900));
-              assertFalse(guest.guarantees(s));
-              assertEquals(900, guest.most(s, 900));
+              assertFalse(guest.staysWithinGuarantee(s));
+              assertEquals(900, guest.maxTasks(s, 900));
             }),
         rule(
             "launches that a worker does not take in three reports make it deaf, until it hears",
@@ -161,17 +161,19 @@
                 w.report(m, 1, TERM);
                 w.now += 2_500;
               }
-              assertEquals(SchedulerState.Refusal.DEAF, w.schedulerState.unfit(m, w.now));
-              assertEquals(SchedulerState.Refusal.DEAF, w.schedulerState.mayStart(j, 1, m, w.now));
+              assertEquals(
+                  StartRefusal.OUTBOUND_UNREACHABLE, w.schedulerState.machineRefusal(m, w.now));
+              assertEquals(
+                  StartRefusal.OUTBOUND_UNREACHABLE, w.schedulerState.startRefusal(j, 1, m, w.now));
               // Stopped, it is gone with the next report that does not list it.
-              w.schedulerState.stop(a, 0, w.now);
+              w.schedulerState.requestStop(a, 0, w.now);
               w.report(m, 1, TERM);
-              assertNull(j.live(0));
+              assertNull(j.liveAttempt(0));
               w.now += 10_000;
               w.report(m, 1, TERM);
               assertTrue(m.fencingToken > TERM, "told something that shows whether it hears");
               w.report(m, 1, m.fencingToken);
-              assertNull(w.schedulerState.unfit(m, w.now));
+              assertNull(w.schedulerState.machineRefusal(m, w.now));
             }),
         rule(
             "a session that ends although its reports were answered makes it deaf; a hung one not",
@@ -179,11 +181,12 @@
               Machine m = w.machine("n-1", 0);
               w.now += 4_000;
               w.report(m, 2, TERM);
-              assertEquals(SchedulerState.Refusal.DEAF, w.schedulerState.unfit(m, w.now));
+              assertEquals(
+                  StartRefusal.OUTBOUND_UNREACHABLE, w.schedulerState.machineRefusal(m, w.now));
               Machine n = w.machine("n-2", 0);
               w.now += 25_000;
               w.report(n, 2, TERM);
-              assertNull(w.schedulerState.unfit(n, w.now));
+              assertNull(w.schedulerState.machineRefusal(n, w.now));
             }),
         rule(
             "late copies of reports change nothing, whatever they say and whenever they come",
@@ -198,8 +201,8 @@
               assertNull(w.at(m, 1, w.sequence, TERM, Simulation.entry(a, State.EXITED, "done")));
               assertEquals(Attempt.Phase.RUNNING, a.phase);
               assertEquals(heard, m.lastHeartbeatMs);
-              w.schedulerState.machineGone(m, w.now);
-              assertNull(w.schedulerState.meet("n-1", w.type, 0, false, w.now));
+              w.schedulerState.machineDeleted(m, w.now);
+              assertNull(w.schedulerState.registerMachine("n-1", w.type, 0, false, w.now));
             }),
         rule(
             "a task with an unresolved attempt does not start again",
@@ -208,7 +211,8 @@
               Machine n = w.machine("n-2", 0);
               Job j = w.job("job-1", 1, 1);
               w.start(j, 0, m);
-              assertEquals(SchedulerState.Refusal.BUSY, w.schedulerState.mayStart(j, 0, n, w.now));
+              assertEquals(
+                  StartRefusal.TASK_NOT_PENDING, w.schedulerState.startRefusal(j, 0, n, w.now));
             }),
         rule(
             "unproven tasks use the team's limit",
@@ -217,10 +221,9 @@
               w.start(j, 0, w.machine("n-1", 0));
               w.start(j, 1, w.machine("n-2", 0));
               Machine free = w.machine("n-3", 0);
-              assertEquals(
-                  SchedulerState.Refusal.QUOTA, w.schedulerState.mayStart(j, 2, free, w.now));
-              w.schedulerState.machineGone(w.schedulerState.machine("n-1"), w.now);
-              assertNull(w.schedulerState.mayStart(j, 2, free, w.now));
+              assertEquals(StartRefusal.QUOTA, w.schedulerState.startRefusal(j, 2, free, w.now));
+              w.schedulerState.machineDeleted(w.schedulerState.machine("n-1"), w.now);
+              assertNull(w.schedulerState.startRefusal(j, 2, free, w.now));
             }),
         rule(
             "together keeps to one zone, scatter to half of the tasks a zone",
@@ -231,14 +234,14 @@
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 2, 1).together().build(), 5, 0, w.now);
               w.start(t, 0, a);
-              assertEquals(SchedulerState.Refusal.ZONE, w.schedulerState.mayStart(t, 1, b, w.now));
+              assertEquals(StartRefusal.ZONE_RULES, w.schedulerState.startRefusal(t, 1, b, w.now));
               Job s =
                   w.schedulerState.accept(
                       JobSpecs.array("job-2", 3, 0.5).scatter().build(), 5, 0, w.now);
               w.start(s, 0, a);
               w.start(s, 1, a);
-              assertEquals(SchedulerState.Refusal.ZONE, w.schedulerState.mayStart(s, 2, a, w.now));
-              assertNull(w.schedulerState.mayStart(s, 2, b, w.now));
+              assertEquals(StartRefusal.ZONE_RULES, w.schedulerState.startRefusal(s, 2, a, w.now));
+              assertNull(w.schedulerState.startRefusal(s, 2, b, w.now));
             }),
         rule(
             "type, zone and kind are the job's to allow",
@@ -247,12 +250,12 @@
               Job z =
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 1, 1).zone(1).build(), 5, 0, w.now);
-              assertEquals(SchedulerState.Refusal.PLACE, w.schedulerState.mayStart(z, 0, m, w.now));
-              Machine spot = w.schedulerState.meet("n-2", w.type, 0, true, w.now);
+              assertEquals(StartRefusal.CONSTRAINTS, w.schedulerState.startRefusal(z, 0, m, w.now));
+              Machine spot = w.schedulerState.registerMachine("n-2", w.type, 0, true, w.now);
               w.report(spot, 1, TERM);
               Job o = w.schedulerState.accept(JobSpecs.array("job-2", 1, 1).build(), 5, 0, w.now);
               assertEquals(
-                  SchedulerState.Refusal.PLACE, w.schedulerState.mayStart(o, 0, spot, w.now));
+                  StartRefusal.CONSTRAINTS, w.schedulerState.startRefusal(o, 0, spot, w.now));
             }),
         rule(
             "a silent machine gets no work",
@@ -260,8 +263,8 @@
               Machine m = w.machine("n-1", 0);
               w.now += 7_000;
               assertEquals(
-                  SchedulerState.Refusal.SILENT,
-                  w.schedulerState.mayStart(w.job("job-1", 1, 1), 0, m, w.now));
+                  StartRefusal.HEARTBEAT_OVERDUE,
+                  w.schedulerState.startRefusal(w.job("job-1", 1, 1), 0, m, w.now));
             }),
         rule(
             "a gang starts with all its tasks or not at all",
@@ -273,7 +276,7 @@
               assertEquals(0, w.placement.place(w.now).size());
               w.machine("n-2", 1);
               assertEquals(2, w.placement.place(w.now).size());
-              assertFalse(g.waiting());
+              assertFalse(g.hasWaitingTasks());
             }));
   }
 
@@ -312,7 +315,7 @@
               Attempt a = w.start(j, 0, m);
               w.schedulerState.cancel(j, w.now);
               w.report(m, 1, TERM - 1);
-              assertEquals(Attempt.Phase.READY, a.phase);
+              assertEquals(Attempt.Phase.COMMITTED, a.phase);
               w.report(m, 1, TERM);
               assertEquals(Attempt.Phase.GONE, a.phase);
             }),
@@ -324,33 +327,33 @@
               Attempt a = w.start(j, 0, m);
               w.report(m, 2, TERM);
               assertEquals(Attempt.Phase.GONE, a.phase);
-              assertTrue(j.waiting());
+              assertTrue(j.hasWaitingTasks());
             }),
         rule(
             "a silent worker's lease frees its tasks only if it had seen this term",
             w -> {
               Machine m = w.machine("n-1", 0);
-              Machine old = w.schedulerState.meet("n-2", w.type, 0, false, w.now);
+              Machine old = w.schedulerState.registerMachine("n-2", w.type, 0, false, w.now);
               w.report(old, 1, TERM - 1);
               Job j = w.job("job-1", 2, 1);
               Attempt a = w.start(j, 0, m);
               Attempt b = w.start(j, 1, old);
               w.now += 20_000;
-              w.schedulerState.expireSilent(w.now);
-              assertEquals(Attempt.Phase.READY, a.phase);
+              w.schedulerState.expireLeases(w.now);
+              assertEquals(Attempt.Phase.COMMITTED, a.phase);
               w.now += 1_000;
-              w.schedulerState.expireSilent(w.now);
+              w.schedulerState.expireLeases(w.now);
               assertEquals(Attempt.Phase.GONE, a.phase);
-              assertEquals(Attempt.Phase.READY, b.phase);
+              assertEquals(Attempt.Phase.COMMITTED, b.phase);
             }),
         rule(
             "a deleted machine frees its tasks and is never met again",
             w -> {
               Machine m = w.machine("n-1", 0);
               Attempt a = w.start(w.job("job-1", 1, 1), 0, m);
-              w.schedulerState.machineGone(m, w.now);
+              w.schedulerState.machineDeleted(m, w.now);
               assertEquals(Attempt.Phase.GONE, a.phase);
-              assertNull(w.schedulerState.meet("n-1", w.type, 0, false, w.now));
+              assertNull(w.schedulerState.registerMachine("n-1", w.type, 0, false, w.now));
             }),
         rule(
             "a withdrawn job is stopped, starts nothing and counts until it is gone",
@@ -360,14 +363,15 @@
               Attempt a = w.start(j, 0, m);
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.schedulerState.cancel(j, w.now);
-              assertEquals(SchedulerState.Refusal.OVER, w.schedulerState.mayStart(j, 1, m, w.now));
+              assertEquals(
+                  StartRefusal.JOB_NOT_ELIGIBLE, w.schedulerState.startRefusal(j, 1, m, w.now));
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.STOP, "job-1", 0, 1, 0)),
                   w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null)));
               assertEquals(4, w.schedulerState.team(j.spec).usedCpus());
               w.report(m, 1, TERM, Simulation.entry(a, State.EXITED, "stopped"));
               assertEquals(0, w.schedulerState.team(j.spec).usedCpus());
-              assertTrue(j.finished());
+              assertTrue(j.isFinished());
             }),
         rule(
             "a start withdrawn while it was being recorded is never launched",
@@ -376,9 +380,9 @@
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.schedulerState.start(j, 0, m, w.now);
               AttemptRecord c = j.attemptRecord(0);
-              long changes = c.changes;
+              long changes = c.changeCount;
               w.schedulerState.cancel(j, w.now);
-              w.schedulerState.committed(c, 9, changes, List.of(a), w.now);
+              w.schedulerState.recordCommitted(c, 9, changes, List.of(a), w.now);
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertEquals(List.of(), w.report(m, 1, TERM));
             }),
@@ -400,8 +404,8 @@
                 Machine m = w.machine("n-" + i, 0);
                 Attempt a = w.start(j, 0, m);
                 w.report(m, 1, TERM, Simulation.entry(a, State.EXITED, "error"));
-                assertTrue(j.notBeforeMs - w.now > last);
-                last = j.notBeforeMs - w.now;
+                assertTrue(j.retryNotBeforeMs - w.now > last);
+                last = j.retryNotBeforeMs - w.now;
               }
             }),
         rule(
@@ -409,13 +413,13 @@
             w -> {
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 2, 1);
-              w.schedulerState.restore(j.attemptRecord(0), 3, new java.util.BitSet(), 6);
+              w.schedulerState.restoreRecord(j.attemptRecord(0), 3, new java.util.BitSet(), 6);
               assertEquals(7, w.start(j, 0, m).number);
             }),
         rule(
             "a restored attempt counts, and reports of earlier sessions are dropped",
             w -> {
-              Machine m = w.schedulerState.meet("n-1", w.type, 0, false, w.now);
+              Machine m = w.schedulerState.registerMachine("n-1", w.type, 0, false, w.now);
               Job j = w.job("job-1", 1, 1);
               w.schedulerState.restoreAttempt(j, 0, 2, m, 4, w.now);
               assertEquals(1, w.schedulerState.team(j.spec).usedCpus());
@@ -424,11 +428,11 @@
         rule(
             "a report frees restored attempts of an earlier session, also where a later one is known",
             w -> {
-              Machine m = w.schedulerState.meet("n-1", w.type, 0, false, w.now);
+              Machine m = w.schedulerState.registerMachine("n-1", w.type, 0, false, w.now);
               Job j = w.job("job-1", 2, 1);
               w.schedulerState.restoreAttempt(j, 0, 1, m, 1, w.now);
               w.schedulerState.restoreAttempt(j, 1, 1, m, 2, w.now);
-              w.schedulerState.restored(j, w.now);
+              w.schedulerState.finishRestore(j, w.now);
               w.at(m, 2, 100, TERM - 1);
               assertEquals(1, w.schedulerState.team(j.spec).usedCpus());
               assertEquals(1, j.waitingCount());
@@ -441,20 +445,23 @@
         rule(
             "a launch is sent straight once, and only to a worker that obeys this term",
             w -> {
-              Machine old = w.schedulerState.meet("n-2", w.type, 0, false, w.now);
+              Machine old = w.schedulerState.registerMachine("n-2", w.type, 0, false, w.now);
               w.report(old, 1, TERM - 1);
               w.start(w.job("job-1", 1, 1), 0, old);
               assertEquals(
-                  List.of(), w.schedulerState.heartbeatReconciler().direct(old, true, w.now));
+                  List.of(),
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(old, true, w.now));
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-2", 1, 1), 0, m);
               assertEquals(
-                  List.of(), w.schedulerState.heartbeatReconciler().direct(m, false, w.now));
+                  List.of(),
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(m, false, w.now));
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-2", 0, 1, 0)),
-                  w.schedulerState.heartbeatReconciler().direct(m, true, w.now));
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now));
               assertEquals(
-                  List.of(), w.schedulerState.heartbeatReconciler().direct(m, true, w.now));
+                  List.of(),
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now));
             }),
         rule(
             "an exit is not cleared while a launch of the attempt may still arrive",
@@ -463,16 +470,16 @@
               Job j = w.job("job-1", 2, 1);
               Attempt a = w.start(j, 0, m);
               List<WorkerCommand> sent =
-                  w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now);
               Heartbeat.Entry exit = Simulation.entry(a, State.EXITED, "done");
               w.report(m, 1, TERM, exit);
               w.commit();
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
-              w.schedulerState.heartbeatReconciler().answered(m, sent);
+              w.schedulerState.heartbeatReconciler().directCommandsAnswered(m, sent);
               // Answered or not: a copy of the launch may come, so the token rises with the clear.
               assertEquals(List.of(), w.report(m, 1, TERM, exit));
               assertEquals(TERM, m.fencingToken);
-              w.now += HeartbeatReconciler.RAISE_MS;
+              w.now += HeartbeatReconciler.TOKEN_RAISE_DELAY_MS;
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-1", 0, 1, 0)),
                   w.report(m, 1, TERM, exit));
@@ -482,12 +489,12 @@
             "so many exits that wait for a higher token raise it at once",
             w -> {
               Machine m = w.machine("n-1", 0);
-              Job j = w.job("job-1", HeartbeatReconciler.RAISE_AT, 0.1);
-              Heartbeat.Entry[] exits = new Heartbeat.Entry[HeartbeatReconciler.RAISE_AT];
+              Job j = w.job("job-1", HeartbeatReconciler.TOKEN_RAISE_EXITS, 0.1);
+              Heartbeat.Entry[] exits = new Heartbeat.Entry[HeartbeatReconciler.TOKEN_RAISE_EXITS];
               for (int t = 0; t < exits.length; t++) {
                 exits[t] = Simulation.entry(w.start(j, t, m), State.EXITED, "done");
               }
-              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now);
               w.report(m, 1, TERM, exits);
               w.commit();
               assertEquals(List.of(), w.report(m, 1, TERM, exits));
@@ -512,13 +519,13 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               w.start(j, 0, m);
-              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now);
               w.schedulerState.cancel(j, w.now);
               w.report(m, 1, TERM);
               assertEquals(TERM + 1, m.fencingToken);
-              assertFalse(j.finished());
+              assertFalse(j.isFinished());
               w.report(m, 1, TERM + 1);
-              assertTrue(j.finished());
+              assertTrue(j.isFinished());
             }),
         rule(
             "at the last token of the term launches go in answers only",
@@ -527,7 +534,8 @@
               m.fencingToken = FencingTokens.last(TERM);
               w.start(w.job("job-1", 1, 1), 0, m);
               assertEquals(
-                  List.of(), w.schedulerState.heartbeatReconciler().direct(m, true, w.now));
+                  List.of(),
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now));
               assertEquals(1, w.report(m, 1, TERM).size());
             }),
         rule(
@@ -536,16 +544,16 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
-              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now);
               w.schedulerState.cancel(j, w.now);
               w.report(m, 1, TERM);
               w.report(m, 1, TERM);
-              assertEquals(Attempt.Phase.READY, a.phase);
-              assertFalse(w.schedulerState.heartbeatReconciler().mustFence(m, w.now));
+              assertEquals(Attempt.Phase.COMMITTED, a.phase);
+              assertFalse(w.schedulerState.heartbeatReconciler().needsDeletionToFence(m, w.now));
               w.now += 9_000;
-              assertTrue(w.schedulerState.heartbeatReconciler().mustFence(m, w.now));
-              w.schedulerState.machineGone(m, w.now);
-              assertTrue(j.finished());
+              assertTrue(w.schedulerState.heartbeatReconciler().needsDeletionToFence(m, w.now));
+              w.schedulerState.machineDeleted(m, w.now);
+              assertTrue(j.isFinished());
             }),
         rule(
             "a later session fences a launch in flight",
@@ -553,10 +561,10 @@
               Machine m = w.machine("n-1", 0);
               Job j = w.job("job-1", 1, 1);
               Attempt a = w.start(j, 0, m);
-              w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now);
               w.report(m, 2, TERM);
               assertEquals(Attempt.Phase.GONE, a.phase);
-              assertTrue(m.unfenced.isEmpty());
+              assertTrue(m.unfencedLaunches.isEmpty());
             }),
         rule(
             "a launch refused as a whole is sent again in the next response",
@@ -564,8 +572,8 @@
               Machine m = w.machine("n-1", 0);
               w.start(w.job("job-1", 1, 1), 0, m);
               List<WorkerCommand> sent =
-                  w.schedulerState.heartbeatReconciler().direct(m, true, w.now);
-              w.schedulerState.heartbeatReconciler().answered(m, sent);
+                  w.schedulerState.heartbeatReconciler().takeDirectCommands(m, true, w.now);
+              w.schedulerState.heartbeatReconciler().directCommandsAnswered(m, sent);
               assertEquals(sent, w.report(m, 1, TERM));
             }));
   }
@@ -586,15 +594,15 @@
               Heartbeat.Entry ra = Simulation.entry(a, State.RUNNING, null);
               Heartbeat.Entry rb = Simulation.entry(b, State.RUNNING, null);
               w.report(m, 1, TERM, ra, rb);
-              w.schedulerState.report(
+              w.schedulerState.processHeartbeat(
                   m,
                   new Heartbeat(
                       "n-1", "h:1", "t4", "a", false, 1, ++w.sequence, TERM, 15, List.of(ra, rb)),
                   true,
                   w.now);
               assertEquals(
-                  SchedulerState.Refusal.LEAVING,
-                  w.schedulerState.mayStart(w.job("job-3", 1, 1), 0, m, w.now));
+                  StartRefusal.DRAINING_OR_FAILED,
+                  w.schedulerState.startRefusal(w.job("job-3", 1, 1), 0, m, w.now));
               w.placement.drain(w.now);
               assertEquals(
                   List.of(
@@ -609,9 +617,9 @@
               Attempt a = w.start(w.job("job-1", 1, 1), 0, m);
               Heartbeat.Entry e = Simulation.entry(a, State.RUNNING, null);
               w.report(m, 1, TERM, e);
-              m.noticeMs = w.now + 90_000; // Estimated at 60 s.
+              m.interruptionMs = w.now + 90_000; // Estimated at 60 s.
               w.placement.drain(w.now);
-              assertFalse(a.stopping());
+              assertFalse(a.isStopping());
             }));
   }
 
@@ -629,13 +637,13 @@
               w.now += 2_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.placement.place(w.now);
-              assertFalse(a.stopping());
+              assertFalse(a.isStopping());
               w.schedulerState.accept(
                   JobSpecs.array("job-3", 1, 4).priority(1).build(), 7, 0, w.now);
               w.now += 2_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.placement.place(w.now);
-              assertTrue(a.stopping());
+              assertTrue(a.isStopping());
             }),
         rule(
             "a guarantee stops what another team borrows at the same priority",
@@ -652,7 +660,7 @@
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.report(n, 1, TERM, Simulation.entry(b, State.RUNNING, null));
               w.placement.place(w.now);
-              assertEquals(1, (a.stopping() ? 1 : 0) + (b.stopping() ? 1 : 0));
+              assertEquals(1, (a.isStopping() ? 1 : 0) + (b.isStopping() ? 1 : 0));
             }));
   }
 }
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -95,8 +95,8 @@
         new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
     MachineType type =
         new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
-    Machine m = schedulerState.meet("n-1", type, 0, false, now);
-    schedulerState.report(
+    Machine m = schedulerState.registerMachine("n-1", type, 0, false, now);
+    schedulerState.processHeartbeat(
         m,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, new ArrayList<>()),
         true,
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -50,10 +50,10 @@
     }
 
     Machine machine(String name, MachineType type, boolean spot) {
-      Machine m = schedulerState.meet(name, type, 0, spot, now);
+      Machine m = schedulerState.registerMachine(name, type, 0, spot, now);
       Heartbeat r =
           new Heartbeat(name, "h:1", type.name(), "a", spot, 1, ++sequence, 1, -1, List.of());
-      schedulerState.report(m, r, true, now);
+      schedulerState.processHeartbeat(m, r, true, now);
       return m;
     }
 
@@ -203,7 +203,7 @@
               w.machine("n-1", SMALL, true);
               w.machine("n-2", SMALL, true);
               assertEquals(List.of(), w.fleet.returns(false, w.now));
-              assertTrue(idle.usable());
+              assertTrue(idle.isUsable());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Attempt;
+import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpecs;
@@ -19,6 +20,7 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.Autoscaler;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
@@ -55,10 +57,10 @@
     }
 
     Machine machine(int zone) {
-      Machine m = schedulerState.meet("n-" + names++, BOX, zone, false, now);
+      Machine m = schedulerState.registerMachine("n-" + names++, BOX, zone, false, now);
       schedulerState
           .heartbeatReconciler()
-          .report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
       return m;
     }
 
@@ -106,13 +108,13 @@
     void hear(Machine m) {
       schedulerState
           .heartbeatReconciler()
-          .report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     int held(Job job) {
       int n = 0;
       for (Machine m : schedulerState.machines()) {
-        n += m.heldFor == job ? 1 : 0;
+        n += m.reservedFor == job ? 1 : 0;
       }
       return n;
     }
@@ -155,19 +157,20 @@
               w.machine(0);
               w.begin();
               Machine m = w.schedulerState.machine("n-0");
-              assertEquals(job, m.heldFor);
+              assertEquals(job, m.reservedFor);
               Job other =
                   w.schedulerState.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
               w.cycle();
-              assertEquals(0, other.liveCount());
+              assertEquals(0, other.liveAttemptCount());
               assertEquals(
-                  SchedulerState.Refusal.HELD, w.schedulerState.mayStart(other, 0, m, w.now));
+                  StartRefusal.RESERVED_FOR_GANG,
+                  w.schedulerState.startRefusal(other, 0, m, w.now));
               w.machine(0);
               w.machine(0);
               w.cycle();
-              assertEquals(3, job.liveCount());
+              assertEquals(3, job.liveAttemptCount());
               w.cycle();
-              assertNull(m.heldFor);
+              assertNull(m.reservedFor);
             }),
         gang(
             "without more machines it counts on what ends within minutes, also while the cloud is asked"
@@ -246,13 +249,13 @@
               Job one = w.gang("job-1", 7);
               Job two = w.gang("job-2", 7);
               w.begin();
-              assertEquals(7, one.liveCount());
-              assertEquals(0, two.liveCount());
+              assertEquals(7, one.liveAttemptCount());
+              assertEquals(0, two.liveAttemptCount());
               for (Attempt a : live(one)) {
-                w.schedulerState.resolve(a, SchedulerState.Outcome.DONE, w.now);
+                w.schedulerState.resolve(a, AttemptOutcome.COMPLETED, w.now);
               }
               w.begin();
-              assertEquals(7, two.liveCount());
+              assertEquals(7, two.liveAttemptCount());
             }),
         gang(
             "tasks that end soon are waited for where the cloud has no more, lower ranks give way",
@@ -277,12 +280,12 @@
               Job job = w.gang("job-3", 2);
               w.begin();
               assertEquals(2, w.held(job));
-              assertFalse(a.stopping());
-              assertTrue(b.stopping());
-              w.schedulerState.resolve(a, SchedulerState.Outcome.DONE, w.now);
-              w.schedulerState.resolve(b, SchedulerState.Outcome.STOPPED, w.now);
+              assertFalse(a.isStopping());
+              assertTrue(b.isStopping());
+              w.schedulerState.resolve(a, AttemptOutcome.COMPLETED, w.now);
+              w.schedulerState.resolve(b, AttemptOutcome.STOPPED, w.now);
               w.cycle();
-              assertEquals(2, job.liveCount());
+              assertEquals(2, job.liveAttemptCount());
             }),
         gang(
             "a withdrawn gang, or one that takes too long, holds nothing",
@@ -316,12 +319,12 @@
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
               List<ScaleOutRequest> rents = w.begin();
-              assertEquals(0, job.liveCount());
+              assertEquals(0, job.liveAttemptCount());
               assertTrue(sum(rents) >= 2);
               w.machine(1);
               w.machine(1);
               w.cycle();
-              assertEquals(4, job.liveCount());
+              assertEquals(4, job.liveAttemptCount());
             }),
         gang(
             "a gang is no reason for the averages to rent",
@@ -338,19 +341,19 @@
   private static List<Attempt> live(Job job) {
     List<Attempt> out = new ArrayList<>();
     for (int t = 0; t < job.spec.tasks(); t++) {
-      if (job.live(t) != null) {
-        out.add(job.live(t));
+      if (job.liveAttempt(t) != null) {
+        out.add(job.liveAttempt(t));
       }
     }
     return out;
   }
 
   private static Attempt run(Simulation w, Job job, Machine m) {
-    Attempt a = w.schedulerState.start(job, job.pending.dequeueInt(), m, w.now);
+    Attempt a = w.schedulerState.start(job, job.pendingTasks.dequeueInt(), m, w.now);
     JobSpecs.commit(w.schedulerState, w.now);
     w.schedulerState
         .heartbeatReconciler()
-        .report(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
+        .reconcile(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
     return a;
   }
 }
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Attempt;
+import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
@@ -53,7 +54,7 @@
     }
 
     Machine machine(int zone) {
-      Machine m = schedulerState.meet("n-" + machines.size(), type, zone, false, now);
+      Machine m = schedulerState.registerMachine("n-" + machines.size(), type, zone, false, now);
       machines.add(m);
       report(m, null);
       return m;
@@ -72,7 +73,7 @@
         }
       }
       String zone = zones.name(m.zone);
-      return schedulerState.report(
+      return schedulerState.processHeartbeat(
           m,
           new Heartbeat(
               m.name,
@@ -159,7 +160,7 @@
               }
               Job j = w.job(6, 0);
               w.place();
-              assertEquals(6, j.liveCount());
+              assertEquals(6, j.liveAttemptCount());
               assertEquals(6, w.schedulerState.imageDistribution().fromSource());
             }),
         stage(
@@ -172,16 +173,16 @@
               }
               Job j = w.job(6, 0);
               w.place();
-              assertEquals(2, j.liveCount());
+              assertEquals(2, j.liveAttemptCount());
               Machine first = busy(w).get(0);
               assertEquals(List.of(), w.imageSources(first));
               w.report(first, Heartbeat.State.PULLING);
               w.place();
-              assertEquals(2, j.liveCount());
+              assertEquals(2, j.liveAttemptCount());
               w.report(first, Heartbeat.State.RUNNING);
               w.place();
               // One more from the source, and one that the holder hands on to.
-              assertEquals(4, j.liveCount());
+              assertEquals(4, j.liveAttemptCount());
               assertEquals(2, w.schedulerState.imageDistribution().fromSource());
               int handed = 0;
               for (Machine m : busy(w)) {
@@ -202,7 +203,7 @@
               w.place();
               busy(w).forEach(m -> w.report(m, Heartbeat.State.RUNNING));
               w.place();
-              assertEquals(4, j.liveCount());
+              assertEquals(4, j.liveAttemptCount());
               for (Machine m : busy(w)) {
                 assertTrue(w.imageSources(m).isEmpty() || w.imageSources(m).contains("no launch"));
               }
@@ -220,14 +221,14 @@
               w.place();
               assertEquals(List.of(), w.imageSources(b));
               w.report(a, Heartbeat.State.RUNNING);
-              a.noticeMs = w.now + 9_000;
+              a.interruptionMs = w.now + 9_000;
               Machine c = w.machine(0);
               w.place();
               assertEquals(List.of(), w.imageSources(c));
-              a.noticeMs = 0;
+              a.interruptionMs = 0;
               w.report(a, null, 2);
               assertEquals(0, w.schedulerState.imageDistribution().holders(0));
-              assertEquals(3, j.liveCount() + j.waitingCount() - 1);
+              assertEquals(3, j.liveAttemptCount() + j.waitingCount() - 1);
             }),
         stage(
             "a copy or two cross a zone's border, then its own holder hands on",
@@ -271,13 +272,13 @@
               Machine first = busy(w).get(0);
               w.report(first, Heartbeat.State.RUNNING);
               w.place();
-              w.schedulerState.machineGone(first, w.now);
+              w.schedulerState.machineDeleted(first, w.now);
               assertEquals(0, w.schedulerState.imageDistribution().holders(0));
               w.schedulerState
                   .machines()
                   .forEach(m -> assertFalse(w.schedulerState.imageDistribution().gives(m)));
               for (Machine m : List.copyOf(w.schedulerState.machines())) {
-                w.schedulerState.machineGone(m, w.now);
+                w.schedulerState.machineDeleted(m, w.now);
               }
               assertEquals(0, w.schedulerState.imageDistribution().fromSource());
               assertEquals(0, w.schedulerState.imageDistribution().images());
@@ -293,7 +294,7 @@
               w.report(a, Heartbeat.State.RUNNING);
               assertEquals(1, w.schedulerState.imageDistribution().holders(0));
               w.schedulerState.cancel(j, w.now);
-              w.schedulerState.resolve(j.live(0), SchedulerState.Outcome.STOPPED, w.now);
+              w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.STOPPED, w.now);
               w.job(1, 1);
               w.place();
               w.report(a, Heartbeat.State.RUNNING);
@@ -307,7 +308,7 @@
     List<Machine> out = new ArrayList<>();
     w.machines.forEach(
         m -> {
-          if (!m.empty()) {
+          if (!m.isEmpty()) {
             out.add(m);
           }
         });
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -33,12 +33,12 @@
       schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
       placement = new TaskScheduler(schedulerState);
       for (int i = 0; i < 100; i++) {
-        report(schedulerState.meet("n-" + i, type, 0, true, now));
+        report(schedulerState.registerMachine("n-" + i, type, 0, true, now));
       }
     }
 
     void report(Machine m) {
-      schedulerState.report(
+      schedulerState.processHeartbeat(
           m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
@@ -117,7 +117,7 @@
                 w.schedulerState.restoreAttempt(
                     j, t, 4, w.schedulerState.machine("n-" + t), 1, w.now);
               }
-              w.schedulerState.restored(j, w.now);
+              w.schedulerState.finishRestore(j, w.now);
               w.schedulerState.machines().forEach(w::report);
               assertEquals(0, w.urgent(20));
               w.schedulerState.accept(
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -66,8 +66,9 @@
   }
 
   private Machine machine(String name) {
-    Machine m = schedulerState.meet(name, type, 0, false, now);
-    schedulerState.report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+    Machine m = schedulerState.registerMachine(name, type, 0, false, now);
+    schedulerState.processHeartbeat(
+        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     return m;
   }
 
@@ -88,14 +89,15 @@
     assertEquals(List.of("job-1", "job-2"), order());
     placement.place(now);
     JobSpecs.commit(schedulerState, now);
-    schedulerState.report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
-    assertEquals(1, large.liveCount());
+    schedulerState.processHeartbeat(
+        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+    assertEquals(1, large.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
       placement.place(now);
     }
     // Stopped, it would take the room again at once: the two stopped each other 3,713 times.
-    assertFalse(large.live(0).stopping());
+    assertFalse(large.liveAttempt(0).isStopping());
     assertEquals(0, placement.stops());
   }
 
@@ -117,7 +119,7 @@
       machine("n-" + i);
       placement.place(now);
     }
-    assertEquals(100, j.liveCount());
+    assertEquals(100, j.liveAttemptCount());
     assertTrue(j.begunMs() == now, "400 CPUs are the limit, 4 each");
   }
 }
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -73,7 +73,7 @@
               assertEquals(0, after.elected);
               assertEquals(null, h.leader());
               h.run(1_400);
-              assertEquals(1 + FencingTokens.TOKENS, after.elected);
+              assertEquals(1 + FencingTokens.TOKENS_PER_TERM, after.elected);
             }),
         rule(
             "the others have the office first when its holder's process is back",
