--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -13,9 +13,10 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.autoscaling.Autoscaler;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 import org.mallowroad.core.gang.GangReservations;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.election.LeaderElection;
@@ -88,7 +89,7 @@
   /** A recorded rental request. */
   private static final class Hire {
     final String name;
-    final Variant variant;
+    final MachineVariant variant;
     final int count;
     final long sinceMs;
 
@@ -99,7 +100,7 @@
     boolean answered;
     List<String> machines = List.of();
 
-    Hire(String name, Variant variant, int count, long sinceMs, String gang) {
+    Hire(String name, MachineVariant variant, int count, long sinceMs, String gang) {
       this.gang = gang;
       this.name = name;
       this.variant = variant;
@@ -109,7 +110,8 @@
   }
 
   /** A machine that was rented or listed and has not reported in this term. */
-  private record Expected(String name, Variant variant, long rentedMs, long metMs, String gang) {}
+  private record Expected(
+      String name, MachineVariant variant, long rentedMs, long metMs, String gang) {}
 
   public MachineProvisioner(
       EventLoop loop,
@@ -171,7 +173,7 @@
     Hire h =
         new Hire(
             name,
-            new Variant(type, zone, v.path("spot").asBoolean()),
+            new MachineVariant(type, zone, v.path("spot").asBoolean()),
             v.path("count").asInt(),
             loop.now(),
             v.path(GANG).asText(null));
@@ -183,7 +185,7 @@
   public int running() {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
-      if (!m.returning && !m.failed) {
+      if (!m.deleting && !m.failed) {
         n++;
       }
     }
@@ -194,7 +196,7 @@
   public void reported(Machine m) {
     Expected e = expected.remove(m.name);
     if (e != null) {
-      schedulerState.spending().booted(m, loop.now() - e.rentedMs);
+      schedulerState.costAccounting().machineBooted(m, loop.now() - e.rentedMs);
     }
   }
 
@@ -224,19 +226,19 @@
   private void listed(CloudClient.Listed l) {
     MachineType type = machineTypes.type(l.type());
     int zone = zones.find(l.zone());
-    if (type == null || zone < 0 || schedulerState.isGone(l.name())) {
+    if (type == null || zone < 0 || schedulerState.isDeleted(l.name())) {
       return;
     }
     long now = loop.now();
     Machine m = schedulerState.machine(l.name());
     if (l.state().equals(Fields.FAILED)) {
       if (m == null) {
-        m = schedulerState.meet(l.name(), type, zone, l.spot(), now);
+        m = schedulerState.registerMachine(l.name(), type, zone, l.spot(), now);
       }
       if (!m.failed) {
         LOG.info("event=machine_failed machine={}", l.name());
         schedulerState.machineFailed(m, now);
-        m.returning = true;
+        m.deleting = true;
         expected.remove(l.name());
         listener.changed();
       }
@@ -247,7 +249,7 @@
           l.name(),
           new Expected(
               l.name(),
-              new Variant(type, zone, l.spot()),
+              new MachineVariant(type, zone, l.spot()),
               now - (long) (l.ageS() * 1000),
               now,
               null));
@@ -265,10 +267,10 @@
       }
     }
     settle();
-    List<Coming> coming = coming(now);
+    List<PendingMachines> coming = coming(now);
     List<Job> queue = listener.queue();
     // What one transaction cannot record is asked for again in the next cycle.
-    List<Autoscaler.Rent> rents = fleet.rents(queue, coming, machineTypes.machineTypes(), now);
+    List<ScaleOutRequest> rents = fleet.rents(queue, coming, machineTypes.machineTypes(), now);
     for (GangReservations.Change c : schedulerState.gangReservations().changes()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
@@ -283,8 +285,8 @@
       rent(rents.subList(0, Math.min(rents.size(), maxOps)), now);
     }
     for (Machine m : fleet.returns(!queue.isEmpty(), now)) {
-      LOG.info("event=return machine={} idle_ms={}", m.name, now - m.emptySinceMs);
-      m.returning = true;
+      LOG.info("event=return machine={} idle_ms={}", m.name, now - m.idleSinceMs);
+      m.deleting = true;
     }
   }
 
@@ -297,32 +299,32 @@
   }
 
   /** Since when the cloud has refused the variant; -1 while it has not. */
-  public long refusedSinceMs(Variant v) {
+  public long refusedSinceMs(MachineVariant v) {
     return fleet.refusedSinceMs(v);
   }
 
   /** Machines rented and not yet reporting, those overdue left out. */
-  public List<Coming> coming(long now) {
-    List<Coming> out = new ArrayList<>();
+  public List<PendingMachines> coming(long now) {
+    List<PendingMachines> out = new ArrayList<>();
     for (Hire h : rentals.values()) {
       if (!h.answered) {
-        out.add(new Coming(h.variant, h.count, h.sinceMs, h.gang));
+        out.add(new PendingMachines(h.variant, h.count, h.sinceMs, h.gang));
       }
     }
     for (Expected e : expected.values()) {
       // One that is long overdue may never come: it no longer holds back a replacement.
       if (now - e.rentedMs < (long) (e.variant.type().bootS() * 1800) + 4000) {
-        out.add(new Coming(e.variant, 1, e.rentedMs, e.gang));
+        out.add(new PendingMachines(e.variant, 1, e.rentedMs, e.gang));
       }
     }
     return out;
   }
 
   /** Records requests, all in one transaction, before their calls. */
-  private void rent(List<Autoscaler.Rent> rents, long now) {
+  private void rent(List<ScaleOutRequest> rents, long now) {
     List<Hire> batch = new ArrayList<>();
     Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
-    for (Autoscaler.Rent r : rents) {
+    for (ScaleOutRequest r : rents) {
       String name = "r-" + term + "-" + counter++;
       Hire h = new Hire(name, r.variant(), r.count(), now, r.gang());
       h.calling = true;
@@ -359,7 +361,7 @@
   }
 
   /** Machines of a variant that the cloud has given: known, or on their way. */
-  private int there(Variant v) {
+  private int there(MachineVariant v) {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
       boolean is = m.type.index() == v.type().index() && m.zone == v.zone() && m.spot == v.spot();
@@ -416,7 +418,7 @@
           }
           for (String n : names) {
             Machine m = schedulerState.machine(n);
-            if ((m == null || m.lastHeartbeatMs < 0) && !schedulerState.isGone(n)) {
+            if ((m == null || m.lastHeartbeatMs < 0) && !schedulerState.isDeleted(n)) {
               // Over what a list said meanwhile, which does not know for whom it was rented.
               expected.put(n, new Expected(n, h.variant, h.sinceMs, now, h.gang));
             }
@@ -466,9 +468,10 @@
           && !schedulerState.health().failureDetector().cut(e.variant.zone())) {
         LOG.info("event=machine_never_came machine={}", e.name);
         Machine m =
-            schedulerState.meet(e.name, e.variant.type(), e.variant.zone(), e.variant.spot(), now);
+            schedulerState.registerMachine(
+                e.name, e.variant.type(), e.variant.zone(), e.variant.spot(), now);
         if (m != null) {
-          m.returning = true;
+          m.deleting = true;
         }
         expected.remove(e.name);
       }
@@ -481,7 +484,7 @@
     }
     List<String> names = new ArrayList<>();
     for (Machine m : schedulerState.machines()) {
-      if (m.returning && names.size() < 100) {
+      if (m.deleting && names.size() < 100) {
         names.add(m.name);
       }
     }
@@ -500,7 +503,7 @@
           for (String n : names) {
             Machine m = schedulerState.machine(n);
             if (m != null) {
-              schedulerState.machineGone(m, loop.now());
+              schedulerState.machineDeleted(m, loop.now());
             }
             expected.remove(n);
           }
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -15,9 +15,10 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.gang.GangReservations;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
@@ -46,14 +47,14 @@
 
   /** Machines alike in type, zone and kind, and what holds them. */
   private static final class Group {
-    private final Variant variant;
+    private final MachineVariant variant;
     private final List<Machine> machines = new ArrayList<>();
     private final double[][] held;
     private int coming;
     private long dueMs = Long.MAX_VALUE;
     private long rentedMs;
 
-    Group(Variant variant, int teams) {
+    Group(MachineVariant variant, int teams) {
       this.variant = variant;
       this.held = new double[teams][PRIORITIES];
     }
@@ -74,7 +75,7 @@
 
   private final List<Job> jobs = new ArrayList<>();
   private final List<Group> groups = new ArrayList<>();
-  private final List<Variant> offered = new ArrayList<>();
+  private final List<MachineVariant> offered = new ArrayList<>();
   private final Reference2ObjectOpenHashMap<Job, Counts> counts =
       new Reference2ObjectOpenHashMap<>();
   private final Object2ObjectOpenHashMap<Shape, Tally> tallies = new Object2ObjectOpenHashMap<>();
@@ -122,29 +123,29 @@
     List<Job> queue = placement.queue(now);
     jobs.addAll(queue);
     for (Job j : schedulerState.jobs()) {
-      if (!j.waiting() && !j.ended()) {
+      if (!j.hasWaitingTasks() && !j.isEnded()) {
         jobs.add(j);
       }
     }
     ahead = new double[schedulerState.teams().size()][PRIORITIES][2];
     for (Job j : queue) {
-      ahead[j.spec.team()][j.spec.priority()][j.guaranteed() ? 1 : 0] +=
+      ahead[j.spec.team()][j.spec.priority()][j.isGuaranteed() ? 1 : 0] +=
           j.waitingCount() * j.spec.cpus();
     }
     survey();
     for (MachineType t : supply.types()) {
       for (int zone : t.zones()) {
-        offered.add(new Variant(t, zone, true));
-        offered.add(new Variant(t, zone, false));
+        offered.add(new MachineVariant(t, zone, true));
+        offered.add(new MachineVariant(t, zone, false));
       }
     }
   }
 
   private void survey() {
-    Object2ObjectLinkedOpenHashMap<Variant, Group> byVariant =
+    Object2ObjectLinkedOpenHashMap<MachineVariant, Group> byVariant =
         new Object2ObjectLinkedOpenHashMap<>();
     for (Machine m : schedulerState.machines()) {
-      Group g = group(byVariant, new Variant(m.type, m.zone, m.spot));
+      Group g = group(byVariant, new MachineVariant(m.type, m.zone, m.spot));
       g.machines.add(m);
       boolean silent = unheard(m, now);
       for (Attempt a : m.attempts()) {
@@ -152,7 +153,7 @@
         count(a, m, silent);
       }
     }
-    for (Coming c : supply.coming(now)) {
+    for (PendingMachines c : supply.coming(now)) {
       Group g = group(byVariant, c.variant());
       g.coming += c.count();
       long due = c.sinceMs() + (long) (c.variant().type().bootS() * 1000);
@@ -166,27 +167,28 @@
 
   /** Not heard: its report is overdue, in a cut zone, or it is being returned for that. */
   boolean unheard(Machine m, long at) {
-    return schedulerState.unfit(m, at) == SchedulerState.Refusal.SILENT
+    return schedulerState.machineRefusal(m, at) == StartRefusal.HEARTBEAT_OVERDUE
         || schedulerState.health().away(m.health)
-        || (m.returning && !m.failed && m.health.late());
+        || (m.deleting && !m.failed && m.health.late());
   }
 
-  private Group group(Object2ObjectLinkedOpenHashMap<Variant, Group> byVariant, Variant v) {
+  private Group group(
+      Object2ObjectLinkedOpenHashMap<MachineVariant, Group> byVariant, MachineVariant v) {
     return byVariant.computeIfAbsent(v, k -> new Group(v, schedulerState.teams().size()));
   }
 
   private void count(Attempt a, Machine m, boolean silent) {
     if (!silent
         && a.phase != Attempt.Phase.RECORDING
-        && a.phase != Attempt.Phase.READY
+        && a.phase != Attempt.Phase.COMMITTED
         && a.phase != Attempt.Phase.PULLING) {
       return;
     }
     Counts c = counts.computeIfAbsent(a.job, k -> new Counts());
     if (silent && a.phase != Attempt.Phase.RECORDING) {
       c.silent++;
-      long since = m.lastHeartbeatMs < 0 ? m.sinceMs : m.lastHeartbeatMs;
-      long gone = schedulerState.leaseEndsMs(m);
+      long since = m.lastHeartbeatMs < 0 ? m.firstSeenMs : m.lastHeartbeatMs;
+      long gone = schedulerState.leaseExpiryMs(m);
       if (since < c.silentSinceMs) {
         c.silentSinceMs = since;
         c.silentOn = m;
@@ -195,10 +197,10 @@
       c.goneMs = gone < 0 || c.goneMs < 0 ? -1 : Math.max(c.goneMs, gone);
       return;
     }
-    c.oldestMs = Math.min(c.oldestMs, a.sinceMs);
+    c.oldestMs = Math.min(c.oldestMs, a.createdMs);
     switch (a.phase) {
       case RECORDING -> c.recording++;
-      case READY -> c.ready++;
+      case COMMITTED -> c.ready++;
       default -> c.pulling++;
     }
   }
@@ -258,14 +260,14 @@
   }
 
   private PendingReason find(Job job) {
-    if (job.ended() || (job.cancelled() && job.liveCount() == 0)) {
+    if (job.isEnded() || (job.isCancelled() && job.liveAttemptCount() == 0)) {
       return null;
     }
     Counts c = counts.get(job);
-    if (job.held() && !job.cancelled()) {
-      return plain(job, PendingCause.HELD_BY_TIES, job.holdText);
+    if (job.isHeld() && !job.isCancelled()) {
+      return plain(job, PendingCause.HELD_BY_TIES, job.holdReason);
     }
-    if (!job.waiting()) {
+    if (!job.hasWaitingTasks()) {
       return c == null ? null : underWay(c);
     }
     PendingReason f = pending(job);
@@ -300,7 +302,7 @@
           -1,
           CountFormat.of(c.recording, "start")
               + ", "
-              + CountFormat.of(schedulerState.dirty().size(), "uncommitted record"));
+              + CountFormat.of(schedulerState.dirtyRecords().size(), "uncommitted record"));
     }
     if (c.pulling > 0) {
       return new PendingReason(
@@ -339,27 +341,27 @@
           -1,
           "the lease is not renewed: nothing is placed");
     }
-    if (job.heldBack(now)) {
+    if (job.isBackingOff(now)) {
       return new PendingReason(
           PendingCause.HELD_BACK,
           job.waitingSinceMs(),
-          job.notBeforeMs(),
+          job.retryNotBeforeMs(),
           -1,
-          CountFormat.of(job.failures(), "failure") + " in a row");
+          CountFormat.of(job.consecutiveFailures(), "failure") + " in a row");
     }
     Team team = schedulerState.team(s);
     if (placement.overLimit(job)) {
       return new PendingReason(
           PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
     }
-    if (s.contradicts(zones.size())) {
+    if (s.isUnsatisfiable(zones.size())) {
       return plain(
           job,
           PendingCause.ZONE_RULES,
           "never: all "
               + s.tasks()
               + " tasks of the gang have to be in one zone, and scatter lets "
-              + s.zoneCap()
+              + s.maxTasksPerZone()
               + " be there");
     }
     Tally t = ask(job);
@@ -371,24 +373,24 @@
       return s.gang() ? gang(job) : aboutToStart(job);
     }
     return switch (t.most()) {
-      case ROOM ->
+      case RESOURCES ->
           unsupplied(
               job,
               PendingCause.NO_ROOM,
-              CountFormat.of(t.of(SchedulerState.Refusal.ROOM), "machine") + " full");
-      case ZONE -> zoneRules(job);
-      case SILENT -> silent(job, t);
-      case DOUBTED ->
+              CountFormat.of(t.of(StartRefusal.RESOURCES), "machine") + " full");
+      case ZONE_RULES -> zoneRules(job);
+      case HEARTBEAT_OVERDUE -> silent(job, t);
+      case SUSPECTED_SLOW_OR_FAULTY ->
           plain(
               job,
               PendingCause.SLOW_MACHINES,
-              CountFormat.of(t.of(SchedulerState.Refusal.DOUBTED), "machine"));
-      case FAILED_HERE ->
+              CountFormat.of(t.of(StartRefusal.SUSPECTED_SLOW_OR_FAULTY), "machine"));
+      case FAILED_ON_MACHINE ->
           plain(
               job,
               PendingCause.FAILED_THERE,
-              CountFormat.of(t.of(SchedulerState.Refusal.FAILED_HERE), "machine"));
-      case FETCHES ->
+              CountFormat.of(t.of(StartRefusal.FAILED_ON_MACHINE), "machine"));
+      case IMAGE_FETCH_LIMIT ->
           plain(
               job,
               PendingCause.STAGED,
@@ -396,14 +398,16 @@
                   + " fetch from the source now, "
                   + schedulerState.imageDistribution().holders(job.spec.image())
                   + " hold the image");
-      case HELD ->
+      case RESERVED_FOR_GANG ->
           plain(
-              job, PendingCause.HELD, CountFormat.of(t.of(SchedulerState.Refusal.HELD), "machine"));
-      case DEAF ->
+              job,
+              PendingCause.HELD,
+              CountFormat.of(t.of(StartRefusal.RESERVED_FOR_GANG), "machine"));
+      case OUTBOUND_UNREACHABLE ->
           plain(
               job,
               PendingCause.MACHINES_DEAF,
-              CountFormat.of(t.of(SchedulerState.Refusal.DEAF), "machine"));
+              CountFormat.of(t.of(StartRefusal.OUTBOUND_UNREACHABLE), "machine"));
       case QUOTA ->
           new PendingReason(PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
       default -> plain(job, PendingCause.LEAVING, CountFormat.of(t.allowed, "machine"));
@@ -469,7 +473,7 @@
   private PendingReason zoneRules(Job job) {
     StringBuilder b = new StringBuilder("its other tasks are in");
     for (int z = 0; z < zones.size(); z++) {
-      if (job.liveIn(z)) {
+      if (job.hasLiveAttemptIn(z)) {
         b.append(' ').append(zones.name(z));
       }
     }
@@ -494,7 +498,7 @@
         job.waitingSinceMs(),
         -1,
         zone,
-        CountFormat.of(t.of(SchedulerState.Refusal.SILENT), "silent machine")
+        CountFormat.of(t.of(StartRefusal.HEARTBEAT_OVERDUE), "silent machine")
             + ", most in zone "
             + zones.name(zone));
   }
@@ -526,9 +530,9 @@
               + name(booting.variant));
     }
     long refused = Long.MAX_VALUE;
-    Variant refusedOne = null;
+    MachineVariant refusedOne = null;
     boolean all = true;
-    for (Variant v : offered) {
+    for (MachineVariant v : offered) {
       if (!job.spec.allows(v.type().index(), v.zone(), v.spot()) || !v.type().fits(job.spec)) {
         continue;
       }
@@ -567,7 +571,7 @@
       for (int p = 0; p < rank; p++) {
         cpus[t] += ahead[t][p][0] + ahead[t][p][1];
       }
-      if (!job.guaranteed()) {
+      if (!job.isGuaranteed()) {
         cpus[t] += ahead[t][rank][1];
       }
     }
@@ -593,15 +597,15 @@
 
   /** How the decision answered for the machines that a job allows. */
   private static final class Tally {
-    private static final List<SchedulerState.Refusal> ALONE =
+    private static final List<StartRefusal> ALONE =
         List.of(
-            SchedulerState.Refusal.ZONE,
-            SchedulerState.Refusal.FAILED_HERE,
-            SchedulerState.Refusal.DOUBTED,
-            SchedulerState.Refusal.FETCHES,
-            SchedulerState.Refusal.QUOTA);
+            StartRefusal.ZONE_RULES,
+            StartRefusal.FAILED_ON_MACHINE,
+            StartRefusal.SUSPECTED_SLOW_OR_FAULTY,
+            StartRefusal.IMAGE_FETCH_LIMIT,
+            StartRefusal.QUOTA);
 
-    private final int[] of = new int[SchedulerState.Refusal.values().length];
+    private final int[] of = new int[StartRefusal.values().length];
     private final int[] silentIn;
     private int allowed;
     private boolean free;
@@ -610,19 +614,19 @@
       silentIn = new int[zones];
     }
 
-    int of(SchedulerState.Refusal r) {
+    int of(StartRefusal r) {
       return of[r.ordinal()];
     }
 
     /** What stands in the way: where a single rule is all that does, it counts before numbers. */
-    SchedulerState.Refusal most() {
-      for (SchedulerState.Refusal r : ALONE) {
+    StartRefusal most() {
+      for (StartRefusal r : ALONE) {
         if (of(r) > 0) {
           return r;
         }
       }
-      SchedulerState.Refusal best = SchedulerState.Refusal.ROOM;
-      for (SchedulerState.Refusal r : SchedulerState.Refusal.values()) {
+      StartRefusal best = StartRefusal.RESOURCES;
+      for (StartRefusal r : StartRefusal.values()) {
         if (of(r) > of(best)) {
           best = r;
         }
@@ -658,7 +662,7 @@
    */
   private Tally ask(Job job) {
     JobSpec s = job.spec;
-    if (s.together() || s.scatter() || job.failedSomewhere()) {
+    if (s.together() || s.scatter() || job.hasFailedMachines()) {
       return askEach(job);
     }
     Shape shape =
@@ -692,13 +696,13 @@
         }
         asked++;
         t.allowed++;
-        SchedulerState.Refusal no = placement.refusal(job, m, now);
+        StartRefusal no = placement.refusal(job, m, now);
         if (no == null) {
           t.free = true;
           return t;
         }
         t.of[no.ordinal()]++;
-        if (no == SchedulerState.Refusal.SILENT) {
+        if (no == StartRefusal.HEARTBEAT_OVERDUE) {
           t.silentIn[m.zone]++;
         }
       }
@@ -706,7 +710,7 @@
     return t;
   }
 
-  private String name(Variant v) {
+  private String name(MachineVariant v) {
     return v.type().name() + (v.spot() ? " (spot)" : "") + " in zone " + zones.name(v.zone());
   }
 
--- a/src/test/java/org/mallowroad/core/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.gang;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,22 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
+import org.mallowroad.core.Attempt;
+import org.mallowroad.core.AttemptOutcome;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.StartRefusal;
+import org.mallowroad.core.Team;
 import org.mallowroad.core.autoscaling.Autoscaler;
-import org.mallowroad.core.autoscaling.Autoscaler.Coming;
-import org.mallowroad.core.autoscaling.Autoscaler.Rent;
-import org.mallowroad.core.autoscaling.Autoscaler.Variant;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
-import org.mallowroad.core.gang.GangReservations;
+import org.mallowroad.core.autoscaling.MachineVariant;
+import org.mallowroad.core.autoscaling.PendingMachines;
+import org.mallowroad.core.autoscaling.ScaleOutRequest;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
@@ -31,7 +41,7 @@
     final SchedulerState schedulerState;
     final TaskScheduler placement;
     final Autoscaler fleet;
-    final List<Coming> coming = new ArrayList<>();
+    final List<PendingMachines> coming = new ArrayList<>();
     long now = 1_000_000;
     long sequence;
     int names;
@@ -47,10 +57,10 @@
     }
 
     Machine machine(int zone) {
-      Machine m = schedulerState.meet("n-" + names++, BOX, zone, false, now);
+      Machine m = schedulerState.registerMachine("n-" + names++, BOX, zone, false, now);
       schedulerState
           .heartbeatReconciler()
-          .report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
       return m;
     }
 
@@ -59,21 +69,21 @@
           JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
-    List<Rent> cycle() {
+    List<ScaleOutRequest> cycle() {
       placement.place(now);
-      List<Rent> r = fleet.rents(placement.queue(now), coming, TYPES, now);
+      List<ScaleOutRequest> r = fleet.rents(placement.queue(now), coming, TYPES, now);
       now += 2_000;
       return r;
     }
 
     /** Two cycles: the first tells what is offered. */
-    List<Rent> begin() {
+    List<ScaleOutRequest> begin() {
       cycle();
       return cycle();
     }
 
     /** The cloud answers a rent with some machines, which are up at once; the rest it refuses. */
-    void give(Rent r, int some) {
+    void give(ScaleOutRequest r, int some) {
       if (some < r.count()) {
         schedulerState.gangReservations().refused(r.variant(), some, now);
       }
@@ -87,7 +97,9 @@
       for (int zone = 0; zone < 2; zone++) {
         for (boolean spot : new boolean[] {false, true}) {
           int count = zone == 0 && !spot ? there : 0;
-          schedulerState.gangReservations().refused(new Variant(BOX, zone, spot), count, now);
+          schedulerState
+              .gangReservations()
+              .refused(new MachineVariant(BOX, zone, spot), count, now);
         }
       }
     }
@@ -96,13 +108,13 @@
     void hear(Machine m) {
       schedulerState
           .heartbeatReconciler()
-          .report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     int held(Job job) {
       int n = 0;
       for (Machine m : schedulerState.machines()) {
-        n += m.heldFor == job ? 1 : 0;
+        n += m.reservedFor == job ? 1 : 0;
       }
       return n;
     }
@@ -116,8 +128,8 @@
     return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
   }
 
-  private static int sum(List<Rent> rents) {
-    return rents.stream().mapToInt(Rent::count).sum();
+  private static int sum(List<ScaleOutRequest> rents) {
+    return rents.stream().mapToInt(ScaleOutRequest::count).sum();
   }
 
   @TestFactory
@@ -128,11 +140,12 @@
             w -> {
               w.machine(1);
               w.gang("job-1", 12);
-              List<Rent> rents = w.begin();
+              List<ScaleOutRequest> rents = w.begin();
               assertEquals(12, sum(rents)); // 11 lacking and 6% of it
               assertTrue(rents.stream().allMatch(r -> r.variant().zone() == 1));
               assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gang())));
-              rents.forEach(r -> w.coming.add(new Coming(r.variant(), r.count(), w.now, r.gang())));
+              rents.forEach(
+                  r -> w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gang())));
               for (int i = 0; i < 5; i++) {
                 assertEquals(List.of(), w.cycle());
               }
@@ -144,19 +157,20 @@
               w.machine(0);
               w.begin();
               Machine m = w.schedulerState.machine("n-0");
-              assertEquals(job, m.heldFor);
+              assertEquals(job, m.reservedFor);
               Job other =
                   w.schedulerState.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
               w.cycle();
-              assertEquals(0, other.liveCount());
+              assertEquals(0, other.liveAttemptCount());
               assertEquals(
-                  SchedulerState.Refusal.HELD, w.schedulerState.mayStart(other, 0, m, w.now));
+                  StartRefusal.RESERVED_FOR_GANG,
+                  w.schedulerState.startRefusal(other, 0, m, w.now));
               w.machine(0);
               w.machine(0);
               w.cycle();
-              assertEquals(3, job.liveCount());
+              assertEquals(3, job.liveAttemptCount());
               w.cycle();
-              assertNull(m.heldFor);
+              assertNull(m.reservedFor);
             }),
         gang(
             "without more machines it counts on what ends within minutes, also while the cloud is asked"
@@ -186,17 +200,17 @@
             "a zone that cannot complete it is given up at once, and another is tried",
             w -> {
               Job job = w.gang("job-1", 10);
-              List<Rent> first = w.begin();
+              List<ScaleOutRequest> first = w.begin();
               int zone = first.get(0).variant().zone();
               w.give(first.get(0), 4);
               // The ordinary kind of the same zone is asked before it is given up.
-              List<Rent> second = w.cycle();
+              List<ScaleOutRequest> second = w.cycle();
               assertEquals(zone, second.get(0).variant().zone());
               assertNotEquals(first.get(0).variant().spot(), second.get(0).variant().spot());
               w.give(second.get(0), 0);
               w.cycle();
               assertEquals(0, w.held(job));
-              List<Rent> third = w.begin();
+              List<ScaleOutRequest> third = w.begin();
               assertEquals(1 - zone, third.get(0).variant().zone());
             }),
         gang(
@@ -205,7 +219,7 @@
               w.gang("job-1", 40);
               int rented = 0;
               for (int i = 0; i < 300; i++) {
-                for (Rent r : w.cycle()) {
+                for (ScaleOutRequest r : w.cycle()) {
                   rented += r.count();
                   w.schedulerState.gangReservations().refused(r.variant(), 5, w.now);
                 }
@@ -220,20 +234,28 @@
               for (int i = 0; i < 10; i++) {
                 w.machine(0);
               }
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 0, true), 10, w.now);
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 0, false), 10, w.now);
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 1, true), 0, w.now);
-              w.schedulerState.gangReservations().refused(new Variant(BOX, 1, false), 0, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 0, true), 10, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 0, false), 10, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 1, true), 0, w.now);
+              w.schedulerState
+                  .gangReservations()
+                  .refused(new MachineVariant(BOX, 1, false), 0, w.now);
               Job one = w.gang("job-1", 7);
               Job two = w.gang("job-2", 7);
               w.begin();
-              assertEquals(7, one.liveCount());
-              assertEquals(0, two.liveCount());
+              assertEquals(7, one.liveAttemptCount());
+              assertEquals(0, two.liveAttemptCount());
               for (Attempt a : live(one)) {
-                w.schedulerState.resolve(a, SchedulerState.Outcome.DONE, w.now);
+                w.schedulerState.resolve(a, AttemptOutcome.COMPLETED, w.now);
               }
               w.begin();
-              assertEquals(7, two.liveCount());
+              assertEquals(7, two.liveAttemptCount());
             }),
         gang(
             "tasks that end soon are waited for where the cloud has no more, lower ranks give way",
@@ -241,8 +263,12 @@
               Machine m = w.machine(0);
               Machine n = w.machine(0);
               for (int z = 0; z < 2; z++) {
-                w.schedulerState.gangReservations().refused(new Variant(BOX, z, true), 2, w.now);
-                w.schedulerState.gangReservations().refused(new Variant(BOX, z, false), 2, w.now);
+                w.schedulerState
+                    .gangReservations()
+                    .refused(new MachineVariant(BOX, z, true), 2, w.now);
+                w.schedulerState
+                    .gangReservations()
+                    .refused(new MachineVariant(BOX, z, false), 2, w.now);
               }
               Job equal =
                   w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
@@ -254,12 +280,12 @@
               Job job = w.gang("job-3", 2);
               w.begin();
               assertEquals(2, w.held(job));
-              assertFalse(a.stopping());
-              assertTrue(b.stopping());
-              w.schedulerState.resolve(a, SchedulerState.Outcome.DONE, w.now);
-              w.schedulerState.resolve(b, SchedulerState.Outcome.STOPPED, w.now);
+              assertFalse(a.isStopping());
+              assertTrue(b.isStopping());
+              w.schedulerState.resolve(a, AttemptOutcome.COMPLETED, w.now);
+              w.schedulerState.resolve(b, AttemptOutcome.STOPPED, w.now);
               w.cycle();
-              assertEquals(2, job.liveCount());
+              assertEquals(2, job.liveAttemptCount());
             }),
         gang(
             "a withdrawn gang, or one that takes too long, holds nothing",
@@ -275,7 +301,8 @@
               Job again = w.gang("job-2", 3);
               w.begin();
               assertEquals(1, w.held(again));
-              w.coming.add(new Coming(new Variant(BOX, 0, true), 2, w.now, "job-2"));
+              w.coming.add(
+                  new PendingMachines(new MachineVariant(BOX, 0, true), 2, w.now, "job-2"));
               w.now += GangReservations.MOST_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
@@ -291,13 +318,13 @@
               Job job =
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
-              List<Rent> rents = w.begin();
-              assertEquals(0, job.liveCount());
+              List<ScaleOutRequest> rents = w.begin();
+              assertEquals(0, job.liveAttemptCount());
               assertTrue(sum(rents) >= 2);
               w.machine(1);
               w.machine(1);
               w.cycle();
-              assertEquals(4, job.liveCount());
+              assertEquals(4, job.liveAttemptCount());
             }),
         gang(
             "a gang is no reason for the averages to rent",
@@ -305,7 +332,8 @@
               w.machine(0);
               w.gang("job-1", 30);
               w.begin();
-              w.coming.add(new Coming(new Variant(BOX, 0, true), 40, w.now, "job-1"));
+              w.coming.add(
+                  new PendingMachines(new MachineVariant(BOX, 0, true), 40, w.now, "job-1"));
               assertEquals(List.of(), w.cycle());
             }));
   }
@@ -313,19 +341,19 @@
   private static List<Attempt> live(Job job) {
     List<Attempt> out = new ArrayList<>();
     for (int t = 0; t < job.spec.tasks(); t++) {
-      if (job.live(t) != null) {
-        out.add(job.live(t));
+      if (job.liveAttempt(t) != null) {
+        out.add(job.liveAttempt(t));
       }
     }
     return out;
   }
 
   private static Attempt run(Simulation w, Job job, Machine m) {
-    Attempt a = w.schedulerState.start(job, job.pending.dequeueInt(), m, w.now);
+    Attempt a = w.schedulerState.start(job, job.pendingTasks.dequeueInt(), m, w.now);
     JobSpecs.commit(w.schedulerState, w.now);
     w.schedulerState
         .heartbeatReconciler()
-        .report(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
+        .reconcile(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
     return a;
   }
 }
--- a/src/test/java/org/mallowroad/core/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.core;
+package org.mallowroad.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.NameIndex;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.Team;
 import org.mallowroad.core.dependency.JobDependencies;
-import org.mallowroad.core.scheduling.TaskScheduler;
 
 /** The largest jobs, and those with large images, begin within four minutes as the others do. */
 final class LargestJobsTest {
@@ -58,8 +66,9 @@
   }
 
   private Machine machine(String name) {
-    Machine m = schedulerState.meet(name, type, 0, false, now);
-    schedulerState.report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+    Machine m = schedulerState.registerMachine(name, type, 0, false, now);
+    schedulerState.processHeartbeat(
+        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     return m;
   }
 
@@ -80,14 +89,15 @@
     assertEquals(List.of("job-1", "job-2"), order());
     placement.place(now);
     JobSpecs.commit(schedulerState, now);
-    schedulerState.report(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
-    assertEquals(1, large.liveCount());
+    schedulerState.processHeartbeat(
+        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+    assertEquals(1, large.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
       placement.place(now);
     }
     // Stopped, it would take the room again at once: the two stopped each other 3,713 times.
-    assertFalse(large.live(0).stopping());
+    assertFalse(large.liveAttempt(0).isStopping());
     assertEquals(0, placement.stops());
   }
 
@@ -109,7 +119,7 @@
       machine("n-" + i);
       placement.place(now);
     }
-    assertEquals(100, j.liveCount());
+    assertEquals(100, j.liveAttemptCount());
     assertTrue(j.begunMs() == now, "400 CPUs are the limit, 4 each");
   }
 }
