--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -71,7 +71,7 @@
     schedulerState.markUsedNames(usedImages, usedClasses, usedTypes);
     images.retain(usedImages);
     classes.retain(usedClasses);
-    schedulerState.health().stragglerDetector().keep(usedClasses);
+    schedulerState.health().stragglerDetector().retainTaskClasses(usedClasses);
     types.retain(usedTypes);
   }
 
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -26,7 +26,7 @@
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.admission.RecordLag;
 import org.mallowroad.core.cancellation.CancellationView;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.objective.ObjectiveAttainment;
 import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.election.LeaderElection;
@@ -145,7 +145,7 @@
             clusterConfig.settings.heartbeatIntervalS(),
             clusterConfig.teams(),
             clusterConfig.zones,
-            new Health(
+            new FleetHealth(
                 clusterConfig.operator.health(),
                 clusterConfig.zones.size(),
                 clusterConfig.settings.heartbeatIntervalS(),
@@ -540,7 +540,7 @@
   private boolean cutFromWorkers(long now) {
     double reports = heard ? 1.5 : 3;
     // While this process stood still it heard nobody: that says nothing of the workers.
-    long listened = Math.max(heardMs, schedulerState.health().still().since());
+    long listened = Math.max(heardMs, schedulerState.health().pauseDetector().listeningSinceMs());
     // With peers at hand workers that lost their way here come by one of them first.
     long round = reachablePeers.getAsInt() > 0 ? ROUND_MS : 0;
     return clusterConfig.settings.nodes() > 1
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -26,7 +26,7 @@
 import org.mallowroad.core.cancellation.CancellationView;
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.linkstate.ExternalService;
 import org.mallowroad.core.linkstate.RouteSelector;
 import org.mallowroad.election.LeaderElection;
@@ -396,13 +396,13 @@
       gauge(
           "mallowroad.tasks.completed",
           n -> n.leader == null ? 0 : n.leader.schedulerState().attemptsCompleted());
-      gauge("mallowroad.machines.late", n -> n.watched(h -> h.failureDetector().lateCount()));
-      gauge("mallowroad.machines.doubted", n -> n.watched(h -> h.stragglerDetector().doubted()));
+      gauge("mallowroad.machines.late", n -> n.watched(h -> h.failureDetector().overdueCount()));
+      gauge("mallowroad.machines.doubted", n -> n.watched(h -> h.stragglerDetector().suspectCount()));
       gauge(
-          "mallowroad.machines.slow.refused", n -> n.watched(h -> h.stragglerDetector().refused()));
-      gauge("mallowroad.zones.cut", n -> n.watched(h -> h.failureDetector().cuts()));
-      gauge("mallowroad.stood.still", n -> n.watched(h -> h.still().count()));
-      gauge("mallowroad.stood.still.longest.ms", n -> n.watched(h -> h.still().longestMs()));
+          "mallowroad.machines.slow.refused", n -> n.watched(h -> h.stragglerDetector().refusedSuspicions()));
+      gauge("mallowroad.zones.cut", n -> n.watched(h -> h.failureDetector().partitionedZoneCount()));
+      gauge("mallowroad.stood.still", n -> n.watched(h -> h.pauseDetector().pauseCount()));
+      gauge("mallowroad.stood.still.longest.ms", n -> n.watched(h -> h.pauseDetector().longestPauseMs()));
       gauge("mallowroad.loop.lag.ms", n -> n.leader == null ? 0 : n.leader.lagMs());
       gauge("mallowroad.cancellations.view.ms", n -> n.leader == null ? 0 : n.leader.viewMs());
       gauge("mallowroad.admission.limited", n -> n.admission.limited() ? 1 : 0);
@@ -430,7 +430,7 @@
   }
 
   /** What the leader on this node suspects; 0 elsewhere. */
-  private double watched(ToDoubleFunction<Health> f) {
+  private double watched(ToDoubleFunction<FleetHealth> f) {
     return leader == null ? 0 : f.applyAsDouble(leader.schedulerState().health());
   }
 
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -8,17 +8,17 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.health.FailureDetector;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.health.MachineHealth;
-import org.mallowroad.core.health.MachineHealth.Doubt;
+import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.PauseDetector;
 import org.mallowroad.core.health.TokenBucket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Acts on what {@link Health} suspects: which silent or faulty machines are returned, and when. The
+ * Acts on what {@link FleetHealth} suspects: which silent or faulty machines are returned, and when. The
  * deletion is the proof that frees their tasks; suspicion alone frees nothing.
  *
  * <p><b>Why a leader of term N that stood still does no harm once N+1 began</b>, for each thing
@@ -82,7 +82,7 @@
   private static final int MOST_LINES = 20;
 
   private final SchedulerState schedulerState;
-  private final Health health;
+  private final FleetHealth health;
   private final NameIndex zones;
   private final long term;
   private final long silentMs;
@@ -113,29 +113,29 @@
     this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENT_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy p = health.policy();
-    this.returns = new TokenBucket(p.hasteShare(), p.hasteLeast(), leaseMs, now);
+    this.returns = new TokenBucket(p.returnShare(), p.minReturns(), leaseMs, now);
     this.zoneReturns = new TokenBucket[zones.size()];
     this.directMs = new long[zones.size()];
     this.rerouted = new boolean[zones.size()];
     this.deafIn = new int[zones.size()];
     Arrays.fill(directMs, now);
     for (int z = 0; z < zoneReturns.length; z++) {
-      zoneReturns[z] = new TokenBucket(p.cutReturns(), 1, CUT_LEASES * leaseMs, now);
+      zoneReturns[z] = new TokenBucket(p.partitionReturnShare(), 1, CUT_LEASES * leaseMs, now);
     }
   }
 
   /** Call with each turn of the loop and before each message is taken. */
   public void turn(long now) {
-    long ms = health.still().turn(now);
+    long ms = health.pauseDetector().recordActivity(now);
     if (ms > 0) {
       LOG.warn("event=stood_still term={} ms={}", term, ms);
-      health.failureDetector().listen(now);
+      health.failureDetector().restart(now);
     }
   }
 
   /** Call with each regular beat of the loop, after {@link #turn}. */
   public void beat() {
-    health.still().beat();
+    health.pauseDetector().recordTick();
   }
 
   /**
@@ -144,8 +144,8 @@
    * of the state service nobody else can lead and the answers keep the workers' leases alive.
    */
   public boolean unsure(long renewedMs, long now) {
-    PauseDetector still = health.still();
-    return still.count() > 0 && renewedMs < still.since() && now - still.since() < UNSURE_MS;
+    PauseDetector pauseDetector = health.pauseDetector();
+    return pauseDetector.pauseCount() > 0 && renewedMs < pauseDetector.listeningSinceMs() && now - pauseDetector.listeningSinceMs() < UNSURE_MS;
   }
 
   /**
@@ -175,7 +175,7 @@
       rerouted[zone] = false;
     } else if (!rerouted[zone] && now - directMs[zone] > REROUTED_MS) {
       rerouted[zone] = true;
-      health.failureDetector().rerouted(zone, now);
+      health.failureDetector().restartZone(zone, now);
       LOG.warn("event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - directMs[zone]);
     }
   }
@@ -191,32 +191,32 @@
         overdue++;
       } else if (a.phase == Attempt.Phase.PULLING) {
         double needS = a.job.spec.imageGb() / Math.max(1e-3, m.type.fetchGbPerS());
-        health.fetching(m.health, now - a.createdMs, needS * 1000, now);
+        health.imageFetchWaiting(m.health, now - a.createdMs, needS * 1000, now);
       }
     }
-    health.overdue(m.health, overdue, now);
+    health.tasksOverdue(m.health, overdue, now);
   }
 
   /** Judges zones and machines; what is to be returned is marked. Only a firm leader may ask. */
   void judge(long now) {
     lines = 0;
     FailureDetector failureDetector = health.failureDetector();
-    for (FailureDetector.Verdict v : failureDetector.judge(now)) {
+    for (FailureDetector.ZoneVerdict v : failureDetector.evaluate(now)) {
       LOG.warn(
           "event={} zone={} silent={} of={} lasted_ms={}",
-          v.cut() ? "zone_silent" : "zone_back",
+          v.partitioned() ? "zone_silent" : "zone_back",
           zones.name(v.zone()),
-          v.late(),
+          v.overdue(),
           v.known(),
           v.lastedMs());
     }
-    for (Health.Change c : health.changes()) {
-      line(c.machine().name, event(c.doubt()), Math.round(c.pace() * 100) / 100.0);
+    for (FleetHealth.SuspicionChange c : health.takeChanges()) {
+      line(c.machine().name, event(c.suspicion()), Math.round(c.slowdown() * 100) / 100.0);
     }
-    leftOut += health.unlogged();
+    leftOut += health.takeUnkeptChanges();
     Arrays.fill(deafIn, 0);
     for (Machine m : schedulerState.machines()) {
-      deafIn[m.zone] += m.health.outboundReachability().deaf() ? 1 : 0;
+      deafIn[m.zone] += m.health.outboundReachability().isBroken() ? 1 : 0;
     }
     for (Machine m : schedulerState.machines()) {
       if (!m.deleting) {
@@ -229,7 +229,7 @@
     }
   }
 
-  private static String event(Doubt d) {
+  private static String event(Suspicion d) {
     return switch (d) {
       case SLOW -> "machine_slow";
       case FAULTY -> "machine_faulty";
@@ -242,7 +242,7 @@
     if (schedulerState.heartbeatReconciler().needsDeletionToFence(m, now)) {
       m.deleting = true;
       line(m.name, "machine_unfenced", 0);
-    } else if (m.health.outboundReachability().deaf()) {
+    } else if (m.health.outboundReachability().isBroken()) {
       deaf(m, now);
     } else if (failureDetector.silentMs(m.health, now)
         > silentMs + (m.relayPeer >= 0 ? ROUND_MS : 0)) {
@@ -258,7 +258,7 @@
     } else if (!m.draining && worthDraining(m)) {
       m.draining = true;
       stopFetches(m, now);
-      line(m.name, "machine_drained", Math.round(m.health.pace() * 100) / 100.0);
+      line(m.name, "machine_drained", Math.round(m.health.slowdown() * 100) / 100.0);
     }
   }
 
@@ -274,11 +274,11 @@
         schedulerState.requestStop(a, 0, now);
       }
     }
-    int known = health.failureDetector().known(m.zone);
+    int known = health.failureDetector().knownMachines(m.zone);
     boolean may =
-        deafIn[m.zone] >= health.policy().cutLeast()
-            ? zoneReturns[m.zone].take(known, now)
-            : returns.take(schedulerState.machines().size(), now);
+        deafIn[m.zone] >= health.policy().minPartitionMachines()
+            ? zoneReturns[m.zone].tryTake(known, now)
+            : returns.tryTake(schedulerState.machines().size(), now);
     if (may) {
       m.deleting = true;
       line(m.name, "machine_deaf", m.incarnation);
@@ -288,24 +288,24 @@
   private boolean mayReturn(Machine m, FailureDetector failureDetector, long now) {
     long ms = failureDetector.silentMs(m.health, now);
     int zone = m.zone;
-    if (failureDetector.cut(zone)) {
+    if (failureDetector.isPartitioned(zone)) {
       // Nobody deletes a whole zone's machines in a hurry: they are needed when it is back. Of
       // those
       // with tasks a share goes at once, since the tasks run elsewhere sooner; the rest are free
       // once their leases ran out. No lease proves that of machines that have not seen this term:
       // their tasks only a deletion frees, so those go as fast as silent machines go anywhere.
       if (!m.isEmpty() && m.highestTokenSeen < term) {
-        return returns.take(schedulerState.machines().size(), now);
+        return returns.tryTake(schedulerState.machines().size(), now);
       }
       // An empty one holds nothing up, but it may be gone for good: kept for ever it would hold the
       // zone cut, and nothing would be rented there any more.
       return (!m.isEmpty() || ms > HOLD_LEASES * leaseMs)
-          && zoneReturns[zone].take(failureDetector.known(zone), now);
+          && zoneReturns[zone].tryTake(failureDetector.knownMachines(zone), now);
     }
-    if (failureDetector.deaf(now) && ms <= leaseMs) {
+    if (failureDetector.isLikelyIsolated(now) && ms <= leaseMs) {
       return false; // When most are silent the fault is rather on this side.
     }
-    return returns.take(schedulerState.machines().size(), now);
+    return returns.tryTake(schedulerState.machines().size(), now);
   }
 
   /**
@@ -314,13 +314,13 @@
    */
   private boolean worthDraining(Machine m) {
     MachineHealth h = m.health;
-    if (h.doubt() == Doubt.FAULTY || h.doubt() == Doubt.NO_IMAGE) {
+    if (h.suspicion() == Suspicion.FAULTY || h.suspicion() == Suspicion.NO_IMAGE) {
       return true;
     }
-    double f = h.pace();
-    return h.doubt() == Doubt.SLOW
+    double f = h.slowdown();
+    return h.suspicion() == Suspicion.SLOW
         && f > 1
-        && (f - 1) / f * health.policy().favourMs() > 1000 * m.type.bootS() * 1.5;
+        && (f - 1) / f * health.policy().suspicionExpiryMs() > 1000 * m.type.bootS() * 1.5;
   }
 
   /** A fetch that never ends would keep its task, and the machine from being empty, for ever. */
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -465,7 +465,7 @@
       long late = (long) (e.variant.type().bootS() * 2500) + 10_000;
       if (now - e.rentedMs > late
           && now - e.metMs > MET_MS
-          && !schedulerState.health().failureDetector().cut(e.variant.zone())) {
+          && !schedulerState.health().failureDetector().isPartitioned(e.variant.zone())) {
         LOG.info("event=machine_never_came machine={}", e.name);
         Machine m =
             schedulerState.registerMachine(
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.OutboundReachability;
 
 /**
@@ -30,7 +30,7 @@
 
   private final SchedulerState schedulerState;
   private final Map<String, Job> jobs;
-  private final Health health;
+  private final FleetHealth health;
   private final long term;
   private final long heartbeatOverdueMs;
   private final long leaseMs;
@@ -38,7 +38,7 @@
   HeartbeatReconciler(
       SchedulerState schedulerState,
       Map<String, Job> jobs,
-      Health health,
+      FleetHealth health,
       long term,
       long freshMs,
       long leaseMs) {
@@ -80,11 +80,11 @@
     m.incarnation = r.incarnation();
     m.sequence = r.sequence();
     m.highestTokenSeen = Math.max(m.highestTokenSeen, r.fencingToken());
-    if (m.health.late() && m.isEmpty()) {
+    if (m.health.isOverdue() && m.isEmpty()) {
       m.idleSinceMs = now; // Nobody could use it meanwhile: it is not idle for long.
     }
     // A report that waited while this process stood still is as old as the standstill.
-    m.lastHeartbeatMs = health.heard(m.health, now);
+    m.lastHeartbeatMs = health.recordHeartbeat(m.health, now);
     m.address = r.address();
     m.servesImages = r.servesImages();
     if (r.interruptionNoticeS() >= 0) {
@@ -109,7 +109,7 @@
         answerUnknownAttempt(m, e, job, now, commands);
       } else {
         if (a.launchInHeartbeatResponse && a.phase == Attempt.Phase.COMMITTED) {
-          m.health.outboundReachability().heeded();
+          m.health.outboundReachability().recordAcknowledged();
         }
         listed.add(a);
         applyTaskStatus(a, e, now, commands);
@@ -141,7 +141,7 @@
     }
     // Reports that answer direct orders come many to one answer, which may still be on its way.
     if (unheeded && mayLaunch) {
-      m.health.outboundReachability().missed(now);
+      m.health.outboundReachability().recordUnacknowledged(now);
     }
     m.lastResponseToken = m.fencingToken;
     return commands;
@@ -149,13 +149,13 @@
 
   /** What the report shows of the answers before it; call before it is taken. */
   private void recordDeliveryEvidence(Machine m, Heartbeat r, boolean ordinary, long now) {
-    OutboundReachability h = m.health.outboundReachability();
+    OutboundReachability outbound = m.health.outboundReachability();
     if (m.lastResponseToken > 0 && r.fencingToken() < m.lastResponseToken) {
       if (ordinary) {
-        h.missed(now);
+        outbound.recordUnacknowledged(now);
       }
     } else if (m.lastResponseToken > m.highestTokenSeen && m.lastResponseToken > 0) {
-      h.heeded();
+      outbound.recordAcknowledged();
     }
     // A copy or a hung machine does not look like this: each report that was counted was answered,
     // and a machine that hangs sends none.
@@ -163,7 +163,7 @@
         && r.incarnation() > m.incarnation
         && m.lastHeartbeatMs >= 0
         && now - m.lastHeartbeatMs < leaseMs / 2) {
-      h.sessionLost(now);
+      outbound.recordIncarnationLost(now);
     }
   }
 
@@ -194,7 +194,7 @@
     for (Attempt a : m.attempts) {
       due |= a.launchInFlight && a.isStopping() && a.launchToken == m.fencingToken;
     }
-    due |= m.health.outboundReachability().probe(now);
+    due |= m.health.outboundReachability().takeProbe(now);
     // The last token of the block is never raised: then launches go in answers only (direct).
     if (due && m.fencingToken < FencingTokens.last(term)) {
       m.fencingToken++;
@@ -288,7 +288,7 @@
     if (!m.isUsable()
         || m.highestTokenSeen < term
         || now - m.lastHeartbeatMs > heartbeatOverdueMs
-        || m.health.outboundReachability().deaf()) {
+        || m.health.outboundReachability().isBroken()) {
       return commands;
     }
     for (Attempt a : m.attempts) {
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.mallowroad.core.gang.GangReservations;
 import org.mallowroad.core.gang.MachinePool;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.image.ImageDistribution;
 import org.mallowroad.core.image.ImageFetchPolicy;
@@ -62,7 +62,7 @@
   private long attemptsCompleted;
   private long rebuiltQueueTasks;
   private final CostAccounting costAccounting = new CostAccounting();
-  private final Health health;
+  private final FleetHealth health;
   private final GangReservations gangReservations = new GangReservations(this);
   private final HeartbeatReconciler heartbeatReconciler;
   private final ImageDistribution imageDistribution;
@@ -77,7 +77,7 @@
         heartbeatIntervalS,
         teams,
         zones,
-        new Health(HealthPolicy.defaults(), zones.size(), heartbeatIntervalS, 0));
+        new FleetHealth(HealthPolicy.defaults(), zones.size(), heartbeatIntervalS, 0));
   }
 
   /** An empty ledger for a term without limits on fetches. */
@@ -87,7 +87,7 @@
       double heartbeatIntervalS,
       List<Team> teams,
       NameIndex zones,
-      Health health) {
+      FleetHealth health) {
     this(term, leaseS, heartbeatIntervalS, teams, zones, health, ImageFetchPolicy.defaults());
   }
 
@@ -98,7 +98,7 @@
       double heartbeatIntervalS,
       List<Team> teams,
       NameIndex zones,
-      Health health,
+      FleetHealth health,
       ImageFetchPolicy fetches) {
     this.imageDistribution = new ImageDistribution(fetches, zones.size());
     this.sharedAttemptRecords = new SharedAttemptRecords(term);
@@ -152,8 +152,8 @@
     sizes.put("outbox", machinesWithUnsentCommands.size());
     sizes.put("shared", sharedAttemptRecords.records().size());
     sizes.put("ending", jobsToComplete.size());
-    sizes.put("watched", health.failureDetector().known());
-    sizes.put("classes", health.stragglerDetector().classes());
+    sizes.put("watched", health.failureDetector().knownMachines());
+    sizes.put("classes", health.stragglerDetector().taskClassCount());
     return sizes;
   }
 
@@ -218,7 +218,7 @@
 
   /** What is suspected in this term. */
   @Override
-  public Health health() {
+  public FleetHealth health() {
     return health;
   }
 
@@ -239,7 +239,7 @@
 
   /** True when a machine may be asked to hand an image on. */
   public boolean canServeImages(Machine m, long now) {
-    return machineRefusal(m, now) == null && !m.health.doubted() && m.interruptionMs == 0;
+    return machineRefusal(m, now) == null && !m.health.isSuspect() && m.interruptionMs == 0;
   }
 
   /** How many zones there are. */
@@ -419,7 +419,7 @@
     if (m == null) {
       m = new Machine(name, type, zone, spot, term, now);
       machines.put(name, m);
-      health.met(m.health, now);
+      health.register(m.health, now);
       machinesVersion++;
     }
     return m;
@@ -444,7 +444,7 @@
     if (m.lastHeartbeatMs < 0 || now - m.lastHeartbeatMs > heartbeatOverdueMs) {
       return StartRefusal.HEARTBEAT_OVERDUE;
     }
-    if (m.health.outboundReachability().deaf()) {
+    if (m.health.outboundReachability().isBroken()) {
       return StartRefusal.OUTBOUND_UNREACHABLE;
     }
     return m.backoffUntilMs > now ? StartRefusal.BACKING_OFF_AFTER_REFUSAL : null;
@@ -593,7 +593,7 @@
       // What an earlier leader began was seen to run for a part of its time only; and a task that
       // had completed before ends at once when it is started again.
       if (a.runningSinceMs > 0 && !a.restoredFromRecord && a.number == 1) {
-        health.finished(
+        health.taskFinished(
             a.machine.health,
             job.runTimes,
             job.spec.taskClass(),
@@ -616,7 +616,7 @@
         if (job.failedMachines.size() < 3) {
           job.failedMachines.add(a.machine.name);
         }
-        health.failed(
+        health.taskFailed(
             a.machine.health, job.spec.id().hashCode(), job.failedMachines.size() >= 3, now);
         holdBack(job, now);
       }
@@ -664,7 +664,7 @@
     machines.remove(m.name);
     gangReservations.gone(m);
     imageDistribution.lost(m);
-    health.gone(m.health);
+    health.remove(m.health);
     costAccounting.machineDeleted(m, now);
     machinesVersion++;
     machinesWithUnsentCommands.remove(m);
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -16,7 +16,7 @@
 import org.mallowroad.core.ResourceVector;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 
 /**
@@ -52,7 +52,7 @@
   private final Long2LongOpenHashMap refusedUntil = new Long2LongOpenHashMap();
   private final Long2LongOpenHashMap refusedSince = new Long2LongOpenHashMap();
   private final LongOpenHashSet probing = new LongOpenHashSet();
-  private final Health health;
+  private final FleetHealth health;
 
   /** A fleet over a ledger. */
   public Autoscaler(
@@ -103,7 +103,7 @@
 
   private boolean refused(MachineVariant v, int taken, long now) {
     // After a refusal one call shows whether there is room again.
-    return health.failureDetector().cut(v.zone())
+    return health.failureDetector().isPartitioned(v.zone())
         || refusedUntil.get(v.key()) > now
         || (taken >= ScaleOutRequest.MAX_MACHINES && probing.contains(v.key()));
   }
@@ -178,20 +178,20 @@
       return waiting;
     }
     List<Slot> slots = new ArrayList<>();
-    Replaced away = new Replaced(health.policy().replaceShare());
+    Replaced away = new Replaced(health.policy().maxReplacementShare());
     for (Machine m : schedulerState.machines()) {
       // A slow machine is no room for urgent work, and goes back when it is empty.
       if (m.isUsable()
           && m.reservedFor == null
-          && !m.health.doubted()
-          && !(health.away(m.health) && away.replaced())) {
+          && !m.health.isSuspect()
+          && !(health.isPartitionedAway(m.health) && away.replaced())) {
         slots.add(Slot.of(m, now));
       }
     }
     int firstComing = slots.size();
     for (PendingMachines c : coming) {
       for (int i = 0; i < c.count(); i++) {
-        if (health.failureDetector().cut(c.variant().zone()) && away.replaced()) {
+        if (health.failureDetector().isPartitioned(c.variant().zone()) && away.replaced()) {
           continue;
         }
         slots.add(
@@ -346,7 +346,7 @@
         continue;
       }
       for (int zone : t.zones()) {
-        if (!health.failureDetector().cut(zone)
+        if (!health.failureDetector().isPartitioned(zone)
             && (refusedUntil.get(new MachineVariant(t, zone, true).key()) <= now
                 || refusedUntil.get(new MachineVariant(t, zone, false).key()) <= now)) {
           return true;
@@ -447,7 +447,7 @@
   boolean spareIsLow(int waiting, List<PendingMachines> coming) {
     int n = 0;
     for (Machine m : schedulerState.machines()) {
-      if (m.isUsable() && m.reservedFor == null && !health.away(m.health)) {
+      if (m.isUsable() && m.reservedFor == null && !health.isPartitionedAway(m.health)) {
         n++;
       }
     }
@@ -465,7 +465,7 @@
       for (Machine m : schedulerState.machines()) {
         if (m.isUsable()
             && m.reservedFor == null
-            && !health.away(m.health)
+            && !health.isPartitionedAway(m.health)
             && m.bookedShare() < policy.bookedLimit()) {
           unsaturated++;
           spare += policy.bookedLimit() - m.bookedShare();
@@ -525,7 +525,7 @@
         continue;
       }
       for (int zone : t.zones()) {
-        if (health.failureDetector().cut(zone)) {
+        if (health.failureDetector().isPartitioned(zone)) {
           continue; // Nothing there could report to this leader.
         }
         for (int k = 0; k < 2; k++) {
@@ -568,7 +568,7 @@
       if (m.isEmpty()) {
         idle++;
         if (now - m.idleSinceMs
-            >= (m.health.doubted() ? SOON_MS : policy.idleMs() * Math.min(1, dear))) {
+            >= (m.health.isSuspect() ? SOON_MS : policy.idleMs() * Math.min(1, dear))) {
           empty.add(m);
         }
       }
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -168,8 +168,8 @@
   /** Not heard: its report is overdue, in a cut zone, or it is being returned for that. */
   boolean unheard(Machine m, long at) {
     return schedulerState.machineRefusal(m, at) == StartRefusal.HEARTBEAT_OVERDUE
-        || schedulerState.health().away(m.health)
-        || (m.deleting && !m.failed && m.health.late());
+        || schedulerState.health().isPartitionedAway(m.health)
+        || (m.deleting && !m.failed && m.health.isOverdue());
   }
 
   private Group group(
@@ -285,7 +285,7 @@
   /** None of its tasks waits for a place, but some have not begun, or nobody hears of them. */
   private PendingReason underWay(Counts c) {
     if (c.silent > 0) {
-      boolean cut = schedulerState.health().failureDetector().cut(c.silentOn.zone);
+      boolean cut = schedulerState.health().failureDetector().isPartitioned(c.silentOn.zone);
       return new PendingReason(
           cut ? PendingCause.ZONE_CUT : PendingCause.NOT_PROVEN_GONE,
           c.silentSinceMs,
@@ -327,7 +327,7 @@
         + m.name
         + " in zone "
         + zones.name(m.zone)
-        + (schedulerState.health().failureDetector().cut(m.zone) ? ", which is cut off" : "")
+        + (schedulerState.health().failureDetector().isPartitioned(m.zone) ? ", which is cut off" : "")
         + (c.goneMs > 0 ? "" : "; proven gone only by the machine's deletion or report");
   }
 
@@ -485,10 +485,10 @@
 
   private PendingReason silent(Job job, Tally t) {
     int zone = t.silentZone();
-    if (schedulerState.health().failureDetector().cut(zone)) {
+    if (schedulerState.health().failureDetector().isPartitioned(zone)) {
       return new PendingReason(
           PendingCause.ZONE_CUT,
-          now - schedulerState.health().failureDetector().cutForMs(zone, now),
+          now - schedulerState.health().failureDetector().partitionedForMs(zone, now),
           -1,
           zone,
           CountFormat.of(t.silentIn[zone], "silent machine") + " in zone " + zones.name(zone));
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -153,13 +153,13 @@
     }
     List<ZoneLine> out = new ArrayList<>();
     for (int z = 0; z < machines.length; z++) {
-      long cutMs = schedulerState.health().failureDetector().cutForMs(z, now);
+      long cutMs = schedulerState.health().failureDetector().partitionedForMs(z, now);
       out.add(
           new ZoneLine(
               zones.name(z),
               machines[z],
               silent[z],
-              schedulerState.health().failureDetector().cut(z),
+              schedulerState.health().failureDetector().isPartitioned(z),
               seconds(cutMs)));
     }
     return out;
@@ -183,7 +183,7 @@
       Sum s = sums.computeIfAbsent(new MachineVariant(m.type, m.zone, m.spot), k -> new Sum());
       s.machines++;
       s.empty += m.isEmpty() ? 1 : 0;
-      s.doubted += m.health.doubted() ? 1 : 0;
+      s.doubted += m.health.isSuspect() ? 1 : 0;
       StartRefusal no = schedulerState.machineRefusal(m, now);
       s.silent += explainer.unheard(m, now) ? 1 : 0;
       s.leaving += no == StartRefusal.DRAINING_OR_FAILED ? 1 : 0;
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -233,7 +233,7 @@
           || past.untilMs.get(zone) > now
           || (job.spec.zone() >= 0 && zone >= 0 && zone != job.spec.zone())
           || (job.spec.together() && job.liveAttemptCount() > 0 && !job.hasLiveAttemptIn(zone))
-          || (zone >= 0 && machinePool.health().failureDetector().cut(zone))) {
+          || (zone >= 0 && machinePool.health().failureDetector().isPartitioned(zone))) {
         continue;
       }
       long boot = bootMs(job.spec, zone, now);
@@ -320,7 +320,7 @@
       // One machine that is taken ends the run of all: what is cheap by the hour may cost more.
       double again = losses.repeats((s.tasks() + holds - 1) / holds, s.estimateS());
       for (int z : t.zones()) {
-        if ((zone >= 0 && z != zone) || machinePool.health().failureDetector().cut(z)) {
+        if ((zone >= 0 && z != zone) || machinePool.health().failureDetector().isPartitioned(z)) {
           continue;
         }
         for (int k = 0; k < 2; k++) {
@@ -363,7 +363,7 @@
 
   private boolean allows(Job job, Machine m, long now) {
     return (m.reservedFor == null || m.reservedFor == job)
-        && !m.health.doubted()
+        && !m.health.isSuspect()
         && machinePool.acceptsNewTasks(m, now)
         && job.spec.allows(m.type.index(), m.zone, m.spot)
         && m.type.fits(job.spec);
--- a/src/main/java/org/mallowroad/core/gang/MachinePool.java
+++ b/src/main/java/org/mallowroad/core/gang/MachinePool.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.Machine;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 
 /**
  * What gang reservations need to know of the cluster, and the one thing they do to it. The
@@ -20,7 +20,7 @@
   int zones();
 
   /** What is suspected of machines and zones. */
-  Health health();
+  FleetHealth health();
 
   /** True when new work may be started on the machine at all. */
   boolean acceptsNewTasks(Machine machine, long now);
--- a/src/main/java/org/mallowroad/core/health/FailureDetector.java
+++ b/src/main/java/org/mallowroad/core/health/FailureDetector.java
@@ -6,258 +6,314 @@
 import java.util.List;
 
 /**
- * Who has not been heard, and what the shape of the silence says. One silent machine is dead, hung
- * or cut off. Many that fall silent while others of their zone go on were taken or died. A zone of
- * which nobody at all is heard, while the other zones go on, is cut off: with a hundred machines
- * that report every few seconds three without a single report say it, before most of them are
- * overdue. Silence everywhere is rather this side's fault.
+ * Detects silent machines and partitioned zones from missing heartbeats.
  *
- * <p>Machines are kept in the order in which they were last heard, so a judgement costs the late
- * ones only.
+ * <p>The pattern of the silence tells the cause:
+ *
+ * <ul>
+ *   <li>A single silent machine is dead, hung or unreachable.
+ *   <li>Many silent machines in a zone whose other machines still report were taken away or died.
+ *   <li>A zone without any heartbeat, while the other zones report, is partitioned from this
+ *       controller. With a hundred machines that report every few seconds, three seconds without
+ *       one heartbeat show it before most of the machines are overdue.
+ *   <li>Silence in all zones is more likely a fault of this controller ({@link #isLikelyIsolated}).
+ * </ul>
+ *
+ * <p>Machines are kept in the order of their last heartbeats, so an evaluation costs only as many
+ * steps as machines are overdue. Times are in milliseconds of the caller's monotonic clock. Not
+ * thread-safe: confined to the controller's event loop.
  */
 public final class FailureDetector {
-  /** A worker that must look for the leader first: time-out of its report, and the way. */
-  private static final long SEARCH_MS = 2_500;
+  /** Time for a worker to find the leader: time-out of its heartbeat, and the redirection. */
+  private static final long LEADER_SEARCH_MS = 2_500;
+
+  /** A heartbeat interval varies by up to a quarter. */
+  private static final double INTERVAL_JITTER = 1.25;
+
+  /** Allowance for the network and the event loop before a heartbeat is overdue. */
+  private static final long OVERDUE_MARGIN_MS = 500;
 
   /**
-   * Reports that should have come from a zone before nobody's report says that it is cut: with
-   * arrivals at random, so many fail to come once in 160,000 times.
+   * Heartbeats expected from a zone that must all be missing before the zone is taken for
+   * partitioned: with random arrivals that many are missing once in 160,000 times.
    */
-  private static final double MISSED = 12;
+  private static final double MIN_MISSING_HEARTBEATS = 12;
 
   /**
-   * And not before this part of a report's time: arrivals are not quite at random, since machines
-   * that came up together report together.
+   * Least length of a zone's silence, in heartbeat intervals, before the zone is taken for
+   * partitioned: arrivals are not quite random, since machines that booted together report
+   * together.
    */
-  private static final double QUIET_REPORTS = 0.75;
+  private static final double MIN_SILENT_INTERVALS = 0.75;
 
-  /** What a judgement says of a zone. */
-  public record Verdict(int zone, boolean cut, int late, int known, long lastedMs) {}
+  /**
+   * A change in the state of a zone.
+   *
+   * @param zone index of the zone
+   * @param partitioned whether it is partitioned now
+   * @param overdue machines of the zone whose heartbeats are overdue
+   * @param known machines of the zone that are known
+   * @param lastedMs how long the previous state had lasted
+   */
+  public record ZoneVerdict(int zone, boolean partitioned, int overdue, int known, long lastedMs) {}
 
   private final HealthPolicy policy;
-  private final long reportMs;
-  private final long lateMs;
-  private final ObjectLinkedOpenHashSet<MachineHealth> order = new ObjectLinkedOpenHashSet<>();
+  private final long heartbeatIntervalMs;
+  private final long overdueAfterMs;
+
+  /** All known machines, the longest silent first. */
+  private final ObjectLinkedOpenHashSet<MachineHealth> byLastHeartbeat =
+      new ObjectLinkedOpenHashSet<>();
+
+  // The arrays below are indexed by zone.
   private final int[] known;
-  private final int[] late;
-  private final boolean[] cut;
-  private final long[] sinceMs;
-  private final long[] zoneHeardMs;
-  private int lateAll;
-  private int knownAll;
-  private final long[] listeningMs;
-  private long looked;
-
-  /** For workers that report every {@code heartbeatIntervalS}, give or take a quarter. */
+  private final int[] overdue;
+  private final boolean[] partitioned;
+  private final long[] verdictSinceMs;
+  private final long[] lastHeartbeatMs;
+  private final long[] listeningSinceMs;
+  private int totalOverdue;
+  private int totalKnown;
+  private long examinedMachines;
+
+  /**
+   * Creates a detector that has been listening since {@code now}.
+   *
+   * @param zones number of zones
+   * @param heartbeatIntervalS the workers' heartbeat interval in seconds; it varies by a quarter
+   */
   public FailureDetector(int zones, double heartbeatIntervalS, HealthPolicy policy, long now) {
     this.policy = policy;
-    this.reportMs = (long) (heartbeatIntervalS * 1000);
-    this.lateMs = (long) (heartbeatIntervalS * 1250) + 500;
+    this.heartbeatIntervalMs = (long) (heartbeatIntervalS * 1000);
+    this.overdueAfterMs =
+        (long) (heartbeatIntervalS * (1000 * INTERVAL_JITTER)) + OVERDUE_MARGIN_MS;
     this.known = new int[zones];
-    this.late = new int[zones];
-    this.cut = new boolean[zones];
-    this.sinceMs = new long[zones];
-    this.zoneHeardMs = new long[zones];
-    Arrays.fill(zoneHeardMs, now);
-    Arrays.fill(sinceMs, now);
-    this.listeningMs = new long[zones];
-    Arrays.fill(listeningMs, now);
+    this.overdue = new int[zones];
+    this.partitioned = new boolean[zones];
+    this.verdictSinceMs = new long[zones];
+    this.lastHeartbeatMs = new long[zones];
+    this.listeningSinceMs = new long[zones];
+    Arrays.fill(lastHeartbeatMs, now);
+    Arrays.fill(verdictSinceMs, now);
+    Arrays.fill(listeningSinceMs, now);
   }
 
-  /** A machine became known otherwise than by its report: it is given time to be heard. */
-  public void met(MachineHealth m, long now) {
-    if (!order.contains(m)) {
-      known[m.zone]++;
-      knownAll++;
-      m.heardMs = now + SEARCH_MS;
-      order.addAndMoveToLast(m);
+  /** Adds a machine that was not learnt of by its heartbeat; it is given time to send one. */
+  public void register(MachineHealth machine, long now) {
+    if (!byLastHeartbeat.contains(machine)) {
+      known[machine.zone]++;
+      totalKnown++;
+      machine.lastHeartbeatMs = now + LEADER_SEARCH_MS;
+      byLastHeartbeat.addAndMoveToLast(machine);
     }
   }
 
-  /** A report of the machine, which had come at {@code at}. */
-  public void heard(MachineHealth m, long at) {
-    if (order.addAndMoveToLast(m)) {
-      known[m.zone]++;
-      knownAll++;
+  /** Records a heartbeat that arrived at {@code arrivedMs}. */
+  public void recordHeartbeat(MachineHealth machine, long arrivedMs) {
+    if (byLastHeartbeat.addAndMoveToLast(machine)) {
+      known[machine.zone]++;
+      totalKnown++;
     }
-    m.heardMs = at;
-    zoneHeardMs[m.zone] = Math.max(zoneHeardMs[m.zone], at);
-    late(m, false);
+    machine.lastHeartbeatMs = arrivedMs;
+    lastHeartbeatMs[machine.zone] = Math.max(lastHeartbeatMs[machine.zone], arrivedMs);
+    setOverdue(machine, false);
   }
 
-  /** The machine is gone. */
-  public void gone(MachineHealth m) {
-    if (order.remove(m)) {
-      late(m, false);
-      known[m.zone]--;
-      knownAll--;
+  /** Forgets a machine that no longer exists. */
+  public void remove(MachineHealth machine) {
+    if (byLastHeartbeat.remove(machine)) {
+      setOverdue(machine, false);
+      known[machine.zone]--;
+      totalKnown--;
     }
   }
 
   /**
-   * This side did not listen before: everybody has a report's time again, and that to find the way
-   * back here, since they were turned away or gave this node up.
+   * Starts anew after a time in which this controller did not listen. Each machine gets another
+   * heartbeat interval, and the time to find this leader again: its worker was turned away or gave
+   * this node up.
    */
-  public void listen(long now) {
-    Arrays.fill(listeningMs, now + SEARCH_MS);
-    for (MachineHealth m : order) {
-      late(m, false);
+  public void restart(long now) {
+    Arrays.fill(listeningSinceMs, now + LEADER_SEARCH_MS);
+    for (MachineHealth machine : byLastHeartbeat) {
+      setOverdue(machine, false);
     }
   }
 
   /**
-   * The zone's workers have lost their way to this side, and the first of them is heard by way of a
-   * peer: the others are given the time to find it too, or half a fleet that lives would be
-   * returned as silent while the rest is on its way round.
+   * Starts anew for one zone, whose workers lost their direct route to this node and of which the
+   * first heartbeat came by way of a peer. The other workers get the time to find that route too;
+   * otherwise half of a working fleet would be deleted as silent meanwhile.
    */
-  public void rerouted(int zone, long now) {
-    listeningMs[zone] = now + SEARCH_MS;
-    for (MachineHealth m : order) {
-      if (m.zone == zone) {
-        late(m, false);
+  public void restartZone(int zone, long now) {
+    listeningSinceMs[zone] = now + LEADER_SEARCH_MS;
+    for (MachineHealth machine : byLastHeartbeat) {
+      if (machine.zone == zone) {
+        setOverdue(machine, false);
       }
     }
   }
 
-  private void late(MachineHealth m, boolean is) {
-    if (m.late != is) {
-      m.late = is;
-      late[m.zone] += is ? 1 : -1;
-      lateAll += is ? 1 : -1;
+  private void setOverdue(MachineHealth machine, boolean isOverdue) {
+    if (machine.overdue != isOverdue) {
+      machine.overdue = isOverdue;
+      overdue[machine.zone] += isOverdue ? 1 : -1;
+      totalOverdue += isOverdue ? 1 : -1;
     }
   }
 
-  /** How long the machine has been silent, not counting when this side did not listen. */
-  public long silentMs(MachineHealth m, long now) {
-    return now - Math.max(m.heardMs, listeningMs[m.zone]);
+  /** How long the machine has been silent, without the time in which this node did not listen. */
+  public long silentMs(MachineHealth machine, long now) {
+    return now - Math.max(machine.lastHeartbeatMs, listeningSinceMs[machine.zone]);
   }
 
-  /** True when the machine's report is overdue, as of the newest judgement. */
-  public boolean late(MachineHealth m) {
-    return m.late;
+  /** True when the machine's heartbeat was overdue at the newest evaluation. */
+  public boolean isOverdue(MachineHealth machine) {
+    return machine.overdue;
   }
 
-  /** True while the zone is held to be cut off. */
-  public boolean cut(int zone) {
-    return cut[zone];
+  /** True while the zone is taken for partitioned from this controller. */
+  public boolean isPartitioned(int zone) {
+    return partitioned[zone];
   }
 
-  /** How long the zone has been held to be cut off; 0 while it is not. */
-  public long cutForMs(int zone, long now) {
-    return cut[zone] ? now - sinceMs[zone] : 0;
+  /** How long the zone has been taken for partitioned, in ms; 0 while it is not. */
+  public long partitionedForMs(int zone, long now) {
+    return partitioned[zone] ? now - verdictSinceMs[zone] : 0;
   }
 
-  /** Zones that are held to be cut off. */
-  public int cuts() {
-    int n = 0;
-    for (boolean c : cut) {
-      n += c ? 1 : 0;
+  /** Number of zones that are taken for partitioned. */
+  public int partitionedZoneCount() {
+    int count = 0;
+    for (boolean isPartitioned : partitioned) {
+      count += isPartitioned ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
   /**
-   * True when most machines outside cut zones are silent, or no zone has been heard for so long
-   * that it is no chance, though few machines may be overdue yet: nothing can be said of anybody
-   * then.
+   * True when this controller itself is more likely at fault than the machines: most machines
+   * outside partitioned zones are overdue, or no zone has sent a heartbeat for longer than chance
+   * explains, though few machines may be overdue yet. No machine is to be given up then.
    */
-  public boolean deaf(long now) {
-    if (knownAll >= policy.cutLeast() && allQuiet(now)) {
+  public boolean isLikelyIsolated(long now) {
+    if (totalKnown >= policy.minPartitionMachines() && areAllZonesSilent(now)) {
       return true;
     }
-    int of = 0;
-    int silent = 0;
-    for (int z = 0; z < cut.length; z++) {
-      if (!cut[z]) {
-        of += known[z];
-        silent += late[z];
+    int reachableMachines = 0;
+    int reachableOverdue = 0;
+    for (int zone = 0; zone < partitioned.length; zone++) {
+      if (!partitioned[zone]) {
+        reachableMachines += known[zone];
+        reachableOverdue += overdue[zone];
       }
     }
-    return 2 * silent > of;
+    return 2 * reachableOverdue > reachableMachines;
   }
 
-  /** Machines looked at so far: what judgements cost. */
-  public long looked() {
-    return looked;
+  /** Machines examined by all evaluations so far: a measure of their cost. */
+  public long examinedMachines() {
+    return examinedMachines;
   }
 
-  /** Machines whose reports are overdue. */
-  public int lateCount() {
-    return lateAll;
+  /** Number of machines whose heartbeats are overdue. */
+  public int overdueCount() {
+    return totalOverdue;
   }
 
-  /** Machines that are known. */
-  public int known() {
-    return knownAll;
+  /** Number of known machines. */
+  public int knownMachines() {
+    return totalKnown;
   }
 
-  /** Machines of a zone that are known. */
-  public int known(int zone) {
+  /** Number of known machines of a zone. */
+  public int knownMachines(int zone) {
     return known[zone];
   }
 
-  /** Judges the zones anew; returns those whose verdict changed. */
-  public List<Verdict> judge(long now) {
-    for (MachineHealth m : order) {
-      looked++;
-      if (now - m.heardMs <= lateMs) {
-        break; // Those behind it were heard later.
-      }
-      if (silentMs(m, now) > lateMs) {
-        late(m, true);
+  /**
+   * Evaluates which machines are overdue and which zones are partitioned.
+   *
+   * @return the zones whose state changed
+   */
+  public List<ZoneVerdict> evaluate(long now) {
+    markOverdueMachines(now);
+    List<ZoneVerdict> changed = new ArrayList<>();
+    for (int zone = 0; zone < partitioned.length; zone++) {
+      boolean isPartitioned =
+          partitioned[zone] ? partitionLasts(zone, now) : partitionBegins(zone, now);
+      if (isPartitioned != partitioned[zone]) {
+        partitioned[zone] = isPartitioned;
+        long lastedMs = now - verdictSinceMs[zone];
+        changed.add(new ZoneVerdict(zone, isPartitioned, overdue[zone], known[zone], lastedMs));
+        verdictSinceMs[zone] = now;
       }
     }
-    List<Verdict> changed = new ArrayList<>();
-    for (int z = 0; z < cut.length; z++) {
-      boolean is = cut[z] ? stays(z, now) : begins(z, now);
-      if (is != cut[z]) {
-        cut[z] = is;
-        changed.add(new Verdict(z, is, late[z], known[z], now - sinceMs[z]));
-        sinceMs[z] = now;
+    return changed;
+  }
+
+  private void markOverdueMachines(long now) {
+    for (MachineHealth machine : byLastHeartbeat) {
+      examinedMachines++;
+      if (now - machine.lastHeartbeatMs <= overdueAfterMs) {
+        break; // The machines behind it sent their heartbeats later.
+      }
+      if (silentMs(machine, now) > overdueAfterMs) {
+        setOverdue(machine, true);
       }
     }
-    return changed;
   }
 
-  private boolean begins(int z, long now) {
-    return known[z] >= policy.cutLeast()
-        && othersGoOn(z, now)
-        && (quiet(z, now) || late[z] >= policy.cutShare() * known[z]);
+  private boolean partitionBegins(int zone, long now) {
+    return known[zone] >= policy.minPartitionMachines()
+        && otherZonesReport(zone, now)
+        && (isSilent(zone, now) || overdue[zone] >= policy.partitionShare() * known[zone]);
   }
 
-  /** A cut is over when the zone is heard again, and most of its machines are, or are returned. */
-  private boolean stays(int z, long now) {
-    return known[z] >= policy.cutLeast() && (quiet(z, now) || 2 * late[z] > known[z]);
+  /** A partition ends when the zone reports again and most of its machines do, or are deleted. */
+  private boolean partitionLasts(int zone, long now) {
+    return known[zone] >= policy.minPartitionMachines()
+        && (isSilent(zone, now) || 2 * overdue[zone] > known[zone]);
   }
 
-  private boolean allQuiet(long now) {
-    for (int z = 0; z < cut.length; z++) {
-      if (known[z] > 0 && !cut[z] && now - zoneHeardMs[z] <= quietMs(z)) {
+  private boolean areAllZonesSilent(long now) {
+    for (int zone = 0; zone < partitioned.length; zone++) {
+      if (known[zone] > 0
+          && !partitioned[zone]
+          && now - lastHeartbeatMs[zone] <= silenceLimitMs(zone)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Nobody of the zone was heard for so long that it is no chance. */
-  private boolean quiet(int z, long now) {
-    return now - Math.max(zoneHeardMs[z], listeningMs[z] + (long) (1.25 * reportMs)) > quietMs(z);
+  /** True when the zone has sent no heartbeat for longer than chance explains. */
+  private boolean isSilent(int zone, long now) {
+    long expectedMs = listeningSinceMs[zone] + (long) (INTERVAL_JITTER * heartbeatIntervalMs);
+    return now - Math.max(lastHeartbeatMs[zone], expectedMs) > silenceLimitMs(zone);
   }
 
-  private long quietMs(int z) {
-    return (long) Math.max(QUIET_REPORTS * reportMs, MISSED * reportMs / Math.max(1, known[z]));
+  private long silenceLimitMs(int zone) {
+    return (long)
+        Math.max(
+            MIN_SILENT_INTERVALS * heartbeatIntervalMs,
+            MIN_MISSING_HEARTBEATS * heartbeatIntervalMs / Math.max(1, known[zone]));
   }
 
   /**
-   * The rest of the fleet is heard, and was in the last third of the time that the zone is quiet:
-   * when all fall silent together the fault is on this side, whichever was heard last.
+   * True when most machines of the other zones report, and one of them did in the last third of the
+   * zone's silence. When all zones fall silent together the fault is on this side, whichever of
+   * them sent the last heartbeat.
    */
-  private boolean othersGoOn(int z, long now) {
-    int others = knownAll - known[z];
-    int lateOthers = lateAll - late[z];
-    for (int o = 0; o < cut.length; o++) {
-      if (o != z && !cut[o] && 3 * (now - zoneHeardMs[o]) < quietMs(z)) {
-        return others - lateOthers >= policy.cutLeast() && 2 * lateOthers < others;
+  private boolean otherZonesReport(int zone, long now) {
+    int others = totalKnown - known[zone];
+    int overdueOthers = totalOverdue - overdue[zone];
+    for (int other = 0; other < partitioned.length; other++) {
+      if (other != zone
+          && !partitioned[other]
+          && 3 * (now - lastHeartbeatMs[other]) < silenceLimitMs(zone)) {
+        return others - overdueOthers >= policy.minPartitionMachines()
+            && 2 * overdueOthers < others;
       }
     }
     return false;
--- /dev/null
+++ b/src/main/java/org/mallowroad/core/health/FleetHealth.java
@@ -0,0 +1,156 @@
+package org.mallowroad.core.health;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Evidence about the health of the fleet and of this controller, for one leadership term.
+ *
+ * <p>The one entry point for the scheduler state, placement and the autoscaler, which report what
+ * they see and ask for conclusions. Evidence may be wrong, so nothing here frees an attempt.
+ *
+ * <p>Times are in milliseconds of the caller's monotonic clock. Not thread-safe: confined to the
+ * controller's event loop.
+ */
+public final class FleetHealth {
+  /** Changes of suspicion that are kept for the log; further ones are only counted. */
+  private static final int MAX_KEPT_CHANGES = 64;
+
+  /**
+   * A machine became suspect, or is trusted again.
+   *
+   * @param suspicion the new suspicion, {@link MachineHealth.Suspicion#NONE} when it is trusted
+   * @param slowdown see {@link MachineHealth#slowdown}
+   */
+  public record SuspicionChange(
+      MachineHealth machine, MachineHealth.Suspicion suspicion, double slowdown) {}
+
+  private final HealthPolicy policy;
+  private final FailureDetector failureDetector;
+  private final PauseDetector pauseDetector;
+  private final StragglerDetector stragglerDetector;
+  private final List<SuspicionChange> changes = new ArrayList<>();
+  private long unkeptChanges;
+  private int fleetSize;
+
+  /**
+   * Creates the evidence of a new term.
+   *
+   * @param zones number of zones
+   * @param heartbeatIntervalS the workers' heartbeat interval in seconds
+   */
+  public FleetHealth(HealthPolicy policy, int zones, double heartbeatIntervalS, long now) {
+    this.policy = policy;
+    this.failureDetector = new FailureDetector(zones, heartbeatIntervalS, policy, now);
+    this.pauseDetector = new PauseDetector(policy.pauseMs(), now);
+    this.stragglerDetector = new StragglerDetector(policy);
+  }
+
+  /** The operators' thresholds. */
+  public HealthPolicy policy() {
+    return policy;
+  }
+
+  /** Detects silent machines and partitioned zones. */
+  public FailureDetector failureDetector() {
+    return failureDetector;
+  }
+
+  /** Detects pauses of this process. */
+  public PauseDetector pauseDetector() {
+    return pauseDetector;
+  }
+
+  /** Detects slow and faulty machines. */
+  public StragglerDetector stragglerDetector() {
+    return stragglerDetector;
+  }
+
+  /** Adds a machine that was not learnt of by its heartbeat. */
+  public void register(MachineHealth machine, long now) {
+    failureDetector.register(machine, now);
+    fleetSize++;
+  }
+
+  /**
+   * Records a heartbeat of the machine that is read now.
+   *
+   * @return the time by which it had certainly arrived; see {@link PauseDetector#latestArrivalMs}
+   */
+  public long recordHeartbeat(MachineHealth machine, long now) {
+    long arrivedMs = pauseDetector.latestArrivalMs(now);
+    failureDetector.recordHeartbeat(machine, arrivedMs);
+    if (stragglerDetector.expireSuspicion(machine, now)) {
+      recordChange(machine);
+    }
+    return arrivedMs;
+  }
+
+  /** Forgets a machine that is proven gone. */
+  public void remove(MachineHealth machine) {
+    failureDetector.remove(machine);
+    stragglerDetector.remove(machine);
+    fleetSize--;
+  }
+
+  /** Records that a task ended well; see {@link StragglerDetector#taskFinished}. */
+  public void taskFinished(
+      MachineHealth machine,
+      RunTimeBaseline job,
+      int taskClass,
+      long ranMs,
+      double estimateS,
+      long now) {
+    if (stragglerDetector.taskFinished(machine, job, taskClass, ranMs, estimateS, fleetSize, now)) {
+      recordChange(machine);
+    }
+  }
+
+  /** Records that a task failed; see {@link StragglerDetector#taskFailed}. */
+  public void taskFailed(MachineHealth machine, int job, boolean jobAtFault, long now) {
+    if (stragglerDetector.taskFailed(machine, job, jobAtFault, fleetSize, now)) {
+      recordChange(machine);
+    }
+  }
+
+  /** Sets how many tasks on the machine have run for several times as long as their peers. */
+  public void tasksOverdue(MachineHealth machine, int tasks, long now) {
+    if (stragglerDetector.tasksOverdue(machine, tasks, fleetSize, now)) {
+      recordChange(machine);
+    }
+  }
+
+  /** Records a task's wait for its image; see {@link StragglerDetector#imageFetchWaiting}. */
+  public void imageFetchWaiting(MachineHealth machine, long waitedMs, double expectedMs, long now) {
+    if (stragglerDetector.imageFetchWaiting(machine, waitedMs, expectedMs, fleetSize, now)) {
+      recordChange(machine);
+    }
+  }
+
+  private void recordChange(MachineHealth machine) {
+    if (changes.size() < MAX_KEPT_CHANGES) {
+      changes.add(new SuspicionChange(machine, machine.suspicion(), machine.slowdown()));
+    } else {
+      unkeptChanges++;
+    }
+  }
+
+  /** Takes the changes since the last call, {@link #MAX_KEPT_CHANGES} at the most. */
+  public List<SuspicionChange> takeChanges() {
+    List<SuspicionChange> taken = new ArrayList<>(changes);
+    changes.clear();
+    return taken;
+  }
+
+  /** Takes the number of changes since the last call that were counted but not kept. */
+  public long takeUnkeptChanges() {
+    long taken = unkeptChanges;
+    unkeptChanges = 0;
+    return taken;
+  }
+
+  /** True when the machine is in a partitioned zone and its own heartbeat is overdue. */
+  public boolean isPartitionedAway(MachineHealth machine) {
+    return failureDetector.isPartitioned(machine.zone()) && failureDetector.isOverdue(machine);
+  }
+}
--- a/src/main/java/org/mallowroad/core/health/HealthPolicy.java
+++ b/src/main/java/org/mallowroad/core/health/HealthPolicy.java
@@ -1,39 +1,43 @@
 package org.mallowroad.core.health;
 
 /**
- * The operators' thresholds for evidence (XML, element {@code health}).
+ * The operators' thresholds for health evidence (XML, element {@code health}).
  *
- * @param slowFactor a machine is slow when its tasks take this many times what their peers take
- * @param slowSamples this many tasks must say so, at the least
- * @param slowShare at most this share of the fleet is held slow at once: more of them are rather a
- *     slow day than slow machines
- * @param favourMs after this time without new evidence a slow machine is tried again, in ms
- * @param errors error exits of as many jobs make a machine faulty
- * @param cutShare when this share of a zone's machines is silent, and not of the rest, it is cut
- *     off, as it is when none of them is heard
- * @param cutLeast zones of fewer machines are not judged
- * @param cutReturns this share of a cut zone's machines may be returned before their leases ran out
- * @param hasteShare this share of the fleet may be returned for silence at once; it fills up again
- *     in the time of a worker's lease
- * @param hasteLeast and as many machines in any case
- * @param replaceShare at most this share of the room that a cut zone keeps is rented elsewhere
- * @param stillMs a turn of the loop that comes later than this means that the process stood still
+ * @param slowFactor a machine is slow when its tasks take this many times as long as their peers
+ * @param slowSamples least number of tasks that must show it
+ * @param maxSlowShare at most this share of the fleet is suspected at once: when more machines seem
+ *     slow the whole day is slow
+ * @param suspicionExpiryMs without new evidence a suspicion expires after this time, in ms, and the
+ *     machine is tried again
+ * @param errors number of jobs whose tasks must fail on a machine to make it faulty
+ * @param partitionShare a zone is partitioned when this share of its machines is overdue while the
+ *     rest of the fleet reports; it also is when none of its machines reports
+ * @param minPartitionMachines zones of fewer machines are never taken for partitioned
+ * @param partitionReturnShare this share of a partitioned zone's machines may be deleted before
+ *     their leases expire
+ * @param returnShare this share of the fleet may be deleted for silence at once; the allowance
+ *     refills in the time of a worker's lease
+ * @param minReturns this many machines may be deleted at once whatever the size of the fleet
+ * @param maxReplacementShare at most this share of a partitioned zone's capacity is replaced in
+ *     other zones
+ * @param pauseMs a gap of more than this between two activities of the event loop, in ms, is a
+ *     pause of the process
  */
 public record HealthPolicy(
     double slowFactor,
     int slowSamples,
-    double slowShare,
-    long favourMs,
+    double maxSlowShare,
+    long suspicionExpiryMs,
     int errors,
-    double cutShare,
-    int cutLeast,
-    double cutReturns,
-    double hasteShare,
-    int hasteLeast,
-    double replaceShare,
-    long stillMs) {
+    double partitionShare,
+    int minPartitionMachines,
+    double partitionReturnShare,
+    double returnShare,
+    int minReturns,
+    double maxReplacementShare,
+    long pauseMs) {
 
-  /** What holds without settings; docs/health.md says what each was weighed against. */
+  /** The values without settings; docs/health.md gives the reason for each. */
   public static HealthPolicy defaults() {
     return new HealthPolicy(1.7, 5, 0.1, 90_000, 3, 0.8, 5, 0.5, 0.35, 8, 0.5, 1_500);
   }
--- a/src/main/java/org/mallowroad/core/health/MachineHealth.java
+++ b/src/main/java/org/mallowroad/core/health/MachineHealth.java
@@ -2,20 +2,23 @@
 
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 
-/** What is suspected of one machine: bounded, and forgotten with it. */
+/**
+ * Evidence about one machine, of bounded size. The detectors of this package keep their figures for
+ * the machine in its package-private fields, which saves a map from machines to figures.
+ */
 public final class MachineHealth {
-  /** Samples of speed kept for a machine. */
-  static final int SAMPLES = 12;
+  /** Number of newest run times that are kept. */
+  static final int MAX_SAMPLES = 12;
 
-  /** Why a machine is out of favour. */
-  public enum Doubt {
-    /** Nothing is held against it. */
+  /** Why a machine is avoided. */
+  public enum Suspicion {
+    /** The machine is trusted. */
     NONE,
     /** Its tasks take much longer than their peers. */
     SLOW,
-    /** Tasks of several jobs failed here that did not fail elsewhere. */
+    /** Tasks of several jobs failed on it that did not fail elsewhere. */
     FAULTY,
-    /** An image did not come in several times the time that it takes. */
+    /** An image did not arrive in several times the time that its fetch takes. */
     NO_IMAGE
   }
 
@@ -23,50 +26,68 @@
   public final String name;
 
   final int zone;
-  final double[] excess = new double[SAMPLES];
-  final IntOpenHashSet errorJobs = new IntOpenHashSet(4);
   private final OutboundReachability outboundReachability = new OutboundReachability();
+
+  // Kept by FailureDetector.
+
+  /** Arrival of the last heartbeat; later than now for a machine that is given time to report. */
+  long lastHeartbeatMs;
+
+  boolean overdue;
+
+  // Kept by StragglerDetector.
+
+  /** Ring of the newest run times: logarithm of the run time by what is fair for the task. */
+  final double[] excess = new double[MAX_SAMPLES];
+
+  /** Samples taken; the next one goes to this index of the ring, modulo its size. */
   int samples;
-  int overdue;
-  long heardMs;
-  boolean late;
-  Doubt doubt = Doubt.NONE;
-  long doubtedMs;
 
-  /** A machine of a zone, known since now. */
+  /** Running tasks that have taken several times as long as their peers. */
+  int overdueTasks;
+
+  /** Jobs whose tasks failed here since the last task that ended well. */
+  final IntOpenHashSet failedJobs = new IntOpenHashSet(4);
+
+  Suspicion suspicion = Suspicion.NONE;
+
+  /** Time of the newest evidence for the suspicion. */
+  long suspectedMs;
+
+  /** A machine without evidence. */
   public MachineHealth(String name, int zone) {
     this.name = name;
     this.zone = zone;
   }
 
-  /** Whether what is said to it reaches it. */
+  /** Whether messages of this controller reach the machine. */
   public OutboundReachability outboundReachability() {
     return outboundReachability;
   }
 
-  /** What is held against it. */
-  public Doubt doubt() {
-    return doubt;
+  /** Why the machine is avoided, or {@link Suspicion#NONE}. */
+  public Suspicion suspicion() {
+    return suspicion;
   }
 
-  /** True when it gets no urgent work, no gangs, and other work last. */
-  public boolean doubted() {
-    return doubt != Doubt.NONE;
+  /** True when the machine gets no urgent tasks and no gangs, and other tasks last. */
+  public boolean isSuspect() {
+    return suspicion != Suspicion.NONE;
   }
 
-  /** True while its report is overdue, as of the newest judgement. */
-  public boolean late() {
-    return late;
+  /** True when the machine's heartbeat was overdue at the newest evaluation. */
+  public boolean isOverdue() {
+    return overdue;
   }
 
-  /** Index of its zone. */
+  /** Index of the machine's zone. */
   public int zone() {
     return zone;
   }
 
-  /** How many times longer than their peers its tasks took, by the median of the newest ones. */
-  public double pace() {
-    int n = Math.min(samples, SAMPLES);
-    return n == 0 ? 1 : Math.exp(Medians.of(excess, n));
+  /** How many times as long as their peers its tasks took: median of the newest samples, or 1. */
+  public double slowdown() {
+    int count = Math.min(samples, MAX_SAMPLES);
+    return count == 0 ? 1 : Math.exp(Medians.of(excess, count));
   }
 }
--- a/src/main/java/org/mallowroad/core/health/OutboundReachability.java
+++ b/src/main/java/org/mallowroad/core/health/OutboundReachability.java
@@ -1,58 +1,67 @@
 package org.mallowroad.core.health;
 
 /**
- * Whether what is said to a machine reaches it. A machine whose reports arrive looks alive,
- * although its answers and orders may be lost: its lease runs out, its tasks die with each session,
- * and whatever is placed there never starts. Its own reports show it: a token that an earlier
- * answer carried is not in them, launches that were in one are not listed, and a session ends
- * although its reports were answered. Evidence only: it frees nothing.
+ * Detects that messages of this controller do not reach a machine whose heartbeats arrive.
+ *
+ * <p>With such a one-way link the machine looks alive, although its lease expires, its tasks die
+ * with each incarnation and whatever is placed on it never starts. Its own heartbeats show it: they
+ * do not have the fencing token of an earlier answer, do not list launches that an answer carried,
+ * or begin a new incarnation although the heartbeats of the last one were answered. This is
+ * evidence only and frees no attempt.
+ *
+ * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class OutboundReachability {
-  /** So many reports in a row that do not know what the answers before them said. */
-  static final int MISSED = 3;
+  /** Consecutive heartbeats that must miss the content of the answers before them. */
+  static final int MIN_UNACKNOWLEDGED = 3;
 
-  /** And for so long: an answer may be lost, and the report after it come at once. */
-  static final long MISSED_MS = 4_000;
+  /** Least time between the first and the last of them: one answer may be lost by chance. */
+  static final long MIN_UNACKNOWLEDGED_MS = 4_000;
 
-  /** A deaf machine is told a higher token so often: the first that it has seen ends the doubt. */
-  static final long PROBE_MS = 10_000;
+  /**
+   * Interval at which a machine with a broken link is offered a higher fencing token; the first
+   * heartbeat that has the token shows that the link works again.
+   */
+  static final long PROBE_INTERVAL_MS = 10_000;
 
-  private int missed;
-  private long sinceMs;
+  private int unacknowledged;
+  private long unacknowledgedSinceMs;
   private long probedMs;
-  private boolean deaf;
+  private boolean broken;
 
-  /** A report shows something that only an answer or order can have told it. */
-  public void heeded() {
-    missed = 0;
-    deaf = false;
+  /** A heartbeat shows something that only a message of this controller can have told. */
+  public void recordAcknowledged() {
+    unacknowledged = 0;
+    broken = false;
   }
 
-  /** A report does not show what the answer before it said. */
-  public void missed(long now) {
-    if (missed++ == 0) {
-      sinceMs = now;
+  /** A heartbeat does not show what the answer before it said. */
+  public void recordUnacknowledged(long now) {
+    if (unacknowledged++ == 0) {
+      unacknowledgedSinceMs = now;
     }
-    if (missed >= MISSED && now - sinceMs >= MISSED_MS && !deaf) {
-      deaf = true;
+    if (unacknowledged >= MIN_UNACKNOWLEDGED
+        && now - unacknowledgedSinceMs >= MIN_UNACKNOWLEDGED_MS
+        && !broken) {
+      broken = true;
       probedMs = now;
     }
   }
 
-  /** Its session ended although reports of it were answered within its lease. */
-  public void sessionLost(long now) {
-    deaf = true;
+  /** The worker's incarnation ended although its heartbeats were answered within its lease. */
+  public void recordIncarnationLost(long now) {
+    broken = true;
     probedMs = now;
   }
 
-  /** True when nothing that is said reaches it, as far as its reports show. */
-  public boolean deaf() {
-    return deaf;
+  /** True when no message reaches the machine, as far as its heartbeats show. */
+  public boolean isBroken() {
+    return broken;
   }
 
-  /** True once in {@link #PROBE_MS} while it is deaf. */
-  public boolean probe(long now) {
-    if (!deaf || now - probedMs < PROBE_MS) {
+  /** True once in {@link #PROBE_INTERVAL_MS} while the link is broken: a probe is to be sent. */
+  public boolean takeProbe(long now) {
+    if (!broken || now - probedMs < PROBE_INTERVAL_MS) {
       return false;
     }
     probedMs = now;
--- a/src/main/java/org/mallowroad/core/health/PauseDetector.java
+++ b/src/main/java/org/mallowroad/core/health/PauseDetector.java
@@ -1,84 +1,94 @@
 package org.mallowroad.core.health;
 
 /**
- * Notices that this process itself stood still: a frozen host, a long collection, a starved core.
- * Its clocks ran on, so to itself everybody else seems silent, and what waited in its sockets looks
- * new. A detector that doubts itself first (Lifeguard, 2017) concludes nothing from its own pause.
+ * Detects pauses of this process: a frozen host, a long garbage collection, a starved core.
  *
- * <p>Every turn of the loop and every message is told to {@link #turn}. A gap longer than the limit
- * is a standstill. What is read until two beats later may have waited through it, so {@link #heard}
- * dates it to the beginning; and silence counts from its end at the earliest ({@link #since}).
+ * <p>The clock runs on during a pause, so all other machines seem silent afterwards, and messages
+ * that waited in the sockets look new. A failure detector that checks its own health first (as in
+ * Lifeguard, 2017) draws no conclusion from its own pause.
+ *
+ * <p>Every turn of the event loop and every message is passed to {@link #recordActivity}. A gap
+ * that is longer than the limit is a pause. Messages that are read within two ticks after it may
+ * have waited through it, so {@link #latestArrivalMs} dates them to its beginning; and silence of
+ * others counts from its end at the earliest ({@link #listeningSinceMs}).
+ *
+ * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class PauseDetector {
-  /** Beats of the loop after which what had waited in the sockets has been read. */
-  private static final int SETTLE_BEATS = 2;
+  /** Ticks of the event loop after which the messages that waited in the sockets are read. */
+  private static final int TICKS_TO_SETTLE = 2;
 
   private final long limitMs;
-  private long lastMs;
-  private long fromMs;
-  private long untilMs;
-  private int beats = SETTLE_BEATS;
-  private long count;
-  private long longestMs;
+  private long lastActivityMs;
+  private long pauseBeganMs;
+  private long pauseEndedMs;
+  private int ticksSincePause = TICKS_TO_SETTLE;
+  private long pauseCount;
+  private long longestPauseMs;
 
-  /** A gap of more than {@code limitMs} between two turns counts; the first turn is now. */
+  /**
+   * Creates a detector whose first activity is now.
+   *
+   * @param limitMs longest gap between two activities, in ms, that is not a pause
+   */
   public PauseDetector(long limitMs, long now) {
     this.limitMs = limitMs;
-    this.lastMs = now;
-    this.fromMs = now;
-    this.untilMs = now;
+    this.lastActivityMs = now;
+    this.pauseBeganMs = now;
+    this.pauseEndedMs = now;
   }
 
   /**
-   * The loop has a turn.
+   * Records a turn of the event loop or a message.
    *
-   * @return the length in ms of a standstill that ended with it, or 0
+   * @return the length in ms of a pause that ended just now, or 0
    */
-  public long turn(long now) {
-    long gap = now - lastMs;
-    lastMs = now;
-    if (gap <= limitMs) {
+  public long recordActivity(long now) {
+    long gapMs = now - lastActivityMs;
+    lastActivityMs = now;
+    if (gapMs <= limitMs) {
       return 0;
     }
-    fromMs = now - gap;
-    untilMs = now;
-    beats = 0;
-    count++;
-    longestMs = Math.max(longestMs, gap);
-    return gap;
+    pauseBeganMs = now - gapMs;
+    pauseEndedMs = now;
+    ticksSincePause = 0;
+    pauseCount++;
+    longestPauseMs = Math.max(longestPauseMs, gapMs);
+    return gapMs;
   }
 
   /**
-   * The loop's regular beat, in addition to {@link #turn}: sockets are read between two of them.
+   * Records a regular tick of the event loop, in addition to {@link #recordActivity}: the sockets
+   * are read between two ticks.
    */
-  public void beat() {
-    if (beats < SETTLE_BEATS) {
-      beats++;
+  public void recordTick() {
+    if (ticksSincePause < TICKS_TO_SETTLE) {
+      ticksSincePause++;
     }
   }
 
-  /** When a message that is read now had come at the latest that is certain. */
-  public long heard(long now) {
-    return settled() ? now : fromMs;
+  /** The time by which a message that is read now had certainly arrived. */
+  public long latestArrivalMs(long now) {
+    return isSettled() ? now : pauseBeganMs;
   }
 
-  /** False while what is read may have waited through a standstill. */
-  public boolean settled() {
-    return beats >= SETTLE_BEATS;
+  /** False while messages that are read may have waited through a pause. */
+  public boolean isSettled() {
+    return ticksSincePause >= TICKS_TO_SETTLE;
   }
 
-  /** Since when this process has been listening without a break. */
-  public long since() {
-    return untilMs;
+  /** Since when this process has been listening without a pause. */
+  public long listeningSinceMs() {
+    return pauseEndedMs;
   }
 
-  /** Standstills so far. */
-  public long count() {
-    return count;
+  /** Number of pauses so far. */
+  public long pauseCount() {
+    return pauseCount;
   }
 
-  /** The longest one, in ms. */
-  public long longestMs() {
-    return longestMs;
+  /** Length of the longest pause so far, in ms. */
+  public long longestPauseMs() {
+    return longestPauseMs;
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
@@ -307,7 +307,7 @@
         open,
         0,
         openCount,
-        Comparator.comparing((Machine m) -> m.health.doubted())
+        Comparator.comparing((Machine m) -> m.health.isSuspect())
             .thenComparingDouble(m -> m.type.cpus())
             .thenComparingDouble(m -> m.type.price(m.spot))
             .thenComparingDouble(m -> m.freeResources.cpus));
@@ -373,7 +373,7 @@
 
   /** Urgent tasks and gangs do not go to a machine that is slow or faulty: many wait for them. */
   private static boolean avoids(JobSpec s, Machine m) {
-    return m.health.doubted() && (urgent(s) || s.gang());
+    return m.health.isSuspect() && (urgent(s) || s.gang());
   }
 
   /** True for work that may not wait on a slow machine. */
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -16,7 +16,7 @@
 import org.mallowroad.core.Team;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.dependency.JobDependencies;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.image.ImageFetchPolicy;
 import org.mallowroad.core.scheduling.TaskScheduler;
@@ -83,7 +83,7 @@
             2,
             List.of(new Team("t", 1e9, 0, 1e9, 0)),
             zones,
-            new Health(HealthPolicy.defaults(), 2, 2, 0),
+            new FleetHealth(HealthPolicy.defaults(), 2, 2, 0),
             setting.policy());
     placement = new TaskScheduler(schedulerState);
     for (int i = 0; i < setting.machines(); i++) {
--- a/src/test/java/org/mallowroad/config/SettingsTest.java
+++ b/src/test/java/org/mallowroad/config/SettingsTest.java
@@ -137,8 +137,8 @@
     assertEquals(5_000, OperatorSettings.load(f.toString()).fleet().cycleMs());
     Files.writeString(f, "<mallowroad><health favour-s='7' unknown='1'/></mallowroad>");
     OperatorSettings o = OperatorSettings.load(f.toString());
-    assertEquals(7_000, o.health().favourMs());
-    assertEquals(HealthPolicy.defaults().cutLeast(), o.health().cutLeast());
+    assertEquals(7_000, o.health().suspicionExpiryMs());
+    assertEquals(HealthPolicy.defaults().minPartitionMachines(), o.health().minPartitionMachines());
     assertEquals(AutoscalerPolicy.defaults(), o.fleet());
   }
 }
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -22,7 +22,7 @@
 import org.mallowroad.core.autoscaling.Autoscaler;
 import org.mallowroad.core.autoscaling.AutoscalerPolicy;
 import org.mallowroad.core.autoscaling.ScaleOutRequest;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
@@ -37,7 +37,7 @@
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0, 1});
-    final Health health;
+    final FleetHealth health;
     final SchedulerState schedulerState;
     final FailureResponder responder;
     final TaskScheduler placement;
@@ -57,7 +57,7 @@
     Simulation(boolean takenOver) {
       zones.intern("a");
       zones.intern("b");
-      health = new Health(HealthPolicy.defaults(), 2, 4, now);
+      health = new FleetHealth(HealthPolicy.defaults(), 2, 4, now);
       Team team = new Team("t", 1e6, 0, 1e6, 0);
       schedulerState = new SchedulerState(TERM, 26, 4, List.of(team), zones, health);
       responder = new FailureResponder(schedulerState, zones, 4, 26, TERM, now);
@@ -126,7 +126,8 @@
     int rented() {
       int n = 0;
       for (ScaleOutRequest r : fleet.rents(placement.queue(now), List.of(), List.of(type), now)) {
-        assertFalse(health.failureDetector().cut(r.variant().zone()), "rented in a cut zone");
+        assertFalse(
+            health.failureDetector().isPartitioned(r.variant().zone()), "rented in a cut zone");
         n += r.count();
       }
       return n;
@@ -207,7 +208,7 @@
                   }
                 }
               }
-              assertEquals(0, w.health.failureDetector().cuts());
+              assertEquals(0, w.health.failureDetector().partitionedZoneCount());
               w.schedulerState.accept(
                   JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
               assertTrue(w.rented() > 0);
@@ -223,7 +224,7 @@
               for (Attempt a : m.attempts()) {
                 assertTrue(a.isStopping());
               }
-              assertEquals(1, w.health.stragglerDetector().doubted());
+              assertEquals(1, w.health.stragglerDetector().suspectCount());
             }),
         day(
             "half a fleet that hung to just within its lease is not returned, nor rented twice",
@@ -272,7 +273,7 @@
               w.pass(9_000, 0, 20);
               assertEquals(0, w.returned());
               w.pass(10_000, 0, 20);
-              assertTrue(w.health.failureDetector().cut(0));
+              assertTrue(w.health.failureDetector().isPartitioned(0));
               assertTrue(w.returned() <= 11, "returned " + w.returned());
             }),
         day(
@@ -337,7 +338,7 @@
             false,
             w -> {
               w.pass(6_000, 0, 20);
-              assertTrue(w.health.failureDetector().cut(0));
+              assertTrue(w.health.failureDetector().isPartitioned(0));
               w.pass(14_000, 0, 26);
               int taken = 0;
               for (int i = 20; i < 26; i++) {
--- a/src/test/java/org/mallowroad/core/FailoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -52,7 +52,7 @@
       report(schedulerState, machines.get(i), Heartbeat.State.EXITED, now + 60_000);
     }
     assertEquals(80, job.doneCount());
-    assertEquals(0, schedulerState.health().stragglerDetector().doubted());
-    assertEquals(0, schedulerState.health().stragglerDetector().refused());
+    assertEquals(0, schedulerState.health().stragglerDetector().suspectCount());
+    assertEquals(0, schedulerState.health().stragglerDetector().refusedSuspicions());
   }
 }
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -116,9 +116,9 @@
             report(m);
           }
         }
-        schedulerState.health().still().turn(now);
-        schedulerState.health().still().beat();
-        schedulerState.health().failureDetector().judge(now);
+        schedulerState.health().pauseDetector().recordActivity(now);
+        schedulerState.health().pauseDetector().recordTick();
+        schedulerState.health().failureDetector().evaluate(now);
       }
     }
 
@@ -328,9 +328,9 @@
               Machine m = w.machine(0);
               w.job(JobSpecs.array("job-0", 10, 4).team(1));
               for (int i = 0; i < 5; i++) {
-                w.schedulerState.health().failed(m.health, 100 + i, false, w.now);
+                w.schedulerState.health().taskFailed(m.health, 100 + i, false, w.now);
               }
-              assertTrue(m.health.doubted());
+              assertTrue(m.health.isSuspect());
               w.run();
               return w.job(JobSpecs.array("job-1", 1, 1).priority(1));
             },
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -175,18 +175,18 @@
             w -> {
               FailureDetector s = w.schedulerState.health().failureDetector();
               for (int i = 0; i < 100; i++) {
-                s.judge(w.now + 10L * i);
+                s.evaluate(w.now + 10L * i);
               }
-              atMost(100, s.looked());
+              atMost(100, s.examinedMachines());
               for (Machine m : w.schedulerState.machines()) {
                 if (!m.name.endsWith("7")) {
-                  w.schedulerState.health().heard(m.health, w.now + 6_000);
+                  w.schedulerState.health().recordHeartbeat(m.health, w.now + 6_000);
                 }
               }
-              long before = s.looked();
-              s.judge(w.now + 6_000);
-              assertEquals(MACHINES / 10, s.lateCount());
-              atMost(MACHINES / 10 + 1, s.looked() - before);
+              long before = s.examinedMachines();
+              s.evaluate(w.now + 6_000);
+              assertEquals(MACHINES / 10, s.overdueCount());
+              atMost(MACHINES / 10 + 1, s.examinedMachines() - before);
             }),
         scale(
             "arrays of 100,000 tasks are forecast up to a bound, others before them in full",
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -22,7 +22,7 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.WorkerCommand;
-import org.mallowroad.core.health.Health;
+import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
 import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.simulation.ImageFetchWave;
@@ -47,7 +47,7 @@
       zones.intern("a");
       zones.intern("b");
       this.handsOn = handsOn;
-      Health h = new Health(HealthPolicy.defaults(), 2, 600, now);
+      FleetHealth h = new FleetHealth(HealthPolicy.defaults(), 2, 600, now);
       schedulerState =
           new SchedulerState(1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, h, p);
       placement = new TaskScheduler(schedulerState);
