--- a/src/main/java/org/mallowroad/api/FoldClaim.java
+++ b/src/main/java/org/mallowroad/api/FoldClaim.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
@@ -107,7 +108,7 @@
    * judged again, and sees the first.
    */
   private void readHolds(Runnable next) {
-    if (!dependencies.held()) {
+    if (!dependencies.isGated()) {
       next.run();
       return;
     }
@@ -141,12 +142,12 @@
       next.run(); // Accepted before: its own record must not look like a circle.
       return;
     }
-    String through = DependencyCycles.closes(id, dependencies, held);
-    if (through == null) {
+    Optional<String> through = DependencyCycles.findCycle(id, dependencies, held);
+    if (through.isEmpty()) {
       next.run();
       return;
     }
-    String reason = "holds: " + id + " would wait for itself, by way of " + through;
+    String reason = "holds: " + id + " would wait for itself, by way of " + through.get();
     if (intent == 0) {
       end(Folding.End.REFUSED, reason);
     } else {
@@ -158,7 +159,7 @@
   private Map<String, Long> lowest() {
     Map<String, Long> out = new TreeMap<>();
     games.forEach(g -> out.merge(g.league(), g.number(), Math::min));
-    dependencies.highest().keySet().forEach(l -> out.putIfAbsent(l, Long.MAX_VALUE));
+    dependencies.highestRequiredGames().keySet().forEach(l -> out.putIfAbsent(l, Long.MAX_VALUE));
     return out;
   }
 
@@ -287,13 +288,14 @@
               Folding.League known = mine.get(l);
               transaction.given(Records.league(l), known.version());
               boolean touches = known.version() > 0 && game <= known.upTo();
-              long upTo = Math.max(known.upTo(), dependencies.highest().getOrDefault(l, -1L));
+              long upTo =
+                  Math.max(known.upTo(), dependencies.highestRequiredGames().getOrDefault(l, -1L));
               if (touches || upTo > known.upTo()) {
                 long changes = Math.max(0, known.changes()) + (touches ? 1 : 0);
                 transaction.put(Records.league(l), Records.leagueValue(upTo, changes));
               }
             });
-    if (dependencies.held()) {
+    if (dependencies.isGated()) {
       transaction.given(Records.HOLD_ORDER, order);
       transaction.put(Records.HOLD_ORDER, Json.object().put("by", id));
       transaction.put(Records.held(id), DependencyCodec.encodeRecord(dependencies));
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -111,7 +111,7 @@
   private Parsed parse(ObjectNode o) throws InvalidMessageException {
     JobSpec spec = jobs.check(o);
     List<Game> games = FoldCodec.decodeGames(o);
-    if (spec.dependencies().folds().size() > Folding.MOST_LEAGUES) {
+    if (spec.dependencies().foldedBlocks().size() > Folding.MOST_LEAGUES) {
       throw new InvalidMessageException("folds: at most " + Folding.MOST_LEAGUES + " leagues");
     }
     ObjectNode value = Records.openValue(o, loop.wallMs());
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -12,7 +12,7 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.dependency.DependencyGates;
 import org.mallowroad.core.dependency.DependencyGates.Hold;
-import org.mallowroad.core.dependency.JobDependencies.UpTo;
+import org.mallowroad.core.dependency.JobDependencies.RequiredGames;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
@@ -103,7 +103,7 @@
 
   /** An open job became known; held ones wait until their release is known. */
   public void opened(Job job) {
-    if (job.spec.dependencies().held()) {
+    if (job.spec.dependencies().isGated()) {
       holds.add(job.spec.id(), job.spec.dependencies());
       if (read) {
         look();
@@ -158,7 +158,7 @@
   /** A job's end is committed, or was found. */
   public void ended(Job job, boolean done) {
     holds.remove(job.spec.id());
-    holds.ended(job.spec.id(), done, job.spec.dependencies().leagues());
+    holds.ended(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
     look();
   }
 
@@ -375,7 +375,7 @@
       }
       String j = left.poll();
       if (j == null) {
-        leagues(new ArrayDeque<>(hold.dependencies.highest().keySet()));
+        leagues(new ArrayDeque<>(hold.dependencies.highestRequiredGames().keySet()));
         return;
       }
       if (schedulerState.job(j) != null
@@ -410,7 +410,7 @@
       }
       String l = left.poll();
       if (l == null) {
-        games(new ArrayDeque<>(hold.dependencies.games()));
+        games(new ArrayDeque<>(hold.dependencies.requiredGames()));
         return;
       }
       state.get(
@@ -427,9 +427,9 @@
           });
     }
 
-    private void games(ArrayDeque<UpTo> left) {
+    private void games(ArrayDeque<RequiredGames> left) {
       // What waits for jobs need not read a league.
-      UpTo g = waitsFor > 0 ? null : left.poll();
+      RequiredGames g = waitsFor > 0 ? null : left.poll();
       if (g == null) {
         decide();
       } else {
@@ -438,7 +438,7 @@
     }
 
     /** The blocks of a league in order, up to the one with the last game. */
-    private void page(UpTo g, ArrayDeque<UpTo> left, String from, long expected) {
+    private void page(RequiredGames g, ArrayDeque<RequiredGames> left, String from, long expected) {
       state.range(
           Records.FOLD + g.league() + "/",
           from,
@@ -456,15 +456,19 @@
     }
 
     private void blocks(
-        UpTo g, ArrayDeque<UpTo> left, List<VersionedValue> items, int i, long expected) {
-      int last = (int) (g.game() / Block.GAMES);
+        RequiredGames g,
+        ArrayDeque<RequiredGames> left,
+        List<VersionedValue> items,
+        int i,
+        long expected) {
+      int last = (int) (g.upTo() / Block.GAMES);
       if (i == items.size() || waitsFor >= MOST_NAMED) {
-        boolean more = i > 0 && items.size() == PAGE && expected <= g.game() && waitsFor == 0;
+        boolean more = i > 0 && items.size() == PAGE && expected <= g.upTo() && waitsFor == 0;
         if (more) {
           page(g, left, items.get(items.size() - 1).key(), expected);
           return;
         }
-        if (g.member() == null && expected <= g.game() && waitsFor < MOST_NAMED) {
+        if (g.member() == null && expected <= g.upTo() && waitsFor < MOST_NAMED) {
           waitsFor("game " + expected + " of " + g.league() + " and what follows is nobody's");
         }
         games(left);
@@ -511,7 +515,7 @@
     }
 
     /** Judges a block; returns the first game that no block before or in it has. */
-    private long judge(UpTo g, BlockKey key, Block block, long expected) {
+    private long judge(RequiredGames g, BlockKey key, Block block, long expected) {
       long from = Block.number(key.index(), 0);
       long next = expected;
       if (g.member() == null && next < from) {
@@ -520,7 +524,7 @@
       next = Math.max(next, from);
       for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
         long number = Block.number(key.index(), e.getKey().game());
-        if (number > g.game()) {
+        if (number > g.upTo()) {
           break;
         }
         if (g.member() != null && !g.member().equals(e.getKey().member())) {
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -146,7 +146,7 @@
   /** Ends that are older than {@code ms}. */
   void addEnds(long ms) {
     for (Job job : schedulerState.jobsToComplete()) {
-      if (full(job.spec.dependencies().held() ? 4 : 2) || !hasConditions(2)) {
+      if (full(job.spec.dependencies().isGated() ? 4 : 2) || !hasConditions(2)) {
         return;
       }
       long least = ms > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_MS : ms;
@@ -161,7 +161,7 @@
     transaction.given(Records.open(id), job.version).given(Records.end(id), 0);
     transaction.put(Records.end(id), Records.endValue(true, job.spec.tasks(), null));
     transaction.delete(Records.open(id));
-    if (job.spec.dependencies().held()) {
+    if (job.spec.dependencies().isGated()) {
       transaction.delete(Records.held(id)).delete(Records.release(id));
     }
     ends.add(job);
@@ -266,7 +266,7 @@
 
   private void addOwn(AttemptRecord c) {
     List<Attempt> recorded = recording(c);
-    if (!recorded.isEmpty() && c.job.spec.dependencies().held() && !guarded.contains(c.job)) {
+    if (!recorded.isEmpty() && c.job.spec.dependencies().isGated() && !guarded.contains(c.job)) {
       if (full(2)) {
         return; // Its release changes with the first start: the next transaction has room.
       }
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -277,7 +277,7 @@
     for (int t = 0; t < spec.tasks(); t++) {
       job.pendingTasks.enqueue(t);
     }
-    job.held = spec.dependencies().held();
+    job.held = spec.dependencies().isGated();
     jobs.put(spec.id(), job);
     return job;
   }
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
@@ -71,7 +71,7 @@
     if (c.mayHaveOwnRecord
         || c.version != 0
         || s.tasks() > MAX_TASKS
-        || s.dependencies().held()
+        || s.dependencies().isGated()
         || s.service()) {
       return false;
     }
--- a/src/main/java/org/mallowroad/core/dependency/DependencyCycles.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyCycles.java
@@ -3,58 +3,82 @@
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import org.mallowroad.core.fold.Block;
 
 /**
- * Whether a job that is to be accepted would close a circle of jobs that wait for each other. A
- * circle has only held jobs in it, so the held ones are all that need be known; a job that is not
- * known yet may be submitted later, and is judged then.
+ * Finds cycles in the dependency graph before a job is accepted.
+ *
+ * <p>Every job of a cycle depends on another, so the gated jobs are all that has to be searched. A
+ * required job that is not known yet may be submitted later; the cycle is then found with its own
+ * submission.
  */
 public final class DependencyCycles {
-  private DependencyCycles() {}
+  private final Map<String, JobDependencies> gatedJobs;
+  private final Set<String> seen = new HashSet<>();
+  private final ArrayDeque<String> toVisit = new ArrayDeque<>();
+
+  private DependencyCycles(Map<String, JobDependencies> gatedJobs) {
+    this.gatedJobs = gatedJobs;
+  }
 
   /**
-   * The job through which the circle would close; null when none would.
+   * Searches for a cycle that would be closed by accepting the job.
    *
-   * @param held all jobs that are accepted, held and not over
+   * @param jobId the job to be accepted
+   * @param dependencies what it folds and requires
+   * @param gatedJobs the dependencies of all accepted, gated jobs that have not ended, by job id
+   * @return the last job of the cycle, which is {@code jobId} itself when the job depends on
+   *     itself; empty when there is no cycle
    */
-  public static String closes(String id, JobDependencies own, Map<String, JobDependencies> held) {
-    if (own.jobs().contains(id) || own.foldsFor(own, Block.GAMES)) {
-      return id;
+  public static Optional<String> findCycle(
+      String jobId, JobDependencies dependencies, Map<String, JobDependencies> gatedJobs) {
+    return new DependencyCycles(gatedJobs).search(jobId, dependencies);
+  }
+
+  private Optional<String> search(String jobId, JobDependencies dependencies) {
+    if (dependsOn(dependencies, jobId, dependencies)) {
+      return Optional.of(jobId);
     }
-    Set<String> seen = new HashSet<>();
-    ArrayDeque<String> left = new ArrayDeque<>();
-    follow(own, held, seen, left);
-    String at;
-    while ((at = left.poll()) != null) {
-      JobDependencies t = held.get(at);
-      if (t.jobs().contains(id) || own.foldsFor(t, Block.GAMES)) {
-        return at;
+    addRequired(dependencies);
+    String visited;
+    while ((visited = toVisit.poll()) != null) {
+      JobDependencies visitedDependencies = gatedJobs.get(visited);
+      if (dependsOn(visitedDependencies, jobId, dependencies)) {
+        return Optional.of(visited);
       }
-      follow(t, held, seen, left);
+      addRequired(visitedDependencies);
     }
-    return null;
+    return Optional.empty();
   }
 
-  /** The held jobs that one waits for: by name, or since they fold what it waits for. */
-  private static void follow(
-      JobDependencies of,
-      Map<String, JobDependencies> held,
-      Set<String> seen,
-      ArrayDeque<String> left) {
-    for (String j : of.jobs()) {
-      if (held.containsKey(j) && seen.add(j)) {
-        left.add(j);
+  /** True when a job depends on another one: by its id, or through the games that it folds. */
+  private static boolean dependsOn(
+      JobDependencies dependent, String requiredId, JobDependencies required) {
+    return dependent.requiredJobs().contains(requiredId) || required.foldsGameRequiredBy(dependent);
+  }
+
+  /** Adds the gated jobs that a job depends on and that were not seen before. */
+  private void addRequired(JobDependencies dependent) {
+    for (String required : dependent.requiredJobs()) {
+      if (gatedJobs.containsKey(required)) {
+        addUnseen(required);
       }
     }
-    if (!of.games().isEmpty()) {
-      held.forEach(
-          (j, t) -> {
-            if (!t.folds().isEmpty() && t.foldsFor(of, Block.GAMES) && seen.add(j)) {
-              left.add(j);
-            }
-          });
+    if (dependent.requiredGames().isEmpty()) {
+      return;
+    }
+    gatedJobs.forEach(
+        (id, dependencies) -> {
+          if (dependencies.foldsGameRequiredBy(dependent)) {
+            addUnseen(id);
+          }
+        });
+  }
+
+  private void addUnseen(String jobId) {
+    if (seen.add(jobId)) {
+      toVisit.add(jobId);
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
@@ -61,7 +61,7 @@
     /** Dependencies not seen done yet. */
     public List<String> left() {
       List<String> out = new ArrayList<>();
-      for (String j : dependencies.jobs()) {
+      for (String j : dependencies.requiredJobs()) {
         if (!done.contains(j)) {
           out.add(j);
         }
@@ -93,10 +93,10 @@
     if (h == null) {
       h = new Hold(job, dependencies);
       holds.put(job, h);
-      for (String j : dependencies.jobs()) {
+      for (String j : dependencies.requiredJobs()) {
         byJob.computeIfAbsent(j, k -> new ObjectLinkedOpenHashSet<>()).add(h);
       }
-      for (JobDependencies.UpTo g : dependencies.games()) {
+      for (JobDependencies.RequiredGames g : dependencies.requiredGames()) {
         byLeague.computeIfAbsent(g.league(), k -> new ObjectLinkedOpenHashSet<>()).add(h);
       }
       touched.add(h);
@@ -121,8 +121,8 @@
       return;
     }
     touched.remove(h);
-    h.dependencies.jobs().forEach(j -> drop(byJob, j, h));
-    h.dependencies.games().forEach(g -> drop(byLeague, g.league(), h));
+    h.dependencies.requiredJobs().forEach(j -> drop(byJob, j, h));
+    h.dependencies.requiredGames().forEach(g -> drop(byLeague, g.league(), h));
   }
 
   private static void drop(Map<String, Set<Hold>> of, String key, Hold h) {
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.mallowroad.core.dependency.JobDependencies;
-import org.mallowroad.core.dependency.JobDependencies.UpTo;
+import org.mallowroad.core.dependency.JobDependencies.RequiredGames;
 
 /** What a job waits for, in submissions and records. */
 public final class DependencyCodec {
@@ -41,7 +41,7 @@
     }
     try {
       JobDependencies t = new JobDependencies(Map.of(), jobs(n), games(n));
-      if (!t.held()) {
+      if (!t.isGated()) {
         throw new InvalidMessageException("jobs: at least one job or game is needed");
       }
       return t;
@@ -68,7 +68,7 @@
     return List.copyOf(out);
   }
 
-  private static List<UpTo> games(JsonNode n) throws InvalidMessageException {
+  private static List<RequiredGames> games(JsonNode n) throws InvalidMessageException {
     if (!n.hasNonNull(GAMES)) {
       return List.of();
     }
@@ -76,7 +76,7 @@
     if (a.size() > MAX_GAMES) {
       throw new InvalidMessageException(GAMES + ": at most " + MAX_GAMES + " of them");
     }
-    List<UpTo> out = new ArrayList<>();
+    List<RequiredGames> out = new ArrayList<>();
     for (int i = 0; i < a.size(); i++) {
       JsonNode g = a.get(i);
       String at = GAMES + "[" + i + "].";
@@ -91,12 +91,13 @@
           throw new InvalidMessageException(
               "member: letters, digits, dots, dashes and underscores are needed");
         }
-        out.add(new UpTo(league, Json.integer(g, "up_to", 0, FoldCodec.MAX_NUMBER), member));
+        out.add(
+            new RequiredGames(league, Json.integer(g, "up_to", 0, FoldCodec.MAX_NUMBER), member));
       } catch (InvalidMessageException e) {
         throw new InvalidMessageException(at + e.getMessage());
       }
     }
-    if (out.stream().map(UpTo::league).distinct().count() > MAX_LEAGUES) {
+    if (out.stream().map(RequiredGames::league).distinct().count() > MAX_LEAGUES) {
       throw new InvalidMessageException(GAMES + ": at most " + MAX_LEAGUES + " leagues");
     }
     return List.copyOf(out);
@@ -107,22 +108,23 @@
     ObjectNode o = Json.object();
     ObjectNode h = o.putObject(DEPENDENCIES);
     ArrayNode jobs = h.putArray(JOBS);
-    t.jobs().forEach(jobs::add);
+    t.requiredJobs().forEach(jobs::add);
     ArrayNode games = h.putArray(GAMES);
-    for (UpTo g : t.games()) {
-      ObjectNode x = games.addObject().put("league", g.league()).put("up_to", g.game());
+    for (RequiredGames g : t.requiredGames()) {
+      ObjectNode x = games.addObject().put("league", g.league()).put("up_to", g.upTo());
       if (g.member() != null) {
         x.put("member", g.member());
       }
     }
     ObjectNode folds = o.putObject(FoldCodec.BLOCKS);
-    t.folds().forEach((l, n) -> folds.put(l, org.mallowroad.core.fold.Ranges.text(n)));
+    t.foldedBlocks().forEach((l, n) -> folds.put(l, org.mallowroad.core.fold.Ranges.text(n)));
     return o;
   }
 
   /** The ties of such a record. */
   public static JobDependencies decodeRecord(JsonNode record) throws InvalidMessageException {
     JobDependencies h = decodeDependencies(record);
-    return new JobDependencies(FoldCodec.decodeBlockKeys(record), h.jobs(), h.games());
+    return new JobDependencies(
+        FoldCodec.decodeBlockKeys(record), h.requiredJobs(), h.requiredGames());
   }
 }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -135,9 +135,9 @@
       folds = Ranges.byLeague(keys);
     }
     JobDependencies held = DependencyCodec.decodeDependencies(o);
-    return folds.isEmpty() && !held.held()
+    return folds.isEmpty() && !held.isGated()
         ? JobDependencies.NONE
-        : new JobDependencies(folds, held.jobs(), held.games());
+        : new JobDependencies(folds, held.requiredJobs(), held.requiredGames());
   }
 
   private BitSet types(JsonNode o, boolean accepted) throws InvalidMessageException {
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -66,7 +66,8 @@
     @Override
     public void begin(StateSpaceExplorer.Stage s) {
       JobDependencies dependencies =
-          new JobDependencies(Map.of(), List.of(), List.of(new JobDependencies.UpTo("l", 0, null)));
+          new JobDependencies(
+              Map.of(), List.of(), List.of(new JobDependencies.RequiredGames("l", 0, null)));
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
       put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
--- a/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
+++ b/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
@@ -9,6 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
@@ -23,7 +24,8 @@
 
   private static JobDependencies games(long upTo, int... folds) {
     Map<String, IntList> f = folds.length == 0 ? Map.of() : Map.of("l", IntArrayList.wrap(folds));
-    return new JobDependencies(f, List.of(), List.of(new JobDependencies.UpTo("l", upTo, null)));
+    return new JobDependencies(
+        f, List.of(), List.of(new JobDependencies.RequiredGames("l", upTo, null)));
   }
 
   private static JobDependencies folding(int block, String... jobs) {
@@ -33,7 +35,10 @@
   private static DynamicTest row(
       String name, String through, JobDependencies own, Map<String, JobDependencies> held) {
     return DynamicTest.dynamicTest(
-        name, () -> assertEquals(through, DependencyCycles.closes("job-1", own, held)));
+        name,
+        () ->
+            assertEquals(
+                Optional.ofNullable(through), DependencyCycles.findCycle("job-1", own, held)));
   }
 
   @TestFactory
--- a/src/test/java/org/mallowroad/wire/JobCodecTest.java
+++ b/src/test/java/org/mallowroad/wire/JobCodecTest.java
@@ -149,8 +149,8 @@
         new JobCodec(teams, new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex());
     String good = GOOD.trim().replaceFirst("\\{", TIED);
     JobSpec s = codec.check(Json.parseObject(good.getBytes(StandardCharsets.UTF_8)));
-    assertEquals(1, s.dependencies().leagues().size());
-    assertEquals(9, s.dependencies().highest().get("k"));
+    assertEquals(1, s.dependencies().foldedLeagues().size());
+    assertEquals(9, s.dependencies().highestRequiredGames().get("k"));
     assertTrue(good.contains(from), "the row changes something");
     String bad = good.replace(from, to == null ? "" : to);
     InvalidMessageException e =
