--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -60,7 +60,7 @@
         if (healthy.get()) {
           text(x, "ok\n");
         } else {
-          Reply.later(x, "not ready");
+          Reply.retryLater(x, "not ready");
         }
       }
     } else if (path.equals("/metrics")) {
--- a/src/main/java/org/mallowroad/api/Reply.java
+++ b/src/main/java/org/mallowroad/api/Reply.java
@@ -35,7 +35,7 @@
   }
 
   /** Cannot be taken now: said at once, with the time to come back. */
-  public static void later(IncomingRequest x, String reason) {
+  public static void retryLater(IncomingRequest x, String reason) {
     x.answer(503, JSON, Json.bytes(reason(reason)), true);
   }
 }
--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -1,16 +1,19 @@
 package org.mallowroad.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.LogLimiter;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.net.RequestSender;
+import org.mallowroad.wire.CloudCodec;
+import org.mallowroad.wire.CloudCodec.ListedMachine;
+import org.mallowroad.wire.CloudCodec.RentalRequest;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -18,248 +21,216 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud's calls. */
+/**
+ * Calls the cloud's API within its rate limit. A call beyond the limit is not sent and fails at
+ * once; callers repeat it. Listeners are called once, on the event loop.
+ */
 public final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
-  private static final long TIMEOUT_MS = 5_000;
+  private static final long READ_TIMEOUT_MS = 5_000;
+  private static final long WRITE_TIMEOUT_MS = 10_000;
+  private static final String MACHINES_PATH = "/machines";
+  private static final String FIRST_PAGE_PATH = "/machines?limit=500";
+  private static final String DELETE_PATH = "/machines/delete";
 
-  /** Where the types are listed: the cheapest question there is. */
-  public static final String TYPES = "/machine_types";
+  /** The part of an error text by which the cloud says that it has no capacity. */
+  private static final String CAPACITY_ERROR = "capacity";
+
+  /** The path of the list of machine types: the cheapest call, also made as a probe. */
+  public static final String MACHINE_TYPES_PATH = "/machine_types";
 
   private final EventLoop loop;
-  private final LogLimiter garbled = LogLimiter.usual();
-  private final RequestSender caller;
+  private final LogLimiter invalidResponseLog = LogLimiter.usual();
+  private final RequestSender sender;
   private final RateLimiter rateLimiter;
   private final NameIndex typeNames;
   private final NameIndex zoneNames;
-  private long wrong;
-
-  /** A machine as the list gives it. */
-  public record Listed(
-      String name,
-      String type,
-      String zone,
-      boolean spot,
-      String address,
-      String state,
-      double ageS) {}
-
-  /** An answer with a list, or null when there was none. */
-  public interface Got<T> {
-    /** Null when the call failed. */
-    void got(List<T> items);
-  }
-
-  /** How a rental call went. */
-  public interface Rented {
-    /**
-     * The request has an outcome, or none that is known.
-     *
-     * @param names the machines rented; null when the call has no known outcome
-     * @param refused true when the cloud has none of this kind
-     */
-    void rented(List<String> names, boolean refused);
-  }
-
-  /** Over a caller, within a budget. */
+  private long invalidResponses;
+
+  /**
+   * Calls the cloud through a sender.
+   *
+   * @param rateLimiter the calls that this node may make
+   * @param types to which the names of listed machine types are added
+   * @param zones the zones of the settings; others are left out of machine types
+   */
   public CloudClient(
       EventLoop loop,
-      RequestSender caller,
+      RequestSender sender,
       RateLimiter rateLimiter,
       NameIndex types,
       NameIndex zones) {
     this.loop = loop;
-    this.caller = caller;
+    this.sender = sender;
     this.rateLimiter = rateLimiter;
     this.typeNames = types;
     this.zoneNames = zones;
   }
 
-  /** Answers that were not what the protocol says. */
-  public long wrong() {
-    return wrong;
+  /** The number of responses so far that did not follow the protocol. */
+  public long invalidResponses() {
+    return invalidResponses;
   }
 
-  /** Reads the machine types. */
-  public void types(Got<MachineType> got) {
+  /** Lists the machine types; the listener gets none when the call failed. */
+  public void listMachineTypes(Consumer<Optional<List<MachineType>>> listener) {
     if (!rateLimiter.tryAcquire(1, loop.now())) {
-      got.got(null);
+      listener.accept(Optional.empty());
       return;
     }
-    caller.call(
+    sender.call(
         "GET",
-        TYPES,
+        MACHINE_TYPES_PATH,
         null,
-        TIMEOUT_MS,
-        new Parsed() {
+        READ_TIMEOUT_MS,
+        new JsonResponseHandler() {
           @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            got.got(MachineTypeCodec.decode(o, typeNames, zoneNames));
+          void succeeded(ObjectNode body) throws InvalidMessageException {
+            listener.accept(Optional.of(MachineTypeCodec.decode(body, typeNames, zoneNames)));
           }
 
           @Override
-          void none() {
-            got.got(null);
+          void failed() {
+            listener.accept(Optional.empty());
           }
         });
   }
 
-  /** Lists all machines. */
-  public void machines(Got<Listed> got) {
-    page(null, new ArrayList<>(), got);
+  /** Lists all machines, page by page; the listener gets none when any of the calls failed. */
+  public void listMachines(Consumer<Optional<List<ListedMachine>>> listener) {
+    listPage(FIRST_PAGE_PATH, new ArrayList<>(), listener);
   }
 
-  private void page(String from, List<Listed> sofar, Got<Listed> got) {
+  private void listPage(
+      String path,
+      List<ListedMachine> earlierPages,
+      Consumer<Optional<List<ListedMachine>>> listener) {
     if (!rateLimiter.tryAcquire(1, loop.now())) {
-      got.got(null);
+      listener.accept(Optional.empty());
       return;
     }
-    caller.call(
+    sender.call(
         "GET",
-        "/machines?limit=500" + (from == null ? "" : "&from=" + from),
+        path,
         null,
-        TIMEOUT_MS,
-        new Parsed() {
+        READ_TIMEOUT_MS,
+        new JsonResponseHandler() {
           @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            String last = null;
-            for (JsonNode m : Json.list(o, Fields.MACHINES)) {
-              String address = Json.stringOrNull(m, Fields.ADDRESS, 200);
-              last = Json.string(m, Fields.ID, 150);
-              sofar.add(
-                  new Listed(
-                      last,
-                      Json.string(m, Fields.MACHINE_TYPE, 200),
-                      Json.string(m, Fields.ZONE, 200),
-                      Json.bool(m, Fields.SPOT),
-                      address == null ? "" : address,
-                      Json.string(m, Fields.STATE, 40),
-                      Json.amountOr(m, Fields.AGE_S, 1e12, 0)));
-            }
-            JsonNode more = o.get(Fields.TRUNCATED);
-            if (more != null && more.asBoolean() && last != null) {
-              page(last, sofar, got);
+          void succeeded(ObjectNode body) throws InvalidMessageException {
+            CloudCodec.MachinePage page = CloudCodec.decodePage(body);
+            earlierPages.addAll(page.machines());
+            if (page.next() != null) {
+              listPage(FIRST_PAGE_PATH + "&from=" + page.next(), earlierPages, listener);
             } else {
-              got.got(sofar);
+              listener.accept(Optional.of(earlierPages));
             }
           }
 
           @Override
-          void none() {
-            got.got(null);
+          void failed() {
+            listener.accept(Optional.empty());
           }
         });
   }
 
-  /** Rents machines under a name that is never used again for another request. */
-  public void rent(
-      String rental, String type, String zone, boolean spot, int count, Rented rented) {
+  /** Rents machines; the request's name is never used again for another request. */
+  public void rent(RentalRequest request, Consumer<RentalResult> listener) {
     if (!rateLimiter.tryAcquire(1, loop.now())) {
-      rented.rented(null, false);
+      listener.accept(new RentalResult.Unknown());
       return;
     }
-    ObjectNode o = Json.object();
-    o.put(Fields.RENTAL_REQUEST, rental);
-    o.put(Fields.MACHINE_TYPE, type);
-    o.put(Fields.ZONE, zone);
-    o.put(Fields.SPOT, spot);
-    o.put(Fields.COUNT, count);
-    caller.call(
+    sender.call(
         "POST",
-        "/machines",
-        Json.bytes(o),
-        2 * TIMEOUT_MS,
-        new Parsed() {
+        MACHINES_PATH,
+        CloudCodec.encode(request),
+        WRITE_TIMEOUT_MS,
+        new JsonResponseHandler() {
           @Override
-          void ok(int status, ObjectNode r) throws InvalidMessageException {
-            List<String> names = new ArrayList<>();
-            for (JsonNode n : Json.list(r, Fields.MACHINES)) {
-              names.add(n.asText());
-            }
-            rented.rented(names, false);
+          void succeeded(ObjectNode body) throws InvalidMessageException {
+            listener.accept(new RentalResult.Rented(CloudCodec.decodeRentedNames(body)));
           }
 
           @Override
-          void refused(int status, String error) {
-            if (status == 503 && error.contains("capacity")) {
-              rented.rented(List.of(), true);
-            } else {
-              rented.rented(null, false);
-            }
+          void rejected(int status, String error) {
+            boolean outOfCapacity = status == 503 && error.contains(CAPACITY_ERROR);
+            listener.accept(
+                outOfCapacity ? new RentalResult.OutOfCapacity() : new RentalResult.Unknown());
           }
 
           @Override
-          void none() {
-            rented.rented(null, false);
+          void failed() {
+            listener.accept(new RentalResult.Unknown());
           }
         });
   }
 
-  /** Deletes machines; with true they and all on them are gone. */
-  public void delete(List<String> names, java.util.function.Consumer<Boolean> done) {
+  /**
+   * Deletes machines and all that runs on them; the listener gets whether the cloud confirmed it.
+   */
+  public void delete(List<String> names, Consumer<Boolean> listener) {
     if (!rateLimiter.tryAcquire(1, loop.now())) {
-      done.accept(false);
+      listener.accept(false);
       return;
     }
-    ObjectNode o = Json.object();
-    ArrayNode list = o.putArray(Fields.MACHINES);
-    names.forEach(list::add);
-    caller.call(
+    sender.call(
         "POST",
-        "/machines/delete",
-        Json.bytes(o),
-        2 * TIMEOUT_MS,
-        new Parsed() {
+        DELETE_PATH,
+        CloudCodec.encodeDeletion(names),
+        WRITE_TIMEOUT_MS,
+        new JsonResponseHandler() {
           @Override
-          void ok(int status, ObjectNode r) {
-            done.accept(true);
+          void succeeded(ObjectNode body) {
+            listener.accept(true);
           }
 
           @Override
-          void none() {
-            done.accept(false);
+          void failed() {
+            listener.accept(false);
           }
         });
   }
 
-  private abstract class Parsed implements RequestSender.ResponseHandler {
-    abstract void ok(int status, ObjectNode o) throws InvalidMessageException;
+  /** Parses the response and tells success, an error response, and no usable response apart. */
+  private abstract class JsonResponseHandler implements RequestSender.ResponseHandler {
+    /** The call succeeded with this body. */
+    abstract void succeeded(ObjectNode body) throws InvalidMessageException;
 
-    abstract void none();
+    /** There was no response, or an unreadable one. */
+    abstract void failed();
 
-    void refused(int status, String error) {
-      none();
+    /** The cloud answered with an error; the same as no response unless overridden. */
+    void rejected(int status, String error) {
+      failed();
     }
 
     @Override
-    public final void answered(int status, byte[] body) {
+    public final void answered(int status, byte[] bytes) {
       try {
-        ObjectNode o = body.length == 0 ? Json.object() : Json.parseObject(body);
+        ObjectNode body = bytes.length == 0 ? Json.object() : Json.parseObject(bytes);
         if (status == 200) {
-          ok(status, o);
-        } else {
-          if (status == 400) {
-            LOG.error("event=cloud_refused body={}", o);
-          }
-          refused(status, o.path(Fields.ERROR).asText());
+          succeeded(body);
+          return;
+        }
+        if (status == 400) {
+          LOG.error("event=cloud_request_rejected body={}", body);
         }
+        rejected(status, body.path(Fields.ERROR).asText());
       } catch (InvalidMessageException e) {
-        wrong++;
-        long left = garbled.line(loop.now());
-        if (left >= 0) {
+        invalidResponses++;
+        if (invalidResponseLog.tryAcquire(loop.now())) {
           LOG.warn(
-              "event=cloud_garbled status={} reason=\"{}\" left_out={}",
+              "event=cloud_response_invalid status={} reason=\"{}\" suppressed={}",
               status,
               e.getMessage(),
-              left);
+              invalidResponseLog.suppressed());
         }
-        none();
+        failed();
       }
     }
 
     @Override
     public final void failed(boolean sent) {
-      none();
+      failed();
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -1,12 +1,12 @@
 package org.mallowroad.controller;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.worker.HeartbeatResponder;
 
 /**
  * Reports that come before a new leader has read the records. Nothing may be answered to them yet,
@@ -24,12 +24,12 @@
   /** Reports that are taken in one turn of the loop, so that renewals and users go between. */
   private static final int TURN = 24;
 
-  private record Early(Heartbeat report, int via, Consumer<ObjectNode> reply, long atMs) {}
+  private record Early(Heartbeat report, int via, HeartbeatResponder reply, long atMs) {}
 
   /** Where a held report goes in the end. */
   interface Listener {
     /** Takes the report as one that came just now. */
-    void report(Heartbeat r, int via, Consumer<ObjectNode> reply);
+    void report(Heartbeat r, int via, HeartbeatResponder reply);
   }
 
   /** By machine, in the order in which they came. */
@@ -41,13 +41,13 @@
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** Holds a report; an older one of the same machine has nobody waiting for it any more. */
-  void add(Heartbeat r, int via, Consumer<ObjectNode> reply, long now) {
+  void add(Heartbeat r, int via, HeartbeatResponder reply, long now) {
     Early before = held.remove(r.machine());
     if (before != null) {
-      before.reply.accept(null);
+      before.reply.retryLater();
     }
     if (held.size() >= MOST) {
-      reply.accept(null);
+      reply.retryLater();
       return;
     }
     held.put(r.machine(), new Early(r, via, reply, now));
@@ -60,7 +60,7 @@
       if (seen.size() < MOST) {
         seen.put(e.report.machine(), e.report);
       }
-      e.reply.accept(null);
+      e.reply.retryLater();
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -1,11 +1,9 @@
 package org.mallowroad.controller;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import org.mallowroad.api.Folding;
 import org.mallowroad.cloud.CloudClient;
@@ -35,7 +33,7 @@
 import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.state.KeyValueStore.VersionedValue;
 import org.mallowroad.state.Records;
-import org.mallowroad.wire.WorkerCodec;
+import org.mallowroad.worker.HeartbeatResponder;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -498,7 +496,7 @@
     for (Iterator<Machine> it = schedulerState.machinesWithUnsentCommands().iterator();
         it.hasNext(); ) {
       Machine m = it.next();
-      if (holding.contains(m.name) || workers.busy(m.address)) {
+      if (holding.contains(m.name) || workers.isBusy(m.address)) {
         continue;
       }
       List<WorkerCommand> commands =
@@ -516,12 +514,14 @@
       workers.send(
           m.address,
           m.relayPeer,
-          WorkerCodec.encodeDirectCommands(m.fencingToken, m.incarnation, commands),
+          m.fencingToken,
+          m.incarnation,
+          commands,
           (result, report) -> {
             if (stopped || schedulerState.machine(m.name) != m) {
               return;
             }
-            if (result != WorkerClient.Result.UNKNOWN) {
+            if (result != WorkerClient.Delivery.UNKNOWN) {
               schedulerState.heartbeatReconciler().directCommandsAnswered(m, commands);
             }
             if (report != null && report.machine().equals(m.name)) {
@@ -599,11 +599,11 @@
    *
    * @param via the peer that brought it, or -1
    */
-  void report(Heartbeat r, int via, Consumer<ObjectNode> reply) {
+  void report(Heartbeat r, int via, HeartbeatResponder reply) {
     long now = loop.now();
     responder.turn(now);
     if (stopped) {
-      reply.accept(null); // Held since before the leadership ended.
+      reply.retryLater(); // Held since before the leadership ended.
       return;
     }
     if (!loaded) {
@@ -616,12 +616,12 @@
     if (view.stale(now)
         || responder.unsure(election.renewedMs(), now)
         || (alone(now) && responder.sendRound(r, now))) {
-      reply.accept(null);
+      reply.retryLater();
       return;
     }
     Machine m = take(r);
     if (m == null) {
-      reply.accept(WorkerCodec.encodeCommands(term, List.of()));
+      reply.respond(term, List.of());
       return;
     }
     load.reports++;
@@ -629,7 +629,7 @@
     m.lastResponseMs = now;
     if (commands == null) {
       // A late copy, or overtaken by a newer one: nobody was heard by it.
-      reply.accept(WorkerCodec.encodeCommands(m.fencingToken, List.of()));
+      reply.respond(m.fencingToken, List.of());
       return;
     }
     heard = true;
@@ -640,7 +640,7 @@
     responder.reported(m, loop.now());
     advance();
     if (!firm() || !schedulerState.canReceiveTasks(m, loop.now()) || !placement.anyWaiting()) {
-      reply.accept(WorkerCodec.encodeCommands(m.fencingToken, commands));
+      reply.respond(m.fencingToken, commands);
       return;
     }
     // Work may come its way in a moment: then this answer carries the launches.
@@ -741,15 +741,12 @@
     private final Machine machine;
     private final List<WorkerCommand> commands;
     private final List<Attempt> recording = new ArrayList<>();
-    private final Consumer<ObjectNode> reply;
+    private final HeartbeatResponder reply;
     private EventLoop.Timer timer;
     private boolean over;
 
     Held(
-        Heartbeat report,
-        Machine machine,
-        List<WorkerCommand> commands,
-        Consumer<ObjectNode> reply) {
+        Heartbeat report, Machine machine, List<WorkerCommand> commands, HeartbeatResponder reply) {
       this.report = report;
       this.machine = machine;
       this.commands = commands;
@@ -791,7 +788,7 @@
       }
       holding.remove(machine.name);
       if (stopped) {
-        reply.accept(null);
+        reply.retryLater();
         return;
       }
       for (Attempt a : recording) {
@@ -805,7 +802,7 @@
         }
       }
       machine.lastResponseMs = loop.now();
-      reply.accept(WorkerCodec.encodeCommands(machine.fencingToken, commands));
+      reply.respond(machine.fencingToken, commands);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -1,12 +1,12 @@
 package org.mallowroad.controller;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import java.util.function.Consumer;
+import org.mallowroad.api.Reply;
 import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Member;
 import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
 import org.mallowroad.core.linkstate.HeartbeatRelay;
 import org.mallowroad.core.linkstate.LinkPolicy;
@@ -25,7 +25,7 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
-import org.mallowroad.worker.HeartbeatApi;
+import org.mallowroad.worker.HeartbeatResponder;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -94,7 +94,7 @@
     boolean leading();
 
     /** Answers a report that a peer brought; null means not now. */
-    void report(Heartbeat r, int via, Consumer<ObjectNode> reply);
+    void report(Heartbeat r, int via, HeartbeatResponder reply);
   }
 
   /** Over the direct ways to the outside parties. */
@@ -202,11 +202,10 @@
     }
     // Only the leader uses the cloud, and no detour is needed where nothing is asked.
     if (cloud.probeDue(now) && listener.leading()) {
-      probe(cloudDirect, CloudClient.TYPES, cloud, false);
+      probe(cloudDirect, CloudClient.MACHINE_TYPES_PATH, cloud, false);
     }
     for (LinkStateTable.Change c : links.changes()) {
-      long left = lines.line(now);
-      if (left >= 0) {
+      if (lines.tryAcquire(now)) {
         LOG.warn(
             "event={} from={} to={} before_ms={} by={} left_out={}",
             c.down() ? "link_down" : "link_up",
@@ -214,7 +213,7 @@
             c.to(),
             c.sinceMs(),
             c.by(),
-            left + links.leftOut());
+            lines.suppressed() + links.leftOut());
       }
     }
   }
@@ -278,11 +277,11 @@
     }
     if (links.downPeer(peer)) {
       // Neither of us gets there: the next node may, and the worker must not wait to hear it.
-      HeartbeatApi.notNow(x, "the leader is not reached");
+      Reply.retryLater(x, "the leader is not reached");
       return true;
     }
     if (carrying >= MOST_CARRYING) {
-      HeartbeatApi.notNow(x, "too many reports are carried");
+      Reply.retryLater(x, "too many reports are carried");
       return true;
     }
     carrying++;
@@ -300,7 +299,7 @@
           @Override
           public void failed(boolean sent) {
             carrying--;
-            HeartbeatApi.notNow(x, "the leader is not reached");
+            Reply.retryLater(x, "the leader is not reached");
           }
         });
     return true;
@@ -365,7 +364,7 @@
 
     @Override
     public void commands(String address, byte[] body, RequestSender.ResponseHandler answer) {
-      workers.pass(address, body, answer);
+      workers.sendRelayed(address, body, answer);
     }
 
     @Override
@@ -391,11 +390,15 @@
       listener.report(
           r,
           peer,
-          commands -> {
-            if (commands == null) {
+          new HeartbeatResponder() {
+            @Override
+            public void respond(long fencingToken, List<WorkerCommand> commands) {
+              answer.answered(200, Json.bytes(WorkerCodec.encodeCommands(fencingToken, commands)));
+            }
+
+            @Override
+            public void retryLater() {
               answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
-            } else {
-              answer.answered(200, Json.bytes(commands));
             }
           });
     }
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -1,7 +1,6 @@
 package org.mallowroad.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.micrometer.core.instrument.Gauge;
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
@@ -40,6 +39,7 @@
 import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.worker.HeartbeatApi;
+import org.mallowroad.worker.HeartbeatResponder;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -170,10 +170,10 @@
                 clusterConfig.operator.console().get(),
                 new Watched(
                     new SnapshotPublisher(loop, clusterConfig, state, election, () -> leader)));
-    this.router = new HttpRouter(this::serve, reports::report, this::healthy, this::metrics);
+    this.router = new HttpRouter(this::serve, reports::receive, this::healthy, this::metrics);
     if (on) {
       peers.forwarding(links.forwarding());
-      workers.bypass(links.forwarding()::commands);
+      workers.setRelay(links.forwarding()::commands);
     }
   }
 
@@ -268,7 +268,7 @@
     }
 
     @Override
-    public void report(Heartbeat r, int via, Consumer<ObjectNode> reply) {
+    public void report(Heartbeat r, int via, HeartbeatResponder reply) {
       leader.report(r, via, reply);
     }
   }
@@ -323,10 +323,10 @@
   }
 
   private void types() {
-    cloud.types(
-        t -> {
-          if (t != null && !t.isEmpty()) {
-            clusterConfig.replaceMachineTypes(t);
+    cloud.listMachineTypes(
+        types -> {
+          if (types.isPresent() && !types.get().isEmpty()) {
+            clusterConfig.replaceMachineTypes(types.get());
             loop.after(60_000, this::types);
           } else {
             loop.after(500, this::types);
@@ -421,9 +421,9 @@
         gauge("mallowroad.kept.guests", n -> n.links.carriage().size());
       }
       gauge("mallowroad.garbled.state", n -> n.state.wrong());
-      gauge("mallowroad.garbled.cloud", n -> n.cloud.wrong());
+      gauge("mallowroad.garbled.cloud", n -> n.cloud.invalidResponses());
       gauge("mallowroad.garbled.peers", n -> n.peers.wrong());
-      gauge("mallowroad.garbled.workers", n -> n.reports.wrong());
+      gauge("mallowroad.garbled.workers", n -> n.reports.invalidMessages());
       memory();
     }
     return registry.scrape();
@@ -446,7 +446,7 @@
     gauge("mallowroad.kept.ends", n -> n.users.ends());
     gauge("mallowroad.kept.opens", n -> n.users.opens());
     gauge("mallowroad.kept.names", n -> n.clusterConfig.names());
-    gauge("mallowroad.kept.callers", n -> n.workers.kept());
+    gauge("mallowroad.kept.callers", n -> n.workers.connectedWorkers());
   }
 
   private void gauge(String name, ToDoubleFunction<Node> f) {
@@ -618,30 +618,30 @@
     }
   }
 
-  private final class NodeReports implements HeartbeatApi.Reports {
+  private final class NodeReports implements HeartbeatApi.Handler {
     @Override
-    public void sawToken(long fencingToken) {
+    public void onFencingToken(long fencingToken) {
       election.sawTerm(fencingToken);
     }
 
     @Override
-    public boolean leading() {
+    public boolean isLeader() {
       return leader != null;
     }
 
     @Override
-    public String leader() {
+    public String leaderName() {
       String l = election.leader();
       return l == null || l.equals(clusterConfig.settings.node()) ? null : l;
     }
 
     @Override
-    public boolean carry(IncomingRequest x, Heartbeat r, String to) {
+    public boolean relayToLeader(IncomingRequest x, Heartbeat r, String to) {
       return links != null && links.carry(x, r, to);
     }
 
     @Override
-    public void report(Heartbeat r, Consumer<ObjectNode> reply) {
+    public void onHeartbeat(Heartbeat r, HeartbeatResponder reply) {
       if (links != null) {
         links.heard(r, true);
       }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import org.mallowroad.cloud.CloudClient;
+import org.mallowroad.cloud.RentalResult;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
@@ -26,6 +27,8 @@
 import org.mallowroad.state.KeyValueStore.Result;
 import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.state.Records;
+import org.mallowroad.wire.CloudCodec.ListedMachine;
+import org.mallowroad.wire.CloudCodec.RentalRequest;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
@@ -201,10 +204,10 @@
   }
 
   private void types() {
-    cloud.types(
-        t -> {
-          if (t != null && !stopped) {
-            machineTypes.replaceMachineTypes(t);
+    cloud.listMachineTypes(
+        types -> {
+          if (!stopped) {
+            types.ifPresent(machineTypes::replaceMachineTypes);
           }
         });
   }
@@ -214,16 +217,16 @@
       return;
     }
     listing = true;
-    cloud.machines(
-        items -> {
+    cloud.listMachines(
+        machines -> {
           listing = false;
-          if (items != null && !stopped) {
-            items.forEach(this::listed);
+          if (machines.isPresent() && !stopped) {
+            machines.get().forEach(this::listed);
           }
         });
   }
 
-  private void listed(CloudClient.Listed l) {
+  private void listed(ListedMachine l) {
     MachineType type = machineTypes.type(l.type());
     int zone = zones.find(l.zone());
     if (type == null || zone < 0 || schedulerState.isDeleted(l.name())) {
@@ -383,18 +386,19 @@
         h.variant.spot(),
         h.count);
     cloud.rent(
-        h.name,
-        h.variant.type().name(),
-        zones.name(h.variant.zone()),
-        h.variant.spot(),
-        h.count,
-        (names, refused) -> {
+        new RentalRequest(
+            h.name,
+            h.variant.type().name(),
+            zones.name(h.variant.zone()),
+            h.variant.spot(),
+            h.count),
+        result -> {
           if (stopped) {
             return;
           }
           h.calling = false;
           long now = loop.now();
-          if (names == null) {
+          if (result instanceof RentalResult.Unknown) {
             // Unknown, or beyond the budget: the same request is repeated.
             loop.after(
                 AGAIN_MS,
@@ -405,9 +409,11 @@
                 });
             return;
           }
+          List<String> names =
+              result instanceof RentalResult.Rented rented ? rented.machines() : List.of();
           h.answered = true;
           h.machines = names;
-          if (refused || names.size() < h.count) {
+          if (result instanceof RentalResult.OutOfCapacity || names.size() < h.count) {
             LOG.info("event=rent_short hire={} got={} of={}", h.name, names.size(), h.count);
             fleet.refused(h.variant, now);
             schedulerState
--- a/src/main/java/org/mallowroad/net/BodyReader.java
+++ b/src/main/java/org/mallowroad/net/BodyReader.java
@@ -11,104 +11,114 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Reads bodies of one kind of asker, within a bound of bytes and time. Sockets alone bound nothing:
- * each could hold a body that comes slowly. So what is in hand is counted by what was announced,
- * and what is beyond the bound is told at once to come back.
+ * Reads request bodies of one kind of client within a bound of bytes and time.
+ *
+ * <p>A bound on connections does not bound memory: each connection could hold a body that arrives
+ * slowly. So the announced lengths of all bodies being read are added up, and a request beyond the
+ * bound is rejected at once with 503. Confined to the event loop.
  */
 final class BodyReader {
-  /** The largest body that the protocol allows users and workers. */
-  static final int MOST_BODY = 64 * 1024;
+  /** The largest body that the protocol allows users and workers, in bytes. */
+  static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** The largest message between controllers: a whole body, with room for what goes with it. */
-  static final int MOST_MESSAGE = MOST_BODY + 8 * 1024;
+  /** The largest message between controllers: a whole body and what surrounds it, in bytes. */
+  static final int MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 8 * 1024;
 
-  /** A body that takes longer makes room for others: every asker has given up by then. */
-  private static final long MOST_S = 8;
+  /** Clients have given up by then: a body that takes longer makes room for others. */
+  private static final long READ_TIMEOUT_S = 8;
 
   private static final Logger LOG = LoggerFactory.getLogger(BodyReader.class);
 
-  private final long most;
-  private final int largest;
-  private long bytes;
+  private final long maxReservedBytes;
+  private final int maxBodyBytes;
+  private long reservedBytes;
 
-  /** For bodies of {@code largest} bytes at most that take {@code most} bytes together. */
-  BodyReader(long most, int largest) {
-    this.most = most;
-    this.largest = largest;
+  /**
+   * Reads bodies of one kind.
+   *
+   * @param maxReservedBytes the bound of all bodies that are being read
+   * @param maxBodyBytes the largest single body
+   */
+  BodyReader(long maxReservedBytes, int maxBodyBytes) {
+    this.maxReservedBytes = maxReservedBytes;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
-  /** Bytes in hand, by what was announced. */
-  long bytes() {
-    return bytes;
+  /** Announced bytes of the bodies that are being read. */
+  long reservedBytes() {
+    return reservedBytes;
   }
 
-  /** Reads the body and hands it on; the answer may come after the handler returned. */
-  void read(HttpServerExchange x, BiConsumer<HttpServerExchange, byte[]> handler) {
-    long announced = x.getRequestContentLength();
-    long length = announced < 0 || announced > largest ? largest : announced;
-    if (bytes + length > most) {
-      x.setPersistent(false);
-      UndertowRequest.refuse(x, 503, "too many bodies at once");
+  /** Reads the body and calls the handler; the response may be sent after the handler returned. */
+  void read(HttpServerExchange exchange, BiConsumer<HttpServerExchange, byte[]> handler) {
+    long announced = exchange.getRequestContentLength();
+    long length = announced < 0 || announced > maxBodyBytes ? maxBodyBytes : announced;
+    if (reservedBytes + length > maxReservedBytes) {
+      exchange.setPersistent(false);
+      UndertowRequest.reject(exchange, 503, "too many bodies at once");
       return;
     }
-    Hand hand = new Hand(x, length);
-    x.setMaxEntitySize(largest);
-    x.getRequestReceiver()
+    Reservation reservation = new Reservation(exchange, length);
+    exchange.setMaxEntitySize(maxBodyBytes);
+    exchange
+        .getRequestReceiver()
         .receiveFullBytes(
-            (e, body) -> {
-              hand.give();
-              async(e, () -> handler.accept(e, body));
+            (x, body) -> {
+              reservation.release();
+              dispatch(x, () -> handler.accept(x, body));
             },
-            (e, error) -> {
-              hand.give();
-              e.setPersistent(false);
+            (x, error) -> {
+              reservation.release();
+              x.setPersistent(false);
               if (error instanceof RequestTooBigException) {
-                UndertowRequest.refuse(e, 413, "the body is too large");
+                UndertowRequest.reject(x, 413, "the body is too large");
               } else {
-                UndertowRequest.refuse(e, 400, "the body cannot be read");
+                UndertowRequest.reject(x, 400, "the body cannot be read");
               }
             });
   }
 
-  /** A body that is being read: its bytes are given back once, however the reading ends. */
-  private final class Hand {
+  /** The bytes of a body being read; released once, however the reading ends. */
+  private final class Reservation {
     private final long length;
-    private final XnioExecutor.Key late;
-    private boolean over;
+    private final XnioExecutor.Key timeout;
+    private boolean released;
 
-    Hand(HttpServerExchange x, long length) {
+    Reservation(HttpServerExchange exchange, long length) {
       this.length = length;
-      bytes += length;
-      late =
-          x.getIoThread()
+      reservedBytes += length;
+      timeout =
+          exchange
+              .getIoThread()
               .executeAfter(
                   () -> {
-                    give();
-                    IoUtils.safeClose(x.getConnection());
+                    release();
+                    IoUtils.safeClose(exchange.getConnection());
                   },
-                  MOST_S,
+                  READ_TIMEOUT_S,
                   TimeUnit.SECONDS);
     }
 
-    void give() {
-      if (!over) {
-        over = true;
-        late.remove();
-        bytes -= length;
+    void release() {
+      if (!released) {
+        released = true;
+        timeout.remove();
+        reservedBytes -= length;
       }
     }
   }
 
-  /** Lets the answer come after the caller returned. */
-  static void async(HttpServerExchange x, Runnable handler) {
-    x.dispatch(
+  /** Runs a handler whose response may be sent after it returned. */
+  static void dispatch(HttpServerExchange exchange, Runnable handler) {
+    exchange.dispatch(
         SameThreadExecutor.INSTANCE,
         () -> {
           try {
             handler.run();
           } catch (RuntimeException e) {
-            LOG.error("event=request_failed path={}", x.getRequestPath(), e);
-            UndertowRequest.refuse(x, 500, "internal error");
+            // The outermost net of a request: the client gets its response whatever failed.
+            LOG.error("event=request_failed path={}", exchange.getRequestPath(), e);
+            UndertowRequest.reject(exchange, 500, "internal error");
           }
         });
   }
--- a/src/main/java/org/mallowroad/net/EventLoop.java
+++ b/src/main/java/org/mallowroad/net/EventLoop.java
@@ -4,102 +4,105 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread on which everything of a node runs: sockets, timers and the core. The machine is a
- * fraction of a core, so a second thread would only add switches, and one thread needs no locks. A
- * real node's is {@link XnioEventLoop}; a world of failing machines turns all its nodes' loops
- * itself.
+ * The single-threaded event loop on which all code of a node runs: sockets, timers and the
+ * scheduler. A node has a fraction of a core, so a second thread would only add context switches,
+ * and with one thread no locks are needed. A process uses {@link XnioEventLoop}; a simulation runs
+ * the loops of all its nodes itself, in virtual time.
  */
 public abstract class EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+  private static final long NANOS_PER_MS = 1_000_000L;
 
   private volatile boolean closed;
 
-  /** The steady clock in milliseconds. */
+  /** Milliseconds of the steady clock. */
   public long now() {
-    return nanos() / 1_000_000L;
+    return nanos() / NANOS_PER_MS;
   }
 
-  /** The steady clock in nanoseconds, for what is shorter than a millisecond. */
+  /** Nanoseconds of the steady clock, for durations below a millisecond. */
   public abstract long nanos();
 
-  /** The time of day in milliseconds since 1970, within the bound of the settings. */
+  /** Wall-clock time in milliseconds since 1970; its error is bounded by the settings. */
   public abstract long wallMs();
 
-  /** Runs soon, after what waits already. */
+  /** Queues a task behind those that are queued already. */
   protected abstract void execute(Runnable task);
 
-  /** Runs once after a delay of at least a millisecond. */
+  /** Runs a task once after a delay of at least a millisecond. */
   protected abstract Timer schedule(long ms, Runnable task);
 
-  /** Ends all duties: what asks for a timer from now on gets none. */
+  /** Stops all repeating tasks and accepts no new tasks or timers. */
   public final void close() {
     closed = true;
   }
 
-  /** Runs soon on the loop. */
+  /** Runs a task on the loop, after those that are queued already. */
   public final void soon(Runnable task) {
     if (!closed) {
-      execute(() -> guarded(task));
+      execute(() -> runGuarded(task));
     }
   }
 
-  /** Runs once after a delay, unless cancelled. */
+  /** Runs a task once after a delay in milliseconds, unless it is cancelled before. */
   public final Timer after(long ms, Runnable task) {
-    return closed ? () -> false : schedule(Math.max(1, ms), () -> guarded(task));
+    return closed ? () -> false : schedule(Math.max(1, ms), () -> runGuarded(task));
   }
 
-  /** Starts a long-lived duty that runs again and again until it is cancelled. */
+  /** Runs a task every {@code ms} milliseconds, first after that time, until it is cancelled. */
   public final Timer every(long ms, Runnable task) {
-    Duty d = new Duty(ms, task);
-    d.next();
-    return d;
+    RepeatingTask repeating = new RepeatingTask(ms, task);
+    repeating.scheduleNext();
+    return repeating;
   }
 
-  private static void guarded(Runnable task) {
+  /**
+   * The outermost net for failures of tasks: one failed task must not end the process or stop a
+   * repeating task. A linkage error is caught too, since it fails one task alone.
+   */
+  private static void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | LinkageError e) {
-      // No process ends by itself: a failed duty is logged and runs again at its next turn.
       LOG.error("event=task_failed", e);
     }
   }
 
-  /** Something that can be cancelled. */
+  /** A scheduled task that can be cancelled. */
   @FunctionalInterface
   public interface Timer {
-    /** Cancels; false when it already ran. */
+    /** Cancels the task; false when it has run already. */
     boolean cancel();
   }
 
-  private final class Duty implements Timer {
-    private final long ms;
+  private final class RepeatingTask implements Timer {
+    private final long periodMs;
     private final Runnable task;
-    private boolean over;
-    private Timer key;
+    private boolean cancelled;
+    private Timer timer;
 
-    Duty(long ms, Runnable task) {
-      this.ms = ms;
+    RepeatingTask(long periodMs, Runnable task) {
+      this.periodMs = periodMs;
       this.task = task;
     }
 
-    void next() {
-      if (!over && !closed) {
-        key =
-            schedule(
-                ms,
-                () -> {
-                  if (!over) {
-                    guarded(task);
-                    next();
-                  }
-                });
+    void scheduleNext() {
+      if (!cancelled && !closed) {
+        timer = schedule(periodMs, this::run);
+      }
+    }
+
+    private void run() {
+      if (!cancelled) {
+        runGuarded(task);
+        scheduleNext();
       }
     }
 
     @Override
     public boolean cancel() {
-      over = true;
-      return key != null && key.cancel();
+      cancelled = true;
+      return timer != null && timer.cancel();
     }
   }
 }
--- a/src/main/java/org/mallowroad/net/HttpRequestSender.java
+++ b/src/main/java/org/mallowroad/net/HttpRequestSender.java
@@ -21,12 +21,15 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Sends requests to one endpoint over a small pool of kept connections. */
+/**
+ * Sends HTTP requests to one endpoint over a bounded pool of connections, on the event loop's I/O
+ * thread.
+ */
 public final class HttpRequestSender implements RequestSender {
   private static final HttpString CONTENT_TYPE = Headers.CONTENT_TYPE;
 
-  /** Kept without use, or half of what may be open where that is more. */
-  private static final int MAX_IDLE = 8;
+  /** Idle connections that are kept, or half of the pool where that is more. */
+  private static final int MIN_IDLE_LIMIT = 8;
 
   private final XnioEventLoop loop;
   private final ByteBufferPool buffers;
@@ -35,36 +38,38 @@
   private final String host;
   private final String contentType;
   private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-  private int open;
-  private final int maxOpen;
-  private final int maxBody;
+  private int connections;
+  private final int maxConnections;
+  private final int maxResponseBytes;
   private boolean closed;
 
   /**
-   * A caller for an endpoint with at most {@code maxOpen} connections; an answer of more than
-   * {@code maxBody} bytes counts as none.
+   * Sends to one endpoint.
+   *
+   * @param maxConnections connections at once, beyond which a request fails unsent
+   * @param maxResponseBytes the largest response body; a larger one counts as no response
    */
   public HttpRequestSender(
       XnioEventLoop loop,
       ByteBufferPool buffers,
       Endpoint endpoint,
       String contentType,
-      int maxOpen,
-      int maxBody) {
+      int maxConnections,
+      int maxResponseBytes) {
     this.loop = loop;
     this.buffers = buffers;
     this.uri = URI.create("http://" + endpoint);
     this.host = endpoint.toString();
     this.contentType = contentType;
-    this.maxOpen = maxOpen;
-    this.maxBody = maxBody;
+    this.maxConnections = maxConnections;
+    this.maxResponseBytes = maxResponseBytes;
   }
 
-  /** With no answer in time the connection is closed. */
+  /** A request that is not answered in time closes its connection. */
   @Override
   public void call(
-      String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-    Call call = new Call(new HttpString(method), path, body, answer);
+      String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
+    Call call = new Call(new HttpString(method), path, body, handler);
     ClientConnection c;
     while ((c = idle.pollFirst()) != null) {
       if (c.isOpen()) {
@@ -73,19 +78,19 @@
         return;
       }
     }
-    if (open >= maxOpen) {
-      answer.exhausted();
+    if (connections >= maxConnections) {
+      handler.exhausted();
       return;
     }
     call.start(timeoutMs);
-    open++;
+    connections++;
     call.connecting = true;
     provider.connect(
         new ClientCallback<>() {
           @Override
           public void completed(ClientConnection connection) {
             call.connecting = false;
-            connection.getCloseSetter().set(ch -> open--);
+            connection.getCloseSetter().set(ch -> connections--);
             if (call.over) {
               IoUtils.safeClose(connection);
             } else {
@@ -95,7 +100,7 @@
 
           @Override
           public void failed(IOException e) {
-            open--;
+            connections--;
             call.connecting = false;
             call.fail();
           }
@@ -108,7 +113,7 @@
         OptionMap.EMPTY);
   }
 
-  /** Closes the kept connections; those that are in use are closed after their answers. */
+  /** Closes idle connections; those in use are closed after their responses. */
   @Override
   public void close() {
     closed = true;
@@ -118,22 +123,23 @@
     }
   }
 
+  /** One request and its response; over once its handler has been called. */
   private final class Call {
     private final HttpString method;
     private final String path;
     private final byte[] body;
-    private final ResponseHandler answer;
+    private final ResponseHandler handler;
     private EventLoop.Timer timer;
     private ClientConnection connection;
     private boolean connecting;
     private boolean sent;
     private boolean over;
 
-    Call(HttpString method, String path, byte[] body, ResponseHandler answer) {
+    Call(HttpString method, String path, byte[] body, ResponseHandler handler) {
       this.method = method;
       this.path = path;
       this.body = body;
-      this.answer = answer;
+      this.handler = handler;
     }
 
     void start(long timeoutMs) {
@@ -225,7 +231,7 @@
                 byte[] part = new byte[b.remaining()];
                 b.get(part);
                 out.write(part, 0, part.length);
-                if (out.size() > maxBody) {
+                if (out.size() > maxResponseBytes) {
                   fail();
                   return;
                 }
@@ -248,13 +254,15 @@
       // The exchange is closed once this listener returns; only then may the next one begin.
       loop.soon(
           () -> {
-            if (!closed && c.isOpen() && idle.size() < Math.max(MAX_IDLE, maxOpen / 2)) {
+            if (!closed
+                && c.isOpen()
+                && idle.size() < Math.max(MIN_IDLE_LIMIT, maxConnections / 2)) {
               idle.addFirst(c);
             } else {
               IoUtils.safeClose(c);
             }
           });
-      answer.answered(status, bytes);
+      handler.answered(status, bytes);
     }
 
     private void fail() {
@@ -264,7 +272,7 @@
       over = true;
       timer.cancel();
       IoUtils.safeClose(connection);
-      answer.failed(sent);
+      handler.failed(sent);
     }
   }
 }
--- a/src/main/java/org/mallowroad/net/IncomingRequest.java
+++ b/src/main/java/org/mallowroad/net/IncomingRequest.java
@@ -1,20 +1,24 @@
 package org.mallowroad.net;
 
-/** A request that came in complete; it is answered once, now or later, on the loop. */
+/**
+ * A request whose body has been read completely. It is answered once, during its handler's call or
+ * later, on the event loop.
+ */
 public interface IncomingRequest {
-  /** GET, POST and so on. */
+  /** The HTTP method. */
   String method();
 
   /** The path without a query. */
   String path();
 
-  /** The body, empty where there is none. */
+  /** The body; empty when there is none. */
   byte[] body();
 
   /**
-   * Gives the one answer; a second one is left out.
+   * Sends the response; any further call is ignored.
    *
-   * @param later true when the asker is told to come back in a second
+   * @param contentType the media type of the body
+   * @param retryLater whether the client is told to retry after a second
    */
-  void answer(int status, String type, byte[] body, boolean later);
+  void answer(int status, String contentType, byte[] body, boolean retryLater);
 }
--- a/src/main/java/org/mallowroad/net/LogLimiter.java
+++ b/src/main/java/org/mallowroad/net/LogLimiter.java
@@ -1,44 +1,49 @@
 package org.mallowroad.net;
 
 /**
- * Bounds what a broken party can make us log: a few lines in each stretch of time, then one that
- * says how many were left out. Not thread-safe: for the one loop.
+ * Bounds how many log lines a faulty peer can cause: a few in each period, and the first line of a
+ * later period tells how many were suppressed. Confined to the event loop.
  */
 public final class LogLimiter {
-  private final int most;
-  private final long everyMs;
-  private long fromMs = Long.MIN_VALUE / 2;
+  private static final int USUAL_LINES = 5;
+  private static final long USUAL_PERIOD_MS = 10_000;
+
+  private final int maxLines;
+  private final long periodMs;
+  private long periodStartMs = Long.MIN_VALUE / 2;
   private int lines;
-  private long left;
+  private long refusedSinceLastLine;
+  private long suppressed;
 
-  /** At most {@code most} lines in {@code everyMs}. */
-  public LogLimiter(int most, long everyMs) {
-    this.most = most;
-    this.everyMs = everyMs;
+  /** Allows at most {@code maxLines} lines in {@code periodMs} milliseconds. */
+  public LogLimiter(int maxLines, long periodMs) {
+    this.maxLines = maxLines;
+    this.periodMs = periodMs;
   }
 
   /** The usual bound: five lines in ten seconds. */
   public static LogLimiter usual() {
-    return new LogLimiter(5, 10_000);
+    return new LogLimiter(USUAL_LINES, USUAL_PERIOD_MS);
   }
 
-  /**
-   * Asks for a line.
-   *
-   * @return how many were left out since the last one, or -1 when this one is left out as well
-   */
-  public long line(long now) {
-    if (now - fromMs >= everyMs) {
-      fromMs = now;
+  /** Whether a line may be written now; a refused one is counted ({@link #suppressed}). */
+  public boolean tryAcquire(long now) {
+    if (now - periodStartMs >= periodMs) {
+      periodStartMs = now;
       lines = 0;
     }
-    if (lines >= most) {
-      left++;
-      return -1;
+    if (lines >= maxLines) {
+      refusedSinceLastLine++;
+      return false;
     }
     lines++;
-    long out = left;
-    left = 0;
-    return out;
+    suppressed = refusedSinceLastLine;
+    refusedSinceLastLine = 0;
+    return true;
+  }
+
+  /** How many lines were refused between the last two that were allowed. */
+  public long suppressed() {
+    return suppressed;
   }
 }
--- a/src/main/java/org/mallowroad/net/NodeEnvironment.java
+++ b/src/main/java/org/mallowroad/net/NodeEnvironment.java
@@ -2,40 +2,45 @@
 
 import org.mallowroad.config.Settings.Endpoint;
 
-/** Where a node lives: its loop, its ways out, and what comes in. */
+/**
+ * What a node uses of its machine: the event loop, outgoing connections and listeners. {@link
+ * XnioEnvironment} is that of a process; simulations provide their own.
+ */
 public interface NodeEnvironment {
-  /** What a node does with what comes in. */
+  /** What a node does with incoming requests; called on the event loop. */
   interface RequestHandler {
-    /** From users, workers and whoever asks for health and metrics. */
+    /** Serves a request of a user, a worker, or a health or metrics probe. */
     void request(IncomingRequest x);
 
-    /** From the other controllers. */
+    /** Serves a message of another controller. */
     void message(IncomingRequest x);
   }
 
-  /** The node's loop. */
+  /** The node's event loop. */
   EventLoop loop();
 
   /**
-   * A way to an endpoint.
+   * Creates a sender to an endpoint.
    *
-   * @param maxOpen connections at once, beyond which a call fails unsent
-   * @param maxBody bytes of an answer, beyond which it counts as none
+   * @param contentType the media type of request bodies
+   * @param maxConnections connections at once, beyond which a request fails unsent
+   * @param maxResponseBytes the largest response body; a larger one counts as no response
    */
-  RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody);
+  RequestSender requestSender(
+      Endpoint to, String contentType, int maxConnections, int maxResponseBytes);
 
-  /** Begins to listen; called on the loop. */
-  void listen(RequestHandler front);
+  /** Starts to listen; called on the event loop. */
+  void listen(RequestHandler handler);
 
-  /** Bytes of the bodies in hand. */
+  /** Bytes that are reserved for request bodies being read. */
   long bufferedBodyBytes();
 
-  /** Where listener 0 (users, workers) or 1 (controllers) is bound, as host:port. */
+  /** The address, as host:port, of listener 0 (users and workers) or 1 (controllers). */
   String boundAddress(int listener);
 
-  /** The thread that turns the loop: whoever watches over the loop from outside looks at it. */
+  /** The thread that runs the event loop, for supervision from outside the loop. */
   Thread thread();
 
-  /** Ends everything. */
+  /** Closes the listeners and ends the event loop. */
   void stop();
 }
--- a/src/main/java/org/mallowroad/net/RateLimiter.java
+++ b/src/main/java/org/mallowroad/net/RateLimiter.java
@@ -1,63 +1,74 @@
 package org.mallowroad.net;
 
-/** A token bucket that keeps requests below an outside party's limit. */
+/**
+ * A token bucket that keeps calls below an external service's rate limit. Times are milliseconds of
+ * the event loop's steady clock. Confined to the event loop.
+ */
 public final class RateLimiter {
-  private double perMs;
+  private static final double MS_PER_SECOND = 1000;
+
+  private double permitsPerMs;
   private final double burst;
-  private double tokens;
-  private long lastMs;
 
-  /** A full bucket. */
-  public RateLimiter(double perSecond, double burst, long now) {
-    this.perMs = perSecond / 1000;
+  /** Permits that are available; negative while in debt. */
+  private double permits;
+
+  private long refilledMs;
+
+  /** A full bucket of {@code burst} permits. */
+  public RateLimiter(double permitsPerSecond, double burst, long now) {
+    this.permitsPerMs = permitsPerSecond / MS_PER_SECOND;
     this.burst = burst;
-    this.tokens = burst;
-    this.lastMs = now;
+    this.permits = burst;
+    this.refilledMs = now;
   }
 
   private void refill(long now) {
-    tokens = Math.min(burst, tokens + (now - lastMs) * perMs);
-    lastMs = now;
+    permits = Math.min(burst, permits + (now - refilledMs) * permitsPerMs);
+    refilledMs = now;
   }
 
-  /** Tokens that come a second. */
+  /** The refill rate in permits per second. */
   public double permitsPerSecond() {
-    return perMs * 1000;
+    return permitsPerMs * MS_PER_SECOND;
   }
 
-  /** From now on so many come a second. */
-  public void setRate(double perSecond, long now) {
+  /** Changes the refill rate from now on. */
+  public void setRate(double permitsPerSecond, long now) {
     refill(now);
-    perMs = perSecond / 1000;
+    permitsPerMs = permitsPerSecond / MS_PER_SECOND;
   }
 
-  /** Takes {@code n} tokens if they are there. */
+  /** Takes {@code n} permits if they are available, else none. */
   public boolean tryAcquire(double n, long now) {
     refill(now);
-    if (tokens < n) {
+    if (permits < n) {
       return false;
     }
-    tokens -= n;
+    permits -= n;
     return true;
   }
 
-  /** Tokens that are there now; below 0 in debt. */
+  /** The permits that are available now; negative while in debt. */
   public double availablePermits(long now) {
     refill(now);
-    return tokens;
+    return permits;
   }
 
-  /** Takes {@code n} tokens even if that leaves a debt, for what must not wait. */
+  /**
+   * Takes {@code n} permits even if that leaves a debt, for calls that must not wait; a negative
+   * {@code n} returns permits that were not used.
+   */
   public void forceAcquire(double n, long now) {
     refill(now);
-    tokens -= n;
+    permits -= n;
   }
 
-  /** Milliseconds until {@code n} tokens are there. */
+  /** Milliseconds until {@code n} permits are available, or a full bucket where n is more. */
   public long millisUntilAvailable(double n, long now) {
     refill(now);
-    // More than a full bucket is never there: a full one must do, or the caller waits for ever.
-    double need = Math.min(n, burst);
-    return tokens >= need ? 0 : (long) Math.ceil((need - tokens) / perMs);
+    // The bucket never holds more than its burst: without the bound the caller would wait forever.
+    double needed = Math.min(n, burst);
+    return permits >= needed ? 0 : (long) Math.ceil((needed - permits) / permitsPerMs);
   }
 }
--- a/src/main/java/org/mallowroad/net/RequestSender.java
+++ b/src/main/java/org/mallowroad/net/RequestSender.java
@@ -1,22 +1,25 @@
 package org.mallowroad.net;
 
-/** Sends requests to one endpoint. */
+/**
+ * Sends requests to one endpoint, asynchronously. Confined to the event loop, on which all response
+ * handlers are called.
+ */
 public interface RequestSender {
-  /** What comes of a request; exactly one method is called, once, on the loop. */
+  /** Takes the outcome of one request; exactly one method is called, once. */
   interface ResponseHandler {
-    /** A complete response. */
+    /** A complete response arrived in time. */
     void answered(int status, byte[] body);
 
     /**
-     * No complete response.
+     * No complete response arrived in time.
      *
-     * @param sent false when it is certain that the other side did not get the request
+     * @param sent false when the other side certainly did not receive the request
      */
     void failed(boolean sent);
 
     /**
-     * Not sent, since all connections of this caller are in use: a failure that says nothing of the
-     * other side.
+     * The request was not sent, since all connections of this sender are in use: a failure that is
+     * no sign of a fault on the other side.
      */
     default void exhausted() {
       failed(false);
@@ -24,12 +27,13 @@
   }
 
   /**
-   * Sends a request; with no answer in time it has failed.
+   * Sends a request.
    *
    * @param body null for none
+   * @param timeoutMs after which the request has failed
    */
-  void call(String method, String path, byte[] body, long timeoutMs, ResponseHandler answer);
+  void call(String method, String path, byte[] body, long timeoutMs, ResponseHandler handler);
 
-  /** Closes what is kept; calls that are out still get their answers. */
+  /** Closes idle connections; requests in flight still get their responses. */
   void close();
 }
--- a/src/main/java/org/mallowroad/net/UndertowRequest.java
+++ b/src/main/java/org/mallowroad/net/UndertowRequest.java
@@ -5,8 +5,11 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** A request over Undertow. */
+/** A request that Undertow received. */
 record UndertowRequest(HttpServerExchange exchange, byte[] body) implements IncomingRequest {
+  private static final String RETRY_AFTER_SECONDS = "1";
+  private static final byte[] EMPTY = new byte[0];
+
   @Override
   public String method() {
     return exchange.getRequestMethod().toString();
@@ -18,21 +21,21 @@
   }
 
   @Override
-  public void answer(int status, String type, byte[] body, boolean later) {
+  public void answer(int status, String contentType, byte[] body, boolean retryLater) {
     if (exchange.isResponseStarted()) {
       return;
     }
     exchange.setStatusCode(status);
-    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, type);
-    if (later) {
-      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
+    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, contentType);
+    if (retryLater) {
+      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, RETRY_AFTER_SECONDS);
     }
     exchange.getResponseSender().send(ByteBuffer.wrap(body));
   }
 
-  /** What cannot even be read gets its reason; a 503 with the time to come back. */
-  static void refuse(HttpServerExchange x, int status, String reason) {
+  /** Answers a request that reaches no handler; a 503 tells the client to retry. */
+  static void reject(HttpServerExchange exchange, int status, String reason) {
     byte[] body = ("{\"error\":\"" + reason + "\"}").getBytes(StandardCharsets.UTF_8);
-    new UndertowRequest(x, new byte[0]).answer(status, "application/json", body, status == 503);
+    new UndertowRequest(exchange, EMPTY).answer(status, "application/json", body, status == 503);
   }
 }
--- a/src/main/java/org/mallowroad/net/XnioEnvironment.java
+++ b/src/main/java/org/mallowroad/net/XnioEnvironment.java
@@ -15,39 +15,49 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** A real node's surroundings: XNIO's thread, Undertow's listeners, sockets. */
+/** The environment of a process: an XNIO I/O thread, Undertow listeners and sockets. */
 public final class XnioEnvironment implements NodeEnvironment {
-  private static final String REPORT = "/v1/report";
+  private static final String HEARTBEAT_PATH = "/v1/report";
+  private static final int BUFFER_BYTES = 16 * 1024;
+  private static final int MAX_HEADER_BYTES = 16 * 1024;
+  private static final int IDLE_TIMEOUT_MS = 120_000;
+  private static final int PARSE_TIMEOUT_MS = 10_000;
 
-  /** On connections that are counted. */
+  /** The part of the memory, as a divisor, that the bodies of one reader may take together. */
+  private static final int BODY_MEMORY_DIVISOR = 16;
+
+  /** Marks connections that are counted as those of workers. */
   private static final AttachmentKey<Boolean> COUNTED = AttachmentKey.create(Boolean.class);
 
   private final Settings settings;
-  private final int mostOpen;
-  private final int manyOpen;
-  private int open;
+  private final int maxConnections;
+
+  /** Beyond so many connections workers are asked to connect anew for each heartbeat. */
+  private final int crowdedConnections;
+
+  private int workerConnections;
   private final XnioWorker worker;
   private final XnioEventLoop loop;
-  private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 64, 0);
-  private final BodyReader reports;
-  private final BodyReader others;
-  private final BodyReader messages;
+  private final ByteBufferPool buffers = new DefaultByteBufferPool(false, BUFFER_BYTES, 64, 0);
+  private final BodyReader heartbeatBodies;
+  private final BodyReader userBodies;
+  private final BodyReader peerBodies;
   private Undertow server;
 
-  /** For a node with these settings; nothing listens before {@link #listen}. */
+  /** Starts the event loop of a node; nothing listens before {@link #listen}. */
   public XnioEnvironment(Settings settings) throws IOException {
     this.settings = settings;
-    // Workers and users; an eighth is for direct orders, the rest for the outside parties.
-    this.mostOpen = settings.maxSockets() * 13 / 16;
-    this.manyOpen = mostOpen * 3 / 4;
+    // For workers and users; an eighth of the sockets is for commands sent directly to workers, the
+    // rest for the state service, the cloud and the other controllers.
+    this.maxConnections = settings.maxSockets() * 13 / 16;
+    this.crowdedConnections = maxConnections * 3 / 4;
     this.worker = XnioEventLoop.worker("loop");
     this.loop = new XnioEventLoop(worker.getIoThread());
-    // What all bodies that are being read may hold together: a small part of the memory, so that
-    // even all at once stay clear of its end.
-    long bytes = (long) (settings.ramMb() * 1024 * 1024) / 16;
-    this.reports = new BodyReader(bytes, BodyReader.MOST_BODY);
-    this.others = new BodyReader(bytes, BodyReader.MOST_BODY);
-    this.messages = new BodyReader(bytes, BodyReader.MOST_MESSAGE);
+    // A small part of the memory: even all readers at their bounds do not exhaust it.
+    long bytes = (long) (settings.ramMb() * 1024 * 1024) / BODY_MEMORY_DIVISOR;
+    this.heartbeatBodies = new BodyReader(bytes, BodyReader.MAX_BODY_BYTES);
+    this.userBodies = new BodyReader(bytes, BodyReader.MAX_BODY_BYTES);
+    this.peerBodies = new BodyReader(bytes, BodyReader.MAX_MESSAGE_BYTES);
   }
 
   @Override
@@ -56,66 +66,71 @@
   }
 
   @Override
-  public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
-    return new HttpRequestSender(loop, buffers, to, type, maxOpen, maxBody);
+  public RequestSender requestSender(
+      Endpoint to, String contentType, int maxConnections, int maxResponseBytes) {
+    return new HttpRequestSender(loop, buffers, to, contentType, maxConnections, maxResponseBytes);
   }
 
   @Override
-  public void listen(RequestHandler front) {
+  public void listen(RequestHandler handler) {
     Endpoint users = settings.listen();
     Endpoint peers = settings.peerListen();
     server =
         Undertow.builder()
             .setWorker(worker)
             .setByteBufferPool(buffers)
-            .addHttpListener(users.port(), users.host(), x -> request(x, front))
+            .addHttpListener(users.port(), users.host(), x -> request(x, handler))
             .addHttpListener(
                 peers.port(),
                 peers.host(),
-                x -> messages.read(x, (e, body) -> front.message(new UndertowRequest(e, body))))
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) BodyReader.MOST_MESSAGE)
-            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
-            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
-            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
-            .setSocketOption(Options.CONNECTION_HIGH_WATER, mostOpen)
-            .setSocketOption(Options.CONNECTION_LOW_WATER, mostOpen - 10)
+                x -> peerBodies.read(x, (e, body) -> handler.message(new UndertowRequest(e, body))))
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) BodyReader.MAX_MESSAGE_BYTES)
+            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
+            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MS)
+            .setSocketOption(Options.CONNECTION_HIGH_WATER, maxConnections)
+            .setSocketOption(Options.CONNECTION_LOW_WATER, maxConnections - 10)
             .build();
     server.start();
   }
 
-  private void request(HttpServerExchange x, RequestHandler front) {
+  private void request(HttpServerExchange x, RequestHandler handler) {
     if (x.getRequestMethod().equals(Methods.GET)) {
-      BodyReader.async(x, () -> front.request(new UndertowRequest(x, new byte[0])));
+      BodyReader.dispatch(x, () -> handler.request(new UndertowRequest(x, new byte[0])));
       return;
     }
-    boolean report = x.getRequestPath().equals(REPORT);
-    if (report && crowded(x.getConnection())) {
+    boolean heartbeat = x.getRequestPath().equals(HEARTBEAT_PATH);
+    if (heartbeat && isCrowded(x.getConnection())) {
       x.setPersistent(false);
     }
-    BodyReader intake = report ? reports : others;
-    intake.read(x, (e, body) -> front.request(new UndertowRequest(e, body)));
+    BodyReader bodies = heartbeat ? heartbeatBodies : userBodies;
+    bodies.read(x, (e, body) -> handler.request(new UndertowRequest(e, body)));
   }
 
   /**
-   * More workers than sockets: a fleet may be larger than what connections there are. Beyond the
-   * bound nobody is let in, so from three quarters of it on workers are asked to connect anew for
-   * each report, and the sockets they leave are there for others.
+   * Counts a worker's connection, and tells whether there are too many to keep.
+   *
+   * <p>A fleet may have more workers than the process may have sockets, and no connection is
+   * accepted beyond the bound. So from three quarters of it on, a worker's connection is closed
+   * after each heartbeat, which leaves its socket to another worker.
    */
-  private boolean crowded(ServerConnection c) {
+  private boolean isCrowded(ServerConnection c) {
     if (c.getAttachment(COUNTED) == null) {
       c.putAttachment(COUNTED, true);
-      open++;
-      c.addCloseListener(x -> open--);
+      workerConnections++;
+      c.addCloseListener(x -> workerConnections--);
     }
-    return open > manyOpen;
+    return workerConnections > crowdedConnections;
   }
 
   @Override
   public long bufferedBodyBytes() {
-    return reports.bytes() + others.bytes() + messages.bytes();
+    return heartbeatBodies.reservedBytes()
+        + userBodies.reservedBytes()
+        + peerBodies.reservedBytes();
   }
 
-  /** The listeners in the order in which they were added; a port 0 in the settings is any port. */
+  /** Listeners are numbered in the order in which they were added; the port is the bound one. */
   @Override
   public String boundAddress(int listener) {
     InetSocketAddress a = (InetSocketAddress) server.getListenerInfo().get(listener).getAddress();
--- a/src/main/java/org/mallowroad/net/XnioEventLoop.java
+++ b/src/main/java/org/mallowroad/net/XnioEventLoop.java
@@ -9,16 +9,16 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The loop of a real node: one I/O thread of XNIO, the machine's clocks. */
+/** The event loop of a process: one XNIO I/O thread and the machine's clocks. */
 public final class XnioEventLoop extends EventLoop {
   private final XnioIoThread thread;
 
-  /** Over an I/O thread. */
+  /** Runs tasks on an I/O thread. */
   public XnioEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
-  /** A worker with the one thread that a loop runs on, and one for what Undertow dispatches. */
+  /** Creates an XNIO worker with one I/O thread, and one thread for tasks of Undertow. */
   public static XnioWorker worker(String name) throws IOException {
     return Xnio.getInstance()
         .createWorker(
@@ -31,7 +31,7 @@
                 .getMap());
   }
 
-  /** The thread. */
+  /** The I/O thread that runs the loop. */
   public XnioIoThread thread() {
     return thread;
   }
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -288,9 +288,11 @@
 
   private void garbled(InvalidMessageException e) {
     wrong++;
-    long left = garbled.line(loop.now());
-    if (left >= 0) {
-      LOG.warn("event=peer_garbled reason=\"{}\" left_out={}", e.getMessage(), left);
+    if (garbled.tryAcquire(loop.now())) {
+      LOG.warn(
+          "event=peer_message_invalid reason=\"{}\" suppressed={}",
+          e.getMessage(),
+          garbled.suppressed());
     }
   }
 
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -447,9 +447,9 @@
 
     private void garbled(InvalidMessageException e) {
       wrong++;
-      long left = garbled.line(loop.now());
-      if (left >= 0) {
-        LOG.warn("event=state_garbled reason=\"{}\" left_out={}", e.getMessage(), left);
+      if (garbled.tryAcquire(loop.now())) {
+        LOG.warn(
+            "event=state_garbled reason=\"{}\" left_out={}", e.getMessage(), garbled.suppressed());
       }
       none(true);
     }
--- /dev/null
+++ b/src/main/java/org/mallowroad/wire/CloudCodec.java
@@ -0,0 +1,103 @@
+package org.mallowroad.wire;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Requests and responses of the cloud's machine API, except for machine types ({@link
+ * MachineTypeCodec}).
+ */
+public final class CloudCodec {
+  private static final int MAX_NAME_LENGTH = 150;
+  private static final int MAX_TYPE_LENGTH = 200;
+  private static final int MAX_STATE_LENGTH = 40;
+  private static final double MAX_AGE_S = 1e12;
+
+  private CloudCodec() {}
+
+  /**
+   * A rented machine as the cloud lists it.
+   *
+   * @param address host:port of its worker, empty while it has none
+   * @param state the cloud's own word for its state
+   * @param ageS seconds since it was rented
+   */
+  public record ListedMachine(
+      String name,
+      String type,
+      String zone,
+      boolean spot,
+      String address,
+      String state,
+      double ageS) {}
+
+  /**
+   * One page of the list of machines.
+   *
+   * @param next the name after which the next page begins, or null on the last page
+   */
+  public record MachinePage(List<ListedMachine> machines, String next) {}
+
+  /**
+   * A request to rent machines.
+   *
+   * @param name the idempotency key: a repeated request with the same name rents nothing more
+   */
+  public record RentalRequest(String name, String type, String zone, boolean spot, int count) {}
+
+  /** Decodes one page of the list of machines. */
+  public static MachinePage decodePage(ObjectNode page) throws InvalidMessageException {
+    List<ListedMachine> machines = new ArrayList<>();
+    String last = null;
+    for (JsonNode m : Json.list(page, Fields.MACHINES)) {
+      ListedMachine machine = decodeMachine(m);
+      last = machine.name();
+      machines.add(machine);
+    }
+    JsonNode truncated = page.get(Fields.TRUNCATED);
+    return new MachinePage(machines, truncated != null && truncated.asBoolean() ? last : null);
+  }
+
+  private static ListedMachine decodeMachine(JsonNode m) throws InvalidMessageException {
+    String address = Json.stringOrNull(m, Fields.ADDRESS, MAX_TYPE_LENGTH);
+    return new ListedMachine(
+        Json.string(m, Fields.ID, MAX_NAME_LENGTH),
+        Json.string(m, Fields.MACHINE_TYPE, MAX_TYPE_LENGTH),
+        Json.string(m, Fields.ZONE, MAX_TYPE_LENGTH),
+        Json.bool(m, Fields.SPOT),
+        address == null ? "" : address,
+        Json.string(m, Fields.STATE, MAX_STATE_LENGTH),
+        Json.amountOr(m, Fields.AGE_S, MAX_AGE_S, 0));
+  }
+
+  /** Encodes a request to rent machines. */
+  public static byte[] encode(RentalRequest request) {
+    ObjectNode o = Json.object();
+    o.put(Fields.RENTAL_REQUEST, request.name());
+    o.put(Fields.MACHINE_TYPE, request.type());
+    o.put(Fields.ZONE, request.zone());
+    o.put(Fields.SPOT, request.spot());
+    o.put(Fields.COUNT, request.count());
+    return Json.bytes(o);
+  }
+
+  /** Decodes the names of the machines that a request rented. */
+  public static List<String> decodeRentedNames(ObjectNode response) throws InvalidMessageException {
+    List<String> names = new ArrayList<>();
+    for (JsonNode n : Json.list(response, Fields.MACHINES)) {
+      names.add(n.asText());
+    }
+    return names;
+  }
+
+  /** Encodes a request to delete machines. */
+  public static byte[] encodeDeletion(List<String> names) {
+    ObjectNode o = Json.object();
+    ArrayNode list = o.putArray(Fields.MACHINES);
+    names.forEach(list::add);
+    return Json.bytes(o);
+  }
+}
--- a/src/main/java/org/mallowroad/worker/HeartbeatApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -1,9 +1,10 @@
 package org.mallowroad.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.function.Consumer;
+import java.util.List;
 import org.mallowroad.api.Reply;
 import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.IncomingRequest;
 import org.mallowroad.net.LogLimiter;
@@ -14,89 +15,104 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What workers send: the leader answers with orders, the others name the leader. */
+/**
+ * Serves workers' heartbeats. The leader responds with commands; any other node relays the
+ * heartbeat to the leader or redirects the worker to it.
+ */
 public final class HeartbeatApi {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatApi.class);
 
   private final EventLoop loop;
-  private final Reports reports;
-  private final LogLimiter garbled = LogLimiter.usual();
-  private long wrong;
+  private final Handler handler;
+  private final LogLimiter invalidMessageLog = LogLimiter.usual();
+  private long invalidMessages;
 
-  /** What the node does with reports. */
-  public interface Reports {
-    /** A token in a report: a higher one than this node's ends its leadership. */
-    void sawToken(long fencingToken);
+  /** What the node does with heartbeats. */
+  public interface Handler {
+    /** Sees a heartbeat's fencing token: one above this node's own ends its leadership. */
+    void onFencingToken(long fencingToken);
 
-    /** True while this node leads. */
-    boolean leading();
+    /** Whether this node is the leader. */
+    boolean isLeader();
 
-    /** The leader's name, or null. */
-    String leader();
+    /** The name of another node that leads, or null when none is known. */
+    String leaderName();
 
-    /** Carries a report to the leader by way of this node; false: its worker is sent on. */
-    boolean carry(IncomingRequest x, Heartbeat r, String leader);
+    /**
+     * Relays a heartbeat to the leader and answers the request with the leader's response.
+     *
+     * @return false when the request is left to be redirected to the leader
+     */
+    boolean relayToLeader(IncomingRequest request, Heartbeat heartbeat, String leader);
 
-    /** Answers a report; null means not now. */
-    void report(Heartbeat r, Consumer<ObjectNode> reply);
+    /** Processes a heartbeat on the leader. */
+    void onHeartbeat(Heartbeat heartbeat, HeartbeatResponder responder);
   }
 
-  /** Over the node. */
-  public HeartbeatApi(EventLoop loop, Reports reports) {
+  /** Serves heartbeats on the node's event loop. */
+  public HeartbeatApi(EventLoop loop, Handler handler) {
     this.loop = loop;
-    this.reports = reports;
+    this.handler = handler;
   }
 
-  /** Reports that were not what the protocol says. */
-  public long wrong() {
-    return wrong;
+  /** The number of heartbeats so far that did not follow the protocol. */
+  public long invalidMessages() {
+    return invalidMessages;
   }
 
-  /** POST /v1/report. */
-  public void report(IncomingRequest x) {
-    Heartbeat r;
+  /** Serves POST /v1/report. */
+  public void receive(IncomingRequest request) {
+    Heartbeat heartbeat;
     try {
-      r = WorkerCodec.decodeHeartbeat(Json.parseObject(x.body()));
+      heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(request.body()));
     } catch (InvalidMessageException e) {
-      wrong++;
-      long left = garbled.line(loop.now());
-      if (left >= 0) {
-        LOG.warn("event=report_garbled reason=\"{}\" left_out={}", e.getMessage(), left);
-      }
-      Reply.error(x, 400, e.getMessage());
+      reject(request, e);
       return;
     }
-    reports.sawToken(r.fencingToken());
-    // Also read where no leader is: while one is sought the reports that come to each node compile
-    // the
-    // code that the next leader needs (docs/results.md).
-    if (!reports.leading()) {
-      String leader = reports.leader();
-      if (leader == null) {
-        notNow(x, "no leader known");
-        return;
-      }
-      if (reports.carry(x, r, leader)) {
-        return;
-      }
-      ObjectNode o = Json.object();
-      o.put(Fields.LEADER, leader);
-      Reply.json(x, 421, o);
+    handler.onFencingToken(heartbeat.fencingToken());
+    // Decoded on the other nodes too: during an election the heartbeats that arrive at each node
+    // compile the code that the next leader needs (docs/results.md).
+    if (handler.isLeader()) {
+      handler.onHeartbeat(heartbeat, new HttpResponder(request));
+    } else {
+      redirect(request, heartbeat);
+    }
+  }
+
+  private void reject(IncomingRequest request, InvalidMessageException e) {
+    invalidMessages++;
+    if (invalidMessageLog.tryAcquire(loop.now())) {
+      LOG.warn(
+          "event=heartbeat_invalid reason=\"{}\" suppressed={}",
+          e.getMessage(),
+          invalidMessageLog.suppressed());
+    }
+    Reply.error(request, 400, e.getMessage());
+  }
+
+  private void redirect(IncomingRequest request, Heartbeat heartbeat) {
+    String leader = handler.leaderName();
+    if (leader == null) {
+      Reply.retryLater(request, "no leader known");
       return;
     }
-    reports.report(
-        r,
-        commands -> {
-          if (commands == null) {
-            notNow(x, "not now");
-          } else {
-            Reply.json(x, 200, commands);
-          }
-        });
+    if (handler.relayToLeader(request, heartbeat, leader)) {
+      return;
+    }
+    ObjectNode body = Json.object();
+    body.put(Fields.LEADER, leader);
+    Reply.json(request, 421, body);
   }
 
-  /** Turns a worker away without a hint where to go. */
-  public static void notNow(IncomingRequest x, String reason) {
-    Reply.later(x, reason);
+  private record HttpResponder(IncomingRequest request) implements HeartbeatResponder {
+    @Override
+    public void respond(long fencingToken, List<WorkerCommand> commands) {
+      Reply.json(request, 200, WorkerCodec.encodeCommands(fencingToken, commands));
+    }
+
+    @Override
+    public void retryLater() {
+      Reply.retryLater(request, "not now");
+    }
   }
 }
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -1,10 +1,11 @@
 package org.mallowroad.worker;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
+import java.util.List;
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.LogLimiter;
 import org.mallowroad.net.NodeEnvironment;
@@ -15,73 +16,93 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends orders straight to workers, at most one message a worker at a time. */
+/**
+ * Sends commands to workers' own addresses, without waiting for their next heartbeat. The caller
+ * keeps to one message at a time for each worker ({@link #isBusy}).
+ */
 public final class WorkerClient {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerClient.class);
-  private static final String ORDERS = "/orders";
+  private static final String COMMANDS_PATH = "/orders";
+  private static final String JSON = "application/json";
   private static final long TIMEOUT_MS = 4_000;
+  private static final int CONNECTIONS_PER_WORKER = 2;
 
-  /** A report fits into a request body of the protocol. */
-  private static final int MOST_BYTES = 64 * 1024;
+  /** The bound of a response, a heartbeat: the largest request body of the protocol. */
+  private static final int MAX_RESPONSE_BYTES = 64 * 1024;
+
+  private static final int STATUS_EXECUTED = 200;
+  private static final int STATUS_MALFORMED = 400;
+
+  /** The worker refuses the message as a whole, for its fencing token or incarnation. */
+  private static final int STATUS_FENCED = 409;
 
   private final EventLoop loop;
-  private final LogLimiter odd = LogLimiter.usual();
-  private final NodeEnvironment host;
-  private Bypass bypass;
+  private final LogLimiter responseLog = LogLimiter.usual();
+  private final NodeEnvironment environment;
+  private CommandRelay relay;
   private final int maxWorkers;
-  private final Object2ObjectLinkedOpenHashMap<String, RequestSender> callers =
+
+  /** Senders by worker address, the most recently used last. */
+  private final Object2ObjectLinkedOpenHashMap<String, RequestSender> senders =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final ObjectOpenHashSet<String> busy = new ObjectOpenHashSet<>();
 
-  /** How a message went. */
-  public enum Result {
-    /** The worker answered: executed, or refused as a whole. */
+  private final ObjectOpenHashSet<String> busyAddresses = new ObjectOpenHashSet<>();
+
+  /** What is known of a message's delivery. */
+  public enum Delivery {
+    /** The worker answered: it executed the commands, or refused all of them. */
     ANSWERED,
-    /** The worker certainly did not get it. */
+    /** The worker certainly did not receive the message. */
     NOT_SENT,
-    /** It may be executed at any later time. */
+    /** The worker may have received it, and may execute it at any later time. */
     UNKNOWN
   }
 
-  /** An answer to direct orders. */
-  public interface Sent {
-    /** With the worker's report where it sent one, else null. */
-    void sent(Result result, Heartbeat report);
+  /** Takes the outcome of a message; called once, on the event loop. */
+  @FunctionalInterface
+  public interface DeliveryListener {
+    /**
+     * The message's outcome is known.
+     *
+     * @param heartbeat the worker's state after the commands; null when it sent none
+     */
+    void delivered(Delivery delivery, Heartbeat heartbeat);
   }
 
-  /** Over the loop, with connections kept to at most {@code maxWorkers} workers. */
-  public WorkerClient(NodeEnvironment host, int maxWorkers) {
-    this.maxWorkers = maxWorkers;
-    this.loop = host.loop();
-    this.host = host;
+  /** A way to workers through another controller. */
+  @FunctionalInterface
+  public interface CommandRelay {
+    /** Sends encoded commands to a worker through a peer. */
+    void relayCommands(
+        int peer, String address, byte[] body, RequestSender.ResponseHandler handler);
   }
 
-  /** True while a message to the worker is on its way. */
-  public boolean busy(String address) {
-    return busy.contains(address);
+  /** Keeps connections to at most {@code maxWorkers} workers, those used last. */
+  public WorkerClient(NodeEnvironment environment, int maxWorkers) {
+    this.maxWorkers = maxWorkers;
+    this.loop = environment.loop();
+    this.environment = environment;
   }
 
-  /** How many workers' connections are kept. */
-  public int kept() {
-    return callers.size();
+  /** Whether a message to the worker is in flight. */
+  public boolean isBusy(String address) {
+    return busyAddresses.contains(address);
   }
 
-  /** Orders go this way to workers that this node does not reach itself. */
-  public void bypass(Bypass way) {
-    bypass = way;
+  /** The number of workers to which connections are kept. */
+  public int connectedWorkers() {
+    return senders.size();
   }
 
-  /** Another way to workers: through a peer. */
-  @FunctionalInterface
-  public interface Bypass {
-    /** Sends orders to a worker by way of a peer. */
-    void commands(int peer, String address, byte[] body, RequestSender.ResponseHandler answer);
+  /** Sets the way to workers that this node does not reach itself. */
+  public void setRelay(CommandRelay newRelay) {
+    relay = newRelay;
   }
 
-  /** The kept connections to a worker, or null when that is no address. */
-  private RequestSender caller(String address) {
-    RequestSender caller = callers.getAndMoveToLast(address);
-    if (caller == null) {
+  /** The sender to a worker, or null when the text is no address. */
+  private RequestSender sender(String address) {
+    RequestSender sender = senders.getAndMoveToLast(address);
+    if (sender == null) {
       int colon = address.lastIndexOf(':');
       int port;
       try {
@@ -89,78 +110,101 @@
       } catch (NumberFormatException e) {
         return null;
       }
-      Endpoint to = new Endpoint(address.substring(0, Math.max(0, colon)), port);
-      caller = host.requestSender(to, "application/json", 2, MOST_BYTES);
-      callers.put(address, caller);
-      if (callers.size() > maxWorkers) {
-        callers.removeFirst().close();
+      Endpoint endpoint = new Endpoint(address.substring(0, Math.max(0, colon)), port);
+      sender =
+          environment.requestSender(endpoint, JSON, CONNECTIONS_PER_WORKER, MAX_RESPONSE_BYTES);
+      senders.put(address, sender);
+      if (senders.size() > maxWorkers) {
+        senders.removeFirst().close();
       }
     }
-    return caller;
+    return sender;
   }
 
-  /** Passes a peer's orders on as they are. */
-  public void pass(String address, byte[] body, RequestSender.ResponseHandler answer) {
-    RequestSender caller = caller(address);
-    if (caller == null) {
-      answer.failed(false);
+  /** Sends a peer's encoded commands unchanged, by this node's own connection. */
+  public void sendRelayed(String address, byte[] body, RequestSender.ResponseHandler handler) {
+    RequestSender sender = sender(address);
+    if (sender == null) {
+      handler.failed(false);
     } else {
-      caller.call("POST", ORDERS, body, TIMEOUT_MS, answer);
+      sender.call("POST", COMMANDS_PATH, body, TIMEOUT_MS, handler);
     }
   }
 
   /**
-   * Sends a message.
+   * Sends commands to one incarnation of a worker.
    *
-   * @param via the peer that its report came through, or -1: orders go the way the reports come
+   * @param relayPeer the peer that relayed the worker's last heartbeat, or negative when it came
+   *     directly: commands take the same way
    */
-  public void send(String address, int via, ObjectNode message, Sent sent) {
-    RequestSender.ResponseHandler answer = answer(address, sent);
-    if (via >= 0 && bypass != null) {
-      busy.add(address);
-      bypass.commands(via, address, Json.bytes(message), answer);
+  public void send(
+      String address,
+      int relayPeer,
+      long fencingToken,
+      long incarnation,
+      List<WorkerCommand> commands,
+      DeliveryListener listener) {
+    RequestSender.ResponseHandler handler = new DeliveryTracker(address, listener);
+    byte[] body = Json.bytes(WorkerCodec.encodeDirectCommands(fencingToken, incarnation, commands));
+    if (relayPeer >= 0 && relay != null) {
+      busyAddresses.add(address);
+      relay.relayCommands(relayPeer, address, body, handler);
       return;
     }
-    RequestSender caller = caller(address);
-    if (caller == null) {
-      sent.sent(Result.NOT_SENT, null);
+    RequestSender sender = sender(address);
+    if (sender == null) {
+      listener.delivered(Delivery.NOT_SENT, null);
       return;
     }
-    busy.add(address);
-    caller.call("POST", ORDERS, Json.bytes(message), TIMEOUT_MS, answer);
+    busyAddresses.add(address);
+    sender.call("POST", COMMANDS_PATH, body, TIMEOUT_MS, handler);
   }
 
-  private RequestSender.ResponseHandler answer(String address, Sent sent) {
-    return new RequestSender.ResponseHandler() {
-      @Override
-      public void answered(int status, byte[] body) {
-        busy.remove(address);
-        if (status != 200 && status != 409) {
-          long left = odd.line(loop.now());
-          if (left >= 0) {
-            LOG.warn(
-                "event=orders_refused address={} status={} left_out={}", address, status, left);
-          }
-          sent.sent(status == 400 ? Result.ANSWERED : Result.UNKNOWN, null);
-          return;
-        }
-        Heartbeat r = null;
-        try {
-          r = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
-        } catch (InvalidMessageException e) {
-          long left = odd.line(loop.now());
-          if (left >= 0) {
-            LOG.warn("event=report_garbled reason=\"{}\" left_out={}", e.getMessage(), left);
-          }
-        }
-        sent.sent(Result.ANSWERED, r);
+  /** Turns the response to one message into its delivery. */
+  private final class DeliveryTracker implements RequestSender.ResponseHandler {
+    private final String address;
+    private final DeliveryListener listener;
+
+    DeliveryTracker(String address, DeliveryListener listener) {
+      this.address = address;
+      this.listener = listener;
+    }
+
+    @Override
+    public void answered(int status, byte[] body) {
+      busyAddresses.remove(address);
+      if (status == STATUS_EXECUTED || status == STATUS_FENCED) {
+        listener.delivered(Delivery.ANSWERED, decodeOrNull(body));
+        return;
       }
+      if (responseLog.tryAcquire(loop.now())) {
+        LOG.warn(
+            "event=commands_rejected address={} status={} suppressed={}",
+            address,
+            status,
+            responseLog.suppressed());
+      }
+      listener.delivered(status == STATUS_MALFORMED ? Delivery.ANSWERED : Delivery.UNKNOWN, null);
+    }
 
-      @Override
-      public void failed(boolean wasSent) {
-        busy.remove(address);
-        sent.sent(wasSent ? Result.UNKNOWN : Result.NOT_SENT, null);
+    @Override
+    public void failed(boolean wasSent) {
+      busyAddresses.remove(address);
+      listener.delivered(wasSent ? Delivery.UNKNOWN : Delivery.NOT_SENT, null);
+    }
+
+    private Heartbeat decodeOrNull(byte[] body) {
+      try {
+        return WorkerCodec.decodeHeartbeat(Json.parseObject(body));
+      } catch (InvalidMessageException e) {
+        if (responseLog.tryAcquire(loop.now())) {
+          LOG.warn(
+              "event=heartbeat_invalid reason=\"{}\" suppressed={}",
+              e.getMessage(),
+              responseLog.suppressed());
+        }
+        return null;
       }
-    };
+    }
   }
 }
--- a/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
@@ -8,6 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.mallowroad.SteppedClock;
 import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.WorkerCommand;
+import org.mallowroad.worker.HeartbeatResponder;
 
 /** What becomes of reports that come before a leader has read the records. */
 final class DeferredHeartbeatsTest {
@@ -20,7 +22,21 @@
 
   private void comes(String machine, long sequence, long now) {
     Heartbeat r = new Heartbeat(machine, "h:1", "t", "a", false, 1, sequence, 0, -1, List.of());
-    early.add(r, -1, commands -> turnedAway.add(machine + " " + sequence), now);
+    early.add(
+        r,
+        -1,
+        new HeartbeatResponder() {
+          @Override
+          public void respond(long fencingToken, List<WorkerCommand> commands) {
+            throw new AssertionError("no commands before the records are read");
+          }
+
+          @Override
+          public void retryLater() {
+            turnedAway.add(machine + " " + sequence);
+          }
+        },
+        now);
   }
 
   private void take() {
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -229,9 +229,9 @@
           .soon(
               () -> {
                 for (int port = 1; port <= 1_000; port++) {
-                  client.send("127.0.0.1:" + port, -1, Json.object(), (result, report) -> {});
+                  client.send("127.0.0.1:" + port, -1, 1, 1, List.of(), (result, report) -> {});
                 }
-                kept.complete(client.kept());
+                kept.complete(client.connectedWorkers());
               });
       assertEquals(50, kept.get(20, TimeUnit.SECONDS));
     } finally {
--- a/src/test/java/org/mallowroad/net/LogLimiterTest.java
+++ b/src/test/java/org/mallowroad/net/LogLimiterTest.java
@@ -1,6 +1,7 @@
 package org.mallowroad.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 
@@ -12,14 +13,14 @@
     int lines = 0;
     long left = 0;
     for (long now = 0; now < 10_000; now++) {
-      long n = s.line(now);
-      if (n >= 0) {
+      if (s.tryAcquire(now)) {
         lines++;
-        left += n;
+        left += s.suppressed();
       }
     }
     assertEquals(30, lines);
     assertEquals(9 * 997, left);
-    assertEquals(997, s.line(10_000));
+    assertTrue(s.tryAcquire(10_000));
+    assertEquals(997, s.suppressed());
   }
 }
