--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -397,12 +397,17 @@
           "mallowroad.tasks.completed",
           n -> n.leader == null ? 0 : n.leader.schedulerState().attemptsCompleted());
       gauge("mallowroad.machines.late", n -> n.watched(h -> h.failureDetector().overdueCount()));
-      gauge("mallowroad.machines.doubted", n -> n.watched(h -> h.stragglerDetector().suspectCount()));
       gauge(
-          "mallowroad.machines.slow.refused", n -> n.watched(h -> h.stragglerDetector().refusedSuspicions()));
-      gauge("mallowroad.zones.cut", n -> n.watched(h -> h.failureDetector().partitionedZoneCount()));
+          "mallowroad.machines.doubted", n -> n.watched(h -> h.stragglerDetector().suspectCount()));
+      gauge(
+          "mallowroad.machines.slow.refused",
+          n -> n.watched(h -> h.stragglerDetector().refusedSuspicions()));
+      gauge(
+          "mallowroad.zones.cut", n -> n.watched(h -> h.failureDetector().partitionedZoneCount()));
       gauge("mallowroad.stood.still", n -> n.watched(h -> h.pauseDetector().pauseCount()));
-      gauge("mallowroad.stood.still.longest.ms", n -> n.watched(h -> h.pauseDetector().longestPauseMs()));
+      gauge(
+          "mallowroad.stood.still.longest.ms",
+          n -> n.watched(h -> h.pauseDetector().longestPauseMs()));
       gauge("mallowroad.loop.lag.ms", n -> n.leader == null ? 0 : n.leader.lagMs());
       gauge("mallowroad.cancellations.view.ms", n -> n.leader == null ? 0 : n.leader.viewMs());
       gauge("mallowroad.admission.limited", n -> n.admission.limited() ? 1 : 0);
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acts on what {@link FleetHealth} suspects: which silent or faulty machines are returned, and when. The
- * deletion is the proof that frees their tasks; suspicion alone frees nothing.
+ * Acts on what {@link FleetHealth} suspects: which silent or faulty machines are returned, and
+ * when. The deletion is the proof that frees their tasks; suspicion alone frees nothing.
  *
  * <p><b>Why a leader of term N that stood still does no harm once N+1 began</b>, for each thing
  * that leaves this process. A freeze can fall between any check and the write after it, so no check
@@ -145,7 +145,9 @@
    */
   public boolean unsure(long renewedMs, long now) {
     PauseDetector pauseDetector = health.pauseDetector();
-    return pauseDetector.pauseCount() > 0 && renewedMs < pauseDetector.listeningSinceMs() && now - pauseDetector.listeningSinceMs() < UNSURE_MS;
+    return pauseDetector.pauseCount() > 0
+        && renewedMs < pauseDetector.listeningSinceMs()
+        && now - pauseDetector.listeningSinceMs() < UNSURE_MS;
   }
 
   /**
--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -86,7 +86,8 @@
   /** True when it has run for several times as long as its peers did. */
   public boolean isOverdue(StragglerDetector stragglerDetector, long now) {
     return runningSinceMs > 0
-        && stragglerDetector.isTaskOverdue(job.runTimes, now - runningSinceMs, job.spec.estimateS());
+        && stragglerDetector.isTaskOverdue(
+            job.runTimes, now - runningSinceMs, job.spec.estimateS());
   }
 
   /** When it was first reported to run, on the steady clock; 0 before. */
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -327,7 +327,9 @@
         + m.name
         + " in zone "
         + zones.name(m.zone)
-        + (schedulerState.health().failureDetector().isPartitioned(m.zone) ? ", which is cut off" : "")
+        + (schedulerState.health().failureDetector().isPartitioned(m.zone)
+            ? ", which is cut off"
+            : "")
         + (c.goneMs > 0 ? "" : "; proven gone only by the machine's deletion or report");
   }
 
--- a/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -77,11 +77,12 @@
     }
 
     AttemptRecord restore(AttemptRecord attemptRecord, JsonNode run) {
-      schedulerState.restore(attemptRecord, 6, Records.done(run), run.path("high").asInt());
+      schedulerState.restoreRecord(attemptRecord, 6, Records.done(run), run.path("high").asInt());
       for (Records.Live live : Records.live(run)) {
         MachineType type = machineTypes.get(live.type());
         Machine machine =
-            schedulerState.meet(live.machine(), type, zones.find(live.zone()), live.spot(), NOW_MS);
+            schedulerState.registerMachine(
+                live.machine(), type, zones.find(live.zone()), live.spot(), NOW_MS);
         schedulerState.restoreAttempt(
             attemptRecord.job, live.task(), live.number(), machine, live.incarnation(), NOW_MS);
       }
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -19,6 +19,7 @@
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.net.RequestSender;
 import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.wire.CloudCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
@@ -140,13 +141,13 @@
     RateLimiter budget = new RateLimiter(10, 10, loop.now());
     CloudClient cloud = new CloudClient(loop, recorder, budget, new NameIndex(), new NameIndex());
     recorder.at("types");
-    cloud.types(types -> {});
+    cloud.listMachineTypes(types -> {});
     recorder.at("machines");
-    cloud.machines(machines -> {});
+    cloud.listMachines(machines -> {});
     recorder.at("spot machines");
-    cloud.rent("r-3-17", "g8", "a", true, 12, (names, refused) -> {});
+    cloud.rent(new CloudCodec.RentalRequest("r-3-17", "g8", "a", true, 12), result -> {});
     recorder.at("ordinary machine");
-    cloud.rent("r-3-18", "c16", "b", false, 1, (names, refused) -> {});
+    cloud.rent(new CloudCodec.RentalRequest("r-3-18", "c16", "b", false, 1), result -> {});
     recorder.at("deletion");
     cloud.delete(List.of("n-000231", "n-000232"), done -> {});
     new GoldenFile("cloud-requests.txt").check(recorder.requests);
@@ -189,8 +190,8 @@
     assertEquals(2, read.incarnation());
     assertEquals(88, read.sequence());
     assertEquals(41, read.fencingToken());
-    assertEquals(31.5, read.noticeS());
-    assertEquals(true, read.handsOn());
+    assertEquals(31.5, read.interruptionNoticeS());
+    assertEquals(true, read.servesImages());
     assertEquals(
         List.of(
             new Heartbeat.Entry("job-000412", 3, 2, Heartbeat.State.RUNNING, null),
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -98,16 +98,16 @@
   private static void addHealth(HealthPolicy health, Map<String, String> values) {
     put(values, "health/slow-factor", health.slowFactor());
     put(values, "health/slow-samples", health.slowSamples());
-    put(values, "health/slow-share", health.slowShare());
-    put(values, "health/favour-s in ms", health.favourMs());
+    put(values, "health/slow-share", health.maxSlowShare());
+    put(values, "health/favour-s in ms", health.suspicionExpiryMs());
     put(values, "health/errors", health.errors());
-    put(values, "health/cut-share", health.cutShare());
-    put(values, "health/cut-least", health.cutLeast());
-    put(values, "health/cut-returns", health.cutReturns());
-    put(values, "health/haste-share", health.hasteShare());
-    put(values, "health/haste-least", health.hasteLeast());
-    put(values, "health/replace-share", health.replaceShare());
-    put(values, "health/still-s in ms", health.stillMs());
+    put(values, "health/cut-share", health.partitionShare());
+    put(values, "health/cut-least", health.minPartitionMachines());
+    put(values, "health/cut-returns", health.partitionReturnShare());
+    put(values, "health/haste-share", health.returnShare());
+    put(values, "health/haste-least", health.minReturns());
+    put(values, "health/replace-share", health.maxReplacementShare());
+    put(values, "health/still-s in ms", health.pauseMs());
   }
 
   private static void addConsole(ConsoleSettings console, Map<String, String> values) {
