--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -3,10 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
+import org.mallowroad.state.JobRecordCodec;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.DependencyCodec;
 
 /** Takes users' requests to cancel a job; nobody is told before the end record is committed. */
@@ -59,23 +60,23 @@
   private void commit(Responder x, String id, JsonNode value, long version, int retries) {
     Transaction transaction =
         new Transaction()
-            .given(Records.open(id), version)
-            .given(Records.end(id), 0)
-            .put(Records.end(id), Records.endValue(false, 0, value))
-            .delete(Records.open(id));
+            .requireVersion(RecordKeys.openJob(id), version)
+            .requireVersion(RecordKeys.endedJob(id), 0)
+            .put(RecordKeys.endedJob(id), JobRecordCodec.encodeCancelled(value))
+            .delete(RecordKeys.openJob(id));
     if (value.path("job").has(DependencyCodec.DEPENDENCIES)) {
-      transaction.delete(Records.held(id)).delete(Records.release(id));
+      transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
     writes.forceAcquire(transaction.writes(), loop.now());
     // Sent twice when an answer is late; one of the two that fails is read as what it found.
-    state.runRepeated(
+    state.compareAndSwapWithRetry(
         transaction,
         () -> writes.forceAcquire(transaction.writes(), loop.now()),
         (result, revision, failed) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             lookup.ended(id, false);
             x.answer(200, JobLookup.status(id, false), false);
-          } else if (result == Result.NO && retries < MOST_RETRIES) {
+          } else if (result == CallResult.CONDITION_FAILED && retries < MOST_RETRIES) {
             cancel(x, id, retries + 1);
           } else {
             JobLookup.unreachable(x);
--- a/src/main/java/org/mallowroad/api/FoldBlocks.java
+++ b/src/main/java/org/mallowroad/api/FoldBlocks.java
@@ -9,10 +9,11 @@
 import java.util.TreeMap;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -58,13 +59,13 @@
             BlockKey k = left.poll();
             out[0]++;
             state.get(
-                Records.fold(k),
+                RecordKeys.foldBlock(k),
                 (result, item) -> {
                   out[0]--;
                   if (over[0]) {
                     return;
                   }
-                  if (result != Result.OK || !take(k, item)) {
+                  if (result != CallResult.OK || !take(k, item)) {
                     over[0] = true;
                     no.run();
                   } else {
@@ -80,13 +81,13 @@
     more[0].run();
   }
 
-  private boolean take(BlockKey k, KeyValueStore.VersionedValue item) {
+  private boolean take(BlockKey k, VersionedValue item) {
     try {
       blocks.put(k, FoldCodec.decodeBlock(item.value()));
       versions.put(k, item.version());
       return true;
     } catch (InvalidMessageException e) {
-      wrong = "block " + Records.fold(k) + " cannot be read: " + e.getMessage();
+      wrong = "block " + RecordKeys.foldBlock(k) + " cannot be read: " + e.getMessage();
       return false;
     }
   }
@@ -95,11 +96,11 @@
   void write(Transaction transaction, Map<BlockKey, Block> some) {
     some.forEach(
         (k, b) -> {
-          transaction.given(Records.fold(k), versions.get(k));
+          transaction.requireVersion(RecordKeys.foldBlock(k), versions.get(k));
           if (b.sides().isEmpty()) {
-            transaction.delete(Records.fold(k));
+            transaction.delete(RecordKeys.foldBlock(k));
           } else {
-            transaction.put(Records.fold(k), FoldCodec.encodeBlock(b));
+            transaction.put(RecordKeys.foldBlock(k), FoldCodec.encodeBlock(b));
           }
         });
   }
@@ -132,7 +133,7 @@
     List<BlockKey> out = new ArrayList<>();
     keys.forEach(
         k -> {
-          if (failed.isEmpty() || failed.contains(Records.fold(k))) {
+          if (failed.isEmpty() || failed.contains(RecordKeys.foldBlock(k))) {
             out.add(k);
           }
         });
--- a/src/main/java/org/mallowroad/api/FoldClaim.java
+++ b/src/main/java/org/mallowroad/api/FoldClaim.java
@@ -20,10 +20,12 @@
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.LeagueRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.DependencyCodec;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
@@ -113,13 +115,13 @@
       return;
     }
     get(
-        Records.HOLD_ORDER,
+        RecordKeys.DEPENDENCY_ORDER,
         (v, version) -> {
           order = version;
           state.list(
-              Records.HELD,
+              RecordKeys.DEPENDENCIES,
               (result, items, revision) -> {
-                if (result != Result.OK) {
+                if (result != CallResult.OK) {
                   away();
                 } else {
                   judge(items, next);
@@ -128,11 +130,13 @@
         });
   }
 
-  private void judge(List<KeyValueStore.VersionedValue> items, Runnable next) {
+  private void judge(List<VersionedValue> items, Runnable next) {
     Map<String, JobDependencies> held = new HashMap<>();
-    for (KeyValueStore.VersionedValue i : items) {
+    for (VersionedValue i : items) {
       try {
-        held.put(i.key().substring(Records.HELD.length()), DependencyCodec.decodeRecord(i.value()));
+        held.put(
+            i.key().substring(RecordKeys.DEPENDENCIES.length()),
+            DependencyCodec.decodeRecord(i.value()));
       } catch (InvalidMessageException e) {
         end(Folding.End.AWAY, i.key() + " cannot be read: " + e.getMessage());
         return;
@@ -183,12 +187,12 @@
     }
     String l = left.poll();
     get(
-        Records.league(l),
+        RecordKeys.league(l),
         (v, version) -> {
           Folding.League read =
               new Folding.League(
-                  Folding.fieldsOf(v, Records.UP_TO),
-                  Folding.fieldsOf(v, Records.CHANGES),
+                  Folding.fieldsOf(v, LeagueRecordCodec.UP_TO),
+                  Folding.fieldsOf(v, LeagueRecordCodec.CHANGES),
                   version);
           mine.put(l, read);
           folding.remember(l, read);
@@ -200,7 +204,7 @@
     state.get(
         key,
         (result, item) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             away();
           } else {
             got.got(item.value(), item.version());
@@ -274,7 +278,9 @@
   }
 
   private Transaction unknownId() {
-    return new Transaction().given(Records.open(id), 0).given(Records.end(id), 0);
+    return new Transaction()
+        .requireVersion(RecordKeys.openJob(id), 0)
+        .requireVersion(RecordKeys.endedJob(id), 0);
   }
 
   /**
@@ -286,24 +292,25 @@
         .forEach(
             (l, game) -> {
               Folding.League known = mine.get(l);
-              transaction.given(Records.league(l), known.version());
+              transaction.requireVersion(RecordKeys.league(l), known.version());
               boolean touches = known.version() > 0 && game <= known.upTo();
               long upTo =
                   Math.max(known.upTo(), dependencies.highestRequiredGames().getOrDefault(l, -1L));
               if (touches || upTo > known.upTo()) {
                 long changes = Math.max(0, known.changes()) + (touches ? 1 : 0);
-                transaction.put(Records.league(l), Records.leagueValue(upTo, changes));
+                transaction.put(RecordKeys.league(l), LeagueRecordCodec.encode(upTo, changes));
               }
             });
     if (dependencies.isGated()) {
-      transaction.given(Records.HOLD_ORDER, order);
-      transaction.put(Records.HOLD_ORDER, Json.object().put("by", id));
-      transaction.put(Records.held(id), DependencyCodec.encodeRecord(dependencies));
+      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER, order);
+      transaction.put(RecordKeys.DEPENDENCY_ORDER, Json.object().put("by", id));
+      transaction.put(RecordKeys.dependencies(id), DependencyCodec.encodeRecord(dependencies));
     }
   }
 
   private void atOnce(Map<BlockKey, Block> changed) {
-    Transaction transaction = unknownId().given(Records.intent(id), 0).put(Records.open(id), value);
+    Transaction transaction =
+        unknownId().requireVersion(RecordKeys.foldIntent(id), 0).put(RecordKeys.openJob(id), value);
     touch(transaction);
     blocks.write(transaction, changed);
     send(
@@ -315,9 +322,9 @@
 
   /** A condition failed: the job is known, its intent is another one, or others wrote. */
   private void refused(List<String> failed, Runnable intentChanged, Collection<BlockKey> wrote) {
-    if (failed.contains(Records.open(id)) || failed.contains(Records.end(id))) {
+    if (failed.contains(RecordKeys.openJob(id)) || failed.contains(RecordKeys.endedJob(id))) {
       end(Folding.End.KNOWN, "");
-    } else if (failed.contains(Records.intent(id))) {
+    } else if (failed.contains(RecordKeys.foldIntent(id))) {
       intentChanged.run();
     } else {
       again(failed, wrote);
@@ -339,13 +346,13 @@
       return;
     }
     send(
-        unknownId().given(Records.intent(id), 0).put(Records.intent(id), v),
+        unknownId().requireVersion(RecordKeys.foldIntent(id), 0).put(RecordKeys.foldIntent(id), v),
         revision -> {
           intent = revision;
           decide();
         },
         failed -> {
-          if (failed.contains(Records.open(id)) || failed.contains(Records.end(id))) {
+          if (failed.contains(RecordKeys.openJob(id)) || failed.contains(RecordKeys.endedJob(id))) {
             end(Folding.End.KNOWN, "");
           } else {
             adopt();
@@ -356,7 +363,7 @@
   /** Goes on with the intent that there is, if it is for the same games and not given up. */
   private void adopt() {
     get(
-        Records.intent(id),
+        RecordKeys.foldIntent(id),
         (v, version) -> {
           if (v == null) {
             intent = 0;
@@ -371,7 +378,7 @@
   }
 
   private void step(Map<BlockKey, Block> some) {
-    Transaction transaction = new Transaction().given(Records.intent(id), intent);
+    Transaction transaction = new Transaction().requireVersion(RecordKeys.foldIntent(id), intent);
     blocks.write(transaction, some);
     send(
         transaction,
@@ -383,8 +390,8 @@
   }
 
   private void finish() {
-    Transaction transaction = unknownId().given(Records.intent(id), intent);
-    transaction.put(Records.open(id), value).delete(Records.intent(id));
+    Transaction transaction = unknownId().requireVersion(RecordKeys.foldIntent(id), intent);
+    transaction.put(RecordKeys.openJob(id), value).delete(RecordKeys.foldIntent(id));
     touch(transaction);
     send(transaction, revision -> accepted(), failed -> refused(failed, this::gone, List.of()));
   }
@@ -392,7 +399,7 @@
   /** Its intent is not what it was: accepted by another try, or given up. */
   private void gone() {
     get(
-        Records.intent(id),
+        RecordKeys.foldIntent(id),
         (v, version) -> {
           if (v == null) {
             end(Folding.End.KNOWN, "");
@@ -404,8 +411,8 @@
 
   /** Others changed what was read: read again, decided again. */
   private void again(List<String> failed, Collection<BlockKey> wrote) {
-    boolean league = failed.isEmpty() || failed.stream().anyMatch(Records::isLeague);
-    boolean ordered = failed.isEmpty() || failed.contains(Records.HOLD_ORDER);
+    boolean league = failed.isEmpty() || failed.stream().anyMatch(RecordKeys::isLeague);
+    boolean ordered = failed.isEmpty() || failed.contains(RecordKeys.DEPENDENCY_ORDER);
     List<BlockKey> stale = blocks.among(failed, wrote);
     Runnable reread = () -> readLeagues(league, () -> blocks.read(stale, this::decide, this::away));
     after(
@@ -438,17 +445,17 @@
       return;
     }
     writes.forceAcquire(transaction.writes(), loop.now());
-    state.run(
+    state.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
           switch (result) {
             case OK -> ok.accept(revision);
-            case NO -> no.accept(failed);
+            case CONDITION_FAILED -> no.accept(failed);
             default -> {
               if (++tries > MOST_TRIES) {
                 away();
               } else {
-                long ms = result == Result.UNKNOWN ? FoldIntents.RETRY_MS : CROWDED_MS;
+                long ms = result == CallResult.UNKNOWN ? FoldIntents.RETRY_MS : CROWDED_MS;
                 loop.after(ms, () -> send(transaction, ok, no));
               }
             }
--- a/src/main/java/org/mallowroad/api/FoldIntents.java
+++ b/src/main/java/org/mallowroad/api/FoldIntents.java
@@ -12,10 +12,10 @@
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Claims;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.Json;
 
@@ -49,10 +49,12 @@
     v.put("at", loop.wallMs());
     v.put(UNDO, true);
     v.set("blocks", FoldCodec.encodeBlockKeys(keys));
-    state.run(
-        new Transaction().given(Records.intent(id), version).put(Records.intent(id), v),
+    state.compareAndSwap(
+        new Transaction()
+            .requireVersion(RecordKeys.foldIntent(id), version)
+            .put(RecordKeys.foldIntent(id), v),
         (result, revision, failed) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             takeOut(id, revision, new ArrayDeque<>(keys), told);
           } else {
             told.accept(false);
@@ -62,9 +64,11 @@
 
   private void takeOut(String id, long version, ArrayDeque<BlockKey> left, Consumer<Boolean> told) {
     if (left.isEmpty()) {
-      state.run(
-          new Transaction().given(Records.intent(id), version).delete(Records.intent(id)),
-          (result, revision, failed) -> told.accept(result == Result.OK));
+      state.compareAndSwap(
+          new Transaction()
+              .requireVersion(RecordKeys.foldIntent(id), version)
+              .delete(RecordKeys.foldIntent(id)),
+          (result, revision, failed) -> told.accept(result == CallResult.OK));
       return;
     }
     List<BlockKey> some = new ArrayList<>();
@@ -89,15 +93,17 @@
             return;
           }
           Map<BlockKey, Block> part = b.part(changed, 0);
-          Transaction transaction = new Transaction().given(Records.intent(id), version);
+          Transaction transaction =
+              new Transaction().requireVersion(RecordKeys.foldIntent(id), version);
           b.write(transaction, part);
-          state.run(
+          state.compareAndSwap(
               transaction,
               (result, revision, failed) -> {
-                if (result == Result.OK
-                    || (result == Result.NO && !failed.contains(Records.intent(id)))) {
+                if (result == CallResult.OK
+                    || (result == CallResult.CONDITION_FAILED
+                        && !failed.contains(RecordKeys.foldIntent(id)))) {
                   // What is not done, or was changed by others meanwhile, is read once more.
-                  some.removeAll(result == Result.OK ? part.keySet() : List.of());
+                  some.removeAll(result == CallResult.OK ? part.keySet() : List.of());
                   left.addAll(some);
                   loop.after(RETRY_MS, () -> takeOut(id, version, left, told));
                 } else {
--- a/src/main/java/org/mallowroad/api/Folding.java
+++ b/src/main/java/org/mallowroad/api/Folding.java
@@ -20,9 +20,9 @@
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
@@ -174,17 +174,17 @@
     }
     // Open, then end: a job moves from the first to the second, so it is never missed.
     state.get(
-        Records.open(job),
+        RecordKeys.openJob(job),
         (result, open) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             told.accept(null);
           } else if (open.value() != null) {
             told.accept(JobOutcome.OPEN);
           } else {
             state.get(
-                Records.end(job),
+                RecordKeys.endedJob(job),
                 (result2, end) -> {
-                  if (result2 != Result.OK) {
+                  if (result2 != CallResult.OK) {
                     told.accept(null);
                   } else if (end.value() == null) {
                     told.accept(JobOutcome.CLAIMING);
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
@@ -186,9 +186,9 @@
   /** Open, then end: a job moves from the first to the second, so it is never missed. */
   private void readOpen(String id, RecordListener reader) {
     state.get(
-        Records.open(id),
+        RecordKeys.openJob(id),
         (result, open) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             reader.failed();
           } else if (open.value() != null) {
             reads.giveBack(); // One call was enough.
@@ -201,9 +201,9 @@
 
   private void readEnd(String id, RecordListener reader) {
     state.get(
-        Records.end(id),
+        RecordKeys.endedJob(id),
         (result, end) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             reader.failed();
           } else if (end.value() == null) {
             reader.absent();
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -4,10 +4,10 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 
 /**
  * Answers whether jobs are open, many with one call.
@@ -15,7 +15,7 @@
  * <p><b>Why an answer is never stale.</b> A transaction without writes compares keys at one moment,
  * which lies after each question that it answers was asked. A job's open record is never changed,
  * only deleted, in the transaction that writes its end record, and neither key is ever written
- * again ({@code Records}). So there are two comparisons:
+ * again ({@code RecordKeys}). So there are two comparisons:
  *
  * <ul>
  *   <li>a job whose open record was read with its version is open if the version still holds; when
@@ -139,7 +139,7 @@
   boolean prompt() {
     return waiting.size() < mostConditions / 2
         && reads.delayMs() < PROMPT_MS
-        && !state.answersLate();
+        && !state.health().isResponseLate();
   }
 
   /** Asks whether a job is open, over or absent. */
@@ -203,12 +203,12 @@
     }
     Transaction transaction = new Transaction();
     for (Question q : batch) {
-      transaction.given(Records.open(q.id), q.version);
+      transaction.requireVersion(RecordKeys.openJob(q.id), q.version);
       if (q.kind == Kind.BOTH_RECORDS) {
-        transaction.given(Records.end(q.id), 0);
+        transaction.requireVersion(RecordKeys.endedJob(q.id), 0);
       }
     }
-    state.runRepeated(
+    state.compareAndSwapWithRetry(
         transaction,
         () -> {},
         (result, revision, failed) -> {
@@ -227,13 +227,13 @@
   }
 
   /** Answers a question by what the comparison said; false when it said nothing of the job. */
-  private boolean answer(Question q, Result result, List<String> failed) {
-    if (result == Result.OK && q.kind != Kind.OPEN_RECORD) {
+  private boolean answer(Question q, CallResult result, List<String> failed) {
+    if (result == CallResult.OK && q.kind != Kind.OPEN_RECORD) {
       boolean open = q.kind == Kind.VERSION;
       q.listener.answered(open ? Status.OPEN : Status.ABSENT, open ? saw(q.id, q.version) : null);
       return true;
     }
-    if (result == Result.OK || (result == Result.NO && !failed.isEmpty())) {
+    if (result == CallResult.OK || (result == CallResult.CONDITION_FAILED && !failed.isEmpty())) {
       return answerByName(q, failed);
     }
     q.listener.answered(Status.UNKNOWN, null);
@@ -241,11 +241,11 @@
   }
 
   private boolean answerByName(Question q, List<String> failed) {
-    boolean openNamed = failed.contains(Records.open(q.id));
+    boolean openNamed = failed.contains(RecordKeys.openJob(q.id));
     if (q.kind == Kind.VERSION && openNamed) {
       over(q.id);
       q.listener.answered(Status.OVER, null);
-    } else if (failed.contains(Records.end(q.id))) {
+    } else if (failed.contains(RecordKeys.endedJob(q.id))) {
       over(q.id);
       q.listener.answered(Status.OVER, null);
     } else if (q.kind != Kind.VERSION && openNamed) {
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -7,10 +7,11 @@
 import org.mallowroad.core.fold.Game;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
+import org.mallowroad.state.JobRecordCodec;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
@@ -114,7 +115,7 @@
     if (spec.dependencies().foldedBlocks().size() > Folding.MOST_LEAGUES) {
       throw new InvalidMessageException("folds: at most " + Folding.MOST_LEAGUES + " leagues");
     }
-    ObjectNode value = Records.openValue(o, loop.wallMs());
+    ObjectNode value = JobRecordCodec.encodeOpen(o, loop.wallMs());
     if (!games.isEmpty()) {
       ((ObjectNode) value.get("job"))
           .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(Folding.keys(games)));
@@ -185,17 +186,17 @@
     long sentMs = loop.now();
     Transaction transaction =
         new Transaction()
-            .given(Records.open(id), 0)
-            .given(Records.end(id), 0)
-            .put(Records.open(id), value);
+            .requireVersion(RecordKeys.openJob(id), 0)
+            .requireVersion(RecordKeys.endedJob(id), 0)
+            .put(RecordKeys.openJob(id), value);
     // Sent twice when an answer is late: whichever is carried out first makes the other fail, and
     // the job that is found then is this one.
-    state.runRepeated(
+    state.compareAndSwapWithRetry(
         transaction,
         () -> writes.forceAcquire(1, loop.now()),
         (result, revision, failed) -> {
-          if (result == Result.NOT_DONE
-              && state.crowdedMs() >= sentMs
+          if (result == CallResult.NOT_EXECUTED
+              && state.health().lastThrottledMs() >= sentMs
               && tries < MOST_RETRIES
               && retries.tryAcquire(1, loop.now())) {
             // Refused for the service's limits: a moment later there is room, and a user who is
@@ -208,7 +209,7 @@
               lookup.opened(id, revision);
               x.answer(201, queued(id), false);
             }
-            case NO -> lookup.answer(x, id, () -> tryAgain(x));
+            case CONDITION_FAILED -> lookup.answer(x, id, () -> tryAgain(x));
             default -> JobLookup.unreachable(x);
           }
         });
@@ -221,7 +222,7 @@
    */
   private boolean mayWrite() {
     long now = loop.now();
-    boolean crowded = now - state.crowdedMs() < CROWDED_MS;
+    boolean crowded = now - state.health().lastThrottledMs() < CROWDED_MS;
     return (crowded ? fairWrites : writes).tryAcquire(1, now);
   }
 }
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -7,9 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
@@ -87,10 +89,10 @@
     }
     listing = true;
     state.list(
-        Records.STARTS,
+        RecordKeys.SHARED_ATTEMPTS,
         (result, items, revision) -> {
           listing = false;
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             sharedMs = loop.now();
             shared = counts(items);
           }
@@ -100,12 +102,14 @@
         });
   }
 
-  private static Map<String, int[]> counts(List<KeyValueStore.VersionedValue> items) {
+  private static Map<String, int[]> counts(List<VersionedValue> items) {
     Map<String, int[]> out = new HashMap<>();
-    for (KeyValueStore.VersionedValue item : items) {
-      for (Map.Entry<String, JsonNode> run : Records.sharedRuns(item.value())) {
-        int done = Records.done(run.getValue()).cardinality();
-        out.put(run.getKey(), new int[] {done, Records.live(run.getValue()).size()});
+    for (VersionedValue item : items) {
+      for (Map.Entry<String, JsonNode> run : AttemptRecordCodec.membersOfShared(item.value())) {
+        int done = AttemptRecordCodec.doneTasks(run.getValue()).cardinality();
+        out.put(
+            run.getKey(),
+            new int[] {done, AttemptRecordCodec.unresolvedAttempts(run.getValue()).size()});
       }
     }
     return out;
@@ -113,14 +117,14 @@
 
   private void listOwn(Responder x, OpenJobs.Entry job) {
     state.list(
-        Records.RUN + job.id + "/",
+        RecordKeys.ATTEMPTS + job.id + "/",
         (result, items, revision) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             int done = 0;
             int running = 0;
-            for (KeyValueStore.VersionedValue item : items) {
-              done += Records.done(item.value()).cardinality();
-              running += Records.live(item.value()).size();
+            for (VersionedValue item : items) {
+              done += AttemptRecordCodec.doneTasks(item.value()).cardinality();
+              running += AttemptRecordCodec.unresolvedAttempts(item.value()).size();
             }
             count(job, done, running);
           }
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -19,8 +19,10 @@
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.RateLimiter;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.JobRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
@@ -74,7 +76,7 @@
   List<String> game(String league, long number) throws InvalidMessageException {
     InspectCommands look = new InspectCommands();
     BlockKey key = new BlockKey(league, (int) (number / Block.GAMES));
-    Block block = FoldCodec.decodeBlock(look.value(Records.fold(key)));
+    Block block = FoldCodec.decodeBlock(look.value(RecordKeys.foldBlock(key)));
     List<String> out = new ArrayList<>();
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
       if (e.getKey().game() == Block.place(number)) {
@@ -113,16 +115,16 @@
     RecordedState read() throws InvalidMessageException {
       JsonNode leader = value(LeaderElection.LEADER);
       JsonNode term = value(LeaderElection.TERM);
-      List<VersionedValue> open = list(Records.OPEN);
-      List<VersionedValue> run = list(Records.RUN);
-      List<VersionedValue> rental = list(Records.HIRE);
+      List<VersionedValue> open = list(RecordKeys.OPEN_JOBS);
+      List<VersionedValue> run = list(RecordKeys.ATTEMPTS);
+      List<VersionedValue> rental = list(RecordKeys.RENTALS);
       Map<String, int[]> of = new LinkedHashMap<>();
       int attempts = 0;
       for (VersionedValue i : run) {
-        String id = i.key().substring(Records.RUN.length(), i.key().lastIndexOf('/'));
+        String id = i.key().substring(RecordKeys.ATTEMPTS.length(), i.key().lastIndexOf('/'));
         int[] counts = of.computeIfAbsent(id, k -> new int[2]);
-        int live = Records.live(i.value()).size();
-        counts[0] += Records.done(i.value()).cardinality();
+        int live = AttemptRecordCodec.unresolvedAttempts(i.value()).size();
+        counts[0] += AttemptRecordCodec.doneTasks(i.value()).cardinality();
         counts[1] += live;
         attempts += live;
       }
@@ -146,7 +148,7 @@
     private JobLine line(VersionedValue i, Map<String, int[]> of) throws InvalidMessageException {
       JsonNode job = i.value().path("job");
       teams.intern(job.path(Fields.TEAM).asText());
-      JobSpec s = Records.spec(i.value(), codec);
+      JobSpec s = JobRecordCodec.decodeOpen(i.value(), codec);
       int[] counts = of.getOrDefault(s.id(), new int[2]);
       double age = Math.max(0, (System.currentTimeMillis() - s.submittedMs()) / 1000.0);
       return new JobLine(
@@ -176,10 +178,10 @@
       if (f.settled()) {
         return "folded by " + f.job();
       }
-      if (value(Records.open(f.job())) != null) {
+      if (value(RecordKeys.openJob(f.job())) != null) {
         return "claimed by " + f.job() + ", which is not over";
       }
-      JsonNode end = value(Records.end(f.job()));
+      JsonNode end = value(RecordKeys.endedJob(f.job()));
       if (end == null) {
         return "being claimed by " + f.job() + ", which is not accepted yet";
       }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -31,8 +31,9 @@
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.worker.HeartbeatResponder;
 import org.mallowroad.worker.WorkerClient;
 import org.slf4j.Logger;
@@ -189,7 +190,7 @@
               }
 
               @Override
-              public void guard(Job job, KeyValueStore.Transaction transaction) {
+              public void guard(Job job, Transaction transaction) {
                 holds.guard(job, transaction);
               }
 
@@ -388,7 +389,7 @@
     holds.begin();
     folds.begin();
     fleet.start();
-    rental.forEach(i -> fleet.restore(i.key().substring(Records.HIRE.length()), i.value()));
+    rental.forEach(i -> fleet.restore(i.key().substring(RecordKeys.RENTALS.length()), i.value()));
     LOG.info(
         "event=takeover term={} jobs={} records={} hires={} ms={}",
         term,
@@ -412,7 +413,7 @@
 
   private void lookAtLag() {
     boolean before = recordLag.overloaded();
-    recordLag.look(schedulerState, firm() && !state.failing(), loop.now());
+    recordLag.look(schedulerState, firm() && !state.health().isFailing(), loop.now());
     if (recordLag.overloaded()) {
       listener.overloaded();
     }
@@ -582,7 +583,7 @@
   private boolean alone(long now) {
     return clusterConfig.settings.nodes() > 1
         && reachablePeers.getAsInt() == 0
-        && now - Math.max(election.renewedMs(), state.contactMs()) > ALONE_MS;
+        && now - Math.max(election.renewedMs(), state.health().lastContactMs()) > ALONE_MS;
   }
 
   private Machine take(Heartbeat r) {
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -5,10 +5,10 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.MachineTypeCodec;
@@ -55,7 +55,7 @@
         KEY,
         (result, item) -> {
           recalling = false;
-          if (result == Result.OK && item.value() != null) {
+          if (result == CallResult.OK && item.value() != null) {
             take(item);
           }
           loop.after(PATIENCE_MS, this::recall);
@@ -91,7 +91,7 @@
     state.get(
         KEY,
         (result, item) -> {
-          if (result != Result.OK || same(item, now)) {
+          if (result != CallResult.OK || same(item, now)) {
             return;
           }
           ObjectNode v = MachineTypeCodec.encode(now, clusterConfig.zones);
@@ -102,10 +102,10 @@
           // Lost, it is written by the next term.
           Transaction transaction =
               new Transaction()
-                  .given(LeaderElection.LEADER, leaderVersion)
-                  .given(KEY, item.version())
+                  .requireVersion(LeaderElection.LEADER, leaderVersion)
+                  .requireVersion(KEY, item.version())
                   .put(KEY, v);
-          state.run(transaction, (r, revision, failed) -> {});
+          state.compareAndSwap(transaction, (r, revision, failed) -> {});
         });
   }
 
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -121,7 +121,7 @@
         on
             ? new KeyValueStore(loop, links.state(stateCaller), links.state(follower))
             : new KeyValueStore(loop, stateCaller, follower);
-    state.repeatsPerSecond(
+    state.setRetriesPerSecond(
         Math.max(LEAST_REPEATS_PER_S, s.stateRps() * REPEATED_SHARE / s.nodes()));
     long now = loop.now();
     this.admission = new Admission(now);
@@ -223,7 +223,9 @@
     election.start();
     loop.every(
         SECOND_MS,
-        () -> admission.stateService(loop.now() - state.crowdedMs() < SECOND_MS, loop.now()));
+        () ->
+            admission.stateService(
+                loop.now() - state.health().lastThrottledMs() < SECOND_MS, loop.now()));
   }
 
   /**
@@ -347,7 +349,7 @@
       } else {
         peers.relayTo(peer, method, path, body, answerer, none);
       }
-    } else if (state.failing()) {
+    } else if (state.health().isFailing()) {
       peers.relay(
           method,
           path,
@@ -412,7 +414,7 @@
       gauge("mallowroad.cancellations.view.ms", n -> n.leader == null ? 0 : n.leader.viewMs());
       gauge("mallowroad.admission.limited", n -> n.admission.limited() ? 1 : 0);
       gauge("mallowroad.admission.refused", n -> n.admission.refused());
-      gauge("mallowroad.state.silence.ms", n -> n.loop.now() - n.state.contactMs());
+      gauge("mallowroad.state.silence.ms", n -> n.loop.now() - n.state.health().lastContactMs());
       if (links != null) {
         gauge("mallowroad.links.down", n -> n.links.links().downCount());
         gauge("mallowroad.links.rows", n -> n.links.links().freshRows(n.loop.now()));
@@ -425,7 +427,7 @@
         gauge("mallowroad.reports.sent.on", n -> n.links.carriage().sentOn());
         gauge("mallowroad.kept.guests", n -> n.links.carriage().size());
       }
-      gauge("mallowroad.garbled.state", n -> n.state.wrong());
+      gauge("mallowroad.garbled.state", n -> n.state.health().malformedResponses());
       gauge("mallowroad.garbled.cloud", n -> n.cloud.invalidResponses());
       gauge("mallowroad.garbled.peers", n -> n.peers.wrong());
       gauge("mallowroad.garbled.workers", n -> n.reports.invalidMessages());
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -151,7 +151,7 @@
       List<TeamLine> teams,
       List<MachineLine> machines) {
     boolean full = sketch != null;
-    long silentMs = loop.now() - state.contactMs();
+    long silentMs = loop.now() - state.health().lastContactMs();
     return new NodeSnapshot(
         NodeSnapshot.FORMAT,
         clusterConfig.settings.node(),
@@ -163,7 +163,7 @@
         loop.wallMs(),
         (tookNs + loop.nanos() - began) / 1000,
         l == null ? 0 : l.lagMs(),
-        state.contactMs() < 0 ? -1 : silentMs / 1000.0,
+        state.health().lastContactMs() < 0 ? -1 : silentMs / 1000.0,
         l != null && l.firm(),
         totals,
         teams,
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -19,11 +19,12 @@
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.LeagueRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
@@ -114,17 +115,17 @@
   /** All open jobs are known: the releases that earlier leaders recorded are read. */
   public void begin() {
     state.list(
-        Records.RELEASE,
+        RecordKeys.RELEASES,
         (result, items, revision) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(AGAIN_MS, this::begin);
             return;
           }
           for (VersionedValue i : items) {
-            Hold h = holds.get(i.key().substring(Records.RELEASE.length()));
+            Hold h = holds.get(i.key().substring(RecordKeys.RELEASES.length()));
             if (h != null) {
               adopt(h, i.value(), i.version());
             }
@@ -183,9 +184,9 @@
     }
     following = true;
     state.list(
-        Records.LEAGUE,
+        RecordKeys.LEAGUES,
         (result, items, revision) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             items.forEach(this::saw);
             follow(revision);
           } else {
@@ -204,15 +205,15 @@
       following = false;
       return;
     }
-    state.follow(
-        Records.LEAGUE,
+    state.watch(
+        RecordKeys.LEAGUES,
         from,
         WATCH_MS,
         (result, events, revision) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(AGAIN_MS, this::unfollow);
             return;
           }
@@ -227,8 +228,8 @@
    * none.
    */
   private void saw(VersionedValue i) {
-    String league = i.key().substring(Records.LEAGUE.length());
-    long changes = i.value() == null ? 0 : i.value().path(Records.CHANGES).asLong();
+    String league = i.key().substring(RecordKeys.LEAGUES.length());
+    long changes = i.value() == null ? 0 : i.value().path(LeagueRecordCodec.CHANGES).asLong();
     for (Hold h : List.copyOf(holds.all())) {
       Long known = h.changes.get(league);
       if (h.state == DependencyGates.State.PRINTED
@@ -250,7 +251,7 @@
         h,
         true,
         (result, revision, failed) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             h.version = revision;
           }
         });
@@ -271,12 +272,12 @@
     return v;
   }
 
-  private void put(Hold h, boolean printed, KeyValueStore.Ended ended) {
-    state.run(
+  private void put(Hold h, boolean printed, KeyValueStore.TransactionListener ended) {
+    state.compareAndSwap(
         new Transaction()
-            .given(LeaderElection.LEADER, version)
-            .given(Records.release(h.job), h.version)
-            .put(Records.release(h.job), value(h, printed)),
+            .requireVersion(LeaderElection.LEADER, version)
+            .requireVersion(RecordKeys.release(h.job), h.version)
+            .put(RecordKeys.release(h.job), value(h, printed)),
         ended);
   }
 
@@ -285,13 +286,13 @@
     Hold h = holds.get(job.spec.id());
     if (h == null || h.state == DependencyGates.State.CLOSED) {
       // Not to be met: such a job is held. A condition that cannot be true keeps it so.
-      transaction.given(Records.release(job.spec.id()), Long.MAX_VALUE);
+      transaction.requireVersion(RecordKeys.release(job.spec.id()), Long.MAX_VALUE);
       return;
     }
-    transaction.given(Records.release(h.job), h.version);
+    transaction.requireVersion(RecordKeys.release(h.job), h.version);
     if (h.state == DependencyGates.State.OPEN) {
-      h.leagues.forEach((l, m) -> transaction.given(Records.league(l), m));
-      transaction.put(Records.release(h.job), value(h, true));
+      h.leagues.forEach((l, m) -> transaction.requireVersion(RecordKeys.league(l), m));
+      transaction.put(RecordKeys.release(h.job), value(h, true));
     }
   }
 
@@ -314,12 +315,12 @@
       return;
     }
     state.get(
-        Records.release(h.job),
+        RecordKeys.release(h.job),
         (result, item) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(AGAIN_MS, () -> reguard(job, next));
             return;
           }
@@ -386,9 +387,9 @@
         return;
       }
       state.get(
-          Records.end(j),
+          RecordKeys.endedJob(j),
           (result, item) -> {
-            if (result != Result.OK) {
+            if (result != CallResult.OK) {
               again();
               return;
             }
@@ -414,13 +415,14 @@
         return;
       }
       state.get(
-          Records.league(l),
+          RecordKeys.league(l),
           (result, item) -> {
-            if (result != Result.OK) {
+            if (result != CallResult.OK) {
               again();
             } else {
               versions.put(l, item.version());
-              long n = item.value() == null ? 0 : item.value().path(Records.CHANGES).asLong();
+              long n =
+                  item.value() == null ? 0 : item.value().path(LeagueRecordCodec.CHANGES).asLong();
               changes.put(l, n);
               leagues(left);
             }
@@ -439,15 +441,15 @@
 
     /** The blocks of a league in order, up to the one with the last game. */
     private void page(RequiredGames g, ArrayDeque<RequiredGames> left, String from, long expected) {
-      state.range(
-          Records.FOLD + g.league() + "/",
+      state.listPage(
+          RecordKeys.FOLD_BLOCKS + g.league() + "/",
           from,
           PAGE,
           (result, items, revision) -> {
             if (stopped) {
               return;
             }
-            if (result != Result.OK) {
+            if (result != CallResult.OK) {
               again();
               return;
             }
@@ -474,7 +476,7 @@
         games(left);
         return;
       }
-      BlockKey key = Records.block(items.get(i).key());
+      BlockKey key = RecordKeys.blockOfKey(items.get(i).key());
       if (key.index() > last) {
         blocks(g, left, items.subList(0, i), i, expected);
         return;
@@ -569,18 +571,18 @@
       hold.changes.putAll(changes);
       Transaction transaction =
           new Transaction()
-              .given(LeaderElection.LEADER, version)
-              .given(Records.open(hold.job), job.version)
-              .given(Records.release(hold.job), hold.version);
-      versions.forEach((l, m) -> transaction.given(Records.league(l), m));
-      transaction.put(Records.release(hold.job), value(hold, false));
-      state.run(
+              .requireVersion(LeaderElection.LEADER, version)
+              .requireVersion(RecordKeys.openJob(hold.job), job.version)
+              .requireVersion(RecordKeys.release(hold.job), hold.version);
+      versions.forEach((l, m) -> transaction.requireVersion(RecordKeys.league(l), m));
+      transaction.put(RecordKeys.release(hold.job), value(hold, false));
+      state.compareAndSwap(
           transaction,
           (result, revision, failed) -> {
             if (stopped) {
               return;
             }
-            if (result == Result.OK) {
+            if (result == CallResult.OK) {
               hold.version = revision;
               hold.state = DependencyGates.State.OPEN;
               hold.waitsFor = "";
@@ -588,9 +590,11 @@
               LOG.info("event=hold_opened job={} version={}", hold.job, hold.leagues);
               over();
               changed.run();
-            } else if (result == Result.NO && failed.contains(LeaderElection.LEADER)) {
+            } else if (result == CallResult.CONDITION_FAILED
+                && failed.contains(LeaderElection.LEADER)) {
               deposed.run();
-            } else if (result == Result.NO && failed.contains(Records.release(hold.job))) {
+            } else if (result == CallResult.CONDITION_FAILED
+                && failed.contains(RecordKeys.release(hold.job))) {
               // One of ours without an answer was applied after all: taken as it is recorded.
               reguard(job, this::over);
             } else {
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -18,11 +18,11 @@
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.slf4j.Logger;
@@ -108,12 +108,12 @@
     if (undoing) {
       return;
     }
-    state.range(
-        Records.INTENT,
+    state.listPage(
+        RecordKeys.FOLD_INTENTS,
         null,
         PAGE,
         (result, items, revision) -> {
-          if (!stopped && result == Result.OK) {
+          if (!stopped && result == CallResult.OK) {
             items.stream().filter(i -> stale(i.value())).findFirst().ifPresent(this::undo);
           }
         });
@@ -125,7 +125,7 @@
   }
 
   private void undo(VersionedValue i) {
-    String job = i.key().substring(Records.INTENT.length());
+    String job = i.key().substring(RecordKeys.FOLD_INTENTS.length());
     try {
       undoing = true;
       folding.undo(
@@ -146,16 +146,16 @@
     if (stopped) {
       return;
     }
-    state.range(
-        Records.FOLD,
+    state.listPage(
+        RecordKeys.FOLD_BLOCKS,
         at,
         PAGE,
         (result, items, revision) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK || items.isEmpty()) {
-            if (result == Result.OK) {
+          if (result != CallResult.OK || items.isEmpty()) {
+            if (result == CallResult.OK) {
               at = null;
               tell();
             }
@@ -173,7 +173,7 @@
     ArrayDeque<String> asks = new ArrayDeque<>();
     for (VersionedValue i : items) {
       try {
-        BlockKey key = Records.block(i.key());
+        BlockKey key = RecordKeys.blockOfKey(i.key());
         Block block = FoldCodec.decodeBlock(i.value());
         blocks.put(key, block);
         versions.put(key, i.version());
@@ -215,7 +215,7 @@
     if (stopped) {
       return;
     }
-    Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
+    Transaction transaction = new Transaction().requireVersion(LeaderElection.LEADER, version);
     blocks.forEach(
         (k, b) -> {
           index(k.league()).take(k.index(), b, jobOutcomes::get);
@@ -223,11 +223,11 @@
           if (settled != b
               && transaction.writes() < maxOps / 2
               && writes.availablePermits(loop.now()) - transaction.writes() >= SPARE) {
-            transaction.given(Records.fold(k), versions.get(k));
+            transaction.requireVersion(RecordKeys.foldBlock(k), versions.get(k));
             if (settled.sides().isEmpty()) {
-              transaction.delete(Records.fold(k));
+              transaction.delete(RecordKeys.foldBlock(k));
             } else {
-              transaction.put(Records.fold(k), FoldCodec.encodeBlock(settled));
+              transaction.put(RecordKeys.foldBlock(k), FoldCodec.encodeBlock(settled));
             }
           }
         });
@@ -235,7 +235,7 @@
     if (transaction.writes() > 0) {
       writes.forceAcquire(transaction.writes(), loop.now());
       // Whatever comes of it: the next walk sees what is left.
-      state.run(transaction, (result, revision, failed) -> {});
+      state.compareAndSwap(transaction, (result, revision, failed) -> {});
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -17,8 +17,10 @@
 import org.mallowroad.core.SharedAttemptRecord;
 import org.mallowroad.core.SharedAttemptRecords;
 import org.mallowroad.election.LeaderElection;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.JobRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.Json;
 
 /**
@@ -88,7 +90,7 @@
     this.now = now;
     this.mostWrites = mostWrites;
     this.mostConditions = mostConditions;
-    this.transaction = new Transaction().given(LeaderElection.LEADER, leaderVersion);
+    this.transaction = new Transaction().requireVersion(LeaderElection.LEADER, leaderVersion);
   }
 
   /** The transaction, once {@link #finish} was called. */
@@ -158,11 +160,13 @@
 
   private void addEnd(Job job) {
     String id = job.spec.id();
-    transaction.given(Records.open(id), job.version).given(Records.end(id), 0);
-    transaction.put(Records.end(id), Records.endValue(true, job.spec.tasks(), null));
-    transaction.delete(Records.open(id));
+    transaction
+        .requireVersion(RecordKeys.openJob(id), job.version)
+        .requireVersion(RecordKeys.endedJob(id), 0);
+    transaction.put(RecordKeys.endedJob(id), JobRecordCodec.encodeDone(job.spec.tasks()));
+    transaction.delete(RecordKeys.openJob(id));
     if (job.spec.dependencies().isGated()) {
-      transaction.delete(Records.held(id)).delete(Records.release(id));
+      transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
     ends.add(job);
     bytes += END_BYTES;
@@ -175,7 +179,7 @@
   }
 
   private void delete(AttemptRecord c) {
-    transaction.given(Records.run(c), c.version).delete(Records.run(c));
+    transaction.requireVersion(RecordKeys.attempts(c), c.version).delete(RecordKeys.attempts(c));
     attemptRecords.add(new WrittenChunk(c, c.changeCount, true, List.of(), null));
     bytes += KEY_BYTES;
   }
@@ -233,7 +237,7 @@
       if (full(1) || writes() >= most || !hasConditions(1)) {
         return;
       }
-      transaction.given(e.getKey(), e.getLongValue()).delete(e.getKey());
+      transaction.requireVersion(e.getKey(), e.getLongValue()).delete(e.getKey());
       deleted.add(e.getKey());
       bytes += KEY_BYTES;
     }
@@ -277,10 +281,12 @@
     c.mayHaveOwnRecord = true;
     if (!c.job.isCancelled() && !c.job.isEnded()) {
       // The job must still be open when a start is recorded.
-      transaction.given(Records.open(c.job.spec.id()), c.job.version);
+      transaction.requireVersion(RecordKeys.openJob(c.job.spec.id()), c.job.version);
     }
-    ObjectNode value = Records.runValue(c, zones);
-    transaction.given(Records.run(c), c.version).put(Records.run(c), value);
+    ObjectNode value = AttemptRecordCodec.encode(c, zones);
+    transaction
+        .requireVersion(RecordKeys.attempts(c), c.version)
+        .put(RecordKeys.attempts(c), value);
     attemptRecords.add(new WrittenChunk(c, c.changeCount, false, recorded, value));
     bytes += Json.text(value).length() + KEY_BYTES;
   }
@@ -315,7 +321,7 @@
       }
       List<Attempt> recorded = recording(c);
       if (!recorded.isEmpty()) {
-        transaction.given(Records.open(c.job.spec.id()), c.job.version);
+        transaction.requireVersion(RecordKeys.openJob(c.job.spec.id()), c.job.version);
       }
       bytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
       if (!schedulerState.jobsToComplete().contains(c.job)) {
@@ -332,14 +338,14 @@
           r.members().stream().filter(c -> seen.contains(c) && !c.isFinished()).toList();
       List<WrittenChunk> written =
           sharedChunks.stream().filter(w -> w.attemptRecord().sharedRecord == r).toList();
-      transaction.given(Records.starts(r), r.version);
+      transaction.requireVersion(RecordKeys.sharedAttempts(r), r.version);
       if (!left.isEmpty()) {
-        JsonNode value = Records.sharedValue(left, zones);
-        transaction.put(Records.starts(r), value);
+        JsonNode value = AttemptRecordCodec.encodeShared(left, zones);
+        transaction.put(RecordKeys.sharedAttempts(r), value);
         shared.add(new WrittenShared(r, value, written));
       } else {
         if (r.version > 0) {
-          transaction.delete(Records.starts(r));
+          transaction.delete(RecordKeys.sharedAttempts(r));
         }
         shared.add(new WrittenShared(r, null, written));
       }
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -17,10 +17,13 @@
 import org.mallowroad.core.SharedAttemptRecord;
 import org.mallowroad.core.cancellation.CancellationView;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.CallResult;
+import org.mallowroad.state.JobRecordCodec;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.RecordedAttempt;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.InvalidMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -112,10 +115,10 @@
     // At once: only this term writes run and hire, and what changes in open is followed from the
     // revision of its list.
     Takeover t = new Takeover();
-    state.list(Records.OPEN, (r, items, revision) -> t.open(r, items, revision));
-    state.list(Records.RUN, (r, items, revision) -> t.run(r, items));
-    state.list(Records.STARTS, (r, items, revision) -> t.shared(r, items));
-    state.list(Records.HIRE, (r, items, revision) -> t.rental(r, items));
+    state.list(RecordKeys.OPEN_JOBS, (r, items, revision) -> t.open(r, items, revision));
+    state.list(RecordKeys.ATTEMPTS, (r, items, revision) -> t.run(r, items));
+    state.list(RecordKeys.SHARED_ATTEMPTS, (r, items, revision) -> t.shared(r, items));
+    state.list(RecordKeys.RENTALS, (r, items, revision) -> t.rental(r, items));
   }
 
   /** What a takeover reads, until it is complete. */
@@ -129,29 +132,29 @@
     private int lists;
     private boolean failed;
 
-    void open(Result r, List<VersionedValue> items, long at) {
+    void open(CallResult r, List<VersionedValue> items, long at) {
       open = items;
       revision = at;
       read(r);
     }
 
-    void run(Result r, List<VersionedValue> items) {
+    void run(CallResult r, List<VersionedValue> items) {
       run = items;
       read(r);
     }
 
-    void shared(Result r, List<VersionedValue> items) {
+    void shared(CallResult r, List<VersionedValue> items) {
       shared = items;
       read(r);
     }
 
-    void rental(Result r, List<VersionedValue> items) {
+    void rental(CallResult r, List<VersionedValue> items) {
       rental = items;
       read(r);
     }
 
-    private void read(Result r) {
-      failed |= r != Result.OK;
+    private void read(CallResult r) {
+      failed |= r != CallResult.OK;
       if (++lists < LISTS || stopped) {
         return;
       }
@@ -221,10 +224,11 @@
       List<VersionedValue> shared,
       Runnable next) {
     ObjectOpenHashSet<String> known = new ObjectOpenHashSet<>();
-    open.forEach(i -> known.add(i.key().substring(Records.OPEN.length())));
+    open.forEach(i -> known.add(i.key().substring(RecordKeys.OPEN_JOBS.length())));
     ObjectLinkedOpenHashSet<String> over = new ObjectLinkedOpenHashSet<>();
     run.forEach(i -> over.add(jobOf(i.key())));
-    shared.forEach(i -> Records.sharedRuns(i.value()).forEach(e -> over.add(e.getKey())));
+    shared.forEach(
+        i -> AttemptRecordCodec.membersOfShared(i.value()).forEach(e -> over.add(e.getKey())));
     over.removeAll(known);
     ObjectOpenHashSet<String> done = new ObjectOpenHashSet<>();
     Runnable read =
@@ -264,12 +268,12 @@
 
     private void read(String id) {
       state.get(
-          Records.end(id),
+          RecordKeys.endedJob(id),
           (result, item) -> {
             if (stopped) {
               return;
             }
-            if (result != Result.OK) {
+            if (result != CallResult.OK) {
               loop.after(RETRY_MS, () -> read(id));
               return;
             }
@@ -288,7 +292,7 @@
         if (v != null && !v.has("open")) {
           done.add(id);
         } else if (v != null) {
-          JobSpec spec = Records.spec(v.get("open"), clusterConfig.codec());
+          JobSpec spec = JobRecordCodec.decodeOpen(v.get("open"), clusterConfig.codec());
           if (spec.team() >= 0) {
             schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
           }
@@ -300,7 +304,7 @@
   }
 
   private static String jobOf(String runKey) {
-    return runKey.substring(Records.RUN.length(), runKey.lastIndexOf('/'));
+    return runKey.substring(RecordKeys.ATTEMPTS.length(), runKey.lastIndexOf('/'));
   }
 
   private void restoreRun(Job job, VersionedValue i) {
@@ -315,8 +319,8 @@
     SharedAttemptRecord r =
         schedulerState
             .sharedAttemptRecords()
-            .restore(i.key().substring(Records.STARTS.length()), i.version());
-    for (Map.Entry<String, JsonNode> run : Records.sharedRuns(i.value())) {
+            .restore(i.key().substring(RecordKeys.SHARED_ATTEMPTS.length()), i.version());
+    for (Map.Entry<String, JsonNode> run : AttemptRecordCodec.membersOfShared(i.value())) {
       Job job = schedulerState.job(run.getKey());
       if (job != null && job.attemptRecordCount() == 1) {
         schedulerState.sharedAttemptRecords().restoreMember(r, job.attemptRecord(0));
@@ -327,8 +331,9 @@
 
   private void restoreChunk(AttemptRecord c, long version, JsonNode v, String key) {
     Job job = c.job;
-    schedulerState.restoreRecord(c, version, Records.done(v), v.path("high").asInt());
-    for (Records.Live a : Records.live(v)) {
+    schedulerState.restoreRecord(
+        c, version, AttemptRecordCodec.doneTasks(v), AttemptRecordCodec.highestAttemptNumber(v));
+    for (RecordedAttempt a : AttemptRecordCodec.unresolvedAttempts(v)) {
       MachineType type = clusterConfig.type(a.type());
       int zone = clusterConfig.zones().find(a.zone());
       if (type == null || zone < 0) {
@@ -345,7 +350,7 @@
 
   private void opened(VersionedValue i) {
     try {
-      JobSpec spec = Records.spec(i.value(), clusterConfig.codec());
+      JobSpec spec = JobRecordCodec.decodeOpen(i.value(), clusterConfig.codec());
       if (spec.team() < 0) {
         LOG.error("event=team_unknown job={}", spec.id());
         return;
@@ -362,15 +367,15 @@
       return;
     }
     long sentMs = loop.now();
-    state.follow(
-        Records.OPEN,
+    state.watch(
+        RecordKeys.OPEN_JOBS,
         from,
         WATCH_MS,
         (result, events, revision) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(200, this::relist);
             return;
           }
@@ -380,7 +385,7 @@
               listener.accepted();
               opened(e);
             } else {
-              closed(e.key().substring(Records.OPEN.length()), reading);
+              closed(e.key().substring(RecordKeys.OPEN_JOBS.length()), reading);
             }
           }
           reading.applied();
@@ -412,19 +417,19 @@
     }
     long sentMs = loop.now();
     state.list(
-        Records.OPEN,
+        RecordKeys.OPEN_JOBS,
         (result, open, revision) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(300, this::relist);
             return;
           }
           CancellationView.Reading reading = view.answered(sentMs);
           ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
           for (VersionedValue i : open) {
-            String id = i.key().substring(Records.OPEN.length());
+            String id = i.key().substring(RecordKeys.OPEN_JOBS.length());
             ids.add(id);
             if (schedulerState.job(id) == null) {
               opened(i); // Records of open jobs never change: the others need not be read again.
--- a/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
@@ -14,11 +14,11 @@
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.KeyValueStore.VersionedValue;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
@@ -221,7 +221,7 @@
     commits++;
     written += size;
     busy = true;
-    state.runRepeated(
+    state.compareAndSwapWithRetry(
         draft.transaction(),
         () -> {
           writes.forceAcquire(size, loop.now());
@@ -262,7 +262,7 @@
   }
 
   private void outcome(
-      CommitTransactionBuilder draft, Result result, long revision, List<String> failed) {
+      CommitTransactionBuilder draft, CallResult result, long revision, List<String> failed) {
     if (stopped) {
       return;
     }
@@ -274,11 +274,11 @@
         events.committed();
         kick();
       }
-      case NO -> settle(draft, failed);
+      case CONDITION_FAILED -> settle(draft, failed);
       default -> {
         LOG.warn("event=commit_failed result={}", result);
         loop.after(
-            result == Result.UNKNOWN ? RETRY_UNKNOWN_MS : RETRY_MS,
+            result == CallResult.UNKNOWN ? RETRY_UNKNOWN_MS : RETRY_MS,
             () -> {
               busy = false;
               send();
@@ -349,26 +349,26 @@
     List<Consumer<Runnable>> steps = new ArrayList<>();
     List<Job> jobs = new ArrayList<>(draft.ends());
     for (WrittenChunk w : draft.attemptRecords()) {
-      if (concerned.test(Records.run(w.attemptRecord()))) {
+      if (concerned.test(RecordKeys.attempts(w.attemptRecord()))) {
         steps.add(next -> adopt(w, next));
       }
       addOnce(jobs, w.attemptRecord().job);
     }
     for (WrittenShared r : draft.shared()) {
-      if (concerned.test(Records.starts(r.record()))) {
+      if (concerned.test(RecordKeys.sharedAttempts(r.record()))) {
         steps.add(next -> adopt(r, next));
       }
       r.attemptRecords().forEach(w -> addOnce(jobs, w.attemptRecord().job));
     }
     for (Job j : jobs) {
       String id = j.spec.id();
-      if (concerned.test(Records.open(id)) || concerned.test(Records.end(id))) {
+      if (concerned.test(RecordKeys.openJob(id)) || concerned.test(RecordKeys.endedJob(id))) {
         steps.add(next -> reread(j, next));
       }
     }
     for (Job j : draft.guarded()) {
-      if (concerned.test(Records.release(j.spec.id()))
-          || failed.stream().anyMatch(Records::isLeague)) {
+      if (concerned.test(RecordKeys.release(j.spec.id()))
+          || failed.stream().anyMatch(RecordKeys::isLeague)) {
         steps.add(next -> events.reguard(j, next));
       }
     }
@@ -397,7 +397,7 @@
   /** Takes the version that is there; when the value is what was to be written, it was written. */
   private void adopt(WrittenChunk w, Runnable next) {
     read(
-        Records.run(w.attemptRecord()),
+        RecordKeys.attempts(w.attemptRecord()),
         item -> {
           if (same(w.value(), item.value())) {
             committed(w, item.version());
@@ -410,7 +410,7 @@
 
   private void adopt(WrittenShared r, Runnable next) {
     read(
-        Records.starts(r.record()),
+        RecordKeys.sharedAttempts(r.record()),
         item -> {
           if (same(r.value(), item.value())) {
             committed(r, item.version());
@@ -428,7 +428,7 @@
           if (stopped) {
             return;
           }
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             then.accept(item);
           } else {
             loop.after(RETRY_MS, () -> read(key, then));
@@ -453,12 +453,12 @@
   /** Reads how a job ended, if it did. */
   void reread(Job j, Runnable next) {
     state.get(
-        Records.end(j.spec.id()),
+        RecordKeys.endedJob(j.spec.id()),
         (result, item) -> {
           if (stopped) {
             return;
           }
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(RETRY_MS, () -> reread(j, next));
             return;
           }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -23,10 +23,10 @@
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.CloudCodec.ListedMachine;
 import org.mallowroad.wire.CloudCodec.RentalRequest;
 import org.mallowroad.wire.Fields;
@@ -326,7 +326,7 @@
   /** Records requests, all in one transaction, before their calls. */
   private void rent(List<ScaleOutRequest> rents, long now) {
     List<Hire> batch = new ArrayList<>();
-    Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
+    Transaction transaction = new Transaction().requireVersion(LeaderElection.LEADER, version);
     for (ScaleOutRequest r : rents) {
       String name = "r-" + term + "-" + counter++;
       Hire h = new Hire(name, r.variant(), r.count(), now, r.gang());
@@ -341,20 +341,21 @@
       if (r.gang() != null) {
         v.put(GANG, r.gang()); // The next leader goes on gathering for it.
       }
-      transaction.given(Records.HIRE + name, 0).put(Records.HIRE + name, v);
+      transaction.requireVersion(RecordKeys.rental(name), 0).put(RecordKeys.rental(name), v);
     }
     writes.forceAcquire(transaction.writes(), now);
     recording = true;
-    state.run(
+    state.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
           recording = false;
           if (stopped) {
             return;
           }
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             batch.forEach(this::call);
-          } else if (result == Result.NO && failed.contains(LeaderElection.LEADER)) {
+          } else if (result == CallResult.CONDITION_FAILED
+              && failed.contains(LeaderElection.LEADER)) {
             listener.deposed();
           } else {
             // Not known to be recorded: never called. The names stay unused.
@@ -451,15 +452,15 @@
         || (over.size() < maxOps / 2 && writes.availablePermits(loop.now()) < over.size() + 2)) {
       return;
     }
-    Transaction transaction = new Transaction().given(LeaderElection.LEADER, version);
-    over.forEach(h -> transaction.delete(Records.HIRE + h.name));
+    Transaction transaction = new Transaction().requireVersion(LeaderElection.LEADER, version);
+    over.forEach(h -> transaction.delete(RecordKeys.rental(h.name)));
     writes.forceAcquire(transaction.writes(), loop.now());
     settling = true;
-    state.run(
+    state.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
           settling = false;
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             over.forEach(h -> rentals.remove(h.name));
           }
         });
--- a/src/main/java/org/mallowroad/election/LeaderElection.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -6,9 +6,10 @@
 import java.util.function.LongSupplier;
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -134,7 +135,7 @@
     state.get(
         LEADER,
         (result, item) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(300, this::look);
             return;
           }
@@ -149,17 +150,17 @@
   }
 
   private void watch(long from) {
-    state.follow(
+    state.watch(
         LEADER,
         from,
         WATCH_MS,
         (result, events, revision) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             loop.after(200, this::look);
             return;
           }
           boolean absent = false;
-          for (KeyValueStore.VersionedValue e : events) {
+          for (VersionedValue e : events) {
             if (e.key().equals(LEADER)) {
               saw(e.value(), e.version());
               absent = e.value() == null;
@@ -206,7 +207,7 @@
       releases++;
       yieldUntilMs = loop.now() + LIFE_MS;
       LOG.info("event=predecessor_released term={} lease={}", leaderTerm, of);
-      state.release(of);
+      state.releaseLease(of);
     }
   }
 
@@ -226,17 +227,17 @@
 
   private void stand() {
     long sent = loop.now();
-    state.lease(
+    state.grantLease(
         LIFE_MS,
         (result, id) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             campaigning = false;
             return;
           }
           state.get(
               TERM,
               (got, item) -> {
-                if (got != Result.OK) {
+                if (got != CallResult.OK) {
                   campaigning = false;
                   return;
                 }
@@ -246,7 +247,7 @@
         });
   }
 
-  private void run(long id, long newTerm, KeyValueStore.VersionedValue before, long sent) {
+  private void run(long id, long newTerm, VersionedValue before, long sent) {
     ObjectNode who = org.mallowroad.wire.Json.object();
     who.put("node", node);
     who.put("term", newTerm);
@@ -258,16 +259,16 @@
     standing = id;
     Transaction transaction =
         new Transaction()
-            .given(LEADER, 0)
-            .given(TERM, before.version())
+            .requireVersion(LEADER, 0)
+            .requireVersion(TERM, before.version())
             .put(LEADER, who, id)
             .put(TERM, count);
-    state.run(
+    state.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             confirm(newTerm, revision, id, sent);
-          } else if (result == Result.UNKNOWN) {
+          } else if (result == CallResult.UNKNOWN) {
             settle(id, newTerm, sent);
           } else {
             over();
@@ -286,7 +287,7 @@
     state.get(
         LEADER,
         (result, item) -> {
-          if (result != Result.OK) {
+          if (result != CallResult.OK) {
             if (loop.now() - sent > 2 * LIFE_MS) {
               over();
             } else {
@@ -319,13 +320,13 @@
       return;
     }
     long again = loop.now();
-    state.extend(
+    state.renewLease(
         id,
         RENEW_TIMEOUT_MS,
         (result, lease) -> {
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             confirm(newTerm, newVersion, id, again);
-          } else if (result == Result.NO || loop.now() - sent > 10 * LIFE_MS) {
+          } else if (result == CallResult.LEASE_EXPIRED || loop.now() - sent > 10 * LIFE_MS) {
             over();
           } else {
             loop.after(200, () -> confirm(newTerm, newVersion, id, sent));
@@ -356,7 +357,7 @@
     renewing = true;
     long sent = loop.now();
     long of = lease;
-    state.extend(
+    state.renewLease(
         of,
         RENEW_TIMEOUT_MS,
         (result, id) -> {
@@ -364,9 +365,9 @@
           if (!leading || of != lease) {
             return;
           }
-          if (result == Result.OK) {
+          if (result == CallResult.OK) {
             renewedMs = sent;
-          } else if (result == Result.NO) {
+          } else if (result == CallResult.LEASE_EXPIRED) {
             LOG.warn("event=lease_over term={}", term);
             stepDown();
           }
@@ -381,7 +382,7 @@
     long of = lease;
     restUntilMs = loop.now() + REST_MS;
     stepDown();
-    state.release(of);
+    state.releaseLease(of);
   }
 
   /** Gives the leadership up: a write failed on the leader's mark, or a higher term showed. */
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -13,7 +13,7 @@
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.fake.InMemoryKeyValueStore;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -140,9 +140,9 @@
 
   private Map<BlockKey, Block> blocks() {
     Map<BlockKey, Block> out = new TreeMap<>();
-    for (String key : store.keys(Records.FOLD)) {
+    for (String key : store.keys(RecordKeys.FOLD_BLOCKS)) {
       try {
-        out.put(Records.block(key), FoldCodec.decodeBlock(store.value(key)));
+        out.put(RecordKeys.blockOfKey(key), FoldCodec.decodeBlock(store.value(key)));
       } catch (InvalidMessageException e) {
         checker.breach("folded_twice", key + ": " + e.getMessage());
       }
@@ -151,7 +151,7 @@
   }
 
   private boolean isDone(String job) {
-    JsonNode end = store.value(Records.end(job));
+    JsonNode end = store.value(RecordKeys.endedJob(job));
     return end != null && end.path("end").asText().equals("done");
   }
 
@@ -193,7 +193,7 @@
     // A claim that was accepted after the league's record had the mark under which this was
     // released
     // came after its first start was recorded: that cannot be called back.
-    long confirmed = store.value(Records.release(id)).path("leagues").path(LEAGUE).asLong();
+    long confirmed = store.value(RecordKeys.release(id)).path("leagues").path(LEAGUE).asLong();
     String member = "m-" + game % 7;
     blocks()
         .forEach(
@@ -202,7 +202,7 @@
                     .forEach(
                         (s, f) -> {
                           long n = Block.number(k.index(), s.game());
-                          long claimed = store.version(Records.open(f.job()));
+                          long claimed = store.version(RecordKeys.openJob(f.job()));
                           boolean later = claimed == 0 || claimed > confirmed;
                           boolean counts =
                               f.settled() || f.base() != null || isDone(f.job()) || later;
@@ -231,7 +231,7 @@
     prints.forEach(
         (id, jobs) -> {
           boolean ready = jobs.stream().allMatch(this::isDone) && !upTo.containsKey(id);
-          if (checker.accepted(id) && ready && store.value(Records.end(id)) == null) {
+          if (checker.accepted(id) && ready && store.value(RecordKeys.endedJob(id)) == null) {
             checker.breach("held_for_ever", id + " waits, and " + jobs + " are done");
           }
         });
@@ -251,12 +251,12 @@
     if (isDone(job) && named + superseded < want.size()) {
       checker.breach("skipped", job + " is done, " + (want.size() - named) + " sides are not its");
     }
-    boolean open = store.value(Records.open(job)) != null;
-    boolean intent = store.value(Records.intent(job)) != null;
+    boolean open = store.value(RecordKeys.openJob(job)) != null;
+    boolean intent = store.value(RecordKeys.foldIntent(job)) != null;
     if (open && named + superseded < want.size()) {
       checker.breach("half_folded", job + " is accepted with " + named + " of " + want.size());
     }
-    boolean unknown = !open && store.value(Records.end(job)) == null;
+    boolean unknown = !open && store.value(RecordKeys.endedJob(job)) == null;
     if (unknown && !intent && named > 0) {
       checker.breach("half_folded", job + " was never accepted and has " + named + " claims");
     }
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -1,514 +1,415 @@
 package org.mallowroad.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.net.URLEncoder;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import org.mallowroad.net.EventLoop;
-import org.mallowroad.net.LogLimiter;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.net.RequestSender;
-import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service's calls, each with exactly one outcome. */
+/**
+ * The client of the state service. Each call has exactly one outcome, which its listener is told on
+ * the event loop; none throws.
+ *
+ * <p>Confined to the event loop.
+ */
 public final class KeyValueStore {
   private static final Logger LOG = LoggerFactory.getLogger(KeyValueStore.class);
+
+  /** Without a response in this time a call has failed. */
   private static final long TIMEOUT_MS = 1500;
 
-  /** After a refusal for its limits no copy of a transaction is sent for so long. */
-  private static final long CROWDED_MS = 1_000;
+  /** A list is read a page at a time: the response may be half a megabyte. */
+  private static final long LIST_TIMEOUT_MS = 2 * TIMEOUT_MS;
 
-  /** After a copy of a transaction answers count as late for so long. */
-  private static final long REPEATED_MS = 3_000;
+  /** Items of a page, at most; a limit of the service. */
+  private static final int PAGE_ITEMS = 1_000;
 
-  /** Copies of transactions a second, and at once, where nothing else is set. */
-  private static final double REPEATS_PER_S = 6;
+  /** How often a page is asked for again after a failure. */
+  private static final int MAX_PAGE_RETRIES = 3;
 
-  private static final double REPEAT_BURST_S = 2;
+  private static final long PAGE_RETRY_DELAY_MS = 200;
 
-  private final EventLoop loop;
-  private final LogLimiter garbled = LogLimiter.usual();
-  private final RequestSender caller;
-  private final RequestSender follower;
-  private long contactMs = Long.MIN_VALUE / 2;
-  private long servedMs = Long.MIN_VALUE / 2;
-  private long failedMs = Long.MIN_VALUE / 2;
-  private long crowdedMs = Long.MIN_VALUE / 2;
-  private long repeatedMs = Long.MIN_VALUE / 2;
-  private long wrong;
-  private final LatencyEstimator latency = new LatencyEstimator();
-  private RateLimiter repeats;
-
-  /** How a call went. */
-  public enum Result {
-    /** Done, or found. */
-    OK,
-    /** A condition failed (409), or nothing there (404). */
-    NO,
-    /** Certainly not executed. */
-    NOT_DONE,
-    /** May have been executed, or may be later. */
-    UNKNOWN
-  }
+  /** After a refusal for the service's rate limit no transaction is sent again for this long. */
+  private static final long THROTTLED_BACKOFF_MS = 1_000;
 
-  /** A key with its value and version; version 0 and no value when it does not exist. */
-  public record VersionedValue(String key, JsonNode value, long version) {}
+  /** Retries of transactions a second where nothing else is set. */
+  private static final double DEFAULT_RETRIES_PER_S = 6;
 
-  /** An answer to a read. */
-  public interface Got {
-    /** With {@link Result#OK} the item (mark 0 when absent), else null. */
-    void got(Result result, VersionedValue item);
-  }
+  /** Retries that may be sent at once, as seconds of their rate. */
+  private static final double RETRY_BURST_S = 2;
 
-  /** An answer to a transaction. */
-  public interface Ended {
-    /** With {@link Result#OK} the revision; with {@link Result#NO} the keys that failed. */
-    void ended(Result result, long revision, List<String> failed);
+  private final EventLoop loop;
+  private final RequestSender sender;
+  private final RequestSender watchSender;
+  private final ServiceHealth health;
+  private RateLimiter retries;
+
+  /** Told the outcome of a read. */
+  public interface ReadListener {
+    /**
+     * Called once.
+     *
+     * @param result {@link CallResult#OK} or {@link CallResult#NOT_EXECUTED}
+     * @param item with {@code OK} the item (version 0 when absent), else null
+     */
+    void onRead(CallResult result, VersionedValue item);
   }
 
-  /** An answer to a listing. */
-  public interface Listed {
-    /** With {@link Result#OK} all items and the revision of the first page. */
-    void listed(Result result, List<VersionedValue> items, long revision);
+  /** Told the outcome of a transaction. */
+  public interface TransactionListener {
+    /**
+     * Called once.
+     *
+     * @param result {@link CallResult#OK}, {@link CallResult#CONDITION_FAILED}, {@link
+     *     CallResult#NOT_EXECUTED} or {@link CallResult#UNKNOWN}
+     * @param revision with {@code OK} the version of all keys that were written
+     * @param failedKeys with {@code CONDITION_FAILED} keys whose conditions did not hold; a service
+     *     may name the first alone, or none
+     */
+    void onOutcome(CallResult result, long revision, List<String> failedKeys);
   }
 
-  /** An answer to a lease call. */
-  public interface Leased {
-    /** With {@link Result#OK} the lease. */
-    void leased(Result result, long lease);
+  /** Told the outcome of a list. */
+  public interface ListListener {
+    /**
+     * Called once.
+     *
+     * @param result {@link CallResult#OK} or {@link CallResult#NOT_EXECUTED}
+     * @param items with {@code OK} the items, in the order of their keys
+     * @param revision with {@code OK} the service's revision when it answered for the first page
+     */
+    void onList(CallResult result, List<VersionedValue> items, long revision);
   }
 
-  /** An answer to a watch. */
-  public interface Followed {
-    /** NO means the revision is too old and the keys must be read again. */
-    void followed(Result result, List<VersionedValue> events, long revision);
+  /** Told the outcome of a lease call. */
+  public interface LeaseListener {
+    /**
+     * Called once.
+     *
+     * @param result {@link CallResult#OK}, {@link CallResult#LEASE_EXPIRED}, {@link
+     *     CallResult#NOT_EXECUTED} or {@link CallResult#UNKNOWN}
+     * @param lease with {@code OK} the lease
+     */
+    void onLease(CallResult result, long lease);
   }
 
-  /** Over callers for ordinary calls and for watches, so that watches never hold up others. */
-  public KeyValueStore(EventLoop loop, RequestSender caller, RequestSender follower) {
-    this.loop = loop;
-    this.caller = caller;
-    this.follower = follower;
-    repeatsPerSecond(REPEATS_PER_S);
+  /** Told the outcome of a watch. */
+  public interface WatchListener {
+    /**
+     * Called once.
+     *
+     * @param result {@link CallResult#OK}, {@link CallResult#REVISION_COMPACTED} or {@link
+     *     CallResult#NOT_EXECUTED}
+     * @param events with {@code OK} the changes, oldest first; none when the time ran out
+     * @param revision with {@code OK} where the next watch begins
+     */
+    void onEvents(CallResult result, List<VersionedValue> events, long revision);
   }
 
-  /** Bounds the copies of transactions whose answers are late. */
-  public void repeatsPerSecond(double perSecond) {
-    repeats = new RateLimiter(perSecond, REPEAT_BURST_S * perSecond, loop.now());
+  /** A page of a list. */
+  private interface PageListener {
+    void onPage(ObjectNode body) throws InvalidMessageException;
+
+    void onFailure();
   }
 
   /**
-   * When the newest call was sent that the service has done. Not when its answer was read: that may
-   * have waited in a socket while this process stood still, and says nothing of the time since.
+   * A client of one state service.
+   *
+   * @param sender for ordinary calls
+   * @param watchSender for watches, so that they never hold up other calls
    */
-  public long contactMs() {
-    return contactMs;
-  }
-
-  /** True when the newest sign of the service is a failure of a moment ago. */
-  public boolean failing() {
-    return failedMs > servedMs && loop.now() - failedMs < 3_000;
+  public KeyValueStore(EventLoop loop, RequestSender sender, RequestSender watchSender) {
+    this.loop = loop;
+    this.sender = sender;
+    this.watchSender = watchSender;
+    this.health = new ServiceHealth(loop);
+    setRetriesPerSecond(DEFAULT_RETRIES_PER_S);
   }
 
-  /** When the service last refused a call of this node for its limits. */
-  public long crowdedMs() {
-    return crowdedMs;
+  /** Bounds how many transactions are sent again since their responses are late. */
+  public void setRetriesPerSecond(double perSecond) {
+    retries = new RateLimiter(perSecond, RETRY_BURST_S * perSecond, loop.now());
   }
 
-  /** Answers that were not what the protocol says. */
-  public long wrong() {
-    return wrong;
+  /** What the calls show of the service. */
+  public ServiceHealth health() {
+    return health;
   }
 
   /** Reads a key. */
-  public void get(String key, Got got) {
-    caller.call(
+  public void get(String key, ReadListener listener) {
+    sender.call(
         "GET",
-        "/kv/" + key,
+        StateServiceCodec.keyPath(key),
         null,
         TIMEOUT_MS,
-        new Parsed() {
+        new CallHandler(health, loop.now()) {
           @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            if (status == 404) {
-              got.got(Result.OK, new VersionedValue(key, null, 0));
-            } else if (status == 200) {
-              got.got(Result.OK, item(o));
-            } else {
-              got.got(Result.NOT_DONE, null);
+          void onResponse(int status, ObjectNode body) throws InvalidMessageException {
+            switch (status) {
+              case Status.OK -> listener.onRead(CallResult.OK, StateServiceCodec.item(body));
+              case Status.NOT_FOUND ->
+                  listener.onRead(CallResult.OK, new VersionedValue(key, null, 0));
+              default -> listener.onRead(CallResult.NOT_EXECUTED, null);
             }
           }
 
           @Override
-          void none(boolean sent) {
-            got.got(Result.NOT_DONE, null);
+          void onNoResponse(boolean sent) {
+            listener.onRead(CallResult.NOT_EXECUTED, null);
           }
         });
   }
 
-  private static VersionedValue item(JsonNode o) throws InvalidMessageException {
-    return new VersionedValue(
-        Json.string(o, Fields.KEY, 400),
-        o.get(Fields.VALUE),
-        Json.integer(o, Fields.VERSION, 0, Long.MAX_VALUE));
+  /**
+   * Lists all keys with a prefix, page by page. The pages are not of one moment: changes after the
+   * revision of the first page may show in later ones.
+   */
+  public void list(String prefix, ListListener listener) {
+    new ListCall(prefix, listener).requestPage(null, 0);
   }
 
-  /** Lists all keys with a prefix, page by page. */
-  public void list(String prefix, Listed listed) {
-    page(prefix, null, new ArrayList<>(), -1, 0, listed);
-  }
+  /** A list under way. */
+  private final class ListCall {
+    private final String prefix;
+    private final ListListener listener;
+    private final List<VersionedValue> items = new ArrayList<>();
+    private long revision = -1;
 
-  private void page(
-      String prefix,
-      String from,
-      List<VersionedValue> sofar,
-      long revision,
-      int tries,
-      Listed listed) {
-    String path =
-        "/kv?under=" + enc(prefix) + (from == null ? "" : "&from=" + enc(from)) + "&limit=1000";
-    caller.call(
-        "GET",
-        path,
-        null,
-        2 * TIMEOUT_MS,
-        new Parsed() {
-          @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            if (status != 200) {
-              none(false);
-              return;
-            }
-            String last = null;
-            for (JsonNode n : Json.list(o, Fields.ITEMS)) {
-              VersionedValue it = item(n);
-              sofar.add(it);
-              last = it.key();
+    ListCall(String prefix, ListListener listener) {
+      this.prefix = prefix;
+      this.listener = listener;
+    }
+
+    private void requestPage(String after, int retriesSoFar) {
+      page(
+          prefix,
+          after,
+          PAGE_ITEMS,
+          new PageListener() {
+            @Override
+            public void onPage(ObjectNode body) throws InvalidMessageException {
+              add(body);
             }
-            long first =
-                revision >= 0 ? revision : Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE);
-            JsonNode more = o.get(Fields.TRUNCATED);
-            if (more != null && more.asBoolean() && last != null) {
-              page(prefix, last, sofar, first, 0, listed);
-            } else {
-              listed.listed(Result.OK, sofar, first);
+
+            @Override
+            public void onFailure() {
+              if (retriesSoFar >= MAX_PAGE_RETRIES) {
+                listener.onList(CallResult.NOT_EXECUTED, List.of(), 0);
+              } else {
+                loop.after(PAGE_RETRY_DELAY_MS, () -> requestPage(after, retriesSoFar + 1));
+              }
             }
+          });
+    }
+
+    private void add(ObjectNode body) throws InvalidMessageException {
+      List<VersionedValue> page = StateServiceCodec.items(body);
+      if (revision < 0) {
+        revision = StateServiceCodec.revision(body);
+      }
+      items.addAll(page);
+      if (StateServiceCodec.isTruncated(body) && !page.isEmpty()) {
+        requestPage(page.get(page.size() - 1).key(), 0);
+      } else {
+        listener.onList(CallResult.OK, items, revision);
+      }
+    }
+  }
+
+  /**
+   * Lists one page of the keys with a prefix, in order.
+   *
+   * @param after the key before the first one, or null for the beginning
+   * @param limit items at most
+   */
+  public void listPage(String prefix, String after, int limit, ListListener listener) {
+    page(
+        prefix,
+        after,
+        limit,
+        new PageListener() {
+          @Override
+          public void onPage(ObjectNode body) throws InvalidMessageException {
+            List<VersionedValue> items = StateServiceCodec.items(body);
+            listener.onList(CallResult.OK, items, StateServiceCodec.revision(body));
           }
 
           @Override
-          void none(boolean sent) {
-            if (tries >= 3) {
-              listed.listed(Result.NOT_DONE, List.of(), 0);
-            } else {
-              loop.after(200, () -> page(prefix, from, sofar, revision, tries + 1, listed));
-            }
+          public void onFailure() {
+            listener.onList(CallResult.NOT_EXECUTED, List.of(), 0);
           }
         });
   }
 
-  /**
-   * Lists some keys with a prefix, in order: what comes after {@code from}, one page.
-   *
-   * @param from a key, or null for the first ones
-   */
-  public void range(String prefix, String from, int limit, Listed listed) {
-    caller.call(
+  private void page(String prefix, String after, int limit, PageListener listener) {
+    sender.call(
         "GET",
-        "/kv?under=" + enc(prefix) + (from == null ? "" : "&from=" + enc(from)) + "&limit=" + limit,
+        StateServiceCodec.listPath(prefix, after, limit),
         null,
-        2 * TIMEOUT_MS,
-        new Parsed() {
+        LIST_TIMEOUT_MS,
+        new CallHandler(health, loop.now()) {
           @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            if (status != 200) {
-              none(false);
-              return;
-            }
-            List<VersionedValue> items = new ArrayList<>();
-            for (JsonNode n : Json.list(o, Fields.ITEMS)) {
-              items.add(item(n));
+          void onResponse(int status, ObjectNode body) throws InvalidMessageException {
+            if (status == Status.OK) {
+              listener.onPage(body);
+            } else {
+              listener.onFailure();
             }
-            listed.listed(Result.OK, items, Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE));
           }
 
           @Override
-          void none(boolean sent) {
-            listed.listed(Result.NOT_DONE, List.of(), 0);
+          void onNoResponse(boolean sent) {
+            listener.onFailure();
           }
         });
   }
 
-  private static String enc(String s) {
-    return URLEncoder.encode(s, StandardCharsets.UTF_8).replace("%2F", "/");
-  }
-
   /**
-   * Runs a transaction whose conditions make it safe to be carried out twice, and sends it again
-   * while its answer is late ({@link TransactionRetry}). {@code NO} may then mean that an earlier
-   * copy was carried out: the caller compares what it finds with what it wrote.
+   * Executes a transaction whose conditions make it safe to be executed twice, and sends it again
+   * while its response is late ({@link TransactionRetry}). {@link CallResult#CONDITION_FAILED} may
+   * then mean that an earlier copy was executed: the caller compares what it finds with what it
+   * wrote.
    *
-   * @param onRepeat told of each further copy, which counts against the service's limits as well
+   * @param onRetry run for each further copy, which counts against the service's limits as well
    */
-  public void runRepeated(Transaction transaction, Runnable onRepeat, Ended ended) {
+  public void compareAndSwapWithRetry(
+      Transaction transaction, Runnable onRetry, TransactionListener listener) {
     new TransactionRetry(
             loop,
-            listener -> run(transaction, listener),
-            this::mayRepeat,
-            () -> repeated(onRepeat),
-            latency,
-            ended)
+            outcome -> compareAndSwap(transaction, outcome),
+            this::mayRetry,
+            () -> {
+              health.retried();
+              onRetry.run();
+            },
+            health.latency(),
+            listener)
         .send();
   }
 
-  /** True while answers of transactions are late: a moment ago one was sent again. */
-  public boolean answersLate() {
-    return loop.now() - repeatedMs < REPEATED_MS;
-  }
-
-  private void repeated(Runnable onRepeat) {
-    repeatedMs = loop.now();
-    onRepeat.run();
-  }
-
-  /** Copies are a small part of the calls, and none is sent while calls are refused. */
-  private boolean mayRepeat() {
+  /** Retries are a small part of the calls, and none is sent while calls are refused. */
+  private boolean mayRetry() {
     long now = loop.now();
-    return now - crowdedMs > CROWDED_MS && !failing() && repeats.tryAcquire(1, now);
+    return now - health.lastThrottledMs() > THROTTLED_BACKOFF_MS
+        && !health.isFailing()
+        && retries.tryAcquire(1, now);
   }
 
-  /** Runs a transaction. */
-  public void run(Transaction transaction, Ended ended) {
-    caller.call(
+  /** Executes a transaction. */
+  public void compareAndSwap(Transaction transaction, TransactionListener listener) {
+    sender.call(
         "POST",
         "/multi",
         Json.bytes(transaction.json()),
         TIMEOUT_MS,
-        new Parsed() {
+        new CallHandler(health, loop.now()) {
           @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            if (status == 200) {
-              ended.ended(
-                  Result.OK, Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE), List.of());
-            } else if (status == 409) {
-              List<String> failed = new ArrayList<>();
-              for (JsonNode n : o.path("failed")) {
-                failed.add(n.asText());
-              }
-              ended.ended(Result.NO, 0, failed);
+          void onResponse(int status, ObjectNode body) throws InvalidMessageException {
+            if (status == Status.OK) {
+              listener.onOutcome(CallResult.OK, StateServiceCodec.revision(body), List.of());
+            } else if (status == Status.CONFLICT) {
+              listener.onOutcome(
+                  CallResult.CONDITION_FAILED, 0, StateServiceCodec.failedKeys(body));
             } else {
-              if (status == 400) {
-                LOG.error("event=state_refused body={}", o);
+              if (status == Status.BAD_REQUEST) {
+                LOG.error("event=state_refused body={}", body);
               }
-              ended.ended(Result.NOT_DONE, 0, List.of());
+              listener.onOutcome(CallResult.NOT_EXECUTED, 0, List.of());
             }
           }
 
           @Override
-          void none(boolean sent) {
-            ended.ended(sent ? Result.UNKNOWN : Result.NOT_DONE, 0, List.of());
+          void onNoResponse(boolean sent) {
+            listener.onOutcome(withoutResponse(sent), 0, List.of());
           }
         });
   }
 
-  /** Asks for a lease. */
-  public void lease(long lifeMs, Leased leased) {
-    ObjectNode o = Json.object();
-    o.put(Fields.LEASE_DURATION_MS, lifeMs);
-    lease("POST", "/leases", Json.bytes(o), TIMEOUT_MS, leased);
+  /** Asks for a lease that ends unless it is renewed in time. */
+  public void grantLease(long durationMs, LeaseListener listener) {
+    leaseCall("POST", "/leases", StateServiceCodec.grantLease(durationMs), TIMEOUT_MS, listener);
   }
 
-  /** Renews a lease; NO means it is over. */
-  public void extend(long lease, long timeoutMs, Leased leased) {
-    lease("POST", "/leases/" + lease + "/extend", new byte[] {'{', '}'}, timeoutMs, leased);
+  /** Renews a lease for its full duration. */
+  public void renewLease(long lease, long timeoutMs, LeaseListener listener) {
+    byte[] emptyObject = {'{', '}'};
+    leaseCall("POST", "/leases/" + lease + "/extend", emptyObject, timeoutMs, listener);
   }
 
-  /** Ends a lease at once; without an answer it runs out by itself. */
-  public void release(long lease) {
-    lease("DELETE", "/leases/" + lease, null, TIMEOUT_MS, (result, id) -> {});
+  /** Ends a lease at once; if the call fails the lease runs out by itself. */
+  public void releaseLease(long lease) {
+    leaseCall("DELETE", "/leases/" + lease, null, TIMEOUT_MS, (result, id) -> {});
   }
 
-  private void lease(String method, String path, byte[] body, long timeoutMs, Leased leased) {
-    caller.call(
+  private void leaseCall(
+      String method, String path, byte[] body, long timeoutMs, LeaseListener listener) {
+    sender.call(
         method,
         path,
         body,
         timeoutMs,
-        new Parsed() {
+        new CallHandler(health, loop.now()) {
           @Override
-          void ok(int status, ObjectNode o) {
-            if (status == 200) {
-              leased.leased(Result.OK, o.path(Fields.LEASE).asLong());
-            } else {
-              leased.leased(status == 404 ? Result.NO : Result.NOT_DONE, 0);
+          void onResponse(int status, ObjectNode response) {
+            switch (status) {
+              case Status.OK -> listener.onLease(CallResult.OK, StateServiceCodec.lease(response));
+              case Status.NOT_FOUND -> listener.onLease(CallResult.LEASE_EXPIRED, 0);
+              default -> listener.onLease(CallResult.NOT_EXECUTED, 0);
             }
           }
 
           @Override
-          void none(boolean sent) {
-            leased.leased(sent ? Result.UNKNOWN : Result.NOT_DONE, 0);
+          void onNoResponse(boolean sent) {
+            listener.onLease(withoutResponse(sent), 0);
           }
         });
   }
 
-  /** Waits for changes of keys with a prefix after a revision. */
-  public void follow(String prefix, long from, long waitMs, Followed followed) {
-    follower.call(
+  private static CallResult withoutResponse(boolean sent) {
+    return sent ? CallResult.UNKNOWN : CallResult.NOT_EXECUTED;
+  }
+
+  /**
+   * Waits for changes of keys with a prefix.
+   *
+   * @param afterRevision the last revision whose changes are known
+   * @param waitMs how long the service waits for a change
+   */
+  public void watch(String prefix, long afterRevision, long waitMs, WatchListener listener) {
+    watchSender.call(
         "GET",
-        "/follow?under=" + enc(prefix) + "&from=" + from + "&block_ms=" + waitMs,
+        StateServiceCodec.watchPath(prefix, afterRevision, waitMs),
         null,
         waitMs + 2 * TIMEOUT_MS,
-        new Parsed() {
+        new CallHandler(health, loop.now()) {
           @Override
-          boolean measured() {
+          boolean countsForLatency() {
             return false;
           }
 
           @Override
-          void ok(int status, ObjectNode o) throws InvalidMessageException {
-            if (status == 410) {
-              followed.followed(Result.NO, List.of(), 0);
-              return;
-            }
-            if (status != 200) {
-              none(false);
-              return;
-            }
-            List<VersionedValue> events = new ArrayList<>();
-            for (JsonNode e : Json.list(o, Fields.EVENTS)) {
-              JsonNode gone = e.get(Fields.DELETE);
-              String key = gone != null ? gone.asText() : Json.string(e, Fields.PUT, 400);
-              events.add(
-                  new VersionedValue(
-                      key,
-                      gone != null ? null : e.get(Fields.VALUE),
-                      Json.integer(e, Fields.VERSION, 0, Long.MAX_VALUE)));
+          void onResponse(int status, ObjectNode body) throws InvalidMessageException {
+            if (status == Status.OK) {
+              List<VersionedValue> events = StateServiceCodec.events(body);
+              listener.onEvents(CallResult.OK, events, StateServiceCodec.revision(body));
+            } else if (status == Status.GONE) {
+              listener.onEvents(CallResult.REVISION_COMPACTED, List.of(), 0);
+            } else {
+              listener.onEvents(CallResult.NOT_EXECUTED, List.of(), 0);
             }
-            followed.followed(
-                Result.OK, events, Json.integer(o, Fields.REVISION, 0, Long.MAX_VALUE));
           }
 
           @Override
-          void none(boolean sent) {
-            followed.followed(Result.NOT_DONE, List.of(), 0);
+          void onNoResponse(boolean sent) {
+            listener.onEvents(CallResult.NOT_EXECUTED, List.of(), 0);
           }
         });
   }
-
-  /** Parses the body; what cannot be understood counts as no answer. */
-  private abstract class Parsed implements RequestSender.ResponseHandler {
-    private final long sentMs = loop.now();
-
-    abstract void ok(int status, ObjectNode o) throws InvalidMessageException;
-
-    abstract void none(boolean sent);
-
-    /** False for calls that wait for something to happen. */
-    boolean measured() {
-      return true;
-    }
-
-    @Override
-    public final void answered(int status, byte[] body) {
-      if (status == 200 || status == 404 || status == 409 || status == 410) {
-        contactMs = Math.max(contactMs, sentMs);
-        servedMs = loop.now();
-        if (measured()) {
-          latency.sample(servedMs - sentMs);
-        }
-      } else if (status == 503) {
-        failedMs = loop.now();
-      } else if (status == 429) {
-        crowdedMs = loop.now();
-      }
-      ObjectNode o = Json.object();
-      if (status < 500 && status != 429 && body.length > 0) {
-        try {
-          o = Json.parseObject(body);
-        } catch (InvalidMessageException e) {
-          if (status == 200 || status == 409) {
-            garbled(e);
-            return;
-          }
-        }
-      }
-      try {
-        ok(status, o);
-      } catch (InvalidMessageException e) {
-        garbled(e);
-      }
-    }
-
-    private void garbled(InvalidMessageException e) {
-      wrong++;
-      if (garbled.tryAcquire(loop.now())) {
-        LOG.warn(
-            "event=state_garbled reason=\"{}\" left_out={}", e.getMessage(), garbled.suppressed());
-      }
-      none(true);
-    }
-
-    @Override
-    public final void failed(boolean sent) {
-      failedMs = loop.now();
-      none(sent);
-    }
-  }
-
-  /** A transaction under construction. */
-  public static final class Transaction {
-    private final ObjectNode o = Json.object();
-    private final ArrayNode conditions = o.putArray(Fields.CONDITIONS);
-    private final ArrayNode writes = o.putArray(Fields.WRITES);
-
-    /** The key must have this version. */
-    public Transaction given(String key, long version) {
-      ObjectNode c = conditions.addObject();
-      c.put(Fields.KEY, key);
-      c.put(Fields.VERSION, version);
-      return this;
-    }
-
-    /** Writes a key. */
-    public Transaction put(String key, JsonNode value) {
-      return put(key, value, 0);
-    }
-
-    /** Writes a key that lives as long as a lease. */
-    public Transaction put(String key, JsonNode value, long lease) {
-      ObjectNode w = writes.addObject();
-      w.put(Fields.PUT, key);
-      w.set(Fields.VALUE, value);
-      if (lease > 0) {
-        w.put(Fields.LEASE, lease);
-      }
-      return this;
-    }
-
-    /** Deletes a key. */
-    public Transaction delete(String key) {
-      writes.addObject().put(Fields.DELETE, key);
-      return this;
-    }
-
-    /** Number of puts and deletes. */
-    public int writes() {
-      return writes.size();
-    }
-
-    /** Number of conditions. */
-    public int conditions() {
-      return conditions.size();
-    }
-
-    ObjectNode json() {
-      return o;
-    }
-  }
 }
--- a/src/main/java/org/mallowroad/state/TransactionRetry.java
+++ b/src/main/java/org/mallowroad/state/TransactionRetry.java
@@ -4,86 +4,98 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.mallowroad.net.EventLoop;
-import org.mallowroad.state.KeyValueStore.Ended;
-import org.mallowroad.state.KeyValueStore.Result;
+import org.mallowroad.state.KeyValueStore.TransactionListener;
 
 /**
- * Sends a transaction again while its answer is late, and gives the first outcome that is known.
+ * Sends a transaction again while its response is late, and reports the first outcome that is
+ * certain.
  *
  * <p><b>Why copies do no harm.</b> They carry the same conditions: the versions of all keys that
- * are written. Whichever is carried out first changes those versions, and the others fail, however
- * late they come. A record of a job that is over is never written again: a copy that would create
+ * are written. Whichever is executed first changes those versions, and the others fail, however
+ * late they arrive. A record of a job that is over is never written again: a copy that would create
  * such a record has the job's open record among its conditions.
+ *
+ * <p>Confined to the event loop; for one transaction.
  */
-final class TransactionRetry implements Ended {
-  /** Copies in all. */
-  private static final int MOST_COPIES = 3;
+final class TransactionRetry implements TransactionListener {
+  /** The first copy and its retries. */
+  private static final int MAX_COPIES = 3;
 
-  /** An answer is not taken for late any sooner. */
-  private static final long LEAST_MS = 90;
+  /** Bounds of the time after which the first response counts as late. */
+  private static final long MIN_TIMEOUT_MS = 90;
 
-  private static final long MOST_MS = 600;
+  private static final long MAX_TIMEOUT_MS = 600;
 
   private final EventLoop loop;
-  private final Consumer<Ended> transaction;
-  private final BooleanSupplier mayRepeat;
-  private final Runnable onRepeat;
+  private final Consumer<TransactionListener> sendCopy;
+  private final BooleanSupplier mayRetry;
+  private final Runnable onRetry;
   private final LatencyEstimator latency;
-  private final Ended listener;
+  private final TransactionListener listener;
   private int copies;
-  private int open;
-  private boolean unknown;
-  private boolean over;
+  private int outstanding;
+  private boolean anyUnknown;
+  private boolean reported;
   private EventLoop.Timer timer;
 
+  /**
+   * Prepares a transaction.
+   *
+   * @param sendCopy sends one copy and reports its outcome
+   * @param mayRetry asked before each retry; when it says no, no more are sent
+   * @param onRetry run before each retry
+   * @param listener told the outcome once
+   */
   TransactionRetry(
       EventLoop loop,
-      Consumer<Ended> transaction,
-      BooleanSupplier mayRepeat,
-      Runnable onRepeat,
+      Consumer<TransactionListener> sendCopy,
+      BooleanSupplier mayRetry,
+      Runnable onRetry,
       LatencyEstimator latency,
-      Ended listener) {
+      TransactionListener listener) {
     this.loop = loop;
-    this.transaction = transaction;
-    this.mayRepeat = mayRepeat;
-    this.onRepeat = onRepeat;
+    this.sendCopy = sendCopy;
+    this.mayRetry = mayRetry;
+    this.onRetry = onRetry;
     this.latency = latency;
     this.listener = listener;
   }
 
-  /** Sends the next copy. */
+  /** Sends the next copy. The time-out doubles with each. */
   void send() {
     copies++;
-    open++;
-    if (copies < MOST_COPIES) {
-      long late = Math.max(LEAST_MS, Math.min(MOST_MS, latency.lateMs()));
-      timer = loop.after(late << (copies - 1), this::repeat);
+    outstanding++;
+    if (copies < MAX_COPIES) {
+      long timeoutMs =
+          Math.max(MIN_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, latency.retransmissionTimeoutMs()));
+      timer = loop.after(timeoutMs << (copies - 1), this::retry);
     }
-    transaction.accept(this);
+    sendCopy.accept(this);
   }
 
-  private void repeat() {
-    if (!over && mayRepeat.getAsBoolean()) {
-      onRepeat.run();
+  private void retry() {
+    if (!reported && mayRetry.getAsBoolean()) {
+      onRetry.run();
       send();
     }
   }
 
   @Override
-  public void ended(Result result, long revision, List<String> failed) {
-    open--;
-    if (over) {
+  public void onOutcome(CallResult result, long revision, List<String> failedKeys) {
+    outstanding--;
+    if (reported) {
       return;
     }
-    unknown |= result == Result.UNKNOWN;
-    boolean known = result == Result.OK || result == Result.NO;
-    if (!known && open > 0) {
-      return; // Another copy may still bring an answer.
+    anyUnknown |= result == CallResult.UNKNOWN;
+    boolean certain = result == CallResult.OK || result == CallResult.CONDITION_FAILED;
+    if (!certain && outstanding > 0) {
+      return; // Another copy may still bring a certain outcome.
     }
-    over = true;
+    reported = true;
     if (timer != null) {
       timer.cancel();
     }
-    listener.ended(known ? result : unknown ? Result.UNKNOWN : Result.NOT_DONE, revision, failed);
+    CallResult uncertain = anyUnknown ? CallResult.UNKNOWN : CallResult.NOT_EXECUTED;
+    listener.onOutcome(certain ? result : uncertain, revision, failedKeys);
   }
 }
--- a/src/test/java/org/mallowroad/api/FoldingTest.java
+++ b/src/test/java/org/mallowroad/api/FoldingTest.java
@@ -20,8 +20,9 @@
 import org.mallowroad.fake.InMemoryKeyValueStore;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.JobRecordCodec;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -54,10 +55,10 @@
   /** Who holds each game by the records: the job of each side. */
   private static Map<Long, String> holders(InMemoryKeyValueStore store) {
     Map<Long, String> out = new TreeMap<>();
-    for (String key : store.keys(Records.FOLD)) {
+    for (String key : store.keys(RecordKeys.FOLD_BLOCKS)) {
       try {
         Block b = FoldCodec.decodeBlock(store.value(key));
-        int index = Records.block(key).index();
+        int index = RecordKeys.blockOfKey(key).index();
         for (Map.Entry<Block.Side, Fold> e : b.sides().entrySet()) {
           out.put(Block.number(index, e.getKey().game()), e.getValue().job());
         }
@@ -70,18 +71,22 @@
 
   private static void end(InMemoryKeyValueStore store, String job, boolean done)
       throws InvalidMessageException {
-    JsonNode open = store.value(Records.open(job));
+    JsonNode open = store.value(RecordKeys.openJob(job));
     String body =
         Json.text(
             Json.object()
                 .<ObjectNode>set(
                     "writes",
                     Json.array()
-                        .add(Json.object().put("delete", Records.open(job)))
+                        .add(Json.object().put("delete", RecordKeys.openJob(job)))
                         .add(
                             Json.object()
-                                .put("put", Records.end(job))
-                                .set("v", Records.endValue(done, 1, open)))));
+                                .put("put", RecordKeys.endedJob(job))
+                                .set(
+                                    "v",
+                                    done
+                                        ? JobRecordCodec.encodeDone(1)
+                                        : JobRecordCodec.encodeCancelled(open)))));
     store.serve("POST", "/multi", body.getBytes(java.nio.charset.StandardCharsets.UTF_8), 0);
   }
 
@@ -149,7 +154,7 @@
     assertEquals(
         "WAITS folds: game 900 of l for m is held by job-1", h.accept("job-2", games(0, 1_000)));
     assertEquals(Map.of(900L, "job-1"), holders(h.c.store));
-    assertEquals(List.of(), h.c.store.keys(Records.INTENT));
+    assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS));
     // Its node ends in the middle; the same submission at another one goes on.
     List<Game> large = games(2_000, 3_000);
     h.folding.accept("job-3", value(large), large, JobDependencies.NONE, (end, reason) -> {});
@@ -157,7 +162,7 @@
       h.c.run(1);
     }
     h.p.dead = true;
-    assertEquals(1, h.c.store.keys(Records.INTENT).size());
+    assertEquals(1, h.c.store.keys(RecordKeys.FOLD_INTENTS).size());
     SteppedClock.Process other = h.c.new Process();
     Folding there = folding(other, new KeyValueStore(other, other, other), 16);
     List<String> said = new ArrayList<>();
@@ -166,7 +171,7 @@
     h.c.run(20_000);
     assertEquals(List.of("ACCEPTED"), said);
     assertEquals(1_001, holders(h.c.store).size());
-    assertEquals(List.of(), h.c.store.keys(Records.INTENT));
+    assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS));
   }
 
   @Test
@@ -176,7 +181,7 @@
     h.c.serve("POST", "/multi", put.formatted("{\"v\":2}"));
     assertTrue(
         h.accept("job-1", games(0, 2)).startsWith("AWAY block fold/l/0000000 cannot be read"));
-    assertEquals(List.of(), h.c.store.keys(Records.OPEN));
+    assertEquals(List.of(), h.c.store.keys(RecordKeys.OPEN_JOBS));
   }
 
   /**
@@ -209,14 +214,18 @@
     }
 
     private static void undo(StateSpaceExplorer.Stage s, String name) {
-      JsonNode v = s.store.value(Records.intent("job-1"));
+      JsonNode v = s.store.value(RecordKeys.foldIntent("job-1"));
       if (v == null) {
         return;
       }
       StateSpaceExplorer.Process p = s.process(name);
       try {
         folding(p, new KeyValueStore(p, p, p), 4)
-            .undo("job-1", s.store.version(Records.intent("job-1")), Folding.keysOf(v), ok -> {});
+            .undo(
+                "job-1",
+                s.store.version(RecordKeys.foldIntent("job-1")),
+                Folding.keysOf(v),
+                ok -> {});
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
@@ -225,10 +234,10 @@
     @Override
     public void applied(StateSpaceExplorer.Stage s) {
       Map<Long, String> by = holders(s.store);
-      if (s.store.value(Records.open("job-1")) != null) {
+      if (s.store.value(RecordKeys.openJob("job-1")) != null) {
         s.check("job-1".equals(by.get(1L)) && "job-1".equals(by.get(40L)), "job-1 is half claimed");
       }
-      if (s.store.value(Records.open("job-2")) != null) {
+      if (s.store.value(RecordKeys.openJob("job-2")) != null) {
         s.check("job-2".equals(by.get(40L)), "job-2 is half claimed");
       }
     }
@@ -237,9 +246,9 @@
     public void end(StateSpaceExplorer.Stage s) {
       applied(s);
       for (String job : List.of("job-1", "job-2")) {
-        boolean open = s.store.value(Records.open(job)) != null;
+        boolean open = s.store.value(RecordKeys.openJob(job)) != null;
         s.check(open || !s.notes.contains(job + " ACCEPTED"), job + " was accepted and is not");
-        boolean intent = s.store.value(Records.intent(job)) != null;
+        boolean intent = s.store.value(RecordKeys.foldIntent(job)) != null;
         s.check(
             open || intent || !holders(s.store).containsValue(job), job + " left claims behind");
         accepted += open ? 1 : 0;
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -21,10 +21,11 @@
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.RateLimiter;
+import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.KeyValueStore.Result;
-import org.mallowroad.state.KeyValueStore.Transaction;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.LeagueRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.DependencyCodec;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
@@ -70,15 +71,15 @@
               Map.of(), List.of(), List.of(new JobDependencies.RequiredGames("l", 0, null)));
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
-      put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
-      put(s, Records.league("l"), Records.leagueValue(0, 0));
+      put(s, RecordKeys.foldBlock(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
+      put(s, RecordKeys.league("l"), LeagueRecordCodec.encode(0, 0));
       ObjectNode open = Json.object();
       open.put("at", 1)
           .putObject("job")
           .set(
               DependencyCodec.DEPENDENCIES,
               DependencyCodec.encodeRecord(dependencies).get("holds"));
-      long version = put(s, Records.open("job-9"), open);
+      long version = put(s, RecordKeys.openJob("job-9"), open);
       leader(s, "one", dependencies, version);
       // In one transaction, as FoldingTest explores it.
       if (successor) {
@@ -97,9 +98,9 @@
       b.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
       ObjectNode open = Json.object();
       open.put("at", 1).putObject("job");
-      put(s, Records.open("job-2"), open);
-      put(s, Records.fold(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
-      put(s, Records.league("l"), Records.leagueValue(0, 1));
+      put(s, RecordKeys.openJob("job-2"), open);
+      put(s, RecordKeys.foldBlock(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
+      put(s, RecordKeys.league("l"), LeagueRecordCodec.encode(0, 1));
     }
 
     private static void leader(
@@ -142,16 +143,16 @@
         boolean[] busy) {
       Transaction transaction =
           new Transaction()
-              .given(LeaderElection.LEADER, version)
-              .given(Records.open("job-9"), job.version);
+              .requireVersion(LeaderElection.LEADER, version)
+              .requireVersion(RecordKeys.openJob("job-9"), job.version);
       keeper.guard(job, transaction);
-      transaction.given(RUN, 0).put(RUN, Json.object().put("by", version));
-      state.run(
+      transaction.requireVersion(RUN, 0).put(RUN, Json.object().put("by", version));
+      state.compareAndSwap(
           transaction,
           (result, revision, failed) -> {
-            if (result == Result.OK) {
+            if (result == CallResult.OK) {
               keeper.guarded(job, revision);
-            } else if (result == Result.UNKNOWN && s.store.value(RUN) == null) {
+            } else if (result == CallResult.UNKNOWN && s.store.value(RUN) == null) {
               start(s, state, keeper, job, version, busy);
             } else if (!failed.contains(LeaderElection.LEADER)) {
               keeper.reguard(job, () -> busy[0] = false);
@@ -165,13 +166,14 @@
         return;
       }
       s.notes.add("printed");
-      s.check(s.store.value(Records.open("job-2")) == null, "printed while a correction is open");
+      s.check(
+          s.store.value(RecordKeys.openJob("job-2")) == null, "printed while a correction is open");
     }
 
     @Override
     public void end(StateSpaceExplorer.Stage s) {
       printed += s.notes.contains("printed") ? 1 : 0;
-      corrected += s.store.value(Records.open("job-2")) != null ? 1 : 0;
+      corrected += s.store.value(RecordKeys.openJob("job-2")) != null ? 1 : 0;
     }
   }
 
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -21,6 +21,7 @@
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.Transaction;
 
 /** Which records come first when there are more than the state service takes. */
 final class WriteBehindCommitterTest {
@@ -61,7 +62,7 @@
         maxOps,
         new WriteBehindCommitter.Events() {
           @Override
-          public void guard(Job job, KeyValueStore.Transaction transaction) {}
+          public void guard(Job job, Transaction transaction) {}
 
           @Override
           public void guarded(Job job, long revision) {}
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -20,7 +20,8 @@
 import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.RecordedAttempt;
 import org.mallowroad.wire.ConsoleCodec;
 import org.mallowroad.wire.Json;
 
@@ -255,7 +256,7 @@
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
               w.placement.place(w.now);
-              String text = Json.text(Records.runValue(j.attemptRecord(0), w.zones));
+              String text = Json.text(AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
               atMost(6 * 1024, text.length());
             }));
   }
@@ -379,9 +380,11 @@
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
               w.placement.place(w.now);
-              List<Records.Live> live = Records.live(Records.runValue(j.attemptRecord(0), w.zones));
+              List<RecordedAttempt> live =
+                  AttemptRecordCodec.unresolvedAttempts(
+                      AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
               assertEquals(100, live.size());
-              for (Records.Live l : live) {
+              for (RecordedAttempt l : live) {
                 Attempt a = j.liveAttempt(l.task());
                 assertEquals(a.machine.name, l.machine());
                 assertEquals(a.number, l.number());
--- a/src/test/java/org/mallowroad/simulation/RatingModelTest.java
+++ b/src/test/java/org/mallowroad/simulation/RatingModelTest.java
@@ -14,7 +14,7 @@
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.fake.InMemoryKeyValueStore;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -38,8 +38,8 @@
         checker.submitted(j, 201, "queued", 0);
       }
       sides("job-1", "job-2");
-      put(Records.end("job-1"), Json.object().put("end", "done"));
-      put(Records.end("job-2"), Json.object().put("end", "done"));
+      put(RecordKeys.endedJob("job-1"), Json.object().put("end", "done"));
+      put(RecordKeys.endedJob("job-2"), Json.object().put("end", "done"));
     }
 
     void sides(String first, String second) {
@@ -48,7 +48,7 @@
       if (second != null) {
         b.set(new Block.Side(1, "m"), new Fold(1, false, second, false, null));
       }
-      put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
+      put(RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
     }
 
     void put(String key, JsonNode v) {
@@ -69,7 +69,7 @@
     void printed() {
       checker.starts("job-3/0", 1, "m1", "a");
       checker.exits("job-3/0", "m1", true);
-      put(Records.end("job-3"), Json.object().put("end", "done"));
+      put(RecordKeys.endedJob("job-3"), Json.object().put("end", "done"));
     }
   }
 
@@ -98,7 +98,7 @@
               Block b = new Block();
               Fold base = new Fold(1, false, "job-1", true, null);
               b.set(new Block.Side(0, "m"), new Fold(2, false, "job-5", false, base));
-              t.put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
+              t.put(RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
               t.printed();
             }),
         breaks(
@@ -117,15 +117,15 @@
               b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", false, null));
               b.set(new Block.Side(1, "m"), new Fold(1, false, "job-2", false, null));
               b.set(new Block.Side(2, "m"), new Fold(1, false, "job-6", false, null));
-              t.put(Records.fold(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
+              t.put(RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(b));
               t.printed();
             }),
         breaks(
             "printed_early",
             "before its job is done",
             t -> {
-              t.put(Records.end("job-1"), null);
-              t.put(Records.open("job-1"), Json.object());
+              t.put(RecordKeys.endedJob("job-1"), null);
+              t.put(RecordKeys.openJob("job-1"), Json.object());
               t.printed();
             }),
         breaks("held_for_ever", "what it waits for is done, and it does not end", t -> {}));
--- a/src/test/java/org/mallowroad/state/TransactionRetryTest.java
+++ b/src/test/java/org/mallowroad/state/TransactionRetryTest.java
@@ -10,7 +10,6 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.SteppedClock;
-import org.mallowroad.state.KeyValueStore.Transaction;
 import org.mallowroad.wire.Json;
 
 /** Transactions whose answers are lost, and what their callers hear of them. */
@@ -31,9 +30,9 @@
     }
 
     private void put(String key) {
-      Transaction transaction = new Transaction().given(key, 0).put(key, Json.object());
+      Transaction transaction = new Transaction().requireVersion(key, 0).put(key, Json.object());
       long sent = c.now;
-      state.runRepeated(
+      state.compareAndSwapWithRetry(
           transaction,
           () -> copies++,
           (result, revision, failed) -> heard.add(result + " after " + (c.now - sent) / 100));
@@ -61,7 +60,7 @@
               h.c.loseNext = 1;
               h.put("k");
               h.c.run(5_000);
-              assertEquals(List.of("NO after 0"), h.heard);
+              assertEquals(List.of("CONDITION_FAILED after 0"), h.heard);
               assertEquals(1, h.copies);
             }),
         rule(
@@ -80,7 +79,7 @@
               h.c.crowdedUntilMs = h.c.now + 1_000;
               h.put("k");
               h.c.run(500);
-              assertEquals(List.of("NOT_DONE after 0"), h.heard);
+              assertEquals(List.of("NOT_EXECUTED after 0"), h.heard);
               h.c.crowdedUntilMs = 0;
               h.c.loseNext = 1;
               h.put("l");
