--- a/src/main/java/org/mallowroad/controller/CancellationPropagation.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -7,77 +7,83 @@
 import org.mallowroad.peer.PeerMessenger;
 
 /**
- * Tells the other controllers of cancellations that this one learnt of, until they have taken it or
- * {@code cancel_s} is over: by then the leases have done the same. What a peer told goes on to the
- * leader alone, once, since its sender may not reach it.
+ * Tells the other controllers of cancellations that this one learnt of, until they have accepted
+ * the message or {@code cancel_s} is over: by then the workers' leases have done the same. What a
+ * peer told goes on to the leader alone, once, since its sender may not reach the leader.
+ *
+ * <p>Runs on the event loop only.
  */
 final class CancellationPropagation {
   /** Cancellations come together; those of a moment share a message. */
-  private static final long GATHER_MS = 20;
+  private static final long BATCH_DELAY_MS = 20;
 
-  /** What was not taken is told again so much later. */
-  private static final long AGAIN_MS = 500;
+  private static final long RETRY_DELAY_MS = 500;
 
-  /** Takes the end of a job as a fact. */
+  /** Accepts the end of a job as a fact. */
   interface EndListener {
+    /** The job is over: {@code done}, or cancelled. */
     void ended(String id, boolean done);
   }
 
   private final EventLoop loop;
   private final PeerMessenger peers;
-  private final List<String> names;
+  private final List<String> peerNames;
   private final PendingCancellationNotices notices;
-  private final boolean[] soon;
-  private boolean hearing;
+
+  /** Whether a message to the peer is due; by index of the peer. */
+  private final boolean[] isScheduled;
+
+  private boolean isHandlingPeerMessage;
 
   CancellationPropagation(EventLoop loop, Settings settings, PeerMessenger peers) {
     this.loop = loop;
     this.peers = peers;
-    this.names = settings.members().stream().map(Settings.Member::node).toList();
-    this.notices = new PendingCancellationNotices(names.size(), (long) (settings.cancelS() * 1000));
-    this.soon = new boolean[names.size()];
+    this.peerNames = settings.members().stream().map(Settings.Member::node).toList();
+    this.notices =
+        new PendingCancellationNotices(peerNames.size(), (long) (settings.cancelS() * 1000));
+    this.isScheduled = new boolean[peerNames.size()];
   }
 
-  /** This node learnt of it: all have to hear; or by a peer's word: whoever leads has to. */
-  void learnt(String id, String leader) {
-    for (int p = 0; p < names.size(); p++) {
-      if (!hearing || names.get(p).equals(leader)) {
-        notices.learnt(p, id, loop.now());
-        tell(p, GATHER_MS);
+  /** This node learnt of a cancellation: all peers are told or, of a peer's, only the leader. */
+  void learnt(String job, String leader) {
+    for (int peer = 0; peer < peerNames.size(); peer++) {
+      if (!isHandlingPeerMessage || peerNames.get(peer).equals(leader)) {
+        notices.learnt(peer, job, loop.now());
+        schedule(peer, BATCH_DELAY_MS);
       }
     }
   }
 
-  /** A peer's word. */
-  void heard(List<String> jobs, EndListener ends) {
-    hearing = true;
+  /** A peer told of cancellations; {@code listener} may call {@link #learnt} for each. */
+  void received(List<String> jobs, EndListener listener) {
+    isHandlingPeerMessage = true;
     try {
-      jobs.forEach(id -> ends.ended(id, false));
+      jobs.forEach(id -> listener.ended(id, false));
     } finally {
-      hearing = false;
+      isHandlingPeerMessage = false;
+    }
+  }
+
+  private void schedule(int peer, long delayMs) {
+    if (!isScheduled[peer]) {
+      isScheduled[peer] = true;
+      loop.after(delayMs, () -> send(peer));
     }
   }
 
-  private void tell(int peer, long ms) {
-    if (soon[peer]) {
+  private void send(int peer) {
+    isScheduled[peer] = false;
+    List<String> jobs = notices.take(peer, loop.now());
+    if (jobs.isEmpty()) {
       return;
     }
-    soon[peer] = true;
-    loop.after(
-        ms,
-        () -> {
-          soon[peer] = false;
-          List<String> jobs = notices.take(peer, loop.now());
-          if (!jobs.isEmpty()) {
-            peers.cancelled(
-                peer,
-                jobs,
-                taken -> {
-                  notices.answered(peer, jobs, taken);
-                  if (notices.untold(peer) > 0) {
-                    tell(peer, taken ? GATHER_MS : AGAIN_MS);
-                  }
-                });
+    peers.cancelled(
+        peer,
+        jobs,
+        isAccepted -> {
+          notices.answered(peer, jobs, isAccepted);
+          if (notices.untold(peer) > 0) {
+            schedule(peer, isAccepted ? BATCH_DELAY_MS : RETRY_DELAY_MS);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -14,10 +14,16 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.wire.JobCodec;
 
-/** What a node knows of its deployment: names as indices, machine types, teams. */
+/**
+ * What a node knows of its cluster: settings, machine types, teams, and names as small indices.
+ *
+ * <p>Users make up names of images, classes and types. Their number is bounded: {@link
+ * #forgetUnusedNames} gives the indices of unused ones to others. Confined to the event loop,
+ * except the settings, which do not change.
+ */
 public final class ClusterConfig implements MachineTypeCatalog {
-  /** More names than this, and those that nothing uses any more are forgotten. */
-  static final int MOST_NAMES = 2_000;
+  /** With more names than this, those that nothing uses any more are forgotten. */
+  static final int MAX_NAMES = 2_000;
 
   final Settings settings;
   final OperatorSettings operator;
@@ -28,7 +34,10 @@
   final NameIndex classes = new NameIndex();
   final JobCodec codec;
   final ServiceLevelObjectives objectives = new ServiceLevelObjectives();
-  private final int ownClasses;
+
+  /** Classes that the settings name; their indices come first and are never forgotten. */
+  private final int settingsClasses;
+
   private List<MachineType> machineTypes = List.of();
 
   /** From the settings. */
@@ -47,26 +56,26 @@
         default -> {} // Kinds that do not concern starting or finishing.
       }
     }
-    ownClasses = classes.size();
+    settingsClasses = classes.size();
   }
 
-  /** How many names users have made up are known, with those of the settings and the cloud. */
-  int names() {
+  /** How many names of images, classes and types are known, whoever made them up. */
+  int nameCount() {
     return images.size() + classes.size() + types.size();
   }
 
   /**
-   * Forgets the names of images, classes and types that no job and no machine of the ledger has any
-   * more, nor the settings, nor the cloud.
+   * Forgets the names of images, classes and types that no job and no machine uses any more, nor
+   * the settings, nor the cloud; does nothing while there are few names.
    */
-  void keepNames(SchedulerState schedulerState) {
-    if (names() < MOST_NAMES) {
+  void forgetUnusedNames(SchedulerState schedulerState) {
+    if (nameCount() < MAX_NAMES) {
       return;
     }
     BitSet usedImages = new BitSet();
     BitSet usedClasses = new BitSet();
     BitSet usedTypes = new BitSet();
-    usedClasses.set(0, ownClasses);
+    usedClasses.set(0, settingsClasses);
     machineTypes.forEach(t -> usedTypes.set(t.index()));
     schedulerState.markUsedNames(usedImages, usedClasses, usedTypes);
     images.retain(usedImages);
@@ -90,13 +99,13 @@
     return settings;
   }
 
-  /** Teams with nothing used. */
-  List<Team> teams() {
-    List<Team> out = new ArrayList<>();
+  /** The teams of the settings, with nothing used; new objects at each call. */
+  List<Team> newTeams() {
+    List<Team> teams = new ArrayList<>();
     for (Settings.TeamSetting t : settings.teams()) {
-      out.add(new Team(t.name(), t.cpus(), t.cards(), t.cpusMax(), t.cardsMax()));
+      teams.add(new Team(t.name(), t.cpus(), t.cards(), t.cpusMax(), t.cardsMax()));
     }
-    return out;
+    return teams;
   }
 
   /** The machine types as last read; empty before the first answer. */
@@ -120,12 +129,12 @@
     return null;
   }
 
-  /** Why the job can never run, or null. */
-  public String hopeless(JobSpec s) {
+  /** Why the job could never run on this cluster, even if it were empty, or null if it could. */
+  public String rejectionReason(JobSpec s) {
     if (s.team() < 0) {
       return "unknown team";
     }
-    Team team = teams().get(s.team());
+    Team team = newTeams().get(s.team());
     if (!team.couldEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
       return "more than the team's limit";
     }
--- a/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -9,77 +9,88 @@
 import org.mallowroad.worker.HeartbeatResponder;
 
 /**
- * Reports that come before a new leader has read the records. Nothing may be answered to them yet,
- * but a worker waits up to 4 s for its answer, and most takeovers are over by then: so a report is
- * held for a while, and its worker is turned away only when that was not enough. What a held report
- * says is as old as it is, as with any that was long on its way.
+ * Heartbeats that come before a new leader has read the records. Nothing may be answered to them
+ * yet, but a worker waits up to 4 s for its answer, and most takeovers are over by then: so a
+ * heartbeat is deferred for a while, and its worker is turned away only when that was not enough.
+ * What a deferred heartbeat says is as old as it is, as with any that was long on its way.
+ *
+ * <p>Runs on the event loop only.
  */
 final class DeferredHeartbeats {
   /** Half of what a worker waits: the rest is for the way, also by a peer. */
-  private static final long HOLD_MS = 2_000;
+  private static final long MAX_DEFERRAL_MS = 2_000;
 
   /** As many workers as one leader can answer; those beyond are turned away at once. */
-  private static final int MOST = 4_000;
+  private static final int MAX_DEFERRED = 4_000;
 
-  /** Reports that are taken in one turn of the loop, so that renewals and users go between. */
-  private static final int TURN = 24;
+  /** Heartbeats that are handled in one turn of the loop: renewals and users go between. */
+  private static final int HEARTBEATS_PER_TURN = 24;
 
-  private record Early(Heartbeat report, int via, HeartbeatResponder reply, long atMs) {}
+  private record Deferred(
+      Heartbeat heartbeat, int via, HeartbeatResponder responder, long receivedMs) {}
 
-  /** Where a held report goes in the end. */
-  interface Listener {
-    /** Takes the report as one that came just now. */
-    void report(Heartbeat r, int via, HeartbeatResponder reply);
+  /** Answers a deferred heartbeat in the end. */
+  interface Handler {
+    /** Handles the heartbeat as one that came just now. */
+    void handle(Heartbeat heartbeat, int via, HeartbeatResponder responder);
   }
 
   /** By machine, in the order in which they came. */
-  private final Object2ObjectLinkedOpenHashMap<String, Early> held =
+  private final Object2ObjectLinkedOpenHashMap<String, Deferred> deferred =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** The newest of each machine that was turned away: it is known of even so. */
-  private final Object2ObjectLinkedOpenHashMap<String, Heartbeat> seen =
+  /** The newest of each machine that was turned away: the machine is known even so. */
+  private final Object2ObjectLinkedOpenHashMap<String, Heartbeat> expired =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** Holds a report; an older one of the same machine has nobody waiting for it any more. */
-  void add(Heartbeat r, int via, HeartbeatResponder reply, long now) {
-    Early before = held.remove(r.machine());
+  /**
+   * Defers a heartbeat. An older one of the same machine is turned away: its worker has given it
+   * up.
+   */
+  void add(Heartbeat heartbeat, int via, HeartbeatResponder responder, long now) {
+    Deferred before = deferred.remove(heartbeat.machine());
     if (before != null) {
-      before.reply.retryLater();
+      before.responder.retryLater();
     }
-    if (held.size() >= MOST) {
-      reply.retryLater();
+    if (deferred.size() >= MAX_DEFERRED) {
+      responder.retryLater();
       return;
     }
-    held.put(r.machine(), new Early(r, via, reply, now));
+    deferred.put(heartbeat.machine(), new Deferred(heartbeat, via, responder, now));
   }
 
-  /** Turns away whose report was held for long enough. */
-  void turnAway(long now) {
-    while (!held.isEmpty() && now - held.get(held.firstKey()).atMs > HOLD_MS) {
-      Early e = held.removeFirst();
-      if (seen.size() < MOST) {
-        seen.put(e.report.machine(), e.report);
+  /** Turns away the workers whose heartbeat was deferred for long enough. */
+  void expire(long now) {
+    while (!deferred.isEmpty()
+        && now - deferred.get(deferred.firstKey()).receivedMs > MAX_DEFERRAL_MS) {
+      Deferred oldest = deferred.removeFirst();
+      if (expired.size() < MAX_DEFERRED) {
+        expired.put(oldest.heartbeat.machine(), oldest.heartbeat);
       }
-      e.reply.retryLater();
+      oldest.responder.retryLater();
     }
   }
 
-  /** The records are read: all that is held is taken, a few in a turn. */
-  void take(EventLoop loop, Consumer<Heartbeat> known, Listener listener) {
-    seen.values().forEach(known);
-    seen.clear();
-    Deque<Early> all = new ArrayDeque<>(held.values());
-    held.clear();
-    some(loop, all, listener);
+  /**
+   * The records are read: all that is deferred is handled, a few in a turn of the loop.
+   *
+   * @param addMachine makes the machine of a heartbeat known that was turned away
+   */
+  void drain(EventLoop loop, Consumer<Heartbeat> addMachine, Handler handler) {
+    expired.values().forEach(addMachine);
+    expired.clear();
+    Deque<Deferred> all = new ArrayDeque<>(deferred.values());
+    deferred.clear();
+    drainSome(loop, all, handler);
   }
 
-  private static void some(EventLoop loop, Deque<Early> all, Listener listener) {
-    for (int i = 0; i < TURN && !all.isEmpty(); i++) {
-      Early e = all.poll();
-      listener.report(e.report, e.via, e.reply);
+  private static void drainSome(EventLoop loop, Deque<Deferred> all, Handler handler) {
+    for (int i = 0; i < HEARTBEATS_PER_TURN && !all.isEmpty(); i++) {
+      Deferred d = all.poll();
+      handler.handle(d.heartbeat, d.via, d.responder);
     }
     if (!all.isEmpty()) {
-      loop.soon(() -> some(loop, all, listener));
+      loop.soon(() -> drainSome(loop, all, handler));
     }
   }
 }
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/LeaderContext.java
@@ -0,0 +1,70 @@
+package org.mallowroad.controller;
+
+import org.mallowroad.config.Settings;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.cancellation.CancellationView;
+import org.mallowroad.core.health.FleetHealth;
+import org.mallowroad.core.scheduling.TaskScheduler;
+import org.mallowroad.net.EventLoop;
+
+/**
+ * What all parts of a {@link Leader} share for one term.
+ *
+ * @param services what the node lends to the leader
+ * @param term the term
+ * @param startedMs when the term began, on the steady clock
+ * @param lifecycle the state of the term
+ * @param lease the leader's lease
+ * @param schedulerState jobs, attempts and machines of the term
+ * @param taskScheduler decides which task starts on which machine
+ * @param cancellationView up to when the leader knows of every cancellation
+ * @param load counters for the log and for metrics
+ */
+record LeaderContext(
+    LeaderServices services,
+    LeadershipTerm term,
+    long startedMs,
+    LeaderLifecycle lifecycle,
+    LeaderLease lease,
+    SchedulerState schedulerState,
+    TaskScheduler taskScheduler,
+    CancellationView cancellationView,
+    LoadStatistics load) {
+  /** The shared parts at the beginning of a term. */
+  static LeaderContext begin(LeaderServices services, LeadershipTerm term) {
+    ClusterConfig clusterConfig = services.clusterConfig();
+    Settings settings = clusterConfig.settings;
+    long startedMs = services.loop().now();
+    SchedulerState schedulerState =
+        new SchedulerState(
+            term.number(),
+            settings.leaseS(),
+            settings.heartbeatIntervalS(),
+            clusterConfig.newTeams(),
+            clusterConfig.zones,
+            new FleetHealth(
+                clusterConfig.operator.health(),
+                clusterConfig.zones.size(),
+                settings.heartbeatIntervalS(),
+                startedMs),
+            clusterConfig.operator.fetches());
+    return new LeaderContext(
+        services,
+        term,
+        startedMs,
+        new LeaderLifecycle(),
+        new LeaderLease(services.loop(), services.election()),
+        schedulerState,
+        new TaskScheduler(schedulerState),
+        new CancellationView(CancellationView.mostAgeMs(settings.leaseS(), settings.cancelS())),
+        new LoadStatistics());
+  }
+
+  EventLoop loop() {
+    return services.loop();
+  }
+
+  ClusterConfig clusterConfig() {
+    return services.clusterConfig();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/LeaderServices.java
@@ -0,0 +1,32 @@
+package org.mallowroad.controller;
+
+import java.util.function.IntSupplier;
+import org.mallowroad.api.Folding;
+import org.mallowroad.cloud.CloudClient;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.worker.WorkerClient;
+
+/**
+ * What a node lends to its leader: clients and configuration that live as long as the process, not
+ * only for one term.
+ *
+ * @param loop the event loop on which everything of the node runs
+ * @param state client of the state service
+ * @param cloud client of the cloud provider
+ * @param clusterConfig names, machine types, teams and settings
+ * @param election the election that made this node the leader
+ * @param workers sends commands directly to workers
+ * @param folding the fold ledger as users' requests see it
+ * @param reachablePeers how many peers are heard at the moment; 0 where links are not monitored
+ */
+record LeaderServices(
+    EventLoop loop,
+    KeyValueStore state,
+    CloudClient cloud,
+    ClusterConfig clusterConfig,
+    LeaderElection election,
+    WorkerClient workers,
+    Folding folding,
+    IntSupplier reachablePeers) {}
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -1,7 +1,6 @@
 package org.mallowroad.controller;
 
 import java.util.List;
-import org.mallowroad.api.Reply;
 import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Member;
@@ -31,73 +30,74 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a node does about its links: tells its row, tries ways that nothing else uses, and carries
- * what others cannot deliver themselves. The decisions are those of {@code core.linkstate}.
+ * What a node does about its links: advertises their state to its peers, probes links that nothing
+ * else uses, and relays for peers and workers what they cannot deliver themselves. The decisions
+ * are those of {@code core.linkstate}. Runs on the event loop only.
  *
- * <p><b>Why a carried report breaks no rule.</b> The worker counts its lease from when it
- * <i>sent</i> the report, and drops an answer after 4 s; the leader counts from when it
- * <i>answered</i> ({@code Machine.lastAnswerMs}), which is later, by whichever way the report came.
- * So the proof by lease in {@code SchedulerState} holds as it stands. The answer carries the token
- * of the leader that gave it: a deposed one's is dropped by every worker that has seen a later one,
- * and one that has not may stay with it exactly as if it reached it directly, until the leader's
- * view is stale ({@code CancellationView}), or this node hears of the later term (rows,
- * announcements, other workers' tokens) and carries nothing there any more. A node adds nothing to
- * an answer and remembers none. Orders by way of a peer without an answer are {@code UNKNOWN}, held
- * uncleared and fenced as any.
+ * <p><b>Why a relayed heartbeat breaks no rule.</b> The worker counts its lease from when it
+ * <i>sent</i> the heartbeat, and drops an answer after 4 s; the leader counts from when it
+ * <i>answered</i> ({@code Machine.lastAnswerMs}), which is later, by whichever way the heartbeat
+ * came. So the proof by lease in {@code SchedulerState} holds as it stands. The answer carries the
+ * fencing token of the leader that gave it: a deposed one's is dropped by every worker that has
+ * seen a later one, and one that has not may stay with it exactly as if it reached it directly,
+ * until the leader's view is stale ({@code CancellationView}), or this node hears of the later term
+ * (advertisements, announcements, other workers' tokens) and forwards nothing there any more. A
+ * node adds nothing to an answer and remembers none. Commands by way of a peer without an answer
+ * are {@code UNKNOWN}, kept until they are confirmed and fenced as any.
  */
 final class LinkMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
-  private static final long BEAT_MS = 250;
+  private static final long CHECK_INTERVAL_MS = 250;
   private static final long PROBE_TIMEOUT_MS = 1_000;
 
-  /** A link that nothing used for so long is tried. */
-  private static final long IDLE_MS = 1_500;
+  /** A link that nothing used for so long is probed. */
+  private static final long IDLE_LINK_MS = 1_500;
 
   /** After a start on a fraction of a core other things come first. */
-  private static final long FIRST_ROW_MS = 2_000;
+  private static final long FIRST_ADVERTISEMENT_DELAY_MS = 2_000;
 
-  /** Before that a failure may be a moment's. */
-  private static final long ISOLATED_MS = 3_000;
+  /** A failure that is shorter may be a brief interruption, and the node is not isolated yet. */
+  private static final long ISOLATION_DELAY_MS = 3_000;
 
-  /** A node that others serve better than lets them go first for so long, for each reason. */
-  private static final long HANDICAP_MS = 300;
+  /** A node that others serve better than lets them campaign first for so long, for each reason. */
+  private static final long ELECTION_HANDICAP_MS = 300;
 
   /** What a leader learnt of its link to the workers holds for so long after. */
-  private static final long REMEMBER_MS = 30_000;
+  private static final long WORKER_CONTACT_MEMORY_MS = 30_000;
 
-  /** Reports that are being carried at once; more are turned away. */
-  private static final int MOST_CARRYING = 192;
+  /** Lines about links in each {@link #LOG_PERIOD_MS}. */
+  private static final int MAX_LOG_LINES = 20;
+
+  private static final long LOG_PERIOD_MS = 10_000;
+  private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final EventLoop loop;
   private final Settings settings;
   private final ClusterConfig clusterConfig;
   private final LinkPolicy policy;
   private final LinkStateTable links;
-  private final RouteSelector state;
-  private final RouteSelector cloud;
-  private final HeartbeatRelay carriage;
-  private final RelayTransport forwarding;
-  private final RequestSender stateDirect;
-  private final RequestSender cloudDirect;
-  private final LogLimiter lines = new LogLimiter(20, 10_000);
+  private final ExternalLink state;
+  private final ExternalLink cloud;
+  private final RelayTransport transport;
+  private final HeartbeatForwarder forwarder;
+  private final LogLimiter logLimiter = new LogLimiter(MAX_LOG_LINES, LOG_PERIOD_MS);
   private LeaderElection election;
   private WorkerClient workers;
   private Listener listener;
-  private int carrying;
-  private boolean probing;
-  private long directMs = Long.MIN_VALUE / 2;
-  private long carriedMs = Long.MIN_VALUE / 2;
+  private boolean isProbingState;
+  private long lastDirectHeartbeatMs = NEVER;
+  private long lastRelayedHeartbeatMs = NEVER;
 
-  /** The node that has these duties. */
+  /** The node that has these links. */
   interface Listener {
     /** True while this node leads. */
     boolean leading();
 
-    /** Answers a report that a peer brought; null means not now. */
-    void report(Heartbeat r, int via, HeartbeatResponder reply);
+    /** Answers a heartbeat that a peer relayed. */
+    void report(Heartbeat heartbeat, int via, HeartbeatResponder responder);
   }
 
-  /** Over the direct ways to the outside parties. */
+  /** Over the direct ways to the external services. */
   LinkMonitor(
       NodeEnvironment host,
       ClusterConfig clusterConfig,
@@ -108,8 +108,6 @@
     this.clusterConfig = clusterConfig;
     this.settings = clusterConfig.settings();
     this.policy = policy;
-    this.stateDirect = stateDirect;
-    this.cloudDirect = cloudDirect;
     List<Member> members = settings.members();
     this.links =
         new LinkStateTable(
@@ -119,93 +117,125 @@
             settings.zones(),
             loop.wallMs(),
             loop.now());
-    this.state = new RouteSelector(links, ExternalService.STATE);
-    this.cloud = new RouteSelector(links, ExternalService.CLOUD);
-    this.carriage = new HeartbeatRelay(policy, settings.zones().size());
-    this.forwarding = new RelayTransport(host, members, links, new FromPeers());
+    this.state = newLink(ExternalService.STATE, stateDirect);
+    this.cloud = newLink(ExternalService.CLOUD, cloudDirect);
+    this.transport = new RelayTransport(host, members, links, new PeerRequests());
+    this.forwarder = new HeartbeatForwarder(loop, clusterConfig, policy, links, transport);
+  }
+
+  private ExternalLink newLink(ExternalService service, RequestSender direct) {
+    return new ExternalLink(service, direct, new RouteSelector(links, service));
   }
 
-  /** A caller of the state service that goes round cuts, over one that does not. */
+  /** A caller of the state service that goes round a broken link, over one that does not. */
   RequestSender state(RequestSender direct) {
     return new RelayedCaller(
-        loop, direct, ExternalService.STATE, state, forwarding, policy.hedgeMs());
+        loop, direct, ExternalService.STATE, state.route(), transport, policy.hedgeMs());
   }
 
-  /** A caller of the cloud that goes round cuts. */
+  /** A caller of the cloud that goes round a broken link. */
   RequestSender cloud() {
     return new RelayedCaller(
-        loop, cloudDirect, ExternalService.CLOUD, cloud, forwarding, policy.hedgeMs());
+        loop, cloud.direct(), ExternalService.CLOUD, cloud.route(), transport, policy.hedgeMs());
   }
 
-  RelayTransport forwarding() {
-    return forwarding;
+  /** Carries relayed requests between this node and its peers. */
+  RelayTransport transport() {
+    return transport;
   }
 
+  /** What is known of all links. */
   LinkStateTable links() {
     return links;
   }
 
-  HeartbeatRelay carriage() {
-    return carriage;
+  /** Decides which heartbeats are forwarded, and counts them. */
+  HeartbeatRelay heartbeatRelay() {
+    return forwarder.relay();
   }
 
   /** The way to the state service. */
   RouteSelector stateRoute() {
-    return state;
+    return state.route();
   }
 
-  /** Begins. */
-  void start(LeaderElection e, WorkerClient w, Listener o) {
-    election = e;
-    workers = w;
-    listener = o;
-    loop.every(BEAT_MS, this::beat);
-    loop.after(FIRST_ROW_MS, () -> loop.every(policy.rowMs(), this::tell));
+  /** Begins to probe and to advertise. */
+  void start(LeaderElection election, WorkerClient workers, Listener listener) {
+    this.election = election;
+    this.workers = workers;
+    this.listener = listener;
+    loop.every(CHECK_INTERVAL_MS, this::check);
+    loop.after(FIRST_ADVERTISEMENT_DELAY_MS, () -> loop.every(policy.rowMs(), this::advertise));
   }
 
-  /** Calls of this node that were done by way of a peer. */
+  /** Calls of this node that were made by way of a peer. */
   long detours() {
-    return state.detours() + cloud.detours();
+    return state.route().detours() + cloud.route().detours();
   }
 
   /**
    * True when this node reaches neither the state service nor any peer: others that do serve users
    * better. While peers are heard it passes users on to them, and in an outage they say so.
    */
-  boolean isolated() {
+  boolean isIsolated() {
     long now = loop.now();
-    return state.astray()
+    return state.route().astray()
         && links.freshRows(now) == 0
-        && now - links.sinceMs(ExternalService.STATE) > ISOLATED_MS;
+        && now - links.sinceMs(ExternalService.STATE) > ISOLATION_DELAY_MS;
   }
 
-  /** How long this node lets others go first when a leader is sought. */
-  long handicapMs() {
-    boolean noWorkers = carriedMs - directMs > IDLE_MS && loop.now() - carriedMs < REMEMBER_MS;
-    return (state.astray() ? HANDICAP_MS : 0) + (noWorkers ? HANDICAP_MS : 0);
+  /** How long this node lets others campaign first when there is no leader, in milliseconds. */
+  long electionHandicapMs() {
+    boolean lacksWorkers =
+        lastRelayedHeartbeatMs - lastDirectHeartbeatMs > IDLE_LINK_MS
+            && loop.now() - lastRelayedHeartbeatMs < WORKER_CONTACT_MEMORY_MS;
+    return (state.route().astray() ? ELECTION_HANDICAP_MS : 0)
+        + (lacksWorkers ? ELECTION_HANDICAP_MS : 0);
+  }
+
+  /** A heartbeat came to this node, which leads. */
+  void heartbeatReceived(Heartbeat heartbeat, boolean isDirect) {
+    if (isDirect) {
+      lastDirectHeartbeatMs = loop.now();
+    } else {
+      lastRelayedHeartbeatMs = loop.now();
+    }
+    links.heard(clusterConfig.zones.find(heartbeat.zone()), isDirect, loop.now());
+  }
+
+  /**
+   * Forwards a heartbeat to the leader where its worker does not get there; false: the worker is
+   * redirected.
+   */
+  boolean forwardHeartbeat(IncomingRequest request, Heartbeat heartbeat, String leader) {
+    return forwarder.forward(request, heartbeat, leader, election.leaderTerm());
   }
 
-  private void tell() {
-    boolean leads = listener.leading();
+  private void advertise() {
+    boolean isLeading = listener.leading();
     // A leader's own term, not the tokens within it that single workers have.
-    long term = leads ? election.leaderTerm() : election.seenTerm();
-    forwarding.tell(links.own(term, leads, loop.now()));
+    long term = isLeading ? election.leaderTerm() : election.seenTerm();
+    transport.tell(links.own(term, isLeading, loop.now()));
   }
 
-  private void beat() {
+  private void check() {
     long now = loop.now();
-    long age = links.ageMs(ExternalService.STATE, now);
-    boolean idle = !state.astray() && (age < 0 || age > IDLE_MS);
-    if (!probing && (state.probeDue(now) || idle)) {
-      probing = true;
-      probe(stateDirect, "/kv/" + LeaderElection.LEADER, state, true);
+    long ageMs = links.ageMs(ExternalService.STATE, now);
+    boolean isIdle = !state.route().astray() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
+    if (!isProbingState && (state.route().probeDue(now) || isIdle)) {
+      isProbingState = true;
+      probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
     }
     // Only the leader uses the cloud, and no detour is needed where nothing is asked.
-    if (cloud.probeDue(now) && listener.leading()) {
-      probe(cloudDirect, CloudClient.MACHINE_TYPES_PATH, cloud, false);
+    if (cloud.route().probeDue(now) && listener.leading()) {
+      probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
+    logChanges(now);
+  }
+
+  private void logChanges(long now) {
     for (LinkStateTable.Change c : links.changes()) {
-      if (lines.tryAcquire(now)) {
+      if (logLimiter.tryAcquire(now)) {
         LOG.warn(
             "event={} from={} to={} before_ms={} by={} left_out={}",
             c.down() ? "link_down" : "link_up",
@@ -213,110 +243,50 @@
             c.to(),
             c.sinceMs(),
             c.by(),
-            lines.suppressed() + links.leftOut());
+            logLimiter.suppressed() + links.leftOut());
       }
     }
   }
 
-  private void probe(RequestSender direct, String path, RouteSelector route, boolean ofState) {
+  private void probe(ExternalLink link, String path, Runnable ended) {
     long sentMs = loop.now();
-    direct.call(
-        "GET",
-        path,
-        null,
-        PROBE_TIMEOUT_MS,
-        new RequestSender.ResponseHandler() {
-          @Override
-          public void answered(int status, byte[] body) {
-            done(!ofState || status != 503);
-          }
-
-          @Override
-          public void failed(boolean sent) {
-            done(false);
-          }
-
-          private void done(boolean worked) {
-            if (ofState) {
-              probing = false;
-            }
-            route.direct(worked, sentMs, loop.now());
-          }
-        });
-  }
-
-  /** A report that came to this node, which leads. */
-  void heard(Heartbeat r, boolean direct) {
-    if (direct) {
-      directMs = loop.now();
-    } else {
-      carriedMs = loop.now();
-    }
-    links.heard(clusterConfig.zones.find(r.zone()), direct, loop.now());
-  }
-
-  /** Carries a report to the leader where its worker does not get there; false: it is sent on. */
-  boolean carry(IncomingRequest x, Heartbeat r, String leader) {
-    int peer = links.peer(leader);
-    if (peer < 0) {
-      return false;
-    }
-    long now = loop.now();
-    LinkStateAdvertisement row = links.fresh(peer, now);
-    LinkStateAdvertisement.Heard h = row == null ? null : row.zone(r.zone());
-    boolean stay =
-        carriage.carry(
-            r.machine(),
-            clusterConfig.zones.find(r.zone()),
-            r.fencingToken(),
-            election.leaderTerm(),
-            h == null ? -1 : h.directMs(),
-            now);
-    if (!stay) {
-      return false;
-    }
-    if (links.downPeer(peer)) {
-      // Neither of us gets there: the next node may, and the worker must not wait to hear it.
-      Reply.retryLater(x, "the leader is not reached");
-      return true;
-    }
-    if (carrying >= MOST_CARRYING) {
-      Reply.retryLater(x, "too many reports are carried");
-      return true;
-    }
-    carrying++;
-    forwarding.carry(
-        peer,
-        settings.node(),
-        x.body(),
-        new RequestSender.ResponseHandler() {
-          @Override
-          public void answered(int status, byte[] body) {
-            carrying--;
-            x.answer(status, "application/json", body, status == 503);
-          }
-
-          @Override
-          public void failed(boolean sent) {
-            carrying--;
-            Reply.retryLater(x, "the leader is not reached");
-          }
-        });
-    return true;
+    link.direct()
+        .call(
+            "GET",
+            path,
+            null,
+            PROBE_TIMEOUT_MS,
+            new RequestSender.ResponseHandler() {
+              @Override
+              public void answered(int status, byte[] body) {
+                ended(!link.isRefusal(status));
+              }
+
+              @Override
+              public void failed(boolean sent) {
+                ended(false);
+              }
+
+              private void ended(boolean worked) {
+                ended.run();
+                link.route().direct(worked, sentMs, loop.now());
+              }
+            });
   }
 
-  private final class FromPeers implements RelayTransport.Listener {
+  /** Serves what peers relay by way of this node. */
+  private final class PeerRequests implements RelayTransport.Listener {
     @Override
-    public long row(LinkStateAdvertisement row) {
-      if (!links.row(row, loop.now())) {
-        long began = links.began(row.node());
-        return began > row.started() ? began : 0;
+    public long row(LinkStateAdvertisement advertised) {
+      if (!links.row(advertised, loop.now())) {
+        long began = links.began(advertised.node());
+        return began > advertised.started() ? began : 0;
       }
       if (election != null) {
-        if (row.leading()) {
-          election.announced(row.node(), row.term());
+        if (advertised.leading()) {
+          election.announced(advertised.node(), advertised.term());
         } else {
-          election.sawTerm(row.term());
+          election.sawTerm(advertised.term());
         }
       }
       return 0;
@@ -330,36 +300,12 @@
         byte[] body,
         long timeoutMs,
         RequestSender.ResponseHandler answer) {
-      RouteSelector own = to == ExternalService.STATE ? state : cloud;
+      ExternalLink link = to == ExternalService.STATE ? state : cloud;
       if (links.down(to)) {
         answer.failed(false);
         return;
       }
-      long sentMs = loop.now();
-      (to == ExternalService.STATE ? stateDirect : cloudDirect)
-          .call(
-              method,
-              path,
-              body,
-              timeoutMs,
-              new RequestSender.ResponseHandler() {
-                @Override
-                public void answered(int status, byte[] bytes) {
-                  boolean refused = to == ExternalService.STATE && status == 503;
-                  own.direct(!refused, sentMs, loop.now());
-                  if (refused) {
-                    answer.failed(false);
-                  } else {
-                    answer.answered(status, bytes);
-                  }
-                }
-
-                @Override
-                public void failed(boolean sent) {
-                  own.direct(false, sentMs, loop.now());
-                  answer.failed(sent);
-                }
-              });
+      link.direct().call(method, path, body, timeoutMs, new ForwardedAnswer(link, answer));
     }
 
     @Override
@@ -369,26 +315,21 @@
 
     @Override
     public void carried(int peer, byte[] report, RequestSender.ResponseHandler answer) {
-      Heartbeat r;
+      Heartbeat heartbeat;
       try {
-        r = WorkerCodec.decodeHeartbeat(Json.parseObject(report));
+        heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(report));
       } catch (InvalidMessageException e) {
         answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
-      election.sawTerm(r.fencingToken());
+      election.sawTerm(heartbeat.fencingToken());
       if (!listener.leading() || peer < 0) {
-        String leader = election.leader();
-        if (leader == null || leader.equals(settings.node())) {
-          answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
-        } else {
-          answer.answered(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
-        }
+        redirect(answer);
         return;
       }
-      heard(r, false);
+      heartbeatReceived(heartbeat, false);
       listener.report(
-          r,
+          heartbeat,
           peer,
           new HeartbeatResponder() {
             @Override
@@ -402,5 +343,43 @@
             }
           });
     }
+
+    private void redirect(RequestSender.ResponseHandler answer) {
+      String leader = election.leader();
+      if (leader == null || leader.equals(settings.node())) {
+        answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
+      } else {
+        answer.answered(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
+      }
+    }
+  }
+
+  /** The answer to a peer's call, which also tells how this node's own link is. */
+  private final class ForwardedAnswer implements RequestSender.ResponseHandler {
+    private final ExternalLink link;
+    private final RequestSender.ResponseHandler answer;
+    private final long sentMs = loop.now();
+
+    ForwardedAnswer(ExternalLink link, RequestSender.ResponseHandler answer) {
+      this.link = link;
+      this.answer = answer;
+    }
+
+    @Override
+    public void answered(int status, byte[] body) {
+      boolean isRefusal = link.isRefusal(status);
+      link.route().direct(!isRefusal, sentMs, loop.now());
+      if (isRefusal) {
+        answer.failed(false);
+      } else {
+        answer.answered(status, body);
+      }
+    }
+
+    @Override
+    public void failed(boolean sent) {
+      link.route().direct(false, sentMs, loop.now());
+      answer.failed(sent);
+    }
   }
 }
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -0,0 +1,82 @@
+package org.mallowroad.controller;
+
+import org.mallowroad.controller.persistence.WriteBehindCommitter;
+import org.mallowroad.core.CostAccounting;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.SchedulerState;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Logs at regular intervals how busy the leader is and what its machines cost. */
+final class LoadLogger {
+  private static final Logger LOG = LoggerFactory.getLogger(LoadLogger.class);
+
+  private final LeaderContext context;
+  private final SchedulerState schedulerState;
+  private final WriteBehindCommitter committer;
+
+  LoadLogger(LeaderContext context, WriteBehindCommitter committer) {
+    this.context = context;
+    this.schedulerState = context.schedulerState();
+    this.committer = committer;
+  }
+
+  /** Logs the interval that ends now and begins the next one. */
+  void log() {
+    logLoad();
+    if (schedulerState.attemptsStarted() > 0) {
+      LOG.info("event=fetches {}", schedulerState.imageDistribution().figures());
+    }
+    logCosts();
+    context.load().beginInterval();
+  }
+
+  private void logLoad() {
+    int waiting = 0;
+    int live = 0;
+    for (Job j : schedulerState.jobs()) {
+      waiting += j.waitingCount();
+      live += j.liveAttemptCount();
+    }
+    LoadStatistics load = context.load();
+    LOG.info(
+        "event=load lag_ms={} reports={} direct={} passes={} pass_ms={} stops={} commits={} writes={}"
+            + " dirty={} urgent={} jobs={} waiting={} live={} machines={} heap_mb={} memory_mb={}",
+        load.loopLagMs(),
+        load.heartbeats(),
+        load.directCommands(),
+        load.placementPasses(),
+        load.placementMs(),
+        context.taskScheduler().stops(),
+        committer.commits(),
+        committer.writes(),
+        schedulerState.dirtyRecords().size(),
+        schedulerState.urgentRecords().size(),
+        schedulerState.jobs().size(),
+        waiting,
+        live,
+        schedulerState.machines().size(),
+        MemoryMetrics.heapBytes() >> 20,
+        MemoryMetrics.processBytes() >> 20);
+  }
+
+  private void logCosts() {
+    for (CostAccounting.Line l :
+        schedulerState.costAccounting().lines(schedulerState.machines(), context.loop().now())) {
+      LOG.info(
+          "event=spending type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
+          l.type(),
+          l.spot(),
+          l.machinesGone(),
+          toThousandths(l.boot()),
+          toThousandths(l.idle()),
+          toThousandths(l.starting()),
+          toThousandths(l.useful()),
+          toThousandths(l.lost()));
+    }
+  }
+
+  private static double toThousandths(double money) {
+    return Math.round(money * 1000) / 1000.0;
+  }
+}
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -16,61 +17,86 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types outlive the processes that learnt them. A node that starts while the cloud is
- * away would otherwise know none: it could judge no submission, and as leader read no attempt and
- * stop no cancelled task (docs/incidents, leader-without-types). Prices in the record are as old as
- * it is; the cloud's own answer replaces them.
+ * Keeps the machine types up to date from the cloud, and a copy of them in the state service.
+ *
+ * <p>The copy outlives the processes that learnt the types. A node that starts while the cloud is
+ * unavailable would otherwise know none: it could judge no submission, and as leader read no
+ * attempt and stop no cancelled task (docs/incidents, leader-without-types). Prices in the copy are
+ * as old as it is; the cloud's own answer replaces them.
+ *
+ * <p>Runs on the event loop only.
  */
 final class MachineTypeCache {
-  /** Under it the record stands. */
+  /** Key of the copy in the state service. */
   static final String KEY = "types";
 
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCache.class);
 
-  /** The cloud has so long to answer itself; then the record is read, and again until it is. */
-  private static final long PATIENCE_MS = 1_000;
+  private static final long CLOUD_REFRESH_INTERVAL_MS = 60_000;
+  private static final long CLOUD_RETRY_MS = 500;
+
+  /**
+   * The cloud has so long to answer itself; then the copy is read, and again until types are known.
+   */
+  private static final long RESTORE_INTERVAL_MS = 1_000;
 
   private final EventLoop loop;
   private final KeyValueStore state;
+  private final CloudClient cloud;
   private final ClusterConfig clusterConfig;
-  private boolean recalling;
+  private boolean isRestoring;
 
-  MachineTypeCache(EventLoop loop, KeyValueStore state, ClusterConfig clusterConfig) {
+  MachineTypeCache(
+      EventLoop loop, KeyValueStore state, CloudClient cloud, ClusterConfig clusterConfig) {
     this.loop = loop;
     this.state = state;
+    this.cloud = cloud;
     this.clusterConfig = clusterConfig;
   }
 
-  /** Begins: until types are known in any way, the record is asked as well. */
+  /** Begins: the cloud is asked regularly and, until types are known, the copy is read as well. */
   void start() {
-    loop.after(PATIENCE_MS, this::recall);
+    refresh();
+    loop.after(RESTORE_INTERVAL_MS, this::restore);
+  }
+
+  private void refresh() {
+    cloud.listMachineTypes(
+        types -> {
+          if (types.isPresent() && !types.get().isEmpty()) {
+            clusterConfig.replaceMachineTypes(types.get());
+            loop.after(CLOUD_REFRESH_INTERVAL_MS, this::refresh);
+          } else {
+            loop.after(CLOUD_RETRY_MS, this::refresh);
+          }
+        });
   }
 
-  private void recall() {
-    if (recalling || !clusterConfig.machineTypes().isEmpty()) {
+  private void restore() {
+    if (isRestoring || !clusterConfig.machineTypes().isEmpty()) {
       return;
     }
-    recalling = true;
+    isRestoring = true;
     state.get(
         KEY,
         (result, item) -> {
-          recalling = false;
+          isRestoring = false;
           if (result == CallResult.OK && item.value() != null) {
-            take(item);
+            adopt(item);
           }
-          loop.after(PATIENCE_MS, this::recall);
+          loop.after(RESTORE_INTERVAL_MS, this::restore);
         });
   }
 
-  private void take(VersionedValue item) {
+  private void adopt(VersionedValue item) {
     if (!clusterConfig.machineTypes().isEmpty()) {
       return;
     }
     try {
-      List<MachineType> t = decode(item);
-      if (!t.isEmpty()) {
-        LOG.info("event=types_recalled types={}", t.size());
-        clusterConfig.replaceMachineTypes(t);
+      List<MachineType> types = decode(item);
+      if (!types.isEmpty()) {
+        LOG.info("event=types_recalled types={}", types.size());
+        clusterConfig.replaceMachineTypes(types);
       }
     } catch (InvalidMessageException e) {
       LOG.error("event=record_unreadable key={} reason=\"{}\"", KEY, e.getMessage());
@@ -85,42 +111,46 @@
         (ObjectNode) item.value(), clusterConfig.types, clusterConfig.zones);
   }
 
-  /** A leader writes down what it knows where the record says otherwise; prices do not count. */
-  void keep(long leaderVersion) {
-    List<MachineType> now = clusterConfig.machineTypes();
+  /**
+   * Writes the known types where the copy differs; prices do not count. Only for a leader.
+   *
+   * @param leaderKeyVersion version of the key {@code leader} in the leader's term
+   */
+  void save(long leaderKeyVersion) {
+    List<MachineType> types = clusterConfig.machineTypes();
     state.get(
         KEY,
         (result, item) -> {
-          if (result != CallResult.OK || same(item, now)) {
+          if (result != CallResult.OK || isSame(item, types)) {
             return;
           }
-          ObjectNode v = MachineTypeCodec.encode(now, clusterConfig.zones);
-          if (Json.bytes(v).length > clusterConfig.settings.valueKb() * 1024) {
+          ObjectNode value = MachineTypeCodec.encode(types, clusterConfig.zones);
+          if (Json.bytes(value).length > clusterConfig.settings.valueKb() * 1024) {
             LOG.warn("event=types_not_kept reason=\"too large\"");
             return;
           }
-          // Lost, it is written by the next term.
+          // No retry: a write that is lost is made by the next term.
           Transaction transaction =
               new Transaction()
-                  .requireVersion(LeaderElection.LEADER, leaderVersion)
+                  .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
                   .requireVersion(KEY, item.version())
-                  .put(KEY, v);
+                  .put(KEY, value);
           state.compareAndSwap(transaction, (r, revision, failed) -> {});
         });
   }
 
-  private boolean same(VersionedValue item, List<MachineType> now) {
+  private boolean isSame(VersionedValue item, List<MachineType> types) {
     if (item.value() == null) {
       return false;
     }
     try {
-      return priceless(decode(item)).equals(priceless(now));
+      return encodeWithoutPrices(decode(item)).equals(encodeWithoutPrices(types));
     } catch (InvalidMessageException e) {
       return false;
     }
   }
 
-  private String priceless(List<MachineType> types) {
+  private String encodeWithoutPrices(List<MachineType> types) {
     return MachineTypeCodec.encode(
             types.stream()
                 .map(
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -0,0 +1,300 @@
+package org.mallowroad.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import org.mallowroad.api.Responder;
+import org.mallowroad.api.UserApi;
+import org.mallowroad.cloud.CloudClient;
+import org.mallowroad.config.Settings;
+import org.mallowroad.core.Heartbeat;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.admission.Admission;
+import org.mallowroad.election.LeaderElection;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.net.IncomingRequest;
+import org.mallowroad.net.NodeEnvironment;
+import org.mallowroad.net.RateLimiter;
+import org.mallowroad.net.RequestSender;
+import org.mallowroad.peer.PeerMessenger;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.wire.InvalidMessageException;
+import org.mallowroad.worker.HeartbeatApi;
+import org.mallowroad.worker.HeartbeatResponder;
+import org.mallowroad.worker.WorkerClient;
+
+/**
+ * The parts of one node, built and connected with each other. Building them starts nothing: {@link
+ * Node} drives their life cycle. All of them run on the event loop only.
+ */
+final class NodeComponents {
+  private static final String JSON = "application/json";
+
+  /**
+   * Connections to the state service: while many answers are lost each keeps one until its call is
+   * given up, and renewals and commits have to find a free one even then.
+   */
+  private static final int STATE_CONNECTIONS = 128;
+
+  /** Connections for watches, and those to the cloud. */
+  private static final int FEW_CONNECTIONS = 8;
+
+  /** The largest answer of an external service, as a part of the memory. */
+  private static final int MEMORY_PER_ANSWER = 8;
+
+  /** Retries of late transactions, as a part of the state service's calls, for all nodes. */
+  private static final double STATE_RETRY_SHARE = 0.3;
+
+  private static final double MIN_STATE_RETRIES_PER_S = 4;
+
+  /** The part of the cloud's rate limit that is used steadily; the rest is left to bursts. */
+  private static final double CLOUD_RATE_SHARE = 0.8;
+
+  private static final int MIN_WORKER_CONNECTIONS = 16;
+  private static final int SOCKETS_PER_WORKER_CONNECTION = 8;
+
+  /**
+   * The part of the state service's calls that all nodes make for users. Beside them go accepts,
+   * commits, renewals and watches; beyond the limit the service refuses whoever comes, and a leader
+   * without renewals is none.
+   */
+  private static final double USER_READ_SHARE = 0.6;
+
+  private static final double MIN_USER_READS_PER_S = 4;
+
+  /** The part of the state service's writes that users may take, and their burst. */
+  private static final double USER_WRITE_SHARE = 0.45;
+
+  private static final double USER_WRITE_BURST_SHARE = 0.6;
+  private static final double USER_FAIR_WRITE_BURST = 4;
+
+  /** A transaction may have four times as many conditions as writes (PROTOCOL). */
+  private static final int CONDITIONS_PER_WRITE = 4;
+
+  /** Ended jobs remembered for each MB of memory: at about 120 bytes each, a twentieth of it. */
+  private static final int ENDED_JOBS_PER_MB = 400;
+
+  final ClusterConfig clusterConfig;
+  final NodeEnvironment host;
+  final EventLoop loop;
+  final CloudClient cloud;
+  final KeyValueStore state;
+  final LeaderElection election;
+  final LocalLeadership leadership;
+  final WorkerClient workers;
+  final UserApi users;
+  final HeartbeatApi heartbeatApi;
+  final PeerMessenger peers;
+  final MachineTypeCache machineTypes;
+  final CancellationPropagation cancellations;
+  final Admission admission;
+
+  /** Monitors links and relays round broken ones; null where the operator has it off. */
+  final LinkMonitor links;
+
+  NodeComponents(ClusterConfig clusterConfig, NodeEnvironment host) {
+    this.clusterConfig = clusterConfig;
+    this.host = host;
+    this.loop = host.loop();
+    Settings settings = clusterConfig.settings();
+    int maxAnswerBytes = (int) (settings.ramMb() * 1024 * 1024) / MEMORY_PER_ANSWER;
+    RequestSender stateCalls =
+        host.requestSender(settings.state(), JSON, STATE_CONNECTIONS, maxAnswerBytes);
+    RequestSender cloudCalls =
+        host.requestSender(settings.cloud(), JSON, FEW_CONNECTIONS, maxAnswerBytes);
+    RequestSender stateWatches =
+        host.requestSender(settings.state(), JSON, FEW_CONNECTIONS, maxAnswerBytes);
+    boolean monitorsLinks =
+        clusterConfig.operator.links().isPresent() && !settings.members().isEmpty();
+    this.links =
+        monitorsLinks
+            ? new LinkMonitor(
+                host, clusterConfig, clusterConfig.operator.links().get(), stateCalls, cloudCalls)
+            : null;
+    this.state = newStateClient(settings, stateCalls, stateWatches);
+    this.admission = new Admission(loop.now());
+    this.cloud = newCloudClient(settings, cloudCalls);
+    this.machineTypes = new MachineTypeCache(loop, state, cloud, clusterConfig);
+    this.workers =
+        new WorkerClient(
+            host,
+            Math.max(
+                MIN_WORKER_CONNECTIONS, settings.maxSockets() / SOCKETS_PER_WORKER_CONNECTION));
+    this.users = newUserApi(settings);
+    this.election =
+        new LeaderElection(
+            loop,
+            state,
+            settings.node(),
+            settings.node().hashCode(),
+            () -> links == null ? 0 : links.electionHandicapMs(),
+            new ElectionListener());
+    this.heartbeatApi = new HeartbeatApi(loop, new HeartbeatListener());
+    this.peers = new PeerMessenger(host, settings.members(), new PeerListener());
+    this.cancellations = new CancellationPropagation(loop, settings, peers);
+    this.leadership =
+        new LocalLeadership(newLeaderServices(), peers, users, admission, machineTypes);
+    users.onCancelled(this::cancellationLearnt);
+    if (links != null) {
+      peers.forwarding(links.transport());
+      workers.setRelay(links.transport()::commands);
+    }
+  }
+
+  private KeyValueStore newStateClient(
+      Settings settings, RequestSender calls, RequestSender watches) {
+    KeyValueStore client =
+        links == null
+            ? new KeyValueStore(loop, calls, watches)
+            : new KeyValueStore(loop, links.state(calls), links.state(watches));
+    client.setRetriesPerSecond(
+        Math.max(
+            MIN_STATE_RETRIES_PER_S, settings.stateRps() * STATE_RETRY_SHARE / settings.nodes()));
+    return client;
+  }
+
+  private CloudClient newCloudClient(Settings settings, RequestSender calls) {
+    return new CloudClient(
+        loop,
+        links == null ? calls : links.cloud(),
+        new RateLimiter(settings.cloudRps() * CLOUD_RATE_SHARE, settings.cloudRps(), loop.now()),
+        clusterConfig.types,
+        clusterConfig.zones);
+  }
+
+  private UserApi newUserApi(Settings settings) {
+    long now = loop.now();
+    double readRps =
+        Math.max(MIN_USER_READS_PER_S, settings.stateRps() * USER_READ_SHARE / settings.nodes());
+    double writeRps = settings.stateWriteRps() * USER_WRITE_SHARE;
+    return new UserApi(
+        loop,
+        state,
+        new RateLimiter(readRps, readRps, now),
+        readRps,
+        new RateLimiter(writeRps, settings.stateWriteRps() * USER_WRITE_BURST_SHARE, now),
+        new RateLimiter(writeRps / settings.nodes(), USER_FAIR_WRITE_BURST, now),
+        new JobChecks(),
+        settings.valueKb(),
+        CONDITIONS_PER_WRITE * settings.txnOps(),
+        (int) (settings.ramMb() * ENDED_JOBS_PER_MB));
+  }
+
+  private LeaderServices newLeaderServices() {
+    return new LeaderServices(
+        loop,
+        state,
+        cloud,
+        clusterConfig,
+        election,
+        workers,
+        users.folding(),
+        () -> links == null ? 0 : links.links().freshRows(loop.now()));
+  }
+
+  /**
+   * Learnt as a fact, from the state service or from a peer: the leader's tasks go at once, and the
+   * other controllers are told.
+   */
+  private void cancellationLearnt(String job) {
+    leadership.cancellationReceived(job);
+    cancellations.learnt(job, election.leader());
+  }
+
+  /** The leadership needs the election, so the election reaches it by this. */
+  private final class ElectionListener implements LeaderElection.Listener {
+    @Override
+    public void elected(long term, long version) {
+      leadership.elected(term, version);
+    }
+
+    @Override
+    public void deposed() {
+      leadership.deposed();
+    }
+  }
+
+  /** What the node knows of jobs besides their records. */
+  private final class JobChecks implements UserApi.Jobs {
+    @Override
+    public boolean admits() {
+      return admission.admits(loop.now());
+    }
+
+    @Override
+    public JobSpec check(JsonNode submission) throws InvalidMessageException {
+      return clusterConfig.codec.check(submission);
+    }
+
+    @Override
+    public boolean ready() {
+      return !clusterConfig.machineTypes().isEmpty();
+    }
+
+    @Override
+    public String hopeless(JobSpec spec) {
+      return clusterConfig.rejectionReason(spec);
+    }
+
+    @Override
+    public int[] counts(String id) {
+      Job job = leadership.isLeading() ? leadership.leader().job(id) : null;
+      return job == null ? null : new int[] {job.doneCount(), job.runningCount()};
+    }
+  }
+
+  private final class PeerListener implements PeerMessenger.Listener {
+    @Override
+    public void cancelled(List<String> jobs) {
+      cancellations.received(jobs, users::ended);
+    }
+
+    @Override
+    public void overloaded(long term) {
+      if (term >= election.seenTerm() || term == election.leaderTerm()) {
+        admission.overloaded(loop.now());
+      }
+    }
+
+    @Override
+    public void announced(String node, long term) {
+      election.announced(node, term);
+    }
+
+    @Override
+    public void relayed(String method, String path, byte[] body, Responder responder) {
+      users.serve(method, path, body, responder);
+    }
+  }
+
+  private final class HeartbeatListener implements HeartbeatApi.Handler {
+    @Override
+    public void onFencingToken(long fencingToken) {
+      election.sawTerm(fencingToken);
+    }
+
+    @Override
+    public boolean isLeader() {
+      return leadership.isLeading();
+    }
+
+    @Override
+    public String leaderName() {
+      String leader = election.leader();
+      return leader == null || leader.equals(clusterConfig.settings.node()) ? null : leader;
+    }
+
+    @Override
+    public boolean relayToLeader(IncomingRequest request, Heartbeat heartbeat, String leader) {
+      return links != null && links.forwardHeartbeat(request, heartbeat, leader);
+    }
+
+    @Override
+    public void onHeartbeat(Heartbeat heartbeat, HeartbeatResponder responder) {
+      if (links != null) {
+        links.heartbeatReceived(heartbeat, true);
+      }
+      leadership.leader().handleHeartbeat(heartbeat, -1, responder);
+    }
+  }
+}
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -21,174 +21,193 @@
 import org.mallowroad.state.KeyValueStore;
 
 /**
- * Makes pictures of this node for its console, on the loop and in turns: with a thousand machines
- * and hundreds of jobs the questions add up to more than a worker's answer should wait.
+ * Makes snapshots of this node for its console, in several turns of the event loop: with a thousand
+ * machines and hundreds of jobs the explanations take longer than a worker's answer should wait.
+ * Runs on the event loop only.
  */
 final class SnapshotPublisher {
-  /** Questions to the decision in one turn: about a millisecond of a whole core. */
-  private static final int TURN = 10_000;
+  /** Questions to the scheduler in one turn: about a millisecond of a whole core. */
+  private static final int QUESTIONS_PER_TURN = 10_000;
 
   private final EventLoop loop;
   private final ClusterConfig clusterConfig;
   private final KeyValueStore state;
   private final LeaderElection election;
-  private final Supplier<Leader> leader;
+  private final Supplier<Leader> localLeader;
   private final List<Consumer<NodeSnapshot>> waiting = new ArrayList<>();
-  private SnapshotBuilder sketch;
-  private Leader of;
-  private boolean making;
-  private long tookNs;
 
+  /** What is being built, with the term that it is built from; null between two snapshots. */
+  private SnapshotBuilder builder;
+
+  private Leader builderLeader;
+  private boolean isBuilding;
+  private long spentNanos;
+
+  /**
+   * For one node.
+   *
+   * @param localLeader the leader on this node, or null while it does not lead
+   */
   SnapshotPublisher(
       EventLoop loop,
       ClusterConfig clusterConfig,
       KeyValueStore state,
       LeaderElection election,
-      Supplier<Leader> leader) {
+      Supplier<Leader> localLeader) {
     this.loop = loop;
     this.clusterConfig = clusterConfig;
     this.state = state;
     this.election = election;
-    this.leader = leader;
+    this.localLeader = localLeader;
   }
 
-  /** Makes a picture, or joins those who wait for the one that is being made. */
-  void picture(Consumer<NodeSnapshot> done) {
+  /** Makes a snapshot, or joins those who wait for the one that is being made. */
+  void snapshot(Consumer<NodeSnapshot> done) {
     waiting.add(done);
-    if (!making) {
-      making = true;
-      turn(true);
+    if (!isBuilding) {
+      isBuilding = true;
+      continueBuilding(true);
     }
   }
 
   /** One job as it is now; with a null line when this node does not lead or does not know it. */
   JobSnapshot job(String id) {
-    Leader l = leader.get();
-    return l == null || !l.loaded()
-        ? new JobSnapshot(id, null, "", List.of(), 0)
-        : sketch(l).job(id, loop.now());
+    Leader leader = localLeader.get();
+    return leader == null || !leader.isServing()
+        ? unknownJob(id)
+        : newBuilder(leader).job(id, loop.now());
+  }
+
+  /** The snapshot of a job that this node does not know. */
+  static JobSnapshot unknownJob(String id) {
+    return new JobSnapshot(id, null, "", List.of(), 0);
   }
 
-  private void turn(boolean first) {
-    Leader l = leader.get();
-    long began = loop.nanos();
-    if (l == null || !l.loaded()) {
-      tookNs = 0;
-      over(plain(l, began));
+  private void continueBuilding(boolean isFirstTurn) {
+    Leader leader = localLeader.get();
+    long beganNanos = loop.nanos();
+    if (leader == null || !leader.isServing()) {
+      spentNanos = 0;
+      publish(withoutDetails(leader, beganNanos));
       return;
     }
-    NodeSnapshot made;
+    NodeSnapshot finished;
     try {
-      made = step(l, first, began);
+      finished = buildSome(leader, isFirstTurn, beganNanos);
     } catch (RuntimeException e) {
-      // Whoever waits gets what there is without explanations: a console that waits for an answer
-      // asks nothing more.
-      sketch = null;
-      over(plain(l, began));
+      // Whatever failed, those who wait get what there is without explanations: a console that
+      // waits for an answer asks nothing more.
+      builder = null;
+      publish(withoutDetails(leader, beganNanos));
       throw e;
     }
-    if (made == null) {
-      tookNs += loop.nanos() - began;
-      loop.soon(() -> turn(false));
+    if (finished == null) {
+      spentNanos += loop.nanos() - beganNanos;
+      loop.soon(() -> continueBuilding(false));
     } else {
-      over(made);
+      publish(finished);
     }
   }
 
-  /** One turn's questions; the picture when they were the last ones, else null. */
-  private NodeSnapshot step(Leader l, boolean first, long began) {
+  /** One turn's questions; the snapshot when they were the last ones, else null. */
+  private NodeSnapshot buildSome(Leader leader, boolean isFirstTurn, long beganNanos) {
     // A term that began meanwhile has other jobs.
-    if (first || l != of) {
-      of = l;
-      tookNs = 0;
-      sketch = sketch(l);
-      sketch.begin(loop.now());
+    if (isFirstTurn || leader != builderLeader) {
+      builderLeader = leader;
+      spentNanos = 0;
+      builder = newBuilder(leader);
+      builder.begin(loop.now());
     }
-    return sketch.step(TURN) ? full(l, began) : null;
+    return builder.step(QUESTIONS_PER_TURN) ? withDetails(leader, beganNanos) : null;
   }
 
-  private void over(NodeSnapshot p) {
-    making = false;
-    sketch = null;
-    of = null;
+  private void publish(NodeSnapshot snapshot) {
+    isBuilding = false;
+    builder = null;
+    builderLeader = null;
     List<Consumer<NodeSnapshot>> all = List.copyOf(waiting);
     waiting.clear();
-    all.forEach(c -> c.accept(p));
+    all.forEach(c -> c.accept(snapshot));
   }
 
-  private SnapshotBuilder sketch(Leader l) {
-    AutoscalerView supply = new LeaderSupply(l);
+  private SnapshotBuilder newBuilder(Leader leader) {
+    AutoscalerView autoscaler = new LeaderAutoscalerView(leader);
     return new SnapshotBuilder(
-        l.schedulerState(),
-        supply,
+        leader.schedulerState(),
+        autoscaler,
         clusterConfig.zones,
         new PendingReasonExplainer(
-            l.schedulerState(), l.placement(), supply, clusterConfig.zones, clusterConfig.classes));
+            leader.schedulerState(),
+            leader.taskScheduler(),
+            autoscaler,
+            clusterConfig.zones,
+            clusterConfig.classes));
   }
 
-  private NodeSnapshot full(Leader l, long began) {
-    List<TeamLine> teams = sketch.teams();
-    List<MachineLine> machines = sketch.machines();
-    Totals totals = sketch.totals(teams, machines);
-    return picture(
-        l.acting() ? Phase.LEADING : Phase.TAKING_OVER, l, began, totals, teams, machines);
+  private NodeSnapshot withDetails(Leader leader, long beganNanos) {
+    List<TeamLine> teams = builder.teams();
+    List<MachineLine> machines = builder.machines();
+    Totals totals = builder.totals(teams, machines);
+    Phase phase = leader.isActive() ? Phase.LEADING : Phase.TAKING_OVER;
+    return newSnapshot(phase, leader, beganNanos, totals, teams, machines);
   }
 
-  private NodeSnapshot plain(Leader l, long began) {
+  private NodeSnapshot withoutDetails(Leader leader, long beganNanos) {
     Phase phase =
-        l != null
+        leader != null
             ? Phase.TAKING_OVER
             : election.leader() == null ? Phase.NO_LEADER : Phase.FOLLOWING;
     Totals none = new Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-    return picture(phase, l, began, none, List.of(), List.of());
+    return newSnapshot(phase, leader, beganNanos, none, List.of(), List.of());
   }
 
-  private NodeSnapshot picture(
+  private NodeSnapshot newSnapshot(
       Phase phase,
-      Leader l,
-      long began,
+      Leader leader,
+      long beganNanos,
       Totals totals,
       List<TeamLine> teams,
       List<MachineLine> machines) {
-    boolean full = sketch != null;
+    boolean hasDetails = builder != null;
+    String node = clusterConfig.settings.node();
+    String remoteLeader = election.leader() == null ? "" : election.leader();
     long silentMs = loop.now() - state.health().lastContactMs();
     return new NodeSnapshot(
         NodeSnapshot.FORMAT,
-        clusterConfig.settings.node(),
+        node,
         phase,
-        l != null ? l.term() : election.seenTerm(),
-        l != null
-            ? clusterConfig.settings.node()
-            : election.leader() == null ? "" : election.leader(),
+        leader != null ? leader.term() : election.seenTerm(),
+        leader != null ? node : remoteLeader,
         loop.wallMs(),
-        (tookNs + loop.nanos() - began) / 1000,
-        l == null ? 0 : l.lagMs(),
+        (spentNanos + loop.nanos() - beganNanos) / 1000,
+        leader == null ? 0 : leader.loopLagMs(),
         state.health().lastContactMs() < 0 ? -1 : silentMs / 1000.0,
-        l != null && l.firm(),
+        leader != null && leader.isLeaseValid(),
         totals,
         teams,
-        full ? sketch.jobs() : List.of(),
-        full ? sketch.jobsLeftOut() : 0,
-        full ? sketch.zones() : List.of(),
+        hasDetails ? builder.jobs() : List.of(),
+        hasDetails ? builder.jobsLeftOut() : 0,
+        hasDetails ? builder.zones() : List.of(),
         machines,
-        full ? sketch.reasons() : List.of());
+        hasDetails ? builder.reasons() : List.of());
   }
 
-  private final class LeaderSupply implements AutoscalerView {
+  /** What explanations ask of the leader's autoscaling. */
+  private final class LeaderAutoscalerView implements AutoscalerView {
     private final Leader leader;
 
-    LeaderSupply(Leader leader) {
+    LeaderAutoscalerView(Leader leader) {
       this.leader = leader;
     }
 
     @Override
     public List<PendingMachines> coming(long now) {
-      return leader.fleet().coming(now);
+      return leader.provisioner().coming(now);
     }
 
     @Override
-    public long refusedSinceMs(MachineVariant v) {
-      return leader.fleet().refusedSinceMs(v);
+    public long refusedSinceMs(MachineVariant variant) {
+      return leader.provisioner().refusedSinceMs(variant);
     }
 
     @Override
@@ -198,7 +217,7 @@
 
     @Override
     public boolean firm() {
-      return leader.firm();
+      return leader.isLeaseValid();
     }
 
     @Override
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -108,7 +108,7 @@
   @Test
   void jobsAndMachinesThatAreOverLeaveNothingBehind() throws Exception {
     SchedulerState schedulerState =
-        new SchedulerState(1, 26, 4, clusterConfig.teams(), clusterConfig.zones);
+        new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
     TaskScheduler placement = new TaskScheduler(schedulerState);
     MachineType type = clusterConfig.type("t32");
     int n = 0;
@@ -149,7 +149,7 @@
         schedulerState.removeJob(job);
         schedulerState.machinesWithUnsentCommands().clear();
       }
-      clusterConfig.keepNames(schedulerState);
+      clusterConfig.forgetUnusedNames(schedulerState);
     }
     Map<String, Integer> tables = schedulerState.tableSizes();
     int classes = tables.remove("classes");
@@ -177,29 +177,30 @@
     // Classes that users make up do not pile up as measures of speed either.
     assertTrue(classes <= 256, classes + " classes");
     // 72,000 names were made up; a day's worth is there at the most between two looks.
-    assertTrue(clusterConfig.names() < ClusterConfig.MOST_NAMES, clusterConfig.names() + " names");
+    assertTrue(
+        clusterConfig.nameCount() < ClusterConfig.MAX_NAMES, clusterConfig.nameCount() + " names");
     assertTrue(clusterConfig.classes.find("named-in-settings") == 0);
     assertEquals(type.index(), clusterConfig.types.find("t32"));
   }
 
   @Test
   void submissionsThatAreOnlyJudgedLeaveNoName() throws Exception {
-    int before = clusterConfig.names();
+    int before = clusterConfig.nameCount();
     for (int n = 0; n < 1_000; n++) {
       clusterConfig.codec.check(submission(n));
     }
-    assertEquals(before, clusterConfig.names());
+    assertEquals(before, clusterConfig.nameCount());
   }
 
   @Test
   void aNameThatIsUsedKeepsItsIndexAndOthersAreGivenAgain() throws Exception {
     SchedulerState schedulerState =
-        new SchedulerState(1, 26, 4, clusterConfig.teams(), clusterConfig.zones);
+        new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
     Job kept = schedulerState.accept(clusterConfig.codec.decode(submission(7), 0), 5, 0, 0);
     for (int n = 100; n < 3_000; n++) {
       clusterConfig.codec.decode(submission(n), 0);
     }
-    clusterConfig.keepNames(schedulerState);
+    clusterConfig.forgetUnusedNames(schedulerState);
     assertEquals(kept.spec.image(), clusterConfig.images.find("image-7"));
     assertEquals(kept.spec.taskClass(), clusterConfig.classes.find("class-7"));
     assertTrue(kept.spec.types().get(clusterConfig.types.find("type-7")));
