--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -22,7 +22,7 @@
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.simulation.RecordedHistory;
 import org.mallowroad.simulation.RecordedHistory.Party;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -39,9 +39,6 @@
   private static final Pattern DIGITS = Pattern.compile("[0-9]+");
   private static final Map<String, Recording> RECORDINGS = new LinkedHashMap<>();
 
-  /** What of the constants of the records' keys is the name of a field of a value. */
-  private static final Set<String> FIELDS_OF_VALUES = Set.of(Records.UP_TO, Records.CHANGES);
-
   @BeforeAll
   static void playHistories() {
     RECORDINGS.put(OWN_RECORDS, record(11, false));
@@ -78,13 +75,12 @@
           .forEach(name -> kinds.add(kind(name.substring(name.indexOf(' ') + 1))));
     }
     Set<String> wanted = new TreeSet<>(Set.of(LeaderElection.LEADER, LeaderElection.TERM, "types"));
-    for (Field field : Records.class.getDeclaredFields()) {
+    for (Field field : RecordKeys.class.getDeclaredFields()) {
       if (Modifier.isStatic(field.getModifiers()) && field.getType() == String.class) {
         field.setAccessible(true);
         wanted.add((String) field.get(null));
       }
     }
-    wanted.removeAll(FIELDS_OF_VALUES);
     Set<String> missing = new TreeSet<>(wanted);
     missing.removeAll(kinds);
     assertEquals(Set.of(), missing, "no golden value of these records");
--- a/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -22,7 +22,11 @@
 import org.mallowroad.core.SharedAttemptRecord;
 import org.mallowroad.core.Team;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.state.Records;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.JobRecordCodec;
+import org.mallowroad.state.LeagueRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.RecordedAttempt;
 import org.mallowroad.wire.DependencyCodec;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.FoldCodec;
@@ -77,8 +81,12 @@
     }
 
     AttemptRecord restore(AttemptRecord attemptRecord, JsonNode run) {
-      schedulerState.restoreRecord(attemptRecord, 6, Records.done(run), run.path("high").asInt());
-      for (Records.Live live : Records.live(run)) {
+      schedulerState.restoreRecord(
+          attemptRecord,
+          6,
+          AttemptRecordCodec.doneTasks(run),
+          AttemptRecordCodec.highestAttemptNumber(run));
+      for (RecordedAttempt live : AttemptRecordCodec.unresolvedAttempts(run)) {
         MachineType type = machineTypes.get(live.type());
         Machine machine =
             schedulerState.registerMachine(
@@ -100,47 +108,52 @@
 
   private static List<Case> cases() {
     return List.of(
-        new Case(Records.open("job-000412"), RecordValuesGoldenTest::rewriteOpen),
-        new Case(Records.open("job-7"), RecordValuesGoldenTest::rewriteOpen),
-        new Case(Records.end("job-000412"), RecordValuesGoldenTest::rewriteEnd),
-        new Case(Records.end("job-7"), RecordValuesGoldenTest::rewriteEnd),
+        new Case(RecordKeys.openJob("job-000412"), RecordValuesGoldenTest::rewriteOpen),
+        new Case(RecordKeys.openJob("job-7"), RecordValuesGoldenTest::rewriteOpen),
+        new Case(RecordKeys.endedJob("job-000412"), RecordValuesGoldenTest::rewriteEnd),
+        new Case(RecordKeys.endedJob("job-7"), RecordValuesGoldenTest::rewriteEnd),
         new Case(
-            Records.RUN + "job-000412/0",
+            RecordKeys.ATTEMPTS + "job-000412/0",
             v -> {
               Deployment d = new Deployment();
-              return Records.runValue(d.restore(d.accept(SUBMISSION).attemptRecord(0), v), d.zones);
+              return AttemptRecordCodec.encode(
+                  d.restore(d.accept(SUBMISSION).attemptRecord(0), v), d.zones);
             }),
         new Case(
-            Records.RUN + "job-000412/2",
+            RecordKeys.ATTEMPTS + "job-000412/2",
             v -> {
               Deployment d = new Deployment();
-              return Records.runValue(d.restore(d.accept(SUBMISSION).attemptRecord(2), v), d.zones);
+              return AttemptRecordCodec.encode(
+                  d.restore(d.accept(SUBMISSION).attemptRecord(2), v), d.zones);
             }),
-        new Case(Records.STARTS + "1-7", RecordValuesGoldenTest::rewriteShared),
+        new Case(RecordKeys.SHARED_ATTEMPTS + "1-7", RecordValuesGoldenTest::rewriteShared),
         new Case(
-            Records.league("pnw-2026"),
+            RecordKeys.league("pnw-2026"),
             v ->
-                Records.leagueValue(
-                    v.get(Records.UP_TO).asLong(), v.get(Records.CHANGES).asLong())),
+                LeagueRecordCodec.encode(
+                    v.get(LeagueRecordCodec.UP_TO).asLong(),
+                    v.get(LeagueRecordCodec.CHANGES).asLong())),
         new Case(
-            Records.held("job-000412"),
+            RecordKeys.dependencies("job-000412"),
             v -> DependencyCodec.encodeRecord(DependencyCodec.decodeRecord(v))),
         new Case(
-            Records.held("job-7"),
+            RecordKeys.dependencies("job-7"),
             v -> DependencyCodec.encodeRecord(DependencyCodec.decodeRecord(v))),
         new Case(
-            Records.fold(new BlockKey("pnw-2026", 31)),
+            RecordKeys.foldBlock(new BlockKey("pnw-2026", 31)),
             v -> FoldCodec.encodeBlock(FoldCodec.decodeBlock(v))),
         new Case("types", RecordValuesGoldenTest::rewriteTypes));
   }
 
   private static JsonNode rewriteOpen(ObjectNode value) {
-    return Records.openValue((ObjectNode) value.get("job"), value.get("at").asLong());
+    return JobRecordCodec.encodeOpen((ObjectNode) value.get("job"), value.get("at").asLong());
   }
 
   private static JsonNode rewriteEnd(ObjectNode value) {
     boolean done = value.get("end").asText().equals(Fields.DONE);
-    return Records.endValue(done, value.path("tasks").asInt(), value.get("open"));
+    return done
+        ? JobRecordCodec.encodeDone(value.path("tasks").asInt())
+        : JobRecordCodec.encodeCancelled(value.get("open"));
   }
 
   private static JsonNode rewriteTypes(ObjectNode value) throws InvalidMessageException {
@@ -152,15 +165,15 @@
   private static JsonNode rewriteShared(ObjectNode value) throws InvalidMessageException {
     Deployment deployment = new Deployment();
     SharedAttemptRecord shared = deployment.schedulerState.sharedAttemptRecords().restore("1-7", 6);
-    assertEquals(Records.STARTS + "1-7", Records.starts(shared));
+    assertEquals(RecordKeys.SHARED_ATTEMPTS + "1-7", RecordKeys.sharedAttempts(shared));
     List<AttemptRecord> members = new ArrayList<>();
-    for (Map.Entry<String, JsonNode> run : Records.sharedRuns(value)) {
+    for (Map.Entry<String, JsonNode> run : AttemptRecordCodec.membersOfShared(value)) {
       String submission =
           SECOND_SUBMISSION.replace("job-7", run.getKey()).replace("\"moves\":4", "\"moves\":9");
       members.add(
           deployment.restore(deployment.accept(submission).attemptRecord(0), run.getValue()));
     }
-    return Records.sharedValue(members, deployment.zones);
+    return AttemptRecordCodec.encodeShared(members, deployment.zones);
   }
 
   @TestFactory
@@ -187,15 +200,15 @@
   void aSubmissionIsRecordedWithItsKnownFieldsInTheirOrder() throws InvalidMessageException {
     ObjectNode submission = Json.parseObject(SUBMISSION.getBytes(StandardCharsets.UTF_8));
     assertEquals(
-        VALUES.entries().get(Records.open("job-000412")),
-        Json.text(Records.openValue(submission, 1_800_000_000_123L)));
+        VALUES.entries().get(RecordKeys.openJob("job-000412")),
+        Json.text(JobRecordCodec.encodeOpen(submission, 1_800_000_000_123L)));
   }
 
   @Test
   void keysOfBlocksAreReadAndWrittenAgain() {
-    assertEquals("fold/pnw-2026/0000031", Records.fold(new BlockKey("pnw-2026", 31)));
-    assertEquals(new BlockKey("pnw-2026", 31), Records.block("fold/pnw-2026/0000031"));
-    assertEquals("intent/job-7", Records.intent("job-7"));
-    assertEquals("release/job-7", Records.release("job-7"));
+    assertEquals("fold/pnw-2026/0000031", RecordKeys.foldBlock(new BlockKey("pnw-2026", 31)));
+    assertEquals(new BlockKey("pnw-2026", 31), RecordKeys.blockOfKey("fold/pnw-2026/0000031"));
+    assertEquals("intent/job-7", RecordKeys.foldIntent("job-7"));
+    assertEquals("release/job-7", RecordKeys.release("job-7"));
   }
 }
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -19,6 +19,7 @@
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.net.RequestSender;
 import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.CloudCodec;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.JobCodec;
@@ -105,30 +106,30 @@
     recorder.at("list");
     store.list("open/", (result, items, revision) -> {});
     recorder.at("first of a range");
-    store.range("end/", null, 50, (result, items, revision) -> {});
+    store.listPage("end/", null, 50, (result, items, revision) -> {});
     recorder.at("rest of a range");
-    store.range("fold/", "fold/a b&c/0000031", 50, (result, items, revision) -> {});
+    store.listPage("fold/", "fold/a b&c/0000031", 50, (result, items, revision) -> {});
     recorder.at("lease");
-    store.lease(3_000, (result, lease) -> {});
+    store.grantLease(3_000, (result, lease) -> {});
     recorder.at("renewal");
-    store.extend(7, 900, (result, lease) -> {});
+    store.renewLease(7, 900, (result, lease) -> {});
     recorder.at("end of a lease");
-    store.release(7);
+    store.releaseLease(7);
     recorder.at("watch");
-    store.follow("hold/", 431, 10_000, (result, events, revision) -> {});
+    store.watch("hold/", 431, 10_000, (result, events, revision) -> {});
     recorder.at("transaction");
-    store.run(transaction(), (result, revision, failed) -> {});
+    store.compareAndSwap(transaction(), (result, revision, failed) -> {});
     recorder.at("repeated transaction");
-    store.runRepeated(transaction(), () -> {}, (result, revision, failed) -> {});
+    store.compareAndSwapWithRetry(transaction(), () -> {}, (result, revision, failed) -> {});
     recorder.at("empty transaction");
-    store.run(new KeyValueStore.Transaction(), (result, revision, failed) -> {});
+    store.compareAndSwap(new Transaction(), (result, revision, failed) -> {});
     new GoldenFile("state-requests.txt").check(recorder.requests);
   }
 
-  private static KeyValueStore.Transaction transaction() {
-    return new KeyValueStore.Transaction()
-        .given("a/b", 0)
-        .given("leader", 412)
+  private static Transaction transaction() {
+    return new Transaction()
+        .requireVersion("a/b", 0)
+        .requireVersion("leader", 412)
         .put("a/b", Json.object().put("number", 1.5))
         .put("leader", Json.object().put("text", "\u00e9\""), 7)
         .delete("c/d");
