--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
+import org.mallowroad.controller.persistence.RecordDecodingContext;
 import org.mallowroad.controller.provisioning.MachineTypeCatalog;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.MachineType;
@@ -21,7 +22,7 @@
  * #forgetUnusedNames} gives the indices of unused ones to others. Confined to the event loop,
  * except the settings, which do not change.
  */
-public final class ClusterConfig implements MachineTypeCatalog {
+public final class ClusterConfig implements MachineTypeCatalog, RecordDecodingContext {
   /** With more names than this, those that nothing uses any more are forgotten. */
   static final int MAX_NAMES = 2_000;
 
@@ -85,11 +86,13 @@
   }
 
   /** Decodes submissions. */
+  @Override
   public JobCodec codec() {
     return codec;
   }
 
   /** The zones, as the indices that machines and attempts carry. */
+  @Override
   public NameIndex zones() {
     return zones;
   }
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.core.AttemptRecord;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
@@ -55,7 +54,7 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final ClusterConfig clusterConfig;
+  private final RecordDecodingContext decodingContext;
   private final SchedulerState schedulerState;
   private final WriteBehindCommitter committer;
   private final CancellationView view;
@@ -84,14 +83,14 @@
   public StateLoader(
       EventLoop loop,
       KeyValueStore state,
-      ClusterConfig clusterConfig,
+      RecordDecodingContext decodingContext,
       SchedulerState schedulerState,
       WriteBehindCommitter committer,
       CancellationView view,
       Listener listener) {
     this.loop = loop;
     this.state = state;
-    this.clusterConfig = clusterConfig;
+    this.decodingContext = decodingContext;
     this.schedulerState = schedulerState;
     this.committer = committer;
     this.view = view;
@@ -108,7 +107,7 @@
     if (stopped) {
       return;
     }
-    if (clusterConfig.machineTypes().isEmpty()) {
+    if (decodingContext.machineTypes().isEmpty()) {
       loop.after(100, this::begin);
       return;
     }
@@ -292,7 +291,7 @@
         if (v != null && !v.has("open")) {
           done.add(id);
         } else if (v != null) {
-          JobSpec spec = JobRecordCodec.decodeOpen(v.get("open"), clusterConfig.codec());
+          JobSpec spec = JobRecordCodec.decodeOpen(v.get("open"), decodingContext.codec());
           if (spec.team() >= 0) {
             schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
           }
@@ -334,8 +333,8 @@
     schedulerState.restoreRecord(
         c, version, AttemptRecordCodec.doneTasks(v), AttemptRecordCodec.highestAttemptNumber(v));
     for (RecordedAttempt a : AttemptRecordCodec.unresolvedAttempts(v)) {
-      MachineType type = clusterConfig.type(a.type());
-      int zone = clusterConfig.zones().find(a.zone());
+      MachineType type = decodingContext.type(a.type());
+      int zone = decodingContext.zones().find(a.zone());
       if (type == null || zone < 0) {
         LOG.error("event=record_unreadable key={} machine={}", key, a.machine());
         continue;
@@ -350,7 +349,7 @@
 
   private void opened(VersionedValue i) {
     try {
-      JobSpec spec = JobRecordCodec.decodeOpen(i.value(), clusterConfig.codec());
+      JobSpec spec = JobRecordCodec.decodeOpen(i.value(), decodingContext.codec());
       if (spec.team() < 0) {
         LOG.error("event=team_unknown job={}", spec.id());
         return;
