--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -3,258 +3,279 @@
 import it.unimi.dsi.fastutil.objects.ObjectOpenHashSet;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.OutboundReachability;
+import org.mallowroad.core.image.ImageDistribution;
 
 /**
- * What one machine's worker says, what it proves, and what it is told. Frees attempts by nothing
- * but the proofs in the class comment of {@link SchedulerState}.
+ * Compares a worker's heartbeats with the attempts that the leader knows, and answers with the
+ * commands that bring the two together. It resolves attempts by nothing but the proofs in the class
+ * comment of {@link AttemptTracker}.
  *
- * <p>A launch that was sent straight to a worker may be executed late, or once more after it was
- * answered: messages are held, and copies of old ones come. While the worker remembers the attempt
- * that does nothing; once it is cleared, it would start again. So an attempt that was launched that
- * way is cleared only in a message with a higher token than its launch had: the worker has that
- * token when it forgets the attempt, and refuses the launch from then on. For this the leader
- * raises the token of that one worker, within its term's block of tokens, at most once in {@link
- * #TOKEN_RAISE_DELAY_MS} or for {@link #TOKEN_RAISE_EXITS} exits.
+ * <p><b>Why a clear command may have to wait.</b> A launch that was sent straight to a worker may
+ * be executed late, or once more after it was answered: messages are delayed, and duplicates of old
+ * ones come. While the worker remembers the attempt that does nothing; once it is cleared, it would
+ * start again. So an attempt that was launched that way is cleared only in a message with a higher
+ * fencing token than its launch had: the worker has that token when it forgets the attempt, and
+ * refuses the launch from then on. For this the leader raises the token of that one worker, within
+ * its term's block of tokens, at most once in {@link #TOKEN_RAISE_DELAY_MS} or for {@link
+ * #TOKEN_RAISE_EXITS} exits.
  */
 public final class HeartbeatReconciler {
+  /**
+   * An unwanted attempt whose launch is in flight for so long is ended by its machine's deletion.
+   */
   private static final long DELETE_TO_FENCE_AFTER_MS = 8_000;
 
-  /** Exits may wait so long for a higher token; a worker reports once more for each one. */
+  /** Exits may wait so long for a higher token; a worker sends one more heartbeat for each one. */
   static final long TOKEN_RAISE_DELAY_MS = 10_000;
 
-  /** No more exits than this wait: reports must stay small. */
+  /** No more exits than this wait for a higher token: heartbeats must stay small. */
   static final int TOKEN_RAISE_EXITS = 16;
 
-  private final SchedulerState schedulerState;
-  private final Map<String, Job> jobs;
+  private final TermTiming timing;
+  private final AttemptTracker attempts;
+  private final JobRegistry jobs;
   private final FleetHealth health;
-  private final long term;
-  private final long heartbeatOverdueMs;
-  private final long leaseMs;
+  private final ImageDistribution imageDistribution;
 
   HeartbeatReconciler(
-      SchedulerState schedulerState,
-      Map<String, Job> jobs,
+      TermTiming timing,
+      AttemptTracker attempts,
+      JobRegistry jobs,
       FleetHealth health,
-      long term,
-      long freshMs,
-      long leaseMs) {
-    this.schedulerState = schedulerState;
+      ImageDistribution imageDistribution) {
+    this.timing = timing;
+    this.attempts = attempts;
     this.jobs = jobs;
     this.health = health;
-    this.term = term;
-    this.heartbeatOverdueMs = freshMs;
-    this.leaseMs = leaseMs;
+    this.imageDistribution = imageDistribution;
   }
 
   /**
-   * Takes a worker's report and answers with the orders for it.
+   * Takes a worker's heartbeat and answers with the commands for it.
    *
-   * @param mayLaunch false while the leader cannot reach the state service
+   * @param mayLaunch false while the leader cannot reach the state service, and for a heartbeat
+   *     that answers direct commands, to which no response is sent
    * @return null when the message is older than one seen before and must be ignored
    */
-  public List<WorkerCommand> reconcile(Machine m, Heartbeat r, boolean mayLaunch, long now) {
-    if (r.incarnation() < m.incarnation
-        || (r.incarnation() == m.incarnation && r.sequence() <= m.sequence)) {
+  public List<WorkerCommand> reconcile(
+      Machine machine, Heartbeat heartbeat, boolean mayLaunch, long now) {
+    if (isOutdated(machine, heartbeat)) {
       return null;
     }
-    recordDeliveryEvidence(m, r, mayLaunch, now);
-    if (r.incarnation() > m.incarnation) {
-      schedulerState.imageDistribution().lost(m); // Its cache may be empty.
-      m.unfencedLaunches.clear(); // Orders for an earlier session are not executed any more.
-      m.exitsUnclearedSinceMs = -1;
-    } else {
-      dropFencedLaunches(m, r.fencingToken());
+    recordDeliveryEvidence(machine, heartbeat, mayLaunch, now);
+    applySession(machine, heartbeat, now);
+    applyMachineStatus(machine, heartbeat, now);
+    raiseFencingToken(machine, heartbeat, now);
+    List<WorkerCommand> commands = new ArrayList<>();
+    ObjectOpenHashSet<Attempt> listed = applyEntries(machine, heartbeat, now, commands);
+    boolean launchMissed = applyUnlisted(machine, heartbeat, listed, mayLaunch, now, commands);
+    // Heartbeats that answer direct commands come many to one response, which may still be on its
+    // way: they do not show that it was lost.
+    if (launchMissed && mayLaunch) {
+      machine.health.outboundReachability().recordUnacknowledged(now);
     }
-    // Not only when the session is news: a takeover may have read records of two sessions, and the
-    // earlier one's attempts would stay for ever (docs/incidents, stuck-of-an-earlier-session).
-    for (Attempt a : new ArrayList<>(m.attempts)) {
-      if (a.incarnation < r.incarnation()) {
-        a.launchInFlight = false;
-        schedulerState.resolve(a, AttemptOutcome.LOST, now);
+    machine.lastResponseToken = machine.fencingToken;
+    return commands;
+  }
+
+  /** True for a duplicate, and for a heartbeat that a newer one has overtaken. */
+  private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
+    return heartbeat.incarnation() < machine.incarnation
+        || (heartbeat.incarnation() == machine.incarnation
+            && heartbeat.sequence() <= machine.sequence);
+  }
+
+  /** What the heartbeat shows of the responses before it; call before it is applied. */
+  private void recordDeliveryEvidence(
+      Machine machine, Heartbeat heartbeat, boolean mayLaunch, long now) {
+    OutboundReachability reachability = machine.health.outboundReachability();
+    if (machine.lastResponseToken > 0 && heartbeat.fencingToken() < machine.lastResponseToken) {
+      if (mayLaunch) {
+        reachability.recordUnacknowledged(now);
       }
+    } else if (machine.lastResponseToken > machine.highestTokenSeen
+        && machine.lastResponseToken > 0) {
+      reachability.recordAcknowledged();
     }
-    m.incarnation = r.incarnation();
-    m.sequence = r.sequence();
-    m.highestTokenSeen = Math.max(m.highestTokenSeen, r.fencingToken());
-    if (m.health.isOverdue() && m.isEmpty()) {
-      m.idleSinceMs = now; // Nobody could use it meanwhile: it is not idle for long.
-    }
-    // A report that waited while this process stood still is as old as the standstill.
-    m.lastHeartbeatMs = health.recordHeartbeat(m.health, now);
-    m.address = r.address();
-    m.servesImages = r.servesImages();
-    if (r.interruptionNoticeS() >= 0) {
-      m.interruptionMs = now + (long) (r.interruptionNoticeS() * 1000);
-      m.interruptionNoticeMs = m.interruptionNoticeMs == 0 ? now : m.interruptionNoticeMs;
-      m.draining = true;
+    // A duplicate or a hung machine does not look like this: each heartbeat that was counted was
+    // answered, and a machine that hangs sends none.
+    if (machine.incarnation > 0
+        && heartbeat.incarnation() > machine.incarnation
+        && machine.lastHeartbeatMs >= 0
+        && now - machine.lastHeartbeatMs < timing.leaseMs() / 2) {
+      reachability.recordIncarnationLost(now);
     }
-    List<WorkerCommand> commands = new ArrayList<>();
-    raiseFencingToken(m, r, now);
-    ObjectOpenHashSet<Attempt> listed = new ObjectOpenHashSet<>();
-    for (Heartbeat.Entry e : r.entries()) {
-      Job job = jobs.get(e.job());
-      Attempt a = null;
-      if (job != null && e.task() >= 0 && e.task() < job.spec.tasks()) {
-        a = job.liveAttempts[e.task()];
-        if (a != null
-            && (a.number != e.attempt() || a.machine != m || a.incarnation != r.incarnation())) {
-          a = null;
-        }
-      }
-      if (a == null) {
-        answerUnknownAttempt(m, e, job, now, commands);
-      } else {
-        if (a.launchInHeartbeatResponse && a.phase == Attempt.Phase.COMMITTED) {
-          m.health.outboundReachability().recordAcknowledged();
-        }
-        listed.add(a);
-        applyTaskStatus(a, e, now, commands);
-      }
+  }
+
+  /** Takes the worker's session and token, and ends what they prove to be over. */
+  private void applySession(Machine machine, Heartbeat heartbeat, long now) {
+    if (heartbeat.incarnation() > machine.incarnation) {
+      imageDistribution.lost(machine); // Its cache may be empty.
+      machine.unfencedLaunches.clear(); // A later session does not execute them any more.
+      machine.exitsUnclearedSinceMs = -1;
+    } else {
+      dropFencedLaunches(machine, heartbeat.fencingToken());
     }
-    boolean unheeded = false;
-    for (Attempt a : new ArrayList<>(m.attempts)) {
-      if (a.incarnation != r.incarnation() || listed.contains(a)) {
-        continue;
-      }
-      unheeded |= a.launchInHeartbeatResponse && a.phase == Attempt.Phase.COMMITTED;
-      boolean fresh = r.fencingToken() >= term;
-      if (a.phase == Attempt.Phase.COMMITTED) {
-        if (a.isStopping()) {
-          // Launches travel in report responses only, so a newer report of a worker that obeys
-          // this term and does not list the attempt proves that it never started.
-          // A launch sent straight to the worker may still come.
-          if (fresh && !a.launchInFlight) {
-            schedulerState.resolve(a, AttemptOutcome.LOST, now);
-          }
-        } else if (mayLaunch) {
-          a.launchSent = true;
-          a.launchInHeartbeatResponse = true;
-          commands.add(launchCommand(a));
-        }
-      } else if (a.phase != Attempt.Phase.RECORDING && fresh && !a.launchInFlight) {
-        schedulerState.resolve(a, AttemptOutcome.LOST, now);
+    // Not only when the session is news: a failover may have read records of two sessions, and the
+    // earlier one's attempts would stay for ever (docs/incidents, stuck-of-an-earlier-session).
+    for (Attempt attempt : new ArrayList<>(machine.attempts)) {
+      if (attempt.incarnation < heartbeat.incarnation()) {
+        attempt.launchInFlight = false;
+        attempts.resolve(attempt, AttemptOutcome.LOST, now);
       }
     }
-    // Reports that answer direct orders come many to one answer, which may still be on its way.
-    if (unheeded && mayLaunch) {
-      m.health.outboundReachability().recordUnacknowledged(now);
-    }
-    m.lastResponseToken = m.fencingToken;
-    return commands;
+    machine.incarnation = heartbeat.incarnation();
+    machine.sequence = heartbeat.sequence();
+    machine.highestTokenSeen = Math.max(machine.highestTokenSeen, heartbeat.fencingToken());
   }
 
-  /** What the report shows of the answers before it; call before it is taken. */
-  private void recordDeliveryEvidence(Machine m, Heartbeat r, boolean ordinary, long now) {
-    OutboundReachability outbound = m.health.outboundReachability();
-    if (m.lastResponseToken > 0 && r.fencingToken() < m.lastResponseToken) {
-      if (ordinary) {
-        outbound.recordUnacknowledged(now);
-      }
-    } else if (m.lastResponseToken > m.highestTokenSeen && m.lastResponseToken > 0) {
-      outbound.recordAcknowledged();
+  /** The worker refuses launches with a lower token than it has seen from now on. */
+  private static void dropFencedLaunches(Machine machine, long tokenSeen) {
+    if (machine.unfencedLaunches.isEmpty()) {
+      return;
     }
-    // A copy or a hung machine does not look like this: each report that was counted was answered,
-    // and a machine that hangs sends none.
-    if (m.incarnation > 0
-        && r.incarnation() > m.incarnation
-        && m.lastHeartbeatMs >= 0
-        && now - m.lastHeartbeatMs < leaseMs / 2) {
-      outbound.recordIncarnationLost(now);
+    machine.unfencedLaunches.values().removeIf(token -> token < tokenSeen);
+    for (Attempt attempt : machine.attempts) {
+      if (attempt.launchInFlight && attempt.launchToken < tokenSeen) {
+        attempt.launchInFlight = false;
+      }
     }
   }
 
-  /** Launches with a lower token than the worker has seen are refused from now on. */
-  private static void dropFencedLaunches(Machine m, long seen) {
-    if (m.unfencedLaunches.isEmpty()) {
-      return;
+  private void applyMachineStatus(Machine machine, Heartbeat heartbeat, long now) {
+    if (machine.health.isOverdue() && machine.isEmpty()) {
+      machine.idleSinceMs = now; // Nothing could use it meanwhile: it has not been idle for long.
     }
-    m.unfencedLaunches.values().removeIf(t -> t < seen);
-    for (Attempt a : m.attempts) {
-      if (a.launchInFlight && a.launchToken < seen) {
-        a.launchInFlight = false;
+    // A heartbeat that waited while this process was paused is as old as the pause.
+    machine.lastHeartbeatMs = health.recordHeartbeat(machine.health, now);
+    machine.address = heartbeat.address();
+    machine.servesImages = heartbeat.servesImages();
+    if (heartbeat.interruptionNoticeS() >= 0) {
+      machine.interruptionMs = now + (long) (heartbeat.interruptionNoticeS() * 1000);
+      if (machine.interruptionNoticeMs == 0) {
+        machine.interruptionNoticeMs = now;
       }
+      machine.draining = true;
     }
   }
 
   /** Raises the worker's token when exits have waited long enough for it, or a fence is due. */
-  private void raiseFencingToken(Machine m, Heartbeat r, long now) {
-    boolean due =
-        m.exitsUnclearedSinceMs >= 0 && now - m.exitsUnclearedSinceMs >= TOKEN_RAISE_DELAY_MS;
-    if (!due && m.exitsUnclearedSinceMs >= 0) {
-      int exited = 0;
-      for (Heartbeat.Entry e : r.entries()) {
-        exited += e.state() == Heartbeat.State.EXITED ? 1 : 0;
-      }
-      due = exited >= TOKEN_RAISE_EXITS;
+  private void raiseFencingToken(Machine machine, Heartbeat heartbeat, long now) {
+    boolean due = exitsNeedHigherToken(machine, heartbeat, now);
+    for (Attempt attempt : machine.attempts) {
+      due |=
+          attempt.launchInFlight
+              && attempt.isStopping()
+              && attempt.launchToken == machine.fencingToken;
     }
-    for (Attempt a : m.attempts) {
-      due |= a.launchInFlight && a.isStopping() && a.launchToken == m.fencingToken;
+    due |= machine.health.outboundReachability().takeProbe(now);
+    // The last token of the block is never raised: then launches go in responses only.
+    if (due && machine.fencingToken < FencingTokens.last(timing.term())) {
+      machine.fencingToken++;
+      machine.exitsUnclearedSinceMs = -1;
     }
-    due |= m.health.outboundReachability().takeProbe(now);
-    // The last token of the block is never raised: then launches go in answers only (direct).
-    if (due && m.fencingToken < FencingTokens.last(term)) {
-      m.fencingToken++;
-      m.exitsUnclearedSinceMs = -1;
+  }
+
+  private static boolean exitsNeedHigherToken(Machine machine, Heartbeat heartbeat, long now) {
+    if (machine.exitsUnclearedSinceMs < 0) {
+      return false;
     }
+    if (now - machine.exitsUnclearedSinceMs >= TOKEN_RAISE_DELAY_MS) {
+      return true;
+    }
+    int exited = 0;
+    for (Heartbeat.Entry entry : heartbeat.entries()) {
+      exited += entry.state() == Heartbeat.State.EXITED ? 1 : 0;
+    }
+    return exited >= TOKEN_RAISE_EXITS;
   }
 
-  private void answerUnknownAttempt(
-      Machine m, Heartbeat.Entry e, Job job, long now, List<WorkerCommand> commands) {
-    if (e.state() != Heartbeat.State.EXITED) {
-      commands.add(new WorkerCommand(WorkerCommand.Kind.STOP, e.job(), e.task(), e.attempt(), 0));
-      return;
+  /** Applies what the worker says of each of its tasks; returns the attempts that it lists. */
+  private ObjectOpenHashSet<Attempt> applyEntries(
+      Machine machine, Heartbeat heartbeat, long now, List<WorkerCommand> commands) {
+    ObjectOpenHashSet<Attempt> listed = new ObjectOpenHashSet<>();
+    for (Heartbeat.Entry entry : heartbeat.entries()) {
+      Job job = jobs.get(entry.job());
+      boolean hasTask = job != null && entry.task() >= 0 && entry.task() < job.spec.tasks();
+      Attempt attempt = hasTask ? job.liveAttempts[entry.task()] : null;
+      if (attempt == null
+          || attempt.number != entry.attempt()
+          || attempt.machine != machine
+          || attempt.incarnation != heartbeat.incarnation()) {
+        answerUnknownAttempt(machine, entry, hasTask ? job : null, now, commands);
+        continue;
+      }
+      if (attempt.launchInHeartbeatResponse && attempt.phase == Attempt.Phase.COMMITTED) {
+        machine.health.outboundReachability().recordAcknowledged();
+      }
+      listed.add(attempt);
+      applyTaskStatus(attempt, entry, now, commands);
     }
-    boolean uncommitted =
-        job != null
-            && e.task() >= 0
-            && e.task() < job.spec.tasks()
-            && job.attemptRecords[e.task() / AttemptRecord.TASKS_PER_RECORD].dirty;
-    if (uncommitted) {
+    return listed;
+  }
+
+  /**
+   * Answers an entry that is no live attempt: what runs is stopped, what exited is cleared once its
+   * exit is committed and no launch of it can start it again.
+   *
+   * @param job the entry's job when it has such a task, else null
+   */
+  private static void answerUnknownAttempt(
+      Machine machine, Heartbeat.Entry entry, Job job, long now, List<WorkerCommand> commands) {
+    if (entry.state() != Heartbeat.State.EXITED) {
+      commands.add(command(WorkerCommand.Kind.STOP, entry));
       return;
     }
-    if (m.unfencedLaunches.getLong(Attempt.key(e.job(), e.task(), e.attempt())) >= m.fencingToken) {
-      m.exitsUnclearedSinceMs = m.exitsUnclearedSinceMs < 0 ? now : m.exitsUnclearedSinceMs;
-    } else {
-      commands.add(new WorkerCommand(WorkerCommand.Kind.CLEAR, e.job(), e.task(), e.attempt(), 0));
+    if (job != null && job.attemptRecordOf(entry.task()).dirty) {
+      return; // Its exit is not committed yet, as far as is known.
+    }
+    long launchToken =
+        machine.unfencedLaunches.getLong(Attempt.key(entry.job(), entry.task(), entry.attempt()));
+    if (launchToken < machine.fencingToken) {
+      commands.add(command(WorkerCommand.Kind.CLEAR, entry));
+    } else if (machine.exitsUnclearedSinceMs < 0) {
+      machine.exitsUnclearedSinceMs = now;
     }
   }
 
+  /** Takes what the worker says of a live attempt. */
   private void applyTaskStatus(
-      Attempt a, Heartbeat.Entry e, long now, List<WorkerCommand> commands) {
-    boolean ran = a.phase == Attempt.Phase.RUNNING || a.phase == Attempt.Phase.FLUSHING;
-    switch (e.state()) {
+      Attempt attempt, Heartbeat.Entry entry, long now, List<WorkerCommand> commands) {
+    switch (entry.state()) {
       case PULLING -> {
-        if (a.restoredFromRecord && a.phase == Attempt.Phase.COMMITTED) {
-          schedulerState.imageDistribution().found(a, now);
-        }
-        a.phase = Attempt.Phase.PULLING;
-      }
-      case RUNNING, FLUSHING -> {
-        if (!ran) {
-          a.job.runningCount++;
-          a.runningSinceMs = now;
-          a.machine.recordImageUse(a.job.spec.image(), a.job.spec.imageGb());
-          schedulerState.imageDistribution().runs(a);
+        if (attempt.restoredFromRecord && attempt.phase == Attempt.Phase.COMMITTED) {
+          imageDistribution.found(attempt, now);
         }
-        a.phase =
-            e.state() == Heartbeat.State.RUNNING ? Attempt.Phase.RUNNING : Attempt.Phase.FLUSHING;
+        attempt.phase = Attempt.Phase.PULLING;
       }
+      case RUNNING -> applyRunning(attempt, Attempt.Phase.RUNNING, now);
+      case FLUSHING -> applyRunning(attempt, Attempt.Phase.FLUSHING, now);
       case EXITED -> {
-        schedulerState.resolve(a, outcome(e.exitReason()), now);
+        attempts.resolve(attempt, outcome(entry.exitReason()), now);
         return;
       }
     }
-    if (a.isStopping() && (a.phase != Attempt.Phase.FLUSHING || a.stopGraceS == 0)) {
-      commands.add(workerCommand(WorkerCommand.Kind.STOP, a, a.stopGraceS));
+    if (attempt.isStopping()
+        && (attempt.phase != Attempt.Phase.FLUSHING || attempt.stopGraceS == 0)) {
+      commands.add(stopCommand(attempt));
     }
   }
 
-  private static AttemptOutcome outcome(String why) {
-    return switch (why == null ? "" : why) {
+  private void applyRunning(Attempt attempt, Attempt.Phase phase, long now) {
+    if (attempt.phase != Attempt.Phase.RUNNING && attempt.phase != Attempt.Phase.FLUSHING) {
+      JobSpec spec = attempt.job.spec;
+      attempt.job.runningCount++;
+      attempt.runningSinceMs = now;
+      attempt.machine.recordImageUse(spec.image(), spec.imageGb());
+      imageDistribution.runs(attempt);
+    }
+    attempt.phase = phase;
+  }
+
+  private static AttemptOutcome outcome(String exitReason) {
+    return switch (exitReason == null ? "" : exitReason) {
       case "done" -> AttemptOutcome.COMPLETED;
       // A gang's task gives up without its peers; it is not at fault.
       case "stopped", "peers", "incomplete" -> AttemptOutcome.STOPPED;
@@ -265,65 +286,122 @@
   }
 
   /**
-   * A launch as the attempt's worker is to have it: one that can take an image is told from whom.
+   * Launches the attempts of the worker's session that it does not list, or resolves them where
+   * that proves them gone.
+   *
+   * @return true when an earlier response carried the launch of one of them
    */
-  public WorkerCommand launchCommand(Attempt a) {
+  private boolean applyUnlisted(
+      Machine machine,
+      Heartbeat heartbeat,
+      ObjectOpenHashSet<Attempt> listed,
+      boolean mayLaunch,
+      long now,
+      List<WorkerCommand> commands) {
+    boolean obeysThisTerm = heartbeat.fencingToken() >= timing.term();
+    boolean launchMissed = false;
+    for (Attempt attempt : new ArrayList<>(machine.attempts)) {
+      if (attempt.incarnation != heartbeat.incarnation() || listed.contains(attempt)) {
+        continue;
+      }
+      boolean committed = attempt.phase == Attempt.Phase.COMMITTED;
+      launchMissed |= attempt.launchInHeartbeatResponse && committed;
+      if (committed && !attempt.isStopping()) {
+        if (mayLaunch) {
+          attempt.launchSent = true;
+          attempt.launchInHeartbeatResponse = true;
+          commands.add(launchCommand(attempt));
+        }
+      } else if (attempt.phase != Attempt.Phase.RECORDING
+          && obeysThisTerm
+          && !attempt.launchInFlight) {
+        // Responses carry launches too. So a newer heartbeat of a worker that obeys this term and
+        // does not list the attempt proves that it has ended, or never started; but a launch that
+        // was sent straight to the worker may still come.
+        attempts.resolve(attempt, AttemptOutcome.LOST, now);
+      }
+    }
+    return launchMissed;
+  }
+
+  /** A launch as its worker is to have it: one that can fetch images from others is told whom. */
+  public WorkerCommand launchCommand(Attempt attempt) {
     List<String> imageSources =
-        a.machine.servesImages ? schedulerState.imageDistribution().imageSources(a) : List.of();
+        attempt.machine.servesImages ? imageDistribution.imageSources(attempt) : List.of();
+    return new WorkerCommand(
+        WorkerCommand.Kind.LAUNCH,
+        attempt.job.spec.id(),
+        attempt.task,
+        attempt.number,
+        0,
+        imageSources);
+  }
+
+  private static WorkerCommand stopCommand(Attempt attempt) {
     return new WorkerCommand(
-        WorkerCommand.Kind.LAUNCH, a.job.spec.id(), a.task, a.number, 0, imageSources);
+        WorkerCommand.Kind.STOP,
+        attempt.job.spec.id(),
+        attempt.task,
+        attempt.number,
+        attempt.stopGraceS);
   }
 
-  private static WorkerCommand workerCommand(WorkerCommand.Kind kind, Attempt a, double graceS) {
-    return new WorkerCommand(kind, a.job.spec.id(), a.task, a.number, graceS);
+  private static WorkerCommand command(WorkerCommand.Kind kind, Heartbeat.Entry entry) {
+    return new WorkerCommand(kind, entry.job(), entry.task(), entry.attempt(), 0);
   }
 
   /**
-   * Orders to be sent straight to the worker now: launches that no message has carried yet, and
+   * Commands to be sent straight to the worker now: launches that no message has carried yet, and
    * stops. Launches count as in flight until {@link #directCommandsAnswered}.
    */
-  public List<WorkerCommand> takeDirectCommands(Machine m, boolean mayLaunch, long now) {
+  public List<WorkerCommand> takeDirectCommands(Machine machine, boolean mayLaunch, long now) {
     List<WorkerCommand> commands = new ArrayList<>();
-    // Only a worker that obeys this term and was heard a moment ago is worth the risk.
-    if (!m.isUsable()
-        || m.highestTokenSeen < term
-        || now - m.lastHeartbeatMs > heartbeatOverdueMs
-        || m.health.outboundReachability().isBroken()) {
+    if (!takesDirectCommands(machine, now)) {
       return commands;
     }
-    for (Attempt a : m.attempts) {
-      if (a.incarnation != m.incarnation) {
+    boolean launches = mayLaunch && machine.fencingToken < FencingTokens.last(timing.term());
+    for (Attempt attempt : machine.attempts) {
+      if (attempt.incarnation != machine.incarnation) {
         continue;
       }
-      if (a.phase == Attempt.Phase.COMMITTED
-          && !a.launchSent
-          && !a.isStopping()
-          && mayLaunch
-          && m.fencingToken < FencingTokens.last(term)) {
-        a.launchSent = true;
-        a.launchInFlight = true;
-        a.launchToken = m.fencingToken;
-        m.unfencedLaunches.put(a.key(), m.fencingToken);
-        commands.add(launchCommand(a));
-      } else if (a.isStopping()
-          && !a.stopSentDirectly
-          && (a.phase == Attempt.Phase.PULLING || a.phase == Attempt.Phase.RUNNING)) {
-        a.stopSentDirectly = true;
-        commands.add(workerCommand(WorkerCommand.Kind.STOP, a, a.stopGraceS));
+      if (launches
+          && attempt.phase == Attempt.Phase.COMMITTED
+          && !attempt.launchSent
+          && !attempt.isStopping()) {
+        attempt.launchSent = true;
+        attempt.launchInFlight = true;
+        attempt.launchToken = machine.fencingToken;
+        machine.unfencedLaunches.put(attempt.key(), machine.fencingToken);
+        commands.add(launchCommand(attempt));
+      } else if (attempt.isStopping()
+          && !attempt.stopSentDirectly
+          && (attempt.phase == Attempt.Phase.PULLING || attempt.phase == Attempt.Phase.RUNNING)) {
+        attempt.stopSentDirectly = true;
+        commands.add(stopCommand(attempt));
       }
     }
     return commands;
   }
 
+  /** Only a worker that obeys this term and was heard a moment ago is worth the risk. */
+  private boolean takesDirectCommands(Machine machine, long now) {
+    return machine.isUsable()
+        && machine.highestTokenSeen >= timing.term()
+        && now - machine.lastHeartbeatMs <= timing.heartbeatOverdueMs()
+        && !machine.health.outboundReachability().isBroken();
+  }
+
   /**
-   * The worker answered direct orders, or certainly never got them: no launch is in flight. Copies
-   * of one that was answered may still come, so the attempt stays unfenced.
+   * The worker answered direct commands, or certainly never got them: no launch is in flight.
+   * Duplicates of one that was answered may still come, so the attempt stays unfenced.
    */
-  public void directCommandsAnswered(Machine m, List<WorkerCommand> commands) {
-    for (WorkerCommand o : commands) {
-      for (Attempt a : m.attempts) {
-        if (a.job.spec.id().equals(o.job()) && a.task == o.task() && a.number == o.attempt()) {
-          a.launchInFlight = false;
+  public void directCommandsAnswered(Machine machine, List<WorkerCommand> commands) {
+    for (WorkerCommand command : commands) {
+      for (Attempt attempt : machine.attempts) {
+        if (attempt.job.spec.id().equals(command.job())
+            && attempt.task == command.task()
+            && attempt.number == command.attempt()) {
+          attempt.launchInFlight = false;
         }
       }
     }
@@ -333,12 +411,12 @@
    * True when an attempt that is not wanted any more may still be started by a launch in flight:
    * only the machine's deletion ends that in time.
    */
-  public boolean needsDeletionToFence(Machine m, long now) {
-    for (Attempt a : m.attempts) {
-      if (a.launchInFlight
-          && a.isStopping()
-          && a.phase == Attempt.Phase.COMMITTED
-          && now - a.stopRequestedMs > DELETE_TO_FENCE_AFTER_MS) {
+  public boolean needsDeletionToFence(Machine machine, long now) {
+    for (Attempt attempt : machine.attempts) {
+      if (attempt.launchInFlight
+          && attempt.isStopping()
+          && attempt.phase == Attempt.Phase.COMMITTED
+          && now - attempt.stopRequestedMs > DELETE_TO_FENCE_AFTER_MS) {
         return true;
       }
     }
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -97,6 +97,11 @@
     return attemptRecords[i];
   }
 
+  /** The record that holds a task, by the task's number. */
+  AttemptRecord attemptRecordOf(int task) {
+    return attemptRecords[task / AttemptRecord.TASKS_PER_RECORD];
+  }
+
   /** How many records the job may have. */
   public int attemptRecordCount() {
     return attemptRecords.length;
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -1,8 +1,5 @@
 package org.mallowroad.core;
 
-import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
-import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
-import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -16,59 +13,36 @@
 import org.mallowroad.core.image.ImageFetchPolicy;
 
 /**
- * Jobs, attempts and machines of one leader's term, and the sole answer to "may this task start?".
+ * The state of one leader's term: its jobs, attempts and machines. It owns the classes that each
+ * keep a part of it, and is what the rest of the scheduler talks to:
  *
- * <p>An attempt takes quota, zone and room from the moment it is made until it is proven gone: the
- * worker reports its exit, or a later session, or (having seen this term) a newer list without it;
- * the cloud answered the machine's deletion; the list says the machine failed; or the worker's
- * lease must have run out. Nothing else frees it, whatever seems likely.
+ * <ul>
+ *   <li>{@link StartAdmission}: may this task start on this machine?
+ *   <li>{@link AttemptTracker}: the life cycle of attempts, and the proof that one is gone;
+ *   <li>{@link JobRegistry} and {@link MachineRegistry}: what there is;
+ *   <li>{@link PendingWrites}: which attempt records are to be written;
+ *   <li>{@link HeartbeatReconciler}: what workers say, and what they are told.
+ * </ul>
  *
- * <p>What is said to one machine and by it is the matter of {@link HeartbeatReconciler}.
+ * <p>It does no I/O and reads no clock: callers pass the time as milliseconds on the process's
+ * steady clock. It is confined to one thread, the event loop's.
  */
 public final class SchedulerState implements MachinePool {
-  /**
-   * Deleted machines that are remembered: reports and lists that still have them come minutes late
-   * at the most. One that came later yet would be met as an unexpected machine and returned.
-   */
-  static final int MAX_DELETED_NAMES = 10_000;
-
-  private final long term;
-  private final long leaseMs;
-  private final long heartbeatOverdueMs;
   private final List<Team> teams;
   private final NameIndex zones;
-  private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
-      new Object2ObjectLinkedOpenHashMap<>();
-  private final Object2ObjectLinkedOpenHashMap<String, Machine> machines =
-      new Object2ObjectLinkedOpenHashMap<>();
-  private final ObjectLinkedOpenHashSet<String> deletedNames = new ObjectLinkedOpenHashSet<>();
-  private final ObjectLinkedOpenHashSet<AttemptRecord> dirtyRecords =
-      new ObjectLinkedOpenHashSet<>();
-
-  /** The dirty records for which starts wait, in the order in which they were placed. */
-  private final ObjectLinkedOpenHashSet<AttemptRecord> urgentRecords =
-      new ObjectLinkedOpenHashSet<>();
-
-  /** Machines for which a launch or a stop may be due that no message has carried yet. */
-  private final ObjectLinkedOpenHashSet<Machine> machinesWithUnsentCommands =
-      new ObjectLinkedOpenHashSet<>();
-
-  /** Changes with every machine that comes or goes. */
-  private long machinesVersion;
-
-  private final ObjectLinkedOpenHashSet<Job> jobsToComplete = new ObjectLinkedOpenHashSet<>();
-
-  private long attemptsStarted;
-  private long attemptsCompleted;
-  private long rebuiltQueueTasks;
-  private final CostAccounting costAccounting = new CostAccounting();
   private final FleetHealth health;
-  private final GangReservations gangReservations = new GangReservations(this);
+  private final CostAccounting costAccounting = new CostAccounting();
+  private final PendingWrites pendingWrites = new PendingWrites();
+  private final JobRegistry jobs;
+  private final MachineRegistry machines;
+  private final StartAdmission admission;
+  private final AttemptTracker attempts;
   private final HeartbeatReconciler heartbeatReconciler;
   private final ImageDistribution imageDistribution;
   private final SharedAttemptRecords sharedAttemptRecords;
+  private final GangReservations gangReservations = new GangReservations(this);
 
-  /** An empty ledger for a term that suspects by the default thresholds. */
+  /** An empty state for a term that suspects machines by the default thresholds. */
   public SchedulerState(
       long term, double leaseS, double heartbeatIntervalS, List<Team> teams, NameIndex zones) {
     this(
@@ -80,7 +54,7 @@
         new FleetHealth(HealthPolicy.defaults(), zones.size(), heartbeatIntervalS, 0));
   }
 
-  /** An empty ledger for a term without limits on fetches. */
+  /** An empty state for a term without limits on image fetches. */
   public SchedulerState(
       long term,
       double leaseS,
@@ -91,7 +65,14 @@
     this(term, leaseS, heartbeatIntervalS, teams, zones, health, ImageFetchPolicy.defaults());
   }
 
-  /** An empty ledger for a term; machines whose report is overdue get no work. */
+  /**
+   * An empty state for a term.
+   *
+   * @param term the first fencing token of the term
+   * @param leaseS how long a worker runs on without an answer of the leader, in seconds
+   * @param heartbeatIntervalS how often workers report, in seconds
+   * @param zones names of all zones; their indices are below its size
+   */
   public SchedulerState(
       long term,
       double leaseS,
@@ -99,24 +80,26 @@
       List<Team> teams,
       NameIndex zones,
       FleetHealth health,
-      ImageFetchPolicy fetches) {
-    this.imageDistribution = new ImageDistribution(fetches, zones.size());
-    this.sharedAttemptRecords = new SharedAttemptRecords(term);
-    this.health = health;
-    this.heartbeatOverdueMs = (long) (heartbeatIntervalS * 1250) + 1_500;
-    this.term = term;
-    // Clocks of two machines drift apart by up to 0.05%; half a second covers timers that fire
-    // late.
-    this.leaseMs = (long) (leaseS * 1000 * 1.001) + 500;
-    this.heartbeatReconciler =
-        new HeartbeatReconciler(this, jobs, health, term, heartbeatOverdueMs, leaseMs);
+      ImageFetchPolicy imageFetchPolicy) {
     this.teams = teams;
     this.zones = zones;
+    this.health = health;
+    this.imageDistribution = new ImageDistribution(imageFetchPolicy, zones.size());
+    this.sharedAttemptRecords = new SharedAttemptRecords(term);
+    this.jobs = new JobRegistry(zones.size());
+    this.machines = new MachineRegistry(term);
+    TermTiming timing = TermTiming.of(term, leaseS, heartbeatIntervalS);
+    this.admission = new StartAdmission(teams, timing.heartbeatOverdueMs());
+    this.attempts =
+        new AttemptTracker(
+            timing, admission, jobs, pendingWrites, health, imageDistribution, costAccounting);
+    this.heartbeatReconciler =
+        new HeartbeatReconciler(timing, attempts, jobs, health, imageDistribution);
   }
 
   /** Open jobs and those whose tasks are not all proven gone. */
   public Collection<Job> jobs() {
-    return jobs.values();
+    return jobs.all();
   }
 
   /** A job by id, or null. */
@@ -124,13 +107,11 @@
     return jobs.get(id);
   }
 
-  /** All machines not proven gone. */
   @Override
   public Collection<Machine> machines() {
-    return machines.values();
+    return machines.all();
   }
 
-  /** A machine by name, or null. */
   @Override
   public Machine machine(String name) {
     return machines.get(name);
@@ -138,44 +119,35 @@
 
   /** True when the machine was deleted in this term. */
   public boolean isDeleted(String machine) {
-    return deletedNames.contains(machine);
+    return machines.isDeleted(machine);
   }
 
   /** How many entries each table holds: what an operator looks at when memory grows. */
   public Map<String, Integer> tableSizes() {
     Map<String, Integer> sizes = new LinkedHashMap<>();
-    sizes.put("jobs", jobs.size());
-    sizes.put("machines", machines.size());
-    sizes.put("gone", deletedNames.size());
-    sizes.put("dirty", dirtyRecords.size());
-    sizes.put("urgent", urgentRecords.size());
-    sizes.put("outbox", machinesWithUnsentCommands.size());
+    sizes.put("jobs", jobs.all().size());
+    sizes.put("machines", machines.all().size());
+    sizes.put("gone", machines.deletedCount());
+    sizes.put("dirty", dirtyRecords().size());
+    sizes.put("urgent", urgentRecords().size());
+    sizes.put("outbox", machinesWithUnsentCommands().size());
     sizes.put("shared", sharedAttemptRecords.records().size());
-    sizes.put("ending", jobsToComplete.size());
+    sizes.put("ending", jobsToComplete().size());
     sizes.put("watched", health.failureDetector().knownMachines());
     sizes.put("classes", health.stragglerDetector().taskClassCount());
     return sizes;
   }
 
-  /** Marks the names that jobs and machines have. */
+  /** Marks the indices of names that jobs and machines have: these may not be reused. */
   public void markUsedNames(BitSet images, BitSet classes, BitSet types) {
-    for (Job j : jobs.values()) {
-      images.set(j.spec.image());
-      classes.set(j.spec.taskClass());
-      if (j.spec.types() != null) {
-        types.or(j.spec.types());
-      }
-    }
-    for (Machine m : machines.values()) {
-      types.set(m.type.index());
-      m.cachedImages.keySet().forEach(images::set);
-    }
+    jobs.markUsedNames(images, classes, types);
+    machines.markUsedNames(images, types);
     imageDistribution.names(images);
   }
 
   /** The team of a job. */
   public Team team(JobSpec spec) {
-    return teams.get(spec.team());
+    return admission.team(spec);
   }
 
   /** All teams. */
@@ -185,49 +157,48 @@
 
   /** Records that changed since they were committed. */
   public Collection<AttemptRecord> dirtyRecords() {
-    return dirtyRecords;
+    return pendingWrites.dirtyRecords();
   }
 
   /** The dirty records for which starts wait. */
   public Collection<AttemptRecord> urgentRecords() {
-    return urgentRecords;
+    return pendingWrites.urgentRecords();
   }
 
   /**
-   * Machines that may have orders to be sent straight away. The caller removes those it has dealt
-   * with: a message a worker must not cost a walk over the fleet.
+   * Machines that may have commands to be sent straight away. The caller removes those it has dealt
+   * with: a message to a worker must not cost a walk over the fleet.
    */
   public Collection<Machine> machinesWithUnsentCommands() {
-    return machinesWithUnsentCommands;
+    return attempts.machinesWithUnsentCommands();
   }
 
   /** Changes with every machine that comes or goes. */
   public long machinesVersion() {
-    return machinesVersion;
+    return machines.version();
   }
 
   /** Jobs whose tasks are all done and whose end is to be committed. */
   public Collection<Job> jobsToComplete() {
-    return jobsToComplete;
+    return jobs.jobsToComplete();
   }
 
-  /** Tasks looked at so far to make queues anew: what a takeover costs. */
+  /** Tasks looked at so far to rebuild queues: what a failover costs. */
   long rebuiltQueueTasks() {
-    return rebuiltQueueTasks;
+    return jobs.rebuiltQueueTasks();
   }
 
-  /** What is suspected in this term. */
   @Override
   public FleetHealth health() {
     return health;
   }
 
-  /** Which small jobs share records. */
+  /** Which small jobs share attempt records. */
   public SharedAttemptRecords sharedAttemptRecords() {
     return sharedAttemptRecords;
   }
 
-  /** Which room is held for gangs. */
+  /** Which machines are reserved for gangs. */
   public GangReservations gangReservations() {
     return gangReservations;
   }
@@ -237,12 +208,11 @@
     return imageDistribution;
   }
 
-  /** True when a machine may be asked to hand an image on. */
-  public boolean canServeImages(Machine m, long now) {
-    return machineRefusal(m, now) == null && !m.health.isSuspect() && m.interruptionMs == 0;
+  /** True when other workers may be told to fetch an image from the machine. */
+  public boolean canServeImages(Machine machine, long now) {
+    return admission.canServeImages(machine, now);
   }
 
-  /** How many zones there are. */
   @Override
   public int zones() {
     return zones.size();
@@ -255,91 +225,57 @@
 
   /** Number of attempts made in this term. */
   public long attemptsStarted() {
-    return attemptsStarted;
+    return attempts.attemptsStarted();
   }
 
   /** Number of attempts that completed in this term. */
   public long attemptsCompleted() {
-    return attemptsCompleted;
+    return attempts.attemptsCompleted();
   }
 
   /**
    * Takes an open job that is recorded in the state service.
    *
+   * @param version of the job's record
    * @param ageMs how long ago it was submitted
+   * @return the job that is known by this id, if there is one, else a new one
    */
   public Job accept(JobSpec spec, long version, long ageMs, long now) {
-    Job known = jobs.get(spec.id());
-    if (known != null) {
-      return known;
-    }
-    Job job = new Job(spec, version, zones.size(), now - Math.max(0, ageMs), now);
-    for (int t = 0; t < spec.tasks(); t++) {
-      job.pendingTasks.enqueue(t);
-    }
-    job.held = spec.dependencies().isGated();
-    jobs.put(spec.id(), job);
-    return job;
+    return jobs.accept(spec, version, ageMs, now);
   }
 
-  /** Takes what the record of a chunk says, on takeover. */
+  /**
+   * Takes what an attempt record says, on failover.
+   *
+   * @param doneTasks bit 0 is the record's first task
+   * @param highestAttemptNumber an upper bound for the numbers that its tasks have had
+   */
   public void restoreRecord(
-      AttemptRecord attemptRecord, long version, BitSet doneInChunk, int high) {
+      AttemptRecord attemptRecord, long version, BitSet doneTasks, int highestAttemptNumber) {
     Job job = attemptRecord.job;
     attemptRecord.version = version;
-    for (int t = attemptRecord.firstTask(); t < attemptRecord.endTask(); t++) {
-      job.highestAttemptNumbers[t] = high;
-      if (doneInChunk.get(t - attemptRecord.firstTask())) {
-        job.doneTasks.set(t);
+    for (int task = attemptRecord.firstTask(); task < attemptRecord.endTask(); task++) {
+      job.highestAttemptNumbers[task] = highestAttemptNumber;
+      if (doneTasks.get(task - attemptRecord.firstTask())) {
+        job.doneTasks.set(task);
       }
     }
   }
 
-  /** Takes a recorded attempt, on takeover: it counts until it is proven gone. */
+  /** Takes a recorded attempt, on failover: it counts until it is proven gone. */
   public void restoreAttempt(
       Job job, int task, int number, Machine machine, long incarnation, long now) {
-    if (task < 0
-        || task >= job.spec.tasks()
-        || job.liveAttempts[task] != null
-        || job.doneTasks.get(task)) {
-      return;
-    }
-    Attempt a = new Attempt(job, task, number, machine, incarnation, Attempt.Phase.COMMITTED, now);
-    a.restoredFromRecord = true;
-    job.highestAttemptNumbers[task] = Math.max(job.highestAttemptNumbers[task], number);
-    book(a);
-    // A report of an earlier session must not look like news.
-    if (incarnation > machine.incarnation) {
-      machine.incarnation = incarnation;
-      machine.sequence = 0;
-    }
-    if (job.cancelled) {
-      requestStop(a, 0, now);
-    }
+    attempts.restore(job, task, number, machine, incarnation, now);
   }
 
   /**
-   * Call once all chunks of a restored job were taken: its queue is made anew here, once a job and
-   * not once an attempt, since a takeover runs cold code on a fraction of a core.
+   * Call once all records of a restored job were taken: its queue is rebuilt here, once a job and
+   * not once an attempt, since a failover runs cold code on a fraction of a core.
    */
   public void finishRestore(Job job, long now) {
-    rebuildPending(job);
-    if (!job.cancelled && job.areAllTasksDone()) {
-      job.allDoneMs = now;
-      jobsToComplete.add(job);
-    }
-  }
-
-  private void rebuildPending(Job job) {
-    job.pendingTasks.clear();
-    if (job.cancelled || job.ended) {
-      return;
-    }
-    rebuiltQueueTasks += job.spec.tasks();
-    for (int t = 0; t < job.spec.tasks(); t++) {
-      if (!job.doneTasks.get(t) && job.liveAttempts[t] == null) {
-        job.pendingTasks.enqueue(t);
-      }
+    jobs.rebuildQueue(job);
+    if (!job.cancelled) {
+      jobs.completeIfDone(job, now);
     }
   }
 
@@ -349,26 +285,11 @@
       return;
     }
     job.cancelled = true;
-    over(job, now);
+    jobs.close(job);
+    attempts.stopAll(job, now);
   }
 
-  /** Nothing of a job that is over starts any more, and what there is of it ends. */
-  private void over(Job job, long now) {
-    job.pendingTasks.clear();
-    jobsToComplete.remove(job);
-    for (Attempt a : job.liveAttempts) {
-      if (a == null) {
-        continue;
-      }
-      if (a.phase == Attempt.Phase.RECORDING) {
-        resolve(a, AttemptOutcome.LOST, now); // Its launch was never sent, and never will be.
-      } else {
-        requestStop(a, 0, now);
-      }
-    }
-  }
-
-  /** A release of the job is on record: its tasks may start under it. */
+  /** The job's dependencies are met, and that is on record: its tasks may start. */
   public void release(Job job, long now) {
     if (job.held) {
       job.held = false;
@@ -377,16 +298,9 @@
     }
   }
 
-  /**
-   * The release on record does not hold any more. What was to be recorded under it is not: its
-   * launches were never sent, and never will be.
-   */
+  /** The release on record is no longer valid: starts that were to be recorded under it are not. */
   public void hold(Job job, long now) {
-    for (Attempt a : job.liveAttempts) {
-      if (a != null && a.phase == Attempt.Phase.RECORDING) {
-        resolve(a, AttemptOutcome.LOST, now);
-      }
-    }
+    attempts.withdrawUncommitted(job, now);
     job.held = true;
   }
 
@@ -396,323 +310,139 @@
    */
   public void markEnded(Job job, long now) {
     job.ended = true;
-    over(job, now);
+    jobs.close(job);
+    attempts.stopAll(job, now);
   }
 
   /** Drops a job of which nothing is left, once its records are deleted. */
   public void removeJob(Job job) {
-    jobs.remove(job.spec.id());
-    jobsToComplete.remove(job);
-    for (AttemptRecord c : job.attemptRecords) {
-      dirtyRecords.remove(c);
-      urgentRecords.remove(c);
-      sharedAttemptRecords.remove(c);
+    jobs.remove(job);
+    for (AttemptRecord attemptRecord : job.attemptRecords) {
+      pendingWrites.remove(attemptRecord);
+      sharedAttemptRecords.remove(attemptRecord);
     }
   }
 
-  /** The machine, made known if it is new; null when it is proven gone. */
+  /** The machine, made known if it is new; null when it is proven deleted. */
   public Machine registerMachine(String name, MachineType type, int zone, boolean spot, long now) {
-    if (deletedNames.contains(name)) {
+    if (machines.isDeleted(name)) {
       return null;
     }
-    Machine m = machines.get(name);
-    if (m == null) {
-      m = new Machine(name, type, zone, spot, term, now);
-      machines.put(name, m);
-      health.register(m.health, now);
-      machinesVersion++;
+    Machine known = machines.get(name);
+    if (known != null) {
+      return known;
     }
-    return m;
+    Machine machine = machines.add(name, type, zone, spot, now);
+    health.register(machine.health, now);
+    return machine;
   }
 
-  /** True when a pass of placement may give the machine work, or has just done so. */
-  public boolean canReceiveTasks(Machine m, long now) {
-    return acceptsNewTasks(m, now) && m.freeResources.cpus > ResourceVector.EPSILON;
+  /** True when a placement pass may give the machine work, or has just done so. */
+  public boolean canReceiveTasks(Machine machine, long now) {
+    return admission.canReceiveTasks(machine, now);
   }
 
-  /** True when new work may go to the machine at all. */
   @Override
-  public boolean acceptsNewTasks(Machine m, long now) {
-    return machineRefusal(m, now) == null;
+  public boolean acceptsNewTasks(Machine machine, long now) {
+    return admission.machineRefusal(machine, now) == null;
   }
 
   /** Why no new work goes to the machine at all; null when it may. */
-  public StartRefusal machineRefusal(Machine m, long now) {
-    if (m.draining || m.deleting || m.failed) {
-      return StartRefusal.DRAINING_OR_FAILED;
-    }
-    if (m.lastHeartbeatMs < 0 || now - m.lastHeartbeatMs > heartbeatOverdueMs) {
-      return StartRefusal.HEARTBEAT_OVERDUE;
-    }
-    if (m.health.outboundReachability().isBroken()) {
-      return StartRefusal.OUTBOUND_UNREACHABLE;
-    }
-    return m.backoffUntilMs > now ? StartRefusal.BACKING_OFF_AFTER_REFUSAL : null;
-  }
-
-  /** The one place that decides whether a task may start on a machine: null when it may. */
-  public StartRefusal startRefusal(Job job, int task, Machine m, long now) {
-    JobSpec s = job.spec;
-    if (job.cancelled || job.ended || job.held) {
-      return StartRefusal.JOB_NOT_ELIGIBLE;
-    }
-    if (job.doneTasks.get(task) || job.liveAttempts[task] != null) {
-      return StartRefusal.TASK_NOT_PENDING;
-    }
-    StartRefusal unfit = machineRefusal(m, now);
-    if (unfit != null) {
-      return unfit;
-    }
-    if (m.reservedFor != null && m.reservedFor != job) {
-      return StartRefusal.RESERVED_FOR_GANG;
-    }
-    if (!s.allows(m.type.index(), m.zone, m.spot)) {
-      return StartRefusal.CONSTRAINTS;
-    }
-    if (!m.freeResources.fits(s)) {
-      return StartRefusal.RESOURCES;
-    }
-    if (!team(s).allows(s, 1)) {
-      return StartRefusal.QUOTA;
-    }
-    if (s.together() && job.liveAttemptCount > job.liveAttemptsByZone[m.zone]) {
-      return StartRefusal.ZONE_RULES;
-    }
-    if (s.scatter() && job.liveAttemptsByZone[m.zone] >= s.maxTasksPerZone()) {
-      return StartRefusal.ZONE_RULES;
-    }
-    return null;
+  public StartRefusal machineRefusal(Machine machine, long now) {
+    return admission.machineRefusal(machine, now);
   }
 
-  /** Makes an attempt; it must be committed before its launch is sent. */
-  public Attempt start(Job job, int task, Machine m, long now) {
-    StartRefusal no = startRefusal(job, task, m, now);
-    if (no != null) {
-      throw new IllegalStateException("start refused: " + no);
-    }
-    Attempt a =
-        new Attempt(
-            job,
-            task,
-            job.highestAttemptNumbers[task] + 1,
-            m,
-            m.incarnation,
-            Attempt.Phase.RECORDING,
-            now);
-    job.highestAttemptNumbers[task] = a.number;
-    job.lastStartMs = now;
-    attemptsStarted++;
-    book(a);
-    imageDistribution.began(a, m.hasImage(job.spec.image()), x -> canServeImages(x, now), now);
-    if (job.begunMs < 0
-        && job.liveAttemptCount + job.doneCount() >= team(job.spec).maxConcurrentTasks(job.spec)) {
-      job.begunMs = now;
-    }
-    AttemptRecord c = markDirty(job, task, now);
-    c.uncommittedStarts++;
-    urgentRecords.add(c);
-    return a;
-  }
-
-  private void book(Attempt a) {
-    a.job.liveAttempts[a.task] = a;
-    a.job.liveAttemptCount++;
-    a.job.liveAttemptsByZone[a.machine.zone]++;
-    a.machine.add(a);
-    team(a.job.spec).add(a.job.spec, 1);
-  }
-
-  private AttemptRecord markDirty(Job job, int task, long now) {
-    AttemptRecord c = job.attemptRecords[task / AttemptRecord.TASKS_PER_RECORD];
-    if (!c.dirty) {
-      c.dirty = true;
-      c.dirtySinceMs = now;
-    }
-    c.changeCount++;
-    dirtyRecords.add(c);
-    return c;
+  /** Why the task may not start on the machine; null when it may. */
+  public StartRefusal startRefusal(Job job, int task, Machine machine, long now) {
+    return admission.startRefusal(job, task, machine, now);
   }
 
-  /** The chunk's record is to be written or deleted once more. */
-  public void markForRewrite(AttemptRecord c, long now) {
-    markDirty(c.job, c.firstTask(), now);
+  /**
+   * Makes an attempt; it must be committed before its launch is sent.
+   *
+   * @throws StartRefusedException when {@link #startRefusal} has a reason against it
+   */
+  public Attempt start(Job job, int task, Machine machine, long now) {
+    return attempts.start(job, task, machine, now);
   }
 
-  private void recorded(Attempt a) {
-    AttemptRecord c = a.job.attemptRecords[a.task / AttemptRecord.TASKS_PER_RECORD];
-    if (--c.uncommittedStarts == 0) {
-      urgentRecords.remove(c);
-    }
+  /** The record is to be written or deleted once more. */
+  public void markForRewrite(AttemptRecord attemptRecord, long now) {
+    pendingWrites.markDirty(attemptRecord, now);
   }
 
-  /** A commit of the chunk as it was at {@code changes} succeeded. */
+  /**
+   * A commit of the record as it was at {@code changeCount} succeeded.
+   *
+   * @param version of the record in the state service from now on
+   * @param recorded the live attempts that were written
+   */
   public void recordCommitted(
-      AttemptRecord c, long version, long changes, List<Attempt> recorded, long now) {
-    c.version = version;
-    c.dirtySinceMs = now;
-    if (c.changeCount == changes) {
-      c.dirty = false;
-      dirtyRecords.remove(c);
-    } else {
-      dirtyRecords.addAndMoveToLast(c); // The others have waited longer.
-    }
-    for (Attempt a : recorded) {
-      if (a.phase == Attempt.Phase.RECORDING) {
-        a.phase = Attempt.Phase.COMMITTED;
-        recorded(a);
-        machinesWithUnsentCommands.add(a.machine);
-      }
-    }
+      AttemptRecord attemptRecord,
+      long version,
+      long changeCount,
+      List<Attempt> recorded,
+      long now) {
+    pendingWrites.committed(attemptRecord, version, changeCount, now);
+    attempts.committed(recorded);
   }
 
   /** Frees what an attempt takes, now that it is proven gone. */
-  public void resolve(Attempt a, AttemptOutcome outcome, long now) {
-    if (a.phase == Attempt.Phase.GONE) {
-      return;
-    }
-    Job job = a.job;
-    if (a.phase == Attempt.Phase.RUNNING || a.phase == Attempt.Phase.FLUSHING) {
-      job.runningCount--;
-    } else if (a.phase == Attempt.Phase.RECORDING) {
-      recorded(a);
-    }
-    if (a.isStopping()) {
-      team(job.spec).stoppingCpus -= job.spec.cpus();
-    }
-    a.phase = Attempt.Phase.GONE;
-    imageDistribution.gone(a);
-    costAccounting.attemptResolved(a, outcome == AttemptOutcome.COMPLETED, now);
-    job.liveAttempts[a.task] = null;
-    job.liveAttemptCount--;
-    job.liveAttemptsByZone[a.machine.zone]--;
-    a.machine.remove(a, now);
-    team(job.spec).add(job.spec, -1);
-    markDirty(job, a.task, now);
-    if (outcome == AttemptOutcome.COMPLETED && !job.spec.service()) {
-      attemptsCompleted++;
-      // What an earlier leader began was seen to run for a part of its time only; and a task that
-      // had completed before ends at once when it is started again.
-      if (a.runningSinceMs > 0 && !a.restoredFromRecord && a.number == 1) {
-        health.taskFinished(
-            a.machine.health,
-            job.runTimes,
-            job.spec.taskClass(),
-            now - a.runningSinceMs,
-            job.spec.estimateS(),
-            now);
-      }
-      job.doneTasks.set(a.task);
-      job.consecutiveFailures = 0;
-      if (!job.cancelled && job.areAllTasksDone()) {
-        job.allDoneMs = now;
-        jobsToComplete.add(job);
-      }
-      return;
-    }
-    switch (outcome) {
-      case FAILED -> {
-        job.consecutiveFailures++;
-        // Where it fails on three it is at fault itself: more of them are not asked for.
-        if (job.failedMachines.size() < 3) {
-          job.failedMachines.add(a.machine.name);
-        }
-        health.taskFailed(
-            a.machine.health, job.spec.id().hashCode(), job.failedMachines.size() >= 3, now);
-        holdBack(job, now);
-      }
-      case LAUNCH_REFUSED, COMPLETED -> {
-        job.consecutiveFailures++;
-        holdBack(job, now);
-      }
-      case INSUFFICIENT_RESOURCES -> a.machine.backoffUntilMs = now + 3000;
-      default -> {}
-    }
-    if (!job.cancelled && !job.ended) {
-      if (job.pendingTasks.isEmpty()) {
-        job.waitingSinceMs = now;
-      }
-      job.pendingTasks.enqueueFirst(a.task);
-    }
-  }
-
-  /** A job that keeps failing is tried again ever more seldom, never in a tight loop. */
-  private static void holdBack(Job job, long now) {
-    long wait = Math.min(60_000L, 250L << Math.min(8, job.consecutiveFailures));
-    job.retryNotBeforeMs = Math.max(job.retryNotBeforeMs, now + wait);
+  public void resolve(Attempt attempt, AttemptOutcome outcome, long now) {
+    attempts.resolve(attempt, outcome, now);
   }
 
   /**
-   * Takes a worker's report and answers with the orders for it.
+   * Takes a worker's heartbeat and answers with the commands for it.
    *
-   * @param mayLaunch false while the leader cannot reach the state service
+   * @param mayLaunch false while the leader cannot reach the state service, and for a heartbeat
+   *     that answers direct commands
    * @return null when the message is older than one seen before and must be ignored
    */
-  public List<WorkerCommand> processHeartbeat(Machine m, Heartbeat r, boolean mayLaunch, long now) {
-    return heartbeatReconciler.reconcile(m, r, mayLaunch, now);
+  public List<WorkerCommand> processHeartbeat(
+      Machine machine, Heartbeat heartbeat, boolean mayLaunch, long now) {
+    return heartbeatReconciler.reconcile(machine, heartbeat, mayLaunch, now);
   }
 
-  /** What is said to machines, and heard from them. */
+  /** What workers say, and what they are told. */
   public HeartbeatReconciler heartbeatReconciler() {
     return heartbeatReconciler;
   }
 
   /** The machine and all on it are proven gone. */
-  public void machineDeleted(Machine m, long now) {
-    for (Attempt a : new ArrayList<>(m.attempts)) {
-      resolve(a, AttemptOutcome.LOST, now);
-    }
-    machines.remove(m.name);
-    gangReservations.gone(m);
-    imageDistribution.lost(m);
-    health.remove(m.health);
-    costAccounting.machineDeleted(m, now);
-    machinesVersion++;
-    machinesWithUnsentCommands.remove(m);
-    deletedNames.add(m.name);
-    if (deletedNames.size() > MAX_DELETED_NAMES) {
-      deletedNames.removeFirst();
-    }
+  public void machineDeleted(Machine machine, long now) {
+    attempts.resolveAll(machine, now);
+    machines.delete(machine);
+    gangReservations.gone(machine);
+    imageDistribution.lost(machine);
+    health.remove(machine.health);
+    costAccounting.machineDeleted(machine, now);
+    attempts.machinesWithUnsentCommands().remove(machine);
   }
 
-  /** The list says the machine failed: its tasks are gone, the name stays until it is deleted. */
-  public void machineFailed(Machine m, long now) {
-    m.failed = true;
-    for (Attempt a : new ArrayList<>(m.attempts)) {
-      resolve(a, AttemptOutcome.LOST, now);
-    }
+  /** The cloud says the machine failed: its tasks are gone, the name stays until it is deleted. */
+  public void machineFailed(Machine machine, long now) {
+    machine.failed = true;
+    attempts.resolveAll(machine, now);
   }
 
-  /**
-   * Frees the attempts of workers whose leases must have run out: the worker had seen this term, so
-   * only this leader's answers renewed its lease, and the last one is long enough ago.
-   */
+  /** Resolves the attempts of all workers whose leases must have expired. */
   public void expireLeases(long now) {
-    for (Machine m : machines.values()) {
-      if (!m.attempts.isEmpty() && leaseExpiryMs(m) >= 0 && now > leaseExpiryMs(m)) {
-        for (Attempt a : new ArrayList<>(m.attempts)) {
-          if (a.phase != Attempt.Phase.RECORDING) {
-            resolve(a, AttemptOutcome.LOST, now);
-          }
-        }
-      }
+    for (Machine machine : machines.all()) {
+      attempts.expireLease(machine, now);
     }
   }
 
   /**
-   * When the lease of the machine's worker must have run out if no answer reaches it any more,
+   * When the lease of the machine's worker must have expired if no response reaches it any more,
    * which proves its attempts gone; -1 while no lease can prove that.
    */
-  public long leaseExpiryMs(Machine m) {
-    return m.highestTokenSeen >= term && m.lastResponseMs >= 0 ? m.lastResponseMs + leaseMs : -1;
+  public long leaseExpiryMs(Machine machine) {
+    return attempts.leaseExpiryMs(machine);
   }
 
-  /** Asks for a stop of an attempt so that its machine can drain or another job gets room. */
   @Override
-  public void requestStop(Attempt a, double graceS, long now) {
-    if (!a.isStopping()) {
-      team(a.job.spec).stoppingCpus += a.job.spec.cpus();
-    }
-    a.stop(graceS, now);
-    machinesWithUnsentCommands.add(a.machine);
+  public void requestStop(Attempt attempt, double graceS, long now) {
+    attempts.requestStop(attempt, graceS, now);
   }
 }
