--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -146,13 +146,13 @@
     LinkPolicy d = LinkPolicy.defaults();
     LinkPolicy p =
         new LinkPolicy(
-            ms(file, e, "row-s", d.rowMs(), 0.2, 60),
-            ms(file, e, "fresh-s", d.freshMs(), 0.5, 300),
-            (long) number(file, e, "hedge-ms", (double) d.hedgeMs(), 20, 5_000),
-            ms(file, e, "steady-s", d.steadyMs(), 0.1, 60),
-            ms(file, e, "hold-s", d.holdMs(), 1, 600),
-            ms(file, e, "canary-s", d.canaryMs(), 1, 600));
-    if (p.freshMs() < 2 * p.rowMs()) {
+            ms(file, e, "row-s", d.advertiseIntervalMs(), 0.2, 60),
+            ms(file, e, "fresh-s", d.maxAgeMs(), 0.5, 300),
+            (long) number(file, e, "hedge-ms", (double) d.hedgeDelayMs(), 20, 5_000),
+            ms(file, e, "steady-s", d.recoveryMs(), 0.1, 60),
+            ms(file, e, "hold-s", d.relayHoldMs(), 1, 600),
+            ms(file, e, "canary-s", d.canaryIntervalMs(), 1, 600));
+    if (p.maxAgeMs() < 2 * p.advertiseIntervalMs()) {
       throw new InvalidSettingsException(file, "links/fresh-s", "at least twice row-s is needed");
     }
     return Optional.of(p);
--- a/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
@@ -53,11 +53,11 @@
    * @return false when the worker is to be redirected to the leader instead
    */
   boolean forward(IncomingRequest request, Heartbeat heartbeat, String leader, long leaderTerm) {
-    int peer = links.peer(leader);
+    int peer = links.peerIndex(leader);
     if (peer < 0 || !mustForward(heartbeat, peer, leaderTerm)) {
       return false;
     }
-    if (links.downPeer(peer)) {
+    if (links.isPeerDown(peer)) {
       // Neither of us gets there: the next node may, and the worker must not wait to hear it.
       Reply.retryLater(request, LEADER_NOT_REACHED);
     } else if (inFlight >= MAX_IN_FLIGHT) {
@@ -70,15 +70,15 @@
 
   private boolean mustForward(Heartbeat heartbeat, int peer, long leaderTerm) {
     long now = loop.now();
-    LinkStateAdvertisement advertised = links.fresh(peer, now);
-    LinkStateAdvertisement.Heard zone =
-        advertised == null ? null : advertised.zone(heartbeat.zone());
-    return relay.carry(
+    LinkStateAdvertisement advertised = links.freshAdvertisement(peer, now);
+    LinkStateAdvertisement.ZoneContact zone =
+        advertised == null ? null : advertised.zoneContact(heartbeat.zone());
+    return relay.shouldRelay(
         heartbeat.machine(),
         clusterConfig.zones.find(heartbeat.zone()),
         heartbeat.fencingToken(),
         leaderTerm,
-        zone == null ? -1 : zone.directMs(),
+        zone == null ? -1 : zone.directAgeMs(),
         now);
   }
 
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -130,13 +130,18 @@
   /** A caller of the state service that goes round a broken link, over one that does not. */
   RequestSender state(RequestSender direct) {
     return new RelayedCaller(
-        loop, direct, ExternalService.STATE, state.route(), transport, policy.hedgeMs());
+        loop, direct, ExternalService.STATE, state.route(), transport, policy.hedgeDelayMs());
   }
 
   /** A caller of the cloud that goes round a broken link. */
   RequestSender cloud() {
     return new RelayedCaller(
-        loop, cloud.direct(), ExternalService.CLOUD, cloud.route(), transport, policy.hedgeMs());
+        loop,
+        cloud.direct(),
+        ExternalService.CLOUD,
+        cloud.route(),
+        transport,
+        policy.hedgeDelayMs());
   }
 
   /** Carries relayed requests between this node and its peers. */
@@ -165,12 +170,14 @@
     this.workers = workers;
     this.listener = listener;
     loop.every(CHECK_INTERVAL_MS, this::check);
-    loop.after(FIRST_ADVERTISEMENT_DELAY_MS, () -> loop.every(policy.rowMs(), this::advertise));
+    loop.after(
+        FIRST_ADVERTISEMENT_DELAY_MS,
+        () -> loop.every(policy.advertiseIntervalMs(), this::advertise));
   }
 
   /** Calls of this node that were made by way of a peer. */
   long detours() {
-    return state.route().detours() + cloud.route().detours();
+    return state.route().relayedCalls() + cloud.route().relayedCalls();
   }
 
   /**
@@ -179,9 +186,9 @@
    */
   boolean isIsolated() {
     long now = loop.now();
-    return state.route().astray()
-        && links.freshRows(now) == 0
-        && now - links.sinceMs(ExternalService.STATE) > ISOLATION_DELAY_MS;
+    return state.route().isDirectPathDown()
+        && links.freshAdvertisementCount(now) == 0
+        && now - links.changedMs(ExternalService.STATE) > ISOLATION_DELAY_MS;
   }
 
   /** How long this node lets others campaign first when there is no leader, in milliseconds. */
@@ -189,7 +196,7 @@
     boolean lacksWorkers =
         lastRelayedHeartbeatMs - lastDirectHeartbeatMs > IDLE_LINK_MS
             && loop.now() - lastRelayedHeartbeatMs < WORKER_CONTACT_MEMORY_MS;
-    return (state.route().astray() ? ELECTION_HANDICAP_MS : 0)
+    return (state.route().isDirectPathDown() ? ELECTION_HANDICAP_MS : 0)
         + (lacksWorkers ? ELECTION_HANDICAP_MS : 0);
   }
 
@@ -200,7 +207,7 @@
     } else {
       lastRelayedHeartbeatMs = loop.now();
     }
-    links.heard(clusterConfig.zones.find(heartbeat.zone()), isDirect, loop.now());
+    links.recordHeartbeat(clusterConfig.zones.find(heartbeat.zone()), isDirect, loop.now());
   }
 
   /**
@@ -215,35 +222,35 @@
     boolean isLeading = listener.leading();
     // A leader's own term, not the tokens within it that single workers have.
     long term = isLeading ? election.leaderTerm() : election.seenTerm();
-    transport.tell(links.own(term, isLeading, loop.now()));
+    transport.tell(links.advertise(term, isLeading, loop.now()));
   }
 
   private void check() {
     long now = loop.now();
     long ageMs = links.ageMs(ExternalService.STATE, now);
-    boolean isIdle = !state.route().astray() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
-    if (!isProbingState && (state.route().probeDue(now) || isIdle)) {
+    boolean isIdle = !state.route().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
+    if (!isProbingState && (state.route().takeProbe(now) || isIdle)) {
       isProbingState = true;
       probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
     }
     // Only the leader uses the cloud, and no detour is needed where nothing is asked.
-    if (cloud.route().probeDue(now) && listener.leading()) {
+    if (cloud.route().takeProbe(now) && listener.leading()) {
       probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
     logChanges(now);
   }
 
   private void logChanges(long now) {
-    for (LinkStateTable.Change c : links.changes()) {
+    for (LinkStateTable.LinkChange c : links.takeChanges()) {
       if (logLimiter.tryAcquire(now)) {
         LOG.warn(
             "event={} from={} to={} before_ms={} by={} left_out={}",
             c.down() ? "link_down" : "link_up",
             c.from(),
             c.to(),
-            c.sinceMs(),
+            c.lastedMs(),
             c.by(),
-            logLimiter.suppressed() + links.leftOut());
+            logLimiter.suppressed() + links.takeUnkeptChanges());
       }
     }
   }
@@ -269,7 +276,7 @@
 
               private void ended(boolean worked) {
                 ended.run();
-                link.route().direct(worked, sentMs, loop.now());
+                link.route().recordDirectCall(worked, sentMs, loop.now());
               }
             });
   }
@@ -278,8 +285,8 @@
   private final class PeerRequests implements RelayTransport.Listener {
     @Override
     public long row(LinkStateAdvertisement advertised) {
-      if (!links.row(advertised, loop.now())) {
-        long began = links.began(advertised.node());
+      if (!links.accept(advertised, loop.now())) {
+        long began = links.startedMs(advertised.node());
         return began > advertised.started() ? began : 0;
       }
       if (election != null) {
@@ -301,7 +308,7 @@
         long timeoutMs,
         RequestSender.ResponseHandler answer) {
       ExternalLink link = to == ExternalService.STATE ? state : cloud;
-      if (links.down(to)) {
+      if (links.isDown(to)) {
         answer.failed(false);
         return;
       }
@@ -368,7 +375,7 @@
     @Override
     public void answered(int status, byte[] body) {
       boolean isRefusal = link.isRefusal(status);
-      link.route().direct(!isRefusal, sentMs, loop.now());
+      link.route().recordDirectCall(!isRefusal, sentMs, loop.now());
       if (isRefusal) {
         answer.failed(false);
       } else {
@@ -378,7 +385,7 @@
 
     @Override
     public void failed(boolean sent) {
-      link.route().direct(false, sentMs, loop.now());
+      link.route().recordDirectCall(false, sentMs, loop.now());
       answer.failed(sent);
     }
   }
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -189,7 +189,7 @@
         election,
         workers,
         users.folding(),
-        () -> links == null ? 0 : links.links().freshRows(loop.now()));
+        () -> links == null ? 0 : links.links().freshAdvertisementCount(loop.now()));
   }
 
   /**
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -77,16 +77,16 @@
   }
 
   private void registerLinks(LinkMonitor links) {
-    gauge("mallowroad.links.down", m -> links.links().downCount());
-    gauge("mallowroad.links.rows", m -> links.links().freshRows(m.node.loop.now()));
-    gauge("mallowroad.links.state.via", m -> links.stateRoute().via());
+    gauge("mallowroad.links.down", m -> links.links().downLinkCount());
+    gauge("mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
+    gauge("mallowroad.links.state.via", m -> links.stateRoute().relay());
     gauge(
         "mallowroad.links.state.age.ms",
         m -> links.links().ageMs(ExternalService.STATE, m.node.loop.now()));
     gauge("mallowroad.detours", m -> links.detours());
-    gauge("mallowroad.reports.carried", m -> links.heartbeatRelay().carried());
-    gauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().sentOn());
-    gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().size());
+    gauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
+    gauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
+    gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkers());
   }
 
   private void registerInvalidMessages() {
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -39,7 +39,7 @@
   public void serve(String method, String path, byte[] body, Responder responder) {
     if (!hasPeers) {
       users.serve(method, path, body, responder);
-    } else if (links != null && links.stateRoute().astray()) {
+    } else if (links != null && links.stateRoute().isDirectPathDown()) {
       relayByLinkState(method, path, body, responder);
     } else if (state.health().isFailing()) {
       peers.relay(method, path, body, responder, () -> refuse(responder));
--- a/src/main/java/org/mallowroad/core/linkstate/Link.java
+++ b/src/main/java/org/mallowroad/core/linkstate/Link.java
@@ -1,26 +1,33 @@
 package org.mallowroad.core.linkstate;
 
 /**
- * One link as its own end sees it. A use counts by when it was sent: an answer may have waited in a
- * socket, so when it was read says nothing of the time since.
+ * State of one link of this node, up or down, by the outcomes of the calls over it.
+ *
+ * <p>A call counts by the time at which it was sent. When its answer was read says nothing of the
+ * time since, because the answer may have waited in a socket.
  */
 final class Link {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  private long okMs = NEVER;
+  /** Sending time of the newest call that succeeded. */
+  private long succeededMs = NEVER;
+
+  /** Sending time of the newest call that failed. */
   private long failedMs = NEVER;
+
   private long changedMs;
   private boolean down;
 
+  /** A link that is up, as of now. */
   Link(long now) {
     changedMs = now;
   }
 
-  /** A use that was sent then has worked; true when the link was down until now. */
-  boolean ok(long sentMs, long now) {
-    okMs = Math.max(okMs, sentMs);
-    // A success that was sent before the failure says nothing against it.
-    if (!down || okMs < failedMs) {
+  /** Records the success of a call; true when it brought the link up. */
+  boolean recordSuccess(long sentMs, long now) {
+    succeededMs = Math.max(succeededMs, sentMs);
+    // A success that was sent before the failure does not disprove it.
+    if (!down || succeededMs < failedMs) {
       return false;
     }
     down = false;
@@ -28,11 +35,11 @@
     return true;
   }
 
-  /** A use that was sent then has failed; true when the link was up until now. */
-  boolean failed(long sentMs, long now) {
+  /** Records the failure of a call; true when it took the link down. */
+  boolean recordFailure(long sentMs, long now) {
     failedMs = Math.max(failedMs, sentMs);
-    // What was sent later has worked already: this was one lost message.
-    if (down || okMs > sentMs) {
+    // A call that was sent later has succeeded already: this was a single lost message.
+    if (down || succeededMs > sentMs) {
       return false;
     }
     down = true;
@@ -40,17 +47,18 @@
     return true;
   }
 
-  boolean down() {
+  /** True when the newest evidence is a failure. */
+  boolean isDown() {
     return down;
   }
 
-  /** Since when it is as it is. */
+  /** When the link came up or went down, or was created. */
   long changedMs() {
     return changedMs;
   }
 
-  /** Age of the newest use that worked; -1 while down or before the first. */
+  /** Age of the newest call that succeeded, in ms; -1 while down or before the first one. */
   long ageMs(long now) {
-    return down || okMs == NEVER ? -1 : Math.max(0, now - okMs);
+    return down || succeededMs == NEVER ? -1 : Math.max(0, now - succeededMs);
   }
 }
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
@@ -6,42 +6,63 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 
 /**
- * All links that a node knows of: its own from its own traffic, the others' from the rows that they
- * send. Peers and zones are dense indices here; what a row says about names that this node does not
- * know is left out.
+ * The links that a node knows of: its own by the outcomes of its calls, those of its peers by their
+ * link-state advertisements.
+ *
+ * <p>Peers and zones are dense indices here. What an advertisement says about names that this node
+ * does not know is ignored. Times are in milliseconds of the caller's monotonic clock. Not
+ * thread-safe: confined to the controller's event loop.
  */
 public final class LinkStateTable {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Changes that wait to be logged; more are counted only. */
-  private static final int MOST_CHANGES = 64;
+  /** Changes that are kept for the log; further ones are only counted. */
+  private static final int MAX_KEPT_CHANGES = 64;
 
   private final LinkPolicy policy;
   private final String node;
   private final List<String> peers;
   private final List<String> zones;
   private long started;
-  private final Link[] outside = new Link[ExternalService.values().length];
+
+  /** Links to the external services, by ordinal. */
+  private final Link[] toService = new Link[ExternalService.values().length];
+
+  // By peer.
   private final Link[] toPeer;
-  private final long[] directMs;
-  private final long[] carriedMs;
-  private final LinkStateAdvertisement[] rows;
-  private final long[] rowMs;
-  private final ArrayDeque<Change> changes = new ArrayDeque<>();
-  private long leftOut;
+  private final LinkStateAdvertisement[] advertisements;
+  private final long[] acceptedMs;
+
+  // By zone.
+  private final long[] directHeartbeatMs;
+  private final long[] relayedHeartbeatMs;
+
+  private final ArrayDeque<LinkChange> changes = new ArrayDeque<>();
+  private long unkeptChanges;
   private long sequence;
 
   /**
    * A link went down or came up.
    *
-   * @param by by whose word
-   * @param sinceMs how long it had been as it was before
+   * @param from the node at this end of the link
+   * @param to the peer or, in lower case, the external service at the other end
+   * @param down whether it is down now
+   * @param lastedMs how long the previous state had lasted
+   * @param by the node that says so
    */
-  public record Change(String from, String to, boolean down, long sinceMs, String by) {}
+  public record LinkChange(String from, String to, boolean down, long lastedMs, String by) {}
 
-  /** The links of a node that began at {@code started} by the time of day. */
+  /**
+   * Creates the table of a node.
+   *
+   * @param node name of this node
+   * @param peers names of the other controllers
+   * @param zones names of the zones
+   * @param started when this process began, by the time of day
+   */
   public LinkStateTable(
       LinkPolicy policy,
       String node,
@@ -54,15 +75,15 @@
     this.peers = List.copyOf(peers);
     this.zones = List.copyOf(zones);
     this.started = started;
-    Arrays.setAll(outside, i -> new Link(now));
+    Arrays.setAll(toService, i -> new Link(now));
     this.toPeer = new Link[peers.size()];
     Arrays.setAll(toPeer, i -> new Link(now));
-    this.directMs = new long[zones.size()];
-    this.carriedMs = new long[zones.size()];
-    Arrays.fill(directMs, NEVER);
-    Arrays.fill(carriedMs, NEVER);
-    this.rows = new LinkStateAdvertisement[peers.size()];
-    this.rowMs = new long[peers.size()];
+    this.directHeartbeatMs = new long[zones.size()];
+    this.relayedHeartbeatMs = new long[zones.size()];
+    Arrays.fill(directHeartbeatMs, NEVER);
+    Arrays.fill(relayedHeartbeatMs, NEVER);
+    this.advertisements = new LinkStateAdvertisement[peers.size()];
+    this.acceptedMs = new long[peers.size()];
   }
 
   /** The operators' values. */
@@ -70,8 +91,8 @@
     return policy;
   }
 
-  /** Index of a peer, or -1. */
-  public int peer(String name) {
+  /** Index of a peer, or -1 when the name is unknown. */
+  public int peerIndex(String name) {
     return peers.indexOf(name);
   }
 
@@ -80,111 +101,138 @@
     return peers.get(peer);
   }
 
-  /** How many peers there are. */
+  /** Number of peers. */
   public int peerCount() {
     return peers.size();
   }
 
-  /** A call of this node to an outside party went its own way and worked, or did not. */
-  public void used(ExternalService party, boolean worked, long sentMs, long now) {
-    note(
-        outside[party.ordinal()],
-        party.name().toLowerCase(java.util.Locale.ROOT),
-        worked,
-        sentMs,
-        now);
+  /** Name of a zone. */
+  public String zoneName(int zone) {
+    return zones.get(zone);
   }
 
-  /** A message to a peer was answered, or not. */
-  public void usedPeer(int peer, boolean worked, long sentMs, long now) {
-    note(toPeer[peer], peers.get(peer), worked, sentMs, now);
+  /** Records the outcome of a direct call of this node to an external service. */
+  public void recordCall(ExternalService service, boolean succeeded, long sentMs, long now) {
+    recordOutcome(toService[service.ordinal()], nameOf(service), succeeded, sentMs, now);
   }
 
-  private void note(Link link, String to, boolean worked, long sentMs, long now) {
-    long before = link.changedMs();
-    if (worked ? link.ok(sentMs, now) : link.failed(sentMs, now)) {
-      changed(new Change(node, to, !worked, now - before, node));
+  /** Records whether a message to a peer was answered. */
+  public void recordPeerCall(int peer, boolean succeeded, long sentMs, long now) {
+    recordOutcome(toPeer[peer], peers.get(peer), succeeded, sentMs, now);
+  }
+
+  private void recordOutcome(Link link, String to, boolean succeeded, long sentMs, long now) {
+    long beforeMs = link.changedMs();
+    boolean changed = succeeded ? link.recordSuccess(sentMs, now) : link.recordFailure(sentMs, now);
+    if (changed) {
+      keepChange(new LinkChange(node, to, !succeeded, now - beforeMs, node));
     }
   }
 
-  /** A worker's report came, by itself or carried by a peer. */
-  public void heard(int zone, boolean direct, long now) {
-    if (zone >= 0 && zone < directMs.length) {
-      (direct ? directMs : carriedMs)[zone] = now;
+  private static String nameOf(ExternalService service) {
+    return service.name().toLowerCase(Locale.ROOT);
+  }
+
+  /**
+   * Records a heartbeat of a zone's worker; an unknown zone (-1) is ignored.
+   *
+   * @param direct true when the worker sent it to this node, false when a peer relayed it
+   */
+  public void recordHeartbeat(int zone, boolean direct, long now) {
+    if (zone >= 0 && zone < directHeartbeatMs.length) {
+      (direct ? directHeartbeatMs : relayedHeartbeatMs)[zone] = now;
     }
   }
 
-  /** A peer's row came; false when it is of an unknown node or older than what is known. */
-  public boolean row(LinkStateAdvertisement row, long now) {
-    int p = peer(row.node());
-    if (p < 0 || (rows[p] != null && !row.newer(rows[p]))) {
+  /**
+   * Takes in a peer's advertisement.
+   *
+   * @return false when it is of an unknown node, or not newer than the one that is known
+   */
+  public boolean accept(LinkStateAdvertisement advertisement, long now) {
+    int peer = peerIndex(advertisement.node());
+    if (peer < 0) {
       return false;
     }
-    LinkStateAdvertisement old = rows[p];
-    if (old != null) {
-      for (ExternalService o : ExternalService.values()) {
-        boolean was = old.ageMs(o) >= 0;
-        if (was != row.ageMs(o) >= 0) {
-          String to = o.name().toLowerCase(java.util.Locale.ROOT);
-          changed(new Change(row.node(), to, was, now - rowMs[p], row.node()));
-        }
+    LinkStateAdvertisement previous = advertisements[peer];
+    if (previous != null) {
+      if (!advertisement.isNewerThan(previous)) {
+        return false;
       }
+      keepServiceChanges(previous, advertisement, now - acceptedMs[peer]);
     }
-    rows[p] = row;
-    rowMs[p] = now;
+    advertisements[peer] = advertisement;
+    acceptedMs[peer] = now;
     return true;
   }
 
-  /** When the process of the newest row of a node began, by its own word; 0 without one. */
-  public long began(String of) {
-    int p = peer(of);
-    return p < 0 || rows[p] == null ? 0 : rows[p].started();
+  private void keepServiceChanges(
+      LinkStateAdvertisement previous, LinkStateAdvertisement next, long lastedMs) {
+    for (ExternalService service : ExternalService.values()) {
+      boolean wasUp = previous.ageMs(service) >= 0;
+      boolean isUp = next.ageMs(service) >= 0;
+      if (wasUp != isUp) {
+        keepChange(new LinkChange(next.node(), nameOf(service), wasUp, lastedMs, next.node()));
+      }
+    }
   }
 
   /**
-   * A peer has a row of this node by a process that seems to have begun later. That one is over:
-   * the time of day had wandered, and this process was back sooner than that. So it takes a later
-   * beginning, or none of its rows would ever count.
+   * When the process of a node's newest advertisement began, by its own time of day; 0 without an
+   * advertisement.
    */
-  public void outrun(long began) {
-    started = Math.max(started, began + 1);
+  public long startedMs(String nodeName) {
+    int peer = peerIndex(nodeName);
+    return peer < 0 || advertisements[peer] == null ? 0 : advertisements[peer].started();
   }
 
-  private void changed(Change c) {
-    if (changes.size() < MOST_CHANGES) {
-      changes.add(c);
+  /**
+   * Makes this process count as the later one. A peer holds an advertisement of this node by an
+   * earlier process that seems to have begun at {@code otherStarted}, after this one: the time of
+   * day was set back by more than the restart took. Without a later start time all advertisements
+   * of this process would be ignored.
+   */
+  public void supersede(long otherStarted) {
+    started = Math.max(started, otherStarted + 1);
+  }
+
+  private void keepChange(LinkChange change) {
+    if (changes.size() < MAX_KEPT_CHANGES) {
+      changes.add(change);
     } else {
-      leftOut++;
+      unkeptChanges++;
     }
   }
 
-  /** Takes the changes that wait to be logged. */
-  public List<Change> changes() {
-    List<Change> out = new ArrayList<>(changes);
+  /** Takes the changes since the last call, {@link #MAX_KEPT_CHANGES} at the most. */
+  public List<LinkChange> takeChanges() {
+    List<LinkChange> taken = new ArrayList<>(changes);
     changes.clear();
-    return out;
+    return taken;
   }
 
-  /** Takes the count of changes that were left out. */
-  public long leftOut() {
-    long n = leftOut;
-    leftOut = 0;
-    return n;
+  /** Takes the number of changes since the last call that were counted but not kept. */
+  public long takeUnkeptChanges() {
+    long taken = unkeptChanges;
+    unkeptChanges = 0;
+    return taken;
   }
 
-  /** This node's row. */
-  public LinkStateAdvertisement own(long term, boolean leading, long now) {
-    List<String> reached = new ArrayList<>();
-    for (int p = 0; p < toPeer.length; p++) {
-      if (toPeer[p].ageMs(now) >= 0) {
-        reached.add(peers.get(p));
+  /** Makes this node's next advertisement. */
+  public LinkStateAdvertisement advertise(long term, boolean leading, long now) {
+    List<String> reachedPeers = new ArrayList<>();
+    for (int peer = 0; peer < toPeer.length; peer++) {
+      if (toPeer[peer].ageMs(now) >= 0) {
+        reachedPeers.add(peers.get(peer));
       }
     }
-    List<LinkStateAdvertisement.Heard> heard = new ArrayList<>();
-    for (int z = 0; z < zones.size(); z++) {
-      heard.add(
-          new LinkStateAdvertisement.Heard(
-              zones.get(z), age(directMs[z], now), age(carriedMs[z], now)));
+    List<LinkStateAdvertisement.ZoneContact> contacts = new ArrayList<>();
+    for (int zone = 0; zone < zones.size(); zone++) {
+      contacts.add(
+          new LinkStateAdvertisement.ZoneContact(
+              zones.get(zone),
+              ageMs(directHeartbeatMs[zone], now),
+              ageMs(relayedHeartbeatMs[zone], now)));
     }
     return new LinkStateAdvertisement(
         node,
@@ -192,84 +240,87 @@
         ++sequence,
         term,
         leading,
-        outside[0].ageMs(now),
-        outside[1].ageMs(now),
-        reached,
-        heard);
+        ageMs(ExternalService.STATE, now),
+        ageMs(ExternalService.CLOUD, now),
+        reachedPeers,
+        contacts);
   }
 
-  private static long age(long atMs, long now) {
+  private static long ageMs(long atMs, long now) {
     return atMs == NEVER ? -1 : now - atMs;
   }
 
-  /** True when the newest sign of this node's own link to the party is a failure. */
-  public boolean down(ExternalService party) {
-    return outside[party.ordinal()].down();
+  /** True when the newest evidence about this node's own link to the service is a failure. */
+  public boolean isDown(ExternalService service) {
+    return toService[service.ordinal()].isDown();
   }
 
-  /** Since when this node's own link to the party is as it is. */
-  public long sinceMs(ExternalService party) {
-    return outside[party.ordinal()].changedMs();
+  /** When this node's own link to the service came up or went down. */
+  public long changedMs(ExternalService service) {
+    return toService[service.ordinal()].changedMs();
   }
 
-  /** Age of the newest use of an outside party that worked; -1 while down or before the first. */
-  public long ageMs(ExternalService party, long now) {
-    return outside[party.ordinal()].ageMs(now);
+  /**
+   * Age of this node's newest successful direct call to a service, in ms; -1 while the link is down
+   * or before the first one.
+   */
+  public long ageMs(ExternalService service, long now) {
+    return toService[service.ordinal()].ageMs(now);
   }
 
-  /** True when the newest sign of the link to a peer is a failure. */
-  public boolean downPeer(int peer) {
-    return toPeer[peer].down();
+  /** True when the newest evidence about the link to a peer is a failure. */
+  public boolean isPeerDown(int peer) {
+    return toPeer[peer].isDown();
   }
 
-  /** A peer's newest row, while it is fresh, else null. */
-  public LinkStateAdvertisement fresh(int peer, long now) {
-    return rows[peer] != null && now - rowMs[peer] <= policy.freshMs() ? rows[peer] : null;
+  /** A peer's newest advertisement, or null when there is none that is fresh. */
+  public LinkStateAdvertisement freshAdvertisement(int peer, long now) {
+    boolean fresh = advertisements[peer] != null && now - acceptedMs[peer] <= policy.maxAgeMs();
+    return fresh ? advertisements[peer] : null;
   }
 
-  /** How many peers' rows are fresh. */
-  public int freshRows(long now) {
-    int n = 0;
-    for (int p = 0; p < rows.length; p++) {
-      n += fresh(p, now) != null ? 1 : 0;
+  /** Number of peers with a fresh advertisement. */
+  public int freshAdvertisementCount(long now) {
+    int count = 0;
+    for (int peer = 0; peer < advertisements.length; peer++) {
+      count += freshAdvertisement(peer, now) != null ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
-  /** Peers that are reached and say that they reach the party by their own link. */
-  public IntList reaching(ExternalService party, long now) {
-    IntList out = new IntArrayList();
-    for (int p = 0; p < rows.length; p++) {
-      if (reaches(p, party, now)) {
-        out.add(p);
+  /** Peers by way of which the service can be reached; see {@link #reaches}. */
+  public IntList peersReaching(ExternalService service, long now) {
+    IntList reaching = new IntArrayList();
+    for (int peer = 0; peer < advertisements.length; peer++) {
+      if (reaches(peer, service, now)) {
+        reaching.add(peer);
       }
     }
-    return out;
+    return reaching;
   }
 
-  /** True when the peer is reached and said a moment ago that it reaches the party. */
-  public boolean reaches(int peer, ExternalService party, long now) {
-    LinkStateAdvertisement r = fresh(peer, now);
-    return r != null
-        && !toPeer[peer].down()
-        && r.ageMs(party) >= 0
-        && r.ageMs(party) <= policy.freshMs();
+  /**
+   * True when this node reaches the peer, and the peer's fresh advertisement says that it reaches
+   * the service by its own link.
+   */
+  public boolean reaches(int peer, ExternalService service, long now) {
+    LinkStateAdvertisement advertisement = freshAdvertisement(peer, now);
+    return advertisement != null
+        && !toPeer[peer].isDown()
+        && advertisement.ageMs(service) >= 0
+        && advertisement.ageMs(service) <= policy.maxAgeMs();
   }
 
-  /** Links that are down by this node's own word. */
-  public int downCount() {
-    int n = 0;
-    for (Link l : outside) {
-      n += l.down() ? 1 : 0;
-    }
-    for (Link l : toPeer) {
-      n += l.down() ? 1 : 0;
-    }
-    return n;
+  /** Number of this node's own links that are down. */
+  public int downLinkCount() {
+    return countDown(toService) + countDown(toPeer);
   }
 
-  /** Names of the zones, as rows have them. */
-  public String zoneName(int zone) {
-    return zones.get(zone);
+  private static int countDown(Link[] links) {
+    int count = 0;
+    for (Link link : links) {
+      count += link.isDown() ? 1 : 0;
+    }
+    return count;
   }
 }
--- a/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
+++ b/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
@@ -3,131 +3,158 @@
 import it.unimi.dsi.fastutil.ints.IntList;
 
 /**
- * Which way calls to one outside party go: straight, or through a peer that reaches it.
+ * Selects the route of calls to one external service: direct, or relayed by a peer that reaches the
+ * service.
  *
- * <p>Straight while the newest sign of the direct way is good, and also when no peer is known to be
- * better off, since then nothing is gained: an outage looks the same from everywhere. The way back
- * needs the direct way to have worked for a while, twice as long after each relapse within a
- * minute, so that a link that is up and down every few seconds does not drag the calls to and fro.
+ * <p>Calls are direct while the newest evidence of the direct path is good. They are direct also
+ * when no peer is known to reach the service, since nothing would be gained: an outage of the
+ * service looks the same from every node. Calls return to the direct path only after it has worked
+ * for a while, which doubles with each relapse within a minute, so that a flapping link does not
+ * move the calls back and forth.
+ *
+ * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class RouteSelector {
-  /** The direct way. */
+  /** The direct path, in place of the index of a peer. */
   public static final int DIRECT = -1;
 
-  private static final long PROBE_MS = 500;
+  /** Interval of probes over the direct path while it is down. */
+  private static final long PROBE_INTERVAL_MS = 500;
+
+  /** A failure within this time after the last change of state is a relapse. */
   private static final long RELAPSE_MS = 60_000;
-  private static final int MOST_DOUBLINGS = 4;
+
+  /** The recovery time is doubled this many times at the most. */
+  private static final int MAX_DOUBLINGS = 4;
 
   private final LinkStateTable links;
-  private final ExternalService party;
-  private boolean astray;
-  private int via = DIRECT;
-  private long goodSinceMs = -1;
+  private final ExternalService service;
+
+  /** True from a failure of the direct path until it has worked for the recovery time. */
+  private boolean directPathDown;
+
+  private int relay = DIRECT;
+
+  /** Since when the direct path works again; -1 while it does not. */
+  private long workingSinceMs = -1;
+
   private long probedMs = Long.MIN_VALUE / 2;
-  private long astrayMs = Long.MIN_VALUE / 2;
+
+  /** When {@link #directPathDown} last changed. */
+  private long changedMs = Long.MIN_VALUE / 2;
+
   private int relapses;
-  private long turns;
-  private long detours;
+  private long routeChanges;
+  private long relayedCalls;
 
-  /** For calls to a party. */
-  public RouteSelector(LinkStateTable links, ExternalService party) {
+  /** Creates the selector for calls to a service. */
+  public RouteSelector(LinkStateTable links, ExternalService service) {
     this.links = links;
-    this.party = party;
+    this.service = service;
   }
 
-  /** The way for a call that is sent now: {@link #DIRECT} or a peer. */
+  /** The route of a call that is sent now: {@link #DIRECT} or a peer. */
   public int choose(long now) {
-    if (!astray) {
+    if (!directPathDown) {
       return DIRECT;
     }
-    int chosen = via != DIRECT && links.reaches(via, party, now) ? via : other(via, now);
-    if (chosen != via) {
-      via = chosen;
-      turns++;
+    boolean keep = relay != DIRECT && links.reaches(relay, service, now);
+    int chosen = keep ? relay : findRelay(relay, now);
+    if (chosen != relay) {
+      relay = chosen;
+      routeChanges++;
     }
     return chosen;
   }
 
-  /** A peer for a second try beside a call that has no answer yet; {@link #DIRECT} for none. */
-  public int beside(long now) {
-    return astray ? DIRECT : other(DIRECT, now);
+  /** A peer for a hedged copy of a direct call without an answer; {@link #DIRECT} for none. */
+  public int chooseHedge(long now) {
+    return directPathDown ? DIRECT : findRelay(DIRECT, now);
   }
 
-  /** A peer that reaches the party, not the given one where there is another. */
-  private int other(int not, long now) {
-    IntList all = links.reaching(party, now);
-    if (all.isEmpty()) {
+  /** A peer that reaches the service, other than {@code current} if there is one. */
+  private int findRelay(int current, long now) {
+    IntList candidates = links.peersReaching(service, now);
+    if (candidates.isEmpty()) {
       return DIRECT;
     }
-    for (int p : all) {
-      // The next one round, so that not all nodes go through the same.
-      if (p > not) {
-        return p;
+    for (int peer : candidates) {
+      // The next one in turn, so that not all nodes use the same relay.
+      if (peer > current) {
+        return peer;
       }
     }
-    return all.getInt(0);
+    return candidates.getInt(0);
   }
 
-  /** A call went straight and was done, or was not. */
-  public void direct(boolean worked, long sentMs, long now) {
-    links.used(party, worked, sentMs, now);
-    if (!worked) {
-      goodSinceMs = -1;
-      if (!astray && links.down(party)) {
-        relapses = now - astrayMs < RELAPSE_MS ? Math.min(relapses + 1, MOST_DOUBLINGS) : 0;
-        astray = true;
-        astrayMs = now;
-        turns++;
+  /** Records the outcome of a direct call. */
+  public void recordDirectCall(boolean succeeded, long sentMs, long now) {
+    links.recordCall(service, succeeded, sentMs, now);
+    if (!succeeded) {
+      workingSinceMs = -1;
+      if (!directPathDown && links.isDown(service)) {
+        leaveDirectPath(now);
       }
-    } else if (astray && !links.down(party)) {
-      if (goodSinceMs < 0) {
-        goodSinceMs = now;
+    } else if (directPathDown && !links.isDown(service)) {
+      if (workingSinceMs < 0) {
+        workingSinceMs = now;
       }
-      if (via == DIRECT || now - goodSinceMs >= links.policy().steadyMs() << relapses) {
-        astray = false;
-        astrayMs = now;
-        via = DIRECT;
-        turns++;
+      if (relay == DIRECT || now - workingSinceMs >= links.policy().recoveryMs() << relapses) {
+        returnToDirectPath(now);
       }
     }
   }
 
-  /** A call through a peer was done, or the peer could not. */
-  public void through(int peer, boolean worked, long now) {
-    if (worked) {
-      detours++;
-    } else if (astray && peer == via) {
-      via = other(via, now);
-      turns++;
+  private void leaveDirectPath(long now) {
+    relapses = now - changedMs < RELAPSE_MS ? Math.min(relapses + 1, MAX_DOUBLINGS) : 0;
+    directPathDown = true;
+    changedMs = now;
+    routeChanges++;
+  }
+
+  private void returnToDirectPath(long now) {
+    directPathDown = false;
+    changedMs = now;
+    relay = DIRECT;
+    routeChanges++;
+  }
+
+  /** Records whether a call that was relayed by a peer was done. */
+  public void recordRelayedCall(int peer, boolean succeeded, long now) {
+    if (succeeded) {
+      relayedCalls++;
+    } else if (directPathDown && peer == relay) {
+      relay = findRelay(relay, now);
+      routeChanges++;
     }
   }
 
-  /** True when the direct way is to be tried now: nothing else shows that it works again. */
-  public boolean probeDue(long now) {
-    if (!astray || now - probedMs < PROBE_MS) {
+  /** True when the direct path is to be probed now: no call shows that it works again. */
+  public boolean takeProbe(long now) {
+    if (!directPathDown || now - probedMs < PROBE_INTERVAL_MS) {
       return false;
     }
     probedMs = now;
     return true;
   }
 
-  /** True while calls do not go straight, or would not if a peer were known. */
-  public boolean astray() {
-    return astray;
+  /** True while calls are relayed, or would be if a peer reached the service. */
+  public boolean isDirectPathDown() {
+    return directPathDown;
   }
 
-  /** The peer that calls go through, or {@link #DIRECT}. */
-  public int via() {
-    return via;
+  /** The peer that relays the calls, or {@link #DIRECT}. */
+  public int relay() {
+    return relay;
   }
 
-  /** Rises with each change of the way: what still waits on the old one is given up. */
-  public long turns() {
-    return turns;
+  /** Number of route changes so far: calls that still wait on an earlier route are given up. */
+  public long routeChanges() {
+    return routeChanges;
   }
 
-  /** Calls that were done by way of a peer. */
-  public long detours() {
-    return detours;
+  /** Number of calls that were done by way of a peer. */
+  public long relayedCalls() {
+    return relayedCalls;
   }
 }
--- a/src/main/java/org/mallowroad/peer/LinkCodec.java
+++ b/src/main/java/org/mallowroad/peer/LinkCodec.java
@@ -149,15 +149,15 @@
     g.put("seq", r.sequence());
     g.put("term", r.term());
     g.put("leading", r.leading());
-    g.put("stateMs", r.stateMs());
-    g.put("cloudMs", r.cloudMs());
+    g.put("stateMs", r.stateAgeMs());
+    g.put("cloudMs", r.cloudAgeMs());
     g.put("peers", r.peers());
     List<GenericRecord> zones = new ArrayList<>();
-    for (LinkStateAdvertisement.Heard h : r.zones()) {
+    for (LinkStateAdvertisement.ZoneContact h : r.zones()) {
       GenericRecord z = new GenericData.Record(heardSchema);
       z.put("zone", h.zone());
-      z.put("directMs", h.directMs());
-      z.put("carriedMs", h.carriedMs());
+      z.put("directMs", h.directAgeMs());
+      z.put("carriedMs", h.relayedAgeMs());
       zones.add(z);
     }
     g.put("zones", zones);
@@ -195,11 +195,11 @@
     for (Object p : (List<?>) g.get("peers")) {
       peers.add(p.toString());
     }
-    List<LinkStateAdvertisement.Heard> zones = new ArrayList<>();
+    List<LinkStateAdvertisement.ZoneContact> zones = new ArrayList<>();
     for (Object o : (List<?>) g.get("zones")) {
       GenericRecord z = (GenericRecord) o;
       zones.add(
-          new LinkStateAdvertisement.Heard(
+          new LinkStateAdvertisement.ZoneContact(
               z.get("zone").toString(), (Long) z.get("directMs"), (Long) z.get("carriedMs")));
     }
     return new LinkStateAdvertisement(
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -112,7 +112,7 @@
                   @Override
                   public void answered(int status, byte[] body) {
                     rowOut[peer] = false;
-                    links.usedPeer(peer, true, sentMs, loop.now());
+                    links.recordPeerCall(peer, true, sentMs, loop.now());
                     if (status == OUTRUN) {
                       outrun(body);
                     }
@@ -121,7 +121,7 @@
                   @Override
                   public void failed(boolean sent) {
                     rowOut[peer] = false;
-                    links.usedPeer(peer, false, sentMs, loop.now());
+                    links.recordPeerCall(peer, false, sentMs, loop.now());
                   }
                 });
       }
@@ -130,7 +130,7 @@
 
   private void outrun(byte[] body) {
     try {
-      links.outrun(codec().later(body).began());
+      links.supersede(codec().later(body).began());
     } catch (InvalidMessageException e) {
       // Another build's word: rows of this process are then left out there, as before.
     }
@@ -177,7 +177,7 @@
             new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] bytes) {
-                links.usedPeer(peer, true, sentMs, loop.now());
+                links.recordPeerCall(peer, true, sentMs, loop.now());
                 LinkCodec.Forwarded f;
                 try {
                   if (status != 200) {
@@ -203,7 +203,7 @@
               public void failed(boolean sent) {
                 // Unsent may mean that too many calls are out already; rows judge that link.
                 if (sent) {
-                  links.usedPeer(peer, false, sentMs, loop.now());
+                  links.recordPeerCall(peer, false, sentMs, loop.now());
                 }
                 answer.failed(sent);
               }
@@ -223,7 +223,7 @@
             new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
-                links.usedPeer(peer, true, sentMs, loop.now());
+                links.recordPeerCall(peer, true, sentMs, loop.now());
                 try {
                   if (status == 200) {
                     LinkCodec.Forwarded f = codec().forwarded(body);
@@ -241,7 +241,7 @@
               @Override
               public void failed(boolean sent) {
                 if (sent) {
-                  links.usedPeer(peer, false, sentMs, loop.now());
+                  links.recordPeerCall(peer, false, sentMs, loop.now());
                 }
                 answer.failed(sent);
               }
@@ -278,7 +278,7 @@
       }
       case CARRY -> {
         LinkCodec.Carry c = codec().carry(x.body());
-        listener.carried(links.peer(c.from()), c.report(), back(x, () -> {}));
+        listener.carried(links.peerIndex(c.from()), c.report(), back(x, () -> {}));
       }
       default -> {
         return false;
--- a/src/main/java/org/mallowroad/peer/RelayedCaller.java
+++ b/src/main/java/org/mallowroad/peer/RelayedCaller.java
@@ -88,7 +88,7 @@
   private void beat() {
     route.choose(loop.now());
     for (Call c : new ArrayList<>(waiting)) {
-      if (c.turns != route.turns()) {
+      if (c.turns != route.routeChanges()) {
         c.end(() -> c.answer.failed(true));
       }
     }
@@ -122,7 +122,7 @@
 
     void start() {
       int peer = route.choose(sentMs);
-      turns = route.turns();
+      turns = route.routeChanges();
       if (untilMs - sentMs > LONG_MS) {
         waiting.add(this);
       }
@@ -150,7 +150,7 @@
               // The state service serves every node or none, but for the one that it refuses; a
               // cloud's 503 is an answer like another.
               boolean refused = party == ExternalService.STATE && status == 503;
-              route.direct(!refused, from, loop.now());
+              route.recordDirectCall(!refused, from, loop.now());
               if (!refused) {
                 end(() -> answer.answered(status, bytes));
               } else {
@@ -160,7 +160,7 @@
 
             @Override
             public void failed(boolean sent) {
-              route.direct(false, from, loop.now());
+              route.recordDirectCall(false, from, loop.now());
               failed(sent, null);
             }
 
@@ -191,7 +191,7 @@
     }
 
     private void beside() {
-      int peer = route.beside(loop.now());
+      int peer = route.chooseHedge(loop.now());
       if (!over && peer != RouteSelector.DIRECT) {
         through(peer);
       }
@@ -209,13 +209,13 @@
           new ResponseHandler() {
             @Override
             public void answered(int status, byte[] bytes) {
-              route.through(peer, true, loop.now());
+              route.recordRelayedCall(peer, true, loop.now());
               end(() -> answer.answered(status, bytes));
             }
 
             @Override
             public void failed(boolean sent) {
-              route.through(peer, false, loop.now());
+              route.recordRelayedCall(peer, false, loop.now());
               out--;
               sentAny |= sent;
               lost(null);
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -118,12 +118,12 @@
   }
 
   private static void addLinks(LinkPolicy links, Map<String, String> values) {
-    put(values, "links/row-s in ms", links.rowMs());
-    put(values, "links/fresh-s in ms", links.freshMs());
-    put(values, "links/hedge-ms", links.hedgeMs());
-    put(values, "links/steady-s in ms", links.steadyMs());
-    put(values, "links/hold-s in ms", links.holdMs());
-    put(values, "links/canary-s in ms", links.canaryMs());
+    put(values, "links/row-s in ms", links.advertiseIntervalMs());
+    put(values, "links/fresh-s in ms", links.maxAgeMs());
+    put(values, "links/hedge-ms", links.hedgeDelayMs());
+    put(values, "links/steady-s in ms", links.recoveryMs());
+    put(values, "links/hold-s in ms", links.relayHoldMs());
+    put(values, "links/canary-s in ms", links.canaryIntervalMs());
   }
 
   private static void addFetch(ImageFetchPolicy fetch, Map<String, String> values) {
--- a/src/test/java/org/mallowroad/peer/PeerCodecTest.java
+++ b/src/test/java/org/mallowroad/peer/PeerCodecTest.java
@@ -51,7 +51,7 @@
             40,
             -1,
             List.of("n2"),
-            List.of(new LinkStateAdvertisement.Heard("a", 20, -1)));
+            List.of(new LinkStateAdvertisement.ZoneContact("a", 20, -1)));
     assertEquals(row, links.row(links.encode(row)));
     byte[] body = {1, 2, 3};
     LinkCodec.Forward f =
--- a/src/test/java/org/mallowroad/peer/PeerMessages.java
+++ b/src/test/java/org/mallowroad/peer/PeerMessages.java
@@ -49,10 +49,10 @@
         PEERS.encode(new PeerCodec.Cancelled(List.of("job-000412", "job-7"))),
         b -> PEERS.encode(PEERS.cancelled(b)));
     add("no cancelled jobs", PEERS.encode(new PeerCodec.Cancelled(List.of())), null);
-    List<LinkStateAdvertisement.Heard> zones =
+    List<LinkStateAdvertisement.ZoneContact> zones =
         List.of(
-            new LinkStateAdvertisement.Heard("a", 250, -1),
-            new LinkStateAdvertisement.Heard("b", -1, 3_000));
+            new LinkStateAdvertisement.ZoneContact("a", 250, -1),
+            new LinkStateAdvertisement.ZoneContact("b", -1, 3_000));
     LinkStateAdvertisement row =
         new LinkStateAdvertisement(
             "hearth-2", 1_800_000_000_123L, 88, 3, true, 40, -1, List.of("hearth-0", "n9"), zones);
--- a/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
@@ -63,7 +63,7 @@
                 }
               });
           assertEquals(List.of(astray ? "unknown" : "not sent"), heard);
-          assertEquals(astray, route.astray());
+          assertEquals(astray, route.isDirectPathDown());
         });
   }
 
