--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -327,7 +327,7 @@
             listener.recovered();
           }
         });
-    dependencyGates.begin();
+    dependencyGates.start();
     folds.begin();
     provisioner.start();
     rentRequests.forEach(
@@ -431,22 +431,22 @@
 
     @Override
     public void guard(Job job, Transaction transaction) {
-      dependencyGates.guard(job, transaction);
+      dependencyGates.addStartConditions(job, transaction);
     }
 
     @Override
     public void guarded(Job job, long revision) {
-      dependencyGates.guarded(job, revision);
+      dependencyGates.startRecorded(job, revision);
     }
 
     @Override
     public void reguard(Job job, Runnable next) {
-      dependencyGates.reguard(job, next);
+      dependencyGates.revalidate(job, next);
     }
 
     @Override
     public void ended(Job job, boolean done) {
-      dependencyGates.ended(job, done);
+      dependencyGates.jobEnded(job, done);
       if (done) {
         objectives.jobDone(job, loop.now());
         listener.jobDone(job);
@@ -494,7 +494,7 @@
 
     @Override
     public void opened(Job job) {
-      dependencyGates.opened(job);
+      dependencyGates.jobAccepted(job);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -0,0 +1,237 @@
+package org.mallowroad.controller.dependency;
+
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.mallowroad.api.Folding;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.dependency.DependencyGate;
+import org.mallowroad.core.dependency.JobDependencies.RequiredGames;
+import org.mallowroad.core.dependency.RequiredGamesCheck;
+import org.mallowroad.core.dependency.UnmetDependencies;
+import org.mallowroad.core.fold.Block;
+import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.core.fold.JobOutcome;
+import org.mallowroad.state.CallResult;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.VersionedValue;
+import org.mallowroad.wire.Fields;
+import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.InvalidMessageException;
+
+/**
+ * One evaluation of a gate: reads from the state service whether the required jobs are done and the
+ * required games folded, in that order, one call at a time.
+ *
+ * <p>The leagues' records are read before the blocks: whatever is claimed while the blocks are read
+ * changes one of these records, so a transaction under their versions fails then. Games are not
+ * read while a required job is missing.
+ *
+ * <p>After {@code isStopped} became true the result may never be reported.
+ */
+final class GateEvaluation {
+  /** Blocks read in one call: some 70 KB. */
+  private static final int PAGE_BLOCKS = 50;
+
+  /** What an evaluation found. */
+  sealed interface Outcome permits Met, Unmet, Incomplete {}
+
+  /**
+   * All dependencies are met as long as the leagues' records have these versions.
+   *
+   * @param leagueVersions versions of the required leagues' records
+   * @param leagueChanges how often required games of these leagues had been claimed
+   */
+  record Met(Map<String, Long> leagueVersions, Map<String, Long> leagueChanges)
+      implements Outcome {}
+
+  /** Something is missing. */
+  record Unmet(UnmetDependencies dependencies) implements Outcome {}
+
+  /** The state service did not answer: to be evaluated again. */
+  record Incomplete() implements Outcome {}
+
+  private final KeyValueStore store;
+  private final SchedulerState schedulerState;
+  private final Folding folding;
+  private final BooleanSupplier isStopped;
+  private final DependencyGate gate;
+  private final Consumer<Outcome> result;
+  private final Map<String, Long> leagueVersions = new LinkedHashMap<>();
+  private final Map<String, Long> leagueChanges = new LinkedHashMap<>();
+  private final Map<String, JobOutcome> jobOutcomes = new HashMap<>();
+  private final UnmetDependencies unmet = new UnmetDependencies();
+
+  /**
+   * Prepares the evaluation.
+   *
+   * @param result called once, on the event loop
+   */
+  GateEvaluation(
+      KeyValueStore store,
+      SchedulerState schedulerState,
+      Folding folding,
+      BooleanSupplier isStopped,
+      DependencyGate gate,
+      Consumer<Outcome> result) {
+    this.store = store;
+    this.schedulerState = schedulerState;
+    this.folding = folding;
+    this.isStopped = isStopped;
+    this.gate = gate;
+    this.result = result;
+  }
+
+  void begin() {
+    checkJobs(new ArrayDeque<>(gate.incompleteJobs()));
+  }
+
+  private void incomplete() {
+    result.accept(new Incomplete());
+  }
+
+  private void checkJobs(ArrayDeque<String> remaining) {
+    if (isStopped.getAsBoolean()) {
+      return;
+    }
+    String jobId = remaining.poll();
+    if (jobId == null) {
+      readLeagues(new ArrayDeque<>(gate.dependencies().highestRequiredGames().keySet()));
+      return;
+    }
+    Job job = schedulerState.job(jobId);
+    if (job != null && !job.isEnded() && !job.isCancelled()) {
+      unmet.add(jobId + (job.isHeld() ? " is held itself" : " is not done"));
+      checkJobs(remaining);
+      return;
+    }
+    store.get(
+        RecordKeys.endedJob(jobId),
+        (status, end) -> {
+          if (status != CallResult.OK) {
+            incomplete();
+            return;
+          }
+          checkEnd(jobId, end);
+          checkJobs(remaining);
+        });
+  }
+
+  private void checkEnd(String jobId, VersionedValue end) {
+    if (end.value() == null) {
+      unmet.add(jobId + " is not accepted yet, as far as is known");
+    } else if (end.value().path("end").asText().equals(Fields.DONE)) {
+      gate.jobCompleted(jobId);
+    } else {
+      unmet.add(jobId + " was withdrawn: this can only be withdrawn as well");
+    }
+  }
+
+  private void readLeagues(ArrayDeque<String> remaining) {
+    if (isStopped.getAsBoolean()) {
+      return;
+    }
+    String league = remaining.poll();
+    if (league == null) {
+      checkGames(new ArrayDeque<>(gate.dependencies().requiredGames()));
+      return;
+    }
+    store.get(
+        RecordKeys.league(league),
+        (status, record) -> {
+          if (status != CallResult.OK) {
+            incomplete();
+            return;
+          }
+          leagueVersions.put(league, record.version());
+          leagueChanges.put(league, ReleaseRecordCodec.leagueChanges(record.value()));
+          readLeagues(remaining);
+        });
+  }
+
+  private void checkGames(ArrayDeque<RequiredGames> remaining) {
+    RequiredGames required = unmet.isEmpty() ? remaining.poll() : null;
+    if (required == null) {
+      result.accept(unmet.isEmpty() ? new Met(leagueVersions, leagueChanges) : new Unmet(unmet));
+      return;
+    }
+    RequiredGamesCheck check = new RequiredGamesCheck(required, unmet);
+    readPage(check, null, () -> checkGames(remaining));
+  }
+
+  /** Reads blocks of a league in order, up to the one with the last required game. */
+  private void readPage(RequiredGamesCheck check, String after, Runnable next) {
+    store.listPage(
+        RecordKeys.FOLD_BLOCKS + check.league() + "/",
+        after,
+        PAGE_BLOCKS,
+        (status, blocks, revision) -> {
+          if (isStopped.getAsBoolean()) {
+            return;
+          }
+          if (status != CallResult.OK) {
+            incomplete();
+            return;
+          }
+          checkBlocks(check, blocks, 0, next);
+        });
+  }
+
+  private void checkBlocks(
+      RequiredGamesCheck check, List<VersionedValue> blocks, int index, Runnable next) {
+    if (index == blocks.size() || unmet.isFull()) {
+      boolean hasMore = index > 0 && blocks.size() == PAGE_BLOCKS;
+      if (hasMore && !check.isReached() && unmet.isEmpty()) {
+        readPage(check, blocks.get(blocks.size() - 1).key(), next);
+        return;
+      }
+      check.finish();
+      next.run();
+      return;
+    }
+    VersionedValue record = blocks.get(index);
+    BlockKey key = RecordKeys.blockOfKey(record.key());
+    if (key.index() > check.lastBlock()) {
+      checkBlocks(check, blocks.subList(0, index), index, next);
+      return;
+    }
+    Block block;
+    try {
+      block = FoldCodec.decodeBlock(record.value());
+    } catch (InvalidMessageException e) {
+      unmet.add(record.key() + " cannot be read: " + e.getMessage());
+      next.run();
+      return;
+    }
+    readOutcomes(
+        RequiredGamesCheck.unknownJobs(block, jobOutcomes.keySet()),
+        () -> {
+          check.check(key, block, jobOutcomes::get);
+          checkBlocks(check, blocks, index + 1, next);
+        });
+  }
+
+  private void readOutcomes(ArrayDeque<String> remaining, Runnable next) {
+    String jobId = remaining.poll();
+    if (jobId == null) {
+      next.run();
+      return;
+    }
+    folding.jobOutcome(
+        jobId,
+        outcome -> {
+          if (outcome == null) {
+            incomplete();
+            return;
+          }
+          jobOutcomes.put(jobId, outcome);
+          readOutcomes(remaining, next);
+        });
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
@@ -0,0 +1,53 @@
+package org.mallowroad.controller.dependency;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
+import java.util.Map;
+import org.mallowroad.core.dependency.GateRelease;
+import org.mallowroad.state.LeagueRecordCodec;
+import org.mallowroad.wire.Json;
+
+/** The JSON form of a release record; docs/holds.md has the transactions that write it. */
+final class ReleaseRecordCodec {
+  private static final String LEAGUE_VERSIONS = "leagues";
+  private static final String LEAGUE_CHANGES = "changes";
+  private static final String STARTED = "printed";
+  private static final String SUPERSEDED = "superseded";
+
+  private ReleaseRecordCodec() {}
+
+  static ObjectNode encode(GateRelease release) {
+    ObjectNode record = Json.object();
+    ObjectNode versions = record.putObject(LEAGUE_VERSIONS);
+    release.leagueVersions().forEach(versions::put);
+    ObjectNode changes = record.putObject(LEAGUE_CHANGES);
+    release.leagueChanges().forEach(changes::put);
+    if (release.started()) {
+      record.put(STARTED, true);
+    }
+    if (release.superseded()) {
+      record.put(SUPERSEDED, true);
+    }
+    return record;
+  }
+
+  static GateRelease decode(JsonNode record) {
+    return new GateRelease(
+        numbers(record.path(LEAGUE_VERSIONS)),
+        numbers(record.path(LEAGUE_CHANGES)),
+        record.path(STARTED).asBoolean(),
+        record.path(SUPERSEDED).asBoolean());
+  }
+
+  /** How often required games of a league were claimed, by the league's record or its absence. */
+  static long leagueChanges(JsonNode leagueRecord) {
+    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGES).asLong();
+  }
+
+  private static Map<String, Long> numbers(JsonNode object) {
+    Map<String, Long> numbers = new Object2ObjectLinkedOpenHashMap<>();
+    object.properties().forEach(field -> numbers.put(field.getKey(), field.getValue().asLong()));
+    return numbers;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mallowroad/core/dependency/GateRelease.java
@@ -0,0 +1,18 @@
+package org.mallowroad.core.dependency;
+
+import java.util.Map;
+
+/**
+ * The confirmation that a gated job's dependencies are met, as it is recorded in the state service.
+ *
+ * @param leagueVersions the version of each required league's record when its games were confirmed;
+ *     conditions of the first start
+ * @param leagueChanges how often required games of each league had been claimed at that time
+ * @param started true once a first start is recorded: from then on the release is not undone
+ * @param superseded true once a required league changed after the first start
+ */
+public record GateRelease(
+    Map<String, Long> leagueVersions,
+    Map<String, Long> leagueChanges,
+    boolean started,
+    boolean superseded) {}
--- a/src/main/java/org/mallowroad/core/dependency/package-info.java
+++ b/src/main/java/org/mallowroad/core/dependency/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Nothing is printed before it is confirmed: jobs that wait for other jobs and for games, and what
- * opens them (docs/holds.md). Decisions only; {@code
- * org.mallowroad.controller.dependency.DependencyGateController} does the I/O.
+ * Job dependencies: jobs that start only once other jobs are done and games are folded
+ * (docs/holds.md). The edges of the dependency graph, the search for cycles, and the state of the
+ * gates that keep such jobs from starting. No I/O; {@code
+ * org.mallowroad.controller.dependency.DependencyGateController} reads and writes the records.
  */
 package org.mallowroad.core.dependency;
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -32,19 +32,19 @@
 import org.mallowroad.wire.Json;
 
 /**
- * A print, a correction that comes at any moment, a leader and its successor; each call in any
- * order, answers lost, transactions late or twice. The first start is never recorded while a claim
- * that was accepted is not folded.
+ * A gated job, a correction of a required game at any moment, a leader and its successor: explores
+ * each order of the calls, with lost answers and transactions that are late or applied twice. The
+ * first start is never recorded while an accepted claim is not folded.
  */
 final class DependencyGateControllerTest {
   private static final String RUN = "run/job-9/0";
 
-  private static final class Print implements StateSpaceExplorer.Scene {
+  private static final class GatedStart implements StateSpaceExplorer.Scene {
     private final boolean successor;
-    private int printed;
+    private int started;
     private int corrected;
 
-    Print(boolean successor) {
+    GatedStart(boolean successor) {
       this.successor = successor;
     }
 
@@ -114,30 +114,30 @@
           new SchedulerState(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
       JobSpec spec = JobSpecs.array("job-9", 1, 1).dependencies(dependencies).build();
       Job job = schedulerState.accept(spec, open, 0, p.now());
-      DependencyGateController[] keeper = new DependencyGateController[1];
+      DependencyGateController[] gates = new DependencyGateController[1];
       boolean[] busy = new boolean[1];
       Runnable start =
           () -> {
             if (!job.isHeld() && !busy[0] && s.store.value(RUN) == null) {
               busy[0] = true;
-              start(s, state, keeper[0], job, version, busy);
+              start(s, state, gates[0], job, version, busy);
             }
           };
-      keeper[0] =
+      gates[0] =
           new DependencyGateController(
               p, state, schedulerState, folding(p), version, start, () -> {});
-      keeper[0].opened(job);
-      keeper[0].begin();
+      gates[0].jobAccepted(job);
+      gates[0].start();
     }
 
     /**
-     * As {@code WriteBehindCommitter} does: the guard's conditions, and on a conflict they are
-     * settled.
+     * Starts the job as {@code WriteBehindCommitter} does: under the start conditions, which are
+     * validated again after a conflict.
      */
     private static void start(
         StateSpaceExplorer.Stage s,
         KeyValueStore state,
-        DependencyGateController keeper,
+        DependencyGateController gates,
         Job job,
         long version,
         boolean[] busy) {
@@ -145,54 +145,54 @@
           new Transaction()
               .requireVersion(LeaderElection.LEADER, version)
               .requireVersion(RecordKeys.openJob("job-9"), job.version);
-      keeper.guard(job, transaction);
+      gates.addStartConditions(job, transaction);
       transaction.requireVersion(RUN, 0).put(RUN, Json.object().put("by", version));
       state.compareAndSwap(
           transaction,
           (result, revision, failed) -> {
             if (result == CallResult.OK) {
-              keeper.guarded(job, revision);
+              gates.startRecorded(job, revision);
             } else if (result == CallResult.UNKNOWN && s.store.value(RUN) == null) {
-              start(s, state, keeper, job, version, busy);
+              start(s, state, gates, job, version, busy);
             } else if (!failed.contains(LeaderElection.LEADER)) {
-              keeper.reguard(job, () -> busy[0] = false);
+              gates.revalidate(job, () -> busy[0] = false);
             }
           });
     }
 
     @Override
     public void applied(StateSpaceExplorer.Stage s) {
-      if (s.store.value(RUN) == null || s.notes.contains("printed")) {
+      if (s.store.value(RUN) == null || s.notes.contains("started")) {
         return;
       }
-      s.notes.add("printed");
+      s.notes.add("started");
       s.check(
-          s.store.value(RecordKeys.openJob("job-2")) == null, "printed while a correction is open");
+          s.store.value(RecordKeys.openJob("job-2")) == null, "started while a correction is open");
     }
 
     @Override
     public void end(StateSpaceExplorer.Stage s) {
-      printed += s.notes.contains("printed") ? 1 : 0;
+      started += s.notes.contains("started") ? 1 : 0;
       corrected += s.store.value(RecordKeys.openJob("job-2")) != null ? 1 : 0;
     }
   }
 
   @Test
-  void noStartIsRecordedBetweenACorrectionAndItsFold() {
-    explore(new Print(false), Integer.getInteger("explore.troubles", 1));
+  void startIsNotRecordedBetweenCorrectionAndItsFold() {
+    explore(new GatedStart(false), Integer.getInteger("explore.troubles", 1));
   }
 
   @Test
-  void norWhileALeaderHasASuccessor() {
-    explore(new Print(true), Integer.getInteger("explore.troubles", 1) - 1);
+  void startIsNotRecordedByDeposedLeaderAfterCorrection() {
+    explore(new GatedStart(true), Integer.getInteger("explore.troubles", 1) - 1);
   }
 
-  private static void explore(Print scene, int troubles) {
+  private static void explore(GatedStart scene, int troubles) {
     StateSpaceExplorer e = new StateSpaceExplorer(scene, troubles, 400_000);
     e.explore(s -> {});
-    System.out.println("prints: " + e.states() + " states, " + e.histories() + " histories");
-    assertTrue(scene.printed > 50, "printed " + scene.printed);
+    System.out.println("gated starts: " + e.states() + " states, " + e.histories() + " histories");
+    assertTrue(scene.started > 50, "started " + scene.started);
     assertTrue(scene.corrected > 50, "corrected " + scene.corrected);
-    assertTrue(scene.printed < e.histories(), "in some the correction comes first");
+    assertTrue(scene.started < e.histories(), "in some the correction comes first");
   }
 }
--- a/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
+++ b/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Circles are refused when they would close; what a commit causes follows what it touches. */
+/** The search for cycles, and which gates are evaluated after which events. */
 final class DependencyGatesTest {
   private static JobDependencies on(String... jobs) {
     return new JobDependencies(Map.of(), List.of(jobs), List.of());
@@ -42,7 +42,7 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> circles() {
+  Stream<DynamicTest> jobThatWouldCloseACycleIsFound() {
     return Stream.of(
         row("itself", "job-1", on("job-1"), Map.of()),
         row("games that it folds itself", "job-1", games(40, 1), Map.of()),
@@ -71,47 +71,49 @@
             Map.of("job-2", on("job-3"), "job-3", on("job-2"))));
   }
 
-  /** A thousand held jobs that wait for ten thousand: a commit looks at those that it touches. */
+  /** A thousand gated jobs that require ten thousand: an end visits those that require it. */
   @Test
-  void whatACommitCausesFollowsWhatItTouches() {
-    DependencyGates holds = new DependencyGates();
+  void endOfJobVisitsOnlyGatesThatRequireIt() {
+    DependencyGates gates = new DependencyGates();
     for (int i = 0; i < 1_000; i++) {
       String[] jobs = new String[10];
       for (int j = 0; j < 10; j++) {
         jobs[j] = "job-" + (10 * i + j);
       }
-      holds.add("job-9" + i, on(jobs));
+      gates.add("job-9" + i, on(jobs));
     }
-    while (holds.next() != null) {
-      // Each is looked at once when it comes.
+    while (gates.pollToEvaluate() != null) {
+      // Each is evaluated once when it is added.
     }
-    long before = holds.looked();
+    long before = gates.visits();
     for (int j = 0; j < 10; j++) {
-      holds.ended("job-" + (70 + j), true, Set.of());
+      gates.jobEnded("job-" + (70 + j), true, Set.of());
     }
-    DependencyGates.Hold h = holds.next();
-    assertEquals("job-97", h.job);
-    assertEquals(List.of(), h.left());
-    assertNull(holds.next());
-    assertTrue(holds.looked() - before <= 12, "looked at " + (holds.looked() - before));
-    holds.remove("job-97");
-    holds.ended("job-70", true, Set.of());
-    assertNull(holds.next());
+    DependencyGate gate = gates.pollToEvaluate();
+    assertEquals("job-97", gate.jobId());
+    assertEquals(List.of(), gate.incompleteJobs());
+    assertNull(gates.pollToEvaluate());
+    assertTrue(gates.visits() - before <= 12, "visited " + (gates.visits() - before));
+    gates.remove("job-97");
+    gates.jobEnded("job-70", true, Set.of());
+    assertNull(gates.pollToEvaluate());
   }
 
   @Test
-  void whatIsPrintedIsNotLookedAtAgainAndWhatIsClosedIs() {
-    DependencyGates holds = new DependencyGates();
-    DependencyGates.Hold a = holds.add("job-1", games(9));
-    DependencyGates.Hold b = holds.add("job-2", games(9));
+  void startedGateIsNotEvaluatedAgainAndClosedOneIs() {
+    DependencyGates gates = new DependencyGates();
+    DependencyGate a = gates.add("job-1", games(9));
+    DependencyGate b = gates.add("job-2", games(9));
     Map<String, Boolean> seen = new HashMap<>();
-    for (DependencyGates.Hold h = holds.next(); h != null; h = holds.next()) {
-      seen.put(h.job, true);
+    for (DependencyGate gate = gates.pollToEvaluate();
+        gate != null;
+        gate = gates.pollToEvaluate()) {
+      seen.put(gate.jobId(), true);
     }
     assertEquals(2, seen.size());
-    a.state = DependencyGates.State.PRINTED;
-    holds.league("l");
-    assertEquals(b, holds.next());
-    assertNull(holds.next());
+    a.start(1);
+    gates.leagueChanged("l");
+    assertEquals(b, gates.pollToEvaluate());
+    assertNull(gates.pollToEvaluate());
   }
 }
