--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -352,7 +352,7 @@
           CountFormat.of(job.consecutiveFailures(), "failure") + " in a row");
     }
     Team team = schedulerState.team(s);
-    if (placement.overLimit(job)) {
+    if (placement.exceedsTeamLimit(job)) {
       return new PendingReason(
           PendingCause.TEAM_LIMIT, job.waitingSinceMs(), -1, -1, limit(team, s));
     }
@@ -425,7 +425,7 @@
   }
 
   private PendingReason gang(Job job) {
-    int places = placement.gangPlaces(job, now).size();
+    int places = placement.findGangPlacement(job, now).size();
     asked += schedulerState.machines().size();
     if (places >= job.waitingCount()) {
       return aboutToStart(job);
@@ -670,7 +670,7 @@
     Shape shape =
         new Shape(
             s.team(),
-            s.gang() || TaskScheduler.urgent(s),
+            s.gang() || TaskScheduler.isUrgent(s),
             schedulerState.imageDistribution().limited() ? s.image() : -1,
             s.cpus(),
             s.cards(),
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -10,7 +10,6 @@
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.Team;
-import org.mallowroad.core.scheduling.TaskScheduler;
 
 /**
  * Who is served in a term: of the jobs that should be over by now, how many are, by class and by
@@ -36,7 +35,7 @@
   }
 
   /** The largest jobs have to begin by then, as the smallest have. */
-  static final long BEGIN_MS = (long) (TaskScheduler.BEGIN_S * 1000);
+  static final long BEGIN_MS = (long) (ServiceLevelObjectives.START_TARGET_S * 1000);
 
   /** Of a class the newest so many jobs are looked at for the largest of them. */
   private static final int SIZES = 128;
--- a/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
+++ b/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
@@ -6,6 +6,12 @@
 
 /** What users expect of each class of jobs, as the settings say. */
 public final class ServiceLevelObjectives {
+  /**
+   * Seconds after its submission by which users expect every job to have started, also the largest
+   * ones.
+   */
+  public static final double START_TARGET_S = 240;
+
   /** Estimates are often wrong by half, so a little more is planned for. */
   private static final double ESTIMATE_MARGIN = 1.5;
 
--- a/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
+++ b/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
@@ -11,111 +11,130 @@
 import org.mallowroad.core.autoscaling.MachineVariant;
 
 /**
- * How much room running tasks will set free by themselves within a few seconds. Stopping a task
- * throws its progress away, and with thousands of them running some end at every moment: what is
- * coming anyway need not be bought.
+ * How much capacity running tasks will release by themselves within a few seconds. Preempting a
+ * task throws its progress away, and with thousands of them running some end at every moment: for
+ * what is released anyway nothing needs to be preempted.
  *
- * <p>Owners' estimates are often wrong by half, so no single end is forecast. A task that has run
- * for some part of its estimate is taken to end at an even rate from then on, and only sums over
+ * <p>Users' estimates are often wrong by half, so no single end is forecast. A task that has run
+ * for some share of its estimate is taken to end at an even rate from then on, and only sums over
  * many tasks are used: the error of one job's estimate stays that job's share of the sum.
  */
 final class ExpectedReleases {
-  /** Before this part of its estimate hardly any task ends. */
-  private static final double EARLY = 0.4;
+  /** Before this share of its estimate hardly any task ends. */
+  private static final double EARLIEST_END_SHARE = 0.4;
 
-  /** Beyond it a task ends within about this part of its estimate. */
-  private static final double REST = 0.8;
+  /** From then on a task ends within about this share of its estimate. */
+  private static final double REMAINING_SHARE = 0.8;
 
-  /** Ends expected of one job's tasks on one type, zone and kind of machine. */
-  private static final class Ends {
+  /** More tasks than this are never counted in the capacity that one task releases. */
+  private static final int MAX_TASKS_PER_RELEASE = 1_000;
+
+  /** The number of one job's tasks that are expected to end on machines of one variant. */
+  private static final class JobReleases {
     private final JobSpec job;
-    private final MachineVariant on;
-    private double expected;
+    private final MachineVariant variant;
+    private double expectedEnds;
 
-    Ends(JobSpec job, MachineVariant on) {
+    JobReleases(JobSpec job, MachineVariant variant) {
       this.job = job;
-      this.on = on;
+      this.variant = variant;
     }
   }
 
-  private final List<Ends> ends = new ArrayList<>();
+  private final List<JobReleases> releases = new ArrayList<>();
   private final double horizonS;
-  private double claimed;
-  private long looked;
+  private double claimedCpus;
+  private long attemptsScanned;
 
-  /** Over the ends of the next {@code horizonS} seconds. */
+  /** Counts what ends within the next {@code horizonS} seconds. */
   ExpectedReleases(double horizonS) {
     this.horizonS = horizonS;
   }
 
-  /** Attempts looked at so far: what the survey costs. */
-  long looked() {
-    return looked;
+  /** Attempts looked at so far: the cost of the estimates. */
+  long attemptsScanned() {
+    return attemptsScanned;
   }
 
-  /** Looks at what runs, once for all jobs that ask in a pass. */
-  void survey(Iterable<Job> jobs, long now) {
-    ends.clear();
-    claimed = 0;
-    Long2ObjectOpenHashMap<Ends> here = new Long2ObjectOpenHashMap<>();
+  /** Estimates the releases of all running tasks, once for all jobs that ask in a pass. */
+  void refresh(Iterable<Job> jobs, long now) {
+    releases.clear();
+    claimedCpus = 0;
+    Long2ObjectOpenHashMap<JobReleases> byVariant = new Long2ObjectOpenHashMap<>();
     for (Job j : jobs) {
-      if (j.liveAttemptCount() == 0 || j.spec.service()) {
+      if (j.liveAttemptCount() > 0 && !j.spec.service()) {
+        byVariant.clear();
+        addReleases(j, byVariant, now);
+      }
+    }
+  }
+
+  private void addReleases(Job j, Long2ObjectOpenHashMap<JobReleases> byVariant, long now) {
+    for (int task = 0; task < j.spec.tasks(); task++) {
+      Attempt a = j.liveAttempt(task);
+      if (a == null) {
         continue;
       }
-      here.clear();
-      for (int task = 0; task < j.spec.tasks(); task++) {
-        Attempt a = j.liveAttempt(task);
-        if (a == null) {
-          continue;
-        }
-        looked++;
-        double p = probability(a, now);
-        if (p > 0 && a.machine.isUsable()) {
-          Machine m = a.machine;
-          MachineVariant on = new MachineVariant(m.type, m.zone, m.spot);
-          Ends e = here.get(on.key());
-          if (e == null) {
-            e = new Ends(j.spec, on);
-            here.put(on.key(), e);
-            ends.add(e);
-          }
-          e.expected += p;
-        }
+      attemptsScanned++;
+      double probability = endProbability(a, now);
+      if (probability > 0 && a.machine.isUsable()) {
+        releasesOn(a.machine, j.spec, byVariant).expectedEnds += probability;
       }
     }
   }
 
-  private double probability(Attempt a, long now) {
+  private JobReleases releasesOn(
+      Machine m, JobSpec job, Long2ObjectOpenHashMap<JobReleases> byVariant) {
+    MachineVariant variant = new MachineVariant(m.type, m.zone, m.spot);
+    JobReleases found = byVariant.get(variant.key());
+    if (found == null) {
+      found = new JobReleases(job, variant);
+      byVariant.put(variant.key(), found);
+      releases.add(found);
+    }
+    return found;
+  }
+
+  /** The probability that a running attempt ends within the horizon. */
+  private double endProbability(Attempt a, long now) {
     if (a.phase != Attempt.Phase.RUNNING || a.isStopping()) {
-      return 0; // What is stopping is counted by who looks at the machine.
+      return 0; // What is stopping is counted on its machine, by Preemptor.
+    }
+    double estimateS = Math.max(1, a.job.spec.estimateS());
+    double pastEarliestEndS =
+        (now - a.runningSinceMs()) / 1000.0 + horizonS - EARLIEST_END_SHARE * estimateS;
+    if (pastEarliestEndS <= 0) {
+      return 0;
     }
-    double estimate = Math.max(1, a.job.spec.estimateS());
-    double ran = (now - a.runningSinceMs()) / 1000.0 + horizonS - EARLY * estimate;
-    return ran <= 0 ? 0 : Math.min(1, Math.min(ran, horizonS) / (REST * estimate));
+    return Math.min(1, Math.min(pastEarliestEndS, horizonS) / (REMAINING_SHARE * estimateS));
   }
 
   /**
-   * How many of a job's waiting tasks will find room by themselves, when those ahead of it in the
-   * queue have taken theirs. A task counts where one single end makes room for it: rooms of several
-   * ends on one machine are left out.
+   * How many of a job's waiting tasks will find room by themselves, after the jobs ahead of it in
+   * the queue have taken theirs. A task counts only where a single release makes room for it: room
+   * made up of several releases on one machine is left out.
+   *
+   * @param maxTasks upper bound of the result
    */
-  int coming(JobSpec s, int most) {
+  int expectedRoom(JobSpec s, int maxTasks) {
     double tasks = 0;
-    for (Ends e : ends) {
-      if (s.allows(e.on.type().index(), e.on.zone(), e.on.spot())) {
-        tasks += e.expected * holds(e.job, s);
+    for (JobReleases r : releases) {
+      MachineVariant v = r.variant;
+      if (s.allows(v.type().index(), v.zone(), v.spot())) {
+        tasks += r.expectedEnds * tasksPerRelease(r.job, s);
       }
     }
-    double ahead = s.cpus() > 0 ? claimed / s.cpus() : 0;
-    return (int) Math.max(0, Math.min(most, tasks - ahead));
+    double claimedTasks = s.cpus() > 0 ? claimedCpus / s.cpus() : 0;
+    return (int) Math.max(0, Math.min(maxTasks, tasks - claimedTasks));
   }
 
-  /** A job ahead in the queue takes room for so many of its tasks. */
+  /** A job ahead in the queue takes released capacity for so many of its tasks. */
   void claim(JobSpec s, int tasks) {
-    claimed += tasks * s.cpus();
+    claimedCpus += tasks * s.cpus();
   }
 
-  private static int holds(JobSpec ended, JobSpec s) {
-    return new ResourceVector(ended.cpus(), ended.cards(), ended.memGb()).capacityFor(s, 1_000);
+  private static int tasksPerRelease(JobSpec ended, JobSpec waiting) {
+    return new ResourceVector(ended.cpus(), ended.cards(), ended.memGb())
+        .capacityFor(waiting, MAX_TASKS_PER_RELEASE);
   }
 }
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -162,7 +162,7 @@
       if (setting.failures() && half < 0 && s % 60 == 59) {
         fail();
       }
-      placement.place(now);
+      placement.placeTasks(now);
       commit();
       tell();
       fetch();
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -129,7 +129,7 @@
             true,
             now);
         Job job = schedulerState.accept(clusterConfig.codec.decode(submission(n), now), 5, 0, now);
-        placement.place(now);
+        placement.placeTasks(now);
         JobSpecs.commit(schedulerState, now);
         if (n % 2 == 0) {
           schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -75,7 +75,7 @@
         schedulerState.finishRestore(job, now);
       } else {
         pass(8_000, 0, 0);
-        assertEquals(160, placement.place(now).size());
+        assertEquals(160, placement.placeTasks(now).size());
         JobSpecs.commit(schedulerState, now);
         pass(8_000, 0, 0);
       }
@@ -170,7 +170,7 @@
               assertTrue(gone <= 14, "returned " + gone);
               // Back: the same machines are used again.
               w.pass(10_000, 0, 0);
-              assertEquals(4 * (20 - gone), w.placement.place(w.now).size());
+              assertEquals(4 * (20 - gone), w.placement.placeTasks(w.now).size());
               assertEquals(gone, w.returned());
             }),
         day(
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -92,7 +92,7 @@
     }
 
     void run() {
-      placement.place(now);
+      placement.placeTasks(now);
       JobSpecs.commit(schedulerState, now);
       for (Machine m : new ArrayList<>(schedulerState.machines())) {
         if (schedulerState.machineRefusal(m, now) != StartRefusal.HEARTBEAT_OVERDUE) {
@@ -177,7 +177,7 @@
           int before = j.waitingCount();
           remedy.in(w);
           if (w.firm) {
-            w.placement.place(w.now);
+            w.placement.placeTasks(w.now);
           }
           PendingReason then = w.why(j);
           assertTrue(
@@ -383,7 +383,7 @@
             w -> {
               w.machines(2);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               return j;
             },
             w -> JobSpecs.commit(w.schedulerState, w.now)),
@@ -393,7 +393,7 @@
             w -> {
               Machine m = w.machine(0);
               Job j = w.job(JobSpecs.array("job-1", 1, 1));
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               JobSpecs.commit(w.schedulerState, w.now);
               w.schedulerState.processHeartbeat(
                   m, JobSpecs.report(m, ++w.sequence, TERM, Heartbeat.State.PULLING), true, w.now);
@@ -496,7 +496,7 @@
       }
       without(w, j, f);
       int live = j.liveAttemptCount();
-      w.placement.place(w.now);
+      w.placement.placeTasks(w.now);
       PendingReason then = w.why(j);
       assertTrue(
           j.liveAttemptCount() > live || then == null || then.reason() != f.reason(),
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -129,47 +129,47 @@
             "a pass fills the fleet; a task does not cost a walk over it",
             w -> {
               w.jobs(2);
-              assertEquals(MACHINES * 8, w.placement.place(w.now).size());
+              assertEquals(MACHINES * 8, w.placement.placeTasks(w.now).size());
               // Once round for the room, then three times a job; 15,000 tasks would be 25 million.
-              atMost(MACHINES * (3 * JOBS + 2), w.placement.looked());
+              atMost(MACHINES * (3 * JOBS + 2), w.placement.machinesScanned());
             }),
         scale(
             "with the fleet full, a pass looks at each machine once, however long the queue",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.jobs(3);
-              long before = w.placement.looked();
-              assertEquals(0, w.placement.place(w.now + 100).size());
-              atMost(MACHINES, w.placement.looked() - before);
+              long before = w.placement.machinesScanned();
+              assertEquals(0, w.placement.placeTasks(w.now + 100).size());
+              atMost(MACHINES, w.placement.machinesScanned() - before);
             }),
         scale(
             "looking for work to stop walks the fleet for a few jobs and not at every pass",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.commit();
               w.jobs(1);
               w.now += 2_000;
-              long before = w.placement.looked();
+              long before = w.placement.machinesScanned();
               for (int pass = 0; pass < 4; pass++) {
-                w.placement.place(w.now + 50L * pass);
+                w.placement.placeTasks(w.now + 50L * pass);
               }
-              atMost(MACHINES * (16 + 4), w.placement.looked() - before);
+              atMost(MACHINES * (16 + 4), w.placement.machinesScanned() - before);
             }),
         scale(
             "what will end soon is looked at once for all jobs that wait, not once a job",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.commit();
               w.jobs(1);
               w.now += 2_000;
-              long before = w.placement.surveyed();
+              long before = w.placement.attemptsScanned();
               for (int pass = 0; pass < 4; pass++) {
-                w.placement.place(w.now + 50L * pass);
+                w.placement.placeTasks(w.now + 50L * pass);
               }
-              assertEquals(MACHINES * 8, w.placement.surveyed() - before);
+              assertEquals(MACHINES * 8, w.placement.attemptsScanned() - before);
             }),
         scale(
             "silence is judged from the machines that are late, not from the fleet",
@@ -197,7 +197,7 @@
                 JobSpecs s = JobSpecs.array("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
                 w.schedulerState.accept(s.spot().build(), 5, 0, w.now);
               }
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.commit();
               int jobs = w.placement.queue(w.now).size();
               w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
@@ -208,7 +208,7 @@
             "a forecast looks at the fleet once a job, not once a task",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.jobs(3);
               int rented =
                   w
@@ -224,7 +224,7 @@
             "rents come in calls that the cloud takes",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.jobs(3);
               for (ScaleOutRequest r :
                   w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
@@ -235,7 +235,7 @@
             "one start writes one record, and one machine has something to send",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.commit();
               w.schedulerState.machinesWithUnsentCommands().clear();
               Machine m = w.schedulerState.machine("n-000007");
@@ -243,7 +243,7 @@
               w.schedulerState.resolve(a, AttemptOutcome.LOST, w.now);
               assertEquals(1, w.schedulerState.dirtyRecords().size());
               assertEquals(0, w.schedulerState.urgentRecords().size());
-              assertEquals(1, w.placement.place(w.now).size());
+              assertEquals(1, w.placement.placeTasks(w.now).size());
               assertEquals(1, w.schedulerState.urgentRecords().size());
               w.commit();
               assertEquals(0, w.schedulerState.urgentRecords().size());
@@ -255,7 +255,7 @@
               Job j =
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               String text = Json.text(AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
               atMost(6 * 1024, text.length());
             }));
@@ -322,7 +322,7 @@
    */
   private static SnapshotBuilder explained(Simulation w, double differ) {
     w.schedulerState.accept(JobSpecs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
-    w.placement.place(w.now);
+    w.placement.placeTasks(w.now);
     w.commit();
     for (int j = 1; j <= 300; j++) {
       int tasks = j <= 100 ? 34 : 33;
@@ -346,7 +346,7 @@
             "a takeover looks at each task once to make the queues, not once for each attempt",
             w -> {
               w.jobs(2);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               Simulation next = new Simulation(MACHINES);
               for (Job j : w.schedulerState.jobs()) {
                 Job taken = next.schedulerState.accept(j.spec, 5, 0, next.now);
@@ -379,7 +379,7 @@
               Job j =
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               List<RecordedAttempt> live =
                   AttemptRecordCodec.unresolvedAttempts(
                       AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
--- a/src/test/java/org/mallowroad/core/SchedulerStateTest.java
+++ b/src/test/java/org/mallowroad/core/SchedulerStateTest.java
@@ -273,9 +273,9 @@
               Job g =
                   w.schedulerState.accept(
                       JobSpecs.array("job-1", 2, 4).gang().build(), 5, 0, w.now);
-              assertEquals(0, w.placement.place(w.now).size());
+              assertEquals(0, w.placement.placeTasks(w.now).size());
               w.machine("n-2", 1);
-              assertEquals(2, w.placement.place(w.now).size());
+              assertEquals(2, w.placement.placeTasks(w.now).size());
               assertFalse(g.hasWaitingTasks());
             }));
   }
@@ -636,13 +636,13 @@
               w.schedulerState.accept(JobSpecs.array("job-2", 1, 4).build(), 6, 0, w.now);
               w.now += 2_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               assertFalse(a.isStopping());
               w.schedulerState.accept(
                   JobSpecs.array("job-3", 1, 4).priority(1).build(), 7, 0, w.now);
               w.now += 2_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               assertTrue(a.isStopping());
             }),
         rule(
@@ -659,7 +659,7 @@
               w.now += 5_000;
               w.report(m, 1, TERM, Simulation.entry(a, State.RUNNING, null));
               w.report(n, 1, TERM, Simulation.entry(b, State.RUNNING, null));
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               assertEquals(1, (a.isStopping() ? 1 : 0) + (b.isStopping() ? 1 : 0));
             }));
   }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -132,7 +132,7 @@
             w -> {
               w.machine("n-1", SMALL, true);
               w.job("job-1", 1, 4);
-              w.placement.place(w.now);
+              w.placement.placeTasks(w.now);
               w.now += 40_000; // 20 s of the estimated 60 are left, less than a boot takes.
               w.machine("n-1", SMALL, true);
               w.job("job-2", 2, 4);
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -70,7 +70,7 @@
     }
 
     List<ScaleOutRequest> cycle() {
-      placement.place(now);
+      placement.placeTasks(now);
       List<ScaleOutRequest> r = fleet.rents(placement.queue(now), coming, TYPES, now);
       now += 2_000;
       return r;
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -122,7 +122,7 @@
     }
 
     void place() {
-      placement.place(now);
+      placement.placeTasks(now);
       JobSpecs.commit(schedulerState, now);
     }
 
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -46,7 +46,7 @@
     void fill(double cpus, long ranMs) {
       int n = (int) (400 / cpus);
       schedulerState.accept(JobSpecs.array("job-1", n, cpus).spot().build(), 5, 0, now);
-      assertEquals(n, placement.place(now).size());
+      assertEquals(n, placement.placeTasks(now).size());
       JobSpecs.commit(schedulerState, now);
       for (Machine m : schedulerState.machines()) {
         report(m);
@@ -62,9 +62,9 @@
       for (int i = 0; i < 5; i++) {
         now += 500;
         schedulerState.machines().forEach(this::report);
-        placement.place(now);
+        placement.placeTasks(now);
       }
-      return placement.stops();
+      return placement.preemptions();
     }
   }
 
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -87,18 +87,18 @@
     assertEquals(List.of("job-2", "job-1"), order());
     now += 90_000;
     assertEquals(List.of("job-1", "job-2"), order());
-    placement.place(now);
+    placement.placeTasks(now);
     JobSpecs.commit(schedulerState, now);
     schedulerState.processHeartbeat(
         m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     assertEquals(1, large.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
-      placement.place(now);
+      placement.placeTasks(now);
     }
     // Stopped, it would take the room again at once: the two stopped each other 3,713 times.
     assertFalse(large.liveAttempt(0).isStopping());
-    assertEquals(0, placement.stops());
+    assertEquals(0, placement.preemptions());
   }
 
   @Test
@@ -117,7 +117,7 @@
     for (int i = 0; i < 100; i++) {
       assertEquals(-1, j.begunMs());
       machine("n-" + i);
-      placement.place(now);
+      placement.placeTasks(now);
     }
     assertEquals(100, j.liveAttemptCount());
     assertTrue(j.begunMs() == now, "400 CPUs are the limit, 4 each");
