--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -131,7 +131,7 @@
   private boolean mayGetWorkSoon(Machine machine) {
     return context.lease().isValid()
         && schedulerState.canReceiveTasks(machine, loop.now())
-        && context.taskScheduler().anyWaiting();
+        && context.taskScheduler().hasWaitingTasks();
   }
 
   /** The machine that sent the heartbeat, or null where its type or zone is unknown. */
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -379,7 +379,7 @@
   private void placeAndCommit() {
     // Machines that sent a heartbeat in this term may get work; the fleet's size waits for all.
     if (isLeaseValid()) {
-      context.taskScheduler().place(loop.now());
+      context.taskScheduler().placeTasks(loop.now());
     }
     committer.kick();
     directCommands.sendOutbox();
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -47,7 +47,7 @@
         load.directCommands(),
         load.placementPasses(),
         load.placementMs(),
-        context.taskScheduler().stops(),
+        context.taskScheduler().preemptions(),
         committer.commits(),
         committer.writes(),
         schedulerState.dirtyRecords().size(),
