--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -221,7 +221,7 @@
   private void advertise() {
     boolean isLeading = listener.leading();
     // A leader's own term, not the tokens within it that single workers have.
-    long term = isLeading ? election.leaderTerm() : election.seenTerm();
+    long term = isLeading ? election.leaderTerm() : election.highestSeenToken();
     transport.tell(links.advertise(term, isLeading, loop.now()));
   }
 
@@ -291,9 +291,9 @@
       }
       if (election != null) {
         if (advertised.leading()) {
-          election.announced(advertised.node(), advertised.term());
+          election.leaderAnnounced(advertised.node(), advertised.term());
         } else {
-          election.sawTerm(advertised.term());
+          election.tokenSeen(advertised.term());
         }
       }
       return 0;
@@ -329,7 +329,7 @@
         answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
-      election.sawTerm(heartbeat.fencingToken());
+      election.tokenSeen(heartbeat.fencingToken());
       if (!listener.leading() || peer < 0) {
         redirect(answer);
         return;
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -251,14 +251,14 @@
 
     @Override
     public void overloaded(long term) {
-      if (term >= election.seenTerm() || term == election.leaderTerm()) {
+      if (term >= election.highestSeenToken() || term == election.leaderTerm()) {
         admission.overloaded(loop.now());
       }
     }
 
     @Override
     public void announced(String node, long term) {
-      election.announced(node, term);
+      election.leaderAnnounced(node, term);
     }
 
     @Override
@@ -270,7 +270,7 @@
   private final class HeartbeatListener implements HeartbeatApi.Handler {
     @Override
     public void onFencingToken(long fencingToken) {
-      election.sawTerm(fencingToken);
+      election.tokenSeen(fencingToken);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -39,7 +39,7 @@
 
   private void registerLeadership() {
     gauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
-    gauge("mallowroad.term", m -> m.node.election.seenTerm());
+    gauge("mallowroad.term", m -> m.node.election.highestSeenToken());
     gauge("mallowroad.jobs.open", m -> m.ofLeader(l -> l.schedulerState().jobs().size()));
     gauge("mallowroad.machines", m -> m.ofLeader(l -> l.schedulerState().machines().size()));
     gauge(
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -176,7 +176,7 @@
         NodeSnapshot.FORMAT,
         node,
         phase,
-        leader != null ? leader.term() : election.seenTerm(),
+        leader != null ? leader.term() : election.highestSeenToken(),
         leader != null ? node : remoteLeader,
         loop.wallMs(),
         (spentNanos + loop.nanos() - beganNanos) / 1000,
--- a/src/main/java/org/mallowroad/election/LeaderElection.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -1,7 +1,5 @@
 package org.mallowroad.election;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 import org.mallowroad.core.FencingTokens;
@@ -14,67 +12,118 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds the one leader: key {@code leader} lives on a lease, and the lasting counter {@code term}
- * rises in the same transaction. Whoever writes as leader puts the mark of {@code leader} into the
- * conditions, so a deposed leader's writes fail whatever it believes.
+ * Elects one leader among the controllers that share a state service.
+ *
+ * <p>The key {@link #LEADER} names the leader and lives on its lease; the key {@link #TERM} holds
+ * the highest fencing token given out and is never deleted. A candidate writes both in one
+ * transaction, on the condition that nobody leads and that the term is still the one it read.
+ *
+ * <p><b>Why at most one leader can write.</b> Every write of a leader requires the version of
+ * {@link #LEADER} that its election wrote. When its lease ends the key is deleted, and when another
+ * is elected it gets a new version: either way the condition of the deposed leader's writes fails,
+ * whatever that leader believes and however late they arrive.
+ *
+ * <p><b>Why terms rise.</b> The term is raised in the same transaction as the leader is named, from
+ * a version of {@link #TERM} that is among the conditions, so no two leaders have the same term.
+ * Workers refuse commands of a lower fencing token than they have seen.
+ *
+ * <p>Confined to the event loop.
  */
 public final class LeaderElection {
   /** The key that names the leader. */
   public static final String LEADER = "leader";
 
-  /** Key of the highest token given out. */
+  /** The key of the highest fencing token given out. */
   public static final String TERM = "term";
 
-  /** The field of the leader's record that names its lease. */
-  private static final String LEASE = "lease";
-
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-  private static final long LIFE_MS = 3_000;
-  private static final long RENEW_MS = 700;
-  private static final long RENEW_TIMEOUT_MS = 1_000;
-  private static final long WATCH_MS = 10_000;
+  private static final long LEASE_DURATION_MS = 3_000;
+  private static final long RENEWAL_INTERVAL_MS = 700;
+  private static final long RENEWAL_TIMEOUT_MS = 1_000;
+  private static final long WATCH_WAIT_MS = 10_000;
+
+  /** Delay of another read of the leader after a read or a watch that failed. */
+  private static final long READ_RETRY_MS = 300;
+
+  private static final long WATCH_RETRY_MS = 200;
+
+  /** Delay of another attempt to learn how one's own election ended. */
+  private static final long OUTCOME_RETRY_MS = 200;
+
+  /** Bounds of the random delay after which a candidate reads who was elected. */
+  private static final int CANDIDATE_JITTER_MS = 200;
 
-  /** After it gave the leadership up, a node lets the others have it first. */
-  private static final long REST_MS = 6_000;
+  private static final long CANDIDATE_READ_MS = 400;
+  private static final long CANDIDATE_READ_AFTER_DELETION_MS = 100;
+
+  /** An election whose outcome cannot be read for this long is given up. */
+  private static final long OUTCOME_TIMEOUT_MS = 2 * LEASE_DURATION_MS;
+
+  /** A lease that cannot be renewed before leading begins is given up after this time. */
+  private static final long CONFIRMATION_TIMEOUT_MS = 10 * LEASE_DURATION_MS;
+
+  /** After resigning a node is no candidate for this long, so that another is elected. */
+  private static final long RESIGNATION_BACKOFF_MS = 6_000;
 
   /**
-   * A node whose process before this one ended as leader lets the others go first for so long: it
-   * knows nothing yet, its code is cold, and what ended that one may end this one there as well.
+   * The delay of a candidacy of a node whose previous process ended as leader. This process has
+   * loaded nothing yet and its code is cold, and what ended the previous one may end this one there
+   * as well.
    */
-  private static final long YIELD_MS = 400;
+  private static final long RESTART_DELAY_MS = 400;
+
+  /** Two processes of one name, by mistake, must not depose each other for ever. */
+  private static final int MAX_PREDECESSOR_RELEASES = 8;
+
+  /** Where this node stands. */
+  private enum State {
+    /** Another node leads, or nobody is known to. */
+    FOLLOWER,
+    /** An election of this node is under way. */
+    CANDIDATE,
+    /** This node leads as far as it knows. */
+    LEADER
+  }
 
-  /** Two processes under one name, by mistake, must not depose each other for ever. */
-  private static final int MOST_RELEASES = 8;
+  /** An election of this node under way. */
+  private record Candidacy(long lease, long term, long leaseSentMs) {}
 
   private final EventLoop loop;
-  private final KeyValueStore state;
+  private final KeyValueStore store;
   private final String node;
   private final Listener listener;
   private final SplittableRandom random;
-  private final LongSupplier handicapMs;
+  private final LongSupplier candidacyDelayMs;
 
+  private State state = State.FOLLOWER;
   private String leader;
   private long leaderTerm;
-  private long seenTerm;
-  private boolean leading;
-  private long term;
-  private long version;
+  private long highestSeenToken;
+
+  /** This node's newest term of leadership, and the leader key's version and lease in it. */
+  private long ownTerm;
+
+  private long leaderKeyVersion;
   private long lease;
-  private boolean campaigning;
-  private boolean renewing;
   private long renewedMs;
-  private long restUntilMs = Long.MIN_VALUE;
+  private boolean isRenewing;
+  private EventLoop.Timer renewalTimer;
 
-  /** The lease of the campaign that is under way; 0: none. */
-  private long standing;
+  /** The lease of the newest candidacy that may still have been elected; 0: none. */
+  private long candidacyLease;
 
-  private int releases;
-  private long yieldUntilMs = Long.MIN_VALUE;
-  private EventLoop.Timer renewal;
+  private long noCandidacyUntilMs = Long.MIN_VALUE;
+  private long delayedCandidacyUntilMs = Long.MIN_VALUE;
+  private int predecessorReleases;
 
   /** Told of this node's own leadership. */
   public interface Listener {
-    /** This node leads from now on. */
+    /**
+     * This node leads from now on.
+     *
+     * @param term the first fencing token of its term
+     * @param version the version of {@link #LEADER}, a condition of each of its writes
+     */
     void elected(long term, long version);
 
     /** This node no longer leads. */
@@ -82,28 +131,30 @@
   }
 
   /**
-   * An election among the nodes that share a state service.
+   * Prepares an election; {@link #start} takes part in it.
    *
-   * @param handicapMs how long this node lets others go first, since they would serve better
+   * @param node this node's name
+   * @param candidacyDelayMs how long this node lets others be elected first, since they would serve
+   *     better; asked at the beginning of each candidacy
    */
   public LeaderElection(
       EventLoop loop,
-      KeyValueStore state,
+      KeyValueStore store,
       String node,
       long seed,
-      LongSupplier handicapMs,
+      LongSupplier candidacyDelayMs,
       Listener listener) {
-    this.handicapMs = handicapMs;
+    this.candidacyDelayMs = candidacyDelayMs;
     this.loop = loop;
-    this.state = state;
+    this.store = store;
     this.node = node;
     this.random = new SplittableRandom(seed);
     this.listener = listener;
   }
 
-  /** Begins. */
+  /** Takes part from now on. */
   public void start() {
-    look();
+    readLeader();
   }
 
   /** Name of the leader as last seen, or null. */
@@ -116,259 +167,256 @@
     return leaderTerm;
   }
 
-  /** The highest token seen anywhere. */
-  public long seenTerm() {
-    return Math.max(seenTerm, term);
+  /** The highest fencing token seen anywhere. */
+  public long highestSeenToken() {
+    return Math.max(highestSeenToken, ownTerm);
   }
 
   /** True while this node leads as far as it knows. */
-  public boolean leading() {
-    return leading;
+  public boolean isLeading() {
+    return state == State.LEADER;
   }
 
-  /** When the lease was last renewed (the renewal's sending), on the steady clock. */
+  /** When the newest renewal of the lease was sent that succeeded, on the steady clock. */
   public long renewedMs() {
     return renewedMs;
   }
 
-  private void look() {
-    state.get(
+  private void readLeader() {
+    store.get(
         LEADER,
         (result, item) -> {
           if (result != CallResult.OK) {
-            loop.after(300, this::look);
+            loop.after(READ_RETRY_MS, this::readLeader);
             return;
           }
-          saw(item.value(), item.version());
+          leaderKeyRead(item);
           if (item.version() > 0) {
-            watch(item.version());
+            watchLeader(item.version());
           } else {
-            campaign();
-            loop.after(400 + random.nextInt(200), this::look);
+            becomeCandidate();
+            readLeaderAfter(CANDIDATE_READ_MS);
           }
         });
   }
 
-  private void watch(long from) {
-    state.watch(
+  private void readLeaderAfter(long ms) {
+    loop.after(ms + random.nextInt(CANDIDATE_JITTER_MS), this::readLeader);
+  }
+
+  private void watchLeader(long afterRevision) {
+    store.watch(
         LEADER,
-        from,
-        WATCH_MS,
+        afterRevision,
+        WATCH_WAIT_MS,
         (result, events, revision) -> {
           if (result != CallResult.OK) {
-            loop.after(200, this::look);
+            loop.after(WATCH_RETRY_MS, this::readLeader);
             return;
           }
-          boolean absent = false;
-          for (VersionedValue e : events) {
-            if (e.key().equals(LEADER)) {
-              saw(e.value(), e.version());
-              absent = e.value() == null;
+          boolean isAbsent = false;
+          for (VersionedValue event : events) {
+            if (event.key().equals(LEADER)) {
+              leaderKeyRead(event);
+              isAbsent = event.value() == null;
             }
           }
-          if (absent) {
+          if (isAbsent) {
             // The others try at the same moment; one transaction wins, the others read its result.
-            campaign();
-            loop.after(100 + random.nextInt(200), this::look);
+            becomeCandidate();
+            readLeaderAfter(CANDIDATE_READ_AFTER_DELETION_MS);
           } else {
-            watch(revision);
+            watchLeader(revision);
           }
         });
   }
 
-  private void saw(JsonNode value, long seenMark) {
-    if (value == null) {
+  private void leaderKeyRead(VersionedValue item) {
+    if (item.value() == null) {
       leader = null;
-      if (leading) {
-        LOG.warn("event=lease_lost term={}", term);
+      if (isLeading()) {
+        LOG.warn("event=lease_lost term={}", ownTerm);
         stepDown();
       }
       return;
     }
-    if (leading && seenMark > version) {
+    if (isLeading() && item.version() > leaderKeyVersion) {
       stepDown();
     }
-    leader = value.path("node").asText();
-    leaderTerm = value.path("term").asLong();
-    seenTerm = Math.max(seenTerm, leaderTerm);
-    if (!leading && leader.equals(node)) {
-      predecessor(value.path(LEASE).asLong());
+    LeaderRecord record = LeaderRecord.decode(item.value());
+    leader = record.node();
+    leaderTerm = record.term();
+    highestSeenToken = Math.max(highestSeenToken, leaderTerm);
+    if (!isLeading() && leader.equals(node)) {
+      releasePredecessor(record.lease());
     }
   }
 
   /**
    * The leadership is held under this node's name and not by this process: by one before it, or by
-   * a campaign of its own that was given up. Nobody acts in it, so its lease is ended and need not
-   * be waited for. Ending a lease can only depose; and what the process before has still on its way
-   * fails from then on, since the key that its conditions name is gone.
+   * a candidacy of its own that was given up. Nobody acts in it, so its lease is ended and need not
+   * be waited for. Ending a lease can only depose; and what the previous process has still on its
+   * way fails from then on, since the key that its conditions name is gone.
    */
-  private void predecessor(long of) {
-    if (of > 0 && of != standing && releases < MOST_RELEASES) {
-      releases++;
-      yieldUntilMs = loop.now() + LIFE_MS;
-      LOG.info("event=predecessor_released term={} lease={}", leaderTerm, of);
-      state.releaseLease(of);
+  private void releasePredecessor(long predecessorLease) {
+    if (predecessorLease > 0
+        && predecessorLease != candidacyLease
+        && predecessorReleases < MAX_PREDECESSOR_RELEASES) {
+      predecessorReleases++;
+      delayedCandidacyUntilMs = loop.now() + LEASE_DURATION_MS;
+      LOG.info("event=predecessor_released term={} lease={}", leaderTerm, predecessorLease);
+      store.releaseLease(predecessorLease);
     }
   }
 
-  private void campaign() {
-    if (leading || campaigning || loop.now() < restUntilMs) {
+  private void becomeCandidate() {
+    if (state != State.FOLLOWER || loop.now() < noCandidacyUntilMs) {
       return;
     }
-    campaigning = true;
-    long wait = handicapMs.getAsLong() + (loop.now() < yieldUntilMs ? YIELD_MS : 0);
-    if (wait > 0) {
+    state = State.CANDIDATE;
+    long restartDelayMs = loop.now() < delayedCandidacyUntilMs ? RESTART_DELAY_MS : 0;
+    long delayMs = candidacyDelayMs.getAsLong() + restartDelayMs;
+    if (delayMs > 0) {
       // By then another leads, and the conditions of this node's transaction fail; or nobody does.
-      loop.after(wait, this::stand);
+      loop.after(delayMs, this::requestLease);
     } else {
-      stand();
+      requestLease();
     }
   }
 
-  private void stand() {
-    long sent = loop.now();
-    state.grantLease(
-        LIFE_MS,
-        (result, id) -> {
+  private void requestLease() {
+    long sentMs = loop.now();
+    store.grantLease(
+        LEASE_DURATION_MS,
+        (result, grantedLease) -> {
+          if (result == CallResult.OK) {
+            readTerm(grantedLease, sentMs);
+          } else {
+            state = State.FOLLOWER; // Nothing was written.
+          }
+        });
+  }
+
+  private void readTerm(long grantedLease, long sentMs) {
+    store.get(
+        TERM,
+        (result, item) -> {
           if (result != CallResult.OK) {
-            campaigning = false;
+            state = State.FOLLOWER; // Nothing was written.
             return;
           }
-          state.get(
-              TERM,
-              (got, item) -> {
-                if (got != CallResult.OK) {
-                  campaigning = false;
-                  return;
-                }
-                long last = item.value() == null ? 0 : item.value().path("n").asLong();
-                run(id, Math.max(last, seenTerm) + 1, item, sent);
-              });
+          long term = Math.max(LeaderRecord.decodeTerm(item.value()), highestSeenToken) + 1;
+          elect(new Candidacy(grantedLease, term, sentMs), item.version());
         });
   }
 
-  private void run(long id, long newTerm, VersionedValue before, long sent) {
-    ObjectNode who = org.mallowroad.wire.Json.object();
-    who.put("node", node);
-    who.put("term", newTerm);
-    // The name alone would not tell this process from the one before it.
-    who.put(LEASE, id);
-    ObjectNode count = org.mallowroad.wire.Json.object();
-    // The last token of the term's block: the next term is above all of them, whoever reads this.
-    count.put("n", FencingTokens.last(newTerm));
-    standing = id;
+  private void elect(Candidacy candidacy, long termVersion) {
+    LeaderRecord record = new LeaderRecord(node, candidacy.term(), candidacy.lease());
+    candidacyLease = candidacy.lease();
     Transaction transaction =
         new Transaction()
             .requireVersion(LEADER, 0)
-            .requireVersion(TERM, before.version())
-            .put(LEADER, who, id)
-            .put(TERM, count);
-    state.compareAndSwap(
+            .requireVersion(TERM, termVersion)
+            .put(LEADER, record.encode(), candidacy.lease())
+            // The last token of the term's block: the next term is above all of them.
+            .put(TERM, LeaderRecord.encodeTerm(FencingTokens.last(candidacy.term())));
+    store.compareAndSwap(
         transaction,
-        (result, revision, failed) -> {
-          if (result == CallResult.OK) {
-            confirm(newTerm, revision, id, sent);
-          } else if (result == CallResult.UNKNOWN) {
-            settle(id, newTerm, sent);
-          } else {
-            over();
+        (result, revision, failedKeys) -> {
+          switch (result) {
+            case OK -> confirm(candidacy, revision);
+            case UNKNOWN -> readOutcome(candidacy);
+            default -> candidacyEnded();
           }
         });
   }
 
-  /** The campaign is over without a leadership. */
-  private void over() {
-    campaigning = false;
-    standing = 0;
+  /** The candidacy is over without an election. */
+  private void candidacyEnded() {
+    state = State.FOLLOWER;
+    candidacyLease = 0;
   }
 
   /** An election whose outcome is unknown is settled by reading who leads. */
-  private void settle(long id, long newTerm, long sent) {
-    state.get(
+  private void readOutcome(Candidacy candidacy) {
+    store.get(
         LEADER,
         (result, item) -> {
-          if (result != CallResult.OK) {
-            if (loop.now() - sent > 2 * LIFE_MS) {
-              over();
+          if (result == CallResult.OK) {
+            // The lease tells the elections apart: one of the previous process that is executed
+            // late has the same name and may have the same term.
+            if (LeaderRecord.decode(item.value())
+                .equals(new LeaderRecord(node, candidacy.term(), candidacy.lease()))) {
+              confirm(candidacy, item.version());
             } else {
-              loop.after(200, () -> settle(id, newTerm, sent));
+              candidacyEnded();
             }
-            return;
-          }
-          if (item.value() != null
-              && item.value().path("node").asText().equals(node)
-              && item.value().path("term").asLong() == newTerm
-              && item.value().path(LEASE).asLong() == id) {
-            // By the lease: a transaction of the process before, applied late, has the same name
-            // and may have the same term.
-            confirm(newTerm, item.version(), id, sent);
+          } else if (loop.now() - candidacy.leaseSentMs() > OUTCOME_TIMEOUT_MS) {
+            candidacyEnded();
           } else {
-            over();
+            loop.after(OUTCOME_RETRY_MS, () -> readOutcome(candidacy));
           }
         });
   }
 
   /**
-   * A node that stood still while it was elected reads of it late: its lease may be over and
-   * another elected since. Then the lease is asked for first, and a leadership that is over is
-   * never begun.
+   * A node that was paused while it was elected learns of it late: its lease may be over and
+   * another elected since. Then the lease is renewed first, and a leadership that is over is never
+   * begun.
    */
-  private void confirm(long newTerm, long newVersion, long id, long sent) {
-    if (loop.now() - sent < LIFE_MS) {
-      campaigning = false;
-      elected(newTerm, newVersion, id, sent);
+  private void confirm(Candidacy candidacy, long version) {
+    if (loop.now() - candidacy.leaseSentMs() < LEASE_DURATION_MS) {
+      lead(candidacy, version);
       return;
     }
-    long again = loop.now();
-    state.renewLease(
-        id,
-        RENEW_TIMEOUT_MS,
-        (result, lease) -> {
+    long sentMs = loop.now();
+    store.renewLease(
+        candidacy.lease(),
+        RENEWAL_TIMEOUT_MS,
+        (result, renewedLease) -> {
           if (result == CallResult.OK) {
-            confirm(newTerm, newVersion, id, again);
-          } else if (result == CallResult.LEASE_EXPIRED || loop.now() - sent > 10 * LIFE_MS) {
-            over();
+            confirm(new Candidacy(candidacy.lease(), candidacy.term(), sentMs), version);
+          } else if (result == CallResult.LEASE_EXPIRED
+              || loop.now() - candidacy.leaseSentMs() > CONFIRMATION_TIMEOUT_MS) {
+            candidacyEnded();
           } else {
-            loop.after(200, () -> confirm(newTerm, newVersion, id, sent));
+            loop.after(OUTCOME_RETRY_MS, () -> confirm(candidacy, version));
           }
         });
   }
 
-  private void elected(long newTerm, long newVersion, long id, long sent) {
-    if (leading) {
-      return;
-    }
-    leading = true;
+  private void lead(Candidacy candidacy, long version) {
+    state = State.LEADER;
     leader = node;
-    leaderTerm = newTerm;
-    term = newTerm;
-    version = newVersion;
-    lease = id;
-    renewedMs = sent;
-    LOG.info("event=elected term={}", term);
-    renewal = loop.every(RENEW_MS, this::renew);
-    listener.elected(term, version);
+    leaderTerm = candidacy.term();
+    ownTerm = candidacy.term();
+    leaderKeyVersion = version;
+    lease = candidacy.lease();
+    renewedMs = candidacy.leaseSentMs();
+    LOG.info("event=elected term={}", ownTerm);
+    renewalTimer = loop.every(RENEWAL_INTERVAL_MS, this::renew);
+    listener.elected(ownTerm, leaderKeyVersion);
   }
 
   private void renew() {
-    if (!leading || renewing) {
+    if (!isLeading() || isRenewing) {
       return;
     }
-    renewing = true;
-    long sent = loop.now();
-    long of = lease;
-    state.renewLease(
-        of,
-        RENEW_TIMEOUT_MS,
+    isRenewing = true;
+    long sentMs = loop.now();
+    long renewedLease = lease;
+    store.renewLease(
+        renewedLease,
+        RENEWAL_TIMEOUT_MS,
         (result, id) -> {
-          renewing = false;
-          if (!leading || of != lease) {
+          isRenewing = false;
+          if (!isLeading() || renewedLease != lease) {
             return;
           }
           if (result == CallResult.OK) {
-            renewedMs = sent;
+            renewedMs = sentMs;
           } else if (result == CallResult.LEASE_EXPIRED) {
-            LOG.warn("event=lease_over term={}", term);
+            LOG.warn("event=lease_expired term={}", ownTerm);
             stepDown();
           }
         });
@@ -376,43 +424,49 @@
 
   /** Gives the leadership up although its lease holds: another node may serve better. */
   public void resign() {
-    if (!leading) {
+    if (!isLeading()) {
       return;
     }
-    long of = lease;
-    restUntilMs = loop.now() + REST_MS;
+    long resignedLease = lease;
+    noCandidacyUntilMs = loop.now() + RESIGNATION_BACKOFF_MS;
     stepDown();
-    state.releaseLease(of);
+    store.releaseLease(resignedLease);
   }
 
-  /** Gives the leadership up: a write failed on the leader's mark, or a higher term showed. */
+  /**
+   * Gives the leadership up: a write failed on the version of {@link #LEADER}, or a higher term was
+   * seen.
+   */
   public void stepDown() {
-    if (!leading) {
+    if (!isLeading()) {
       return;
     }
-    leading = false;
+    state = State.FOLLOWER;
     leader = null;
-    renewal.cancel();
-    LOG.warn("event=deposed term={}", term);
+    renewalTimer.cancel();
+    LOG.warn("event=deposed term={}", ownTerm);
     listener.deposed();
   }
 
-  /** Another node made its term known: a node cut from the state service hears it here first. */
-  public void announced(String other, long otherTerm) {
+  /**
+   * Another node announced its term; a node that is cut off from the state service learns of it
+   * here first.
+   */
+  public void leaderAnnounced(String otherNode, long otherTerm) {
     // Tokens of the same term may have been seen; those of a later one say that it is over.
-    if (FencingTokens.last(otherTerm) >= seenTerm()) {
-      sawTerm(otherTerm);
-      if (!leading) {
-        leader = other;
+    if (FencingTokens.last(otherTerm) >= highestSeenToken()) {
+      tokenSeen(otherTerm);
+      if (!isLeading()) {
+        leader = otherNode;
         leaderTerm = otherTerm;
       }
     }
   }
 
-  /** A token was seen in a message: one beyond this node's own term ends its leadership. */
-  public void sawTerm(long other) {
-    seenTerm = Math.max(seenTerm, other);
-    if (leading && other > FencingTokens.last(term)) {
+  /** A message had this fencing token: one beyond this node's own term ends its leadership. */
+  public void tokenSeen(long fencingToken) {
+    highestSeenToken = Math.max(highestSeenToken, fencingToken);
+    if (isLeading() && fencingToken > FencingTokens.last(ownTerm)) {
       stepDown();
     }
   }
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -85,8 +85,8 @@
               before.dies();
               Here.Process after = h.new Process("n0");
               h.run(2_000);
-              assertTrue(other.election.leading());
-              assertFalse(after.election.leading());
+              assertTrue(other.election.isLeading());
+              assertFalse(after.election.isLeading());
               assertEquals("n1", after.election.leader());
             }),
         rule(
@@ -105,10 +105,10 @@
               Here.Process after = h.new Process("n0");
               h.run(1_700);
               assertEquals("n0", h.leader() == null ? "n0" : h.leader().path("node").asText());
-              assertFalse(after.election.leading());
+              assertFalse(after.election.isLeading());
               h.c.loseAnswers = false;
               h.run(6_000);
-              assertTrue(after.election.leading());
+              assertTrue(after.election.isLeading());
               assertTrue(after.elected > FencingTokens.last(1));
             }),
         rule(
@@ -116,10 +116,10 @@
             h -> {
               Here.Process p = h.new Process("n0");
               h.run(200);
-              p.election.sawTerm(FencingTokens.last(p.elected));
-              assertTrue(p.election.leading());
-              p.election.sawTerm(FencingTokens.last(1) + 1);
-              assertFalse(p.election.leading());
+              p.election.tokenSeen(FencingTokens.last(p.elected));
+              assertTrue(p.election.isLeading());
+              p.election.tokenSeen(FencingTokens.last(1) + 1);
+              assertFalse(p.election.isLeading());
             }),
         rule(
             "a record of an earlier build, a plain number, is followed by a higher term",
