--- a/src/main/java/org/mallowroad/controller/CancellationPropagation.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -77,7 +77,7 @@
     if (jobs.isEmpty()) {
       return;
     }
-    peers.cancelled(
+    peers.sendCancelled(
         peer,
         jobs,
         isAccepted -> {
--- a/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
@@ -84,7 +84,7 @@
 
   private void send(IncomingRequest request, int peer) {
     inFlight++;
-    transport.carry(
+    transport.relayHeartbeat(
         peer,
         clusterConfig.settings.node(),
         request.body(),
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -1,6 +1,7 @@
 package org.mallowroad.controller;
 
 import java.util.List;
+import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Member;
@@ -222,7 +223,7 @@
     boolean isLeading = listener.leading();
     // A leader's own term, not the tokens within it that single workers have.
     long term = isLeading ? election.leaderTerm() : election.highestSeenToken();
-    transport.tell(links.advertise(term, isLeading, loop.now()));
+    transport.broadcastLinkState(links.advertise(term, isLeading, loop.now()));
   }
 
   private void check() {
@@ -284,10 +285,10 @@
   /** Serves what peers relay by way of this node. */
   private final class PeerRequests implements RelayTransport.Listener {
     @Override
-    public long row(LinkStateAdvertisement advertised) {
+    public OptionalLong onLinkState(LinkStateAdvertisement advertised) {
       if (!links.accept(advertised, loop.now())) {
         long began = links.startedMs(advertised.node());
-        return began > advertised.started() ? began : 0;
+        return began > advertised.started() ? OptionalLong.of(began) : OptionalLong.empty();
       }
       if (election != null) {
         if (advertised.leading()) {
@@ -296,11 +297,11 @@
           election.tokenSeen(advertised.term());
         }
       }
-      return 0;
+      return OptionalLong.empty();
     }
 
     @Override
-    public void forward(
+    public void onCall(
         ExternalService to,
         String method,
         String path,
@@ -316,12 +317,12 @@
     }
 
     @Override
-    public void commands(String address, byte[] body, RequestSender.ResponseHandler answer) {
+    public void onCommands(String address, byte[] body, RequestSender.ResponseHandler answer) {
       workers.sendRelayed(address, body, answer);
     }
 
     @Override
-    public void carried(int peer, byte[] report, RequestSender.ResponseHandler answer) {
+    public void onHeartbeat(int peer, byte[] report, RequestSender.ResponseHandler answer) {
       Heartbeat heartbeat;
       try {
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(report));
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -101,7 +101,7 @@
     @Override
     public void overloaded() {
       admission.overloaded(services.loop().now());
-      peers.overloaded(term.number());
+      peers.sendOverloaded(term.number());
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -203,7 +203,7 @@
 
     @Override
     public void message(IncomingRequest request) {
-      components.peers.message(request);
+      components.peers.receive(request);
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -136,8 +136,8 @@
         new LocalLeadership(newLeaderServices(), peers, users, admission, machineTypes);
     users.onCancelled(this::cancellationLearnt);
     if (links != null) {
-      peers.forwarding(links.transport());
-      workers.setRelay(links.transport()::commands);
+      peers.setRelayTransport(links.transport());
+      workers.setRelay(links.transport()::relayCommands);
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -92,7 +92,7 @@
   private void registerInvalidMessages() {
     gauge("mallowroad.garbled.state", m -> m.node.state.health().malformedResponses());
     gauge("mallowroad.garbled.cloud", m -> m.node.cloud.invalidResponses());
-    gauge("mallowroad.garbled.peers", m -> m.node.peers.wrong());
+    gauge("mallowroad.garbled.peers", m -> m.node.peers.invalidMessages());
     gauge("mallowroad.garbled.workers", m -> m.node.heartbeatApi.invalidMessages());
   }
 
--- a/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
+++ b/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
@@ -23,7 +23,7 @@
   SharedRecordRollout(EventLoop loop, PeerMessenger peers) {
     this.loop = loop;
     this.peers = peers;
-    this.isSupportedByPeer = new boolean[peers.count()];
+    this.isSupportedByPeer = new boolean[peers.peerCount()];
   }
 
   /** Asks the peers until all support shared records, then enables them, while the term lasts. */
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -42,7 +42,7 @@
     } else if (links != null && links.stateRoute().isDirectPathDown()) {
       relayByLinkState(method, path, body, responder);
     } else if (state.health().isFailing()) {
-      peers.relay(method, path, body, responder, () -> refuse(responder));
+      peers.relayToAnyPeer(method, path, body, responder, () -> refuse(responder));
     } else {
       serveOrRelay(method, path, body, responder);
     }
@@ -54,7 +54,7 @@
     if (peer == RouteSelector.DIRECT) {
       refuse(responder);
     } else {
-      peers.relayTo(peer, method, path, body, responder, () -> refuse(responder));
+      peers.relayToPeer(peer, method, path, body, responder, () -> refuse(responder));
     }
   }
 
@@ -65,7 +65,7 @@
         body,
         (status, answer, later) -> {
           if (status == UNAVAILABLE) {
-            peers.relay(
+            peers.relayToAnyPeer(
                 method, path, body, responder, () -> responder.answer(status, answer, later));
           } else {
             responder.answer(status, answer, later);
--- a/src/main/java/org/mallowroad/peer/LinkCodec.java
+++ b/src/main/java/org/mallowroad/peer/LinkCodec.java
@@ -16,31 +16,44 @@
 import org.mallowroad.wire.InvalidMessageException;
 
 /**
- * What goes round cuts, in Avro's single-object form: each message begins with the fingerprint of
- * its schema, so one of another version is told from garbage, and a reader that is given an earlier
- * version's schema as well reads both.
+ * The messages of {@link RelayTransport} in Avro's single-object encoding. Each message begins with
+ * the fingerprint of its schema, so a message of another version is told from garbage, and a reader
+ * that is given an earlier version's schema as well reads both. Confined to the event loop.
+ *
+ * <p>Names of schemas and fields are part of the wire format.
  */
 final class LinkCodec {
-  /** A call to an outside party on behalf of the sender, or a message to a worker's address. */
-  record Forward(String to, String method, String path, byte[] body, long timeoutMs) {}
+  /**
+   * A call to make for the sender.
+   *
+   * @param to the name of an external service, or {@link RelayTransport#WORKER}
+   * @param path the path of the call, or a worker's address
+   */
+  record RelayedCall(String to, String method, String path, byte[] body, long timeoutMs) {}
 
-  /** How it went: {@code outcome} is one of ANSWERED, NOT_SENT, UNKNOWN. */
-  record Forwarded(int outcome, int status, byte[] body) {}
+  /** The result of a relayed call or heartbeat; status and body are those of an answered one. */
+  record RelayedResult(Outcome outcome, int status, byte[] body) {}
 
-  /** A worker's report that came to a node that does not lead. */
-  record Carry(String from, byte[] report) {}
+  /** A worker's heartbeat that arrived at {@code from}, which is not the leader. */
+  record RelayedHeartbeat(String from, byte[] heartbeat) {}
 
-  /** A later process of the node that sent a row has begun then, by its time of day. */
-  record Later(long began) {}
+  /** A newer process of the node that sent a link state started then, in wall-clock time. */
+  record NewerProcess(long startedMs) {}
 
-  /** The party answered. */
-  static final int ANSWERED = 0;
+  /** What became of a relayed request; the ordinals are part of the wire format. */
+  enum Outcome {
+    /** The receiver answered. */
+    ANSWERED,
+    /** The receiver certainly did not get the request. */
+    NOT_SENT,
+    /** The receiver may have got the request, or may still get it. */
+    UNKNOWN;
 
-  /** The party certainly did not get it. */
-  static final int NOT_SENT = 1;
-
-  /** It may have got it, or may yet. */
-  static final int UNKNOWN = 2;
+    /** A number that is not known is taken for the outcome that claims nothing. */
+    private static Outcome decode(int number) {
+      return number == 0 ? ANSWERED : number == 1 ? NOT_SENT : UNKNOWN;
+    }
+  }
 
   private static final GenericData DATA = GenericData.get();
 
@@ -48,18 +61,19 @@
     return SchemaBuilder.record(name).namespace("org.mallowroad.peer").fields();
   }
 
-  private static final class Kind {
+  /** The encoder and decoder of one kind of message. */
+  private static final class Format {
     private final Schema schema;
     private final BinaryMessageEncoder<GenericRecord> encoder;
     private final BinaryMessageDecoder<GenericRecord> decoder;
 
-    Kind(Schema schema) {
+    Format(Schema schema) {
       this.schema = schema;
       this.encoder = new BinaryMessageEncoder<>(DATA, schema);
       this.decoder = new BinaryMessageDecoder<>(DATA, schema);
     }
 
-    GenericRecord make() {
+    GenericRecord newRecord() {
       return new GenericData.Record(schema);
     }
 
@@ -70,7 +84,7 @@
         b.get(out);
         return out;
       } catch (IOException e) {
-        throw new UncheckedIOException(e);
+        throw new UncheckedIOException("a message cannot be written to memory", e);
       }
     }
 
@@ -83,14 +97,14 @@
     }
   }
 
-  private final Schema heardSchema =
+  private final Schema zoneSchema =
       record("Heard")
           .requiredString("zone")
           .requiredLong("directMs")
           .requiredLong("carriedMs")
           .endRecord();
-  private final Kind row =
-      new Kind(
+  private final Format linkState =
+      new Format(
           record("Row")
               .requiredString("node")
               .requiredLong("started")
@@ -108,11 +122,11 @@
               .name("zones")
               .type()
               .array()
-              .items(heardSchema)
+              .items(zoneSchema)
               .noDefault()
               .endRecord());
-  private final Kind forward =
-      new Kind(
+  private final Format call =
+      new Format(
           record("Forward")
               .requiredString("to")
               .requiredString("method")
@@ -120,30 +134,30 @@
               .requiredBytes("body")
               .requiredLong("timeoutMs")
               .endRecord());
-  private final Kind forwarded =
-      new Kind(
+  private final Format result =
+      new Format(
           record("Forwarded")
               .requiredInt("outcome")
               .requiredInt("status")
               .requiredBytes("body")
               .endRecord());
-  private final Kind carry =
-      new Kind(record("Carry").requiredString("from").requiredBytes("report").endRecord());
+  private final Format heartbeat =
+      new Format(record("Carry").requiredString("from").requiredBytes("report").endRecord());
 
-  private final Kind later = new Kind(record("Later").requiredLong("began").endRecord());
+  private final Format newerProcess = new Format(record("Later").requiredLong("began").endRecord());
 
-  byte[] encode(Later l) {
-    GenericRecord g = later.make();
-    g.put("began", l.began());
-    return later.write(g);
+  byte[] encode(NewerProcess p) {
+    GenericRecord g = newerProcess.newRecord();
+    g.put("began", p.startedMs());
+    return newerProcess.write(g);
   }
 
-  Later later(byte[] bytes) throws InvalidMessageException {
-    return new Later((Long) later.read(bytes).get("began"));
+  NewerProcess decodeNewerProcess(byte[] bytes) throws InvalidMessageException {
+    return new NewerProcess((Long) newerProcess.read(bytes).get("began"));
   }
 
   byte[] encode(LinkStateAdvertisement r) {
-    GenericRecord g = row.make();
+    GenericRecord g = linkState.newRecord();
     g.put("node", r.node());
     g.put("started", r.started());
     g.put("seq", r.sequence());
@@ -154,43 +168,43 @@
     g.put("peers", r.peers());
     List<GenericRecord> zones = new ArrayList<>();
     for (LinkStateAdvertisement.ZoneContact h : r.zones()) {
-      GenericRecord z = new GenericData.Record(heardSchema);
+      GenericRecord z = new GenericData.Record(zoneSchema);
       z.put("zone", h.zone());
       z.put("directMs", h.directAgeMs());
       z.put("carriedMs", h.relayedAgeMs());
       zones.add(z);
     }
     g.put("zones", zones);
-    return row.write(g);
+    return linkState.write(g);
   }
 
-  byte[] encode(Forward f) {
-    GenericRecord g = forward.make();
+  byte[] encode(RelayedCall f) {
+    GenericRecord g = call.newRecord();
     g.put("to", f.to());
     g.put("method", f.method());
     g.put("path", f.path());
     g.put("body", ByteBuffer.wrap(f.body()));
     g.put("timeoutMs", f.timeoutMs());
-    return forward.write(g);
+    return call.write(g);
   }
 
-  byte[] encode(Forwarded f) {
-    GenericRecord g = forwarded.make();
-    g.put("outcome", f.outcome());
+  byte[] encode(RelayedResult f) {
+    GenericRecord g = result.newRecord();
+    g.put("outcome", f.outcome().ordinal());
     g.put("status", f.status());
     g.put("body", ByteBuffer.wrap(f.body()));
-    return forwarded.write(g);
+    return result.write(g);
   }
 
-  byte[] encode(Carry c) {
-    GenericRecord g = carry.make();
-    g.put("from", c.from());
-    g.put("report", ByteBuffer.wrap(c.report()));
-    return carry.write(g);
+  byte[] encode(RelayedHeartbeat h) {
+    GenericRecord g = heartbeat.newRecord();
+    g.put("from", h.from());
+    g.put("report", ByteBuffer.wrap(h.heartbeat()));
+    return heartbeat.write(g);
   }
 
-  LinkStateAdvertisement row(byte[] bytes) throws InvalidMessageException {
-    GenericRecord g = row.read(bytes);
+  LinkStateAdvertisement decodeLinkState(byte[] bytes) throws InvalidMessageException {
+    GenericRecord g = linkState.read(bytes);
     List<String> peers = new ArrayList<>();
     for (Object p : (List<?>) g.get("peers")) {
       peers.add(p.toString());
@@ -214,9 +228,9 @@
         zones);
   }
 
-  Forward forward(byte[] bytes) throws InvalidMessageException {
-    GenericRecord g = forward.read(bytes);
-    return new Forward(
+  RelayedCall decodeCall(byte[] bytes) throws InvalidMessageException {
+    GenericRecord g = call.read(bytes);
+    return new RelayedCall(
         g.get("to").toString(),
         g.get("method").toString(),
         g.get("path").toString(),
@@ -224,14 +238,15 @@
         (Long) g.get("timeoutMs"));
   }
 
-  Forwarded forwarded(byte[] bytes) throws InvalidMessageException {
-    GenericRecord g = forwarded.read(bytes);
-    return new Forwarded((Integer) g.get("outcome"), (Integer) g.get("status"), bytes(g, "body"));
+  RelayedResult decodeResult(byte[] bytes) throws InvalidMessageException {
+    GenericRecord g = result.read(bytes);
+    return new RelayedResult(
+        Outcome.decode((Integer) g.get("outcome")), (Integer) g.get("status"), bytes(g, "body"));
   }
 
-  Carry carry(byte[] bytes) throws InvalidMessageException {
-    GenericRecord g = carry.read(bytes);
-    return new Carry(g.get("from").toString(), bytes(g, "report"));
+  RelayedHeartbeat decodeHeartbeat(byte[] bytes) throws InvalidMessageException {
+    GenericRecord g = heartbeat.read(bytes);
+    return new RelayedHeartbeat(g.get("from").toString(), bytes(g, "report"));
   }
 
   private static byte[] bytes(GenericRecord r, String field) {
--- a/src/main/java/org/mallowroad/peer/PeerCodec.java
+++ b/src/main/java/org/mallowroad/peer/PeerCodec.java
@@ -18,30 +18,34 @@
 import org.apache.avro.io.EncoderFactory;
 import org.mallowroad.wire.InvalidMessageException;
 
-/** What controllers say to each other, in Avro's binary form. */
+/**
+ * The messages of {@link PeerMessenger} in Avro's binary form. Confined to the event loop.
+ *
+ * <p>Names of schemas and fields are part of the wire format.
+ */
 final class PeerCodec {
   /**
-   * Of the forms of {@link Cancelled} and {@link Overloaded}; another build's is refused, and costs
-   * time alone.
+   * The version of the formats of {@link CancelledJobs} and {@link OverloadNotice}. A message of
+   * another version is refused, which delays what it tells and has no other effect.
    */
   private static final int VERSION = 1;
 
-  /** A leader makes its term known. */
-  record Announce(String node, long term) {}
+  /** A leader announces its term. */
+  record LeadershipAnnouncement(String node, long term) {}
 
-  /** A user's request that this node cannot serve for want of the state service. */
-  record Relay(String method, String path, byte[] body) {}
+  /** A user's request that the sender cannot serve, since it does not reach the state service. */
+  record RelayedRequest(String method, String path, byte[] body) {}
 
-  /** What the other node answered. */
-  record Relayed(int status, byte[] body) {}
+  /** The response to a {@link RelayedRequest}. */
+  record RelayedResponse(int status, byte[] body) {}
 
-  /** The leader of this term has more to record than the state service takes. */
-  record Overloaded(long term) {}
+  /** The leader of this term has more to record than the state service accepts. */
+  record OverloadNotice(long term) {}
 
-  /** Jobs that are cancelled, for good. */
-  record Cancelled(List<String> jobs) {}
+  /** Jobs whose cancellation is committed. */
+  record CancelledJobs(List<String> jobs) {}
 
-  private final Schema cancelled =
+  private final Schema cancelledSchema =
       SchemaBuilder.record("Cancelled")
           .namespace("org.mallowroad.peer")
           .fields()
@@ -53,21 +57,21 @@
           .stringType()
           .noDefault()
           .endRecord();
-  private final Schema overloaded =
+  private final Schema overloadedSchema =
       SchemaBuilder.record("Overloaded")
           .namespace("org.mallowroad.peer")
           .fields()
           .requiredInt("version")
           .requiredLong("term")
           .endRecord();
-  private final Schema announce =
+  private final Schema announceSchema =
       SchemaBuilder.record("Announce")
           .namespace("org.mallowroad.peer")
           .fields()
           .requiredString("node")
           .requiredLong("term")
           .endRecord();
-  private final Schema relay =
+  private final Schema relaySchema =
       SchemaBuilder.record("Relay")
           .namespace("org.mallowroad.peer")
           .fields()
@@ -75,7 +79,7 @@
           .requiredString("path")
           .requiredBytes("body")
           .endRecord();
-  private final Schema relayed =
+  private final Schema relayedSchema =
       SchemaBuilder.record("Relayed")
           .namespace("org.mallowroad.peer")
           .fields()
@@ -83,75 +87,77 @@
           .requiredBytes("body")
           .endRecord();
 
-  byte[] encode(Announce a) {
-    GenericRecord r = new GenericData.Record(announce);
+  byte[] encode(LeadershipAnnouncement a) {
+    GenericRecord r = new GenericData.Record(announceSchema);
     r.put("node", a.node());
     r.put("term", a.term());
-    return write(announce, r);
+    return write(announceSchema, r);
   }
 
-  byte[] encode(Relay m) {
-    GenericRecord r = new GenericData.Record(relay);
+  byte[] encode(RelayedRequest m) {
+    GenericRecord r = new GenericData.Record(relaySchema);
     r.put("method", m.method());
     r.put("path", m.path());
     r.put("body", ByteBuffer.wrap(m.body()));
-    return write(relay, r);
+    return write(relaySchema, r);
   }
 
-  byte[] encode(Relayed m) {
-    GenericRecord r = new GenericData.Record(relayed);
+  byte[] encode(RelayedResponse m) {
+    GenericRecord r = new GenericData.Record(relayedSchema);
     r.put("status", m.status());
     r.put("body", ByteBuffer.wrap(m.body()));
-    return write(relayed, r);
+    return write(relayedSchema, r);
   }
 
-  byte[] encode(Cancelled m) {
-    GenericRecord r = new GenericData.Record(cancelled);
+  byte[] encode(CancelledJobs m) {
+    GenericRecord r = new GenericData.Record(cancelledSchema);
     r.put("version", VERSION);
     r.put("jobs", m.jobs());
-    return write(cancelled, r);
+    return write(cancelledSchema, r);
   }
 
-  byte[] encode(Overloaded m) {
-    GenericRecord r = new GenericData.Record(overloaded);
+  byte[] encode(OverloadNotice m) {
+    GenericRecord r = new GenericData.Record(overloadedSchema);
     r.put("version", VERSION);
     r.put("term", m.term());
-    return write(overloaded, r);
+    return write(overloadedSchema, r);
   }
 
-  Overloaded overloaded(byte[] bytes) throws InvalidMessageException {
-    GenericRecord r = read(overloaded, bytes);
-    if ((Integer) r.get("version") != VERSION) {
-      throw new InvalidMessageException("another build's message");
-    }
-    return new Overloaded((Long) r.get("term"));
+  OverloadNotice decodeOverloadNotice(byte[] bytes) throws InvalidMessageException {
+    GenericRecord r = read(overloadedSchema, bytes);
+    checkVersion(r);
+    return new OverloadNotice((Long) r.get("term"));
   }
 
-  Cancelled cancelled(byte[] bytes) throws InvalidMessageException {
-    GenericRecord r = read(cancelled, bytes);
-    if ((Integer) r.get("version") != VERSION) {
-      throw new InvalidMessageException("another build's message");
-    }
+  CancelledJobs decodeCancelledJobs(byte[] bytes) throws InvalidMessageException {
+    GenericRecord r = read(cancelledSchema, bytes);
+    checkVersion(r);
     List<String> jobs = new ArrayList<>();
     for (Object id : (List<?>) r.get("jobs")) {
       jobs.add(id.toString());
     }
-    return new Cancelled(jobs);
+    return new CancelledJobs(jobs);
   }
 
-  Announce announce(byte[] bytes) throws InvalidMessageException {
-    GenericRecord r = read(announce, bytes);
-    return new Announce(r.get("node").toString(), (Long) r.get("term"));
+  LeadershipAnnouncement decodeAnnouncement(byte[] bytes) throws InvalidMessageException {
+    GenericRecord r = read(announceSchema, bytes);
+    return new LeadershipAnnouncement(r.get("node").toString(), (Long) r.get("term"));
   }
 
-  Relay relay(byte[] bytes) throws InvalidMessageException {
-    GenericRecord r = read(relay, bytes);
-    return new Relay(r.get("method").toString(), r.get("path").toString(), bytes(r));
+  RelayedRequest decodeRequest(byte[] bytes) throws InvalidMessageException {
+    GenericRecord r = read(relaySchema, bytes);
+    return new RelayedRequest(r.get("method").toString(), r.get("path").toString(), bytes(r));
   }
 
-  Relayed relayed(byte[] bytes) throws InvalidMessageException {
-    GenericRecord r = read(relayed, bytes);
-    return new Relayed((Integer) r.get("status"), bytes(r));
+  RelayedResponse decodeResponse(byte[] bytes) throws InvalidMessageException {
+    GenericRecord r = read(relayedSchema, bytes);
+    return new RelayedResponse((Integer) r.get("status"), bytes(r));
+  }
+
+  private static void checkVersion(GenericRecord r) throws InvalidMessageException {
+    if ((Integer) r.get("version") != VERSION) {
+      throw new InvalidMessageException("another build's message");
+    }
   }
 
   private static byte[] bytes(GenericRecord r) {
@@ -168,7 +174,7 @@
       new GenericDatumWriter<GenericRecord>(schema).write(r, e);
       e.flush();
     } catch (IOException x) {
-      throw new UncheckedIOException(x);
+      throw new UncheckedIOException("a message cannot be written to memory", x);
     }
     return out.toByteArray();
   }
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -1,6 +1,5 @@
 package org.mallowroad.peer;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -17,13 +16,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The other controllers. A new leader announces its term, so that a deposed one that is cut from
- * the state service yields at once; a node that learnt of a cancellation tells the others; and a
- * node cut from the state service passes users' requests on. Nothing here decides anything: a lost
- * message costs time, never a rule.
+ * Sends messages to the other controllers and receives theirs. A new leader announces its term, so
+ * that a deposed leader that does not reach the state service steps down at once; a node that
+ * learnt of a cancellation tells the others; and a node that does not reach the state service
+ * relays users' requests. No message is needed for safety: a lost one only costs time.
+ *
+ * <p>Peers are numbered by their place in the settings. Confined to the event loop.
  */
 public final class PeerMessenger {
-  /** Form of all messages between controllers. */
+  /** The content type of all messages between controllers. */
   static final String AVRO = "avro/binary";
 
   private static final Logger LOG = LoggerFactory.getLogger(PeerMessenger.class);
@@ -33,46 +34,55 @@
   private static final String OVERLOADED = "/overloaded";
   private static final String READS_SHARED_STARTS = "/reads-shared-starts";
   private static final long TIMEOUT_MS = 1_200;
+  private static final int CONNECTIONS_PER_PEER = 16;
+  private static final int MAX_RESPONSE_BYTES = 128 * 1024;
+  private static final int ANNOUNCE_ATTEMPTS = 3;
+  private static final long ANNOUNCE_RETRY_MS = 500;
+  private static final byte[] EMPTY = new byte[0];
 
   private final EventLoop loop;
-  private final LogLimiter garbled = LogLimiter.usual();
+  private final LogLimiter invalidMessageLog = LogLimiter.usual();
   private PeerCodec codec;
-  private final List<RequestSender> callers = new ArrayList<>();
+  private final List<RequestSender> senders = new ArrayList<>();
   private final Listener listener;
-  private RelayTransport forwarding;
-  private int next;
-  private long wrong;
+  private RelayTransport relayTransport;
+
+  /** Where the next relayed request is sent first, modulo the number of peers. */
+  private int preferredPeer;
+
+  private long invalidMessages;
 
   /** What the node does with its peers' messages. */
   public interface Listener {
-    /** Another node says that it leads. */
+    /** Another node announces that it leads in a term. */
     void announced(String node, long term);
 
-    /** These jobs are cancelled, as a peer knows for a fact. */
+    /** A peer tells of jobs whose cancellation is committed. */
     void cancelled(List<String> jobs);
 
-    /** The leader of that term has more to record than the state service takes. */
+    /** The leader of that term has more to record than the state service accepts. */
     void overloaded(long term);
 
-    /** Serves a user's request that a peer passed on; it is not passed on again. */
-    void relayed(String method, String path, byte[] body, Responder answerer);
+    /** Serves a user's request that a peer relayed; it is not relayed again. */
+    void relayed(String method, String path, byte[] body, Responder responder);
   }
 
-  /** Over the members. */
-  public PeerMessenger(NodeEnvironment host, List<Member> members, Listener listener) {
-    this.loop = host.loop();
+  /** Sends to the members in the order of the settings. */
+  public PeerMessenger(NodeEnvironment environment, List<Member> members, Listener listener) {
+    this.loop = environment.loop();
     this.listener = listener;
     for (Member m : members) {
-      callers.add(host.requestSender(m.endpoint(), AVRO, 16, 128 * 1024));
+      senders.add(
+          environment.requestSender(m.endpoint(), AVRO, CONNECTIONS_PER_PEER, MAX_RESPONSE_BYTES));
     }
   }
 
-  /** Takes what goes round cuts as well. */
-  public void forwarding(RelayTransport f) {
-    forwarding = f;
+  /** Hands messages of other kinds to a relay transport. */
+  public void setRelayTransport(RelayTransport transport) {
+    relayTransport = transport;
   }
 
-  /** Made on first use: a start on a fraction of a core must not pay for Avro's classes. */
+  /** Created on first use: a start on a fraction of a core must not pay for Avro's classes. */
   private PeerCodec codec() {
     if (codec == null) {
       codec = new PeerCodec();
@@ -80,21 +90,26 @@
     return codec;
   }
 
-  /** Messages that could not be read. */
-  public long wrong() {
-    return wrong;
+  /** The number of messages so far that could not be read. */
+  public long invalidMessages() {
+    return invalidMessages;
   }
 
-  /** Tells all peers who leads. */
+  /** The number of peers. */
+  public int peerCount() {
+    return senders.size();
+  }
+
+  /** Announces to all peers that a node leads in a term. */
   public void announce(String node, long term) {
-    byte[] message = codec().encode(new PeerCodec.Announce(node, term));
-    for (RequestSender c : callers) {
-      announce(c, message, 3);
+    byte[] message = codec().encode(new PeerCodec.LeadershipAnnouncement(node, term));
+    for (RequestSender sender : senders) {
+      announce(sender, message, ANNOUNCE_ATTEMPTS);
     }
   }
 
-  private void announce(RequestSender c, byte[] message, int tries) {
-    c.call(
+  private void announce(RequestSender sender, byte[] message, int attempts) {
+    sender.call(
         "POST",
         ANNOUNCE,
         message,
@@ -105,45 +120,40 @@
 
           @Override
           public void failed(boolean sent) {
-            if (tries > 1) {
-              loop.after(500, () -> announce(c, message, tries - 1));
+            if (attempts > 1) {
+              loop.after(ANNOUNCE_RETRY_MS, () -> announce(sender, message, attempts - 1));
             }
           }
         });
   }
 
-  /** How many peers there are. */
-  public int count() {
-    return callers.size();
-  }
-
-  /** Asks whether a peer's build reads shared records of starts; an earlier one answers 404. */
-  public void readsSharedStarts(int peer, Consumer<Boolean> told) {
-    callers
+  /** Asks whether a peer's build reads shared start records; an earlier build answers 404. */
+  public void readsSharedStarts(int peer, Consumer<Boolean> result) {
+    senders
         .get(peer)
         .call(
             "POST",
             READS_SHARED_STARTS,
-            new byte[0],
+            EMPTY,
             TIMEOUT_MS,
             new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
-                told.accept(status == 204);
+                result.accept(status == 204);
               }
 
               @Override
               public void failed(boolean sent) {
-                told.accept(false);
+                result.accept(false);
               }
             });
   }
 
-  /** Tells all peers that the records lag; what is lost is said again a second later. */
-  public void overloaded(long term) {
-    byte[] message = codec().encode(new PeerCodec.Overloaded(term));
-    for (RequestSender c : callers) {
-      c.call(
+  /** Tells all peers that the leader is overloaded; the caller repeats it, so it is not retried. */
+  public void sendOverloaded(long term) {
+    byte[] message = codec().encode(new PeerCodec.OverloadNotice(term));
+    for (RequestSender sender : senders) {
+      sender.call(
           "POST",
           OVERLOADED,
           message,
@@ -158,145 +168,178 @@
     }
   }
 
-  /** Tells one peer that jobs are cancelled; {@code over} says whether it has taken it. */
-  public void cancelled(int peer, List<String> jobs, Consumer<Boolean> over) {
-    callers
+  /** Tells one peer of cancelled jobs; the listener gets whether it need not be told again. */
+  public void sendCancelled(int peer, List<String> jobs, Consumer<Boolean> listener) {
+    senders
         .get(peer)
         .call(
             "POST",
             CANCELLED,
-            codec().encode(new PeerCodec.Cancelled(jobs)),
+            codec().encode(new PeerCodec.CancelledJobs(jobs)),
             TIMEOUT_MS,
             new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
-                // An earlier build's 404 is an answer: it will never take it.
-                over.accept(status < 500);
+                // An earlier build answers 404 and will never take the message.
+                listener.accept(status < 500);
               }
 
               @Override
               public void failed(boolean sent) {
-                over.accept(false);
+                listener.accept(false);
               }
             });
   }
 
-  /** Passes a user's request on to a peer, then to the next; {@code failed} when none serves it. */
-  public void relay(String method, String path, byte[] body, Responder answerer, Runnable failed) {
-    relay(codec().encode(new PeerCodec.Relay(method, path, body)), 0, answerer, failed);
-  }
-
   /**
-   * Passes a user's request on to one peer, which is known to be better off; {@code failed} when it
-   * does not answer.
+   * Relays a user's request to one peer after the other until one serves it.
+   *
+   * @param failed called when no peer served it
    */
-  public void relayTo(
-      int peer, String method, String path, byte[] body, Responder answerer, Runnable failed) {
-    callers
-        .get(peer)
-        .call(
-            "POST",
-            RELAY,
-            codec().encode(new PeerCodec.Relay(method, path, body)),
-            TIMEOUT_MS,
-            new RequestSender.ResponseHandler() {
-              @Override
-              public void answered(int status, byte[] bytes) {
-                try {
-                  PeerCodec.Relayed r = codec().relayed(bytes);
-                  boolean later = r.status() >= 500 || r.status() == 429;
-                  answerer.answer(r.status(), Json.parseObject(r.body()), later);
-                } catch (InvalidMessageException e) {
-                  garbled(e);
-                  failed.run();
-                }
-              }
-
-              @Override
-              public void failed(boolean sent) {
-                failed.run();
-              }
-            });
+  public void relayToAnyPeer(
+      String method, String path, byte[] body, Responder responder, Runnable failed) {
+    byte[] message = codec().encode(new PeerCodec.RelayedRequest(method, path, body));
+    relayToAnyPeer(message, 0, responder, failed);
   }
 
-  private void relay(byte[] message, int tried, Responder answerer, Runnable failed) {
-    if (tried == callers.size()) {
+  private void relayToAnyPeer(
+      byte[] message, int peersTried, Responder responder, Runnable failed) {
+    if (peersTried == senders.size()) {
       failed.run();
       return;
     }
-    callers
-        .get(Math.floorMod(next, callers.size()))
-        .call(
-            "POST",
-            RELAY,
-            message,
-            TIMEOUT_MS,
-            new RequestSender.ResponseHandler() {
-              @Override
-              public void answered(int status, byte[] bytes) {
-                try {
-                  PeerCodec.Relayed r = codec().relayed(bytes);
-                  if (r.status() < 500 && r.status() != 429) {
-                    answerer.answer(r.status(), Json.parseObject(r.body()), false);
-                    return;
-                  }
-                } catch (InvalidMessageException e) {
-                  garbled(e);
-                }
-                another();
-              }
+    relay(
+        Math.floorMod(preferredPeer, senders.size()),
+        message,
+        new RelayedResponseHandler() {
+          @Override
+          void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException {
+            if (isRetriable(response.status())) {
+              failed();
+            } else {
+              responder.answer(response.status(), Json.parseObject(response.body()), false);
+            }
+          }
 
-              @Override
-              public void failed(boolean sent) {
-                another();
-              }
+          @Override
+          void failed() {
+            preferredPeer++;
+            relayToAnyPeer(message, peersTried + 1, responder, failed);
+          }
+        });
+  }
 
-              private void another() {
-                next++;
-                relay(message, tried + 1, answerer, failed);
-              }
-            });
+  /**
+   * Relays a user's request to one peer, which is known to reach the state service.
+   *
+   * @param failed called when it does not answer
+   */
+  public void relayToPeer(
+      int peer, String method, String path, byte[] body, Responder responder, Runnable failed) {
+    relay(
+        peer,
+        codec().encode(new PeerCodec.RelayedRequest(method, path, body)),
+        new RelayedResponseHandler() {
+          @Override
+          void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException {
+            responder.answer(
+                response.status(),
+                Json.parseObject(response.body()),
+                isRetriable(response.status()));
+          }
+
+          @Override
+          void failed() {
+            failed.run();
+          }
+        });
+  }
+
+  private void relay(int peer, byte[] message, RelayedResponseHandler handler) {
+    senders.get(peer).call("POST", RELAY, message, TIMEOUT_MS, handler);
+  }
+
+  /** Whether a status says that the request may succeed elsewhere or later. */
+  private static boolean isRetriable(int status) {
+    return status >= 500 || status == 429;
   }
 
-  /** Takes a peer's message. */
-  public void message(IncomingRequest x) {
+  /** Decodes the response to a relayed request; an unreadable one counts as none. */
+  private abstract class RelayedResponseHandler implements RequestSender.ResponseHandler {
+    abstract void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException;
+
+    abstract void failed();
+
+    @Override
+    public final void answered(int status, byte[] bytes) {
+      try {
+        answered(codec().decodeResponse(bytes));
+      } catch (InvalidMessageException e) {
+        countInvalid(e);
+        failed();
+      }
+    }
+
+    @Override
+    public final void failed(boolean sent) {
+      failed();
+    }
+  }
+
+  /** Serves a message of a peer; one of an unknown kind is answered 404. */
+  public void receive(IncomingRequest request) {
     try {
-      if (x.path().equals(ANNOUNCE)) {
-        PeerCodec.Announce a = codec().announce(x.body());
-        listener.announced(a.node(), a.term());
-        x.answer(204, AVRO, new byte[0], false);
-      } else if (x.path().equals(CANCELLED)) {
-        listener.cancelled(codec().cancelled(x.body()).jobs());
-        x.answer(204, AVRO, new byte[0], false);
-      } else if (x.path().equals(OVERLOADED)) {
-        listener.overloaded(codec().overloaded(x.body()).term());
-        x.answer(204, AVRO, new byte[0], false);
-      } else if (x.path().equals(READS_SHARED_STARTS)) {
-        x.answer(204, AVRO, new byte[0], false);
-      } else if (x.path().equals(RELAY)) {
-        PeerCodec.Relay r = codec().relay(x.body());
-        listener.relayed(
-            r.method(), r.path(), r.body(), (status, body, later) -> answer(x, status, body));
-      } else if (forwarding == null || !forwarding.message(x)) {
-        x.answer(404, AVRO, new byte[0], false);
+      switch (request.path()) {
+        case ANNOUNCE -> {
+          PeerCodec.LeadershipAnnouncement a = codec().decodeAnnouncement(request.body());
+          listener.announced(a.node(), a.term());
+          answer(request, 204);
+        }
+        case CANCELLED -> {
+          listener.cancelled(codec().decodeCancelledJobs(request.body()).jobs());
+          answer(request, 204);
+        }
+        case OVERLOADED -> {
+          listener.overloaded(codec().decodeOverloadNotice(request.body()).term());
+          answer(request, 204);
+        }
+        case READS_SHARED_STARTS -> answer(request, 204);
+        case RELAY -> receiveRelayed(request);
+        default -> {
+          if (relayTransport == null || !relayTransport.receive(request)) {
+            answer(request, 404);
+          }
+        }
       }
     } catch (InvalidMessageException e) {
-      garbled(e);
-      x.answer(400, AVRO, new byte[0], false);
+      countInvalid(e);
+      answer(request, 400);
     }
   }
 
-  private void garbled(InvalidMessageException e) {
-    wrong++;
-    if (garbled.tryAcquire(loop.now())) {
+  private void receiveRelayed(IncomingRequest request) throws InvalidMessageException {
+    PeerCodec.RelayedRequest r = codec().decodeRequest(request.body());
+    listener.relayed(
+        r.method(),
+        r.path(),
+        r.body(),
+        (status, body, retryLater) -> {
+          byte[] message = codec().encode(new PeerCodec.RelayedResponse(status, Json.bytes(body)));
+          request.answer(200, AVRO, message, false);
+        });
+  }
+
+  private static void answer(IncomingRequest request, int status) {
+    request.answer(status, AVRO, EMPTY, false);
+  }
+
+  private void countInvalid(InvalidMessageException e) {
+    invalidMessages++;
+    if (invalidMessageLog.tryAcquire(loop.now())) {
       LOG.warn(
           "event=peer_message_invalid reason=\"{}\" suppressed={}",
           e.getMessage(),
-          garbled.suppressed());
+          invalidMessageLog.suppressed());
     }
   }
-
-  private void answer(IncomingRequest x, int status, ObjectNode body) {
-    x.answer(200, AVRO, codec().encode(new PeerCodec.Relayed(status, Json.bytes(body))), false);
-  }
 }
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import org.mallowroad.config.Settings.Member;
 import org.mallowroad.core.linkstate.ExternalService;
 import org.mallowroad.core.linkstate.LinkStateAdvertisement;
@@ -13,80 +14,105 @@
 import org.mallowroad.wire.InvalidMessageException;
 
 /**
- * What goes round cuts, by way of the other controllers: rows about links, calls to outside
- * parties, workers' reports, orders to workers. Each kind has connections of its own, so that one
- * that hangs holds up none of the others, and each is bounded: what is beyond the bound was
- * certainly not sent.
+ * Exchanges link states with the other controllers, and relays through them what cannot go
+ * directly: calls to external services, workers' heartbeats and commands to workers.
+ *
+ * <p>Each kind of message has connections of its own, so that one that hangs holds up none of the
+ * others, and each is bounded: a message beyond the bound was certainly not sent. Peers are
+ * numbered by their place in the settings. Confined to the event loop.
  */
-public final class RelayTransport implements RelayedCaller.Ways {
-  private static final String ROW = "/row";
-  private static final String FORWARD = "/forward";
-  private static final String CARRY = "/carry";
-  private static final String WORKER = "worker";
-  private static final long ROW_TIMEOUT_MS = 1_500;
-  private static final long CARRY_TIMEOUT_MS = 3_000;
-  private static final long ORDERS_TIMEOUT_MS = 4_000;
+public final class RelayTransport implements RelayedCaller.CallRelay {
+  /** The receiver of a relayed call that is for a worker's address. */
+  static final String WORKER = "worker";
 
-  /** What a peer is given beyond the call's own time, to say that there was no answer. */
-  private static final long GRACE_MS = 300;
+  private static final String LINK_STATE_PATH = "/row";
+  private static final String CALL_PATH = "/forward";
+  private static final String HEARTBEAT_PATH = "/carry";
+  private static final long LINK_STATE_TIMEOUT_MS = 1_500;
+  private static final long HEARTBEAT_TIMEOUT_MS = 3_000;
+  private static final long COMMANDS_TIMEOUT_MS = 4_000;
 
-  private static final int MOST_CALLS = 48;
-  private static final int MOST_CARRIED = 96;
+  /** What a peer is given beyond the call's own time-out, to report that there was no answer. */
+  private static final long RELAY_OVERHEAD_MS = 300;
 
-  /** The largest answer of the state service, with room. */
-  private static final int MOST_ANSWER = 640 * 1024;
+  /** Relayed calls at once: sent to one peer, and served for all peers. */
+  private static final int MAX_CALLS = 48;
 
-  private static final byte[] NOTHING = new byte[0];
+  private static final int MAX_HEARTBEATS = 96;
+  private static final int LINK_STATE_CONNECTIONS = 2;
+  private static final int MAX_LINK_STATE_RESPONSE_BYTES = 1024;
+  private static final int MAX_HEARTBEAT_RESPONSE_BYTES = 128 * 1024;
 
-  /** The answer to a row of a process that seems to be an earlier one. */
-  private static final int OUTRUN = 409;
+  /** The largest response of the state service, and what surrounds it. */
+  private static final int MAX_CALL_RESPONSE_BYTES = 640 * 1024;
+
+  private static final byte[] EMPTY = new byte[0];
+
+  /** The response to a link state of a process that seems to have been replaced by a newer one. */
+  private static final int STATUS_SUPERSEDED = 409;
 
   private final EventLoop loop;
   private final LinkStateTable links;
   private final Listener listener;
-  private final List<RequestSender> rows = new ArrayList<>();
-  private final List<RequestSender> calls = new ArrayList<>();
-  private final List<RequestSender> reports = new ArrayList<>();
-  private final boolean[] rowOut;
+  private final List<RequestSender> linkStateSenders = new ArrayList<>();
+  private final List<RequestSender> callSenders = new ArrayList<>();
+  private final List<RequestSender> heartbeatSenders = new ArrayList<>();
+
+  /** By peer: whether the last link state sent to it is in flight. */
+  private final boolean[] linkStateInFlight;
+
   private LinkCodec codec;
-  private int serving;
+  private int callsBeingServed;
 
   /** What the node does with its peers' messages. */
   public interface Listener {
-    /** A peer's row; the answer is 0, or the beginning of a later process of that node. */
-    long row(LinkStateAdvertisement row);
+    /**
+     * Takes a peer's link state.
+     *
+     * @return the start time of a newer process of that node, where one is known
+     */
+    OptionalLong onLinkState(LinkStateAdvertisement linkState);
 
-    /** Sends a peer's call on, by this node's own direct way only: so detours make no loops. */
-    void forward(
+    /** Makes a peer's call by this node's own direct way only, so that relays form no loops. */
+    void onCall(
         ExternalService to,
         String method,
         String path,
         byte[] body,
         long timeoutMs,
-        RequestSender.ResponseHandler answer);
+        RequestSender.ResponseHandler handler);
 
-    /** Sends a peer's orders to a worker. */
-    void commands(String address, byte[] body, RequestSender.ResponseHandler answer);
+    /** Sends a peer's commands to a worker. */
+    void onCommands(String address, byte[] body, RequestSender.ResponseHandler handler);
 
-    /** A report that came to a peer; the answer is what the worker is to get. */
-    void carried(int peer, byte[] report, RequestSender.ResponseHandler answer);
+    /** Serves a heartbeat that arrived at a peer; the worker gets the response. */
+    void onHeartbeat(int peer, byte[] heartbeat, RequestSender.ResponseHandler handler);
   }
 
-  /** Over the members, whose order gives them their indices. */
+  /** Sends to the members in the order of the settings. */
   public RelayTransport(
-      NodeEnvironment host, List<Member> members, LinkStateTable links, Listener listener) {
-    this.loop = host.loop();
+      NodeEnvironment environment, List<Member> members, LinkStateTable links, Listener listener) {
+    this.loop = environment.loop();
     this.links = links;
     this.listener = listener;
-    this.rowOut = new boolean[members.size()];
+    this.linkStateInFlight = new boolean[members.size()];
     for (Member m : members) {
-      rows.add(host.requestSender(m.endpoint(), PeerMessenger.AVRO, 2, 1024));
-      calls.add(host.requestSender(m.endpoint(), PeerMessenger.AVRO, MOST_CALLS, MOST_ANSWER));
-      reports.add(host.requestSender(m.endpoint(), PeerMessenger.AVRO, MOST_CARRIED, 128 * 1024));
+      linkStateSenders.add(
+          environment.requestSender(
+              m.endpoint(),
+              PeerMessenger.AVRO,
+              LINK_STATE_CONNECTIONS,
+              MAX_LINK_STATE_RESPONSE_BYTES));
+      callSenders.add(
+          environment.requestSender(
+              m.endpoint(), PeerMessenger.AVRO, MAX_CALLS, MAX_CALL_RESPONSE_BYTES));
+      heartbeatSenders.add(
+          environment.requestSender(
+              m.endpoint(), PeerMessenger.AVRO, MAX_HEARTBEATS, MAX_HEARTBEAT_RESPONSE_BYTES));
     }
   }
 
-  /** Made on first use: a start on a fraction of a core must not pay for Avro's classes. */
+  /** Created on first use: a start on a fraction of a core must not pay for Avro's classes. */
   private LinkCodec codec() {
     if (codec == null) {
       codec = new LinkCodec();
@@ -94,191 +120,191 @@
     return codec;
   }
 
-  /** Tells all peers this node's row; one that has not answered the last one is left out. */
-  public void tell(LinkStateAdvertisement row) {
-    byte[] message = codec().encode(row);
-    for (int p = 0; p < rows.size(); p++) {
-      if (!rowOut[p]) {
-        rowOut[p] = true;
-        int peer = p;
-        long sentMs = loop.now();
-        rows.get(p)
-            .call(
-                "POST",
-                ROW,
-                message,
-                ROW_TIMEOUT_MS,
-                new RequestSender.ResponseHandler() {
-                  @Override
-                  public void answered(int status, byte[] body) {
-                    rowOut[peer] = false;
-                    links.recordPeerCall(peer, true, sentMs, loop.now());
-                    if (status == OUTRUN) {
-                      outrun(body);
-                    }
-                  }
-
-                  @Override
-                  public void failed(boolean sent) {
-                    rowOut[peer] = false;
-                    links.recordPeerCall(peer, false, sentMs, loop.now());
-                  }
-                });
+  /** Sends this node's link state to all peers but those that have not answered the last one. */
+  public void broadcastLinkState(LinkStateAdvertisement linkState) {
+    byte[] message = codec().encode(linkState);
+    for (int peer = 0; peer < linkStateSenders.size(); peer++) {
+      if (!linkStateInFlight[peer]) {
+        sendLinkState(peer, message);
       }
     }
   }
 
-  private void outrun(byte[] body) {
+  private void sendLinkState(int peer, byte[] message) {
+    linkStateInFlight[peer] = true;
+    long sentMs = loop.now();
+    linkStateSenders
+        .get(peer)
+        .call(
+            "POST",
+            LINK_STATE_PATH,
+            message,
+            LINK_STATE_TIMEOUT_MS,
+            new RequestSender.ResponseHandler() {
+              @Override
+              public void answered(int status, byte[] body) {
+                linkStateInFlight[peer] = false;
+                links.recordPeerCall(peer, true, sentMs, loop.now());
+                if (status == STATUS_SUPERSEDED) {
+                  superseded(body);
+                }
+              }
+
+              @Override
+              public void failed(boolean sent) {
+                linkStateInFlight[peer] = false;
+                links.recordPeerCall(peer, false, sentMs, loop.now());
+              }
+            });
+  }
+
+  private void superseded(byte[] body) {
     try {
-      links.supersede(codec().later(body).began());
+      links.supersede(codec().decodeNewerProcess(body).startedMs());
     } catch (InvalidMessageException e) {
-      // Another build's word: rows of this process are then left out there, as before.
+      // Another build's response: the peer goes on ignoring this process's link states.
     }
   }
 
   @Override
-  public void forward(
+  public void relayCall(
       int peer,
-      ExternalService party,
+      ExternalService service,
       String method,
       String path,
       byte[] body,
       long timeoutMs,
-      RequestSender.ResponseHandler answer) {
-    send(peer, party.name(), method, path, body, timeoutMs, answer);
+      RequestSender.ResponseHandler handler) {
+    byte[] sentBody = body == null ? EMPTY : body;
+    relay(
+        peer,
+        new LinkCodec.RelayedCall(service.name(), method, path, sentBody, timeoutMs),
+        handler);
   }
 
-  /** Sends orders to a worker by way of a peer. */
-  public void commands(
-      int peer, String address, byte[] body, RequestSender.ResponseHandler answer) {
-    send(peer, WORKER, "POST", address, body, ORDERS_TIMEOUT_MS, answer);
+  /** Sends commands to a worker's address through a peer. */
+  public void relayCommands(
+      int peer, String address, byte[] body, RequestSender.ResponseHandler handler) {
+    relay(
+        peer,
+        new LinkCodec.RelayedCall(WORKER, "POST", address, body, COMMANDS_TIMEOUT_MS),
+        handler);
   }
 
-  private void send(
-      int peer,
-      String to,
-      String method,
-      String path,
-      byte[] body,
-      long timeoutMs,
-      RequestSender.ResponseHandler answer) {
-    byte[] message =
-        codec()
-            .encode(
-                new LinkCodec.Forward(to, method, path, body == null ? NOTHING : body, timeoutMs));
-    long sentMs = loop.now();
-    calls
+  private void relay(int peer, LinkCodec.RelayedCall call, RequestSender.ResponseHandler handler) {
+    callSenders
         .get(peer)
         .call(
             "POST",
-            FORWARD,
-            message,
-            timeoutMs + GRACE_MS,
-            new RequestSender.ResponseHandler() {
+            CALL_PATH,
+            codec().encode(call),
+            call.timeoutMs() + RELAY_OVERHEAD_MS,
+            new RelayedResultHandler(peer, handler) {
               @Override
-              public void answered(int status, byte[] bytes) {
-                links.recordPeerCall(peer, true, sentMs, loop.now());
-                LinkCodec.Forwarded f;
-                try {
-                  if (status != 200) {
-                    // An earlier build (404), a message it cannot read, too much at once: it did
-                    // nothing. Anything else may have come after the call was sent on, and taken
-                    // for unsent a launch would count as not in flight.
-                    answer.failed(status != 400 && status != 404 && status != 413 && status != 503);
-                    return;
-                  }
-                  f = codec().forwarded(bytes);
-                } catch (InvalidMessageException e) {
-                  answer.failed(true);
-                  return;
-                }
-                if (f.outcome() == LinkCodec.ANSWERED) {
-                  answer.answered(f.status(), f.body());
-                } else {
-                  answer.failed(f.outcome() != LinkCodec.NOT_SENT);
-                }
+              void rejected(int status) {
+                handler.failed(mayHaveRelayed(status));
               }
 
               @Override
-              public void failed(boolean sent) {
-                // Unsent may mean that too many calls are out already; rows judge that link.
-                if (sent) {
-                  links.recordPeerCall(peer, false, sentMs, loop.now());
-                }
-                answer.failed(sent);
+              void notAnswered(LinkCodec.Outcome outcome) {
+                handler.failed(outcome != LinkCodec.Outcome.NOT_SENT);
               }
             });
   }
 
-  /** Takes a worker's report to a peer that leads; the answer is what the worker is to get. */
-  public void carry(int peer, String self, byte[] report, RequestSender.ResponseHandler answer) {
-    long sentMs = loop.now();
-    reports
+  /**
+   * Whether a peer that answered with an error may have made the call. An earlier build (404), a
+   * message it cannot read (400, 413) and too many calls at once (503) did nothing. Any other error
+   * may have come after the call was made: taken for unsent, a launch would count as not in flight.
+   */
+  private static boolean mayHaveRelayed(int status) {
+    return status != 400 && status != 404 && status != 413 && status != 503;
+  }
+
+  /** Relays a worker's heartbeat to a peer that leads; the worker gets the response. */
+  public void relayHeartbeat(
+      int peer, String self, byte[] heartbeat, RequestSender.ResponseHandler handler) {
+    heartbeatSenders
         .get(peer)
         .call(
             "POST",
-            CARRY,
-            codec().encode(new LinkCodec.Carry(self, report)),
-            CARRY_TIMEOUT_MS,
-            new RequestSender.ResponseHandler() {
+            HEARTBEAT_PATH,
+            codec().encode(new LinkCodec.RelayedHeartbeat(self, heartbeat)),
+            HEARTBEAT_TIMEOUT_MS,
+            new RelayedResultHandler(peer, handler) {
               @Override
-              public void answered(int status, byte[] body) {
-                links.recordPeerCall(peer, true, sentMs, loop.now());
-                try {
-                  if (status == 200) {
-                    LinkCodec.Forwarded f = codec().forwarded(body);
-                    if (f.outcome() == LinkCodec.ANSWERED) {
-                      answer.answered(f.status(), f.body());
-                      return;
-                    }
-                  }
-                } catch (InvalidMessageException e) {
-                  // Counts as no answer.
-                }
-                answer.failed(true);
+              void rejected(int status) {
+                handler.failed(true);
               }
 
               @Override
-              public void failed(boolean sent) {
-                if (sent) {
-                  links.recordPeerCall(peer, false, sentMs, loop.now());
-                }
-                answer.failed(sent);
+              void notAnswered(LinkCodec.Outcome outcome) {
+                handler.failed(true);
               }
             });
   }
 
-  /** Takes a peer's message; false when it is of no kind that is known here. */
-  boolean message(IncomingRequest x) throws InvalidMessageException {
-    switch (x.path()) {
-      case ROW -> {
-        long later = listener.row(codec().row(x.body()));
-        if (later == 0) {
-          x.answer(204, PeerMessenger.AVRO, NOTHING, false);
-        } else {
-          x.answer(OUTRUN, PeerMessenger.AVRO, codec().encode(new LinkCodec.Later(later)), false);
-        }
+  /** Hands the result of a relayed request on, and records whether the peer was reached. */
+  private abstract class RelayedResultHandler implements RequestSender.ResponseHandler {
+    private final int peer;
+    private final RequestSender.ResponseHandler handler;
+    private final long sentMs = loop.now();
+
+    RelayedResultHandler(int peer, RequestSender.ResponseHandler handler) {
+      this.peer = peer;
+      this.handler = handler;
+    }
+
+    /** The peer answered with an error instead of a result. */
+    abstract void rejected(int status);
+
+    /** The peer got no answer to the relayed request. */
+    abstract void notAnswered(LinkCodec.Outcome outcome);
+
+    @Override
+    public final void answered(int status, byte[] bytes) {
+      links.recordPeerCall(peer, true, sentMs, loop.now());
+      if (status != 200) {
+        rejected(status);
+        return;
+      }
+      LinkCodec.RelayedResult result;
+      try {
+        result = codec().decodeResult(bytes);
+      } catch (InvalidMessageException e) {
+        handler.failed(true);
+        return;
       }
-      case FORWARD -> {
-        LinkCodec.Forward f = codec().forward(x.body());
-        if (serving >= MOST_CALLS) {
-          x.answer(503, PeerMessenger.AVRO, NOTHING, true);
-          return true;
-        }
-        // Before it is counted: a message that is refused must not take a place for ever.
-        ExternalService to = f.to().equals(WORKER) ? null : party(f.to());
-        serving++;
-        RequestSender.ResponseHandler back = back(x, () -> serving--);
-        if (to == null) {
-          listener.commands(f.path(), f.body(), back);
-        } else {
-          byte[] body = f.body().length == 0 ? null : f.body();
-          listener.forward(to, f.method(), f.path(), body, f.timeoutMs(), back);
-        }
+      if (result.outcome() == LinkCodec.Outcome.ANSWERED) {
+        handler.answered(result.status(), result.body());
+      } else {
+        notAnswered(result.outcome());
       }
-      case CARRY -> {
-        LinkCodec.Carry c = codec().carry(x.body());
-        listener.carried(links.peerIndex(c.from()), c.report(), back(x, () -> {}));
+    }
+
+    @Override
+    public final void failed(boolean sent) {
+      // Unsent may only mean that too many requests are in flight; link states judge that link.
+      if (sent) {
+        links.recordPeerCall(peer, false, sentMs, loop.now());
+      }
+      handler.failed(sent);
+    }
+  }
+
+  /**
+   * Serves a peer's message.
+   *
+   * @return false when the message is of no kind that is known here
+   */
+  boolean receive(IncomingRequest request) throws InvalidMessageException {
+    switch (request.path()) {
+      case LINK_STATE_PATH -> receiveLinkState(request);
+      case CALL_PATH -> receiveCall(request);
+      case HEARTBEAT_PATH -> {
+        LinkCodec.RelayedHeartbeat h = codec().decodeHeartbeat(request.body());
+        listener.onHeartbeat(
+            links.peerIndex(h.from()), h.heartbeat(), new ResultResponder(request, () -> {}));
       }
       default -> {
         return false;
@@ -287,35 +313,67 @@
     return true;
   }
 
-  private static ExternalService party(String name) throws InvalidMessageException {
-    for (ExternalService o : ExternalService.values()) {
-      if (o.name().equals(name)) {
-        return o;
-      }
+  private void receiveLinkState(IncomingRequest request) throws InvalidMessageException {
+    OptionalLong newer = listener.onLinkState(codec().decodeLinkState(request.body()));
+    if (newer.isPresent()) {
+      byte[] body = codec().encode(new LinkCodec.NewerProcess(newer.getAsLong()));
+      request.answer(STATUS_SUPERSEDED, PeerMessenger.AVRO, body, false);
+    } else {
+      request.answer(204, PeerMessenger.AVRO, EMPTY, false);
     }
-    throw new InvalidMessageException("no such party");
   }
 
-  private RequestSender.ResponseHandler back(IncomingRequest x, Runnable first) {
-    return new RequestSender.ResponseHandler() {
-      @Override
-      public void answered(int status, byte[] body) {
-        say(LinkCodec.ANSWERED, status, body);
-      }
+  private void receiveCall(IncomingRequest request) throws InvalidMessageException {
+    LinkCodec.RelayedCall call = codec().decodeCall(request.body());
+    if (callsBeingServed >= MAX_CALLS) {
+      request.answer(503, PeerMessenger.AVRO, EMPTY, true);
+      return;
+    }
+    // Before it is counted: a message that is refused must not occupy a place for ever.
+    ExternalService service = call.to().equals(WORKER) ? null : service(call.to());
+    callsBeingServed++;
+    ResultResponder responder = new ResultResponder(request, () -> callsBeingServed--);
+    if (service == null) {
+      listener.onCommands(call.path(), call.body(), responder);
+    } else {
+      byte[] body = call.body().length == 0 ? null : call.body();
+      listener.onCall(service, call.method(), call.path(), body, call.timeoutMs(), responder);
+    }
+  }
 
-      @Override
-      public void failed(boolean sent) {
-        say(sent ? LinkCodec.UNKNOWN : LinkCodec.NOT_SENT, 0, NOTHING);
+  private static ExternalService service(String name) throws InvalidMessageException {
+    for (ExternalService s : ExternalService.values()) {
+      if (s.name().equals(name)) {
+        return s;
       }
+    }
+    throw new InvalidMessageException("no such service");
+  }
 
-      private void say(int outcome, int status, byte[] body) {
-        first.run();
-        x.answer(
-            200,
-            PeerMessenger.AVRO,
-            codec().encode(new LinkCodec.Forwarded(outcome, status, body)),
-            false);
-      }
-    };
+  /** Sends the result of a relayed request back to the peer. */
+  private final class ResultResponder implements RequestSender.ResponseHandler {
+    private final IncomingRequest request;
+    private final Runnable beforeResponse;
+
+    ResultResponder(IncomingRequest request, Runnable beforeResponse) {
+      this.request = request;
+      this.beforeResponse = beforeResponse;
+    }
+
+    @Override
+    public void answered(int status, byte[] body) {
+      respond(LinkCodec.Outcome.ANSWERED, status, body);
+    }
+
+    @Override
+    public void failed(boolean sent) {
+      respond(sent ? LinkCodec.Outcome.UNKNOWN : LinkCodec.Outcome.NOT_SENT, 0, EMPTY);
+    }
+
+    private void respond(LinkCodec.Outcome outcome, int status, byte[] body) {
+      beforeResponse.run();
+      byte[] message = codec().encode(new LinkCodec.RelayedResult(outcome, status, body));
+      request.answer(200, PeerMessenger.AVRO, message, false);
+    }
   }
 }
--- a/src/main/java/org/mallowroad/peer/RelayedCaller.java
+++ b/src/main/java/org/mallowroad/peer/RelayedCaller.java
@@ -9,74 +9,87 @@
 import org.mallowroad.net.RequestSender;
 
 /**
- * A caller of an outside party that goes through a peer while its own way is cut ({@link
- * RouteSelector}).
+ * Sends calls to an external service directly or, while this node does not reach it, through a peer
+ * ({@link RouteSelector}). Confined to the event loop.
  *
- * <p><b>Why a detour breaks no rule.</b> A call that goes through a peer is the same call, made by
- * somebody else and possibly later. (1) <i>Transactions</i> carry the marks of whoever leads and of
- * each key, so one that a peer holds and lets go minutes later fails like any late one; no answer
- * is {@code UNKNOWN}, as it is on the direct way. (2) <i>Reads</i> are done after they were sent,
- * and all that counts with time counts from the sending here ({@code KeyValueStore.contactMs}), so
- * an answer is never older than it seems. (3) <i>Lease renewals</i> count from the sending here
- * ({@code LeaderElection.renewedMs}); one that arrives late can only let the lease live longer than
- * its holder believes, which delays the next election and hands nothing out. (4) <i>Rents</i> carry
- * their recorded names, and a repeated name rents nothing; deletions can be repeated. (5) <i>A call
- * is sent twice</i> only when the first was certainly not done (503, not sent) or when it may be
- * repeated: reads and renewals. (6) <i>No loops:</i> a peer serves a detour by its own direct way
- * only ({@link RelayTransport}). (7) <i>The write budget</i> is that of whoever decides the write;
- * a peer adds none of its own.
+ * <p><b>Why a relayed call breaks no rule.</b> A relayed call is the same call, made by another
+ * node and possibly later.
+ *
+ * <ol>
+ *   <li><i>Transactions</i> are conditional on the leader's record and on the version of each key,
+ *       so one that a peer holds and sends minutes later fails like any late one; without an answer
+ *       its outcome is {@code UNKNOWN}, as it is on the direct way.
+ *   <li><i>Reads</i> are done after they were sent, and every time limit counts from the sending
+ *       here ({@code KeyValueStore.contactMs}), so an answer is never older than it seems.
+ *   <li><i>Lease renewals</i> count from the sending here ({@code LeaderElection.renewedMs}); one
+ *       that arrives late can only let the lease live longer than its holder believes, which delays
+ *       the next election and grants nothing.
+ *   <li><i>Rental requests</i> carry their recorded names, and a repeated name rents nothing;
+ *       deletions can be repeated.
+ *   <li><i>A call is sent twice</i> only when the first was certainly not executed (503, not sent)
+ *       or when it may be repeated: reads and renewals.
+ *   <li><i>No loops:</i> a peer makes a relayed call by its own direct way only ({@link
+ *       RelayTransport}).
+ *   <li><i>The write limit</i> is that of the node that decides the write; a peer adds none.
+ * </ol>
  */
 public final class RelayedCaller implements RequestSender {
-  /** Calls longer than this wait for something to happen, and are given up when the way changes. */
-  private static final long LONG_MS = 4_000;
+  /** Calls with a longer time-out wait for an event, and are given up when the route changes. */
+  private static final long LONG_POLL_TIMEOUT_MS = 4_000;
 
-  /** What a peer is given beyond the call's own time. */
-  private static final long GRACE_MS = 200;
+  /** The least time that must remain for a call to be sent once more, through a peer. */
+  private static final long MIN_RELAY_TIME_MS = 200;
 
-  private static final long BEAT_MS = 250;
+  private static final long ROUTE_CHECK_INTERVAL_MS = 250;
 
-  /** The peers, as ways to outside parties. */
-  public interface Ways {
-    /** Sends the call by way of a peer. */
-    void forward(
+  /** Relays calls to external services through peers. */
+  @FunctionalInterface
+  public interface CallRelay {
+    /** Sends a call through a peer; the body is null for none. */
+    void relayCall(
         int peer,
-        ExternalService party,
+        ExternalService service,
         String method,
         String path,
         byte[] body,
         long timeoutMs,
-        ResponseHandler answer);
+        ResponseHandler handler);
   }
 
   private final EventLoop loop;
   private final RequestSender direct;
-  private final ExternalService party;
+  private final ExternalService service;
   private final RouteSelector route;
-  private final Ways ways;
+  private final CallRelay relay;
   private final long hedgeMs;
-  private final ObjectLinkedOpenHashSet<Call> waiting = new ObjectLinkedOpenHashSet<>();
+  private final ObjectLinkedOpenHashSet<Call> longPolls = new ObjectLinkedOpenHashSet<>();
 
-  /** Over the direct way to a party. */
+  /**
+   * Sends calls to one service.
+   *
+   * @param direct sends without a peer
+   * @param hedgeMs after which an unanswered direct call that may be repeated is also relayed
+   */
   public RelayedCaller(
       EventLoop loop,
       RequestSender direct,
-      ExternalService party,
+      ExternalService service,
       RouteSelector route,
-      Ways ways,
+      CallRelay relay,
       long hedgeMs) {
     this.loop = loop;
     this.direct = direct;
-    this.party = party;
+    this.service = service;
     this.route = route;
-    this.ways = ways;
+    this.relay = relay;
     this.hedgeMs = hedgeMs;
-    loop.every(BEAT_MS, this::beat);
+    loop.every(ROUTE_CHECK_INTERVAL_MS, this::checkRoute);
   }
 
   @Override
   public void call(
-      String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-    new Call(method, path, body, timeoutMs, answer).start();
+      String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
+    new Call(method, path, body, timeoutMs, handler).start();
   }
 
   @Override
@@ -84,161 +97,178 @@
     direct.close();
   }
 
-  /** What waits for long on a way that has changed since is asked again on the new one. */
-  private void beat() {
+  /** Fails long polls on a route that has changed since, so that they are sent on the new one. */
+  private void checkRoute() {
     route.choose(loop.now());
-    for (Call c : new ArrayList<>(waiting)) {
-      if (c.turns != route.routeChanges()) {
-        c.end(() -> c.answer.failed(true));
+    for (Call c : new ArrayList<>(longPolls)) {
+      if (c.routeChanges != route.routeChanges()) {
+        c.finish(() -> c.handler.failed(true));
       }
     }
   }
 
-  /** Reads and renewals may be done twice. */
-  private static boolean repeatable(String method, String path) {
+  /** Whether a call may be executed twice: reads and lease renewals. */
+  private static boolean isRepeatable(String method, String path) {
     return (method.equals("GET") && !path.startsWith("/follow")) || path.endsWith("/extend");
   }
 
+  /** One call, of which up to two requests are in flight. */
   private final class Call {
     private final String method;
     private final String path;
     private final byte[] body;
-    private final ResponseHandler answer;
-    private final long sentMs = loop.now();
-    private final long untilMs;
+    private final ResponseHandler handler;
+    private final long startMs = loop.now();
+    private final long deadlineMs;
     private final List<EventLoop.Timer> timers = new ArrayList<>(1);
-    private long turns;
-    private int out;
-    private boolean over;
-    private boolean sentAny;
 
-    Call(String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
+    /** The count of route changes when the call was sent. */
+    private long routeChanges;
+
+    private int inFlight;
+    private boolean finished;
+
+    /** Whether any failed request may have been executed. */
+    private boolean maybeExecuted;
+
+    Call(String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
       this.method = method;
       this.path = path;
       this.body = body;
-      this.answer = answer;
-      this.untilMs = sentMs + timeoutMs;
+      this.handler = handler;
+      this.deadlineMs = startMs + timeoutMs;
     }
 
     void start() {
-      int peer = route.choose(sentMs);
-      turns = route.routeChanges();
-      if (untilMs - sentMs > LONG_MS) {
-        waiting.add(this);
+      int peer = route.choose(startMs);
+      routeChanges = route.routeChanges();
+      if (deadlineMs - startMs > LONG_POLL_TIMEOUT_MS) {
+        longPolls.add(this);
       }
       if (peer != RouteSelector.DIRECT) {
-        through(peer);
+        sendThrough(peer);
         return;
       }
-      if (repeatable(method, path) && untilMs - sentMs > 2 * hedgeMs) {
-        timers.add(loop.after(hedgeMs, this::beside));
+      if (isRepeatable(method, path) && deadlineMs - startMs > 2 * hedgeMs) {
+        timers.add(loop.after(hedgeMs, this::hedge));
       }
-      straight();
+      sendDirect();
     }
 
-    private void straight() {
-      out++;
-      long from = loop.now();
-      direct.call(
-          method,
-          path,
-          body,
-          untilMs - from,
-          new ResponseHandler() {
-            @Override
-            public void answered(int status, byte[] bytes) {
-              // The state service serves every node or none, but for the one that it refuses; a
-              // cloud's 503 is an answer like another.
-              boolean refused = party == ExternalService.STATE && status == 503;
-              route.recordDirectCall(!refused, from, loop.now());
-              if (!refused) {
-                end(() -> answer.answered(status, bytes));
-              } else {
-                failed(false, () -> answer.answered(status, bytes));
-              }
-            }
-
-            @Override
-            public void failed(boolean sent) {
-              route.recordDirectCall(false, from, loop.now());
-              failed(sent, null);
-            }
-
-            @Override
-            public void exhausted() {
-              failed(false, null); // No sign of a cut.
-            }
-
-            private void failed(boolean sent, Runnable otherwise) {
-              out--;
-              sentAny |= sent;
-              int peer = route.choose(loop.now());
-              if (!over
-                  && out == 0
-                  && !sentAny
-                  && peer != RouteSelector.DIRECT
-                  && left() > GRACE_MS) {
-                through(peer);
-              } else {
-                lost(otherwise);
-              }
-            }
-          });
+    private long remainingMs() {
+      return deadlineMs - loop.now();
     }
 
-    private long left() {
-      return untilMs - loop.now();
+    private void sendDirect() {
+      inFlight++;
+      long sentMs = loop.now();
+      direct.call(method, path, body, deadlineMs - sentMs, new DirectResponseHandler(sentMs));
     }
 
-    private void beside() {
+    /** Sends the call a second time, through a peer, where one seems to be faster. */
+    private void hedge() {
       int peer = route.chooseHedge(loop.now());
-      if (!over && peer != RouteSelector.DIRECT) {
-        through(peer);
+      if (!finished && peer != RouteSelector.DIRECT) {
+        sendThrough(peer);
       }
     }
 
-    private void through(int peer) {
-      out++;
-      ways.forward(
+    private void sendThrough(int peer) {
+      inFlight++;
+      relay.relayCall(
           peer,
-          party,
+          service,
           method,
           path,
           body,
-          left(),
+          remainingMs(),
           new ResponseHandler() {
             @Override
             public void answered(int status, byte[] bytes) {
               route.recordRelayedCall(peer, true, loop.now());
-              end(() -> answer.answered(status, bytes));
+              finish(() -> handler.answered(status, bytes));
             }
 
             @Override
             public void failed(boolean sent) {
               route.recordRelayedCall(peer, false, loop.now());
-              out--;
-              sentAny |= sent;
-              lost(null);
+              inFlight--;
+              maybeExecuted |= sent;
+              failUnlessInFlight(null);
             }
           });
     }
 
-    /** Nothing that is still out can bring an answer. */
-    private void lost(Runnable otherwise) {
-      if (out == 0) {
-        boolean sent = sentAny;
-        end(otherwise != null && !sent ? otherwise : () -> answer.failed(sent));
+    /**
+     * Fails the call unless another request may still be answered.
+     *
+     * @param refusal passes on the service's refusal instead, where the call was surely not
+     *     executed; or null
+     */
+    private void failUnlessInFlight(Runnable refusal) {
+      if (inFlight == 0) {
+        boolean executed = maybeExecuted;
+        finish(refusal != null && !executed ? refusal : () -> handler.failed(executed));
       }
     }
 
-    private void end(Runnable last) {
-      if (over) {
+    private void finish(Runnable lastStep) {
+      if (finished) {
         return;
       }
-      over = true;
+      finished = true;
       timers.forEach(EventLoop.Timer::cancel);
-      waiting.remove(this);
-      last.run();
+      longPolls.remove(this);
+      lastStep.run();
+    }
+
+    /** Tells the route how the direct request went, and sends the call through a peer if it may. */
+    private final class DirectResponseHandler implements ResponseHandler {
+      private final long sentMs;
+
+      DirectResponseHandler(long sentMs) {
+        this.sentMs = sentMs;
+      }
+
+      @Override
+      public void answered(int status, byte[] bytes) {
+        // The state service serves all nodes or none, except for one that it refuses with 503: that
+        // node is cut off. A cloud's 503 is an answer like any other.
+        boolean refused = service == ExternalService.STATE && status == 503;
+        route.recordDirectCall(!refused, sentMs, loop.now());
+        if (refused) {
+          relayOrFail(false, () -> handler.answered(status, bytes));
+        } else {
+          finish(() -> handler.answered(status, bytes));
+        }
+      }
+
+      @Override
+      public void failed(boolean sent) {
+        route.recordDirectCall(false, sentMs, loop.now());
+        relayOrFail(sent, null);
+      }
+
+      @Override
+      public void exhausted() {
+        // All connections are in use: no sign that the service is not reached.
+        relayOrFail(false, null);
+      }
+
+      private void relayOrFail(boolean sent, Runnable refusal) {
+        inFlight--;
+        maybeExecuted |= sent;
+        int peer = route.choose(loop.now());
+        if (!finished
+            && inFlight == 0
+            && !maybeExecuted
+            && peer != RouteSelector.DIRECT
+            && remainingMs() > MIN_RELAY_TIME_MS) {
+          sendThrough(peer);
+        } else {
+          failUnlessInFlight(refusal);
+        }
+      }
     }
   }
 }
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Objects;
 import java.util.stream.Stream;
@@ -13,11 +14,12 @@
 import org.mallowroad.core.explain.NodeStatus;
 
 /**
- * What consoles exchange: the components of the records in {@code core.explain} by their names. A
- * reader ignores names it does not know; one that misses a list or has another form is told so.
+ * The console's answers: the records of {@code core.explain} as JSON, with the names of their
+ * components. A reader ignores fields that it does not know, and rejects an answer that lacks a
+ * list or has another format version.
  */
 public final class ConsoleCodec {
-  /** Prefix of the console's paths; the last part is the version of the form. */
+  /** The prefix of the console's paths; its last part is the version of the API. */
   public static final String PATH = "/console/v1/";
 
   private static final ObjectMapper MAPPER =
@@ -27,20 +29,20 @@
 
   private ConsoleCodec() {}
 
-  /** The bytes of any record of {@code core.explain}, or of a list of them. */
-  public static byte[] encode(Object o) {
+  /** Encodes a record of {@code core.explain}, or a list of them. */
+  public static byte[] encode(Object value) {
     try {
-      return MAPPER.writeValueAsBytes(o);
+      return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException(e);
+      throw new UncheckedIOException("a record can always be written to memory", e);
     }
   }
 
-  /** A node's answer; its lists are there and its form is one that this build knows. */
+  /** Decodes a node's status; all its lists are present and its format is known to this build. */
   public static NodeStatus decodeStatus(byte[] body) throws InvalidMessageException {
     NodeStatus s = read(body, NodeStatus.class);
     if (s.format() < 1 || s.node() == null || s.stack() == null) {
-      throw new InvalidMessageException("not a console's answer");
+      throw notAnAnswer();
     }
     NodeSnapshot p = s.picture();
     if (p != null
@@ -58,23 +60,24 @@
     if (p != null
         && Stream.of(p.teams(), p.jobs(), p.zones(), p.machines(), p.reasons())
             .anyMatch(l -> l.stream().anyMatch(Objects::isNull))) {
-      throw new InvalidMessageException("not a console's answer");
+      throw notAnAnswer();
     }
     return s;
   }
 
-  /** One job's answer. */
+  /** Decodes one job. */
   public static JobSnapshot decodeJob(byte[] body) throws InvalidMessageException {
     JobSnapshot j = read(body, JobSnapshot.class);
     if (j.id() == null || j.tasks() == null) {
-      throw new InvalidMessageException("not a console's answer");
+      throw notAnAnswer();
     }
     return j;
   }
 
-  /** A node's past. */
+  /** Decodes the recent samples of a node's metrics, the oldest first. */
   public static List<MetricSample> decodeHistory(byte[] body) throws InvalidMessageException {
-    for (MetricSample s : read(body, MetricSample[].class)) {
+    MetricSample[] samples = read(body, MetricSample[].class);
+    for (MetricSample s : samples) {
       if (s.waiting() == null
           || s.running() == null
           || s.machines() == null
@@ -82,7 +85,11 @@
         throw new InvalidMessageException("not a console's history");
       }
     }
-    return List.of(read(body, MetricSample[].class));
+    return List.of(samples);
+  }
+
+  private static InvalidMessageException notAnAnswer() {
+    return new InvalidMessageException("not a console's answer");
   }
 
   private static <T> T read(byte[] body, Class<T> type) throws InvalidMessageException {
@@ -92,8 +99,8 @@
         return t;
       }
     } catch (IOException e) {
-      // Falls through: what the library says names classes, which helps no user.
+      // Replaced by the exception below: the library's text names classes, which helps no user.
     }
-    throw new InvalidMessageException("not a console's answer");
+    throw notAnAnswer();
   }
 }
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -10,27 +10,34 @@
 import java.util.Set;
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.dependency.JobDependencies.RequiredGames;
+import org.mallowroad.core.fold.Ranges;
 
-/** What a job waits for, in submissions and records. */
+/**
+ * The dependencies of a job, in submissions and in records: jobs that must be over, and games of
+ * leagues up to which all must be folded, before it is started.
+ */
 public final class DependencyCodec {
-  /** The field of a submission. */
+  /** The field of a submission, and of a record. */
   public static final String DEPENDENCIES = "holds";
 
-  /** Jobs that one submission may wait for. */
+  /** The most jobs that one submission may depend on. */
   public static final int MAX_JOBS = 500;
 
-  /** Leagues and members that one submission may wait for. */
+  /** The most games, each of a league or a member, that one submission may depend on. */
   public static final int MAX_GAMES = 64;
 
-  /** Different leagues among them: each is a condition of starts. */
+  /** The most different leagues among them: each is a condition of every start's transaction. */
   public static final int MAX_LEAGUES = 16;
 
   private static final String JOBS = "jobs";
   private static final String GAMES = "games";
+  private static final String LEAGUE = "league";
+  private static final String MEMBER = "member";
+  private static final String UP_TO = "up_to";
 
   private DependencyCodec() {}
 
-  /** What a submission or record waits for; the folds of the result are empty. */
+  /** Decodes the dependencies in a submission or record; the folds of the result are empty. */
   public static JobDependencies decodeDependencies(JsonNode o) throws InvalidMessageException {
     JsonNode n = o.get(DEPENDENCIES);
     if (n == null || n.isNull()) {
@@ -78,23 +85,10 @@
     }
     List<RequiredGames> out = new ArrayList<>();
     for (int i = 0; i < a.size(); i++) {
-      JsonNode g = a.get(i);
-      String at = GAMES + "[" + i + "].";
       try {
-        String league = Json.string(g, "league", 64);
-        String member = Json.stringOrNull(g, "member", 24);
-        if (!FoldCodec.LEAGUE.matcher(league).matches()) {
-          throw new InvalidMessageException(
-              "league: letters, digits, dots, dashes and underscores are needed");
-        }
-        if (member != null && !FoldCodec.MEMBER.matcher(member).matches()) {
-          throw new InvalidMessageException(
-              "member: letters, digits, dots, dashes and underscores are needed");
-        }
-        out.add(
-            new RequiredGames(league, Json.integer(g, "up_to", 0, FoldCodec.MAX_NUMBER), member));
+        out.add(game(a.get(i)));
       } catch (InvalidMessageException e) {
-        throw new InvalidMessageException(at + e.getMessage());
+        throw new InvalidMessageException(GAMES + "[" + i + "]." + e.getMessage());
       }
     }
     if (out.stream().map(RequiredGames::league).distinct().count() > MAX_LEAGUES) {
@@ -103,7 +97,24 @@
     return List.copyOf(out);
   }
 
-  /** The record of a held job that is not over: what the next held job is judged by. */
+  private static RequiredGames game(JsonNode g) throws InvalidMessageException {
+    String league = Json.string(g, LEAGUE, FoldCodec.MAX_LEAGUE_LENGTH);
+    String member = Json.stringOrNull(g, MEMBER, FoldCodec.MAX_MEMBER_LENGTH);
+    if (!FoldCodec.LEAGUE.matcher(league).matches()) {
+      throw new InvalidMessageException(
+          "league: letters, digits, dots, dashes and underscores are needed");
+    }
+    if (member != null && !FoldCodec.MEMBER.matcher(member).matches()) {
+      throw new InvalidMessageException(
+          "member: letters, digits, dots, dashes and underscores are needed");
+    }
+    return new RequiredGames(league, Json.integer(g, UP_TO, 0, FoldCodec.MAX_NUMBER), member);
+  }
+
+  /**
+   * Encodes the record of a job with dependencies that is not over. Cycles are found by it when
+   * another job with dependencies is submitted.
+   */
   public static ObjectNode encodeRecord(JobDependencies t) {
     ObjectNode o = Json.object();
     ObjectNode h = o.putObject(DEPENDENCIES);
@@ -111,17 +122,17 @@
     t.requiredJobs().forEach(jobs::add);
     ArrayNode games = h.putArray(GAMES);
     for (RequiredGames g : t.requiredGames()) {
-      ObjectNode x = games.addObject().put("league", g.league()).put("up_to", g.upTo());
+      ObjectNode x = games.addObject().put(LEAGUE, g.league()).put(UP_TO, g.upTo());
       if (g.member() != null) {
-        x.put("member", g.member());
+        x.put(MEMBER, g.member());
       }
     }
     ObjectNode folds = o.putObject(FoldCodec.BLOCKS);
-    t.foldedBlocks().forEach((l, n) -> folds.put(l, org.mallowroad.core.fold.Ranges.text(n)));
+    t.foldedBlocks().forEach((l, n) -> folds.put(l, Ranges.text(n)));
     return o;
   }
 
-  /** The ties of such a record. */
+  /** Decodes such a record. */
   public static JobDependencies decodeRecord(JsonNode record) throws InvalidMessageException {
     JobDependencies h = decodeDependencies(record);
     return new JobDependencies(
--- a/src/main/java/org/mallowroad/wire/Fields.java
+++ b/src/main/java/org/mallowroad/wire/Fields.java
@@ -1,34 +1,78 @@
 package org.mallowroad.wire;
 
-/** The field names and values of the outside protocols; nothing else spells them out. */
+/**
+ * The field names and values of the platform's protocols, which have words of their own. This is
+ * the one place where they are mapped to the standard terms that the code uses; names ending in
+ * {@code _S}, {@code _MS} and {@code _GB} give the unit.
+ */
 public final class Fields {
   private Fields() {}
 
   // Jobs.
   public static final String ID = "name_id";
+
+  /** The class of jobs that a job belongs to, for which objectives may be set. */
   public static final String TASK_CLASS = "docket";
+
   public static final String TEAM = "crew";
   public static final String KIND = "form";
+
+  /** A job array: tasks that run independently of each other. */
   public static final String KIND_ARRAY = "sweep";
+
+  /** A service: tasks that run until the job is cancelled. */
   public static final String KIND_SERVICE = "service";
+
+  /** A gang: tasks that are started together or not at all. */
   public static final String KIND_GANG = "gang";
+
+  /** One of critical, urgent, normal and idle. */
   public static final String PRIORITY = "rank";
+
+  /** The number of a job's tasks; in a heartbeat the list of attempts on the machine. */
   public static final String TASKS = "moves";
+
   public static final String CPUS = "cpus";
+
+  /** Accelerator cards of a task, or of a machine. */
   public static final String CARDS = "cards";
+
   public static final String MEMORY_GB = "mem_gb";
+
+  /** The container image of a task. */
   public static final String IMAGE = "kit";
+
   public static final String IMAGE_GB = "size_gb";
+
+  /** In a submission the allowed machine types; in a response the list of types. */
   public static final String MACHINE_TYPES = "builds";
+
+  /** A job's only allowed zone, or a machine's zone. */
   public static final String ZONE = "ground";
+
   public static final String ZONES = "grounds";
+
+  /** Whether all tasks must be in one zone. */
   public static final String TOGETHER = "together";
+
+  /** Whether at most half of the tasks, rounded up, may be in one zone. */
   public static final String SCATTER = "scatter";
+
+  /** Whether spot machines are allowed, or a machine is one. */
   public static final String SPOT = "driftwood";
+
+  /** The owner's estimate of a task's run time without the image fetch. */
   public static final String ESTIMATED_RUNTIME_S = "reckon_s";
+
+  /** Progress between two checkpoints; 0 for a task that saves none. */
   public static final String CHECKPOINT_INTERVAL_S = "cairn_s";
+
+  /** The time in which a stopped task saves a checkpoint. */
   public static final String CHECKPOINT_SAVE_S = "stow_s";
+
+  /** Seconds after submission by which the job should be done; null for no deadline. */
   public static final String DEADLINE_S = "due_s";
+
   public static final String STATE = "standing";
   public static final String DONE = "done";
   public static final String RUNNING = "running";
@@ -41,40 +85,80 @@
   public static final String MACHINES = "hearths";
   public static final String ADDRESS = "address";
   public static final String MACHINE_TYPE = "build";
+
+  /** Increases each time a worker's lease expires. */
   public static final String INCARNATION = "watch";
+
+  /** Orders the messages of a worker within an incarnation. */
   public static final String SEQUENCE = "tally";
+
+  /** The token under which commands are given; in a heartbeat the highest one seen. */
   public static final String FENCING_TOKEN = "baton";
+
+  /** Seconds until the cloud preempts the machine; null without a notice. */
   public static final String PREEMPTION_NOTICE_S = "warning_s";
+
+  /** A task as job/number. */
   public static final String TASK = "move";
+
+  /** The number of a start of a task. */
   public static final String ATTEMPT = "try";
+
+  /** Why an attempt ended. */
   public static final String CAUSE = "cause";
+
+  /** The attempt fetches its image. */
   public static final String PULLING = "pulling";
+
+  /** The attempt saves its checkpoint before it ends. */
   public static final String FLUSHING = "flushing";
+
   public static final String EXITED = "exited";
   public static final String COMMANDS = "orders";
   public static final String COMMAND = "order";
   public static final String LAUNCH = "launch";
   public static final String STOP = "stop";
+
+  /** A command to remove an exited attempt from the heartbeats. */
   public static final String CLEAR = "clear";
+
+  /** The time that a stopped attempt is given to save a checkpoint. */
   public static final String GRACE_PERIOD_S = "leeway_s";
+
+  /** The name of the node that leads, to which a worker is redirected. */
   public static final String LEADER = "steward";
 
-  /** Optional, ours: the worker takes images from other workers, and hands its own on. */
+  /** An optional extension: the worker exchanges images with other workers. */
   public static final String SHARES_IMAGES = "hands_on";
 
-  /** Optional, ours: addresses of workers that hold a launch's image. */
+  /** An optional extension: addresses of workers that have the image of a launch. */
   public static final String IMAGE_SOURCES = "givers";
 
   // Cloud.
+
+  /** The name of a machine type. */
   public static final String TYPE_NAME = "label";
+
+  /** The size of a machine's cache of images. */
   public static final String IMAGE_CACHE_GB = "local_gb";
+
+  /** How fast a machine fetches images. */
   public static final String IMAGE_FETCH_GB_PER_S = "fetch_gb_per_s";
+
+  /** The price of an hour. */
   public static final String PRICE = "price";
+
   public static final String SPOT_PRICE = "spot_price";
   public static final String BOOT_TIME_S = "boot_s";
+
+  /** The name of a rental request: its idempotency key. */
   public static final String RENTAL_REQUEST = "hire";
+
   public static final String COUNT = "how_many";
+
+  /** Whether the list goes on on another page. */
   public static final String TRUNCATED = "truncated";
+
   public static final String AGE_S = "age_s";
   public static final String STARTING = "starting";
   public static final String FAILED = "failed";
@@ -82,14 +166,27 @@
   // State service.
   public static final String KEY = "key";
   public static final String VALUE = "v";
+
+  /** The revision at which a key was last written; 0 when it does not exist. */
   public static final String VERSION = "mark";
+
+  /** Keys with their values and versions. */
   public static final String ITEMS = "pairs";
+
+  /** The versions that keys must have for a transaction to be applied. */
   public static final String CONDITIONS = "if";
+
   public static final String WRITES = "writes";
   public static final String PUT = "put";
   public static final String DELETE = "delete";
+
+  /** The lease with which a key expires. */
   public static final String LEASE = "tenure";
+
   public static final String LEASE_DURATION_MS = "life_ms";
+
+  /** The number of the newest change of the store. */
   public static final String REVISION = "epoch";
+
   public static final String EVENTS = "events";
 }
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -21,39 +21,59 @@
 import org.mallowroad.core.fold.Game;
 import org.mallowroad.core.fold.Ranges;
 
-/** Games in submissions, and blocks of folds in records. */
+/**
+ * The games that a submission folds, and blocks of folds as they are stored.
+ *
+ * <p>A block is stored with the names of members and jobs once each, and its sides as numbers that
+ * refer to them (docs/folds.md). Its fields: {@code v} version, {@code m} members, {@code j} jobs,
+ * {@code s} sides, {@code c} checksum.
+ */
 public final class FoldCodec {
-  /** The field of a submission. */
+  /** The field of a submission that lists its games. */
   public static final String FOLDS = "folds";
 
-  /** The field of an open record that names the blocks; the games themselves stand in these. */
+  /** The field of an open record that names the blocks in which the games are stored. */
   public static final String BLOCKS = "fold_blocks";
 
-  /** Games in one submission. */
+  /** The most games in one submission. */
   public static final int MAX_GAMES = 1_000;
 
-  /** Members of a game in one submission. */
+  /** The most members of a game in one submission. */
   public static final int MAX_MEMBERS = 8;
 
-  /** Numbers of games; bitmaps count in 31 bits. */
+  /** The highest number of a game: bitmaps have 31-bit indices. */
   public static final long MAX_NUMBER = 100_000_000;
 
-  /** The newest form of a block that this build reads and writes. */
+  /** The version of the block format that this build reads and writes. */
   static final int VERSION = 1;
 
-  /** Names of leagues: part of a key of the state service. */
+  /** The form of a league's name, which is part of a key in the state service. */
   static final Pattern LEAGUE = Pattern.compile("[A-Za-z0-9._-]{1,64}");
 
-  /** Names of members. */
+  /** The form of a member's name. */
   static final Pattern MEMBER = Pattern.compile("[A-Za-z0-9._-]{1,24}");
 
-  private static final int TAKEN = 1;
+  static final int MAX_LEAGUE_LENGTH = 64;
+  static final int MAX_MEMBER_LENGTH = 24;
+  private static final long MAX_REVISION = 1_000_000;
+
+  /** Flags of a stored side: the result was taken back. */
+  private static final int TAKEN_BACK = 1;
+
+  /** The fold's job is done. */
   private static final int SETTLED = 2;
-  private static final int BASE = 4;
+
+  /** An earlier fold, to which a cancellation returns, follows. */
+  private static final int HAS_BASE = 4;
+
+  /** Numbers of a stored side without a base, and with one. */
+  private static final int SIDE_LENGTH = 5;
+
+  private static final int SIDE_LENGTH_WITH_BASE = 8;
 
   private FoldCodec() {}
 
-  /** The games that a submission folds; none without the field. Wrong ones are named. */
+  /** Decodes the games that a submission folds; none without the field. */
   public static List<Game> decodeGames(JsonNode submission) throws InvalidMessageException {
     JsonNode n = submission.get(FOLDS);
     if (n == null || n.isNull()) {
@@ -81,13 +101,13 @@
     if (!g.isObject()) {
       throw new InvalidMessageException("league: a game with its league is needed");
     }
-    String league = Json.string(g, "league", 64);
+    String league = Json.string(g, "league", MAX_LEAGUE_LENGTH);
     if (!LEAGUE.matcher(league).matches()) {
       throw new InvalidMessageException(
           "league: letters, digits, dots, dashes and underscores are needed");
     }
     long number = Json.integer(g, "game", 0, MAX_NUMBER);
-    long revision = Json.integer(g, "revision", 1, 1_000_000);
+    long revision = Json.integer(g, "revision", 1, MAX_REVISION);
     boolean taken = g.hasNonNull("taken_back") && Json.bool(g, "taken_back");
     ArrayNode members = Json.list(g, "members");
     if (members.isEmpty() || members.size() > MAX_MEMBERS) {
@@ -106,7 +126,7 @@
     return new Game(league, number, revision, taken, List.copyOf(names));
   }
 
-  /** Names blocks for a record. */
+  /** Encodes the names of blocks for a record, as ranges of numbers by league. */
   public static ObjectNode encodeBlockKeys(Iterable<BlockKey> keys) {
     List<BlockKey> list = new ArrayList<>();
     keys.forEach(list::add);
@@ -115,7 +135,7 @@
     return o;
   }
 
-  /** The blocks that a record names; none without the field. */
+  /** Decodes the blocks that a record names; none without the field. */
   public static Map<String, IntList> decodeBlockKeys(JsonNode record)
       throws InvalidMessageException {
     Map<String, IntList> out = new TreeMap<>();
@@ -134,8 +154,8 @@
   }
 
   /**
-   * A block for its record: names once each, sides as numbers, and a checksum over both, so that a
-   * record that somebody changed by hand is told from one of ours.
+   * Encodes a block for its record. The checksum over names and sides tells a record that somebody
+   * changed by hand from one that was written here.
    */
   public static ObjectNode encodeBlock(Block block) {
     Object2IntLinkedOpenHashMap<String> members = new Object2IntLinkedOpenHashMap<>();
@@ -146,11 +166,11 @@
         .forEach(
             (s, f) -> {
               sides.add(s.game()).add(index(members, s.member()));
-              int flags = (f.taken() ? TAKEN : 0) | (f.settled() ? SETTLED : 0);
-              sides.add(f.revision()).add(flags | (f.base() != null ? BASE : 0));
+              int flags = (f.taken() ? TAKEN_BACK : 0) | (f.settled() ? SETTLED : 0);
+              sides.add(f.revision()).add(flags | (f.base() != null ? HAS_BASE : 0));
               sides.add(index(jobs, f.job()));
               if (f.base() != null) {
-                sides.add(f.base().revision()).add(f.base().taken() ? TAKEN : 0);
+                sides.add(f.base().revision()).add(f.base().taken() ? TAKEN_BACK : 0);
                 sides.add(index(jobs, f.base().job()));
               }
             });
@@ -182,7 +202,7 @@
     return Long.toHexString(c.getValue());
   }
 
-  /** A block from its record; an empty one where there is none. What is not ours is refused. */
+  /** Decodes a block from its record; an empty one when there is no record. */
   public static Block decodeBlock(JsonNode v) throws InvalidMessageException {
     Block out = new Block();
     if (v == null) {
@@ -203,11 +223,11 @@
             new Block.Side(s.get(i).asInt(), v.path("m").get(s.get(i + 1).asInt()).asText());
         int flags = s.get(i + 3).asInt();
         Fold base = null;
-        if ((flags & BASE) != 0) {
+        if ((flags & HAS_BASE) != 0) {
           base =
               new Fold(
                   s.get(i + 5).asLong(),
-                  (s.get(i + 6).asInt() & TAKEN) != 0,
+                  (s.get(i + 6).asInt() & TAKEN_BACK) != 0,
                   v.path("j").get(s.get(i + 7).asInt()).asText(),
                   true,
                   null);
@@ -216,13 +236,14 @@
             side,
             new Fold(
                 s.get(i + 2).asLong(),
-                (flags & TAKEN) != 0,
+                (flags & TAKEN_BACK) != 0,
                 v.path("j").get(s.get(i + 4).asInt()).asText(),
                 (flags & SETTLED) != 0,
                 base));
-        i += base == null ? 5 : 8;
+        i += base == null ? SIDE_LENGTH : SIDE_LENGTH_WITH_BASE;
       }
     } catch (NullPointerException e) {
+      // An index that is out of range reads as null.
       throw new InvalidMessageException("s: the block names what it does not have");
     }
     return out;
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -14,12 +14,27 @@
 import org.mallowroad.core.fold.Game;
 import org.mallowroad.core.fold.Ranges;
 
-/** Submissions as users write them, checked and turned into dense form. */
+/**
+ * Decodes submissions: checks every field, and replaces names by their indices. Confined to the
+ * thread of its tables.
+ */
 public final class JobCodec {
-  /** The one form of a job id. */
+  /** The form of a job id. */
   public static final Pattern ID = Pattern.compile("job-[0-9]{1,40}");
 
+  private static final int MAX_ID_LENGTH = 60;
+  private static final int MAX_NAME_LENGTH = 200;
+  private static final int MAX_IMAGE_LENGTH = 500;
+  private static final int MAX_WORD_LENGTH = 20;
+  private static final int MAX_TASKS = 100_000;
   private static final double MAX_AMOUNT = 1e9;
+
+  /** The zone of a job that may run in any. */
+  private static final int ANY_ZONE = -1;
+
+  /** The zone of a job whose zone is not in the settings: no machine is in it. */
+  private static final int UNKNOWN_ZONE = Integer.MAX_VALUE;
+
   private static final List<String> PRIORITIES = List.of("critical", "urgent", "normal", "idle");
 
   private final NameIndex teams;
@@ -28,7 +43,7 @@
   private final NameIndex images;
   private final NameIndex classes;
 
-  /** Over the tables that give names their indices. */
+  /** Looks indices up in these tables of names. */
   public JobCodec(
       NameIndex teams, NameIndex zones, NameIndex types, NameIndex images, NameIndex classes) {
     this.teams = teams;
@@ -39,8 +54,8 @@
   }
 
   /**
-   * Decodes a submission only to judge it: its names get no indices, since whoever sends wrong
-   * submissions must not fill the tables.
+   * Decodes a submission only to validate it. Unknown names get no indices: a client that sends
+   * wrong submissions must not fill the tables.
    */
   public JobSpec check(JsonNode o) throws InvalidMessageException {
     return decode(o, 0, false);
@@ -56,35 +71,27 @@
 
   private JobSpec decode(JsonNode o, long submittedMs, boolean accepted)
       throws InvalidMessageException {
-    String id = Json.string(o, Fields.ID, 60);
+    String id = Json.string(o, Fields.ID, MAX_ID_LENGTH);
     if (!ID.matcher(id).matches()) {
       throw new InvalidMessageException(Fields.ID + ": not a job id");
     }
-    String taskClass = Json.string(o, Fields.TASK_CLASS, 200);
-    String team = Json.string(o, Fields.TEAM, 200);
-    String kind = Json.string(o, Fields.KIND, 20);
+    String taskClass = Json.string(o, Fields.TASK_CLASS, MAX_NAME_LENGTH);
+    String team = Json.string(o, Fields.TEAM, MAX_NAME_LENGTH);
+    String kind = Json.string(o, Fields.KIND, MAX_WORD_LENGTH);
     boolean service = kind.equals(Fields.KIND_SERVICE);
     boolean gang = kind.equals(Fields.KIND_GANG);
     if (!service && !gang && !kind.equals(Fields.KIND_ARRAY)) {
       throw new InvalidMessageException(Fields.KIND + ": unknown value");
     }
-    int priority = PRIORITIES.indexOf(Json.string(o, Fields.PRIORITY, 20));
-    if (priority < 0) {
-      throw new InvalidMessageException(Fields.PRIORITY + ": unknown value");
-    }
-    int tasks = (int) Json.integer(o, Fields.TASKS, 1, 100_000);
+    int priority = priority(o);
+    int tasks = (int) Json.integer(o, Fields.TASKS, 1, MAX_TASKS);
     double cpus = Json.amount(o, Fields.CPUS, MAX_AMOUNT);
     double cards = Json.amount(o, Fields.CARDS, MAX_AMOUNT);
     double memGb = Json.amount(o, Fields.MEMORY_GB, MAX_AMOUNT);
-    String image = Json.string(o, Fields.IMAGE, 500);
+    String image = Json.string(o, Fields.IMAGE, MAX_IMAGE_LENGTH);
     double imageGb = Json.amount(o, Fields.IMAGE_GB, MAX_AMOUNT);
     BitSet allowed = types(o, accepted);
-    String zoneName = Json.stringOrNull(o, Fields.ZONE, 200);
-    int zone = -1;
-    if (zoneName != null) {
-      int z = zones.find(zoneName);
-      zone = z >= 0 ? z : Integer.MAX_VALUE;
-    }
+    int zone = zone(o);
     boolean together = Json.bool(o, Fields.TOGETHER);
     boolean scatter = Json.bool(o, Fields.SCATTER);
     boolean spot = Json.bool(o, Fields.SPOT);
@@ -118,9 +125,26 @@
         dependencies(o, service || gang, accepted));
   }
 
+  private static int priority(JsonNode o) throws InvalidMessageException {
+    int priority = PRIORITIES.indexOf(Json.string(o, Fields.PRIORITY, MAX_WORD_LENGTH));
+    if (priority < 0) {
+      throw new InvalidMessageException(Fields.PRIORITY + ": unknown value");
+    }
+    return priority;
+  }
+
+  private int zone(JsonNode o) throws InvalidMessageException {
+    String name = Json.stringOrNull(o, Fields.ZONE, MAX_NAME_LENGTH);
+    if (name == null) {
+      return ANY_ZONE;
+    }
+    int zone = zones.find(name);
+    return zone >= 0 ? zone : UNKNOWN_ZONE;
+  }
+
   /**
-   * The games that it folds and what it waits for. Of a record the blocks of the games are enough;
-   * a submission is checked in full.
+   * Decodes the games that a job folds and its dependencies. A record names only the blocks of its
+   * games; a submission has the games themselves, which are validated.
    */
   private static JobDependencies dependencies(JsonNode o, boolean notArray, boolean accepted)
       throws InvalidMessageException {
@@ -147,10 +171,10 @@
     }
     BitSet set = new BitSet();
     for (JsonNode t : Json.list(o, Fields.MACHINE_TYPES)) {
-      if (!t.isTextual() || t.textValue().isEmpty() || t.textValue().length() > 200) {
+      if (!t.isTextual() || t.textValue().isEmpty() || t.textValue().length() > MAX_NAME_LENGTH) {
         throw new InvalidMessageException(Fields.MACHINE_TYPES + ": type names are needed");
       }
-      // A type the cloud does not know yet may be offered later: it keeps its own index.
+      // A type that the cloud does not offer yet may be offered later: it gets an index.
       int type = accepted ? types.intern(t.textValue()) : types.find(t.textValue());
       if (type >= 0) {
         set.set(type);
@@ -159,7 +183,7 @@
     return set;
   }
 
-  /** A copy that holds only the fields of a submission, for the record. */
+  /** Copies the known fields of a submission, for its record. */
   public static ObjectNode record(ObjectNode submission) {
     ObjectNode out = Json.object();
     for (String f :
--- a/src/main/java/org/mallowroad/wire/Json.java
+++ b/src/main/java/org/mallowroad/wire/Json.java
@@ -8,9 +8,13 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Reading and writing JSON with checks that name the wrong field. */
+/**
+ * Reads and writes JSON. Accessors check type and bounds; their {@link InvalidMessageException}
+ * names the wrong field.
+ */
 public final class Json {
   private static final ObjectMapper MAPPER =
       new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
@@ -27,7 +31,7 @@
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Parses an object. */
+  /** Parses a JSON object; nothing may follow it. */
   public static ObjectNode parseObject(byte[] body) throws InvalidMessageException {
     JsonNode n;
     try {
@@ -41,17 +45,17 @@
     return o;
   }
 
-  /** The bytes of a node. */
+  /** The UTF-8 bytes of a value. */
   public static byte[] bytes(JsonNode n) {
     return text(n).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The text of a node. */
+  /** The text of a value. */
   public static String text(JsonNode n) {
     try {
       return MAPPER.writeValueAsString(n);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException(e);
+      throw new UncheckedIOException("a JSON tree can always be written to memory", e);
     }
   }
 
@@ -69,7 +73,7 @@
     return n.textValue();
   }
 
-  /** An optional string, or null. */
+  /** An optional string of at most {@code max} characters; null when it is absent. */
   public static String stringOrNull(JsonNode o, String field, int max)
       throws InvalidMessageException {
     return absent(o.get(field)) ? null : string(o, field, max);
@@ -97,13 +101,13 @@
     return d;
   }
 
-  /** An optional number from 0 to {@code max}. */
+  /** An optional number from 0 to {@code max}, or {@code otherwise} when it is absent. */
   public static double amountOr(JsonNode o, String field, double max, double otherwise)
       throws InvalidMessageException {
     return absent(o.get(field)) ? otherwise : amount(o, field, max);
   }
 
-  /** A required integer between bounds. */
+  /** A required integer from {@code min} to {@code max}. */
   public static long integer(JsonNode o, String field, long min, long max)
       throws InvalidMessageException {
     JsonNode n = o.get(field);
--- a/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
+++ b/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
@@ -8,53 +8,59 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 
-/** Machine types, as the cloud tells them and as they are remembered. */
+/** Machine types as the cloud lists them, which is also the format of their stored copy. */
 public final class MachineTypeCodec {
-  private static final String TYPES = "builds";
+  private static final double MAX_AMOUNT = 1e9;
+  private static final int MAX_NAME_LENGTH = 200;
+  private static final double DEFAULT_FETCH_GB_PER_S = 1;
+  private static final double DEFAULT_BOOT_S = 60;
 
   private MachineTypeCodec() {}
 
-  /** Zones that the settings do not know are left out. */
+  /**
+   * Decodes a list of machine types. Their names are added to {@code types}; zones that are not in
+   * {@code zones} are left out.
+   */
   public static List<MachineType> decode(ObjectNode o, NameIndex types, NameIndex zones)
       throws InvalidMessageException {
     List<MachineType> out = new ArrayList<>();
-    for (JsonNode t : Json.list(o, TYPES)) {
-      List<String> in = new ArrayList<>();
+    for (JsonNode t : Json.list(o, Fields.MACHINE_TYPES)) {
+      List<String> zoneNames = new ArrayList<>();
       for (JsonNode z : Json.list(t, Fields.ZONES)) {
-        in.add(z.asText());
+        zoneNames.add(z.asText());
       }
-      String name = Json.string(t, Fields.TYPE_NAME, 200);
-      double price = Json.amount(t, Fields.PRICE, 1e9);
+      String name = Json.string(t, Fields.TYPE_NAME, MAX_NAME_LENGTH);
+      double price = Json.amount(t, Fields.PRICE, MAX_AMOUNT);
       out.add(
           new MachineType(
               types.intern(name),
               name,
-              Json.amount(t, Fields.CPUS, 1e9),
-              Json.amountOr(t, Fields.CARDS, 1e9, 0),
-              Json.amount(t, Fields.MEMORY_GB, 1e9),
-              Json.amountOr(t, Fields.IMAGE_CACHE_GB, 1e9, 0),
-              Json.amountOr(t, Fields.IMAGE_FETCH_GB_PER_S, 1e9, 1),
+              Json.amount(t, Fields.CPUS, MAX_AMOUNT),
+              Json.amountOr(t, Fields.CARDS, MAX_AMOUNT, 0),
+              Json.amount(t, Fields.MEMORY_GB, MAX_AMOUNT),
+              Json.amountOr(t, Fields.IMAGE_CACHE_GB, MAX_AMOUNT, 0),
+              Json.amountOr(t, Fields.IMAGE_FETCH_GB_PER_S, MAX_AMOUNT, DEFAULT_FETCH_GB_PER_S),
               price,
-              Json.amountOr(t, Fields.SPOT_PRICE, 1e9, price),
-              Json.amountOr(t, Fields.BOOT_TIME_S, 1e9, 60),
-              in.stream().mapToInt(zones::find).filter(z -> z >= 0).toArray()));
+              Json.amountOr(t, Fields.SPOT_PRICE, MAX_AMOUNT, price),
+              Json.amountOr(t, Fields.BOOT_TIME_S, MAX_AMOUNT, DEFAULT_BOOT_S),
+              zoneNames.stream().mapToInt(zones::find).filter(z -> z >= 0).toArray()));
     }
     return out;
   }
 
-  /** The same as the cloud would tell it. */
+  /** Encodes machine types as the cloud would list them. */
   public static ObjectNode encode(List<MachineType> types, NameIndex zones) {
     ObjectNode o = Json.object();
-    ArrayNode list = o.putArray(TYPES);
+    ArrayNode list = o.putArray(Fields.MACHINE_TYPES);
     for (MachineType t : types) {
       ObjectNode e = list.addObject();
       e.put(Fields.TYPE_NAME, t.name()).put(Fields.CPUS, t.cpus()).put(Fields.CARDS, t.cards());
       e.put(Fields.MEMORY_GB, t.memGb()).put(Fields.IMAGE_CACHE_GB, t.cacheGb());
       e.put(Fields.IMAGE_FETCH_GB_PER_S, t.fetchGbPerS()).put(Fields.PRICE, t.price());
       e.put(Fields.SPOT_PRICE, t.spotPrice()).put(Fields.BOOT_TIME_S, t.bootS());
-      ArrayNode in = e.putArray(Fields.ZONES);
+      ArrayNode zoneList = e.putArray(Fields.ZONES);
       for (int z : t.zones()) {
-        in.add(zones.name(z));
+        zoneList.add(zones.name(z));
       }
     }
     return o;
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -8,59 +8,73 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 
-/** Reports and orders. */
+/** Heartbeats of workers and commands to workers. */
 public final class WorkerCodec {
+  private static final int MAX_NAME_LENGTH = 200;
+  private static final int MAX_MACHINE_NAME_LENGTH = 150;
+  private static final int MAX_STATE_LENGTH = 40;
+  private static final double MAX_NOTICE_S = 1e9;
+
+  /** The notice of a machine that is not about to be preempted. */
+  private static final double NO_NOTICE = -1;
+
   private WorkerCodec() {}
 
-  /** Decodes a report. */
+  /** Decodes a heartbeat. */
   public static Heartbeat decodeHeartbeat(JsonNode o) throws InvalidMessageException {
     List<Heartbeat.Entry> entries = new ArrayList<>();
     for (JsonNode t : Json.list(o, Fields.TASKS)) {
-      String name = Json.string(t, Fields.TASK, 200);
-      int slash = name.lastIndexOf('/');
-      int task;
-      try {
-        task = Integer.parseInt(name.substring(slash + 1));
-      } catch (NumberFormatException e) {
-        throw new InvalidMessageException(Fields.TASK + ": not a task");
-      }
-      if (slash <= 0) {
-        throw new InvalidMessageException(Fields.TASK + ": not a task");
-      }
-      Heartbeat.State state =
-          switch (Json.string(t, Fields.STATE, 40)) {
-            case Fields.RUNNING -> Heartbeat.State.RUNNING;
-            case Fields.FLUSHING -> Heartbeat.State.FLUSHING;
-            case Fields.EXITED -> Heartbeat.State.EXITED;
-            // Anything else that is on the machine and has not ended counts as waiting.
-            default -> Heartbeat.State.PULLING;
-          };
-      entries.add(
-          new Heartbeat.Entry(
-              name.substring(0, slash),
-              task,
-              (int) Json.integer(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
-              state,
-              Json.stringOrNull(t, Fields.CAUSE, 200)));
+      entries.add(decodeEntry(t));
     }
-    String address = Json.stringOrNull(o, Fields.ADDRESS, 200);
+    String address = Json.stringOrNull(o, Fields.ADDRESS, MAX_NAME_LENGTH);
     return new Heartbeat(
-        Json.string(o, Fields.MACHINE, 150),
+        Json.string(o, Fields.MACHINE, MAX_MACHINE_NAME_LENGTH),
         address == null ? "" : address,
-        Json.string(o, Fields.MACHINE_TYPE, 200),
-        Json.string(o, Fields.ZONE, 200),
+        Json.string(o, Fields.MACHINE_TYPE, MAX_NAME_LENGTH),
+        Json.string(o, Fields.ZONE, MAX_NAME_LENGTH),
         Json.bool(o, Fields.SPOT),
         Json.integer(o, Fields.INCARNATION, 0, Long.MAX_VALUE),
         Json.integer(o, Fields.SEQUENCE, 0, Long.MAX_VALUE),
         o.get(Fields.FENCING_TOKEN) == null
             ? 0
             : Json.integer(o, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
-        Json.amountOr(o, Fields.PREEMPTION_NOTICE_S, 1e9, -1),
+        Json.amountOr(o, Fields.PREEMPTION_NOTICE_S, MAX_NOTICE_S, NO_NOTICE),
         entries,
         o.path(Fields.SHARES_IMAGES).asBoolean(false));
   }
 
-  /** A direct message to a worker's session. */
+  private static Heartbeat.Entry decodeEntry(JsonNode t) throws InvalidMessageException {
+    String name = Json.string(t, Fields.TASK, MAX_NAME_LENGTH);
+    int slash = name.lastIndexOf('/');
+    int task;
+    try {
+      task = Integer.parseInt(name.substring(slash + 1));
+    } catch (NumberFormatException e) {
+      throw new InvalidMessageException(Fields.TASK + ": not a task");
+    }
+    if (slash <= 0) {
+      throw new InvalidMessageException(Fields.TASK + ": not a task");
+    }
+    Heartbeat.State state = decodeState(Json.string(t, Fields.STATE, MAX_STATE_LENGTH));
+    return new Heartbeat.Entry(
+        name.substring(0, slash),
+        task,
+        (int) Json.integer(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
+        state,
+        Json.stringOrNull(t, Fields.CAUSE, MAX_NAME_LENGTH));
+  }
+
+  private static Heartbeat.State decodeState(String state) {
+    return switch (state) {
+      case Fields.RUNNING -> Heartbeat.State.RUNNING;
+      case Fields.FLUSHING -> Heartbeat.State.FLUSHING;
+      case Fields.EXITED -> Heartbeat.State.EXITED;
+      // Any other attempt that is on the machine and has not ended has not started yet.
+      default -> Heartbeat.State.PULLING;
+    };
+  }
+
+  /** Encodes commands that are sent to one incarnation of a worker. */
   public static ObjectNode encodeDirectCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
     ObjectNode o = encodeCommands(fencingToken, commands);
@@ -68,7 +82,7 @@
     return o;
   }
 
-  /** A response to a worker. */
+  /** Encodes the commands in the response to a heartbeat. */
   public static ObjectNode encodeCommands(long fencingToken, List<WorkerCommand> commands) {
     ObjectNode o = Json.object();
     o.put(Fields.FENCING_TOKEN, fencingToken);
--- a/src/test/java/org/mallowroad/peer/PeerMessages.java
+++ b/src/test/java/org/mallowroad/peer/PeerMessages.java
@@ -30,25 +30,25 @@
   static {
     add(
         "term announced",
-        PEERS.encode(new PeerCodec.Announce("hearth-1", 4_294_967_298L)),
-        b -> PEERS.encode(PEERS.announce(b)));
+        PEERS.encode(new PeerCodec.LeadershipAnnouncement("hearth-1", 4_294_967_298L)),
+        b -> PEERS.encode(PEERS.decodeAnnouncement(b)));
     add(
         "user's request",
-        PEERS.encode(new PeerCodec.Relay("POST", "/v1/jobs", BODY)),
-        b -> PEERS.encode(PEERS.relay(b)));
+        PEERS.encode(new PeerCodec.RelayedRequest("POST", "/v1/jobs", BODY)),
+        b -> PEERS.encode(PEERS.decodeRequest(b)));
     add(
         "answer to a user's request",
-        PEERS.encode(new PeerCodec.Relayed(201, BODY)),
-        b -> PEERS.encode(PEERS.relayed(b)));
+        PEERS.encode(new PeerCodec.RelayedResponse(201, BODY)),
+        b -> PEERS.encode(PEERS.decodeResponse(b)));
     add(
         "leader with too much to record",
-        PEERS.encode(new PeerCodec.Overloaded(7)),
-        b -> PEERS.encode(PEERS.overloaded(b)));
+        PEERS.encode(new PeerCodec.OverloadNotice(7)),
+        b -> PEERS.encode(PEERS.decodeOverloadNotice(b)));
     add(
         "cancelled jobs",
-        PEERS.encode(new PeerCodec.Cancelled(List.of("job-000412", "job-7"))),
-        b -> PEERS.encode(PEERS.cancelled(b)));
-    add("no cancelled jobs", PEERS.encode(new PeerCodec.Cancelled(List.of())), null);
+        PEERS.encode(new PeerCodec.CancelledJobs(List.of("job-000412", "job-7"))),
+        b -> PEERS.encode(PEERS.decodeCancelledJobs(b)));
+    add("no cancelled jobs", PEERS.encode(new PeerCodec.CancelledJobs(List.of())), null);
     List<LinkStateAdvertisement.ZoneContact> zones =
         List.of(
             new LinkStateAdvertisement.ZoneContact("a", 250, -1),
@@ -56,38 +56,38 @@
     LinkStateAdvertisement row =
         new LinkStateAdvertisement(
             "hearth-2", 1_800_000_000_123L, 88, 3, true, 40, -1, List.of("hearth-0", "n9"), zones);
-    add("row of links", LINKS.encode(row), b -> LINKS.encode(LINKS.row(b)));
+    add("row of links", LINKS.encode(row), b -> LINKS.encode(LINKS.decodeLinkState(b)));
     add(
         "call for another controller",
-        LINKS.encode(new LinkCodec.Forward("state", "POST", "/multi", BODY, 1_500)),
-        b -> LINKS.encode(LINKS.forward(b)));
+        LINKS.encode(new LinkCodec.RelayedCall("state", "POST", "/multi", BODY, 1_500)),
+        b -> LINKS.encode(LINKS.decodeCall(b)));
     add(
         "answered call",
-        LINKS.encode(new LinkCodec.Forwarded(LinkCodec.ANSWERED, 200, BODY)),
-        b -> LINKS.encode(LINKS.forwarded(b)));
+        LINKS.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.ANSWERED, 200, BODY)),
+        b -> LINKS.encode(LINKS.decodeResult(b)));
     add(
         "call that was not sent",
-        LINKS.encode(new LinkCodec.Forwarded(LinkCodec.NOT_SENT, 0, new byte[0])),
-        b -> LINKS.encode(LINKS.forwarded(b)));
+        LINKS.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.NOT_SENT, 0, new byte[0])),
+        b -> LINKS.encode(LINKS.decodeResult(b)));
     add(
         "call of unknown outcome",
-        LINKS.encode(new LinkCodec.Forwarded(LinkCodec.UNKNOWN, 0, new byte[0])),
-        b -> LINKS.encode(LINKS.forwarded(b)));
+        LINKS.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.UNKNOWN, 0, new byte[0])),
+        b -> LINKS.encode(LINKS.decodeResult(b)));
     add(
         "worker's report",
-        LINKS.encode(new LinkCodec.Carry("hearth-1", BODY)),
-        b -> LINKS.encode(LINKS.carry(b)));
+        LINKS.encode(new LinkCodec.RelayedHeartbeat("hearth-1", BODY)),
+        b -> LINKS.encode(LINKS.decodeHeartbeat(b)));
     add(
         "later process",
-        LINKS.encode(new LinkCodec.Later(1_800_000_000_456L)),
-        b -> LINKS.encode(LINKS.later(b)));
+        LINKS.encode(new LinkCodec.NewerProcess(1_800_000_000_456L)),
+        b -> LINKS.encode(LINKS.decodeNewerProcess(b)));
   }
 
   private PeerMessages() {}
 
   private static void add(String name, byte[] bytes, Rewrite rewrite) {
     SAMPLES.put(name, bytes);
-    REWRITES.put(name, rewrite == null ? b -> PEERS.encode(PEERS.cancelled(b)) : rewrite);
+    REWRITES.put(name, rewrite == null ? b -> PEERS.encode(PEERS.decodeCancelledJobs(b)) : rewrite);
   }
 
   /** The bytes of one message of each form, by what it says. */
--- a/src/test/java/org/mallowroad/peer/RelayTransportTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayTransportTest.java
@@ -5,6 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,9 +21,9 @@
 import org.mallowroad.net.RequestSender;
 import org.mallowroad.wire.InvalidMessageException;
 
-/** What a peer's answer proves, and that nobody's garbage takes places for ever. */
+/** What a peer's response proves of a relayed call; rejected messages occupy no places. */
 final class RelayTransportTest {
-  private final List<String> said = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
   private int status;
 
   private final EventLoop loop =
@@ -48,8 +49,8 @@
         }
       };
 
-  /** Every peer answers with the status at hand. */
-  private final class Answering implements NodeEnvironment {
+  /** Every peer answers with the current status. */
+  private final class AnsweringEnvironment implements NodeEnvironment {
     @Override
     public EventLoop loop() {
       return loop;
@@ -95,24 +96,24 @@
       new RequestSender.ResponseHandler() {
         @Override
         public void answered(int s, byte[] body) {
-          said.add("answered " + s);
+          events.add("answered " + s);
         }
 
         @Override
         public void failed(boolean sent) {
-          said.add("failed " + sent);
+          events.add("failed " + sent);
         }
       };
 
   private final RelayTransport.Listener listener =
       new RelayTransport.Listener() {
         @Override
-        public long row(LinkStateAdvertisement row) {
-          return 0;
+        public OptionalLong onLinkState(LinkStateAdvertisement row) {
+          return OptionalLong.empty();
         }
 
         @Override
-        public void forward(
+        public void onCall(
             ExternalService to,
             String method,
             String path,
@@ -123,17 +124,17 @@
         }
 
         @Override
-        public void commands(String address, byte[] body, RequestSender.ResponseHandler back) {
+        public void onCommands(String address, byte[] body, RequestSender.ResponseHandler back) {
           back.failed(true);
         }
 
         @Override
-        public void carried(int peer, byte[] report, RequestSender.ResponseHandler back) {}
+        public void onHeartbeat(int peer, byte[] heartbeat, RequestSender.ResponseHandler back) {}
       };
 
-  private final RelayTransport forwarding =
+  private final RelayTransport transport =
       new RelayTransport(
-          new Answering(),
+          new AnsweringEnvironment(),
           List.of(new Member("n1", "a", new Endpoint("h", 1))),
           new LinkStateTable(LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, 0),
           listener);
@@ -148,27 +149,27 @@
     "204,true",
     "200,true"
   })
-  void onlyWhatDidNothingForCertainCountsAsUnsent(int peerSays, boolean sent) {
-    status = peerSays;
-    forwarding.commands(0, "w:1", new byte[] {1}, answer);
-    assertEquals(List.of("failed " + sent), said);
+  void onlyStatusesOfRequestsThatCertainlyDidNothingCountAsUnsent(int peerStatus, boolean sent) {
+    status = peerStatus;
+    transport.relayCommands(0, "w:1", new byte[] {1}, answer);
+    assertEquals(List.of("failed " + sent), events);
   }
 
   @Test
-  void messagesThatAreRefusedTakeNoPlaceForEver() throws InvalidMessageException {
+  void rejectedMessagesOccupyNoPlaceForEver() throws InvalidMessageException {
     LinkCodec codec = new LinkCodec();
     for (int i = 0; i < 200; i++) {
       assertThrows(
-          InvalidMessageException.class, () -> forwarding.message(incoming(codec, "NOBODY")));
+          InvalidMessageException.class, () -> transport.receive(incoming(codec, "NOBODY")));
     }
     for (int i = 0; i < 200; i++) {
-      forwarding.message(incoming(codec, "STATE"));
+      transport.receive(incoming(codec, "STATE"));
     }
-    assertEquals(200, said.stream().filter("200"::equals).count());
+    assertEquals(200, events.stream().filter("200"::equals).count());
   }
 
   private IncomingRequest incoming(LinkCodec codec, String to) {
-    byte[] body = codec.encode(new LinkCodec.Forward(to, "GET", "/kv/a", new byte[0], 100));
+    byte[] body = codec.encode(new LinkCodec.RelayedCall(to, "GET", "/kv/a", new byte[0], 100));
     return new IncomingRequest() {
       @Override
       public String method() {
@@ -187,7 +188,7 @@
 
       @Override
       public void answer(int s, String type, byte[] bytes, boolean later) {
-        said.add("" + s);
+        events.add("" + s);
       }
     };
   }
--- a/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.linkstate.RouteSelector;
 import org.mallowroad.net.RequestSender;
 
-/** What a failed call says of the direct way to a party. */
+/** What a failed call tells of the direct way to an external service. */
 final class RelayedCallerTest {
   private static DynamicTest rule(
       String name, Consumer<RequestSender.ResponseHandler> outcome, boolean astray) {
@@ -42,11 +42,11 @@
                 @Override
                 public void close() {}
               };
-          RelayedCaller detour =
+          RelayedCaller caller =
               new RelayedCaller(
                   loop, direct, ExternalService.STATE, route, (p, o, m, path, b, ms, a) -> {}, 400);
-          List<String> heard = new ArrayList<>();
-          detour.call(
+          List<String> outcomes = new ArrayList<>();
+          caller.call(
               "POST",
               "/multi",
               new byte[0],
@@ -54,26 +54,29 @@
               new RequestSender.ResponseHandler() {
                 @Override
                 public void answered(int status, byte[] body) {
-                  heard.add("answered");
+                  outcomes.add("answered");
                 }
 
                 @Override
                 public void failed(boolean sent) {
-                  heard.add(sent ? "unknown" : "not sent");
+                  outcomes.add(sent ? "unknown" : "not sent");
                 }
               });
-          assertEquals(List.of(astray ? "unknown" : "not sent"), heard);
+          assertEquals(List.of(astray ? "unknown" : "not sent"), outcomes);
           assertEquals(astray, route.isDirectPathDown());
         });
   }
 
   @TestFactory
-  Stream<DynamicTest> signs() {
+  Stream<DynamicTest> signsOfAPartition() {
     return Stream.of(
         rule(
-            "a caller without a free connection is no sign of a cut",
+            "a sender without a free connection is no sign of a partition",
             RequestSender.ResponseHandler::exhausted,
             false),
-        rule("a call without an answer is one", answer -> answer.failed(true), true));
+        rule(
+            "a call without an answer is a sign of a partition",
+            answer -> answer.failed(true),
+            true));
   }
 }
