--- a/src/main/java/org/mallowroad/config/Settings.java
+++ b/src/main/java/org/mallowroad/config/Settings.java
@@ -120,7 +120,7 @@
       }
       double leaseS = positive(workers, "lease_s", "params.workers.lease_s");
       double cancelS = positive(workers, "cancel_s", "params.workers.cancel_s");
-      if (CancellationView.mostAgeMs(leaseS, cancelS) <= 0) {
+      if (CancellationView.maxAgeMs(leaseS, cancelS) <= 0) {
         throw bad("params.workers.cancel_s", "cannot be kept with lease_s " + leaseS);
       }
       JsonNode resources = params.path("resources");
--- a/src/main/java/org/mallowroad/controller/CancellationPropagation.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -48,7 +48,7 @@
   void learnt(String job, String leader) {
     for (int peer = 0; peer < peerNames.size(); peer++) {
       if (!isHandlingPeerMessage || peerNames.get(peer).equals(leader)) {
-        notices.learnt(peer, job, loop.now());
+        notices.add(peer, job, loop.now());
         schedule(peer, BATCH_DELAY_MS);
       }
     }
@@ -73,7 +73,7 @@
 
   private void send(int peer) {
     isScheduled[peer] = false;
-    List<String> jobs = notices.take(peer, loop.now());
+    List<String> jobs = notices.takeBatch(peer, loop.now());
     if (jobs.isEmpty()) {
       return;
     }
@@ -81,8 +81,8 @@
         peer,
         jobs,
         isAccepted -> {
-          notices.answered(peer, jobs, isAccepted);
-          if (notices.untold(peer) > 0) {
+          notices.completeBatch(peer, jobs, isAccepted);
+          if (notices.pendingCount(peer) > 0) {
             schedule(peer, isAccepted ? BATCH_DELAY_MS : RETRY_DELAY_MS);
           }
         });
--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -113,7 +113,7 @@
 
   /** True while an answer could keep a worker's lease alive that must be let run out. */
   private boolean mustNotAnswer(Heartbeat heartbeat, long now) {
-    return context.cancellationView().stale(now)
+    return context.cancellationView().isStale(now)
         || parts.responder.unsure(context.lease().renewedMs(), now)
         || (parts.isolation.isCutOffFromStateAndPeers(now)
             && parts.responder.sendRound(heartbeat, now));
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -13,7 +13,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.admission.RecordLag;
+import org.mallowroad.core.admission.CommitLag;
 import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -79,7 +79,7 @@
   private final DirectCommandSender directCommands;
   private final ObjectiveLogger objectives;
   private final LoadLogger loadLogger;
-  private final RecordLag commitLag = new RecordLag();
+  private final CommitLag commitLag = new CommitLag();
   private final List<EventLoop.Timer> timers = new ArrayList<>();
   private boolean isCancellationViewStale;
 
@@ -386,20 +386,20 @@
   }
 
   private void checkCommitLag() {
-    boolean wasOverloaded = commitLag.overloaded();
+    boolean wasOverloaded = commitLag.isOverloaded();
     boolean isStateServing = isLeaseValid() && !services.state().health().isFailing();
-    commitLag.look(schedulerState, isStateServing, loop.now());
-    if (commitLag.overloaded()) {
+    commitLag.measure(schedulerState, isStateServing, loop.now());
+    if (commitLag.isOverloaded()) {
       listener.overloaded();
     }
-    if (commitLag.overloaded() != wasOverloaded) {
+    if (commitLag.isOverloaded() != wasOverloaded) {
       LOG.warn(
           "event={} term={}", wasOverloaded ? "records_keep_up" : "records_lag", term.number());
     }
   }
 
   private void logCancellationView(long now) {
-    if (context.cancellationView().stale(now) != isCancellationViewStale) {
+    if (context.cancellationView().isStale(now) != isCancellationViewStale) {
       isCancellationViewStale = !isCancellationViewStale;
       LOG.warn(
           "event={} term={} view_ms={}",
--- a/src/main/java/org/mallowroad/controller/LeaderContext.java
+++ b/src/main/java/org/mallowroad/controller/LeaderContext.java
@@ -56,7 +56,7 @@
         new LeaderLease(services.loop(), services.election()),
         schedulerState,
         new TaskScheduler(schedulerState),
-        new CancellationView(CancellationView.mostAgeMs(settings.leaseS(), settings.cancelS())),
+        new CancellationView(CancellationView.maxAgeMs(settings.leaseS(), settings.cancelS())),
         new LoadStatistics());
   }
 
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -100,7 +100,7 @@
 
     @Override
     public void overloaded() {
-      admission.overloaded(services.loop().now());
+      admission.recordOverload(services.loop().now());
       peers.sendOverloaded(term.number());
     }
 
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -159,7 +159,7 @@
 
   private void warnOfShortCancellationView() {
     Settings settings = clusterConfig.settings;
-    long maxAgeMs = CancellationView.mostAgeMs(settings.leaseS(), settings.cancelS());
+    long maxAgeMs = CancellationView.maxAgeMs(settings.leaseS(), settings.cancelS());
     if (maxAgeMs < SHORT_CANCELLATION_VIEW_MS) {
       // Kept even so; but a moment without the state service costs the fleet its leases.
       LOG.warn("event=cancel_s_short most_view_ms={}", maxAgeMs);
@@ -185,7 +185,7 @@
   private void updateAdmission() {
     Admission admission = components.admission;
     long now = loop.now();
-    admission.stateService(
+    admission.recordStateService(
         now - components.state.health().lastThrottledMs() < ADMISSION_INTERVAL_MS, now);
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -218,7 +218,7 @@
   private final class JobChecks implements UserApi.Jobs {
     @Override
     public boolean admits() {
-      return admission.admits(loop.now());
+      return admission.tryAdmit(loop.now());
     }
 
     @Override
@@ -252,7 +252,7 @@
     @Override
     public void overloaded(long term) {
       if (term >= election.highestSeenToken() || term == election.leaderTerm()) {
-        admission.overloaded(loop.now());
+        admission.recordOverload(loop.now());
       }
     }
 
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -69,8 +69,8 @@
   private void registerOverload() {
     gauge("mallowroad.loop.lag.ms", m -> m.ofLeader(Leader::loopLagMs));
     gauge("mallowroad.cancellations.view.ms", m -> m.ofLeader(Leader::cancellationViewAgeMs));
-    gauge("mallowroad.admission.limited", m -> m.node.admission.limited() ? 1 : 0);
-    gauge("mallowroad.admission.refused", m -> m.node.admission.refused());
+    gauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
+    gauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
     gauge(
         "mallowroad.state.silence.ms",
         m -> m.node.loop.now() - m.node.state.health().lastContactMs());
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -210,7 +210,7 @@
         schedulerState.finishRestore(j, loop.now());
       }
       // Of jobs that are over as well: restoreOver has read how each of them ended.
-      view.answered(sentMs).applied();
+      view.beginReading(sentMs).markApplied();
       listener.taken(run.size() + shared.size(), rental);
       follow(revision);
     }
@@ -378,7 +378,7 @@
             loop.after(200, this::relist);
             return;
           }
-          CancellationView.Reading reading = view.answered(sentMs);
+          CancellationView.Reading reading = view.beginReading(sentMs);
           for (VersionedValue e : events) {
             if (e.value() != null) {
               listener.accepted();
@@ -387,7 +387,7 @@
               closed(e.key().substring(RecordKeys.OPEN_JOBS.length()), reading);
             }
           }
-          reading.applied();
+          reading.markApplied();
           if (!events.isEmpty()) {
             listener.changed();
           }
@@ -400,11 +400,11 @@
     Job job = schedulerState.job(id);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.cancelled();
-      reading.waitsForOneMore();
+      reading.awaitAnother();
       committer.reread(
           job,
           () -> {
-            reading.applied();
+            reading.markApplied();
             listener.changed();
           });
     }
@@ -425,7 +425,7 @@
             loop.after(300, this::relist);
             return;
           }
-          CancellationView.Reading reading = view.answered(sentMs);
+          CancellationView.Reading reading = view.beginReading(sentMs);
           ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
           for (VersionedValue i : open) {
             String id = i.key().substring(RecordKeys.OPEN_JOBS.length());
@@ -439,7 +439,7 @@
               closed(j.spec.id(), reading);
             }
           }
-          reading.applied();
+          reading.markApplied();
           listener.changed();
           follow(revision);
         });
--- a/src/main/java/org/mallowroad/core/admission/package-info.java
+++ b/src/main/java/org/mallowroad/core/admission/package-info.java
@@ -1,6 +1,7 @@
 /**
- * How many jobs are accepted while the records cannot keep up with what was accepted before.
+ * Admission control: how many new jobs a node accepts while the leader's commits to the state
+ * service lag behind what was accepted before.
  *
- * <p>No I/O and no clock: what is measured and when comes from outside.
+ * <p>The classes do no I/O, have no clock, and are confined to the controller's event loop.
  */
 package org.mallowroad.core.admission;
--- a/src/main/java/org/mallowroad/core/cancellation/CancellationView.java
+++ b/src/main/java/org/mallowroad/core/cancellation/CancellationView.java
@@ -3,106 +3,122 @@
 import java.util.ArrayDeque;
 
 /**
- * Up to when a leader knows of every cancellation, and whether it may still renew a worker's lease.
+ * Age of a leader's view of the cancellations, and by it whether the leader may still renew a
+ * worker's lease.
  *
- * <p>Any controller may confirm a cancellation, so a leader learns of most of them by reading. A
- * reading (a list of open jobs, or a watch that follows one) holds all that was committed before it
- * was <i>sent</i>, however long its answer took. It counts once it is applied in full: the answer
- * is in the ledger, and whatever it made the leader read besides is as well. Calls of another kind
- * say nothing, however fresh: a renewal that gets through shows that the service is there, not that
- * anything was heard of it.
+ * <p>Any controller may confirm a cancellation, so a leader learns of most of them by reading the
+ * state service. A reading is a list of the open jobs, or an event of a watch that follows one. It
+ * contains all that was committed before its request was <i>sent</i>, however long the answer took.
+ * It counts once it is applied in full: the answer itself, and all that the leader had to read
+ * because of it. Other calls do not count, however recent: the renewal of the leader's lease shows
+ * that the state service works, not that the leader has seen any cancellation.
  *
  * <p><b>Proof.</b> Let a cancellation be committed at {@code k}, and {@code c >= k} its
- * confirmation. A leader whose view is at {@code v >= k} puts the stop into each answer. One whose
- * view is at {@code v < k} answers a report at {@code d} only while {@code d - v <= mostAge}. The
- * report was sent at {@code s <= d}, so its worker's lease ends at {@code s + lease * drift <= v +
- * mostAge + lease * drift < k + mostAge + lease * drift <= c + cancel}: {@link #mostAgeMs} is what
- * is left of {@code cancel}. Neither an answer that takes long nor a leader that stands still
- * behind its check adds to it, since a lease counts from when the report was sent.
+ * confirmation. A leader whose view is of {@code v >= k} puts the stop into each answer. One whose
+ * view is of {@code v < k} answers a heartbeat at {@code d} only while {@code d - v <= maxAge}. The
+ * heartbeat was sent at {@code s <= d}, so its worker's lease ends at {@code s + lease * drift <= v
+ * + maxAge + lease * drift < k + maxAge + lease * drift <= c + cancel}: {@link #maxAgeMs} is what
+ * is left of {@code cancel}. Neither a slow answer nor a leader that pauses after its check adds to
+ * the sum, since a lease counts from the sending of the heartbeat. docs/cancellation.md describes
+ * the rest of the protocol.
  *
- * <p>Not thread-safe; no clock of its own.
+ * <p>Times are in milliseconds of the caller's monotonic clock. Not thread-safe: confined to the
+ * controller's event loop.
  */
 public final class CancellationView {
   /**
-   * What the sum leaves for timers, here and at the worker, that fire late; a worker that is late
-   * to kill its tasks by more breaks its own protocol.
+   * Margin for timers that fire late, here and at the worker. A worker that kills its tasks later
+   * than that violates its own protocol.
    */
   public static final long MARGIN_MS = 1_500;
 
-  /** Two steady clocks drift apart by up to 0.05%; each counts once towards the other. */
-  private static final double DRIFT = 1.001;
+  /** Two monotonic clocks drift apart by up to 0.05%, each of them in either direction. */
+  private static final double MAX_DRIFT = 1.001;
 
-  /** Readings that wait for what they made the leader read; more count as one with the newest. */
-  static final int MOST_READINGS = 64;
+  /** Most readings that are tracked; further ones are merged into the newest. */
+  static final int MAX_READINGS = 64;
 
-  private final long mostAgeMs;
+  private final long maxAgeMs;
+
+  /** Readings that are not applied in full yet, oldest first. */
   private final ArrayDeque<Reading> readings = new ArrayDeque<>();
-  private boolean read;
-  private long freshMs;
 
-  /** What an answer showed, until all of it is applied. */
+  private boolean hasView;
+
+  /** Sending time of the newest reading that counts. */
+  private long viewMs;
+
+  /** A reading whose answer has come, until it is applied in full. */
   public final class Reading {
     private long sentMs;
-    private int left = 1;
+    private int outstanding = 1;
 
     private Reading(long sentMs) {
       this.sentMs = sentMs;
     }
 
-    /** Something more has to be read before this is applied. */
-    public void waitsForOneMore() {
-      left++;
+    /** Something more has to be read and applied before this reading counts. */
+    public void awaitAnother() {
+      outstanding++;
     }
 
-    /** The answer itself, or one of the things that it waited for, is applied. */
-    public void applied() {
-      left--;
-      settle();
+    /** The answer itself, or one of the further reads, is applied. */
+    public void markApplied() {
+      outstanding--;
+      advance();
     }
   }
 
-  /** For a view that may be so old at the most. */
-  public CancellationView(long mostAgeMs) {
-    this.mostAgeMs = mostAgeMs;
+  /** Creates a view that may be at most that old when a worker's lease is renewed. */
+  public CancellationView(long maxAgeMs) {
+    this.maxAgeMs = maxAgeMs;
   }
 
   /**
-   * How old the view may be when a worker's lease is renewed, in milliseconds; not positive where
-   * {@code cancelS} is too short to be kept at all. There is no least: a floor would break the sum.
+   * Greatest age of the view at which a worker's lease may be renewed, in ms; see the proof above.
+   * Not positive when {@code cancelS} is too short to be kept at all. There is no lower bound,
+   * since one would break the inequality.
+   *
+   * @param leaseS length of a worker's lease, in seconds
+   * @param cancelS time within which the tasks of a cancelled job must have stopped, in seconds
    */
-  public static long mostAgeMs(double leaseS, double cancelS) {
-    return (long) ((cancelS / DRIFT - leaseS * DRIFT) * 1000) - MARGIN_MS;
+  public static long maxAgeMs(double leaseS, double cancelS) {
+    return (long) ((cancelS / MAX_DRIFT - leaseS * MAX_DRIFT) * 1000) - MARGIN_MS;
   }
 
-  /** An answer is about to be applied to a request that was sent then; the newest comes last. */
-  public Reading answered(long sentMs) {
-    if (readings.size() >= MOST_READINGS) {
-      Reading last = readings.peekLast();
-      last.sentMs = Math.max(last.sentMs, sentMs);
-      last.left++;
-      return last;
+  /**
+   * Begins to apply an answer. Answers are passed in their order.
+   *
+   * @param sentMs when the request was sent
+   */
+  public Reading beginReading(long sentMs) {
+    if (readings.size() >= MAX_READINGS) {
+      Reading newest = readings.peekLast();
+      newest.sentMs = Math.max(newest.sentMs, sentMs);
+      newest.outstanding++;
+      return newest;
     }
-    Reading r = new Reading(sentMs);
-    readings.add(r);
-    return r;
+    Reading reading = new Reading(sentMs);
+    readings.add(reading);
+    return reading;
   }
 
-  /** A later reading does not count before the ones before it: it does not repeat what they had. */
-  private void settle() {
-    while (!readings.isEmpty() && readings.peek().left <= 0) {
-      Reading r = readings.poll();
-      freshMs = read ? Math.max(freshMs, r.sentMs) : r.sentMs;
-      read = true;
+  /** Counts applied readings in order: a later one does not repeat what an earlier one showed. */
+  private void advance() {
+    while (!readings.isEmpty() && readings.peek().outstanding <= 0) {
+      Reading reading = readings.poll();
+      viewMs = hasView ? Math.max(viewMs, reading.sentMs) : reading.sentMs;
+      hasView = true;
     }
   }
 
-  /** The age of the view, or {@link Long#MAX_VALUE} before the first reading is applied. */
+  /** Age of the view, in ms; {@link Long#MAX_VALUE} before the first reading counts. */
   public long ageMs(long now) {
-    return read ? now - freshMs : Long.MAX_VALUE;
+    return hasView ? now - viewMs : Long.MAX_VALUE;
   }
 
-  /** True when this leader must not renew a worker's lease: it could keep cancelled tasks alive. */
-  public boolean stale(long now) {
-    return ageMs(now) > mostAgeMs;
+  /** True when no worker's lease may be renewed, since that could keep cancelled tasks running. */
+  public boolean isStale(long now) {
+    return ageMs(now) > maxAgeMs;
   }
 }
--- a/src/main/java/org/mallowroad/core/cancellation/PendingCancellationNotices.java
+++ b/src/main/java/org/mallowroad/core/cancellation/PendingCancellationNotices.java
@@ -6,81 +6,92 @@
 import java.util.List;
 
 /**
- * Whom a node still has to tell of which cancellations. A cancellation is final, so that whoever
- * hears of it may believe it, at any time and any number of times; nothing depends on its being
- * heard ({@link CancellationView} alone keeps the rule). Bounded in number and in time.
+ * Cancellation notices that a node still has to send to its peers.
  *
- * <p>Not thread-safe; no clock of its own.
+ * <p>A cancellation is final, so a notice of it is true whenever and however often it arrives. No
+ * guarantee depends on its arrival: {@link CancellationView} alone bounds how long cancelled tasks
+ * run. Notices are therefore bounded in number and in time.
+ *
+ * <p>Peers are dense indices. Not thread-safe: confined to the controller's event loop.
  */
 public final class PendingCancellationNotices {
-  /** Jobs that one peer has still to hear of; beyond, the oldest are left to the records. */
-  public static final int MOST = 2_000;
+  /** Most notices that are kept for a peer; beyond, the oldest are dropped. */
+  public static final int MAX_PENDING = 2_000;
+
+  /** Most jobs in one message: at 16 bytes an id far below the size limit of peer messages. */
+  public static final int MAX_BATCH = 500;
+
+  private final long expiryMs;
 
-  /** Jobs in one message: at 16 bytes an id far below what a peer's message may hold. */
-  public static final int MOST_AT_ONCE = 500;
+  /** For each peer the jobs to send with the times at which they were added, oldest first. */
+  private final List<Object2LongLinkedOpenHashMap<String>> pending = new ArrayList<>();
 
-  private final long keepMs;
-  private final List<Object2LongLinkedOpenHashMap<String>> untold = new ArrayList<>();
-  private final boolean[] busy;
+  /** For each peer whether a message is on its way. */
+  private final boolean[] sending;
 
-  /** For a number of peers; what nobody acknowledges for {@code keepMs} is let go. */
-  public PendingCancellationNotices(int peers, long keepMs) {
-    this.keepMs = keepMs;
-    this.busy = new boolean[peers];
-    for (int p = 0; p < peers; p++) {
-      untold.add(new Object2LongLinkedOpenHashMap<>());
+  /**
+   * Creates an empty set of notices.
+   *
+   * @param peers number of peers
+   * @param expiryMs notices that are not acknowledged for this long are dropped
+   */
+  public PendingCancellationNotices(int peers, long expiryMs) {
+    this.expiryMs = expiryMs;
+    this.sending = new boolean[peers];
+    for (int peer = 0; peer < peers; peer++) {
+      pending.add(new Object2LongLinkedOpenHashMap<>());
     }
   }
 
-  /** This node learnt that a job is cancelled: every peer has to hear of it. */
-  public void learnt(String job, long now) {
-    for (int p = 0; p < untold.size(); p++) {
-      learnt(p, job, now);
+  /** Adds a notice of a cancelled job for each peer. */
+  public void add(String job, long now) {
+    for (int peer = 0; peer < pending.size(); peer++) {
+      add(peer, job, now);
     }
   }
 
-  /** The same for one peer alone. */
-  public void learnt(int peer, String job, long now) {
-    Object2LongLinkedOpenHashMap<String> of = untold.get(peer);
-    of.putIfAbsent(job, now);
-    if (of.size() > MOST) {
-      of.removeFirstLong();
+  /** Adds a notice of a cancelled job for one peer. */
+  public void add(int peer, String job, long now) {
+    Object2LongLinkedOpenHashMap<String> jobs = pending.get(peer);
+    jobs.putIfAbsent(job, now);
+    if (jobs.size() > MAX_PENDING) {
+      jobs.removeFirstLong();
     }
   }
 
   /**
-   * What to tell a peer now, one message at a time; empty for nothing. Each one taken is to be
-   * {@link #answered}.
+   * Takes the jobs of the next message to a peer; empty when there are none, or while an earlier
+   * message is on its way. A batch that is not empty ends with {@link #completeBatch}.
    */
-  public List<String> take(int peer, long now) {
-    Object2LongLinkedOpenHashMap<String> of = untold.get(peer);
-    while (!of.isEmpty() && now - of.getLong(of.firstKey()) > keepMs) {
-      of.removeFirstLong();
+  public List<String> takeBatch(int peer, long now) {
+    Object2LongLinkedOpenHashMap<String> jobs = pending.get(peer);
+    while (!jobs.isEmpty() && now - jobs.getLong(jobs.firstKey()) > expiryMs) {
+      jobs.removeFirstLong();
     }
-    if (busy[peer] || of.isEmpty()) {
+    if (sending[peer] || jobs.isEmpty()) {
       return List.of();
     }
-    busy[peer] = true;
-    List<String> out = new ArrayList<>();
-    for (Object2LongMap.Entry<String> e : of.object2LongEntrySet()) {
-      if (out.size() >= MOST_AT_ONCE) {
+    sending[peer] = true;
+    List<String> batch = new ArrayList<>();
+    for (Object2LongMap.Entry<String> entry : jobs.object2LongEntrySet()) {
+      if (batch.size() >= MAX_BATCH) {
         break;
       }
-      out.add(e.getKey());
+      batch.add(entry.getKey());
     }
-    return out;
+    return batch;
   }
 
-  /** The message is over; what was not acknowledged is told again. */
-  public void answered(int peer, List<String> jobs, boolean acknowledged) {
-    busy[peer] = false;
+  /** Ends a message to a peer; its jobs are sent again unless they were acknowledged. */
+  public void completeBatch(int peer, List<String> jobs, boolean acknowledged) {
+    sending[peer] = false;
     if (acknowledged) {
-      jobs.forEach(untold.get(peer)::removeLong);
+      jobs.forEach(pending.get(peer)::removeLong);
     }
   }
 
-  /** How many are to be told to a peer. */
-  public int untold(int peer) {
-    return untold.get(peer).size();
+  /** Number of notices that are kept for a peer. */
+  public int pendingCount(int peer) {
+    return pending.get(peer).size();
   }
 }
--- a/src/main/java/org/mallowroad/core/cancellation/package-info.java
+++ b/src/main/java/org/mallowroad/core/cancellation/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Cancellations: how old a leader's view of them is, and whom a node that learnt of one still has
- * to tell (docs/cancellation.md).
+ * Cancellations: the age of a leader's view of them, which bounds how long cancelled tasks run, and
+ * the notices by which a node tells its peers of them sooner (docs/cancellation.md).
+ *
+ * <p>The classes do no I/O, have no clock, and are confined to the controller's event loop.
  */
 package org.mallowroad.core.cancellation;
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -19,46 +19,46 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
 
-/** How many jobs are admitted while records lag, and when they count as lagging. */
+/** How many jobs are admitted while commits lag, and when they are lagging. */
 final class AdmissionTest {
-  private static final class Here {
+  private static final class Fixture {
     private long now;
     private final Admission admission = new Admission(0);
 
-    /** Offers so many jobs a second; returns how many were admitted. */
+    /** Offers that many jobs a second; returns how many were admitted. */
     private int offer(int seconds, int aSecond, boolean lag, boolean refusals) {
       int admitted = 0;
       for (int s = 0; s < seconds; s++) {
         for (int i = 0; i < aSecond; i++) {
           now += 1_000 / aSecond;
-          admitted += admission.admits(now) ? 1 : 0;
+          admitted += admission.tryAdmit(now) ? 1 : 0;
         }
-        admission.stateService(refusals, now);
+        admission.recordStateService(refusals, now);
         if (lag) {
-          admission.overloaded(now);
+          admission.recordOverload(now);
         }
       }
       return admitted;
     }
   }
 
-  private static DynamicTest rule(String name, Consumer<Here> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new Here()));
+  private static DynamicTest testCase(String name, Consumer<Fixture> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new Fixture()));
   }
 
   @TestFactory
   Stream<DynamicTest> admission() {
     return Stream.of(
-        rule(
-            "without word of a lag all are admitted, and refusals of a few seconds change nothing",
+        testCase(
+            "without an overload all jobs are admitted, also with refusals of a few seconds",
             h -> {
               assertEquals(300, h.offer(30, 10, false, false));
               assertEquals(30, h.offer(3, 10, false, true));
               assertEquals(300, h.offer(30, 10, false, false));
-              assertFalse(h.admission.limited());
+              assertFalse(h.admission.isLimited());
             }),
-        rule(
-            "a lag that lasts brings the rate down, step by step, and never to nothing",
+        testCase(
+            "a lasting overload lowers the rate step by step, and never to zero",
             h -> {
               h.offer(20, 10, false, false);
               int first = h.offer(12, 10, true, false);
@@ -66,8 +66,8 @@
               assertTrue(first < 90, "first: " + first);
               assertTrue(later < 20 && later >= 2, "later: " + later);
             }),
-        rule(
-            "once the records keep up the rate rises, and at last nothing is limited",
+        testCase(
+            "without the overload the rate rises, and the limit ends",
             h -> {
               h.offer(20, 5, false, false);
               h.offer(10, 5, true, false);
@@ -75,20 +75,20 @@
               int b = h.offer(20, 5, false, false);
               assertTrue(b > a, a + " then " + b);
               h.offer(120, 5, false, false);
-              assertFalse(h.admission.limited());
+              assertFalse(h.admission.isLimited());
             }),
-        rule(
-            "a state service that refuses for long counts as a lag",
+        testCase(
+            "lasting refusals by the state service are an overload",
             h -> {
               h.offer(20, 10, false, false);
               h.offer(14, 10, false, true);
-              assertTrue(h.admission.limited());
-              assertTrue(h.admission.refused() > 0);
+              assertTrue(h.admission.isLimited());
+              assertTrue(h.admission.refusedCount() > 0);
             }));
   }
 
-  /** A fleet of one large machine, on which so many tasks are to be recorded. */
-  private static SchedulerState recording(int tasks, int priority, long now) {
+  /** A fleet of one large machine, on which that many starts are to be committed. */
+  private static SchedulerState committing(int tasks, int priority, long now) {
     NameIndex zones = new NameIndex();
     zones.intern("a");
     SchedulerState schedulerState =
@@ -124,28 +124,44 @@
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          RecordLag lag = new RecordLag();
+          CommitLag lag = new CommitLag();
           for (long now = 0; now <= afterMs; now += 1_000) {
-            lag.look(schedulerState, now >= servedFromMs, now);
+            lag.measure(schedulerState, now >= servedFromMs, now);
           }
-          assertEquals(overloaded, lag.overloaded());
+          assertEquals(overloaded, lag.isOverloaded());
         });
   }
 
   @TestFactory
-  Stream<DynamicTest> recordLag() {
+  Stream<DynamicTest> commitLag() {
     return Stream.of(
-        lag("a burst that is recorded within seconds", recording(200, 1, 0), 9_000, false),
-        lag("most attempts wait for records", recording(200, 1, 0), 11_000, true),
-        lag("a few starts wait for longer than any burst", recording(5, 1, 0), 16_000, true),
-        lag("a few starts wait for seconds", recording(5, 1, 0), 10_000, false),
         lag(
-            "what waited in an outage counts from its end",
-            recording(5, 1, 0),
-            20_000,
-            30_000,
+            "a burst that is committed within seconds is no overload",
+            committing(200, 1, 0),
+            9_000,
             false),
-        lag("and then as ever", recording(5, 1, 0), 20_000, 36_000, true),
-        lag("idle work waits by design", recording(200, 3, 0), 60_000, false));
+        lag(
+            "many attempts that wait for their commits are an overload",
+            committing(200, 1, 0),
+            11_000,
+            true),
+        lag(
+            "a few starts that wait longer than in any burst are an overload",
+            committing(5, 1, 0),
+            16_000,
+            true),
+        lag(
+            "a few starts that wait for seconds are no overload",
+            committing(5, 1, 0),
+            10_000,
+            false),
+        lag("waits count from the end of an outage", committing(5, 1, 0), 20_000, 30_000, false),
+        lag(
+            "long waits after an outage are an overload",
+            committing(5, 1, 0),
+            20_000,
+            36_000,
+            true),
+        lag("waits of idle-priority jobs are no overload", committing(200, 3, 0), 60_000, false));
   }
 }
--- a/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
+++ b/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
@@ -11,88 +11,88 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** When a leader may renew leases, and whom a node still has to tell. */
+/** When a leader may renew leases, and which notices a node still has to send. */
 final class CancellationViewTest {
   private static DynamicTest view(String name, Consumer<CancellationView> test) {
     return DynamicTest.dynamicTest(name, () -> test.accept(new CancellationView(10_000)));
   }
 
   @TestFactory
-  Stream<DynamicTest> ages() {
+  Stream<DynamicTest> viewAge() {
     return Stream.of(
         view(
-            "before the first reading it is stale at any time",
+            "the view is stale before the first reading is applied",
             v -> {
-              assertTrue(v.stale(0));
-              v.answered(100);
-              assertTrue(v.stale(101));
+              assertTrue(v.isStale(0));
+              v.beginReading(100);
+              assertTrue(v.isStale(101));
             }),
         view(
-            "it counts from the sending, and the last moment is a moment more than it may be old",
+            "the age counts from the sending, and the view is stale above the maximum age",
             v -> {
-              v.answered(1_000).applied();
+              v.beginReading(1_000).markApplied();
               assertEquals(5_000, v.ageMs(6_000));
-              assertEquals(false, v.stale(11_000));
-              assertTrue(v.stale(11_001));
+              assertEquals(false, v.isStale(11_000));
+              assertTrue(v.isStale(11_001));
             }),
         view(
-            "a reading does not count before what it made the leader read",
+            "a reading does not count before its further reads are applied",
             v -> {
-              v.answered(1_000).applied();
-              CancellationView.Reading r = v.answered(5_000);
-              r.waitsForOneMore();
-              r.waitsForOneMore();
-              r.applied();
-              r.applied();
-              assertTrue(v.stale(11_001));
-              r.applied();
+              v.beginReading(1_000).markApplied();
+              CancellationView.Reading r = v.beginReading(5_000);
+              r.awaitAnother();
+              r.awaitAnother();
+              r.markApplied();
+              r.markApplied();
+              assertTrue(v.isStale(11_001));
+              r.markApplied();
               assertEquals(6_001, v.ageMs(11_001));
             }),
         view(
             "a later reading does not count before an earlier one that is not applied",
             v -> {
-              v.answered(1_000).applied();
-              CancellationView.Reading first = v.answered(5_000);
-              v.answered(9_000).applied();
-              assertTrue(v.stale(11_001));
-              first.applied();
+              v.beginReading(1_000).markApplied();
+              CancellationView.Reading first = v.beginReading(5_000);
+              v.beginReading(9_000).markApplied();
+              assertTrue(v.isStale(11_001));
+              first.markApplied();
               assertEquals(2_001, v.ageMs(11_001));
             }),
         view(
-            "an answer to an older request makes it no older",
+            "an answer to an older request does not age the view",
             v -> {
-              v.answered(5_000).applied();
-              v.answered(4_000).applied();
+              v.beginReading(5_000).markApplied();
+              v.beginReading(4_000).markApplied();
               assertEquals(0, v.ageMs(5_000));
             }),
         view(
-            "readings that wait are bounded, and none of them is lost",
+            "pending readings are bounded, and none of them is lost",
             v -> {
-              v.answered(0).applied();
+              v.beginReading(0).markApplied();
               List<CancellationView.Reading> all =
                   Stream.iterate(1L, i -> i + 1)
-                      .limit(3L * CancellationView.MOST_READINGS)
-                      .map(v::answered)
+                      .limit(3L * CancellationView.MAX_READINGS)
+                      .map(v::beginReading)
                       .toList();
-              all.subList(1, all.size()).forEach(CancellationView.Reading::applied);
+              all.subList(1, all.size()).forEach(CancellationView.Reading::markApplied);
               assertEquals(300, v.ageMs(300));
-              all.get(0).applied();
-              assertEquals(300 - 3L * CancellationView.MOST_READINGS, v.ageMs(300));
+              all.get(0).markApplied();
+              assertEquals(300 - 3L * CancellationView.MAX_READINGS, v.ageMs(300));
             }));
   }
 
-  /** The sum of the proof, for settings of all kinds and clocks that drift: never beyond it. */
+  /** The inequality of the proof holds for random settings and clocks that drift. */
   @Test
-  void whatIsAnsweredAtTheLastMomentIsGoneInTime() {
+  void leaseRenewedAtTheMaximumAgeEndsWithinTheCancellationTime() {
     SplittableRandom r = new SplittableRandom(7);
     for (int i = 0; i < 100_000; i++) {
       double lease = 1 + r.nextDouble() * 100;
       double cancel = lease + r.nextDouble() * 100;
-      double age = CancellationView.mostAgeMs(lease, cancel) / 1000.0;
+      double age = CancellationView.maxAgeMs(lease, cancel) / 1000.0;
       double here = 1 + (r.nextDouble() - 0.5) * 0.001;
       double worker = 1 + (r.nextDouble() - 0.5) * 0.001;
       if (age > 0) {
-        // True time: the age by this node's clock, the lease by the worker's.
+        // True time: the age is by this node's clock, the lease by the worker's.
         double gone = age / here + lease / worker + CancellationView.MARGIN_MS / 1000.0;
         assertTrue(gone <= cancel, lease + " " + cancel + " " + gone);
         assertTrue(gone > cancel * 0.997 - 0.4, "more is given away than clocks can drift");
@@ -106,45 +106,45 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> whoIsToldWhat() {
+  Stream<DynamicTest> pendingNotices() {
     return Stream.of(
         notices(
-            "each peer until it has taken it, one message at a time",
+            "each peer is sent a notice until it acknowledges, one message at a time",
             n -> {
-              n.learnt("a", 0);
-              assertEquals(List.of("a"), n.take(0, 1));
-              n.learnt("b", 1);
-              assertEquals(List.of(), n.take(0, 2));
-              n.answered(0, List.of("a"), false);
-              assertEquals(List.of("a", "b"), n.take(0, 3));
-              n.answered(0, List.of("a", "b"), true);
-              assertEquals(List.of(), n.take(0, 4));
-              assertEquals(List.of("a", "b"), n.take(1, 4));
+              n.add("a", 0);
+              assertEquals(List.of("a"), n.takeBatch(0, 1));
+              n.add("b", 1);
+              assertEquals(List.of(), n.takeBatch(0, 2));
+              n.completeBatch(0, List.of("a"), false);
+              assertEquals(List.of("a", "b"), n.takeBatch(0, 3));
+              n.completeBatch(0, List.of("a", "b"), true);
+              assertEquals(List.of(), n.takeBatch(0, 4));
+              assertEquals(List.of("a", "b"), n.takeBatch(1, 4));
             }),
         notices(
-            "one peer alone",
+            "a notice may be for one peer only",
             n -> {
-              n.learnt(1, "a", 0);
-              assertEquals(List.of(), n.take(0, 1));
-              assertEquals(List.of("a"), n.take(1, 1));
+              n.add(1, "a", 0);
+              assertEquals(List.of(), n.takeBatch(0, 1));
+              assertEquals(List.of("a"), n.takeBatch(1, 1));
             }),
         notices(
-            "not for ever",
+            "notices expire",
             n -> {
-              n.learnt("a", 0);
-              n.learnt("b", 5_000);
-              n.learnt("a", 9_000);
-              assertEquals(List.of("b"), n.take(0, 10_001));
+              n.add("a", 0);
+              n.add("b", 5_000);
+              n.add("a", 9_000);
+              assertEquals(List.of("b"), n.takeBatch(0, 10_001));
             }),
         notices(
-            "no more than a peer's table and a message hold",
+            "the notices of a peer and of a message are bounded",
             n -> {
-              for (int i = 0; i < PendingCancellationNotices.MOST + 10; i++) {
-                n.learnt("j" + i, 0);
+              for (int i = 0; i < PendingCancellationNotices.MAX_PENDING + 10; i++) {
+                n.add("j" + i, 0);
               }
-              assertEquals(PendingCancellationNotices.MOST, n.untold(0));
-              List<String> first = n.take(0, 1);
-              assertEquals(PendingCancellationNotices.MOST_AT_ONCE, first.size());
+              assertEquals(PendingCancellationNotices.MAX_PENDING, n.pendingCount(0));
+              List<String> first = n.takeBatch(0, 1);
+              assertEquals(PendingCancellationNotices.MAX_BATCH, first.size());
               assertEquals("j10", first.get(0));
             }));
   }
