--- a/src/main/java/org/mallowroad/controller/CancellationPropagation.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -7,9 +7,9 @@
 import org.mallowroad.peer.PeerMessenger;
 
 /**
- * Tells the other controllers of cancellations that this one learnt of, until they have accepted
- * the message or {@code cancel_s} is over: by then the workers' leases have done the same. What a
- * peer told goes on to the leader alone, once, since its sender may not reach the leader.
+ * Notifies the other controllers of cancellations that this one learnt of, until they have accepted
+ * the message or {@code cancel_s} is over: by then the workers' leases have expired. What a peer
+ * reported is passed on to the leader alone, once, since its sender may not reach the leader.
  *
  * <p>Runs on the event loop only.
  */
@@ -44,7 +44,10 @@
     this.isScheduled = new boolean[peerNames.size()];
   }
 
-  /** This node learnt of a cancellation: all peers are told or, of a peer's, only the leader. */
+  /**
+   * This node learnt of a cancellation: notifies all peers or, where a peer reported it, only the
+   * leader.
+   */
   void learnt(String job, String leader) {
     for (int peer = 0; peer < peerNames.size(); peer++) {
       if (!isHandlingPeerMessage || peerNames.get(peer).equals(leader)) {
@@ -54,7 +57,7 @@
     }
   }
 
-  /** A peer told of cancellations; {@code listener} may call {@link #learnt} for each. */
+  /** A peer reported cancellations; {@code listener} may call {@link #learnt} for each. */
   void received(List<String> jobs, EndListener listener) {
     isHandlingPeerMessage = true;
     try {
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -60,7 +60,7 @@
     settingsClasses = classes.size();
   }
 
-  /** How many names of images, classes and types are known, whoever made them up. */
+  /** The number of known names of images, classes and types. */
   int nameCount() {
     return images.size() + classes.size() + types.size();
   }
--- a/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -17,7 +17,7 @@
  * <p>Runs on the event loop only.
  */
 final class DeferredHeartbeats {
-  /** Half of what a worker waits: the rest is for the way, also by a peer. */
+  /** Half of a worker's time-out: the rest is for the network, also by way of a peer. */
   private static final long MAX_DEFERRAL_MS = 2_000;
 
   /** As many workers as one leader can answer; those beyond are turned away at once. */
@@ -27,12 +27,12 @@
   private static final int HEARTBEATS_PER_TURN = 24;
 
   private record Deferred(
-      Heartbeat heartbeat, int via, HeartbeatResponder responder, long receivedMs) {}
+      Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder, long receivedMs) {}
 
   /** Answers a deferred heartbeat in the end. */
   interface Handler {
     /** Handles the heartbeat as one that came just now. */
-    void handle(Heartbeat heartbeat, int via, HeartbeatResponder responder);
+    void handle(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder);
   }
 
   /** By machine, in the order in which they came. */
@@ -47,7 +47,7 @@
    * Defers a heartbeat. An older one of the same machine is turned away: its worker has given it
    * up.
    */
-  void add(Heartbeat heartbeat, int via, HeartbeatResponder responder, long now) {
+  void add(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder, long now) {
     Deferred before = deferred.remove(heartbeat.machine());
     if (before != null) {
       before.responder.retryLater();
@@ -56,7 +56,7 @@
       responder.retryLater();
       return;
     }
-    deferred.put(heartbeat.machine(), new Deferred(heartbeat, via, responder, now));
+    deferred.put(heartbeat.machine(), new Deferred(heartbeat, relayPeer, responder, now));
   }
 
   /** Turns away the workers whose heartbeat was deferred for long enough. */
@@ -87,7 +87,7 @@
   private static void drainSome(EventLoop loop, Deque<Deferred> all, Handler handler) {
     for (int i = 0; i < HEARTBEATS_PER_TURN && !all.isEmpty(); i++) {
       Deferred d = all.poll();
-      handler.handle(d.heartbeat, d.via, d.responder);
+      handler.handle(d.heartbeat, d.relayPeer, d.responder);
     }
     if (!all.isEmpty()) {
       loop.soon(() -> drainSome(loop, all, handler));
--- a/src/main/java/org/mallowroad/controller/DirectCommandSender.java
+++ b/src/main/java/org/mallowroad/controller/DirectCommandSender.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Sends what the machines in the outbox wait for. Without a valid lease only stops are sent: a
-   * launch needs a leader that is one, a stop only ends what it names.
+   * Sends the commands that wait for a machine. Without a valid lease only stops are sent: a launch
+   * is allowed to the current leader only, a stop ends nothing but the attempt that it names.
    */
   void sendOutbox() {
     boolean isLeaseValid = context.lease().isValid();
--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -17,10 +17,10 @@
 
 /**
  * Answers the heartbeats of workers in one term. A heartbeat that may be followed by new work waits
- * a moment for its answer, so that the answer carries the launches. Runs on the event loop only.
+ * a moment for its answer, so that the answer includes the launches. Runs on the event loop only.
  */
 final class HeartbeatHandler {
-  /** An answer waits this long at the most for the commit of the starts that it is to carry. */
+  /** An answer is delayed by this at most, for the commit of the starts that it is to include. */
   private static final long MAX_REPLY_DELAY_MS = 300;
 
   /** The parts of the leader that heartbeats concern. */
@@ -68,9 +68,9 @@
   /**
    * Answers a heartbeat, now or in a moment.
    *
-   * @param via the peer that relayed it, or -1
+   * @param relayPeer the peer that relayed it, or -1
    */
-  void handle(Heartbeat heartbeat, int via, HeartbeatResponder responder) {
+  void handle(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder) {
     long now = loop.now();
     parts.responder.turn(now);
     if (context.lifecycle().isStopped()) {
@@ -78,9 +78,9 @@
       return;
     }
     if (context.lifecycle().isRecovering()) {
-      // An answer before the records are read stops nothing that was cancelled, whoever gives it.
+      // No controller may answer before the records are read: it would stop no cancelled task.
       parts.isolation.heartbeatReceived(now);
-      deferred.add(heartbeat, via, responder, now);
+      deferred.add(heartbeat, relayPeer, responder, now);
       return;
     }
     if (mustNotAnswer(heartbeat, now)) {
@@ -101,7 +101,7 @@
       responder.respond(machine.fencingToken, List.of());
       return;
     }
-    recordContact(machine, via, now);
+    recordContact(machine, relayPeer, now);
     parts.placement.requestPass();
     if (!mayGetWorkSoon(machine)) {
       responder.respond(machine.fencingToken, commands);
@@ -111,7 +111,7 @@
     new PendingHeartbeatReply(heartbeat, machine, commands, responder).await();
   }
 
-  /** True while an answer could keep a worker's lease alive that must be let run out. */
+  /** True while an answer could renew a worker's lease that has to expire. */
   private boolean mustNotAnswer(Heartbeat heartbeat, long now) {
     return context.cancellationView().isStale(now)
         || parts.responder.unsure(context.lease().renewedMs(), now)
@@ -119,15 +119,15 @@
             && parts.responder.sendRound(heartbeat, now));
   }
 
-  private void recordContact(Machine machine, int via, long now) {
+  private void recordContact(Machine machine, int relayPeer, long now) {
     parts.isolation.heartbeatReceived(now);
-    parts.responder.came(machine.zone, via < 0, now);
+    parts.responder.came(machine.zone, relayPeer < 0, now);
     parts.provisioner.reported(machine);
-    machine.relayPeer = via;
+    machine.relayPeer = relayPeer;
     parts.responder.reported(machine, loop.now());
   }
 
-  /** Work may come the machine's way in a moment: then its answer can carry the launches. */
+  /** The next placement pass may start tasks there: the answer can then include their launches. */
   private boolean mayGetWorkSoon(Machine machine) {
     return context.lease().isValid()
         && schedulerState.canReceiveTasks(machine, loop.now())
@@ -145,7 +145,7 @@
         heartbeat.machine(), type, zone, heartbeat.spot(), loop.now());
   }
 
-  /** A heartbeat whose answer waits a moment for the commit of the starts it is to carry. */
+  /** A heartbeat whose answer is delayed until the starts that it is to include are committed. */
   private final class PendingHeartbeatReply {
     private final Heartbeat heartbeat;
     private final Machine machine;
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -7,17 +7,14 @@
 import org.mallowroad.controller.dependency.FoldMaintenance;
 import org.mallowroad.controller.persistence.StateLoader;
 import org.mallowroad.controller.persistence.WriteBehindCommitter;
-import org.mallowroad.controller.persistence.WriteRateLimiter;
 import org.mallowroad.controller.provisioning.FailureResponder;
 import org.mallowroad.controller.provisioning.MachineProvisioner;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.admission.CommitLag;
 import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
-import org.mallowroad.net.RateLimiter;
 import org.mallowroad.state.RecordKeys;
 import org.mallowroad.state.Transaction;
 import org.mallowroad.state.VersionedValue;
@@ -26,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership: reads the records of the term before, then places tasks, answers workers
+ * One term of leadership: reads the records of the previous term, then places tasks, answers workers
  * and sizes the fleet until it is stopped. Connects the parts that do so ({@link PlacementLoop},
  * {@link HeartbeatHandler}, {@link DirectCommandSender}, {@link WriteBehindCommitter}, {@link
  * MachineProvisioner} and others) and drives the term's life cycle.
@@ -36,23 +33,6 @@
 final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
   private static final long TICK_INTERVAL_MS = 250;
-  private static final long COMMIT_LAG_INTERVAL_MS = 1_000;
-  private static final long LOAD_LOG_INTERVAL_MS = 10_000;
-  private static final long OBJECTIVE_LOG_INTERVAL_MS = 60_000;
-
-  /**
-   * The leader's first share of the state service's writes per second; {@link WriteRateLimiter}
-   * adapts it.
-   */
-  private static final double INITIAL_WRITE_SHARE = 0.75;
-
-  /** The burst that the leader may write at once, as a share of the writes per second. */
-  private static final double WRITE_BURST_SHARE = 0.7;
-
-  /** The largest transaction, as a share of the writes per second. */
-  private static final double MAX_TRANSACTION_SHARE = 0.8;
-
-  private static final int MIN_TRANSACTION_WRITES = 4;
 
   private final LeaderServices services;
   private final EventLoop loop;
@@ -65,9 +45,7 @@
   private final LeaderLifecycle lifecycle;
   private final SchedulerState schedulerState;
   private final FailureResponder responder;
-  private final int maxTransactionWrites;
-  private final RateLimiter writes;
-  private final WriteRateLimiter writeRateLimiter;
+  private final WriteBudget writeBudget;
   private final WriteBehindCommitter committer;
   private final PlacementLoop placement;
   private final DependencyGateController dependencyGates;
@@ -77,18 +55,15 @@
   private final LeaderIsolationDetector isolation;
   private final HeartbeatHandler heartbeats;
   private final DirectCommandSender directCommands;
-  private final ObjectiveLogger objectives;
-  private final LoadLogger loadLogger;
-  private final CommitLag commitLag = new CommitLag();
+  private final LeaderMonitor monitor;
   private final List<EventLoop.Timer> timers = new ArrayList<>();
-  private boolean isCancellationViewStale;
 
-  /** What a leader tells its node. */
+  /** Notified of what the node has to do for its leader. */
   interface Listener {
-    /** The records of the term before are read, and what they demanded is written. */
+    /** The records of the previous term are read, and a lease has passed since. */
     void recovered();
 
-    /** There is more to commit than the state service takes; told once a second. */
+    /** There is more to commit than the state service takes; called once a second. */
     void overloaded();
 
     /** A job's end as done is committed. */
@@ -107,14 +82,7 @@
     this.context = LeaderContext.begin(services, term);
     this.lifecycle = context.lifecycle();
     this.schedulerState = context.schedulerState();
-    this.maxTransactionWrites = maxTransactionWrites(settings);
-    double writeRps = settings.stateWriteRps();
-    this.writes =
-        new RateLimiter(
-            writeRps * INITIAL_WRITE_SHARE,
-            Math.max(maxTransactionWrites, writeRps * WRITE_BURST_SHARE),
-            loop.now());
-    this.writeRateLimiter = new WriteRateLimiter(writeRps, writes, loop.now());
+    this.writeBudget = WriteBudget.begin(settings, loop.now());
     this.placement = new PlacementLoop(context, this::placeAndCommit);
     this.responder = newFailureResponder();
     this.committer = newCommitter();
@@ -129,14 +97,7 @@
             new HeartbeatHandler.Parts(responder, provisioner, committer, isolation, placement));
     this.directCommands =
         new DirectCommandSender(context, heartbeats::hasPendingReply, placement::requestPass);
-    this.objectives = new ObjectiveLogger(clusterConfig);
-    this.loadLogger = new LoadLogger(context, committer);
-  }
-
-  /** A transaction larger than the bucket would wait for ever, so the one bounds the other. */
-  private static int maxTransactionWrites(Settings settings) {
-    double bound = settings.stateWriteRps() * MAX_TRANSACTION_SHARE;
-    return (int) Math.max(MIN_TRANSACTION_WRITES, Math.min(settings.txnOps(), bound));
+    this.monitor = new LeaderMonitor(context, committer, listener::overloaded);
   }
 
   private FailureResponder newFailureResponder() {
@@ -153,11 +114,11 @@
     return new WriteBehindCommitter(
         loop,
         services.state(),
-        writes,
+        writeBudget.limiter(),
         schedulerState,
         clusterConfig.zones,
         term.leaderKeyVersion(),
-        maxTransactionWrites,
+        writeBudget.maxTransactionWrites(),
         new CommitListener());
   }
 
@@ -177,8 +138,8 @@
         loop,
         services.state(),
         services.folding(),
-        writes,
-        maxTransactionWrites,
+        writeBudget.limiter(),
+        writeBudget.maxTransactionWrites(),
         term.leaderKeyVersion());
   }
 
@@ -204,8 +165,8 @@
         clusterConfig.objectives,
         schedulerState,
         responder,
-        writes,
-        maxTransactionWrites,
+        writeBudget.limiter(),
+        writeBudget.maxTransactionWrites(),
         term.number(),
         term.leaderKeyVersion(),
         new ProvisioningListener());
@@ -246,7 +207,7 @@
     return lifecycle.isActive();
   }
 
-  /** True while the lease was renewed so recently that it holds. */
+  /** True while the leader's lease at the state service is still valid. */
   boolean isLeaseValid() {
     return context.lease().isValid();
   }
@@ -258,7 +219,7 @@
 
   /** The age of the view of cancellations, or -1 before there is one: for metrics. */
   long cancellationViewAgeMs() {
-    return lifecycle.isServing() ? context.cancellationView().ageMs(loop.now()) : -1;
+    return monitor.cancellationViewAgeMs();
   }
 
   /** Every controller reads shared records of starts: small jobs have them from now on. */
@@ -266,12 +227,13 @@
     int valueBytes = (int) (settings.valueKb() * 1024);
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(maxTransactionWrites), valueBytes);
+        .enable(
+            WriteBehindCommitter.mostSharedMembers(writeBudget.maxTransactionWrites()), valueBytes);
   }
 
   /** Begins to read the records of the term before. */
   void start() {
-    timers.add(loop.every(TICK_INTERVAL_MS, this::heartbeatTick));
+    timers.add(loop.every(TICK_INTERVAL_MS, this::detectPauses));
     stateLoader.begin();
   }
 
@@ -279,7 +241,7 @@
    * Runs from the first moment on, or a takeover that waits for its lists would look like a pause
    * of the process.
    */
-  private void heartbeatTick() {
+  private void detectPauses() {
     responder.turn(loop.now());
     responder.beat();
     heartbeats.expireDeferred(loop.now());
@@ -289,6 +251,7 @@
   void stop() {
     lifecycle.stop();
     timers.forEach(EventLoop.Timer::cancel);
+    monitor.stop();
     stateLoader.stop();
     dependencyGates.stop();
     folds.stop();
@@ -298,8 +261,8 @@
   }
 
   /** Answers a worker's heartbeat ({@link HeartbeatHandler#handle}). */
-  void handleHeartbeat(Heartbeat heartbeat, int via, HeartbeatResponder responder) {
-    heartbeats.handle(heartbeat, via, responder);
+  void handleHeartbeat(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder) {
+    heartbeats.handle(heartbeat, relayPeer, responder);
   }
 
   /**
@@ -311,7 +274,7 @@
         && !job.isCancelled()
         && !job.isEnded()
         && !schedulerState.jobsToComplete().contains(job)) {
-      LOG.info("event=cancellation_told job={} view_ms={}", id, cancellationViewAgeMs());
+      LOG.info("event=cancellation_received job={} view_age_ms={}", id, cancellationViewAgeMs());
       committer.cancelled(job);
       placement.requestPass();
     }
@@ -319,7 +282,7 @@
 
   private void recovered(int records, List<VersionedValue> rentRequests) {
     lifecycle.recovered();
-    // After a lease: what a takeover has to write itself goes first.
+    // Delayed by a lease: the writes of the takeover itself go first.
     loop.after(
         (long) (settings.leaseS() * 1000),
         () -> {
@@ -333,7 +296,7 @@
     rentRequests.forEach(
         i -> provisioner.restore(i.key().substring(RecordKeys.RENTALS.length()), i.value()));
     LOG.info(
-        "event=takeover term={} jobs={} records={} hires={} ms={}",
+        "event=takeover term={} jobs={} records={} rent_requests={} ms={}",
         term.number(),
         schedulerState.jobs().size(),
         records,
@@ -342,28 +305,32 @@
     heartbeats.recovered();
     context.load().ticksBegin(loop.now());
     timers.add(loop.every(TICK_INTERVAL_MS, this::tick));
-    timers.add(loop.every(COMMIT_LAG_INTERVAL_MS, this::checkCommitLag));
-    timers.add(loop.every(LOAD_LOG_INTERVAL_MS, this::logLoad));
-    timers.add(loop.every(OBJECTIVE_LOG_INTERVAL_MS, this::logObjectives));
+    monitor.start();
   }
 
   private void tick() {
     long now = loop.now();
-    writeRateLimiter.turn(now);
+    writeBudget.share().turn(now);
     context.load().tick(now, TICK_INTERVAL_MS);
     if (isolation.isCutOffFromWorkers(now)) {
       // Nobody else can end this leadership: its lease is renewed, and no worker can carry a higher
       // term to it. Meanwhile the workers' leases run out at the nodes that send them here.
-      LOG.warn("event=workers_not_heard term={} ms={}", term.number(), isolation.silenceMs(now));
+      LOG.warn(
+          "event=heartbeats_missing term={} silence_ms={}",
+          term.number(),
+          isolation.silenceMs(now));
       election.resign();
       return;
     }
     if (!lifecycle.isActive() && now - context.startedMs() > firstHeartbeatsMs()) {
       lifecycle.activate();
-      LOG.info("event=acting term={} machines={}", term.number(), schedulerState.machines().size());
+      LOG.info(
+          "event=leader_active term={} machines={}",
+          term.number(),
+          schedulerState.machines().size());
       provisioner.act();
     }
-    logCancellationView(now);
+    monitor.checkCancellationView(now);
     schedulerState.expireLeases(now);
     if (isLeaseValid()) {
       context.taskScheduler().drain(now);
@@ -385,39 +352,6 @@
     directCommands.sendOutbox();
   }
 
-  private void checkCommitLag() {
-    boolean wasOverloaded = commitLag.isOverloaded();
-    boolean isStateServing = isLeaseValid() && !services.state().health().isFailing();
-    commitLag.measure(schedulerState, isStateServing, loop.now());
-    if (commitLag.isOverloaded()) {
-      listener.overloaded();
-    }
-    if (commitLag.isOverloaded() != wasOverloaded) {
-      LOG.warn(
-          "event={} term={}", wasOverloaded ? "records_keep_up" : "records_lag", term.number());
-    }
-  }
-
-  private void logCancellationView(long now) {
-    if (context.cancellationView().isStale(now) != isCancellationViewStale) {
-      isCancellationViewStale = !isCancellationViewStale;
-      LOG.warn(
-          "event={} term={} view_ms={}",
-          isCancellationViewStale ? "view_stale" : "view_fresh",
-          term.number(),
-          cancellationViewAgeMs());
-    }
-  }
-
-  private void logLoad() {
-    loadLogger.log();
-    clusterConfig.forgetUnusedNames(schedulerState);
-  }
-
-  private void logObjectives() {
-    objectives.logAttainment(schedulerState.jobs(), loop.now());
-  }
-
   private final class CommitListener implements WriteBehindCommitter.Events {
     @Override
     public void deposed() {
@@ -448,7 +382,7 @@
     public void ended(Job job, boolean done) {
       dependencyGates.jobEnded(job, done);
       if (done) {
-        objectives.jobDone(job, loop.now());
+        monitor.jobDone(job);
         listener.jobDone(job);
       }
     }
@@ -484,12 +418,12 @@
 
     @Override
     public void accepted() {
-      writeRateLimiter.accepted();
+      writeBudget.share().accepted();
     }
 
     @Override
     public void cancelled() {
-      writeRateLimiter.cancelled();
+      writeBudget.share().cancelled();
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/LeaderContext.java
+++ b/src/main/java/org/mallowroad/controller/LeaderContext.java
@@ -10,7 +10,7 @@
 /**
  * What all parts of a {@link Leader} share for one term.
  *
- * @param services what the node lends to the leader
+ * @param services clients and configuration of the node
  * @param term the term
  * @param startedMs when the term began, on the steady clock
  * @param lifecycle the state of the term
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -84,9 +84,9 @@
   }
 
   /**
-   * True when this leader's lease must be over and no peer is heard: then it is cut off, and
-   * another leads; or the state service is away and so are the peers. Nothing here tells the two
-   * apart, but a worker that asks the other nodes does ({@link FailureResponder#sendRound}).
+   * True when this leader's lease must have expired and no peer is reachable. Either it is cut off
+   * and another node leads, or the state service and the peers are down. This node cannot tell the
+   * two apart, but a worker that asks the other nodes can ({@link FailureResponder#sendRound}).
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
--- a/src/main/java/org/mallowroad/controller/LeaderLease.java
+++ b/src/main/java/org/mallowroad/controller/LeaderLease.java
@@ -22,7 +22,7 @@
     this.election = election;
   }
 
-  /** True while the lease was renewed so recently that it holds. */
+  /** True while the lease was renewed so recently that it cannot have expired. */
   boolean isValid() {
     return loop.now() - election.renewedMs() < VALID_AFTER_RENEWAL_MS;
   }
--- a/src/main/java/org/mallowroad/controller/LeaderServices.java
+++ b/src/main/java/org/mallowroad/controller/LeaderServices.java
@@ -9,7 +9,7 @@
 import org.mallowroad.worker.WorkerClient;
 
 /**
- * What a node lends to its leader: clients and configuration that live as long as the process, not
+ * Clients and configuration of the node that its leaders use. They live as long as the process, not
  * only for one term.
  *
  * @param loop the event loop on which everything of the node runs
@@ -19,7 +19,7 @@
  * @param election the election that made this node the leader
  * @param workers sends commands directly to workers
  * @param folding the fold ledger as users' requests see it
- * @param reachablePeers how many peers are heard at the moment; 0 where links are not monitored
+ * @param reachablePeers how many peers' advertisements are fresh; 0 where links are not monitored
  */
 record LeaderServices(
     EventLoop loop,
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -51,19 +51,19 @@
   private static final long CHECK_INTERVAL_MS = 250;
   private static final long PROBE_TIMEOUT_MS = 1_000;
 
-  /** A link that nothing used for so long is probed. */
+  /** A link that was not used for this long is probed. */
   private static final long IDLE_LINK_MS = 1_500;
 
-  /** After a start on a fraction of a core other things come first. */
+  /** Just after a start the processor is needed for other work. */
   private static final long FIRST_ADVERTISEMENT_DELAY_MS = 2_000;
 
   /** A failure that is shorter may be a brief interruption, and the node is not isolated yet. */
   private static final long ISOLATION_DELAY_MS = 3_000;
 
-  /** A node that others serve better than lets them campaign first for so long, for each reason. */
+  /** A node with broken links lets the others campaign first: this long for each kind of link. */
   private static final long ELECTION_HANDICAP_MS = 300;
 
-  /** What a leader learnt of its link to the workers holds for so long after. */
+  /** How long heartbeats that were only relayed count as a broken link to the workers. */
   private static final long WORKER_CONTACT_MEMORY_MS = 30_000;
 
   /** Lines about links in each {@link #LOG_PERIOD_MS}. */
@@ -92,10 +92,10 @@
   /** The node that has these links. */
   interface Listener {
     /** True while this node leads. */
-    boolean leading();
+    boolean isLeading();
 
     /** Answers a heartbeat that a peer relayed. */
-    void report(Heartbeat heartbeat, int via, HeartbeatResponder responder);
+    void handleHeartbeat(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder);
   }
 
   /** Over the direct ways to the external services. */
@@ -182,8 +182,8 @@
   }
 
   /**
-   * True when this node reaches neither the state service nor any peer: others that do serve users
-   * better. While peers are heard it passes users on to them, and in an outage they say so.
+   * True when this node reaches neither the state service nor any peer: users are better served by
+   * other nodes. While peers are reachable it relays users' requests to them.
    */
   boolean isIsolated() {
     long now = loop.now();
@@ -220,7 +220,7 @@
   }
 
   private void advertise() {
-    boolean isLeading = listener.leading();
+    boolean isLeading = listener.isLeading();
     // A leader's own term, not the tokens within it that single workers have.
     long term = isLeading ? election.leaderTerm() : election.highestSeenToken();
     transport.broadcastLinkState(links.advertise(term, isLeading, loop.now()));
@@ -234,8 +234,8 @@
       isProbingState = true;
       probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
     }
-    // Only the leader uses the cloud, and no detour is needed where nothing is asked.
-    if (cloud.route().takeProbe(now) && listener.leading()) {
+    // Only the leader uses the cloud; other nodes need no route to it.
+    if (cloud.route().takeProbe(now) && listener.isLeading()) {
       probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
     logChanges(now);
@@ -245,7 +245,7 @@
     for (LinkStateTable.LinkChange c : links.takeChanges()) {
       if (logLimiter.tryAcquire(now)) {
         LOG.warn(
-            "event={} from={} to={} before_ms={} by={} left_out={}",
+            "event={} from={} to={} lasted_ms={} reported_by={} suppressed={}",
             c.down() ? "link_down" : "link_up",
             c.from(),
             c.to(),
@@ -331,12 +331,12 @@
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
-      if (!listener.leading() || peer < 0) {
+      if (!listener.isLeading() || peer < 0) {
         redirect(answer);
         return;
       }
       heartbeatReceived(heartbeat, false);
-      listener.report(
+      listener.handleHeartbeat(
           heartbeat,
           peer,
           new HeartbeatResponder() {
@@ -362,7 +362,7 @@
     }
   }
 
-  /** The answer to a peer's call, which also tells how this node's own link is. */
+  /** The answer to a peer's call, which also shows the state of this node's own link. */
   private final class ForwardedAnswer implements RequestSender.ResponseHandler {
     private final ExternalLink link;
     private final RequestSender.ResponseHandler answer;
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -25,7 +25,7 @@
   void log() {
     logLoad();
     if (schedulerState.attemptsStarted() > 0) {
-      LOG.info("event=fetches {}", schedulerState.imageDistribution().figures());
+      LOG.info("event=image_fetches {}", schedulerState.imageDistribution().figures());
     }
     logCosts();
     context.load().beginInterval();
@@ -40,8 +40,8 @@
     }
     LoadStatistics load = context.load();
     LOG.info(
-        "event=load lag_ms={} reports={} direct={} passes={} pass_ms={} stops={} commits={} writes={}"
-            + " dirty={} urgent={} jobs={} waiting={} live={} machines={} heap_mb={} memory_mb={}",
+        "event=load loop_lag_ms={} heartbeats={} direct_commands={} placement_passes={}"
+            + " placement_ms={} preemptions={} commits={} writes={} uncommitted={} urgent={} jobs={} waiting={} live={} machines={} heap_mb={} memory_mb={}",
         load.loopLagMs(),
         load.heartbeats(),
         load.directCommands(),
@@ -64,7 +64,7 @@
     for (CostAccounting.Line l :
         schedulerState.costAccounting().lines(schedulerState.machines(), context.loop().now())) {
       LOG.info(
-          "event=spending type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
+          "event=machine_cost type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
           l.type(),
           l.spot(),
           l.machinesGone(),
--- a/src/main/java/org/mallowroad/controller/LoadStatistics.java
+++ b/src/main/java/org/mallowroad/controller/LoadStatistics.java
@@ -1,8 +1,7 @@
 package org.mallowroad.controller;
 
 /**
- * Counters of what the leader does between two lines of the log: how near the machine is to its
- * limit. Runs on the event loop only.
+ * Counters of the leader's work in a logging interval: how near the machine is to its limit. Runs on the event loop only.
  */
 final class LoadStatistics {
   private long lastTickMs;
@@ -34,7 +33,7 @@
     directCommands++;
   }
 
-  /** A placement pass took so long. */
+  /** A placement pass ended after so many nanoseconds. */
   void placementPassEnded(long nanos) {
     placementPasses++;
     placementNanos += nanos;
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The process ends: the leader stops, and nothing is begun any more. */
+  /** Stops the leader, if there is one, when the process ends. */
   void stop() {
     if (leader != null) {
       leader.stop();
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -36,7 +36,8 @@
   private static final long CLOUD_RETRY_MS = 500;
 
   /**
-   * The cloud has so long to answer itself; then the copy is read, and again until types are known.
+   * How long the cloud may take to answer before the copy is read, and the interval of reading it
+   * until types are known.
    */
   private static final long RESTORE_INTERVAL_MS = 1_000;
 
@@ -95,7 +96,7 @@
     try {
       List<MachineType> types = decode(item);
       if (!types.isEmpty()) {
-        LOG.info("event=types_recalled types={}", types.size());
+        LOG.info("event=machine_types_restored types={}", types.size());
         clusterConfig.replaceMachineTypes(types);
       }
     } catch (InvalidMessageException e) {
@@ -126,7 +127,7 @@
           }
           ObjectNode value = MachineTypeCodec.encode(types, clusterConfig.zones);
           if (Json.bytes(value).length > clusterConfig.settings.valueKb() * 1024) {
-            LOG.warn("event=types_not_kept reason=\"too large\"");
+            LOG.warn("event=machine_types_not_saved reason=\"too large\"");
             return;
           }
           // No retry: a write that is lost is made by the next term.
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -162,7 +162,7 @@
     long maxAgeMs = CancellationView.maxAgeMs(settings.leaseS(), settings.cancelS());
     if (maxAgeMs < SHORT_CANCELLATION_VIEW_MS) {
       // Kept even so; but a moment without the state service costs the fleet its leases.
-      LOG.warn("event=cancel_s_short most_view_ms={}", maxAgeMs);
+      LOG.warn("event=cancel_s_too_short max_view_age_ms={}", maxAgeMs);
     }
   }
 
@@ -209,13 +209,13 @@
 
   private final class LinkListener implements LinkMonitor.Listener {
     @Override
-    public boolean leading() {
+    public boolean isLeading() {
       return leadership.isLeading();
     }
 
     @Override
-    public void report(Heartbeat heartbeat, int via, HeartbeatResponder responder) {
-      leadership.leader().handleHeartbeat(heartbeat, via, responder);
+    public void handleHeartbeat(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder) {
+      leadership.leader().handleHeartbeat(heartbeat, relayPeer, responder);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -54,9 +54,9 @@
   private static final int SOCKETS_PER_WORKER_CONNECTION = 8;
 
   /**
-   * The part of the state service's calls that all nodes make for users. Beside them go accepts,
-   * commits, renewals and watches; beyond the limit the service refuses whoever comes, and a leader
-   * without renewals is none.
+   * The part of the state service's calls that all nodes make for users. The rest is for
+   * accepts, commits, lease renewals and watches: beyond the limit the service refuses any call, and
+   * a leader that cannot renew its lease loses it.
    */
   private static final double USER_READ_SHARE = 0.6;
 
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Learnt as a fact, from the state service or from a peer: the leader's tasks go at once, and the
-   * other controllers are told.
+   * A cancellation is certain, from the state service or from a peer: the leader stops its tasks at
+   * once, and the other controllers are notified.
    */
   private void cancellationLearnt(String job) {
     leadership.cancellationReceived(job);
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -22,8 +22,8 @@
   /** The job's end as done is recorded. */
   void jobDone(Job job, long now) {
     LOG.info(
-        "event=job_done job={} priority={} tasks={} age_s={} due_s={}"
-            + " placed_s={} tries={} cpus={} est={}",
+        "event=job_done job={} priority={} tasks={} age_s={} deadline_s={}"
+            + " last_start_s={} attempts={} cpus={} estimate_s={}",
         job.spec.id(),
         job.spec.priority(),
         job.spec.tasks(),
@@ -40,7 +40,7 @@
   void logAttainment(Collection<Job> openJobs, long now) {
     for (ObjectiveAttainment.Line l : attainment.lines(openJobs, now)) {
       LOG.info(
-          "event=served {}={} share={} done={} late={} open={} oldest_s={}",
+          "event=objective_attainment {}={} share={} done={} late={} open={} oldest_s={}",
           l.kind(),
           l.name(),
           Math.round(l.share() * 1000) / 1000.0,
--- a/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
+++ b/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
@@ -7,7 +7,8 @@
 /**
  * Enables shared records of starts once every controller reads them.
  *
- * <p>A leader of an earlier build would start again what stands in shared records alone. So they
+ * <p>A leader of an earlier build would start again tasks whose attempts are in shared records only.
+ * So they
  * are written only once every other controller has said that its build reads them, also while a
  * deployment is rolled out. Runs on the event loop only.
  */
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -95,8 +95,8 @@
     try {
       finished = buildSome(leader, isFirstTurn, beganNanos);
     } catch (RuntimeException e) {
-      // Whatever failed, those who wait get what there is without explanations: a console that
-      // waits for an answer asks nothing more.
+      // The outermost net: those who wait get a snapshot without explanations, since a console that
+      // waits for an answer sends no more requests.
       builder = null;
       publish(withoutDetails(leader, beganNanos));
       throw e;
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -48,7 +48,7 @@
     }
   }
 
-  /** One hop to a peer that has the state service; where there is none nobody waits to hear it. */
+  /** One hop to a peer that reaches the state service; without one the request fails at once. */
   private void relayByLinkState(String method, String path, byte[] body, Responder responder) {
     int peer = links.stateRoute().choose(loop.now());
     if (peer == RouteSelector.DIRECT) {
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -45,10 +45,10 @@
  *       are remembered, and those do not change.
  * </ul>
  *
- * Besides, so that it does not even try: {@code Leader.firm} measures from the sending of the last
- * renewal that succeeded, on a clock that runs on through the standstill, so the first turn after
- * one finds it false; workers are answered only once the lease has been asked for again; and
- * silence counts anew, for this side did not listen.
+ * Besides, so that it does not even try: {@code LeaderLease.isValid} measures from the sending of
+ * the last renewal that succeeded, on a clock that runs on through the standstill, so the first
+ * turn after one finds it false; workers are answered only once the lease has been asked for again;
+ * and silence counts anew, for this side did not listen.
  */
 public final class FailureResponder {
   private static final Logger LOG = LoggerFactory.getLogger(FailureResponder.class);
