--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void aLeaderThatIsStuckIsNamedWithWhereItIs() throws Exception {
+  void aStuckLeaderIsNamedWithItsStackTrace() throws Exception {
     CountDownLatch over = new CountDownLatch(1);
     String leader = state.leader();
     blockLeader(over);
@@ -203,7 +203,7 @@
     assertTrue(line(o, "job-000003").detail().contains("its team is at its limit"));
     String stack = o.nodes().stream().flatMap(n -> n.sight().stack().stream()).toList().toString();
     assertTrue(stack.contains("ConsoleTest"), stack);
-    // Another takes over, and the one that stands still is still told of.
+    // Another takes over, and the paused one is still shown.
     o =
         await(
             "another leader",
@@ -215,7 +215,7 @@
   }
 
   @Test
-  void withoutAnyControllerTheRecordsSayWhatIsOpen() throws Exception {
+  void withoutControllersOpenJobsAreReadFromTheRecords() throws Exception {
     nodes.values().forEach(Node::stop);
     Overview o =
         await(
@@ -232,7 +232,7 @@
   }
 
   @Test
-  void withoutTheStateServiceThatIsTheReason() throws Exception {
+  void aStateServiceOutageIsNamedAsTheReason() throws Exception {
     state.down = true;
     Overview o =
         await("state outage", WITHIN_NS, x -> x.obstacle().equals(PendingCause.STATE_AWAY.name()));
@@ -243,7 +243,7 @@
   }
 
   @Test
-  void aTakeoverIsSaidToBeOne() throws Exception {
+  void aTakeoverIsNamedWithItsTerm() throws Exception {
     state.endLeases();
     Overview o =
         await("takeover", WITHIN_NS, x -> x.obstacle().equals(PendingCause.TAKING_OVER.name()));
@@ -256,7 +256,7 @@
   }
 
   @Test
-  void aConsoleThatCannotListenKeepsNobodyFromServing() throws Exception {
+  void aNodeServesAlthoughItsConsoleCannotListen() throws Exception {
     Endpoint taken = Endpoint.of(nodes.get("n0").consoleAddress());
     OperatorSettings d = OperatorSettings.defaults();
     ConsoleSettings c = new ConsoleSettings(taken, 1_000, 100, 10);
@@ -273,9 +273,11 @@
     }
   }
 
-  /** One who asks about jobs as fast as it can costs the loop no more than a few looks a second. */
+  /**
+   * A client that asks for jobs as fast as it can costs the loop a few answers a second at most.
+   */
   @Test
-  void questionsAboutJobsAreLimited() throws Exception {
+  void jobRequestsAreRateLimited() throws Exception {
     String at = "http://" + nodes.get(state.leader()).consoleAddress() + "/console/v1/";
     Map<Integer, Integer> answers = new LinkedHashMap<>();
     long began = System.nanoTime();
@@ -294,7 +296,7 @@
   }
 
   @Test
-  void whatIsNotKnownHereIsAnsweredAtOnce() throws Exception {
+  void unknownPathsAndMethodsAreRefused() throws Exception {
     String at = "http://" + nodes.get("n0").consoleAddress() + "/console/v1/";
     Object[][] table = {
       {"GET", "picture", 200},
--- a/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
+++ b/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
@@ -1,17 +1,13 @@
 package org.mallowroad.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.mallowroad.controller.LoopbackClient.await;
 
 import java.io.IOException;
 import java.net.ServerSocket;
-import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.mallowroad.config.OperatorSettings;
@@ -23,12 +19,13 @@
 import org.mallowroad.fake.FakeCloud;
 import org.mallowroad.fake.FakeStateService;
 
-/** Ways round cuts over real sockets: two nodes, each cut off from something else. */
+/** Relaying round broken links over real sockets: two nodes, each cut off from something else. */
 final class RelayedTrafficTest {
   private static final LinkPolicy QUICK = new LinkPolicy(200, 1_500, 100, 500, 2_000, 1_000);
 
-  private final HttpClient http =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+  private static final String JOB = LoopbackClient.submission("job-000001", 4, 1);
+
+  private final LoopbackClient client = new LoopbackClient();
   private final List<String> listen = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
   private FakeStateService state;
@@ -90,17 +87,7 @@
   }
 
   private HttpResponse<String> send(int node, String method, String path, String body) {
-    try {
-      return http.send(
-          HttpRequest.newBuilder(URI.create("http://" + listen.get(node) + path))
-              .method(method, HttpRequest.BodyPublishers.ofString(body))
-              .build(),
-          HttpResponse.BodyHandlers.ofString());
-    } catch (IOException e) {
-      return null;
-    } catch (InterruptedException e) {
-      throw new IllegalStateException(e);
-    }
+    return client.send(listen.get(node), method, path, body);
   }
 
   private boolean says(int node, String method, String path, String body, String text) {
@@ -108,21 +95,6 @@
     return r != null && r.statusCode() < 300 && r.body().contains(text);
   }
 
-  private static void await(String what, BooleanSupplier until) throws InterruptedException {
-    long end = System.nanoTime() + 40_000_000_000L;
-    while (!until.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "no " + what + " in time");
-      Thread.sleep(50);
-    }
-  }
-
-  private static final String JOB =
-      """
-      {"name_id":"job-000001","docket":"c","crew":"t","form":"sweep","rank":"normal","moves":4,
-       "cpus":1.0,"cards":0.0,"mem_gb":1.0,"kit":"i","size_gb":1.0,"together":false,
-       "scatter":false,"driftwood":true,"reckon_s":1.0,"cairn_s":0.0,"stow_s":0.0}
-      """;
-
   @Test
   void aNodeWithoutTheStateServiceServesUsersThroughItsPeer() throws Exception {
     start(1);
@@ -134,7 +106,7 @@
   }
 
   @Test
-  void workersThatDoNotReachTheLeaderAreCarriedAndItKeepsItsOffice() throws Exception {
+  void heartbeatsAreRelayedToALeaderThatWorkersDoNotReachAndItsTermLasts() throws Exception {
     start(-1);
     await("a leader", () -> state.leader() != null);
     int leader = "n0".equals(state.leader()) ? 0 : 1;
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -27,6 +28,7 @@
 import org.mallowroad.core.scheduling.TaskScheduler;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.XnioEnvironment;
+import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 import org.mallowroad.worker.WorkerClient;
 
@@ -104,9 +106,34 @@
     return o;
   }
 
+  /** Runs a job to its end; every other one fails once and is cancelled. */
+  private void runJob(SchedulerState schedulerState, TaskScheduler placement, int n, long now)
+      throws InvalidMessageException {
+    Job job = schedulerState.accept(clusterConfig.codec.decode(submission(n), now), 5, 0, now);
+    placement.placeTasks(now);
+    JobSpecs.commit(schedulerState, now);
+    if (n % 2 == 0) {
+      schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
+      schedulerState.cancel(job, now);
+    }
+    for (int t = 0; t < 4; t++) {
+      if (job.liveAttempt(t) != null) {
+        schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, now);
+      }
+    }
+    if (n % 2 == 1) {
+      assertTrue(job.areAllTasksDone());
+      schedulerState.markEnded(job, now);
+    }
+    assertTrue(job.isFinished());
+    JobSpecs.commit(schedulerState, now);
+    schedulerState.removeJob(job);
+    schedulerState.machinesWithUnsentCommands().clear();
+  }
+
   /** Every job has names of its own, errors and an end; every machine serves a few and goes. */
   @Test
-  void jobsAndMachinesThatAreOverLeaveNothingBehind() throws Exception {
+  void endedJobsAndDeletedMachinesLeaveNothingBehind() throws Exception {
     SchedulerState schedulerState =
         new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
     TaskScheduler placement = new TaskScheduler(schedulerState);
@@ -128,52 +155,20 @@
             new Heartbeat(name, "h:1", "t32", "a", true, 1, 2L * n, 1, -1, List.of()),
             true,
             now);
-        Job job = schedulerState.accept(clusterConfig.codec.decode(submission(n), now), 5, 0, now);
-        placement.placeTasks(now);
-        JobSpecs.commit(schedulerState, now);
-        if (n % 2 == 0) {
-          schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
-          schedulerState.cancel(job, now);
-        }
-        for (int t = 0; t < 4; t++) {
-          if (job.liveAttempt(t) != null) {
-            schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, now);
-          }
-        }
-        if (n % 2 == 1) {
-          assertTrue(job.areAllTasksDone());
-          schedulerState.markEnded(job, now);
-        }
-        assertTrue(job.isFinished());
-        JobSpecs.commit(schedulerState, now);
-        schedulerState.removeJob(job);
-        schedulerState.machinesWithUnsentCommands().clear();
+        runJob(schedulerState, placement, n, now);
       }
       clusterConfig.forgetUnusedNames(schedulerState);
     }
     Map<String, Integer> tables = schedulerState.tableSizes();
     int classes = tables.remove("classes");
-    assertEquals(
-        Map.of(
-            "jobs",
-            0,
-            "machines",
-            1,
-            "gone",
-            10_000,
-            "dirty",
-            0,
-            "urgent",
-            0,
-            "outbox",
-            0,
-            "shared",
-            0,
-            "ending",
-            0,
-            "watched",
-            1),
-        tables);
+    Map<String, Integer> expected = new HashMap<>();
+    for (String empty : List.of("jobs", "dirty", "urgent", "outbox", "shared", "ending")) {
+      expected.put(empty, 0);
+    }
+    expected.put("machines", 1);
+    expected.put("gone", 10_000);
+    expected.put("watched", 1);
+    assertEquals(expected, tables);
     // Classes that users make up do not pile up as measures of speed either.
     assertTrue(classes <= 256, classes + " classes");
     // 72,000 names were made up; a day's worth is there at the most between two looks.
@@ -184,7 +179,7 @@
   }
 
   @Test
-  void submissionsThatAreOnlyJudgedLeaveNoName() throws Exception {
+  void checkedSubmissionsLeaveNoNames() throws Exception {
     int before = clusterConfig.nameCount();
     for (int n = 0; n < 1_000; n++) {
       clusterConfig.codec.check(submission(n));
@@ -193,7 +188,7 @@
   }
 
   @Test
-  void aNameThatIsUsedKeepsItsIndexAndOthersAreGivenAgain() throws Exception {
+  void usedNamesKeepTheirIndexAndUnusedIndicesAreReused() throws Exception {
     SchedulerState schedulerState =
         new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
     Job kept = schedulerState.accept(clusterConfig.codec.decode(submission(7), 0), 5, 0, 0);
@@ -211,7 +206,7 @@
   }
 
   @Test
-  void endsAreRememberedUpToABound() {
+  void endedJobsAreRememberedUpToABound() {
     EventLoop loop = new SteppedClock().new Process();
     UserApi users = new UserApi(loop, null, null, 1, null, null, null, 8, 64, 5_000);
     for (int n = 0; n < 100_000; n++) {
@@ -221,7 +216,7 @@
   }
 
   @Test
-  void connectionsToWorkersThatAreGoneAreNotKept() throws Exception {
+  void connectionsToWorkersAreBounded() throws Exception {
     XnioEnvironment host = new XnioEnvironment(clusterConfig.settings());
     try {
       WorkerClient client = new WorkerClient(host, 50);
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -3,12 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.mallowroad.controller.LoopbackClient.await;
+import static org.mallowroad.controller.LoopbackClient.submission;
 
 import java.io.IOException;
 import java.net.Socket;
-import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -19,7 +18,6 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,8 +32,7 @@
 /** The whole service over loopback sockets, with stand-ins for state, cloud and workers. */
 final class ServiceTest {
   @TempDir Path dir;
-  private final HttpClient http =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+  private final LoopbackClient client = new LoopbackClient();
   private FakeStateService state;
   private FakeCloud cloud;
   private final Map<String, Node> nodes = new LinkedHashMap<>();
@@ -47,7 +44,7 @@
     List<String> listen = new ArrayList<>();
     cloud = new FakeCloud(listen);
     for (int i = 0; i < 3; i++) {
-      String address = rise(i, "127.0.0.1:0");
+      String address = startNode(i, "127.0.0.1:0");
       // Any port that is free when the node listens: one that is picked before may be lost again.
       listen.add(address);
     }
@@ -56,8 +53,8 @@
         () -> state.leader() != null && status("GET", "/healthz", "") == 200);
   }
 
-  /** Starts a node that listens there; the answer is where it does. */
-  private String rise(int i, String listen) throws Exception {
+  /** Starts a node that listens there; returns the address at which it does. */
+  private String startNode(int i, String listen) throws Exception {
     Path f = dir.resolve("n" + i + ".toml");
     Files.writeString(
         f,
@@ -108,27 +105,9 @@
     state.close();
   }
 
-  private static void await(String what, BooleanSupplier until) throws InterruptedException {
-    long end = System.nanoTime() + 40_000_000_000L;
-    while (!until.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "no " + what + " in time");
-      Thread.sleep(50);
-    }
-  }
-
   private HttpResponse<String> send(String method, String path, String body) {
     String address = addresses.values().iterator().next();
-    try {
-      return http.send(
-          HttpRequest.newBuilder(URI.create("http://" + address + path))
-              .method(method, HttpRequest.BodyPublishers.ofString(body))
-              .build(),
-          HttpResponse.BodyHandlers.ofString());
-    } catch (IOException e) {
-      return null;
-    } catch (InterruptedException e) {
-      throw new IllegalStateException(e);
-    }
+    return client.send(address, method, path, body);
   }
 
   private int status(String method, String path, String body) {
@@ -136,15 +115,6 @@
     return r == null ? 0 : r.statusCode();
   }
 
-  private static String job(String id, int tasks, double cpus) {
-    return """
-        {"name_id":"%s","docket":"c","crew":"t","form":"sweep","rank":"normal","moves":%d,"cpus":%s,
-         "cards":0.0,"mem_gb":1.0,"kit":"i","size_gb":1.0,"together":false,"scatter":false,
-         "driftwood":true,"reckon_s":1.0,"cairn_s":0.0,"stow_s":0.0}
-        """
-        .formatted(id, tasks, cpus);
-  }
-
   private boolean is(String id, String standing) {
     HttpResponse<String> r = send("GET", "/v1/jobs/" + id, "");
     return r != null && r.body().contains("\"standing\":\"" + standing + "\"");
@@ -152,11 +122,11 @@
 
   @Test
   void aJobGoesFromSubmissionToDoneAndItsEndIsKept() throws Exception {
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 6, 1)));
-    assertEquals(200, status("POST", "/v1/jobs", job("job-000001", 6, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
+    assertEquals(200, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     await("end of the job", () -> is("job-000001", "done"));
     assertTrue(state.has("end/job-000001"));
-    assertEquals(200, status("POST", "/v1/jobs", job("job-000001", 6, 1)));
+    assertEquals(200, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     assertTrue(send("POST", "/v1/jobs/job-000001/withdraw", "").body().contains("\"done\""));
     await("run records deleted", () -> !state.has("run/job-000001/0"));
     assertEquals(0, cloud.ranTwice());
@@ -167,7 +137,7 @@
     state.loseEvery = 5;
     cloud.taskMs = 1500;
     for (int i = 1; i <= 4; i++) {
-      String j = job("job-00000" + i, 5, 1);
+      String j = submission("job-00000" + i, 5, 1);
       await("acceptance", () -> status("POST", "/v1/jobs", j) / 100 == 2);
     }
     await("running tasks", () -> !cloud.running.isEmpty());
@@ -185,9 +155,9 @@
 
   /** The same port, a fraction of a second later, again and again, while connections linger. */
   @Test
-  void aLeaderThatIsBackAtOnceIsNotWaitedForAndLosesNothing() throws Exception {
+  void aRestartedLeaderIsReplacedWithoutWaitingForItsLease() throws Exception {
     cloud.taskMs = 700;
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 40, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 40, 1)));
     for (int again = 0; again < 3; again++) {
       await("running tasks", () -> !cloud.running.isEmpty());
       String first = state.leader();
@@ -195,45 +165,54 @@
       String address = addresses.get(first);
       nodes.remove(first).stop();
       long from = System.nanoTime();
-      assertEquals(address, rise(Integer.parseInt(first.substring(1)), address));
+      assertEquals(address, startNode(Integer.parseInt(first.substring(1)), address));
       await("another term", () -> state.term() > term && state.leader() != null);
       // Its lease would have lasted up to 3 s.
       long ms = (System.nanoTime() - from) / 1_000_000;
-      assertTrue(ms < 2_000, "waited " + ms + " ms for the office");
+      assertTrue(ms < 2_000, "waited " + ms + " ms for the lease");
     }
     await("end of the job", () -> is("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
-  /** A report's round would leave out the workers that were not heard in it. */
+  /** A submission of a job that folds games of league {@code l}, from one number on. */
+  private static String ratingSubmission(String id, int tasks, int firstGame, int games) {
+    StringBuilder folds = new StringBuilder();
+    for (int g = firstGame; g < firstGame + games; g++) {
+      folds.append(folds.length() > 0 ? "," : "");
+      folds.append("{\"league\":\"l\",\"game\":" + g + ",\"revision\":1,\"members\":[\"m\"]}");
+    }
+    return submission(id, tasks, 1).replace("\"stow_s\"", "\"folds\":[" + folds + "],\"stow_s\"");
+  }
+
+  private void restartLeader() throws Exception {
+    String leader = state.leader();
+    if (leader != null && nodes.containsKey(leader)) {
+      String address = addresses.get(leader);
+      nodes.remove(leader).stop();
+      startNode(Integer.parseInt(leader.substring(1)), address);
+    }
+  }
+
   /**
-   * Leaders end again and again while rating jobs are accepted, one too large for a transaction.
+   * Leaders restart again and again while rating jobs are accepted, one too large for a
+   * transaction.
    */
   @Test
-  void eachGameIsFoldedOnceAndNothingIsPrintedBefore() throws Exception {
+  void eachGameIsFoldedOnceAndDependentJobsStartAfterwards() throws Exception {
     List<String> ids = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       String id = "job-00000" + i;
       ids.add(id);
-      int from = i == 5 ? 1_000 : 30 * i;
-      StringBuilder games = new StringBuilder();
-      for (int g = from; g < from + (i == 5 ? 600 : 30); g++) {
-        games.append(games.length() > 0 ? "," : "");
-        games.append("{\"league\":\"l\",\"game\":" + g + ",\"revision\":1,\"members\":[\"m\"]}");
-      }
-      String body = job(id, 2, 1).replace("\"stow_s\"", "\"folds\":[" + games + "],\"stow_s\"");
+      String body =
+          i == 5 ? ratingSubmission(id, 2, 1_000, 600) : ratingSubmission(id, 2, 30 * i, 30);
       if (i % 2 == 1) {
-        String leader = state.leader();
-        if (leader != null && nodes.containsKey(leader)) {
-          String at = addresses.get(leader);
-          nodes.remove(leader).stop();
-          rise(Integer.parseInt(leader.substring(1)), at);
-        }
+        restartLeader();
       }
       await("acceptance of " + id, () -> status("POST", "/v1/jobs", body) / 100 == 2);
       if (i == 0) {
         String print =
-            job("job-000009", 1, 1)
+            submission("job-000009", 1, 1)
                 .replace(
                     "\"stow_s\"",
                     "\"holds\":{\"jobs\":[\"job-000003\",\"job-000005\"],"
@@ -252,20 +231,10 @@
       await("end of " + id, () -> is(id, "done"));
     }
     // Another job may not fold them again; the same ones are known for ever.
-    String again = "\"folds\":[{\"league\":\"l\",\"game\":7,\"revision\":1,\"members\":[\"m\"]}],";
-    HttpResponse<String> r =
-        send(
-            "POST",
-            "/v1/jobs",
-            job("job-000010", 1, 1).replace("\"stow_s\"", again + "\"stow_s\""));
+    HttpResponse<String> r = send("POST", "/v1/jobs", ratingSubmission("job-000010", 1, 7, 1));
     assertEquals(422, r.statusCode());
     assertTrue(r.body().contains("game 7 of l for m is folded by job-000000"), r.body());
-    assertEquals(
-        200,
-        status(
-            "POST",
-            "/v1/jobs",
-            job("job-000000", 1, 1).replace("\"stow_s\"", again + "\"stow_s\"")));
+    assertEquals(200, status("POST", "/v1/jobs", ratingSubmission("job-000000", 1, 7, 1)));
     try (ClusterQuery asker = new ClusterQuery(List.of(), "127.0.0.1:" + state.port())) {
       assertEquals(List.of("m: revision 1 folded by job-000000"), asker.game("l", 7));
       assertTrue(asker.game("l", 700).get(0).startsWith("nobody has claimed it"));
@@ -276,7 +245,7 @@
   @Test
   void aDeposedLeaderLosesNothingAndTheTermRises() throws Exception {
     cloud.taskMs = 800;
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 6, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
     long term = state.term();
     state.endLeases();
@@ -286,9 +255,9 @@
   }
 
   @Test
-  void aLeaderThatHearsNoWorkerGivesTheOfficeUp() throws Exception {
+  void aLeaderWithoutHeartbeatsResigns() throws Exception {
     cloud.taskMs = 800;
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 6, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
     String first = state.leader();
     cloud.cutFrom = Integer.parseInt(first.substring(1));
@@ -298,9 +267,9 @@
   }
 
   @Test
-  void aLeaderThatStandsStillIsReplacedAndDoesNothingWhenItGoesOn() throws Exception {
+  void aPausedLeaderIsReplacedAndDoesNothingWhenItResumes() throws Exception {
     cloud.taskMs = 800;
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 12, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 12, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
     String first = state.leader();
     long term = state.term();
@@ -319,9 +288,9 @@
   }
 
   @Test
-  void nodesThatAllStandStillWhileTheyElectStillHaveOneLeader() throws Exception {
+  void nodesThatPauseDuringAnElectionStillElectOneLeader() throws Exception {
     cloud.taskMs = 800;
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 8, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 8, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
     long term = state.term();
     CountDownLatch over = new CountDownLatch(nodes.size());
@@ -339,30 +308,32 @@
     try {
       Thread.sleep(ms); // Not parkNanos, which any left-over permit ends at once.
     } catch (InterruptedException e) {
-      throw new IllegalStateException(e);
+      Thread.currentThread().interrupt();
+      throw new AssertionError("interrupted", e);
     }
     over.countDown();
   }
 
   @Test
-  void garbledAnswersAreSurvived() throws Exception {
+  void malformedResponsesAreSurvived() throws Exception {
     state.garbled = true;
     cloud.garbled = true;
-    assertEquals(503, status("POST", "/v1/jobs", job("job-000001", 2, 1)));
+    assertEquals(503, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
     Thread.sleep(1_500);
     state.garbled = false;
     cloud.garbled = false;
-    await("acceptance", () -> status("POST", "/v1/jobs", job("job-000001", 2, 1)) / 100 == 2);
+    await(
+        "acceptance", () -> status("POST", "/v1/jobs", submission("job-000001", 2, 1)) / 100 == 2);
     await("end of the job", () -> is("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
   @Test
-  void aCancellationAndTheEndExcludeEachOther() throws Exception {
+  void aJobIsEitherCancelledOrDone() throws Exception {
     cloud.taskMs = 200;
     for (int i = 1; i <= 6; i++) {
       String id = "job-00000" + i;
-      assertEquals(201, status("POST", "/v1/jobs", job(id, 1, 1)));
+      assertEquals(201, status("POST", "/v1/jobs", submission(id, 1, 1)));
       int taken = i;
       // Some are cancelled before they start, some about when they end, some afterwards.
       await("a moment", () -> taken < 3 || cloud.running.containsKey(id + "/0") || is(id, "done"));
@@ -379,7 +350,7 @@
   @Test
   void aCancelledJobIsGoneEverywhereAndStaysCancelled() throws Exception {
     cloud.taskMs = 60_000;
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 2, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
     await("running tasks", () -> cloud.running.size() == 2);
     assertTrue(send("POST", "/v1/jobs/job-000001/withdraw", "").body().contains("\"withdrawn\""));
     await("tasks gone", () -> cloud.running.isEmpty());
@@ -388,8 +359,8 @@
   }
 
   @Test
-  void whatCannotBeTakenIsAnsweredAtOnce() throws Exception {
-    String good = job("job-000009", 2, 1);
+  void invalidRequestsAreRefusedAtOnce() throws Exception {
+    String good = submission("job-000009", 2, 1);
     Object[][] table = {
       {"POST", "/v1/jobs", "", 400},
       {"POST", "/v1/jobs", "[1]", 400},
@@ -419,7 +390,7 @@
 
   /** Slow bodies on all sockets that the limits admit: small requests go on being answered. */
   @Test
-  void bodiesThatComeSlowlyAreBoundedTogether() throws Exception {
+  void slowRequestBodiesAreBoundedTogether() throws Exception {
     String[] at = addresses.values().iterator().next().split(":");
     List<Socket> slow = new ArrayList<>();
     int refused = 0;
@@ -429,10 +400,7 @@
         slow.add(s);
         s.setSoTimeout(2_000);
         String path = i % 2 == 0 ? "/v1/jobs" : "/v1/jobs/job-000001";
-        s.getOutputStream()
-            .write(
-                ("POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 65536\r\n\r\n{")
-                    .getBytes(StandardCharsets.US_ASCII));
+        beginBody(s, path, 65536);
       }
       // 32 MB of memory bound the bodies to 2 MB: 32 of 64 KiB are read, the other 28 are told at
       // once to come back.
@@ -446,7 +414,7 @@
         refused++;
       }
       assertEquals(28, refused);
-      assertEquals(503, status("POST", "/v1/jobs", job("job-000001", 2, 1)));
+      assertEquals(503, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
       // Workers and those who only ask are not held up by users' bodies.
       assertEquals(400, status("POST", "/v1/report", "{}"));
       assertEquals(404, status("GET", "/v1/jobs/job-000001", ""));
@@ -460,15 +428,18 @@
     try (Socket s = new Socket(at[0], Integer.parseInt(at[1]))) {
       // One that never ends is given up, and its bytes with it.
       s.setSoTimeout(20_000);
-      s.getOutputStream()
-          .write(
-              "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{"
-                  .getBytes(StandardCharsets.US_ASCII));
+      beginBody(s, "/v1/jobs", 9);
       await("a body in hand", () -> metric("mallowroad_bodies_bytes") == 9);
       assertEquals(-1, s.getInputStream().read());
       assertEquals(0, metric("mallowroad_bodies_bytes"));
     }
-    assertEquals(201, status("POST", "/v1/jobs", job("job-000001", 2, 1)));
+    assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
+  }
+
+  /** Sends a request's head and the first byte of its body. */
+  private static void beginBody(Socket socket, String path, int length) throws IOException {
+    String head = "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + length;
+    socket.getOutputStream().write((head + "\r\n\r\n{").getBytes(StandardCharsets.US_ASCII));
   }
 
   private double metric(String name) {
