--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -23,10 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership: reads the records of the previous term, then places tasks, answers workers
- * and sizes the fleet until it is stopped. Connects the parts that do so ({@link PlacementLoop},
- * {@link HeartbeatHandler}, {@link DirectCommandSender}, {@link WriteBehindCommitter}, {@link
- * MachineProvisioner} and others) and drives the term's life cycle.
+ * One term of leadership: reads the records of the previous term, then places tasks, answers
+ * workers and sizes the fleet until it is stopped. Connects the parts that do so ({@link
+ * PlacementLoop}, {@link HeartbeatHandler}, {@link DirectCommandSender}, {@link
+ * WriteBehindCommitter}, {@link MachineProvisioner} and others) and drives the term's life cycle.
  *
  * <p>Runs on the event loop only, as all of its parts.
  */
@@ -83,7 +83,7 @@
     this.lifecycle = context.lifecycle();
     this.schedulerState = context.schedulerState();
     this.writeBudget = WriteBudget.begin(settings, loop.now());
-    this.placement = new PlacementLoop(context, this::placeAndCommit);
+    this.placement = new PlacementLoop(loop, lifecycle, context.load(), this::placeAndCommit);
     this.responder = newFailureResponder();
     this.committer = newCommitter();
     this.dependencyGates = newDependencyGates();
--- a/src/main/java/org/mallowroad/controller/LoadStatistics.java
+++ b/src/main/java/org/mallowroad/controller/LoadStatistics.java
@@ -1,7 +1,8 @@
 package org.mallowroad.controller;
 
 /**
- * Counters of the leader's work in a logging interval: how near the machine is to its limit. Runs on the event loop only.
+ * Counters of the leader's work in a logging interval: how near the machine is to its limit. Runs
+ * on the event loop only.
  */
 final class LoadStatistics {
   private long lastTickMs;
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -54,9 +54,9 @@
   private static final int SOCKETS_PER_WORKER_CONNECTION = 8;
 
   /**
-   * The part of the state service's calls that all nodes make for users. The rest is for
-   * accepts, commits, lease renewals and watches: beyond the limit the service refuses any call, and
-   * a leader that cannot renew its lease loses it.
+   * The part of the state service's calls that all nodes make for users. The rest is for accepts,
+   * commits, lease renewals and watches: beyond the limit the service refuses any call, and a
+   * leader that cannot renew its lease loses it.
    */
   private static final double USER_READ_SHARE = 0.6;
 
--- a/src/main/java/org/mallowroad/controller/PlacementLoop.java
+++ b/src/main/java/org/mallowroad/controller/PlacementLoop.java
@@ -27,10 +27,10 @@
   private long lastPassNanos;
 
   /** Runs {@code pass} as often as requested and allowed. */
-  PlacementLoop(LeaderContext context, Runnable pass) {
-    this.loop = context.loop();
-    this.lifecycle = context.lifecycle();
-    this.load = context.load();
+  PlacementLoop(EventLoop loop, LeaderLifecycle lifecycle, LoadStatistics load, Runnable pass) {
+    this.loop = loop;
+    this.lifecycle = lifecycle;
+    this.load = load;
     this.pass = pass;
   }
 
--- a/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
+++ b/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
@@ -7,10 +7,9 @@
 /**
  * Enables shared records of starts once every controller reads them.
  *
- * <p>A leader of an earlier build would start again tasks whose attempts are in shared records only.
- * So they
- * are written only once every other controller has said that its build reads them, also while a
- * deployment is rolled out. Runs on the event loop only.
+ * <p>A leader of an earlier build would start again tasks whose attempts are in shared records
+ * only. So they are written only once every other controller has said that its build reads them,
+ * also while a deployment is rolled out. Runs on the event loop only.
  */
 final class SharedRecordRollout {
   private static final long RETRY_INTERVAL_MS = 1_000;
