--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -181,7 +181,7 @@
       if (uncommitted.isEmpty()) {
         send();
       } else {
-        parts.committer.afterNext(this::transactionCommitted);
+        parts.committer.runAfterNextTransaction(this::transactionCommitted);
       }
     }
 
@@ -189,7 +189,7 @@
     private void transactionCommitted() {
       for (Attempt a : uncommitted) {
         if (a.phase == Attempt.Phase.RECORDING && !isSent) {
-          parts.committer.afterNext(this::transactionCommitted);
+          parts.committer.runAfterNextTransaction(this::transactionCommitted);
           return;
         }
       }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -117,8 +117,8 @@
         writeBudget.limiter(),
         schedulerState,
         clusterConfig.zones,
-        term.leaderKeyVersion(),
-        writeBudget.maxTransactionWrites(),
+        new WriteBehindCommitter.Options(
+            term.leaderKeyVersion(), writeBudget.maxTransactionWrites()),
         new CommitListener());
   }
 
@@ -228,7 +228,7 @@
     schedulerState
         .sharedAttemptRecords()
         .enable(
-            WriteBehindCommitter.mostSharedMembers(writeBudget.maxTransactionWrites()), valueBytes);
+            WriteBehindCommitter.maxSharedMembers(writeBudget.maxTransactionWrites()), valueBytes);
   }
 
   /** Begins to read the records of the term before. */
@@ -275,7 +275,7 @@
         && !job.isEnded()
         && !schedulerState.jobsToComplete().contains(job)) {
       LOG.info("event=cancellation_received job={} view_age_ms={}", id, cancellationViewAgeMs());
-      committer.cancelled(job);
+      committer.jobCancelled(job);
       placement.requestPass();
     }
   }
@@ -348,11 +348,11 @@
     if (isLeaseValid()) {
       context.taskScheduler().placeTasks(loop.now());
     }
-    committer.kick();
+    committer.commitPending();
     directCommands.sendOutbox();
   }
 
-  private final class CommitListener implements WriteBehindCommitter.Events {
+  private final class CommitListener implements WriteBehindCommitter.Listener {
     @Override
     public void deposed() {
       election.stepDown();
@@ -364,22 +364,22 @@
     }
 
     @Override
-    public void guard(Job job, Transaction transaction) {
+    public void addStartConditions(Job job, Transaction transaction) {
       dependencyGates.addStartConditions(job, transaction);
     }
 
     @Override
-    public void guarded(Job job, long revision) {
+    public void startRecorded(Job job, long revision) {
       dependencyGates.startRecorded(job, revision);
     }
 
     @Override
-    public void reguard(Job job, Runnable next) {
+    public void revalidate(Job job, Runnable next) {
       dependencyGates.revalidate(job, next);
     }
 
     @Override
-    public void ended(Job job, boolean done) {
+    public void jobEnded(Job job, boolean done) {
       dependencyGates.jobEnded(job, done);
       if (done) {
         monitor.jobDone(job);
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -24,73 +24,100 @@
 import org.mallowroad.wire.Json;
 
 /**
- * A transaction of the leader while it is filled from what the ledger has to record. It never holds
- * more writes, conditions or bytes than the limits it is made with.
+ * Builds one transaction of a leader from what the scheduler state has to record. It never holds
+ * more writes, conditions or bytes than its limits.
+ *
+ * <p>Confined to the event loop; for one transaction.
  */
 final class CommitTransactionBuilder {
+  /** Estimated size from which on nothing is added; the state service takes 64 KiB. */
   private static final int MAX_BYTES = 48 * 1024;
 
-  /** Ends of idle jobs give way to starts for so long: hundreds may come within a minute. */
-  private static final long IDLE_END_MS = 12_000;
+  /** Ends of idle jobs give way to starts for this long: hundreds may come within a minute. */
+  private static final long IDLE_END_DELAY_MS = 12_000;
 
-  /** Bytes of a key with its condition, and of an end record with its keys. */
+  /** Estimated bytes of a key with its condition. */
   private static final int KEY_BYTES = 200;
 
+  /** Estimated bytes of an end record with its keys. */
   private static final int END_BYTES = 400;
 
-  /** Conditions that a chunk of a held job may add besides its own. */
-  private static final int GUARD_CONDITIONS = 8;
+  /** Writes of a job's end: the end record, the open record, and what a gated job has besides. */
+  private static final int END_WRITES = 2;
 
-  /** A chunk as the transaction carries it. */
-  record WrittenChunk(
-      AttemptRecord attemptRecord,
-      long changes,
-      boolean deleted,
-      List<Attempt> recorded,
+  private static final int GATED_END_WRITES = 4;
+  private static final int END_CONDITIONS = 2;
+
+  /** Conditions of an attempt record: its own version and the job's open record. */
+  private static final int RECORD_CONDITIONS = 2;
+
+  /** Conditions that the start of a gated job may add besides those of its record. */
+  private static final int MAX_START_CONDITIONS = 8;
+
+  /** Part of the writes that is left to starts of idle jobs: one in this many. */
+  private static final int IDLE_START_FRACTION = 4;
+
+  /**
+   * An attempt record as the transaction has it.
+   *
+   * @param changeCount the record's count of changes when it was encoded
+   * @param starts the attempts whose starts it records first
+   * @param value null when the record is deleted, or is part of a shared one
+   */
+  record WrittenRecord(
+      AttemptRecord record,
+      long changeCount,
+      boolean isDeleted,
+      List<Attempt> starts,
       JsonNode value) {}
 
-  /** A shared record as the transaction carries it; without a value it is deleted. */
-  record WrittenShared(
-      SharedAttemptRecord record, JsonNode value, List<WrittenChunk> attemptRecords) {}
+  /**
+   * A shared record as the transaction has it.
+   *
+   * @param value null when it is deleted
+   */
+  record WrittenSharedRecord(
+      SharedAttemptRecord record, JsonNode value, List<WrittenRecord> members) {}
 
-  /** Adds to the transaction what a held job's start needs. */
-  interface Guard {
-    void guard(Job job, Transaction transaction);
+  /** Adds to the transaction what the start of a gated job requires. */
+  interface StartConditions {
+    /** Adds conditions, and at most one write. */
+    void addTo(Job job, Transaction transaction);
   }
 
   private final SchedulerState schedulerState;
   private final NameIndex zones;
-  private final Guard guard;
+  private final StartConditions startConditions;
   private final long now;
-  private final int mostWrites;
-  private final int mostConditions;
+  private final int maxWrites;
+  private final int maxConditions;
   private final Transaction transaction;
-  private final List<WrittenChunk> attemptRecords = new ArrayList<>();
-  private final List<WrittenShared> shared = new ArrayList<>();
-  private final ObjectLinkedOpenHashSet<SharedAttemptRecord> sharedAttemptRecords =
+  private final List<WrittenRecord> writtenRecords = new ArrayList<>();
+  private final List<WrittenSharedRecord> writtenSharedRecords = new ArrayList<>();
+  private final ObjectLinkedOpenHashSet<SharedAttemptRecord> includedSharedRecords =
       new ObjectLinkedOpenHashSet<>();
-  private final List<WrittenChunk> sharedChunks = new ArrayList<>();
-  private final ObjectOpenHashSet<AttemptRecord> seen = new ObjectOpenHashSet<>();
-  private final List<Job> ends = new ArrayList<>();
-  private final List<String> deleted = new ArrayList<>();
-  private final ObjectOpenHashSet<Job> guarded = new ObjectOpenHashSet<>();
-  private int bytes;
+  private final List<WrittenRecord> sharedMembers = new ArrayList<>();
+  private final ObjectOpenHashSet<AttemptRecord> included = new ObjectOpenHashSet<>();
+  private final List<Job> endedJobs = new ArrayList<>();
+  private final List<String> deletedKeys = new ArrayList<>();
+  private final ObjectOpenHashSet<Job> jobsWithStartConditions = new ObjectOpenHashSet<>();
+  private int estimatedBytes;
 
   CommitTransactionBuilder(
       SchedulerState schedulerState,
       NameIndex zones,
-      Guard guard,
-      long leaderVersion,
-      int mostWrites,
-      int mostConditions,
+      StartConditions startConditions,
+      long leaderKeyVersion,
+      int maxWrites,
+      int maxConditions,
       long now) {
     this.schedulerState = schedulerState;
     this.zones = zones;
-    this.guard = guard;
+    this.startConditions = startConditions;
     this.now = now;
-    this.mostWrites = mostWrites;
-    this.mostConditions = mostConditions;
-    this.transaction = new Transaction().requireVersion(LeaderElection.LEADER, leaderVersion);
+    this.maxWrites = maxWrites;
+    this.maxConditions = maxConditions;
+    this.transaction = new Transaction().requireVersion(LeaderElection.LEADER, leaderKeyVersion);
   }
 
   /** The transaction, once {@link #finish} was called. */
@@ -98,61 +125,63 @@
     return transaction;
   }
 
-  /** Chunks with records of their own. */
-  List<WrittenChunk> attemptRecords() {
-    return attemptRecords;
+  /** Records that are a job's own. */
+  List<WrittenRecord> writtenRecords() {
+    return writtenRecords;
   }
 
   /** Shared records. */
-  List<WrittenShared> shared() {
-    return shared;
+  List<WrittenSharedRecord> writtenSharedRecords() {
+    return writtenSharedRecords;
   }
 
-  /** Jobs whose ends it carries. */
-  List<Job> ends() {
-    return ends;
+  /** Jobs whose ends are recorded. */
+  List<Job> endedJobs() {
+    return endedJobs;
   }
 
-  /** Keys of jobs that are over, deleted without more ado. */
-  List<String> deleted() {
-    return deleted;
+  /** Keys of obsolete records that are deleted. */
+  List<String> deletedKeys() {
+    return deletedKeys;
   }
 
-  /** Held jobs whose conditions it carries. */
-  ObjectOpenHashSet<Job> guarded() {
-    return guarded;
+  /** Gated jobs whose starts are recorded on their conditions. */
+  ObjectOpenHashSet<Job> jobsWithStartConditions() {
+    return jobsWithStartConditions;
   }
 
-  /** Puts and deletes. */
+  /** Number of puts and deletes. */
   int writes() {
-    return transaction.writes() + (shared.isEmpty() ? sharedAttemptRecords.size() : 0);
+    return transaction.writes()
+        + (writtenSharedRecords.isEmpty() ? includedSharedRecords.size() : 0);
   }
 
-  /** True when nothing was to be recorded. */
-  boolean empty() {
-    return attemptRecords.isEmpty()
-        && sharedChunks.isEmpty()
-        && sharedAttemptRecords.isEmpty()
-        && ends.isEmpty()
-        && deleted.isEmpty();
+  /** True when there is nothing to record. */
+  boolean isEmpty() {
+    return writtenRecords.isEmpty()
+        && sharedMembers.isEmpty()
+        && includedSharedRecords.isEmpty()
+        && endedJobs.isEmpty()
+        && deletedKeys.isEmpty();
   }
 
-  private boolean full(int more) {
-    return writes() + more > mostWrites || bytes > MAX_BYTES;
+  private boolean isFull(int moreWrites) {
+    return writes() + moreWrites > maxWrites || estimatedBytes > MAX_BYTES;
   }
 
-  private boolean hasConditions(int more) {
-    return transaction.conditions() + sharedAttemptRecords.size() + more <= mostConditions;
+  private boolean hasRoomForConditions(int more) {
+    return transaction.conditions() + includedSharedRecords.size() + more <= maxConditions;
   }
 
-  /** Ends that are older than {@code ms}. */
+  /** Adds the ends of jobs whose tasks are all done for at least {@code ms}. */
   void addEnds(long ms) {
     for (Job job : schedulerState.jobsToComplete()) {
-      if (full(job.spec.dependencies().isGated() ? 4 : 2) || !hasConditions(2)) {
+      if (isFull(job.spec.dependencies().isGated() ? GATED_END_WRITES : END_WRITES)
+          || !hasRoomForConditions(END_CONDITIONS)) {
         return;
       }
-      long least = ms > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_MS : ms;
-      if (!ends.contains(job) && now - job.allDoneMs() >= least) {
+      long least = ms > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_DELAY_MS : ms;
+      if (!endedJobs.contains(job) && now - job.allDoneMs() >= least) {
         addEnd(job);
       }
     }
@@ -168,11 +197,11 @@
     if (job.spec.dependencies().isGated()) {
       transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
-    ends.add(job);
-    bytes += END_BYTES;
-    for (int i = 0; i < job.attemptRecordCount() && !full(1) && hasConditions(1); i++) {
+    endedJobs.add(job);
+    estimatedBytes += END_BYTES;
+    for (int i = 0; i < job.attemptRecordCount() && !isFull(1) && hasRoomForConditions(1); i++) {
       AttemptRecord c = job.attemptRecord(i);
-      if (c.version > 0 && seen.add(c)) {
+      if (c.version > 0 && included.add(c)) {
         delete(c);
       }
     }
@@ -180,45 +209,50 @@
 
   private void delete(AttemptRecord c) {
     transaction.requireVersion(RecordKeys.attempts(c), c.version).delete(RecordKeys.attempts(c));
-    attemptRecords.add(new WrittenChunk(c, c.changeCount, true, List.of(), null));
-    bytes += KEY_BYTES;
+    writtenRecords.add(new WrittenRecord(c, c.changeCount, true, List.of(), null));
+    estimatedBytes += KEY_BYTES;
   }
 
   /**
-   * Starts, which somebody waits for, those of idle jobs after the others: hundreds of them may be
-   * placed in a second, and in one line with them urgent work waited for its records for 8 s. A
-   * quarter is theirs even so, or they would not be served at all while there is other work.
+   * Adds starts, for which somebody waits. Those of idle jobs come after the others: hundreds of
+   * them may be placed in a second, and in one queue with them urgent work waited for its records
+   * for 8 s. A quarter of the writes is theirs even so, or they would starve while there is other
+   * work.
    */
-  void addUrgent() {
+  void addStarts() {
     int idle = 0;
     for (AttemptRecord c : schedulerState.urgentRecords()) {
-      idle += idle(c) ? 1 : 0;
+      idle += isIdle(c) ? 1 : 0;
     }
-    addUrgent(false, Math.min(idle, mostWrites / 4));
-    addUrgent(true, 0);
-    addUrgent(false, 0);
+    addStarts(false, Math.min(idle, maxWrites / IDLE_START_FRACTION));
+    addStarts(true, 0);
+    addStarts(false, 0);
   }
 
-  private void addUrgent(boolean idle, int left) {
+  private void addStarts(boolean idle, int reservedWrites) {
     for (AttemptRecord c : schedulerState.urgentRecords()) {
-      if (full(1 + left)) {
+      if (isFull(1 + reservedWrites)) {
         return;
       }
-      if (idle(c) == idle) {
+      if (isIdle(c) == idle) {
         add(c);
       }
     }
   }
 
-  private static boolean idle(AttemptRecord c) {
+  private static boolean isIdle(AttemptRecord c) {
     return c.job.spec.priority() >= JobSpec.IDLE;
   }
 
-  /** What changed at least {@code ms} ago, and leftovers, as far as {@code spare} writes go. */
-  void addLazy(long ms, int spare, Object2LongLinkedOpenHashMap<String> leftovers) {
+  /**
+   * Adds what changed at least {@code ms} ago, and deletions of obsolete records.
+   *
+   * @param spare writes that it may take
+   */
+  void addDeferred(long ms, int spare, Object2LongLinkedOpenHashMap<String> obsoleteRecords) {
     int most = writes() + spare;
     for (AttemptRecord c : schedulerState.dirtyRecords()) {
-      if (full(1) || writes() >= most) {
+      if (isFull(1) || writes() >= most) {
         return;
       }
       if (now - c.dirtySinceMs >= ms || (c.job.isFinished() && c.version == 0)) {
@@ -226,58 +260,60 @@
       }
     }
     for (SharedAttemptRecord r : schedulerState.sharedAttemptRecords().records()) {
-      if (full(1) || writes() >= most) {
+      if (isFull(1) || writes() >= most) {
         return;
       }
       if (r.needsWrite()) {
-        includeShared(r);
+        addShared(r);
       }
     }
-    for (Object2LongMap.Entry<String> e : leftovers.object2LongEntrySet()) {
-      if (full(1) || writes() >= most || !hasConditions(1)) {
+    for (Object2LongMap.Entry<String> e : obsoleteRecords.object2LongEntrySet()) {
+      if (isFull(1) || writes() >= most || !hasRoomForConditions(1)) {
         return;
       }
       transaction.requireVersion(e.getKey(), e.getLongValue()).delete(e.getKey());
-      deleted.add(e.getKey());
-      bytes += KEY_BYTES;
+      deletedKeys.add(e.getKey());
+      estimatedBytes += KEY_BYTES;
     }
   }
 
   private void add(AttemptRecord c) {
-    if (schedulerState.jobsToComplete().contains(c.job) || seen.contains(c)) {
+    if (schedulerState.jobsToComplete().contains(c.job) || included.contains(c)) {
       return;
     }
     if (c.isFinished()) {
       addFinished(c);
     } else if (schedulerState.sharedAttemptRecords().assignRecord(c)) {
-      includeShared(c.sharedRecord);
-    } else if (hasConditions(2 + GUARD_CONDITIONS)) {
+      addShared(c.sharedRecord);
+    } else if (hasRoomForConditions(RECORD_CONDITIONS + MAX_START_CONDITIONS)) {
       addOwn(c);
     }
   }
 
   private void addFinished(AttemptRecord c) {
-    if (!hasConditions(1)) {
+    if (!hasRoomForConditions(1)) {
       return;
     }
-    seen.add(c);
+    included.add(c);
     if (c.version > 0) {
       delete(c);
     } else {
-      attemptRecords.add(new WrittenChunk(c, c.changeCount, true, List.of(), null));
+      writtenRecords.add(new WrittenRecord(c, c.changeCount, true, List.of(), null));
     }
   }
 
   private void addOwn(AttemptRecord c) {
-    List<Attempt> recorded = recording(c);
-    if (!recorded.isEmpty() && c.job.spec.dependencies().isGated() && !guarded.contains(c.job)) {
-      if (full(2)) {
+    List<Attempt> starts = uncommittedStarts(c);
+    if (!starts.isEmpty()
+        && c.job.spec.dependencies().isGated()
+        && !jobsWithStartConditions.contains(c.job)) {
+      if (isFull(2)) {
         return; // Its release changes with the first start: the next transaction has room.
       }
-      guard.guard(c.job, transaction);
-      guarded.add(c.job);
+      startConditions.addTo(c.job, transaction);
+      jobsWithStartConditions.add(c.job);
     }
-    seen.add(c);
+    included.add(c);
     c.mayHaveOwnRecord = true;
     if (!c.job.isCancelled() && !c.job.isEnded()) {
       // The job must still be open when a start is recorded.
@@ -287,67 +323,67 @@
     transaction
         .requireVersion(RecordKeys.attempts(c), c.version)
         .put(RecordKeys.attempts(c), value);
-    attemptRecords.add(new WrittenChunk(c, c.changeCount, false, recorded, value));
-    bytes += Json.text(value).length() + KEY_BYTES;
+    writtenRecords.add(new WrittenRecord(c, c.changeCount, false, starts, value));
+    estimatedBytes += Json.text(value).length() + KEY_BYTES;
   }
 
-  private static List<Attempt> recording(AttemptRecord c) {
-    List<Attempt> recording = new ArrayList<>();
+  private static List<Attempt> uncommittedStarts(AttemptRecord c) {
+    List<Attempt> starts = new ArrayList<>();
     for (int t = c.firstTask(); t < c.endTask(); t++) {
       Attempt a = c.job.liveAttempt(t);
       if (a != null && a.phase == Attempt.Phase.RECORDING) {
-        recording.add(a);
+        starts.add(a);
       }
     }
-    return recording;
+    return starts;
   }
 
   /**
    * The record is written as a whole, so each of its members is: one whose start is to be recorded
    * with its job's open record as a condition.
    */
-  private void includeShared(SharedAttemptRecord r) {
+  private void addShared(SharedAttemptRecord r) {
     int conditions = 1;
     for (AttemptRecord c : r.members()) {
-      conditions += !seen.contains(c) && c.uncommittedStarts() > 0 ? 1 : 0;
+      conditions += !included.contains(c) && c.uncommittedStarts() > 0 ? 1 : 0;
     }
-    if (!hasConditions(conditions) || (!sharedAttemptRecords.contains(r) && full(1))) {
+    if (!hasRoomForConditions(conditions) || (!includedSharedRecords.contains(r) && isFull(1))) {
       return;
     }
-    sharedAttemptRecords.add(r);
+    includedSharedRecords.add(r);
     for (AttemptRecord c : r.members()) {
-      if (!seen.add(c)) {
+      if (!included.add(c)) {
         continue;
       }
-      List<Attempt> recorded = recording(c);
-      if (!recorded.isEmpty()) {
+      List<Attempt> starts = uncommittedStarts(c);
+      if (!starts.isEmpty()) {
         transaction.requireVersion(RecordKeys.openJob(c.job.spec.id()), c.job.version);
       }
-      bytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
+      estimatedBytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
       if (!schedulerState.jobsToComplete().contains(c.job)) {
-        sharedChunks.add(new WrittenChunk(c, c.changeCount, c.isFinished(), recorded, null));
+        sharedMembers.add(new WrittenRecord(c, c.changeCount, c.isFinished(), starts, null));
       }
     }
   }
 
-  /** Builds the values of shared records: nothing can be added from then on. */
+  /** Encodes the shared records: nothing can be added from then on. */
   void finish() {
-    for (SharedAttemptRecord r : sharedAttemptRecords) {
+    for (SharedAttemptRecord r : includedSharedRecords) {
       // One that joined when there was no room for its conditions is written with the next one.
-      List<AttemptRecord> left =
-          r.members().stream().filter(c -> seen.contains(c) && !c.isFinished()).toList();
-      List<WrittenChunk> written =
-          sharedChunks.stream().filter(w -> w.attemptRecord().sharedRecord == r).toList();
+      List<AttemptRecord> remaining =
+          r.members().stream().filter(c -> included.contains(c) && !c.isFinished()).toList();
+      List<WrittenRecord> written =
+          sharedMembers.stream().filter(w -> w.record().sharedRecord == r).toList();
       transaction.requireVersion(RecordKeys.sharedAttempts(r), r.version);
-      if (!left.isEmpty()) {
-        JsonNode value = AttemptRecordCodec.encodeShared(left, zones);
+      if (!remaining.isEmpty()) {
+        JsonNode value = AttemptRecordCodec.encodeShared(remaining, zones);
         transaction.put(RecordKeys.sharedAttempts(r), value);
-        shared.add(new WrittenShared(r, value, written));
+        writtenSharedRecords.add(new WrittenSharedRecord(r, value, written));
       } else {
         if (r.version > 0) {
           transaction.delete(RecordKeys.sharedAttempts(r));
         }
-        shared.add(new WrittenShared(r, null, written));
+        writtenSharedRecords.add(new WrittenSharedRecord(r, null, written));
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -234,7 +234,7 @@
         () -> {
           for (VersionedValue i : run) {
             if (done.contains(jobOf(i.key()))) {
-              committer.leftover(i.key(), i.version());
+              committer.deleteObsoleteRecord(i.key(), i.version());
             }
           }
           next.run();
@@ -401,7 +401,7 @@
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.cancelled();
       reading.awaitAnother();
-      committer.reread(
+      committer.readJobEnd(
           job,
           () -> {
             reading.markApplied();
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -58,17 +58,16 @@
         new RateLimiter(RPS, 24, c.now),
         schedulerState,
         zones,
-        leaderVersion,
-        maxOps,
-        new WriteBehindCommitter.Events() {
+        new WriteBehindCommitter.Options(leaderVersion, maxOps),
+        new WriteBehindCommitter.Listener() {
           @Override
-          public void guard(Job job, Transaction transaction) {}
+          public void addStartConditions(Job job, Transaction transaction) {}
 
           @Override
-          public void guarded(Job job, long revision) {}
+          public void startRecorded(Job job, long revision) {}
 
           @Override
-          public void reguard(Job job, Runnable next) {
+          public void revalidate(Job job, Runnable next) {
             next.run();
           }
 
@@ -81,7 +80,7 @@
           public void committed() {}
 
           @Override
-          public void ended(Job job, boolean done) {}
+          public void jobEnded(Job job, boolean done) {}
         });
   }
 
@@ -108,7 +107,7 @@
       for (int i = 0; i < RPS; i++) {
         others.add(start("job-2" + s + i, 1));
       }
-      committer.kick();
+      committer.commitPending();
       c.run(1_000);
       if (s == 0) {
         assertTrue(recorded(others) >= 10, "in the first second: " + recorded(others));
@@ -125,10 +124,10 @@
   void smallJobsShareARecordOfTheirStarts() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(20);
     int before = c.writes;
-    committer.kick();
+    committer.commitPending();
     c.run(100);
     assertEquals(20, recorded(all));
     assertEquals(1, c.writes - before);
@@ -136,7 +135,7 @@
     assertEquals(0, c.store.keys("run/").size());
     all.forEach(a -> schedulerState.resolve(a, AttemptOutcome.COMPLETED, c.now));
     c.run(1_000);
-    committer.kick();
+    committer.commitPending();
     c.run(20_000);
     assertEquals(List.of(), List.copyOf(c.store.keys("starts/")));
     assertEquals(List.of(), List.copyOf(c.store.keys("open/")));
@@ -150,10 +149,10 @@
   void aJobThatIsOverKeepsNoOtherFromTheSharedRecord() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(5);
     cancelFirst();
-    committer.kick();
+    committer.commitPending();
     c.run(1_000);
     assertEquals(4, recorded(all));
     assertEquals(Attempt.Phase.GONE, all.get(0).phase);
@@ -165,16 +164,16 @@
   void aCancelledJobOfWhichNothingIsLeftIsNotListedAnyMore() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(3);
-    committer.kick();
+    committer.commitPending();
     c.run(100);
     cancelFirst();
-    committer.cancelled(all.get(0).job);
+    committer.jobCancelled(all.get(0).job);
     schedulerState.resolve(all.get(0), AttemptOutcome.STOPPED, c.now);
-    committer.kick();
+    committer.commitPending();
     c.run(10_000);
-    committer.kick();
+    committer.commitPending();
     c.run(10_000);
     assertEquals(List.of("job-11", "job-12"), sharedJobs());
   }
@@ -188,12 +187,12 @@
       if (shared) {
         schedulerState
             .sharedAttemptRecords()
-            .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+            .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
       }
       List<Attempt> all = startMany(shared ? 3 : 1);
       int before = c.writes;
       c.loseNext = 1;
-      committer.kick();
+      committer.commitPending();
       c.run(600);
       assertEquals(all.size(), recorded(all));
       assertEquals(2, c.writes - before);
@@ -214,14 +213,14 @@
       }
       jobs.add(job);
     }
-    committer.kick();
+    committer.commitPending();
     c.run(10_000);
     int before = c.writes;
     for (int t = 0; t < 40; t++) {
       for (Job job : jobs) {
         schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, c.now);
       }
-      committer.kick();
+      committer.commitPending();
       c.run(500);
     }
     int written = c.writes - before;
@@ -234,9 +233,9 @@
   void aSharedRecordListsNoStartWithoutItsCondition() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(90);
-    committer.kick();
+    committer.commitPending();
     boolean some = false;
     for (int ms = 0; ms < 20; ms++) {
       c.run(1);
@@ -252,12 +251,12 @@
   void aJobWhoseOwnRecordIsUnknownSharesNone() {
     c.loseAnswers = true;
     List<Attempt> all = startMany(1);
-    committer.kick();
+    committer.commitPending();
     c.run(1_000);
     c.loseAnswers = false;
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     c.run(10_000);
     assertEquals(1, recorded(all));
     assertEquals(List.of(), sharedJobs());
@@ -272,9 +271,9 @@
     int maxOps = 4;
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(maxOps), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(maxOps), VALUE_BYTES);
     List<Attempt> all = startMany(60);
-    committer(maxOps).kick();
+    committer(maxOps).commitPending();
     c.run(10_000);
     assertEquals(60, recorded(all));
   }
@@ -285,7 +284,7 @@
     int mostBytes = 2 * 1024;
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), mostBytes);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), mostBytes);
     List<Attempt> all = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
@@ -295,7 +294,7 @@
         all.add(schedulerState.start(job, t, longNamed(t), c.now));
       }
     }
-    committer.kick();
+    committer.commitPending();
     c.run(10_000);
     assertEquals(96, recorded(all));
     for (String key : c.store.keys("starts/")) {
@@ -309,11 +308,11 @@
   void aServiceHasARecordOfItsOwn() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.mostSharedMembers(16), VALUE_BYTES);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     JobSpec s = JobSpecs.array("job-1", 1, 1).service().build();
     Job job = schedulerState.accept(s, put("open/job-1"), 0, c.now);
     List<Attempt> all = List.of(schedulerState.start(job, 0, machine, c.now));
-    committer.kick();
+    committer.commitPending();
     c.run(1_000);
     assertEquals(1, recorded(all));
     assertEquals(List.of(), sharedJobs());
