--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -1,6 +1,7 @@
 package org.mallowroad.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import org.mallowroad.api.claim.JobRecordReader;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.state.CallResult;
@@ -10,9 +11,9 @@
 import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.DependencyCodec;
 
-/** Takes users' requests to cancel a job; nobody is told before the end record is committed. */
+/** Serves requests to cancel a job; each is answered after the end record is committed. */
 final class CancelRequests {
-  private static final int MOST_RETRIES = 2;
+  private static final int MAX_RETRIES = 2;
 
   private final EventLoop loop;
   private final KeyValueStore state;
@@ -26,7 +27,7 @@
     this.writes = writes;
   }
 
-  /** POST /v1/jobs/{id}/withdraw. */
+  /** Serves POST /v1/jobs/{id}/withdraw. */
   void cancel(Responder x, String id) {
     cancel(x, id, 0);
   }
@@ -34,7 +35,7 @@
   private void cancel(Responder x, String id, int retries) {
     lookup.read(
         id,
-        new JobLookup.RecordListener() {
+        new JobRecordReader.Listener() {
           @Override
           public void open(JsonNode value, long version) {
             commit(x, id, value, version, retries);
@@ -51,8 +52,8 @@
           }
 
           @Override
-          public void failed() {
-            JobLookup.unreachable(x);
+          public void unavailable() {
+            JobLookup.answerUnavailable(x);
           }
         });
   }
@@ -68,7 +69,8 @@
       transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
     writes.forceAcquire(transaction.writes(), loop.now());
-    // Sent twice when an answer is late; one of the two that fails is read as what it found.
+    // Sent twice when an answer is late; if one of the two fails, its failed conditions are read as
+    // the outcome.
     state.compareAndSwapWithRetry(
         transaction,
         () -> writes.forceAcquire(transaction.writes(), loop.now()),
@@ -76,10 +78,10 @@
           if (result == CallResult.OK) {
             lookup.ended(id, false);
             x.answer(200, JobLookup.status(id, false), false);
-          } else if (result == CallResult.CONDITION_FAILED && retries < MOST_RETRIES) {
+          } else if (result == CallResult.CONDITION_FAILED && retries < MAX_RETRIES) {
             cancel(x, id, retries + 1);
           } else {
-            JobLookup.unreachable(x);
+            JobLookup.answerUnavailable(x);
           }
         });
   }
--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -5,66 +5,75 @@
 import java.util.function.Supplier;
 import org.mallowroad.net.IncomingRequest;
 
-/** Routes what users, workers and probes ask; all answers are given on the one loop. */
+/** Routes requests of users, workers and probes by path and method. */
 public final class HttpRouter {
   private static final String JOBS = "/v1/jobs";
+  private static final String HEARTBEATS = "/v1/report";
+  private static final String CANCEL_SUFFIX = "/withdraw";
+  private static final String HEALTH = "/healthz";
+  private static final String METRICS = "/metrics";
   private static final String TEXT = "text/plain; charset=utf-8";
 
-  private final Users users;
-  private final Consumer<IncomingRequest> reports;
+  private final UserRequestHandler users;
+  private final Consumer<IncomingRequest> heartbeats;
   private final Supplier<Boolean> healthy;
   private final Supplier<String> metrics;
 
-  /** Serves what users ask, here or through a peer. */
+  /** Serves users' requests, on this node or through a peer. */
   @FunctionalInterface
-  public interface Users {
-    /** Serves one request; a path without a suffix has an empty one. */
-    void serve(String method, String path, byte[] body, Responder answerer);
+  public interface UserRequestHandler {
+    /** Serves one request whose path and method are those of a user's request. */
+    void serve(String method, String path, byte[] body, Responder responder);
   }
 
-  /** Over the parties' handlers. */
+  /**
+   * Routes to these handlers.
+   *
+   * @param healthy whether the node answers its health probe with 200
+   * @param metrics the text of the metrics
+   */
   public HttpRouter(
-      Users users,
-      Consumer<IncomingRequest> reports,
+      UserRequestHandler users,
+      Consumer<IncomingRequest> heartbeats,
       Supplier<Boolean> healthy,
       Supplier<String> metrics) {
     this.users = users;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.healthy = healthy;
     this.metrics = metrics;
   }
 
-  /** Serves one request. */
+  /** Serves one request, on the event loop. */
   public void request(IncomingRequest x) {
     String path = x.path();
-    if (path.equals("/v1/report")) {
-      if (allowed(x, true)) {
-        reports.accept(x);
+    if (path.equals(HEARTBEATS)) {
+      if (isAllowed(x, true)) {
+        heartbeats.accept(x);
       }
     } else if (path.equals(JOBS)) {
-      if (allowed(x, true)) {
+      if (isAllowed(x, true)) {
         serve(x);
       }
     } else if (path.startsWith(JOBS + "/")) {
       String rest = path.substring(JOBS.length() + 1);
       int slash = rest.indexOf('/');
-      if (slash < 0 || rest.substring(slash).equals("/withdraw")) {
-        if (allowed(x, slash >= 0)) {
+      if (slash < 0 || rest.substring(slash).equals(CANCEL_SUFFIX)) {
+        if (isAllowed(x, slash >= 0)) {
           serve(x);
         }
       } else {
         Reply.error(x, 404, "no such path");
       }
-    } else if (path.equals("/healthz")) {
-      if (allowed(x, false)) {
+    } else if (path.equals(HEALTH)) {
+      if (isAllowed(x, false)) {
         if (healthy.get()) {
           text(x, "ok\n");
         } else {
           Reply.retryLater(x, "not ready");
         }
       }
-    } else if (path.equals("/metrics")) {
-      if (allowed(x, false)) {
+    } else if (path.equals(METRICS)) {
+      if (isAllowed(x, false)) {
         text(x, metrics.get());
       }
     } else {
@@ -77,10 +86,10 @@
   }
 
   private void serve(IncomingRequest x) {
-    users.serve(x.method(), x.path(), x.body(), Reply.over(x));
+    users.serve(x.method(), x.path(), x.body(), Reply.responder(x));
   }
 
-  private static boolean allowed(IncomingRequest x, boolean post) {
+  private static boolean isAllowed(IncomingRequest x, boolean post) {
     if (x.method().equals(post ? "POST" : "GET")) {
       return true;
     }
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -4,71 +4,56 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.objects.Object2BooleanLinkedOpenHashMap;
 import java.util.function.Consumer;
+import org.mallowroad.api.claim.JobRecordReader;
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.net.EventLoop;
-import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
 /**
- * How jobs stand: by the ends that this node remembers, since an end never changes, and else by a
- * read that is made for the question. So no answer is older than one that any node has given.
+ * Looks up the state of jobs: from the ends that this node remembers, since an end never changes,
+ * else by a read that is made for the question. So no answer is older than one that any node has
+ * given.
  */
 final class JobLookup {
-  private final KeyValueStore state;
   private final ReadQueue reads;
   private final OpenJobs openJobs;
   private final TaskCounts counts;
-  private final int mostEnds;
+  private final JobRecordReader records;
+  private final int maxRememberedEnds;
   private Consumer<String> onCancelled = id -> {};
 
   /** True for done, false for cancelled: final states never change, so they may be kept. */
   private final Object2BooleanLinkedOpenHashMap<String> ends =
       new Object2BooleanLinkedOpenHashMap<>();
 
-  /** What a job's records say. */
-  interface RecordListener {
-    /** It is open: the value and version of its open record. */
-    void open(JsonNode value, long version);
-
-    /** It is over. */
-    void over(boolean done);
-
-    /** There is no such job. */
-    void absent();
-
-    /** The state service did not say. */
-    void failed();
-  }
-
   JobLookup(
       EventLoop loop,
       KeyValueStore state,
       ReadQueue reads,
       double burst,
       UserApi.Jobs jobs,
-      int mostConditions,
-      int mostEnds) {
-    this.state = state;
+      int maxConditions,
+      int maxRememberedEnds) {
     this.reads = reads;
-    this.mostEnds = mostEnds;
-    this.openJobs = new OpenJobs(state, reads, mostEnds / 4, mostConditions);
+    this.records = new JobRecordReader(state);
+    this.maxRememberedEnds = maxRememberedEnds;
+    this.openJobs = new OpenJobs(state, reads, maxRememberedEnds / 4, maxConditions);
     this.counts = new TaskCounts(loop, state, reads, burst, jobs);
   }
 
-  /** Told of each cancellation that this node learns of as a fact, for the first time. */
+  /** Sets the listener of cancellations, called once for each that this node learns of. */
   void onCancelled(Consumer<String> listener) {
     onCancelled = listener;
   }
 
-  /** A job's end became known. */
+  /** Remembers a job's end, which is committed. */
   void ended(String id, boolean done) {
-    openJobs.over(id);
+    openJobs.forget(id);
     boolean news = !ends.containsKey(id);
     ends.putAndMoveToLast(id, done);
-    if (ends.size() > mostEnds) {
+    if (ends.size() > maxRememberedEnds) {
       ends.removeFirstBoolean();
     }
     if (news && !done) {
@@ -76,44 +61,51 @@
     }
   }
 
-  /** A job was read or written as open. */
+  /** Remembers a job that was read or written as open. */
   void opened(String id, long version) {
-    openJobs.saw(id, version);
+    openJobs.seenOpen(id, version);
   }
 
-  /** How many ends of jobs are remembered. */
-  int ends() {
+  /** The number of jobs whose end is remembered. */
+  int rememberedEnds() {
     return ends.size();
   }
 
-  /** How many open jobs are remembered. */
-  int opens() {
+  /** The number of open jobs that are remembered. */
+  int rememberedOpenJobs() {
     return openJobs.size();
   }
 
-  /** The remembered end of a job, or null. */
-  JobOutcome jobOutcome(String id) {
+  /** The outcome of a job that is remembered to be over, or null. */
+  JobOutcome finalOutcome(String id) {
     if (!ends.containsKey(id)) {
       return null;
     }
     return ends.getBoolean(id) ? JobOutcome.DONE : JobOutcome.CANCELLED;
   }
 
-  /** True when a lookup asked for now is answered so soon that a submission may wait for it. */
-  boolean prompt() {
-    return openJobs.prompt();
+  /** Whether a lookup made now is answered so soon that a submission may wait for it. */
+  boolean answersPromptly() {
+    return openJobs.answersPromptly();
   }
 
   /**
-   * Answers 200 with the state of a job that there is, 503 when the state service does not say, and
-   * runs {@code absent} for any other.
+   * Answers 200 with the state of a job that exists, and 503 when the state service does not
+   * answer.
+   *
+   * @param absent run instead when there is no such job
    */
   void answer(Responder x, String id, Runnable absent) {
-    answer(x, id, absent, () -> unreachable(x));
+    answer(x, id, absent, () -> answerUnavailable(x));
   }
 
-  /** The same with another way out when the state service does not say. */
-  void answer(Responder x, String id, Runnable absent, Runnable unknown) {
+  /**
+   * Answers 200 with the state of a job that exists.
+   *
+   * @param absent run instead when there is no such job
+   * @param unavailable run instead when the state service does not answer
+   */
+  void answer(Responder x, String id, Runnable absent, Runnable unavailable) {
     if (ends.containsKey(id)) {
       x.answer(200, status(id, ends.getBoolean(id)), false);
       return;
@@ -125,18 +117,18 @@
             case OPEN -> counts.answer(x, job);
             case OVER -> answerEnd(x, id);
             case ABSENT -> absent.run();
-            default -> unknown.run();
+            default -> unavailable.run();
           }
         });
   }
 
-  /** How a job ended that is known to be over. */
+  /** Answers how a job ended that is known to be over. */
   private void answerEnd(Responder x, String id) {
-    RecordListener reader =
-        new RecordListener() {
+    JobRecordReader.Listener reader =
+        new JobRecordReader.Listener() {
           @Override
           public void open(JsonNode value, long version) {
-            unreachable(x); // The end record alone is read.
+            answerUnavailable(x); // The end record alone is read.
           }
 
           @Override
@@ -146,27 +138,27 @@
 
           @Override
           public void absent() {
-            unreachable(x); // It was there a moment ago: a 404 would be wrong.
+            answerUnavailable(x); // It was there a moment ago: a 404 would be wrong.
           }
 
           @Override
-          public void failed() {
-            unreachable(x);
+          public void unavailable() {
+            answerUnavailable(x);
           }
         };
-    reads.take(1, () -> readEnd(id, reader), reader::failed);
+    reads.acquire(1, () -> readEnd(id, reader), reader::unavailable);
   }
 
-  static void unreachable(Responder x) {
+  /** Answers that the state service is not reached, and that the client may retry. */
+  static void answerUnavailable(Responder x) {
     x.answer(503, Reply.reason("state service not reached"), true);
   }
 
   /**
-   * Reads what is on record of a job. Whether there is anything is asked together with others:
-   * users who cancel jobs that were never accepted, again and again, would take all calls
-   * otherwise.
+   * Reads a job's records. Whether there are any is asked together with other questions, since
+   * users who go on cancelling jobs that were never accepted would take all calls otherwise.
    */
-  void read(String id, RecordListener reader) {
+  void read(String id, JobRecordReader.Listener reader) {
     if (ends.containsKey(id)) {
       reader.over(ends.getBoolean(id));
       return;
@@ -175,47 +167,63 @@
         id,
         (status, job) -> {
           switch (status) {
-            case OPEN -> reads.take(2, () -> readOpen(id, reader), reader::failed);
-            case OVER -> reads.take(1, () -> readEnd(id, reader), reader::failed);
+            case OPEN -> reads.acquire(2, () -> readOpen(id, reader), reader::unavailable);
+            case OVER -> reads.acquire(1, () -> readEnd(id, reader), reader::unavailable);
             case ABSENT -> reader.absent();
-            default -> reader.failed();
+            default -> reader.unavailable();
           }
         });
   }
 
-  /** Open, then end: a job moves from the first to the second, so it is never missed. */
-  private void readOpen(String id, RecordListener reader) {
-    state.get(
-        RecordKeys.openJob(id),
-        (result, open) -> {
-          if (result != CallResult.OK) {
-            reader.failed();
-          } else if (open.value() != null) {
-            reads.giveBack(); // One call was enough.
-            reader.open(open.value(), open.version());
-          } else {
-            readEnd(id, reader);
+  private void readOpen(String id, JobRecordReader.Listener reader) {
+    records.read(
+        id,
+        new EndRememberingListener(id, reader) {
+          @Override
+          public void open(JsonNode value, long version) {
+            reads.release(); // One call was enough.
+            super.open(value, version);
           }
         });
   }
 
-  private void readEnd(String id, RecordListener reader) {
-    state.get(
-        RecordKeys.endedJob(id),
-        (result, end) -> {
-          if (result != CallResult.OK) {
-            reader.failed();
-          } else if (end.value() == null) {
-            reader.absent();
-          } else {
-            boolean done = end.value().path("end").asText().equals(Fields.DONE);
-            ended(id, done);
-            reader.over(done);
-          }
-        });
+  private void readEnd(String id, JobRecordReader.Listener reader) {
+    records.readEnd(id, new EndRememberingListener(id, reader));
+  }
+
+  /** Remembers the end that was read, and hands the result on. */
+  private class EndRememberingListener implements JobRecordReader.Listener {
+    private final String id;
+    private final JobRecordReader.Listener reader;
+
+    EndRememberingListener(String id, JobRecordReader.Listener reader) {
+      this.id = id;
+      this.reader = reader;
+    }
+
+    @Override
+    public void open(JsonNode value, long version) {
+      reader.open(value, version);
+    }
+
+    @Override
+    public void over(boolean done) {
+      ended(id, done);
+      reader.over(done);
+    }
+
+    @Override
+    public void absent() {
+      reader.absent();
+    }
+
+    @Override
+    public void unavailable() {
+      reader.unavailable();
+    }
   }
 
-  /** The answer about a job that is over. */
+  /** The response body about a job that is over. */
   static ObjectNode status(String id, boolean done) {
     ObjectNode o = Json.object();
     o.put(Fields.ID, id);
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -42,27 +42,46 @@
     UNKNOWN
   }
 
-  /** Takes the answer to a question. */
+  /** Takes the answer to a question; called once. */
   interface Listener {
-    /** With {@link Status#OPEN} the job, else null. */
+    /**
+     * The question is answered.
+     *
+     * @param job with {@link Status#OPEN} the job, else null
+     */
     void answered(Status status, Entry job);
   }
 
-  /** A job that was seen open; its counts are for display and may be older. */
+  /** A job that was seen open; the counts of its tasks are for display and may be older. */
   static final class Entry {
     final String id;
 
     /** Version of its open record, or 0 while only its existence was seen. */
     final long version;
 
-    int done;
-    int running;
-    long countedMs = Long.MIN_VALUE / 2;
+    private JobProgress progress = JobProgress.NONE;
+    private long countedMs = Long.MIN_VALUE / 2;
 
     Entry(String id, long version) {
       this.id = id;
       this.version = version;
     }
+
+    /** The newest counts of its tasks. */
+    JobProgress progress() {
+      return progress;
+    }
+
+    /** When they were counted; long ago when they never were. */
+    long countedMs() {
+      return countedMs;
+    }
+
+    /** Keeps counts that were read now. */
+    void counted(JobProgress counts, long now) {
+      progress = counts;
+      countedMs = now;
+    }
   }
 
   /** What a question compares. */
@@ -88,63 +107,64 @@
   }
 
   /** Comparisons under way at once: with two, one is being answered while the next one fills. */
-  private static final int MOST_OUT = 2;
+  private static final int MAX_IN_FLIGHT = 2;
 
-  /** A part of the time in which users expect the answer to a submission. */
-  private static final long PROMPT_MS = 100;
+  /** A small part of the time in which users expect the answer to a submission. */
+  private static final long PROMPT_ANSWER_MS = 100;
 
   /** Questions that wait; more are turned away, as users ask again. */
-  private static final int MOST_WAITING = 1_000;
+  private static final int MAX_WAITING = 1_000;
 
   private final KeyValueStore state;
   private final ReadQueue reads;
-  private final int most;
-  private final int mostConditions;
+  private final int maxRemembered;
+  private final int maxConditions;
   private final Object2ObjectLinkedOpenHashMap<String, Entry> jobs =
       new Object2ObjectLinkedOpenHashMap<>();
   private final ArrayDeque<Question> waiting = new ArrayDeque<>();
-  private int out;
+  private int inFlight;
 
-  /** Remembers the newest {@code most} jobs; a call has {@code mostConditions} at the most. */
-  OpenJobs(KeyValueStore state, ReadQueue reads, int most, int mostConditions) {
+  /** Remembers the newest {@code maxRemembered} jobs; a call has at most {@code maxConditions}. */
+  OpenJobs(KeyValueStore state, ReadQueue reads, int maxRemembered, int maxConditions) {
     this.state = state;
     this.reads = reads;
-    this.most = most;
-    this.mostConditions = mostConditions;
+    this.maxRemembered = maxRemembered;
+    this.maxConditions = maxConditions;
   }
 
-  /** The job was read or written as open with this version. */
-  Entry saw(String id, long version) {
+  /** Remembers a job that was read or written as open with this version, or 0 if unknown. */
+  Entry seenOpen(String id, long version) {
     Entry entry = jobs.getAndMoveToLast(id);
     if (entry == null || (version != 0 && entry.version != version)) {
       entry = new Entry(id, version);
       jobs.putAndMoveToLast(id, entry);
-      if (jobs.size() > most) {
+      if (jobs.size() > maxRemembered) {
         jobs.removeFirst();
       }
     }
     return entry;
   }
 
-  /** The job is over. */
-  void over(String id) {
+  /** Forgets a job that is over. */
+  void forget(String id) {
     jobs.remove(id);
   }
 
+  /** The number of jobs that are remembered. */
   int size() {
     return jobs.size();
   }
 
-  /** True when a question asked now is answered so soon that a submission may wait for it. */
-  boolean prompt() {
-    return waiting.size() < mostConditions / 2
-        && reads.delayMs() < PROMPT_MS
+  /** Whether a question asked now is answered so soon that a submission may wait for it. */
+  boolean answersPromptly() {
+    return waiting.size() < maxConditions / 2
+        && reads.delayMs() < PROMPT_ANSWER_MS
         && !state.health().isResponseLate();
   }
 
   /** Asks whether a job is open, over or absent. */
   void ask(String id, Listener listener) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (waiting.size() >= MAX_WAITING) {
       listener.answered(Status.UNKNOWN, null);
       return;
     }
@@ -159,26 +179,27 @@
   }
 
   private void send() {
-    // One that waits for its call counts as under way: the questions of meanwhile share it.
-    while (out < MOST_OUT && !waiting.isEmpty()) {
-      out++;
-      reads.take(1, this::compare, this::turnAway);
+    // A comparison that waits for its call counts as in flight: later questions share it.
+    while (inFlight < MAX_IN_FLIGHT && !waiting.isEmpty()) {
+      inFlight++;
+      reads.acquire(1, this::compare, this::refuse);
     }
   }
 
-  private void turnAway() {
-    out--;
-    for (Question q : batch()) {
+  private void refuse() {
+    inFlight--;
+    for (Question q : nextBatch()) {
       q.listener.answered(Status.UNKNOWN, null);
     }
     send();
   }
 
   /**
-   * As many questions as one call has conditions for. Versions that are expected to hold go by
-   * themselves: with a condition among them that fails they would have to be compared again.
+   * Takes as many questions as one call has conditions for. Versions, which are expected to hold,
+   * are compared apart from other questions: with a failing condition among them all would have to
+   * be compared again.
    */
-  private List<Question> batch() {
+  private List<Question> nextBatch() {
     List<Question> batch = new ArrayList<>();
     if (waiting.isEmpty()) {
       return batch;
@@ -187,7 +208,7 @@
     int conditions = 0;
     while (!waiting.isEmpty()
         && (waiting.peek().kind == Kind.VERSION) == versions
-        && conditions + waiting.peek().kind.conditions <= mostConditions) {
+        && conditions + waiting.peek().kind.conditions <= maxConditions) {
       conditions += waiting.peek().kind.conditions;
       batch.add(waiting.poll());
     }
@@ -195,10 +216,10 @@
   }
 
   private void compare() {
-    List<Question> batch = batch();
+    List<Question> batch = nextBatch();
     if (batch.isEmpty()) {
-      reads.giveBack();
-      out--;
+      reads.release();
+      inFlight--;
       return;
     }
     Transaction transaction = new Transaction();
@@ -212,7 +233,7 @@
         transaction,
         () -> {},
         (result, revision, failed) -> {
-          out--;
+          inFlight--;
           List<Question> again = new ArrayList<>();
           for (Question q : batch) {
             if (!answer(q, result, failed)) {
@@ -230,26 +251,27 @@
   private boolean answer(Question q, CallResult result, List<String> failed) {
     if (result == CallResult.OK && q.kind != Kind.OPEN_RECORD) {
       boolean open = q.kind == Kind.VERSION;
-      q.listener.answered(open ? Status.OPEN : Status.ABSENT, open ? saw(q.id, q.version) : null);
+      q.listener.answered(
+          open ? Status.OPEN : Status.ABSENT, open ? seenOpen(q.id, q.version) : null);
       return true;
     }
     if (result == CallResult.OK || (result == CallResult.CONDITION_FAILED && !failed.isEmpty())) {
-      return answerByName(q, failed);
+      return answerByFailedConditions(q, failed);
     }
     q.listener.answered(Status.UNKNOWN, null);
     return true;
   }
 
-  private boolean answerByName(Question q, List<String> failed) {
-    boolean openNamed = failed.contains(RecordKeys.openJob(q.id));
-    if (q.kind == Kind.VERSION && openNamed) {
-      over(q.id);
+  private boolean answerByFailedConditions(Question q, List<String> failed) {
+    boolean openFailed = failed.contains(RecordKeys.openJob(q.id));
+    if (q.kind == Kind.VERSION && openFailed) {
+      forget(q.id);
       q.listener.answered(Status.OVER, null);
     } else if (failed.contains(RecordKeys.endedJob(q.id))) {
-      over(q.id);
+      forget(q.id);
       q.listener.answered(Status.OVER, null);
-    } else if (q.kind != Kind.VERSION && openNamed) {
-      q.listener.answered(Status.OPEN, saw(q.id, 0));
+    } else if (q.kind != Kind.VERSION && openFailed) {
+      q.listener.answered(Status.OPEN, seenOpen(q.id, 0));
     } else {
       return false;
     }
--- a/src/main/java/org/mallowroad/api/ReadQueue.java
+++ b/src/main/java/org/mallowroad/api/ReadQueue.java
@@ -5,85 +5,89 @@
 import org.mallowroad.net.RateLimiter;
 
 /**
- * Users' part of the state service's calls, in the order in which they were asked for. Without an
- * order those that need two calls never had them while others took each single one as it came, and
- * a job was not heard of for as long as its user asked the same node (docs/incidents,
- * polls-starved).
+ * Grants users' requests their part of the calls to the state service, in the order in which they
+ * asked. Without an order a request that needs two calls starves while others take each single
+ * permit as it comes (docs/incidents, polls-starved).
  */
 final class ReadQueue {
-  /** A user waits 2 s for an answer. */
-  private static final long PATIENCE_MS = 1_300;
+  /** The longest wait of a request: its user waits 2 s for the answer. */
+  private static final long MAX_WAIT_MS = 1_300;
 
-  private static final int MOST_WAITING = 500;
-  private static final long TURN_MS = 15;
+  private static final int MAX_WAITING = 500;
+  private static final long CHECK_INTERVAL_MS = 15;
 
-  private record Ask(int calls, long sinceMs, Runnable go, Runnable no) {}
+  private record PendingRequest(int calls, long sinceMs, Runnable granted, Runnable refused) {}
 
   private final EventLoop loop;
   private final RateLimiter rateLimiter;
-  private final ArrayDeque<Ask> waiting = new ArrayDeque<>();
-  private boolean turning;
+  private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
+  private boolean checkScheduled;
 
   ReadQueue(EventLoop loop, RateLimiter rateLimiter) {
     this.loop = loop;
     this.rateLimiter = rateLimiter;
   }
 
-  /** Runs {@code go} once so many calls may be made, or {@code no} when that takes too long. */
-  void take(int calls, Runnable go, Runnable no) {
+  /**
+   * Waits until so many calls may be made.
+   *
+   * @param granted run when they may be made
+   * @param refused run instead when that takes too long
+   */
+  void acquire(int calls, Runnable granted, Runnable refused) {
     long now = loop.now();
     if (waiting.isEmpty() && rateLimiter.tryAcquire(calls, now)) {
-      go.run();
-    } else if (waiting.size() >= MOST_WAITING) {
-      no.run();
+      granted.run();
+    } else if (waiting.size() >= MAX_WAITING) {
+      refused.run();
     } else {
-      waiting.add(new Ask(calls, now, go, no));
-      later();
+      waiting.add(new PendingRequest(calls, now, granted, refused));
+      scheduleCheck();
     }
   }
 
-  /** How long a call that is asked for now waits for its turn. */
+  /** How long a call that is requested now would wait, in milliseconds. */
   long delayMs() {
     double calls = 1 - rateLimiter.availablePermits(loop.now());
-    for (Ask a : waiting) {
-      calls += a.calls;
+    for (PendingRequest p : waiting) {
+      calls += p.calls;
     }
     return calls <= 0 ? 0 : Math.round(1000 * calls / rateLimiter.permitsPerSecond());
   }
 
-  /** Takes a call for what is merely nice to know: only while half of them are unused. */
-  boolean spare(double burst) {
+  /** Takes a call for a read that can be left out: only while half of the burst is unused. */
+  boolean tryAcquireSpare(double burst) {
     long now = loop.now();
     return waiting.isEmpty()
         && rateLimiter.availablePermits(now) >= burst / 2
         && rateLimiter.tryAcquire(1, now);
   }
 
-  /** A call that was taken and not made. */
-  void giveBack() {
+  /** Returns a call that was granted and not made. */
+  void release() {
     rateLimiter.forceAcquire(-1, loop.now());
   }
 
-  private void later() {
-    if (!turning) {
-      turning = true;
-      loop.after(TURN_MS, this::turn);
+  private void scheduleCheck() {
+    if (!checkScheduled) {
+      checkScheduled = true;
+      loop.after(CHECK_INTERVAL_MS, this::check);
     }
   }
 
-  private void turn() {
-    turning = false;
+  private void check() {
+    checkScheduled = false;
     long now = loop.now();
-    Ask a;
-    while ((a = waiting.peek()) != null) {
-      if (now - a.sinceMs > PATIENCE_MS) {
+    PendingRequest first;
+    while ((first = waiting.peek()) != null) {
+      if (now - first.sinceMs > MAX_WAIT_MS) {
         waiting.poll();
-        a.no.run();
-      } else if (rateLimiter.tryAcquire(a.calls, now)) {
+        first.refused.run();
+      } else if (rateLimiter.tryAcquire(first.calls, now)) {
         waiting.poll();
-        a.go.run();
+        first.granted.run();
       } else {
-        later();
+        scheduleCheck();
         return;
       }
     }
--- a/src/main/java/org/mallowroad/api/Reply.java
+++ b/src/main/java/org/mallowroad/api/Reply.java
@@ -6,35 +6,35 @@
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.Json;
 
-/** Writes responses. */
+/** Builds and sends JSON responses. */
 public final class Reply {
   private static final String JSON = "application/json";
 
   private Reply() {}
 
-  /** A JSON body. */
+  /** Sends a JSON body. */
   public static void json(IncomingRequest x, int status, JsonNode body) {
     x.answer(status, JSON, Json.bytes(body), false);
   }
 
-  /** Answers whoever sent a request. */
-  public static Responder over(IncomingRequest x) {
-    return (status, body, later) -> x.answer(status, JSON, Json.bytes(body), later);
+  /** A responder that answers this request. */
+  public static Responder responder(IncomingRequest x) {
+    return (status, body, retryLater) -> x.answer(status, JSON, Json.bytes(body), retryLater);
   }
 
-  /** A short reason as a body. */
+  /** A body that tells the reason of an error. */
   public static ObjectNode reason(String reason) {
     ObjectNode o = Json.object();
     o.put(Fields.ERROR, reason);
     return o;
   }
 
-  /** A short reason. */
+  /** Sends an error with its reason. */
   public static void error(IncomingRequest x, int status, String reason) {
     json(x, status, reason(reason));
   }
 
-  /** Cannot be taken now: said at once, with the time to come back. */
+  /** Sends 503 with a reason, and tells the client to retry after a second. */
   public static void retryLater(IncomingRequest x, String reason) {
     x.answer(503, JSON, Json.bytes(reason(reason)), true);
   }
--- a/src/main/java/org/mallowroad/api/Responder.java
+++ b/src/main/java/org/mallowroad/api/Responder.java
@@ -2,9 +2,16 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Whoever asked, whether over HTTP or through another controller. */
+/**
+ * Takes the response to a user's request, which arrived over HTTP or was relayed by another
+ * controller. Called once, on the event loop, also after the handler has returned.
+ */
 @FunctionalInterface
 public interface Responder {
-  /** Gives the one answer; with {@code later} the asker is told to come back. */
-  void answer(int status, ObjectNode body, boolean later);
+  /**
+   * Sends the response.
+   *
+   * @param retryLater whether the client is told to retry after a second
+   */
+  void answer(int status, ObjectNode body, boolean retryLater);
 }
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -2,6 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import java.util.Optional;
+import org.mallowroad.api.claim.AcceptanceResult;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Game;
@@ -18,22 +21,23 @@
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
 
-/** Takes submissions: judges them, and records the job before its user is told. */
+/** Serves submissions: validates them, and answers after the job is recorded. */
 final class Submissions {
-  /** After a refusal for its limits the service counts as crowded for so long. */
-  private static final long CROWDED_MS = 10_000;
+  /** The service counts as overloaded for this time after it refused a call for its limits. */
+  private static final long OVERLOADED_MS = 10_000;
 
-  /** A submission that the state service refused for its limits is sent again after so long. */
+  /** A submission that the state service refused for its limits is sent again after this time. */
   private static final long RETRY_MS = 120;
 
-  private static final int MOST_RETRIES = 4;
+  private static final int MAX_RETRIES = 4;
 
   /**
-   * Calls of submissions that are sent again, as a part of all that this node may make for users,
-   * and at once. Without a bound a service that is overloaded would get five calls for each.
+   * The rate of calls of submissions that are sent again, as a part of all calls that this node may
+   * make for users. Without a bound an overloaded service would get five calls for each submission.
    */
   private static final double RETRY_SHARE = 0.25;
 
+  /** Calls of submissions that may be sent again at once. */
   private static final double RETRY_BURST = 12;
 
   /** A value may be as long as the limit less what surrounds it. */
@@ -42,38 +46,35 @@
   private final EventLoop loop;
   private final KeyValueStore state;
   private final JobLookup lookup;
-  private final Folding folding;
+  private final ClaimService claims;
   private final UserApi.Jobs jobs;
   private final RateLimiter writes;
   private final RateLimiter fairWrites;
-  private final double valueKb;
+  private final double maxValueBytes;
   private final RateLimiter retries;
 
   Submissions(
       EventLoop loop,
       KeyValueStore state,
       JobLookup lookup,
-      Folding folding,
+      ClaimService claims,
       UserApi.Jobs jobs,
-      RateLimiter writes,
-      RateLimiter fairWrites,
-      double valueKb,
-      double callsPerSecond) {
-    this.retries = new RateLimiter(RETRY_SHARE * callsPerSecond, RETRY_BURST, loop.now());
+      UserApi.Limits limits) {
+    this.retries = new RateLimiter(RETRY_SHARE * limits.readBurst(), RETRY_BURST, loop.now());
     this.loop = loop;
     this.state = state;
     this.lookup = lookup;
-    this.folding = folding;
+    this.claims = claims;
     this.jobs = jobs;
-    this.writes = writes;
-    this.fairWrites = fairWrites;
-    this.valueKb = valueKb;
+    this.writes = limits.writes();
+    this.fairWrites = limits.fairWrites();
+    this.maxValueBytes = limits.maxValueKb() * 1024 - ENVELOPE_BYTES;
   }
 
-  /** A submission that is well formed, and its open record. */
+  /** A valid submission and its open record. */
   private record Parsed(JobSpec spec, List<Game> games, ObjectNode value) {}
 
-  /** POST /v1/jobs. */
+  /** Serves POST /v1/jobs. */
   void submit(Responder x, byte[] body) {
     ObjectNode o = null;
     Parsed parsed;
@@ -81,57 +82,58 @@
       o = Json.parseObject(body);
       parsed = parse(o);
     } catch (InvalidMessageException e) {
-      malformed(x, o, e.getMessage());
+      reject(x, o, e.getMessage());
       return;
     }
     String id = parsed.spec.id();
-    if (lookup.jobOutcome(id) != null) {
-      lookup.answer(x, id, () -> JobLookup.unreachable(x));
+    if (lookup.finalOutcome(id) != null) {
+      lookup.answer(x, id, () -> JobLookup.answerUnavailable(x));
       return;
     }
-    if (!jobs.ready()) {
+    if (!jobs.knowsMachineTypes()) {
       x.answer(503, Reply.reason("machine types not known yet"), true);
       return;
     }
-    String hopeless = jobs.hopeless(parsed.spec);
-    if (hopeless != null) {
-      // What was accepted stays accepted, whatever types and limits say today.
-      lookup.answer(x, id, () -> x.answer(422, Reply.reason(hopeless), false));
+    Optional<String> impossible = jobs.whyImpossible(parsed.spec);
+    if (impossible.isPresent()) {
+      // A job that was accepted stays accepted, whatever types and limits say today.
+      lookup.answer(x, id, () -> x.answer(422, Reply.reason(impossible.get()), false));
       return;
     }
-    if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.prompt()) {
-      // A repeated submission costs a write of the service's budget even when it fails, and this
-      // question none; where questions wait long it is not asked, since the submission would too.
-      Runnable record = () -> record(x, parsed);
+    if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.answersPromptly()) {
+      // A repeated submission costs a write even when it fails, and this lookup none. It is left
+      // out
+      // while lookups wait long, since the submission would wait with it.
+      Runnable record = () -> recordJob(x, parsed);
       lookup.answer(x, id, record, record);
     } else {
-      record(x, parsed);
+      recordJob(x, parsed);
     }
   }
 
   private Parsed parse(ObjectNode o) throws InvalidMessageException {
-    JobSpec spec = jobs.check(o);
+    JobSpec spec = jobs.validate(o);
     List<Game> games = FoldCodec.decodeGames(o);
-    if (spec.dependencies().foldedBlocks().size() > Folding.MOST_LEAGUES) {
-      throw new InvalidMessageException("folds: at most " + Folding.MOST_LEAGUES + " leagues");
+    if (spec.dependencies().foldedBlocks().size() > ClaimService.MAX_LEAGUES) {
+      throw new InvalidMessageException("folds: at most " + ClaimService.MAX_LEAGUES + " leagues");
     }
     ObjectNode value = JobRecordCodec.encodeOpen(o, loop.wallMs());
     if (!games.isEmpty()) {
       ((ObjectNode) value.get("job"))
-          .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(Folding.keys(games)));
+          .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(ClaimService.blockKeys(games)));
     }
-    if (Json.bytes(value).length > valueKb * 1024 - ENVELOPE_BYTES) {
+    if (Json.bytes(value).length > maxValueBytes) {
       throw new InvalidMessageException("the submission is too large");
     }
     return new Parsed(spec, games, value);
   }
 
   /**
-   * What was accepted under this id stays accepted, whatever is sent of it later. While the state
-   * service does not say whether it was, 503 is the answer: a 400 to an accepted job would call it
-   * forgotten.
+   * Rejects an invalid submission, unless a job was accepted under its id: then it stays accepted,
+   * whatever is sent later. While the state service does not answer whether it was, the response is
+   * 503, since a 400 to an accepted job would say that it is lost.
    */
-  private void malformed(Responder x, ObjectNode o, String reason) {
+  private void reject(Responder x, ObjectNode o, String reason) {
     Runnable refuse = () -> x.answer(400, Reply.reason(reason), false);
     String id = o == null ? "" : o.path(Fields.ID).asText();
     if (JobCodec.ID.matcher(id).matches()) {
@@ -141,34 +143,37 @@
     }
   }
 
-  private void record(Responder x, Parsed parsed) {
-    if (!jobs.admits() || !mayWrite()) {
+  private void recordJob(Responder x, Parsed parsed) {
+    if (!jobs.tryAdmit() || !tryAcquireWrite()) {
       x.answer(429, Reply.reason("too many submissions"), true);
       return;
     }
     if (parsed.spec.dependencies() == JobDependencies.NONE) {
       accept(x, parsed.spec.id(), parsed.value, 0);
     } else {
-      acceptTied(x, parsed);
+      acceptWithClaims(x, parsed);
     }
   }
 
-  /** What folds games or waits for something; whatever is said of it, an accepted job is known. */
-  private void acceptTied(Responder x, Parsed parsed) {
+  /** Accepts a job that folds games or has dependencies; a known job is never refused. */
+  private void acceptWithClaims(Responder x, Parsed parsed) {
     String id = parsed.spec.id();
-    folding.accept(
+    claims.accept(
         id,
         parsed.value,
         parsed.games,
         parsed.spec.dependencies(),
-        (end, reason) -> {
-          switch (end) {
-            case ACCEPTED -> x.answer(201, queued(id), false);
-            case KNOWN -> lookup.answer(x, id, () -> tryAgain(x));
-            case REFUSED -> lookup.answer(x, id, () -> x.answer(422, Reply.reason(reason), false));
-            default -> lookup.answer(x, id, () -> x.answer(503, Reply.reason(reason), true));
-          }
-        });
+        result -> answerAcceptance(x, id, result));
+  }
+
+  private void answerAcceptance(Responder x, String id, AcceptanceResult result) {
+    String reason = result.reason();
+    switch (result.status()) {
+      case ACCEPTED -> x.answer(201, queued(id), false);
+      case KNOWN -> lookup.answer(x, id, () -> tryAgain(x));
+      case REJECTED -> lookup.answer(x, id, () -> x.answer(422, Reply.reason(reason), false));
+      default -> lookup.answer(x, id, () -> x.answer(503, Reply.reason(reason), true));
+    }
   }
 
   private static void tryAgain(Responder x) {
@@ -182,26 +187,28 @@
     return o;
   }
 
-  private void accept(Responder x, String id, ObjectNode value, int tries) {
+  private void accept(Responder x, String id, ObjectNode value, int retried) {
     long sentMs = loop.now();
     Transaction transaction =
         new Transaction()
             .requireVersion(RecordKeys.openJob(id), 0)
             .requireVersion(RecordKeys.endedJob(id), 0)
             .put(RecordKeys.openJob(id), value);
-    // Sent twice when an answer is late: whichever is carried out first makes the other fail, and
-    // the job that is found then is this one.
+    // Sent twice when an answer is late: the one that is applied first makes the other fail, and
+    // the
+    // job that the other finds is this one.
     state.compareAndSwapWithRetry(
         transaction,
         () -> writes.forceAcquire(1, loop.now()),
         (result, revision, failed) -> {
           if (result == CallResult.NOT_EXECUTED
               && state.health().lastThrottledMs() >= sentMs
-              && tries < MOST_RETRIES
+              && retried < MAX_RETRIES
               && retries.tryAcquire(1, loop.now())) {
-            // Refused for the service's limits: a moment later there is room, and a user who is
-            // turned away comes back no sooner than after a second.
-            loop.after(RETRY_MS, () -> accept(x, id, value, tries + 1));
+            // Refused for the service's limits, which a moment later leave room; a user who is
+            // asked
+            // to retry does so only after a second.
+            loop.after(RETRY_MS, () -> accept(x, id, value, retried + 1));
             return;
           }
           switch (result) {
@@ -210,19 +217,20 @@
               x.answer(201, queued(id), false);
             }
             case CONDITION_FAILED -> lookup.answer(x, id, () -> tryAgain(x));
-            default -> JobLookup.unreachable(x);
+            default -> JobLookup.answerUnavailable(x);
           }
         });
   }
 
   /**
-   * After all nodes have been away, one node gets all submissions: they must not wait for its part
-   * of the service's writes while the other nodes use nothing. So each may use what the leader
-   * leaves, and keeps to its part for a while once the service has refused a call for its limits.
+   * Takes a write of the state service. When the other nodes are down one node gets all
+   * submissions, which must not wait for its fair part of the writes while the rest is unused. So
+   * each node may use all that the leader leaves, and keeps to its fair part for a while after the
+   * service has refused a call for its limits.
    */
-  private boolean mayWrite() {
+  private boolean tryAcquireWrite() {
     long now = loop.now();
-    boolean crowded = now - state.health().lastThrottledMs() < CROWDED_MS;
-    return (crowded ? fairWrites : writes).tryAcquire(1, now);
+    boolean overloaded = now - state.health().lastThrottledMs() < OVERLOADED_MS;
+    return (overloaded ? fairWrites : writes).tryAcquire(1, now);
   }
 }
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -16,13 +16,14 @@
 import org.mallowroad.wire.Json;
 
 /**
- * How many tasks of an open job are done and run, for display: by the leader's own figures, else by
- * the run records. Where so many ask that a reading each would take what commits and renewals need,
- * the figures of a moment ago do: the job is open, which was asked anew.
+ * Answers how many tasks of an open job are done and run, for display: from the leader's memory on
+ * the leader, else from the attempt records. When so many users ask that a read for each would take
+ * the calls that commits and renewals need, the counts of the last read are told; that the job is
+ * open was read for the question.
  */
 final class TaskCounts {
   /** Counts may be so old; the protocol allows 3 s. */
-  private static final long FRESH_MS = 2_000;
+  private static final long MAX_AGE_MS = 2_000;
 
   private final EventLoop loop;
   private final KeyValueStore state;
@@ -30,10 +31,10 @@
   private final double burst;
   private final UserApi.Jobs jobs;
 
-  /** Done and running tasks by job, of the newest listing of shared start records. */
-  private Map<String, int[]> shared = Map.of();
+  /** By job, from the newest listing of shared start records. */
+  private Map<String, JobProgress> shared = Map.of();
 
-  private long sharedMs = Long.MIN_VALUE / 2;
+  private long sharedListedMs = Long.MIN_VALUE / 2;
   private final List<Runnable> waiting = new ArrayList<>();
   private boolean listing;
 
@@ -48,38 +49,32 @@
 
   /** Answers with the state of a job that was just seen open. */
   void answer(Responder x, OpenJobs.Entry job) {
-    int[] own = jobs.counts(job.id);
+    JobProgress own = jobs.progress(job.id);
     if (own != null) {
-      x.answer(200, status(job.id, own[0], own[1]), false);
+      x.answer(200, status(job.id, own), false);
       return;
     }
-    if (loop.now() - job.countedMs < FRESH_MS) {
-      x.answer(200, status(job.id, job.done, job.running), false);
+    if (loop.now() - job.countedMs() < MAX_AGE_MS) {
+      x.answer(200, status(job.id, job.progress()), false);
       return;
     }
-    listShared(() -> countOf(x, job));
+    listShared(() -> answerCounted(x, job));
   }
 
-  private void countOf(Responder x, OpenJobs.Entry job) {
-    int[] counted = shared.get(job.id);
+  private void answerCounted(Responder x, OpenJobs.Entry job) {
+    JobProgress counted = shared.get(job.id);
     if (counted != null) {
-      count(job, counted[0], counted[1]);
-    } else if (reads.spare(burst)) {
+      job.counted(counted, loop.now());
+    } else if (reads.tryAcquireSpare(burst)) {
       listOwn(x, job);
       return;
     }
-    x.answer(200, status(job.id, job.done, job.running), false);
+    x.answer(200, status(job.id, job.progress()), false);
   }
 
-  private void count(OpenJobs.Entry job, int done, int running) {
-    job.done = done;
-    job.running = running;
-    job.countedMs = loop.now();
-  }
-
-  /** Runs the task once the listing of shared records is fresh, or cannot be had now. */
+  /** Runs a task when the listing of shared records is fresh, or when it cannot be read now. */
   private void listShared(Runnable then) {
-    if (loop.now() - sharedMs < FRESH_MS || (!listing && !reads.spare(burst))) {
+    if (loop.now() - sharedListedMs < MAX_AGE_MS || (!listing && !reads.tryAcquireSpare(burst))) {
       then.run();
       return;
     }
@@ -93,7 +88,7 @@
         (result, items, revision) -> {
           listing = false;
           if (result == CallResult.OK) {
-            sharedMs = loop.now();
+            sharedListedMs = loop.now();
             shared = counts(items);
           }
           List<Runnable> all = new ArrayList<>(waiting);
@@ -102,14 +97,14 @@
         });
   }
 
-  private static Map<String, int[]> counts(List<VersionedValue> items) {
-    Map<String, int[]> out = new HashMap<>();
+  private static Map<String, JobProgress> counts(List<VersionedValue> items) {
+    Map<String, JobProgress> out = new HashMap<>();
     for (VersionedValue item : items) {
       for (Map.Entry<String, JsonNode> run : AttemptRecordCodec.membersOfShared(item.value())) {
         int done = AttemptRecordCodec.doneTasks(run.getValue()).cardinality();
         out.put(
             run.getKey(),
-            new int[] {done, AttemptRecordCodec.unresolvedAttempts(run.getValue()).size()});
+            new JobProgress(done, AttemptRecordCodec.unresolvedAttempts(run.getValue()).size()));
       }
     }
     return out;
@@ -117,7 +112,7 @@
 
   private void listOwn(Responder x, OpenJobs.Entry job) {
     state.list(
-        RecordKeys.ATTEMPTS + job.id + "/",
+        RecordKeys.attemptsOf(job.id),
         (result, items, revision) -> {
           if (result == CallResult.OK) {
             int done = 0;
@@ -126,19 +121,19 @@
               done += AttemptRecordCodec.doneTasks(item.value()).cardinality();
               running += AttemptRecordCodec.unresolvedAttempts(item.value()).size();
             }
-            count(job, done, running);
+            job.counted(new JobProgress(done, running), loop.now());
           }
-          x.answer(200, status(job.id, job.done, job.running), false);
+          x.answer(200, status(job.id, job.progress()), false);
         });
   }
 
-  /** The answer about an open job. */
-  static ObjectNode status(String id, int done, int running) {
+  /** The response body about an open job. */
+  static ObjectNode status(String id, JobProgress progress) {
     ObjectNode o = Json.object();
     o.put(Fields.ID, id);
-    o.put(Fields.STATE, running > 0 ? Fields.RUNNING : Fields.QUEUED);
-    o.put(Fields.DONE, done);
-    o.put(Fields.RUNNING, running);
+    o.put(Fields.STATE, progress.running() > 0 ? Fields.RUNNING : Fields.QUEUED);
+    o.put(Fields.DONE, progress.done());
+    o.put(Fields.RUNNING, progress.running());
     return o;
   }
 }
--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -1,7 +1,9 @@
 package org.mallowroad.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
 import java.util.function.Consumer;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.RateLimiter;
@@ -10,87 +12,108 @@
 import org.mallowroad.wire.JobCodec;
 
 /**
- * What users ask of any node. Nothing is told before it is committed, and every answer about a job
- * that is not over comes from a read that is made for the question ({@link JobLookup}), so no node
- * is ever behind what another has said.
+ * Serves users' requests, on any node. Nothing is told before it is committed, and every answer
+ * about a job that is not over comes from a read that is made for the question ({@link JobLookup}),
+ * so no node is ever behind what another has said.
  */
 public final class UserApi {
   private static final String JOBS = "/v1/jobs";
 
+  /** The state service allows so many conditions for each put or delete of a transaction. */
+  private static final int CONDITIONS_PER_OP = 4;
+
   private final JobLookup lookup;
-  private final Folding folding;
+  private final ClaimService claims;
   private final Submissions submissions;
   private final CancelRequests cancelRequests;
 
   /** What the node knows besides the state service. */
   public interface Jobs {
-    /** Decodes a submission only to judge it. */
-    JobSpec check(JsonNode submission) throws InvalidMessageException;
+    /** Validates and decodes a submission, without giving its names indices. */
+    JobSpec validate(JsonNode submission) throws InvalidMessageException;
 
-    /** True once the machine types are known. */
-    boolean ready();
+    /** Whether the machine types are known. */
+    boolean knowsMachineTypes();
 
-    /** True when a job that is not known yet may be accepted now. */
-    default boolean admits() {
+    /** Takes one admission for a job that is not known yet; false when none is left now. */
+    default boolean tryAdmit() {
       return true;
     }
 
-    /** Why the job can never run, or null. */
-    String hopeless(JobSpec spec);
+    /** Why the job can never run on any machine type, or empty. */
+    Optional<String> whyImpossible(JobSpec spec);
 
-    /** Done and running tasks as the leader on this node knows them, or null. */
-    int[] counts(String id);
+    /** The job's tasks as the leader on this node knows them, or null. */
+    JobProgress progress(String id);
   }
 
   /**
-   * Over the state service.
+   * What users' requests may use.
    *
-   * @param reads calls to the state service that this node may make for users
-   * @param burst how many of them a second
+   * @param reads calls to the state service for users
+   * @param readBurst calls a second, and at once
+   * @param writes all that the leader leaves of the state service's writes
+   * @param fairWrites this node's part of them
+   * @param maxValueKb the longest value of a key
+   * @param maxConditions conditions in one transaction
+   * @param maxRememberedEnds jobs whose end is remembered
    */
-  public UserApi(
-      EventLoop loop,
-      KeyValueStore state,
+  public record Limits(
       RateLimiter reads,
-      double burst,
+      double readBurst,
       RateLimiter writes,
       RateLimiter fairWrites,
-      Jobs jobs,
-      double valueKb,
-      int mostConditions,
-      int mostEnds) {
-    ReadQueue users = new ReadQueue(loop, reads);
-    this.lookup = new JobLookup(loop, state, users, burst, jobs, mostConditions, mostEnds);
-    this.folding =
-        new Folding(loop, state, writes, mostConditions / 4, valueKb, lookup::jobOutcome);
-    this.submissions =
-        new Submissions(loop, state, lookup, folding, jobs, writes, fairWrites, valueKb, burst);
-    this.cancelRequests = new CancelRequests(loop, state, lookup, writes);
+      double maxValueKb,
+      int maxConditions,
+      int maxRememberedEnds) {}
+
+  /** Serves users' requests from the state service. */
+  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, Jobs jobs) {
+    ReadQueue reads = new ReadQueue(loop, limits.reads());
+    this.lookup =
+        new JobLookup(
+            loop,
+            state,
+            reads,
+            limits.readBurst(),
+            jobs,
+            limits.maxConditions(),
+            limits.maxRememberedEnds());
+    this.claims =
+        new ClaimService(
+            loop,
+            state,
+            limits.writes(),
+            limits.maxConditions() / CONDITIONS_PER_OP,
+            limits.maxValueKb(),
+            lookup::finalOutcome);
+    this.submissions = new Submissions(loop, state, lookup, claims, jobs, limits);
+    this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writes());
   }
 
-  /** Claims of games, which a leader gives up where nobody goes on with them. */
-  public Folding folding() {
-    return folding;
+  /** The acceptance of jobs with claims; a leader abandons claims that are not finished. */
+  public ClaimService claims() {
+    return claims;
   }
 
-  /** Told of each cancellation that this node learns of as a fact, for the first time. */
+  /** Sets the listener of cancellations, called once for each that this node learns of. */
   public void onCancelled(Consumer<String> listener) {
     lookup.onCancelled(listener);
   }
 
-  /** A job's end became known. */
+  /** Remembers a job's end, which is committed. */
   public void ended(String id, boolean done) {
     lookup.ended(id, done);
   }
 
-  /** How many ends of jobs are remembered. */
-  public int ends() {
-    return lookup.ends();
+  /** The number of jobs whose end is remembered. */
+  public int rememberedEnds() {
+    return lookup.rememberedEnds();
   }
 
-  /** How many open jobs are remembered. */
-  public int opens() {
-    return lookup.opens();
+  /** The number of open jobs that are remembered. */
+  public int rememberedOpenJobs() {
+    return lookup.rememberedOpenJobs();
   }
 
   /** Serves a request whose path and method the router has checked. */
@@ -106,12 +129,12 @@
     }
   }
 
-  /** POST /v1/jobs. */
+  /** Serves POST /v1/jobs. */
   public void submit(Responder x, byte[] body) {
     submissions.submit(x, body);
   }
 
-  /** GET /v1/jobs/{id}. */
+  /** Serves GET /v1/jobs/{id}. */
   public void query(Responder x, String id) {
     if (JobCodec.ID.matcher(id).matches()) {
       lookup.answer(x, id, () -> notFound(x));
@@ -120,7 +143,7 @@
     }
   }
 
-  /** POST /v1/jobs/{id}/withdraw. */
+  /** Serves POST /v1/jobs/{id}/withdraw. */
   public void cancel(Responder x, String id) {
     if (JobCodec.ID.matcher(id).matches()) {
       cancelRequests.cancel(x, id);
--- /dev/null
+++ b/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
@@ -0,0 +1,111 @@
+package org.mallowroad.api.claim;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.mallowroad.core.dependency.DependencyCycles;
+import org.mallowroad.core.dependency.JobDependencies;
+import org.mallowroad.state.CallResult;
+import org.mallowroad.state.KeyValueStore;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+import org.mallowroad.state.VersionedValue;
+import org.mallowroad.wire.DependencyCodec;
+import org.mallowroad.wire.InvalidMessageException;
+import org.mallowroad.wire.Json;
+
+/**
+ * Checks that a job with dependencies would not wait for itself.
+ *
+ * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER} with its
+ * acceptance, whose version is a condition of the acceptance. So of two jobs that together would
+ * close a cycle, the second is checked again and sees the first.
+ */
+final class DependencyCycleCheck {
+  /** The result of a check; one method is called, once. */
+  interface Listener {
+    /** The job would not wait for itself. */
+    void acyclic();
+
+    /** The job would wait for itself. */
+    void cyclic(String reason);
+
+    /** The state service does not answer. */
+    void unavailable();
+
+    /** A record cannot be decoded. */
+    void unreadable(String reason);
+  }
+
+  private final KeyValueStore state;
+  private final ValueReader reader;
+  private final String id;
+  private final JobDependencies dependencies;
+
+  /** The version of the order record that was checked; 0 when there was none. */
+  private long orderVersion;
+
+  DependencyCycleCheck(
+      KeyValueStore state, ValueReader reader, String id, JobDependencies dependencies) {
+    this.state = state;
+    this.reader = reader;
+    this.id = id;
+    this.dependencies = dependencies;
+  }
+
+  /** Reads the other jobs' dependencies and checks them; at once for a job that has none. */
+  void run(Listener listener) {
+    if (!dependencies.isGated()) {
+      listener.acyclic();
+      return;
+    }
+    reader.read(
+        RecordKeys.DEPENDENCY_ORDER,
+        (value, version) -> {
+          orderVersion = version;
+          state.list(
+              RecordKeys.DEPENDENCIES,
+              (result, items, revision) -> {
+                if (result != CallResult.OK) {
+                  listener.unavailable();
+                } else {
+                  check(items, listener);
+                }
+              });
+        });
+  }
+
+  private void check(List<VersionedValue> items, Listener listener) {
+    Map<String, JobDependencies> waiting = new HashMap<>();
+    for (VersionedValue i : items) {
+      try {
+        waiting.put(
+            i.key().substring(RecordKeys.DEPENDENCIES.length()),
+            DependencyCodec.decodeRecord(i.value()));
+      } catch (InvalidMessageException e) {
+        listener.unreadable(i.key() + " cannot be read: " + e.getMessage());
+        return;
+      }
+    }
+    if (waiting.containsKey(id)) {
+      listener.acyclic(); // Accepted before: its own record must not look like a cycle.
+      return;
+    }
+    Optional<String> through = DependencyCycles.findCycle(id, dependencies, waiting);
+    if (through.isEmpty()) {
+      listener.acyclic();
+    } else {
+      listener.cyclic("holds: " + id + " would wait for itself, by way of " + through.get());
+    }
+  }
+
+  /** Adds the job's dependencies to its acceptance, on condition that the check still holds. */
+  void addTo(Transaction transaction) {
+    if (dependencies.isGated()) {
+      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER, orderVersion);
+      transaction.put(RecordKeys.DEPENDENCY_ORDER, Json.object().put("by", id));
+      transaction.put(RecordKeys.dependencies(id), DependencyCodec.encodeRecord(dependencies));
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mallowroad/api/claim/IntentRecord.java
@@ -0,0 +1,61 @@
+package org.mallowroad.api.claim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.Collection;
+import java.util.HexFormat;
+import java.util.List;
+import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.core.fold.Game;
+import org.mallowroad.wire.FoldCodec;
+import org.mallowroad.wire.Json;
+
+/** The record of a claim that takes more than one transaction. */
+final class IntentRecord {
+  private static final String AT = "at";
+  private static final String HASH = "hash";
+  private static final String BLOCKS = "blocks";
+  private static final String ABANDONED = "undo";
+  private static final int HASH_BYTES = 16;
+
+  private IntentRecord() {}
+
+  /** The record of a claim in progress, with the hash of its games. */
+  static ObjectNode inProgress(long wallMs, String hash, Collection<BlockKey> keys) {
+    ObjectNode v = Json.object();
+    v.put(AT, wallMs);
+    v.put(HASH, hash);
+    v.set(BLOCKS, FoldCodec.encodeBlockKeys(keys));
+    return v;
+  }
+
+  /** The record of a claim that is being abandoned. */
+  static ObjectNode abandoned(long wallMs, Collection<BlockKey> keys) {
+    ObjectNode v = Json.object();
+    v.put(AT, wallMs);
+    v.put(ABANDONED, true);
+    v.set(BLOCKS, FoldCodec.encodeBlockKeys(keys));
+    return v;
+  }
+
+  /** Whether the record is of a claim in progress of games with this hash. */
+  static boolean isInProgress(JsonNode value, String hash) {
+    return !value.has(ABANDONED) && value.path(HASH).asText().equals(hash);
+  }
+
+  /** A hash of a submission's games. */
+  static String hash(List<Game> games) {
+    try {
+      MessageDigest digest = MessageDigest.getInstance("SHA-256");
+      for (Game g : games) {
+        digest.update((g + "\n").getBytes(StandardCharsets.UTF_8));
+      }
+      return HexFormat.of().formatHex(digest.digest(), 0, HASH_BYTES);
+    } catch (NoSuchAlgorithmException e) {
+      throw new AssertionError("every Java platform has SHA-256", e);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/mallowroad/api/claim/IntentRollback.java
@@ -0,0 +1,122 @@
+package org.mallowroad.api.claim;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.mallowroad.core.fold.Block;
+import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.core.fold.Claims;
+import org.mallowroad.state.CallResult;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.Transaction;
+
+/**
+ * Abandons claims that were begun and will not be finished. First the intent is marked, so that no
+ * step of the claim applies any more; then its claims are removed from the blocks; then the intent
+ * is deleted. Several nodes may do it at once, and any may go on after another has stopped.
+ */
+final class IntentRollback {
+  private final ClaimContext context;
+
+  IntentRollback(ClaimContext context) {
+    this.context = context;
+  }
+
+  /**
+   * Abandons the claim of a job.
+   *
+   * @param version of its intent
+   * @param listener whether it is abandoned completely; if not, any node that finds the intent does
+   *     it again
+   */
+  void abandon(String id, long version, Collection<BlockKey> keys, Consumer<Boolean> listener) {
+    context
+        .state()
+        .compareAndSwap(
+            new Transaction()
+                .requireVersion(RecordKeys.foldIntent(id), version)
+                .put(
+                    RecordKeys.foldIntent(id),
+                    IntentRecord.abandoned(context.loop().wallMs(), keys)),
+            (result, revision, failed) -> {
+              if (result == CallResult.OK) {
+                removeClaims(id, revision, new ArrayDeque<>(keys), listener);
+              } else {
+                listener.accept(false);
+              }
+            });
+  }
+
+  private void removeClaims(
+      String id, long version, ArrayDeque<BlockKey> remaining, Consumer<Boolean> listener) {
+    if (remaining.isEmpty()) {
+      context
+          .state()
+          .compareAndSwap(
+              new Transaction()
+                  .requireVersion(RecordKeys.foldIntent(id), version)
+                  .delete(RecordKeys.foldIntent(id)),
+              (result, revision, failed) -> listener.accept(result == CallResult.OK));
+      return;
+    }
+    List<BlockKey> batch = new ArrayList<>();
+    while (!remaining.isEmpty() && batch.size() < context.maxOps()) {
+      batch.add(remaining.poll());
+    }
+    ClaimedBlocks blocks = new ClaimedBlocks(context);
+    blocks.read(
+        batch,
+        () -> removeFromBatch(id, version, blocks, batch, remaining, listener),
+        () -> listener.accept(false));
+  }
+
+  private void removeFromBatch(
+      String id,
+      long version,
+      ClaimedBlocks blocks,
+      List<BlockKey> batch,
+      ArrayDeque<BlockKey> remaining,
+      Consumer<Boolean> listener) {
+    Map<BlockKey, Block> changed = new TreeMap<>();
+    blocks
+        .all()
+        .forEach(
+            (key, block) -> {
+              Block without = Claims.without(block, id);
+              if (without != block) {
+                changed.put(key, without);
+              }
+            });
+    if (changed.isEmpty()) {
+      removeClaims(id, version, remaining, listener);
+      return;
+    }
+    Map<BlockKey, Block> part = blocks.firstTransaction(changed, 0);
+    Transaction transaction = new Transaction().requireVersion(RecordKeys.foldIntent(id), version);
+    blocks.addTo(transaction, part);
+    context
+        .state()
+        .compareAndSwap(
+            transaction,
+            (result, revision, failed) -> {
+              if (result == CallResult.OK
+                  || (result == CallResult.CONDITION_FAILED
+                      && !failed.contains(RecordKeys.foldIntent(id)))) {
+                // What is not done, or was changed by others meanwhile, is read once more.
+                batch.removeAll(result == CallResult.OK ? part.keySet() : List.of());
+                remaining.addAll(batch);
+                context
+                    .loop()
+                    .after(
+                        ClaimContext.CONFLICT_RETRY_MS,
+                        () -> removeClaims(id, version, remaining, listener));
+              } else {
+                listener.accept(false);
+              }
+            });
+  }
+}
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -127,7 +127,7 @@
         loop,
         services.state(),
         schedulerState,
-        services.folding(),
+        services.claims(),
         term.leaderKeyVersion(),
         placement::requestPass,
         election::stepDown);
@@ -137,7 +137,7 @@
     return new FoldMaintenance(
         loop,
         services.state(),
-        services.folding(),
+        services.claims(),
         writeBudget.limiter(),
         writeBudget.maxTransactionWrites(),
         term.leaderKeyVersion());
--- a/src/main/java/org/mallowroad/controller/LeaderServices.java
+++ b/src/main/java/org/mallowroad/controller/LeaderServices.java
@@ -1,7 +1,7 @@
 package org.mallowroad.controller;
 
 import java.util.function.IntSupplier;
-import org.mallowroad.api.Folding;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -18,7 +18,7 @@
  * @param clusterConfig names, machine types, teams and settings
  * @param election the election that made this node the leader
  * @param workers sends commands directly to workers
- * @param folding the fold ledger as users' requests see it
+ * @param claims the acceptance of jobs that fold games
  * @param reachablePeers how many peers' advertisements are fresh; 0 where links are not monitored
  */
 record LeaderServices(
@@ -28,5 +28,5 @@
     ClusterConfig clusterConfig,
     LeaderElection election,
     WorkerClient workers,
-    Folding folding,
+    ClaimService claims,
     IntSupplier reachablePeers) {}
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -2,6 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import java.util.Optional;
+import org.mallowroad.api.JobProgress;
 import org.mallowroad.api.Responder;
 import org.mallowroad.api.UserApi;
 import org.mallowroad.cloud.CloudClient;
@@ -170,14 +172,15 @@
     return new UserApi(
         loop,
         state,
-        new RateLimiter(readRps, readRps, now),
-        readRps,
-        new RateLimiter(writeRps, settings.stateWriteRps() * USER_WRITE_BURST_SHARE, now),
-        new RateLimiter(writeRps / settings.nodes(), USER_FAIR_WRITE_BURST, now),
-        new JobChecks(),
-        settings.valueKb(),
-        CONDITIONS_PER_WRITE * settings.txnOps(),
-        (int) (settings.ramMb() * ENDED_JOBS_PER_MB));
+        new UserApi.Limits(
+            new RateLimiter(readRps, readRps, now),
+            readRps,
+            new RateLimiter(writeRps, settings.stateWriteRps() * USER_WRITE_BURST_SHARE, now),
+            new RateLimiter(writeRps / settings.nodes(), USER_FAIR_WRITE_BURST, now),
+            settings.valueKb(),
+            CONDITIONS_PER_WRITE * settings.txnOps(),
+            (int) (settings.ramMb() * ENDED_JOBS_PER_MB)),
+        new JobChecks());
   }
 
   private LeaderServices newLeaderServices() {
@@ -188,7 +191,7 @@
         clusterConfig,
         election,
         workers,
-        users.folding(),
+        users.claims(),
         () -> links == null ? 0 : links.links().freshAdvertisementCount(loop.now()));
   }
 
@@ -217,29 +220,29 @@
   /** What the node knows of jobs besides their records. */
   private final class JobChecks implements UserApi.Jobs {
     @Override
-    public boolean admits() {
+    public boolean tryAdmit() {
       return admission.tryAdmit(loop.now());
     }
 
     @Override
-    public JobSpec check(JsonNode submission) throws InvalidMessageException {
+    public JobSpec validate(JsonNode submission) throws InvalidMessageException {
       return clusterConfig.codec.check(submission);
     }
 
     @Override
-    public boolean ready() {
+    public boolean knowsMachineTypes() {
       return !clusterConfig.machineTypes().isEmpty();
     }
 
     @Override
-    public String hopeless(JobSpec spec) {
-      return clusterConfig.rejectionReason(spec);
+    public Optional<String> whyImpossible(JobSpec spec) {
+      return Optional.ofNullable(clusterConfig.rejectionReason(spec));
     }
 
     @Override
-    public int[] counts(String id) {
+    public JobProgress progress(String id) {
       Job job = leadership.isLeading() ? leadership.leader().job(id) : null;
-      return job == null ? null : new int[] {job.doneCount(), job.runningCount()};
+      return job == null ? null : new JobProgress(job.doneCount(), job.runningCount());
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -13,7 +13,7 @@
  * Serves a user's request on this node or, while it does not reach the state service, through a
  * peer that does. Runs on the event loop only.
  */
-final class UserRequestRouter implements HttpRouter.Users {
+final class UserRequestRouter implements HttpRouter.UserRequestHandler {
   private static final int UNAVAILABLE = 503;
   private static final String STATE_NOT_REACHED = "state service not reached";
 
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
-import org.mallowroad.api.Folding;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.dependency.DependencyGate;
@@ -41,7 +41,7 @@
   private final EventLoop loop;
   private final KeyValueStore store;
   private final SchedulerState schedulerState;
-  private final Folding folding;
+  private final ClaimService claims;
   private final long leaderVersion;
   private final Runnable gateOpened;
   private final Runnable deposed;
@@ -62,14 +62,14 @@
       EventLoop loop,
       KeyValueStore store,
       SchedulerState schedulerState,
-      Folding folding,
+      ClaimService claims,
       long leaderVersion,
       Runnable gateOpened,
       Runnable deposed) {
     this.loop = loop;
     this.store = store;
     this.schedulerState = schedulerState;
-    this.folding = folding;
+    this.claims = claims;
     this.leaderVersion = leaderVersion;
     this.gateOpened = gateOpened;
     this.deposed = deposed;
@@ -215,7 +215,7 @@
       return;
     }
     evaluating = true;
-    new GateEvaluation(store, schedulerState, folding, () -> stopped, gate, o -> evaluated(gate, o))
+    new GateEvaluation(store, schedulerState, claims, () -> stopped, gate, o -> evaluated(gate, o))
         .begin();
   }
 
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.mallowroad.api.Folding;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
 import org.mallowroad.core.fold.Claims;
@@ -61,7 +61,7 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final Folding folding;
+  private final ClaimService claims;
   private final RateLimiter writes;
   private final int maxOps;
   private final long version;
@@ -74,13 +74,13 @@
   public FoldMaintenance(
       EventLoop loop,
       KeyValueStore state,
-      Folding folding,
+      ClaimService claims,
       RateLimiter writes,
       int maxOps,
       long version) {
     this.loop = loop;
     this.state = state;
-    this.folding = folding;
+    this.claims = claims;
     this.writes = writes;
     this.maxOps = maxOps;
     this.version = version;
@@ -128,10 +128,10 @@
     String job = i.key().substring(RecordKeys.FOLD_INTENTS.length());
     try {
       undoing = true;
-      folding.undo(
+      claims.abandon(
           job,
           i.version(),
-          Folding.keysOf(i.value()),
+          ClaimService.blockKeysOfIntent(i.value()),
           ok -> {
             undoing = false;
             LOG.info("event=claim_given_up job={} whole={}", job, ok);
@@ -198,12 +198,10 @@
       told.accept(jobOutcomes);
       return;
     }
-    folding.jobOutcome(
+    claims.jobOutcome(
         j,
         jobOutcome -> {
-          if (jobOutcome != null) {
-            jobOutcomes.put(j, jobOutcome);
-          }
+          jobOutcome.ifPresent(outcome -> jobOutcomes.put(j, outcome));
           ask(jobs, jobOutcomes, told);
         });
   }
--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.mallowroad.api.Folding;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.dependency.DependencyGate;
@@ -59,7 +59,7 @@
 
   private final KeyValueStore store;
   private final SchedulerState schedulerState;
-  private final Folding folding;
+  private final ClaimService claims;
   private final BooleanSupplier isStopped;
   private final DependencyGate gate;
   private final Consumer<Outcome> result;
@@ -76,13 +76,13 @@
   GateEvaluation(
       KeyValueStore store,
       SchedulerState schedulerState,
-      Folding folding,
+      ClaimService claims,
       BooleanSupplier isStopped,
       DependencyGate gate,
       Consumer<Outcome> result) {
     this.store = store;
     this.schedulerState = schedulerState;
-    this.folding = folding;
+    this.claims = claims;
     this.isStopped = isStopped;
     this.gate = gate;
     this.result = result;
@@ -223,14 +223,14 @@
       next.run();
       return;
     }
-    folding.jobOutcome(
+    claims.jobOutcome(
         jobId,
         outcome -> {
-          if (outcome == null) {
+          if (outcome.isEmpty()) {
             incomplete();
             return;
           }
-          jobOutcomes.put(jobId, outcome);
+          jobOutcomes.put(jobId, outcome.get());
           readOutcomes(remaining, next);
         });
   }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -158,10 +158,10 @@
       }
       folds = Ranges.byLeague(keys);
     }
-    JobDependencies held = DependencyCodec.decodeDependencies(o);
-    return folds.isEmpty() && !held.isGated()
+    JobDependencies dependencies = DependencyCodec.decodeDependencies(o);
+    return folds.isEmpty() && !dependencies.isGated()
         ? JobDependencies.NONE
-        : new JobDependencies(folds, held.requiredJobs(), held.requiredGames());
+        : new JobDependencies(folds, dependencies.requiredJobs(), dependencies.requiredGames());
   }
 
   private BitSet types(JsonNode o, boolean accepted) throws InvalidMessageException {
--- a/src/test/java/org/mallowroad/api/OpenJobsTest.java
+++ b/src/test/java/org/mallowroad/api/OpenJobsTest.java
@@ -3,25 +3,28 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.SteppedClock;
+import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.JobSpecs;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.wire.InvalidMessageException;
 
-/** Many questions with few calls, never an answer that is older than one given before. */
+/** Many lookups cost few calls, and no answer is older than one that was given before. */
 final class OpenJobsTest {
   private static final double RPS = 10;
 
-  private static final class Here {
+  private static final class NodeUnderTest {
     private final SteppedClock c = new SteppedClock();
     private final SteppedClock.Process p = c.new Process();
     private final KeyValueStore state = new KeyValueStore(p, p, p);
@@ -29,15 +32,16 @@
         new UserApi(
             p,
             state,
-            new RateLimiter(RPS, RPS, c.now),
-            RPS,
-            new RateLimiter(100, 100, c.now),
-            new RateLimiter(100, 100, c.now),
-            new Nothing(),
-            8,
-            64,
-            1_000);
-    private final List<String> said = new ArrayList<>();
+            new UserApi.Limits(
+                new RateLimiter(RPS, RPS, c.now),
+                RPS,
+                new RateLimiter(100, 100, c.now),
+                new RateLimiter(100, 100, c.now),
+                8,
+                64,
+                1_000),
+            new AnyJob());
+    private final List<String> answers = new ArrayList<>();
 
     private void run(long ms) {
       c.run(ms);
@@ -59,7 +63,7 @@
     }
 
     private void ask(String id) {
-      users.query((status, answer, later) -> said.add(id + " " + word(status, answer)), id);
+      users.query((status, answer, later) -> answers.add(id + " " + word(status, answer)), id);
     }
 
     private static String word(int status, ObjectNode answer) {
@@ -68,23 +72,22 @@
 
     private void submit(String body) {
       users.submit(
-          (status, answer, later) -> said.add("submit " + word(status, answer)),
+          (status, answer, later) -> answers.add("submit " + word(status, answer)),
           body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What was said since the last time. */
-    private List<String> said() {
-      List<String> s = new ArrayList<>(said);
-      said.clear();
+    /** What was answers since the last time. */
+    private List<String> answers() {
+      List<String> s = new ArrayList<>(answers);
+      answers.clear();
       s.sort(null);
       return s;
     }
   }
 
-  private static final class Nothing implements UserApi.Jobs {
+  private static final class AnyJob implements UserApi.Jobs {
     @Override
-    public org.mallowroad.core.JobSpec check(com.fasterxml.jackson.databind.JsonNode s)
-        throws InvalidMessageException {
+    public JobSpec validate(JsonNode s) throws InvalidMessageException {
       if (s.has("bad")) {
         throw new InvalidMessageException("bad: not a field");
       }
@@ -92,23 +95,23 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean knowsMachineTypes() {
       return true;
     }
 
     @Override
-    public String hopeless(org.mallowroad.core.JobSpec spec) {
-      return null;
+    public Optional<String> whyImpossible(JobSpec spec) {
+      return Optional.empty();
     }
 
     @Override
-    public int[] counts(String id) {
+    public JobProgress progress(String id) {
       return null;
     }
   }
 
-  private static DynamicTest rule(String name, Consumer<Here> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new Here()));
+  private static DynamicTest rule(String name, Consumer<NodeUnderTest> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new NodeUnderTest()));
   }
 
   private static String id(int n) {
@@ -116,27 +119,27 @@
   }
 
   @TestFactory
-  Stream<DynamicTest> questions() {
+  Stream<DynamicTest> lookups() {
     return Stream.of(
         rule(
-            "a malformed submission is refused, and one of a known job judged by its record",
+            "a malformed submission is rejected, unless its job is known",
             h -> {
               h.submit("{\"bad\":1}");
               h.submit("{\"bad\":1,\"name_id\":7}");
               h.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
               h.run(100);
-              assertEquals(List.of("submit 400", "submit 400", "submit 400"), h.said());
+              assertEquals(List.of("submit 400", "submit 400", "submit 400"), h.answers());
               h.accepted("job-000001");
               h.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
               h.run(100);
-              assertEquals(List.of("submit queued"), h.said());
+              assertEquals(List.of("submit queued"), h.answers());
               h.ends("job-000001");
               h.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
               h.run(100);
-              assertEquals(List.of("submit done"), h.said());
+              assertEquals(List.of("submit done"), h.answers());
             }),
         rule(
-            "four hundred questions about jobs that are known cost a handful of calls",
+            "four hundred lookups of known jobs cost a handful of calls",
             h -> {
               for (int i = 0; i < 40; i++) {
                 h.accepted(id(i));
@@ -145,36 +148,36 @@
                 h.ask(id(i));
                 h.run(500);
               }
-              assertEquals(40, h.said().size());
+              assertEquals(40, h.answers().size());
               int before = h.c.calls;
               for (int n = 0; n < 400; n++) {
                 h.ask(id(n % 40));
               }
               h.run(1_500);
-              List<String> said = h.said();
-              assertEquals(400, said.size());
-              assertTrue(said.stream().allMatch(s -> s.endsWith("queued")), said.toString());
+              List<String> answers = h.answers();
+              assertEquals(400, answers.size());
+              assertTrue(answers.stream().allMatch(s -> s.endsWith("queued")), answers.toString());
               assertTrue(h.c.calls - before <= 16, "calls: " + (h.c.calls - before));
             }),
         rule(
-            "an end that another node told of is in the next answer",
+            "an end that another node recorded is in the next answer",
             h -> {
               for (int i = 0; i < 3; i++) {
                 h.accepted(id(i));
                 h.ask(id(i));
               }
               h.run(3_000);
-              h.said();
+              h.answers();
               h.ends(id(1));
               for (int i = 0; i < 3; i++) {
                 h.ask(id(i));
               }
               h.run(2_000);
               assertEquals(
-                  List.of(id(0) + " queued", id(1) + " done", id(2) + " queued"), h.said());
+                  List.of(id(0) + " queued", id(1) + " done", id(2) + " queued"), h.answers());
             }),
         rule(
-            "a comparison that fails says nothing of the jobs that it does not name",
+            "a failed comparison tells nothing of jobs whose conditions it does not name",
             h -> {
               h.c.firstFailureOnly = true;
               for (int i = 0; i < 4; i++) {
@@ -182,7 +185,7 @@
                 h.ask(id(i));
                 h.run(1_000);
               }
-              h.said();
+              h.answers();
               h.ends(id(1));
               h.ends(id(2));
               // The first two go out by themselves, one each; the others share what comes next.
@@ -192,15 +195,15 @@
               h.run(3_000);
               assertEquals(
                   List.of(id(0) + " queued", id(1) + " done", id(2) + " done", id(3) + " queued"),
-                  h.said());
+                  h.answers());
             }),
         rule(
-            "what ends while the question is on its way is told as over, or as open before that",
+            "a job that ends during its lookup is answered as over",
             h -> {
               h.accepted(id(0));
               h.ask(id(0));
               h.run(1_000);
-              h.said();
+              h.answers();
               h.c.beforeMulti =
                   () -> {
                     h.c.beforeMulti = () -> {};
@@ -208,16 +211,16 @@
                   };
               h.ask(id(0));
               h.run(1_000);
-              assertEquals(List.of(id(0) + " done"), h.said());
+              assertEquals(List.of(id(0) + " done"), h.answers());
             }),
         rule(
-            "a job that the node does not know is heard of while others ask without end",
+            "an unknown job is looked up while others are looked up without pause",
             h -> {
               h.accepted(id(0));
               h.ask(id(0));
               h.run(1_000);
               h.ends(id(7));
-              h.said();
+              h.answers();
               for (int ms = 0; ms < 6_000; ms += 20) {
                 h.ask(id(0));
                 if (ms % 2_000 == 1_000) {
@@ -226,11 +229,11 @@
                 h.run(20);
               }
               h.run(2_000);
-              List<String> said = h.said();
-              assertTrue(said.contains(id(7) + " done"), said.toString());
+              List<String> answers = h.answers();
+              assertTrue(answers.contains(id(7) + " done"), answers.toString());
             }),
         rule(
-            "a submission that is repeated costs no write, whatever has become of its job",
+            "a repeated submission costs no write, whatever the state of its job",
             h -> {
               h.accepted(id(1));
               h.accepted(id(2));
@@ -240,15 +243,15 @@
                 h.submit("{\"name_id\":\"" + id(n) + "\"}");
                 h.run(100);
               }
-              assertEquals(List.of("submit done", "submit queued"), h.said());
+              assertEquals(List.of("submit done", "submit queued"), h.answers());
               assertEquals(0, h.c.writes - before);
               h.submit("{\"name_id\":\"" + id(3) + "\"}");
               h.run(100);
-              assertEquals(List.of("submit 201"), h.said());
+              assertEquals(List.of("submit 201"), h.answers());
               assertEquals(1, h.c.writes - before);
             }),
         rule(
-            "thirty jobs that the node has never heard of cost a handful of calls",
+            "thirty lookups of unknown jobs cost a handful of calls",
             h -> {
               for (int i = 0; i < 30; i += 2) {
                 h.accepted(id(i));
@@ -258,25 +261,25 @@
                 h.ask(id(i));
               }
               h.run(1_500);
-              List<String> said = h.said();
-              assertEquals(15, said.stream().filter(s -> s.endsWith("queued")).count());
-              assertEquals(15, said.stream().filter(s -> s.endsWith("404")).count());
+              List<String> answers = h.answers();
+              assertEquals(15, answers.stream().filter(s -> s.endsWith("queued")).count());
+              assertEquals(15, answers.stream().filter(s -> s.endsWith("404")).count());
               assertTrue(h.c.calls - before <= 12, "calls: " + (h.c.calls - before));
             }),
         rule(
-            "nobody's job is nobody's, and a service that is crowded says nothing",
+            "an unknown job is answered 404, and any job 503 while the service refuses calls",
             h -> {
               h.ask(id(3));
               h.run(1_000);
-              assertEquals(List.of(id(3) + " 404"), h.said());
+              assertEquals(List.of(id(3) + " 404"), h.answers());
               h.accepted(id(3));
               h.ask(id(3));
               h.run(1_000);
-              assertEquals(List.of(id(3) + " queued"), h.said());
+              assertEquals(List.of(id(3) + " queued"), h.answers());
               h.c.crowdedUntilMs = h.c.now + 1_000;
               h.ask(id(3));
               h.run(500);
-              assertEquals(List.of(id(3) + " 503"), h.said());
+              assertEquals(List.of(id(3) + " 503"), h.answers());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/api/FoldingTest.java
+++ b/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
@@ -1,4 +1,4 @@
-package org.mallowroad.api;
+package org.mallowroad.api.claim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
 import org.mallowroad.wire.Json;
 
 /** Claims over the store: whole or not at all, whatever is lost, late or ends in the middle. */
-final class FoldingTest {
+final class ClaimServiceTest {
   private static Game game(long n, long revision) {
     return new Game("l", n, revision, false, List.of("m"));
   }
@@ -44,12 +44,13 @@
   private static ObjectNode value(List<Game> games) {
     ObjectNode v = Json.object();
     v.put("at", 1);
-    v.putObject("job").set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(Folding.keys(games)));
+    v.putObject("job")
+        .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(ClaimService.blockKeys(games)));
     return v;
   }
 
-  private static Folding folding(EventLoop loop, KeyValueStore state, int ops) {
-    return new Folding(loop, state, new RateLimiter(1e6, 1e6, loop.now()), ops, 8, j -> null);
+  private static ClaimService claimService(EventLoop loop, KeyValueStore state, int ops) {
+    return new ClaimService(loop, state, new RateLimiter(1e6, 1e6, loop.now()), ops, 8, j -> null);
   }
 
   /** Who holds each game by the records: the job of each side. */
@@ -94,16 +95,16 @@
   private static final class Here {
     private final SteppedClock c = new SteppedClock();
     private final SteppedClock.Process p = c.new Process();
-    private final Folding folding = folding(p, new KeyValueStore(p, p, p), 16);
+    private final ClaimService claims = claimService(p, new KeyValueStore(p, p, p), 16);
 
     String accept(String id, List<Game> games) {
       String[] said = {"nothing"};
-      folding.accept(
+      claims.accept(
           id,
           value(games),
           games,
           JobDependencies.NONE,
-          (end, reason) -> said[0] = end + " " + reason);
+          result -> said[0] = result.status() + " " + result.reason());
       c.run(20_000);
       return said[0].trim();
     }
@@ -115,11 +116,11 @@
     assertEquals("ACCEPTED", h.accept("job-1", games(0, 100)));
     assertEquals("KNOWN", h.accept("job-1", games(0, 100)));
     assertEquals(
-        "WAITS folds: game 99 of l for m is held by job-1", h.accept("job-2", games(99, 120)));
+        "CONFLICT folds: game 99 of l for m is held by job-1", h.accept("job-2", games(99, 120)));
     assertEquals(100, holders(h.c.store).size());
     end(h.c.store, "job-1", true);
     assertEquals(
-        "REFUSED folds: game 99 of l for m is folded by job-1", h.accept("job-2", games(99, 120)));
+        "REJECTED folds: game 99 of l for m is folded by job-1", h.accept("job-2", games(99, 120)));
     // What was cancelled is nobody's, and the next one takes it.
     assertEquals("ACCEPTED", h.accept("job-3", games(200, 210)));
     end(h.c.store, "job-3", false);
@@ -139,10 +140,10 @@
     assertEquals("ACCEPTED", h.accept("job-3", List.of(game(7, 2))));
     end(h.c.store, "job-3", true);
     assertEquals(
-        "REFUSED folds: game 7 of l for m is folded in revision 2 by job-3",
+        "REJECTED folds: game 7 of l for m is folded in revision 2 by job-3",
         h.accept("job-4", List.of(game(7, 1))));
     // So does the job of the first revision by now; its user is told that it is done (UserApi).
-    assertTrue(h.accept("job-1", List.of(game(7, 1))).startsWith("REFUSED"));
+    assertTrue(h.accept("job-1", List.of(game(7, 1))).startsWith("REJECTED"));
     assertEquals("ACCEPTED", h.accept("job-5", List.of(game(7, 3))));
   }
 
@@ -152,22 +153,26 @@
     assertEquals("ACCEPTED", h.accept("job-1", List.of(game(900, 1))));
     // More blocks than a transaction takes; one of the last games is held: nothing of it stays.
     assertEquals(
-        "WAITS folds: game 900 of l for m is held by job-1", h.accept("job-2", games(0, 1_000)));
+        "CONFLICT folds: game 900 of l for m is held by job-1", h.accept("job-2", games(0, 1_000)));
     assertEquals(Map.of(900L, "job-1"), holders(h.c.store));
     assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS));
     // Its node ends in the middle; the same submission at another one goes on.
     List<Game> large = games(2_000, 3_000);
-    h.folding.accept("job-3", value(large), large, JobDependencies.NONE, (end, reason) -> {});
+    h.claims.accept("job-3", value(large), large, JobDependencies.NONE, result -> {});
     while (holders(h.c.store).size() < 300) {
       h.c.run(1);
     }
     h.p.dead = true;
     assertEquals(1, h.c.store.keys(RecordKeys.FOLD_INTENTS).size());
     SteppedClock.Process other = h.c.new Process();
-    Folding there = folding(other, new KeyValueStore(other, other, other), 16);
+    ClaimService there = claimService(other, new KeyValueStore(other, other, other), 16);
     List<String> said = new ArrayList<>();
     there.accept(
-        "job-3", value(large), large, JobDependencies.NONE, (end, reason) -> said.add(end + ""));
+        "job-3",
+        value(large),
+        large,
+        JobDependencies.NONE,
+        result -> said.add(result.status() + ""));
     h.c.run(20_000);
     assertEquals(List.of("ACCEPTED"), said);
     assertEquals(1_001, holders(h.c.store).size());
@@ -180,7 +185,8 @@
     String put = "{\"writes\":[{\"put\":\"fold/l/0000000\",\"v\":%s}]}";
     h.c.serve("POST", "/multi", put.formatted("{\"v\":2}"));
     assertTrue(
-        h.accept("job-1", games(0, 2)).startsWith("AWAY block fold/l/0000000 cannot be read"));
+        h.accept("job-1", games(0, 2))
+            .startsWith("UNAVAILABLE block fold/l/0000000 cannot be read"));
     assertEquals(List.of(), h.c.store.keys(RecordKeys.OPEN_JOBS));
   }
 
@@ -204,13 +210,13 @@
       StateSpaceExplorer.Process p = s.process(name);
       p.mayEnd = true;
       Consumer<String> note = end -> s.notes.add(job + " " + end);
-      folding(p, new KeyValueStore(p, p, p), 4)
+      claimService(p, new KeyValueStore(p, p, p), 4)
           .accept(
               job,
               value(games),
               games,
               JobDependencies.NONE,
-              (end, reason) -> note.accept(end + ""));
+              result -> note.accept(result.status() + ""));
     }
 
     private static void undo(StateSpaceExplorer.Stage s, String name) {
@@ -220,11 +226,11 @@
       }
       StateSpaceExplorer.Process p = s.process(name);
       try {
-        folding(p, new KeyValueStore(p, p, p), 4)
-            .undo(
+        claimService(p, new KeyValueStore(p, p, p), 4)
+            .abandon(
                 "job-1",
                 s.store.version(RecordKeys.foldIntent("job-1")),
-                Folding.keysOf(v),
+                ClaimService.blockKeysOfIntent(v),
                 ok -> {});
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -208,11 +208,12 @@
   @Test
   void endedJobsAreRememberedUpToABound() {
     EventLoop loop = new SteppedClock().new Process();
-    UserApi users = new UserApi(loop, null, null, 1, null, null, null, 8, 64, 5_000);
+    UserApi users =
+        new UserApi(loop, null, new UserApi.Limits(null, 1, null, null, 8, 64, 5_000), null);
     for (int n = 0; n < 100_000; n++) {
       users.ended("job-" + n, true);
     }
-    assertEquals(5_000, users.ends());
+    assertEquals(5_000, users.rememberedEnds());
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.mallowroad.StateSpaceExplorer;
-import org.mallowroad.api.Folding;
+import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.JobSpecs;
@@ -59,8 +59,8 @@
       return s.store.version(key);
     }
 
-    private static Folding folding(StateSpaceExplorer.Process p) {
-      return new Folding(
+    private static ClaimService folding(StateSpaceExplorer.Process p) {
+      return new ClaimService(
           p, new KeyValueStore(p, p, p), new RateLimiter(1e6, 1e6, p.now()), 16, 8, j -> null);
     }
 
