--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -122,7 +122,7 @@
   private void recordContact(Machine machine, int relayPeer, long now) {
     parts.isolation.heartbeatReceived(now);
     parts.responder.came(machine.zone, relayPeer < 0, now);
-    parts.provisioner.reported(machine);
+    parts.provisioner.heartbeatReceived(machine);
     machine.relayPeer = relayPeer;
     parts.responder.reported(machine, loop.now());
   }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -9,6 +9,8 @@
 import org.mallowroad.controller.persistence.WriteBehindCommitter;
 import org.mallowroad.controller.provisioning.FailureResponder;
 import org.mallowroad.controller.provisioning.MachineProvisioner;
+import org.mallowroad.controller.provisioning.ProvisioningServices;
+import org.mallowroad.controller.provisioning.ProvisioningSettings;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
@@ -90,7 +92,7 @@
     this.folds = newFoldMaintenance();
     this.stateLoader = newStateLoader();
     this.provisioner = newProvisioner();
-    this.isolation = new LeaderIsolationDetector(context, provisioner::running);
+    this.isolation = new LeaderIsolationDetector(context, provisioner::runningMachines);
     this.heartbeats =
         new HeartbeatHandler(
             context,
@@ -155,21 +157,24 @@
   }
 
   private MachineProvisioner newProvisioner() {
+    ProvisioningServices provisioningServices =
+        new ProvisioningServices(
+            loop,
+            services.state(),
+            services.cloud(),
+            clusterConfig,
+            clusterConfig.zones,
+            schedulerState,
+            writeBudget.limiter());
+    ProvisioningSettings provisioningSettings =
+        new ProvisioningSettings(
+            clusterConfig.operator.fleet(),
+            clusterConfig.objectives,
+            writeBudget.maxTransactionWrites(),
+            term.number(),
+            term.leaderKeyVersion());
     return new MachineProvisioner(
-        loop,
-        services.state(),
-        services.cloud(),
-        clusterConfig,
-        clusterConfig.zones,
-        clusterConfig.operator.fleet(),
-        clusterConfig.objectives,
-        schedulerState,
-        responder,
-        writeBudget.limiter(),
-        writeBudget.maxTransactionWrites(),
-        term.number(),
-        term.leaderKeyVersion(),
-        new ProvisioningListener());
+        provisioningServices, provisioningSettings, responder, new ProvisioningListener());
   }
 
   /** The first token of this term's block. */
@@ -328,7 +333,7 @@
           "event=leader_active term={} machines={}",
           term.number(),
           schedulerState.machines().size());
-      provisioner.act();
+      provisioner.activate();
     }
     monitor.checkCancellationView(now);
     schedulerState.expireLeases(now);
@@ -390,17 +395,17 @@
 
   private final class ProvisioningListener implements MachineProvisioner.Listener {
     @Override
-    public boolean firm() {
-      return isLeaseValid();
+    public boolean isLeaseValid() {
+      return Leader.this.isLeaseValid();
     }
 
     @Override
-    public List<Job> queue() {
+    public List<Job> waitingJobs() {
       return context.taskScheduler().queue(loop.now());
     }
 
     @Override
-    public void changed() {
+    public void attemptsFreed() {
       placement.requestPass();
     }
 
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -202,7 +202,7 @@
 
     @Override
     public List<PendingMachines> coming(long now) {
-      return leader.provisioner().coming(now);
+      return leader.provisioner().pendingMachines(now);
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/provisioning/ProvisioningSettings.java
@@ -0,0 +1,20 @@
+package org.mallowroad.controller.provisioning;
+
+import org.mallowroad.core.autoscaling.AutoscalerPolicy;
+import org.mallowroad.core.objective.ServiceLevelObjectives;
+
+/**
+ * What provisioning goes by during one term.
+ *
+ * @param policy the operators' settings of the autoscaler
+ * @param objectives the service-level objectives that the fleet is sized for
+ * @param maxTransactionWrites puts and deletes in one transaction
+ * @param term the term's number: part of the names of its rental requests
+ * @param leaderKeyVersion the version of the leader's key: a condition of all writes
+ */
+public record ProvisioningSettings(
+    AutoscalerPolicy policy,
+    ServiceLevelObjectives objectives,
+    int maxTransactionWrites,
+    long term,
+    long leaderKeyVersion) {}
