--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -72,7 +72,7 @@
    */
   void handle(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder) {
     long now = loop.now();
-    parts.responder.turn(now);
+    parts.responder.recordActivity(now);
     if (context.lifecycle().isStopped()) {
       responder.retryLater(); // Deferred since before the leadership ended.
       return;
@@ -114,17 +114,17 @@
   /** True while an answer could renew a worker's lease that has to expire. */
   private boolean mustNotAnswer(Heartbeat heartbeat, long now) {
     return context.cancellationView().isStale(now)
-        || parts.responder.unsure(context.lease().renewedMs(), now)
+        || parts.responder.isLeaseUncertain(context.lease().renewedMs(), now)
         || (parts.isolation.isCutOffFromStateAndPeers(now)
-            && parts.responder.sendRound(heartbeat, now));
+            && parts.responder.redirectOnce(heartbeat, now));
   }
 
   private void recordContact(Machine machine, int relayPeer, long now) {
     parts.isolation.heartbeatReceived(now);
-    parts.responder.came(machine.zone, relayPeer < 0, now);
+    parts.responder.heartbeatArrived(machine.zone, relayPeer < 0, now);
     parts.provisioner.heartbeatReceived(machine);
     machine.relayPeer = relayPeer;
-    parts.responder.reported(machine, loop.now());
+    parts.responder.evaluateTasks(machine, loop.now());
   }
 
   /** The next placement pass may start tasks there: the answer can then include their launches. */
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -247,8 +247,8 @@
    * of the process.
    */
   private void detectPauses() {
-    responder.turn(loop.now());
-    responder.beat();
+    responder.recordActivity(loop.now());
+    responder.recordTick();
     heartbeats.expireDeferred(loop.now());
   }
 
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -86,7 +86,7 @@
   /**
    * True when this leader's lease must have expired and no peer is reachable. Either it is cut off
    * and another node leads, or the state service and the peers are down. This node cannot tell the
-   * two apart, but a worker that asks the other nodes can ({@link FailureResponder#sendRound}).
+   * two apart, but a worker that asks the other nodes can ({@link FailureResponder#redirectOnce}).
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -18,16 +18,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acts on what {@link FleetHealth} suspects: which silent or faulty machines are returned, and
- * when. The deletion is the proof that frees their tasks; suspicion alone frees nothing.
+ * Acts on what {@link FleetHealth} suspects: which silent or faulty machines are deleted, and when.
+ * The deletion is the proof that frees their tasks; suspicion alone frees nothing.
  *
- * <p><b>Why a leader of term N that stood still does no harm once N+1 began</b>, for each thing
+ * <p><b>Why a leader of term N that was paused does no harm once term N+1 began</b>, for each thing
  * that leaves this process. A freeze can fall between any check and the write after it, so no check
  * of the clock alone is a proof; what holds is at the other side.
  *
  * <ul>
- *   <li><i>Commits:</i> each carries the mark of {@code leader}, which N+1 changed: refused with
- *       409.
+ *   <li><i>Commits:</i> each compares the version of the key {@code leader}, which N+1 changed:
+ *       refused with 409.
  *   <li><i>Launches and stops, sent directly:</i> carry token N. A worker that has seen N+1 refuses
  *       them. One that has not may still start the attempt, but that was recorded before it was
  *       sent, so N+1 read it on takeover and counts it until a report of a worker that has seen N+1
@@ -37,49 +37,51 @@
  *       the last report that it answered itself.
  *   <li><i>Clearing an exited attempt:</i> sent only for what is committed (see {@code
  *       SchedulerState.orphan}), so N+1 knows the result without the worker.
- *   <li><i>Rents:</i> recorded under their name before the call; N+1 repeats every recorded name,
- *       and a repeated name rents nothing more.
- *   <li><i>Deletions:</i> decided by a firm leader only; a late one takes a machine, never a rule:
- *       N+1 finds it gone by the cloud's answer, its list or the worker's lease.
+ *   <li><i>Rental requests:</i> recorded under their name before the call; N+1 repeats every
+ *       recorded name, and a repeated name rents nothing more.
+ *   <li><i>Deletions:</i> decided only while the lease holds; a late one takes a machine, never a
+ *       rule: N+1 finds it gone by the cloud's answer, its list or the worker's lease.
  *   <li><i>Answers to users:</i> come from a read or a transaction made for them; only final states
  *       are remembered, and those do not change.
  * </ul>
  *
  * Besides, so that it does not even try: {@code LeaderLease.isValid} measures from the sending of
- * the last renewal that succeeded, on a clock that runs on through the standstill, so the first
- * turn after one finds it false; workers are answered only once the lease has been asked for again;
- * and silence counts anew, for this side did not listen.
+ * the last renewal that succeeded, on a clock that runs on through the pause, so the first check
+ * after one finds it false; workers are answered only once the lease has been asked for again; and
+ * silence counts anew, for this side did not listen.
  */
 public final class FailureResponder {
   private static final Logger LOG = LoggerFactory.getLogger(FailureResponder.class);
 
-  private static final long SILENT_MS = 2_000;
+  /** A machine is silent when its heartbeat is overdue by half an interval and this. */
+  private static final long SILENCE_MARGIN_MS = 2_000;
 
   /**
-   * A worker whose reports are carried may be trying the direct way: a report without an answer, a
-   * second's wait, the way back, and up to half a second each.
+   * Additional time for a worker whose heartbeats are relayed, which may be trying the direct link:
+   * a heartbeat without an answer, a pause of a second, and the way back, up to half a second each.
    */
-  private static final long ROUND_MS = 6_000;
-
-  /** So long without a report that came by itself: a zone's workers come by way of a peer now. */
-  private static final long REROUTED_MS = 1_500;
+  private static final long RELAY_MARGIN_MS = 6_000;
 
   /**
-   * After a standstill workers are turned away this long at the most until the lease is renewed.
+   * Without a direct heartbeat for this time, a zone's workers are taken to reach this leader only
+   * through a peer.
    */
-  private static final long UNSURE_MS = 1_500;
+  private static final long REROUTED_AFTER_MS = 1_500;
+
+  /** After a pause workers are turned away no longer than this while the lease is not renewed. */
+  private static final long MAX_LEASE_UNCERTAINTY_MS = 1_500;
 
-  /** The share of a cut zone's machines that may be returned fills up again in so many leases. */
-  private static final double CUT_LEASES = 2;
+  /** In how many leases the share of a partitioned zone that may be deleted is refilled. */
+  private static final double ZONE_REFILL_LEASES = 2;
 
-  /** An empty machine of a cut zone is kept for so many leases. */
-  private static final double HOLD_LEASES = 3;
+  /** For how many leases an idle machine of a partitioned zone is kept. */
+  private static final double IDLE_KEPT_LEASES = 3;
 
-  /** Workers remembered that were sent round; more than any fleet that one leader can answer. */
-  private static final int MOST_ROUNDS = 4_000;
+  /** Redirected workers that are remembered; more than any fleet that one leader can answer. */
+  private static final int MAX_REDIRECTED = 4_000;
 
-  /** Lines about single machines in each judgement. */
-  private static final int MOST_LINES = 20;
+  /** Log lines about single machines in one evaluation. */
+  private static final int MAX_MACHINE_LINES = 20;
 
   private final SchedulerState schedulerState;
   private final FleetHealth health;
@@ -87,16 +89,23 @@
   private final long term;
   private final long silentMs;
   private final long leaseMs;
-  private final TokenBucket returns;
-  private final TokenBucket[] zoneReturns;
-  private final long[] directMs;
+  private final TokenBucket deletions;
+  private final TokenBucket[] zoneDeletions;
+  private final long[] lastDirectMs;
   private final boolean[] rerouted;
-  private final int[] deafIn;
-  private final Object2LongOpenHashMap<String> rounds = new Object2LongOpenHashMap<>();
-  private int lines;
-  private long leftOut;
+  private final int[] unreachableInZone;
+  private final Object2LongOpenHashMap<String> redirectedMs = new Object2LongOpenHashMap<>();
+  private int machineLines;
+  private long suppressedLines;
 
-  /** For workers that report every {@code heartbeatIntervalS} and hold leases of {@code leaseS}. */
+  /**
+   * For one term.
+   *
+   * @param heartbeatIntervalS the interval of the workers' heartbeats, in seconds
+   * @param leaseS the duration of the workers' leases, in seconds
+   * @param term the first fencing token of the term
+   * @param now on the steady clock, in milliseconds, as everywhere in this class
+   */
   public FailureResponder(
       SchedulerState schedulerState,
       NameIndex zones,
@@ -108,126 +117,147 @@
     this.health = schedulerState.health();
     this.zones = zones;
     this.term = term;
-    // Reports come up to a quarter late. A machine that has missed one is hung, cut off or dead:
-    // the sooner it is returned, the sooner its tasks run elsewhere.
-    this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENT_MS;
+    // Heartbeats come up to a quarter late. A machine that has missed one is hung, partitioned or
+    // dead: the sooner it is deleted, the sooner its tasks run elsewhere.
+    this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
     this.leaseMs = (long) (leaseS * 1000);
-    HealthPolicy p = health.policy();
-    this.returns = new TokenBucket(p.returnShare(), p.minReturns(), leaseMs, now);
-    this.zoneReturns = new TokenBucket[zones.size()];
-    this.directMs = new long[zones.size()];
+    HealthPolicy policy = health.policy();
+    this.deletions = new TokenBucket(policy.returnShare(), policy.minReturns(), leaseMs, now);
+    this.zoneDeletions = new TokenBucket[zones.size()];
+    this.lastDirectMs = new long[zones.size()];
     this.rerouted = new boolean[zones.size()];
-    this.deafIn = new int[zones.size()];
-    Arrays.fill(directMs, now);
-    for (int z = 0; z < zoneReturns.length; z++) {
-      zoneReturns[z] = new TokenBucket(p.partitionReturnShare(), 1, CUT_LEASES * leaseMs, now);
+    this.unreachableInZone = new int[zones.size()];
+    Arrays.fill(lastDirectMs, now);
+    for (int z = 0; z < zoneDeletions.length; z++) {
+      zoneDeletions[z] =
+          new TokenBucket(policy.partitionReturnShare(), 1, ZONE_REFILL_LEASES * leaseMs, now);
     }
   }
 
-  /** Call with each turn of the loop and before each message is taken. */
-  public void turn(long now) {
-    long ms = health.pauseDetector().recordActivity(now);
-    if (ms > 0) {
-      LOG.warn("event=stood_still term={} ms={}", term, ms);
+  /**
+   * Detects pauses of this process: to be called by the leader's tick and before each heartbeat is
+   * handled. After a pause silence counts anew, since this side did not listen.
+   */
+  public void recordActivity(long now) {
+    long pausedMs = health.pauseDetector().recordActivity(now);
+    if (pausedMs > 0) {
+      LOG.warn("event=process_paused term={} ms={}", term, pausedMs);
       health.failureDetector().restart(now);
     }
   }
 
-  /** Call with each regular beat of the loop, after {@link #turn}. */
-  public void beat() {
+  /** To be called by each of the leader's regular ticks, after {@link #recordActivity}. */
+  public void recordTick() {
     health.pauseDetector().recordTick();
   }
 
   /**
-   * True while a standstill is so short ago that the lease has not been asked for since: another
-   * may lead, and an answer would hold workers here that it waits for. Bounded, since in an outage
-   * of the state service nobody else can lead and the answers keep the workers' leases alive.
+   * True shortly after a pause of this process, until the lease is renewed: another node may lead,
+   * and an answer would keep workers here that it waits for. Bounded, since in an outage of the
+   * state service nobody else can lead and the answers keep the workers' leases alive.
+   *
+   * @param renewedMs when the last renewal that succeeded was sent
    */
-  public boolean unsure(long renewedMs, long now) {
+  public boolean isLeaseUncertain(long renewedMs, long now) {
     PauseDetector pauseDetector = health.pauseDetector();
     return pauseDetector.pauseCount() > 0
         && renewedMs < pauseDetector.listeningSinceMs()
-        && now - pauseDetector.listeningSinceMs() < UNSURE_MS;
+        && now - pauseDetector.listeningSinceMs() < MAX_LEASE_UNCERTAINTY_MS;
   }
 
   /**
-   * True once for each worker, again after a lease: it is turned away, and asks the other nodes. If
-   * another leads it is answered there, by a higher token, and its tasks live on; before this it
-   * stayed with a leader that was none, which placed nothing, until that fell silent, and the new
-   * leader took it for silent and returned it. If nobody leads it is back within one round of the
-   * nodes, well within its lease, and is answered. No answer is given that was not given before, so
-   * no proof changes.
+   * True once for each worker, and again after a lease: it is not answered, so that it asks the
+   * other nodes. If another node leads it is answered there with a higher token, and its tasks live
+   * on; otherwise it would stay with a deposed leader, and the new one would take it for silent and
+   * delete it. If no other node leads it is back after it asked each node once, well within its
+   * lease, and is answered. No answer is given that was not given before, so no proof changes.
    */
-  public boolean sendRound(Heartbeat r, long now) {
-    long last = rounds.getOrDefault(r.machine(), Long.MIN_VALUE / 2);
+  public boolean redirectOnce(Heartbeat heartbeat, long now) {
+    long last = redirectedMs.getOrDefault(heartbeat.machine(), Long.MIN_VALUE / 2);
     if (now - last < leaseMs) {
       return false;
     }
-    if (rounds.size() >= MOST_ROUNDS) {
-      rounds.clear(); // Each is sent round once more than it need be, no worse.
+    if (redirectedMs.size() >= MAX_REDIRECTED) {
+      redirectedMs.clear(); // Each is redirected once more than necessary, no worse.
     }
-    rounds.put(r.machine(), now);
+    redirectedMs.put(heartbeat.machine(), now);
     return true;
   }
 
-  /** By which way a zone's report came: the first that is carried, and none came by itself. */
-  public void came(int zone, boolean direct, long now) {
+  /**
+   * A heartbeat arrived from a zone. The first relayed one after the direct ones ended means that
+   * the zone was rerouted: its other machines get time to find the way through a peer.
+   *
+   * @param direct false when a peer relayed it
+   */
+  public void heartbeatArrived(int zone, boolean direct, long now) {
     if (direct) {
-      directMs[zone] = now;
+      lastDirectMs[zone] = now;
       rerouted[zone] = false;
-    } else if (!rerouted[zone] && now - directMs[zone] > REROUTED_MS) {
+    } else if (!rerouted[zone] && now - lastDirectMs[zone] > REROUTED_AFTER_MS) {
       rerouted[zone] = true;
       health.failureDetector().restartZone(zone, now);
-      LOG.warn("event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - directMs[zone]);
+      LOG.warn(
+          "event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - lastDirectMs[zone]);
     }
   }
 
-  /** What a report says of its machine's health besides that it was sent: costs its own tasks. */
-  public void reported(Machine m, long now) {
+  /**
+   * Takes from the state of the machine's tasks, after its heartbeat, what it says of the machine's
+   * health. The cost is proportional to the tasks of this machine.
+   */
+  public void evaluateTasks(Machine machine, long now) {
     int overdue = 0;
-    for (Attempt a : m.attempts()) {
-      if (a.isStopping()) {
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.isStopping()) {
         continue;
       }
-      if (a.phase == Attempt.Phase.RUNNING && a.isOverdue(health.stragglerDetector(), now)) {
+      if (attempt.phase == Attempt.Phase.RUNNING
+          && attempt.isOverdue(health.stragglerDetector(), now)) {
         overdue++;
-      } else if (a.phase == Attempt.Phase.PULLING) {
-        double needS = a.job.spec.imageGb() / Math.max(1e-3, m.type.fetchGbPerS());
-        health.imageFetchWaiting(m.health, now - a.createdMs, needS * 1000, now);
+      } else if (attempt.phase == Attempt.Phase.PULLING) {
+        double needS = attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
+        health.imageFetchWaiting(machine.health, now - attempt.createdMs, needS * 1000, now);
       }
     }
-    health.tasksOverdue(m.health, overdue, now);
+    health.tasksOverdue(machine.health, overdue, now);
   }
 
-  /** Judges zones and machines; what is to be returned is marked. Only a firm leader may ask. */
-  void judge(long now) {
-    lines = 0;
+  /**
+   * Evaluates zones and machines, and marks the machines that are to be deleted. To be called only
+   * while the lease holds.
+   */
+  void evaluate(long now) {
+    machineLines = 0;
     FailureDetector failureDetector = health.failureDetector();
-    for (FailureDetector.ZoneVerdict v : failureDetector.evaluate(now)) {
+    for (FailureDetector.ZoneVerdict verdict : failureDetector.evaluate(now)) {
       LOG.warn(
           "event={} zone={} silent={} of={} lasted_ms={}",
-          v.partitioned() ? "zone_silent" : "zone_back",
-          zones.name(v.zone()),
-          v.overdue(),
-          v.known(),
-          v.lastedMs());
+          verdict.partitioned() ? "zone_silent" : "zone_recovered",
+          zones.name(verdict.zone()),
+          verdict.overdue(),
+          verdict.known(),
+          verdict.lastedMs());
     }
-    for (FleetHealth.SuspicionChange c : health.takeChanges()) {
-      line(c.machine().name, event(c.suspicion()), Math.round(c.slowdown() * 100) / 100.0);
+    for (FleetHealth.SuspicionChange change : health.takeChanges()) {
+      logMachine(
+          change.machine().name,
+          event(change.suspicion()),
+          Math.round(change.slowdown() * 100) / 100.0);
     }
-    leftOut += health.takeUnkeptChanges();
-    Arrays.fill(deafIn, 0);
-    for (Machine m : schedulerState.machines()) {
-      deafIn[m.zone] += m.health.outboundReachability().isBroken() ? 1 : 0;
+    suppressedLines += health.takeUnkeptChanges();
+    Arrays.fill(unreachableInZone, 0);
+    for (Machine machine : schedulerState.machines()) {
+      unreachableInZone[machine.zone] += machine.health.outboundReachability().isBroken() ? 1 : 0;
     }
-    for (Machine m : schedulerState.machines()) {
-      if (!m.deleting) {
-        judge(m, failureDetector, now);
+    for (Machine machine : schedulerState.machines()) {
+      if (!machine.deleting) {
+        evaluate(machine, failureDetector, now);
       }
     }
-    if (leftOut > 0) {
-      LOG.info("event=machine_lines_left_out count={}", leftOut);
-      leftOut = 0;
+    if (suppressedLines > 0) {
+      LOG.info("event=machine_lines_suppressed count={}", suppressedLines);
+      suppressedLines = 0;
     }
   }
 
@@ -236,109 +266,113 @@
       case SLOW -> "machine_slow";
       case FAULTY -> "machine_faulty";
       case NO_IMAGE -> "machine_without_image";
-      case NONE -> "machine_in_favour";
+      case NONE -> "machine_recovered";
     };
   }
 
-  private void judge(Machine m, FailureDetector failureDetector, long now) {
-    if (schedulerState.heartbeatReconciler().needsDeletionToFence(m, now)) {
-      m.deleting = true;
-      line(m.name, "machine_unfenced", 0);
-    } else if (m.health.outboundReachability().isBroken()) {
-      deaf(m, now);
-    } else if (failureDetector.silentMs(m.health, now)
-        > silentMs + (m.relayPeer >= 0 ? ROUND_MS : 0)) {
-      if (mayReturn(m, failureDetector, now)) {
-        m.deleting = true;
-        line(
-            m.name,
-            m.lastHeartbeatMs < 0 ? "machine_unseen" : "machine_silent",
-            now - m.lastHeartbeatMs);
+  private void evaluate(Machine machine, FailureDetector failureDetector, long now) {
+    if (schedulerState.heartbeatReconciler().needsDeletionToFence(machine, now)) {
+      machine.deleting = true;
+      logMachine(machine.name, "machine_deleted_to_fence", 0);
+    } else if (machine.health.outboundReachability().isBroken()) {
+      deleteUnreachable(machine, now);
+    } else if (failureDetector.silentMs(machine.health, now)
+        > silentMs + (machine.relayPeer >= 0 ? RELAY_MARGIN_MS : 0)) {
+      if (mayDelete(machine, failureDetector, now)) {
+        machine.deleting = true;
+        logMachine(
+            machine.name,
+            machine.lastHeartbeatMs < 0 ? "machine_never_reported" : "machine_silent",
+            now - machine.lastHeartbeatMs);
       }
-    } else if (m.draining && m.interruptionMs == 0 && m.isEmpty()) {
-      m.deleting = true;
-    } else if (!m.draining && worthDraining(m)) {
-      m.draining = true;
-      stopFetches(m, now);
-      line(m.name, "machine_drained", Math.round(m.health.slowdown() * 100) / 100.0);
+    } else if (machine.draining && machine.interruptionMs == 0 && machine.isEmpty()) {
+      machine.deleting = true;
+    } else if (!machine.draining && isWorthDraining(machine)) {
+      machine.draining = true;
+      stopImageFetches(machine, now);
+      logMachine(
+          machine.name, "machine_draining", Math.round(machine.health.slowdown() * 100) / 100.0);
     }
   }
 
   /**
-   * A machine that is told and does not hear: its tasks end with its lease, so it is returned, but
-   * no more of a zone than of one that is cut off, since what keeps answers from a whole zone
-   * passes. What was launched there and never taken is not wanted there any more: its next report
-   * that does not list it proves it gone.
+   * The machine sends heartbeats but receives no answer. Its tasks end with its lease, so it is
+   * deleted; but of one zone no more than of a partitioned one, since what keeps answers from a
+   * whole zone passes. Attempts that were launched there and never confirmed are stopped: the next
+   * heartbeat that does not list one proves that it is gone.
    */
-  private void deaf(Machine m, long now) {
-    for (Attempt a : m.attempts()) {
-      if (a.phase == Attempt.Phase.COMMITTED && !a.isStopping()) {
-        schedulerState.requestStop(a, 0, now);
+  private void deleteUnreachable(Machine machine, long now) {
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.phase == Attempt.Phase.COMMITTED && !attempt.isStopping()) {
+        schedulerState.requestStop(attempt, 0, now);
       }
     }
-    int known = health.failureDetector().knownMachines(m.zone);
+    int known = health.failureDetector().knownMachines(machine.zone);
     boolean may =
-        deafIn[m.zone] >= health.policy().minPartitionMachines()
-            ? zoneReturns[m.zone].tryTake(known, now)
-            : returns.tryTake(schedulerState.machines().size(), now);
+        unreachableInZone[machine.zone] >= health.policy().minPartitionMachines()
+            ? zoneDeletions[machine.zone].tryTake(known, now)
+            : deletions.tryTake(schedulerState.machines().size(), now);
     if (may) {
-      m.deleting = true;
-      line(m.name, "machine_deaf", m.incarnation);
+      machine.deleting = true;
+      logMachine(machine.name, "machine_unreachable", machine.incarnation);
     }
   }
 
-  private boolean mayReturn(Machine m, FailureDetector failureDetector, long now) {
-    long ms = failureDetector.silentMs(m.health, now);
-    int zone = m.zone;
+  private boolean mayDelete(Machine machine, FailureDetector failureDetector, long now) {
+    long silentForMs = failureDetector.silentMs(machine.health, now);
+    int zone = machine.zone;
     if (failureDetector.isPartitioned(zone)) {
-      // Nobody deletes a whole zone's machines in a hurry: they are needed when it is back. Of
-      // those
-      // with tasks a share goes at once, since the tasks run elsewhere sooner; the rest are free
-      // once their leases ran out. No lease proves that of machines that have not seen this term:
-      // their tasks only a deletion frees, so those go as fast as silent machines go anywhere.
-      if (!m.isEmpty() && m.highestTokenSeen < term) {
-        return returns.tryTake(schedulerState.machines().size(), now);
+      // A partitioned zone's machines are needed when it is back, so they are not all deleted at
+      // once. Of those with tasks a share is, since the tasks run elsewhere sooner; the tasks of
+      // the rest are free once their leases expired. No lease proves that of machines that have not
+      // seen this term: only a deletion frees their tasks, so those are deleted as fast as silent
+      // machines of any zone.
+      if (!machine.isEmpty() && machine.highestTokenSeen < term) {
+        return deletions.tryTake(schedulerState.machines().size(), now);
       }
-      // An empty one holds nothing up, but it may be gone for good: kept for ever it would hold the
-      // zone cut, and nothing would be rented there any more.
-      return (!m.isEmpty() || ms > HOLD_LEASES * leaseMs)
-          && zoneReturns[zone].tryTake(failureDetector.knownMachines(zone), now);
+      // An idle one delays nothing, but it may be gone for good: kept for ever it would keep the
+      // zone partitioned, and nothing would be rented there any more.
+      return (!machine.isEmpty() || silentForMs > IDLE_KEPT_LEASES * leaseMs)
+          && zoneDeletions[zone].tryTake(failureDetector.knownMachines(zone), now);
     }
-    if (failureDetector.isLikelyIsolated(now) && ms <= leaseMs) {
-      return false; // When most are silent the fault is rather on this side.
+    if (failureDetector.isLikelyIsolated(now) && silentForMs <= leaseMs) {
+      return false; // When most are silent the fault is more likely on this side.
     }
-    return returns.tryTake(schedulerState.machines().size(), now);
+    return deletions.tryTake(schedulerState.machines().size(), now);
   }
 
   /**
-   * A faulty machine is emptied and returned. A slow one that takes f times as long wastes (f-1)/f
-   * of its price for as long as the doubt lasts; a new one costs its boot.
+   * True for a faulty machine, and for a slow one that wastes more than a new one costs: with a
+   * slowdown f it wastes (f-1)/f of its price for as long as the suspicion lasts, and a new one
+   * costs one and a half boot times.
    */
-  private boolean worthDraining(Machine m) {
-    MachineHealth h = m.health;
-    if (h.suspicion() == Suspicion.FAULTY || h.suspicion() == Suspicion.NO_IMAGE) {
+  private boolean isWorthDraining(Machine machine) {
+    MachineHealth machineHealth = machine.health;
+    if (machineHealth.suspicion() == Suspicion.FAULTY
+        || machineHealth.suspicion() == Suspicion.NO_IMAGE) {
       return true;
     }
-    double f = h.slowdown();
-    return h.suspicion() == Suspicion.SLOW
-        && f > 1
-        && (f - 1) / f * health.policy().suspicionExpiryMs() > 1000 * m.type.bootS() * 1.5;
+    double slowdown = machineHealth.slowdown();
+    return machineHealth.suspicion() == Suspicion.SLOW
+        && slowdown > 1
+        && (slowdown - 1) / slowdown * health.policy().suspicionExpiryMs()
+            > 1000 * machine.type.bootS() * 1.5;
   }
 
-  /** A fetch that never ends would keep its task, and the machine from being empty, for ever. */
-  private void stopFetches(Machine m, long now) {
-    for (Attempt a : m.attempts()) {
-      if (a.phase == Attempt.Phase.PULLING) {
-        schedulerState.requestStop(a, 0, now);
+  /** An image fetch that never ends would keep the machine from being idle for ever. */
+  private void stopImageFetches(Machine machine, long now) {
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.phase == Attempt.Phase.PULLING) {
+        schedulerState.requestStop(attempt, 0, now);
       }
     }
   }
 
-  private void line(String machine, String event, Object figure) {
-    if (lines++ < MOST_LINES) {
+  private void logMachine(String machine, String event, Object figure) {
+    if (machineLines++ < MAX_MACHINE_LINES) {
       LOG.info("event={} machine={} figure={}", event, machine, figure);
     } else {
-      leftOut++;
+      suppressedLines++;
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -182,7 +182,7 @@
     if (stopped || !listener.isLeaseValid()) {
       return;
     }
-    responder.judge(loop.now());
+    responder.evaluate(loop.now());
     for (String name : booting.expire(schedulerState, loop.now())) {
       LOG.info("event=machine_boot_timeout machine={}", name);
     }
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -95,14 +95,14 @@
           true,
           now);
       m.lastResponseMs = now;
-      responder.reported(m, now);
+      responder.evaluateTasks(m, now);
     }
 
     /** Time passes; machines from {@code from} to {@code to} are not heard. */
     void pass(long ms, int from, int to) {
       for (long end = now + ms; now < end; now += 250) {
-        responder.turn(now);
-        responder.beat();
+        responder.recordActivity(now);
+        responder.recordTick();
         for (int i = 0; i < machines.size(); i++) {
           Machine m = machines.get(i);
           boolean heard = i < from || i >= to;
@@ -111,7 +111,7 @@
           }
         }
         schedulerState.expireLeases(now);
-        responder.judge(now);
+        responder.evaluate(now);
       }
     }
 
@@ -254,11 +254,11 @@
             w -> {
               long renewed = w.now;
               w.now += 20_000;
-              w.responder.turn(w.now);
-              assertTrue(w.responder.unsure(renewed, w.now));
-              assertFalse(w.responder.unsure(w.now + 10, w.now + 20), "renewed since");
+              w.responder.recordActivity(w.now);
+              assertTrue(w.responder.isLeaseUncertain(renewed, w.now));
+              assertFalse(w.responder.isLeaseUncertain(w.now + 10, w.now + 20), "renewed since");
               // In an outage nobody can be asked: the answers go on, so that leases live.
-              assertFalse(w.responder.unsure(renewed, w.now + 1_500));
+              assertFalse(w.responder.isLeaseUncertain(renewed, w.now + 1_500));
               w.pass(4_500, 0, 40);
               assertEquals(0, w.returned());
               w.pass(20_000, 0, 0);
@@ -324,12 +324,12 @@
             false,
             w -> {
               Heartbeat r = JobSpecs.report(w.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
-              assertTrue(w.responder.sendRound(r, w.now));
-              assertFalse(w.responder.sendRound(r, w.now + 6_000));
-              assertFalse(w.responder.sendRound(r, w.now + LEASE_MS - 1));
-              assertTrue(w.responder.sendRound(r, w.now + LEASE_MS));
+              assertTrue(w.responder.redirectOnce(r, w.now));
+              assertFalse(w.responder.redirectOnce(r, w.now + 6_000));
+              assertFalse(w.responder.redirectOnce(r, w.now + LEASE_MS - 1));
+              assertTrue(w.responder.redirectOnce(r, w.now + LEASE_MS));
               assertTrue(
-                  w.responder.sendRound(
+                  w.responder.redirectOnce(
                       JobSpecs.report(w.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
                       w.now + 10));
             }),
