--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -216,7 +216,7 @@
 
     private void addLaunches() {
       for (Attempt a : uncommitted) {
-        if (a.phase == Attempt.Phase.COMMITTED
+        if (a.phase == Attempt.Phase.READY
             && !a.isStopping()
             && a.incarnation == heartbeat.incarnation()
             && context.lease().isValid()) {
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -303,7 +303,7 @@
    */
   private void deleteUnreachable(Machine machine, long now) {
     for (Attempt attempt : machine.attempts()) {
-      if (attempt.phase == Attempt.Phase.COMMITTED && !attempt.isStopping()) {
+      if (attempt.phase == Attempt.Phase.READY && !attempt.isStopping()) {
         schedulerState.requestStop(attempt, 0, now);
       }
     }
--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -2,25 +2,31 @@
 
 import org.mallowroad.core.health.StragglerDetector;
 
-/** One try to run one task on one machine; it takes room until it is proven gone. */
+/**
+ * One try to run one task on one machine. It takes quota and resources until it is proven gone
+ * ({@link AttemptTracker}). Times are milliseconds on the process's steady clock.
+ */
 public final class Attempt {
-  /** How far an attempt has come. */
+  /**
+   * The states of an attempt, in their order; the first two and the last are the leader's. Their
+   * names in lower case are part of the console's JSON.
+   */
   public enum Phase {
-    /** Not yet committed: must not be launched. */
+    /** Its record is not yet committed: it must not be launched. */
     RECORDING,
-    /** Committed: its launch is sent until the worker reports it. */
-    COMMITTED,
-    /** Waiting for its image. */
+    /** Its record is committed: its launch is sent until a heartbeat lists it. */
+    READY,
+    /** The worker fetches its image. */
     PULLING,
-    /** Running. */
+    /** The worker runs it. */
     RUNNING,
-    /** Saving after a stop. */
+    /** The worker saves its progress after a stop. */
     FLUSHING,
     /** Proven gone. */
     GONE
   }
 
-  /** The task it runs. */
+  /** The job whose task it runs. */
   public final Job job;
 
   /** The number of the task in its job. */
@@ -32,40 +38,43 @@
   /** Where it runs. */
   public final Machine machine;
 
-  /** The worker's session it was recorded for. */
+  /** The incarnation of the worker that it was made for. */
   public final long incarnation;
 
   /** How far it has come. */
   public Phase phase;
 
-  /** Set when it is to be stopped: seconds to save; negative while it may run. */
+  /** Seconds that it has to save its progress before it is stopped; negative while it may run. */
   public double stopGraceS = -1;
 
-  /** When it was recorded and when it began to run, on the steady clock. */
+  /** When it was made, or restored on failover. */
   public final long createdMs;
 
-  /** True once a stop was sent straight to the worker. */
+  /** True once a direct command with its stop was sent. */
   boolean stopSentDirectly;
 
-  /** True when an earlier leader began it: when it began to run is not known then. */
+  /** True when an earlier leader made it: when it began to run is not known then. */
   boolean restoredFromRecord;
 
-  /** True once an answer to a report carried its launch. */
+  /** True once the response to a heartbeat carried its launch. */
   public boolean launchInHeartbeatResponse;
 
-  /** True once its launch was sent in any way. */
+  /** True once its launch was sent, in a response or a direct command. */
   public boolean launchSent;
 
   /**
-   * A launch sent straight to the worker has no answer yet: it may be executed at any later time,
-   * unless the worker's session or token moves on or its machine goes.
+   * True while a direct command with its launch is unanswered: the launch may be executed at any
+   * later time, unless the worker's incarnation or token rises or its machine is deleted.
    */
   public boolean launchInFlight;
 
-  /** The token on the message that carried its launch straight to the worker; 0: none did. */
+  /** The fencing token on the direct command that carried its launch; 0 when none did. */
   long launchToken;
 
+  /** When it was first reported to run; 0 before. */
   long runningSinceMs;
+
+  /** When its stop was requested last. */
   long stopRequestedMs;
 
   Attempt(Job job, int task, int number, Machine machine, long incarnation, Phase phase, long now) {
@@ -78,7 +87,7 @@
     this.createdMs = now;
   }
 
-  /** True once the worker was told to stop it, or will be. */
+  /** True once its stop was requested. */
   public boolean isStopping() {
     return stopGraceS >= 0;
   }
@@ -90,12 +99,12 @@
             job.runTimes, now - runningSinceMs, job.spec.estimateS());
   }
 
-  /** When it was first reported to run, on the steady clock; 0 before. */
+  /** When it was first reported to run; 0 before. */
   public long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** How the worker names it. */
+  /** Its name among those of one worker; no two attempts ever have the same. */
   String key() {
     return key(job.spec.id(), task, number);
   }
@@ -104,7 +113,7 @@
     return job + "/" + task + "/" + number;
   }
 
-  /** Asks for a stop; a shorter time to save replaces a longer one. */
+  /** Takes a request for a stop; a shorter time to save replaces a longer one. */
   void stop(double graceS, long now) {
     if (stopGraceS < 0 || graceS < stopGraceS) {
       stopGraceS = graceS;
--- a/src/main/java/org/mallowroad/core/AttemptOutcome.java
+++ b/src/main/java/org/mallowroad/core/AttemptOutcome.java
@@ -2,16 +2,16 @@
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
-  /** Completed. */
+  /** The task completed; of a service this is a failure, since its replicas are to run on. */
   COMPLETED,
-  /** Stopped by command. */
+  /** It was stopped by command, or gave up because its gang was not complete. */
   STOPPED,
-  /** Failed by itself. */
+  /** The task failed by itself. */
   FAILED,
-  /** The worker refused it for want of room. */
+  /** The worker refused the launch for want of resources. */
   INSUFFICIENT_RESOURCES,
-  /** The worker refused it for another reason. */
+  /** The worker refused the launch for another reason. */
   LAUNCH_REFUSED,
-  /** Gone with its machine or its session, or never started. */
+  /** It is gone with its machine or its session, or was never started. */
   LOST
 }
--- a/src/main/java/org/mallowroad/core/AttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/AttemptRecord.java
@@ -1,17 +1,22 @@
 package org.mallowroad.core;
 
-/** The part of a job's tasks that one record in the state service holds. */
+/**
+ * A range of a job's tasks whose attempts one record in the state service holds, and how that
+ * record stands. A small job's record may be a part of a {@link SharedAttemptRecord}.
+ */
 public final class AttemptRecord {
-  /** Tasks a record: small enough that a full record stays below the value limit. */
+  /**
+   * Tasks in a record: few enough that a full record stays below the state service's value limit.
+   */
   public static final int TASKS_PER_RECORD = 128;
 
-  /** The job it belongs to and its place in it. */
+  /** The job whose tasks these are. */
   public final Job job;
 
-  /** Place in the job. */
+  /** Its index among the records of the job. */
   public final int index;
 
-  /** The record's version as last seen; 0 when there is none. */
+  /** The record's version in the state service as last seen; 0 when there is none. */
   public long version;
 
   /**
@@ -32,12 +37,12 @@
   /** How many of its attempts wait for a commit before they may be launched. */
   int uncommittedStarts;
 
-  /** How many of its attempts are not on record yet. */
+  /** How many of its attempts wait for a commit before they may be launched. */
   public int uncommittedStarts() {
     return uncommittedStarts;
   }
 
-  /** Since when it is dirty. */
+  /** Since when it is dirty, on the steady clock; after a commit, when that was. */
   public long dirtySinceMs;
 
   AttemptRecord(Job job, int index) {
@@ -45,22 +50,22 @@
     this.index = index;
   }
 
-  /** True when nothing of it will be on record any more: its job is over and nothing runs. */
+  /** True when it will not be written again: its job is over and all of its attempts are gone. */
   public boolean isFinished() {
     return (job.cancelled || job.ended) && !hasLiveAttempts();
   }
 
-  /** First task of the chunk. */
+  /** The first task of the range. */
   public int firstTask() {
     return index * TASKS_PER_RECORD;
   }
 
-  /** One past the last task of the chunk. */
+  /** One past the last task of the range. */
   public int endTask() {
     return Math.min(job.spec.tasks(), firstTask() + TASKS_PER_RECORD);
   }
 
-  /** True when a task of the chunk has an attempt that is not proven gone. */
+  /** True when a task of the range has an attempt that is not proven gone. */
   public boolean hasLiveAttempts() {
     for (int t = firstTask(); t < endTask(); t++) {
       if (job.liveAttempts[t] != null) {
--- a/src/main/java/org/mallowroad/core/AttemptTracker.java
+++ b/src/main/java/org/mallowroad/core/AttemptTracker.java
@@ -127,7 +127,7 @@
       return;
     }
     Attempt attempt =
-        new Attempt(job, task, number, machine, incarnation, Attempt.Phase.COMMITTED, now);
+        new Attempt(job, task, number, machine, incarnation, Attempt.Phase.READY, now);
     attempt.restoredFromRecord = true;
     job.highestAttemptNumbers[task] = Math.max(job.highestAttemptNumbers[task], number);
     reserve(attempt);
@@ -155,7 +155,7 @@
   void committed(List<Attempt> recorded) {
     for (Attempt attempt : recorded) {
       if (attempt.phase == Attempt.Phase.RECORDING) {
-        attempt.phase = Attempt.Phase.COMMITTED;
+        attempt.phase = Attempt.Phase.READY;
         pendingWrites.removeUncommittedStart(attempt.job.attemptRecordOf(attempt.task));
         machinesWithUnsentCommands.add(attempt.machine);
       }
--- a/src/main/java/org/mallowroad/core/CostAccounting.java
+++ b/src/main/java/org/mallowroad/core/CostAccounting.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Where the money of a term went, by machine type and kind: boots, room that nobody used, starts
- * and fetches, work that was lost, work that completed. It is counted when a machine reports first,
- * when an attempt is proven gone and when a machine is, so it costs a few additions an event and
- * lags by what is still running. Prices are those of the moment; a machine met on takeover counts
- * from then.
+ * Where the money of a term went, by machine type, ordinary or spot: boots, idle resources, starts
+ * and image fetches, work that was lost, work that completed. It is summed up at a machine's first
+ * heartbeat, when an attempt is proven gone and when a machine is, so it costs a few additions an
+ * event and lags by what is still running. Prices are those of the moment; a machine that is found
+ * on failover counts from then.
  */
 public final class CostAccounting {
   private static final double MS_PER_HOUR = 3_600_000;
@@ -78,7 +78,7 @@
     return share * m.type.price(m.spot) * ms / MS_PER_HOUR;
   }
 
-  /** A machine reported for the first time, this long after it was rented. */
+  /** A machine sent its first heartbeat, this many milliseconds after it was rented. */
   public void machineBooted(Machine m, long ms) {
     kind(m.type, m.spot).boot += cost(m, 1, ms);
   }
@@ -103,7 +103,7 @@
     k.life += cost(m, 1, now - m.firstSeenMs);
   }
 
-  /** What of a machine's price a task stands for: its part of the scarcest resource. */
+  /** The share of a machine's price that a task costs: its part of the scarcer resource. */
   private static double share(JobSpec s, MachineType t) {
     double share = t.cpus() > 0 ? s.cpus() / t.cpus() : 0;
     if (t.cards() > 0) {
--- a/src/main/java/org/mallowroad/core/Heartbeat.java
+++ b/src/main/java/org/mallowroad/core/Heartbeat.java
@@ -3,9 +3,16 @@
 import java.util.List;
 
 /**
- * A worker's message about itself and the tasks it holds.
+ * A worker's periodic message about itself and its tasks.
  *
- * @param servesImages true when the worker takes images from other workers, and hands its own on
+ * @param address where the worker takes direct commands
+ * @param incarnation identifies the worker's session, and rises with each one
+ * @param sequence number of the message within the session
+ * @param fencingToken the highest token that the worker has seen
+ * @param interruptionNoticeS seconds until the cloud takes the spot machine back; negative without
+ *     a notice
+ * @param entries all tasks that the worker has, those included whose exits are not cleared yet
+ * @param servesImages true when the worker fetches images from other workers, and serves its own
  */
 public record Heartbeat(
     String machine,
@@ -20,7 +27,7 @@
     List<Entry> entries,
     boolean servesImages) {
 
-  /** Of a worker that hands no images on. */
+  /** From a worker that serves no images. */
   public Heartbeat(
       String machine,
       String address,
@@ -46,15 +53,15 @@
         false);
   }
 
-  /** What a worker says of a task. */
+  /** The states of a task on a worker. */
   public enum State {
-    /** Waiting for its image. */
+    /** Its image is being fetched. */
     PULLING,
     /** Running. */
     RUNNING,
-    /** Saving. */
+    /** It saves its progress after a stop. */
     FLUSHING,
-    /** Ended. */
+    /** It has ended; listed until the leader clears it. */
     EXITED
   }
 
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -207,7 +207,7 @@
         answerUnknownAttempt(machine, entry, hasTask ? job : null, now, commands);
         continue;
       }
-      if (attempt.launchInHeartbeatResponse && attempt.phase == Attempt.Phase.COMMITTED) {
+      if (attempt.launchInHeartbeatResponse && attempt.phase == Attempt.Phase.READY) {
         machine.health.outboundReachability().recordAcknowledged();
       }
       listed.add(attempt);
@@ -245,7 +245,7 @@
       Attempt attempt, Heartbeat.Entry entry, long now, List<WorkerCommand> commands) {
     switch (entry.state()) {
       case PULLING -> {
-        if (attempt.restoredFromRecord && attempt.phase == Attempt.Phase.COMMITTED) {
+        if (attempt.restoredFromRecord && attempt.phase == Attempt.Phase.READY) {
           imageDistribution.found(attempt, now);
         }
         attempt.phase = Attempt.Phase.PULLING;
@@ -304,7 +304,7 @@
       if (attempt.incarnation != heartbeat.incarnation() || listed.contains(attempt)) {
         continue;
       }
-      boolean committed = attempt.phase == Attempt.Phase.COMMITTED;
+      boolean committed = attempt.phase == Attempt.Phase.READY;
       launchMissed |= attempt.launchInHeartbeatResponse && committed;
       if (committed && !attempt.isStopping()) {
         if (mayLaunch) {
@@ -365,7 +365,7 @@
         continue;
       }
       if (launches
-          && attempt.phase == Attempt.Phase.COMMITTED
+          && attempt.phase == Attempt.Phase.READY
           && !attempt.launchSent
           && !attempt.isStopping()) {
         attempt.launchSent = true;
@@ -415,7 +415,7 @@
     for (Attempt attempt : machine.attempts) {
       if (attempt.launchInFlight
           && attempt.isStopping()
-          && attempt.phase == Attempt.Phase.COMMITTED
+          && attempt.phase == Attempt.Phase.READY
           && now - attempt.stopRequestedMs > DELETE_TO_FENCE_AFTER_MS) {
         return true;
       }
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -5,7 +5,11 @@
 import java.util.BitSet;
 import org.mallowroad.core.health.RunTimeBaseline;
 
-/** An accepted job and where its tasks are. */
+/**
+ * An accepted job and how its tasks stand. Times are milliseconds on the process's steady clock.
+ *
+ * <p>A task is done, or has a live attempt (one that is not proven gone), or is pending.
+ */
 public final class Job {
   /** What the user submitted. */
   public final JobSpec spec;
@@ -13,14 +17,25 @@
   /** Version of the job's open record, which never changes while the job is open. */
   public final long version;
 
+  /** Tasks that completed. */
   final BitSet doneTasks = new BitSet();
+
+  /** By task: an upper bound for the numbers of its attempts; the next one gets a higher one. */
   final int[] highestAttemptNumbers;
+
+  /** By task: its attempt that is not proven gone, or null. */
   final Attempt[] liveAttempts;
+
+  /** The records of its attempts, each for {@link AttemptRecord#TASKS_PER_RECORD} tasks. */
   final AttemptRecord[] attemptRecords;
+
+  /** Tasks that wait to be started, the next one first. */
   public final IntArrayFIFOQueue pendingTasks = new IntArrayFIFOQueue();
+
+  /** By zone: how many live attempts it has there. */
   final int[] liveAttemptsByZone;
 
-  /** How long its tasks took: the measure of the machines that run the others. */
+  /** How long its completed tasks took: by it the straggler detector judges the others. */
   final RunTimeBaseline runTimes;
 
   /** Machines on which a task of this job ended with an error. */
@@ -32,46 +47,52 @@
    */
   public boolean guaranteed;
 
-  /** True when it has waited so long that it goes before guaranteed work of its rank. */
+  /** True when it has waited so long that it goes before guaranteed work of its priority. */
   public boolean aged;
 
   /**
-   * When as many of its tasks as its team's limit allows at once were under way or done, or -1:
-   * what users mean by "begun", counted by placements.
+   * When as many of its tasks as its team's limit allows at once were placed or done, or -1. This
+   * is the moment that the service-level objective for the start of jobs refers to.
    */
   long begunMs = -1;
 
   /**
-   * True while it waits for what it is tied to: no task of it starts, it counts among no waiting,
-   * and it does not age. Opened by a release on record alone.
+   * True while its dependencies are not met: no task of it starts, it does not count as waiting,
+   * and it does not age. Only a release that is on record in the state service ends this.
    */
   boolean held;
 
-  /** When its hold was opened in this term, or 0. */
+  /** When it was released in this term, or 0. */
   long releasedMs;
 
-  /** What it still waits for, for people. */
+  /** The dependencies that are not met, for people; empty when it is not held. */
   public String holdReason = "";
 
   int liveAttemptCount;
   int runningCount;
+
+  /** Failures in a row, without a task that completed between them. */
   int consecutiveFailures;
+
+  /** No task of it is started before this time, after failures. */
   long retryNotBeforeMs;
+
+  /** Since when it has had pending tasks without a break. */
   long waitingSinceMs;
 
-  /** When its last task was done. */
+  /** When its last task completed, once all have. */
   long allDoneMs;
 
-  /** When one of its tasks was last given to a machine. */
+  /** When one of its tasks was last placed on a machine; before that, its submission. */
   long lastStartMs;
 
-  /** When it was submitted, on this process's steady clock. */
+  /** When it was submitted. */
   final long submittedMs;
 
   /** True once the user's cancellation is known; nothing is launched from then on. */
   boolean cancelled;
 
-  /** True once the job's end is recorded. */
+  /** True once its end is on record in the state service. */
   boolean ended;
 
   Job(JobSpec spec, long version, int zones, long submittedMs, long now) {
@@ -92,9 +113,9 @@
     this.waitingSinceMs = now;
   }
 
-  /** The record that holds a task. */
-  public AttemptRecord attemptRecord(int i) {
-    return attemptRecords[i];
+  /** A record of its attempts, by the index of the record. */
+  public AttemptRecord attemptRecord(int index) {
+    return attemptRecords[index];
   }
 
   /** The record that holds a task, by the task's number. */
@@ -112,7 +133,7 @@
     return doneTasks.get(task);
   }
 
-  /** The unresolved attempt of a task, or null. */
+  /** The live attempt of a task, or null. */
   public Attempt liveAttempt(int task) {
     return liveAttempts[task];
   }
@@ -132,7 +153,7 @@
     return pendingTasks.size();
   }
 
-  /** Number of unresolved attempts. */
+  /** Number of live attempts. */
   public int liveAttemptCount() {
     return liveAttemptCount;
   }
@@ -142,7 +163,7 @@
     return retryNotBeforeMs > now;
   }
 
-  /** Until when it is held back after failures, on this process's steady clock. */
+  /** Until when it is held back after failures. */
   public long retryNotBeforeMs() {
     return retryNotBeforeMs;
   }
@@ -157,7 +178,7 @@
     return !failedMachines.isEmpty();
   }
 
-  /** Since when tasks of it have waited without a break, on this process's steady clock. */
+  /** Since when tasks of it have waited without a break. */
   public long waitingSinceMs() {
     return waitingSinceMs;
   }
@@ -167,7 +188,7 @@
     return guaranteed;
   }
 
-  /** True when it goes before other work of its rank: within a guarantee, or long overdue. */
+  /** True when it goes before other work of its priority: within a guarantee, or long overdue. */
   public boolean hasPrecedence() {
     return guaranteed || aged;
   }
@@ -183,12 +204,12 @@
         && !(spec.scatter() && liveAttemptsByZone[zone] >= spec.maxTasksPerZone());
   }
 
-  /** Number of unresolved attempts in each zone; a copy. */
+  /** Number of live attempts in each zone; a copy. */
   public int[] copyLiveAttemptsByZone() {
     return liveAttemptsByZone.clone();
   }
 
-  /** True when unresolved attempts of it are in a zone. */
+  /** True when live attempts of it are in a zone. */
   public boolean hasLiveAttemptIn(int zone) {
     return liveAttemptsByZone[zone] > 0;
   }
@@ -198,7 +219,7 @@
     return runningCount;
   }
 
-  /** When it was submitted, on this process's steady clock. */
+  /** When it was submitted. */
   public long submittedMs() {
     return submittedMs;
   }
@@ -227,12 +248,12 @@
     return doneTasks.cardinality() == spec.tasks();
   }
 
-  /** True while it is held. */
+  /** True while its dependencies are not met. */
   public boolean isHeld() {
     return held;
   }
 
-  /** Since when it could have started: its submission, or the opening of its hold. */
+  /** Since when it could have started: its submission, or its release. */
   public long eligibleSinceMs() {
     return Math.max(submittedMs, releasedMs);
   }
--- a/src/main/java/org/mallowroad/core/JobSpec.java
+++ b/src/main/java/org/mallowroad/core/JobSpec.java
@@ -5,12 +5,24 @@
 /**
  * What a user submitted, with names as dense indices.
  *
- * @param service replicas that run until the job is cancelled
- * @param gang tasks that run only all together
+ * @param id as the user chose it, unique among jobs
+ * @param taskClass index of the class that the user named, by which run times are compared
+ * @param team index of the team
+ * @param service true when its tasks are replicas that run until the job is cancelled
+ * @param gang true when its tasks run only all at the same time
+ * @param priority 0 is critical, {@link #IDLE} gives way to all other work
+ * @param cards accelerator cards of one task
+ * @param image index of the container image
  * @param types bit set of allowed type indices, or null for any
- * @param zone the only allowed zone, or -1
- * @param dueS deadline after submission, or 0 for none
- * @param submittedMs time of day of the acceptance
+ * @param zone index of the only allowed zone, or -1 for any
+ * @param together true when all of its tasks must run in one zone
+ * @param scatter true when at most half of its tasks may run in one zone
+ * @param spot true when it may run on spot machines
+ * @param estimateS expected run time of a task in seconds
+ * @param checkpointS interval at which a task saves its progress, in seconds; 0 when it does not
+ * @param saveS how long saving takes, in seconds
+ * @param dueS deadline in seconds after submission, or 0 for none
+ * @param submittedMs when it was accepted, as the time of day
  * @param dependencies the games that it folds, and what it waits for
  */
 public record JobSpec(
@@ -46,7 +58,7 @@
     return types == null || types.get(type);
   }
 
-  /** True when the job allows a machine of this type, zone and kind. */
+  /** True when the job allows a machine of this type and zone, spot or not. */
   public boolean allows(int type, int inZone, boolean onSpot) {
     return allowsType(type) && (zone < 0 || zone == inZone) && (spot || !onSpot);
   }
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -6,93 +6,101 @@
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import org.mallowroad.core.health.MachineHealth;
 
-/** A rented machine as the leader knows it. */
+/**
+ * A rented machine as the leader knows it. Times are milliseconds on the process's steady clock.
+ */
 public final class Machine {
   /** The cloud's name for it. */
   public final String name;
 
-  /** Its type, zone and kind. */
+  /** Its type. */
   public final MachineType type;
 
-  /** Zone index. */
+  /** The index of its zone. */
   public final int zone;
 
   /** True for a spot machine. */
   public final boolean spot;
 
-  /** What is suspected of it; never a proof. */
+  /** What is suspected of it; evidence only, never a proof that an attempt is gone. */
   public final MachineHealth health;
 
-  /** Where its worker listens, once known. */
+  /** Where its worker takes direct commands; empty until its first heartbeat. */
   public String address = "";
 
-  /** The peer that brought its newest report, or -1: it came by itself. */
+  /** The peer that relayed its newest heartbeat, or -1 when that came directly. */
   public int relayPeer = -1;
 
-  /** Session and sequence of the newest message seen; 0 before the first one. */
+  /** The worker's incarnation in the newest heartbeat seen; 0 before the first one. */
   public long incarnation;
 
-  /** Sequence of the newest message within the session. */
+  /** The sequence number of the newest heartbeat of that incarnation. */
   public long sequence;
 
-  /** Highest token the worker said it has seen. */
+  /** The highest fencing token that the worker said it has seen. */
   public long highestTokenSeen;
 
-  /** The token on every message to it: the term, raised now and then ({@link SchedulerState}). */
+  /**
+   * The token on every message to it: the term's, raised when {@link HeartbeatReconciler} needs.
+   */
   public long fencingToken;
 
-  /** The token on the answer to its newest report; 0 before the first one. */
+  /** The token on the response to its newest heartbeat; 0 before the first one. */
   long lastResponseToken;
 
-  /** When this leader's newest report of it came, or -1. */
+  /** When its newest heartbeat to this leader came, or -1. */
   public long lastHeartbeatMs = -1;
 
-  /** When this leader last answered it, which may have renewed its lease, or -1. */
+  /** When this leader last responded to it, which may have renewed its lease, or -1. */
   public long lastResponseMs = -1;
 
   /** When it was rented or first seen. */
   public long firstSeenMs;
 
-  /** When the cloud will take it, or 0. */
+  /** When the cloud will take the spot machine back, or 0. */
   public long interruptionMs;
 
-  /** When its notice came, or 0. */
+  /** When the notice of that came, or 0. */
   public long interruptionNoticeMs;
 
-  /** True when its worker can hand images on to others, and take them; it said so itself. */
+  /** True when its worker said that it serves images to others, and fetches from them. */
   public boolean servesImages;
 
   /** No new work goes to it. */
   public boolean draining;
 
-  /** A delete request is to be sent, or was sent and not yet answered. */
+  /** A delete request is to be sent to the cloud, or its answer has not come yet. */
   public boolean deleting;
 
-  /** The list said it has failed. */
+  /** The cloud's list said that it has failed. */
   public boolean failed;
 
-  /** The gang that this machine is held for: nothing else starts here; null for none. */
+  /** The gang that it is reserved for: nothing else starts here; null for none. */
   public Job reservedFor;
 
-  /** No new work before this time, after it refused a task. */
+  /** No new work before this time, after it refused a launch. */
   long backoffUntilMs;
 
-  /** Since when it holds nothing, or -1. */
+  /** Since when it has no attempt, or -1 while it has one. */
   public long idleSinceMs;
 
+  /** Its attempts that are not proven gone, in the order in which they were made. */
   public final ObjectLinkedOpenHashSet<Attempt> attempts = new ObjectLinkedOpenHashSet<>();
 
   /**
-   * Attempts whose launch was sent straight to the worker, and the token on that message. It may
-   * come late, or once more; were the attempt cleared before the worker has seen a higher token, it
-   * would start again.
+   * Attempts whose launch was in a direct command, and the token on it. The command may come late,
+   * or once more; were the attempt cleared before the worker has seen a higher token, it would
+   * start again.
    */
   final Object2LongOpenHashMap<String> unfencedLaunches = new Object2LongOpenHashMap<>();
 
-  /** Since when exited attempts stay uncleared for want of a higher token; -1: none does. */
+  /** Since when exited attempts wait for a higher token to be cleared; -1 when none does. */
   long exitsUnclearedSinceMs = -1;
 
+  /** What no attempt takes. */
   public final ResourceVector freeResources;
+
+  /** Images most likely in its cache and their GB, the least recently used first. */
   final Int2DoubleLinkedOpenHashMap cachedImages = new Int2DoubleLinkedOpenHashMap();
 
   Machine(String name, MachineType type, int zone, boolean spot, long fencingToken, long now) {
@@ -107,17 +115,17 @@
     this.idleSinceMs = now;
   }
 
-  /** True once a report of this leader's term came and work may go to it. */
+  /** True once a heartbeat came to this leader, unless the machine drains or has failed. */
   public boolean isUsable() {
     return lastHeartbeatMs >= 0 && !draining && !deleting && !failed;
   }
 
-  /** Its unresolved attempts. */
+  /** Its attempts that are not proven gone. */
   public Iterable<Attempt> attempts() {
     return attempts;
   }
 
-  /** True when it has no unresolved attempt. */
+  /** True when it has no attempt that is not proven gone. */
   public boolean isEmpty() {
     return attempts.isEmpty();
   }
@@ -127,7 +135,7 @@
     return cachedImages.containsKey(image);
   }
 
-  /** True when the images used since leave it in that part of the cache. */
+  /** True when it and the images used since fill no more than the given share of the cache. */
   public boolean isLikelyCached(int image, double share) {
     double sum = 0;
     for (IntBidirectionalIterator it =
@@ -154,17 +162,17 @@
     }
   }
 
-  /** What no unresolved attempt takes: a copy. */
+  /** A copy of what no attempt takes. */
   public ResourceVector copyFreeResources() {
     return new ResourceVector(freeResources.cpus, freeResources.cards, freeResources.memGb);
   }
 
-  /** CPUs that no unresolved attempt takes. */
+  /** CPUs that no attempt takes. */
   public double freeCpus() {
     return freeResources.cpus;
   }
 
-  /** Booked share of the scarcest resource. */
+  /** The share of its scarcest resource that attempts take, from 0 to 1. */
   public double bookedShare() {
     double b = 1 - freeResources.cpus / type.cpus();
     if (type.memGb() > 0) {
--- a/src/main/java/org/mallowroad/core/NameIndex.java
+++ b/src/main/java/org/mallowroad/core/NameIndex.java
@@ -6,7 +6,7 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Interns names at the router so that everything inside works on dense indices. */
+/** Gives names dense indices, so that the scheduler can work on bit sets and arrays. */
 public final class NameIndex {
   private final Object2IntOpenHashMap<String> index = new Object2IntOpenHashMap<>();
   private final List<String> names = new ArrayList<>();
--- a/src/main/java/org/mallowroad/core/ResourceVector.java
+++ b/src/main/java/org/mallowroad/core/ResourceVector.java
@@ -1,20 +1,20 @@
 package org.mallowroad.core;
 
-/** Free or taken amounts of the three resources of a machine. */
+/** Amounts of the three resources of a machine: CPUs, accelerator cards, memory. */
 public final class ResourceVector {
-  /** Amounts are decimal numbers, so sums are compared with this slack. */
+  /** Amounts are decimal numbers, so sums are compared with this tolerance. */
   public static final double EPSILON = 1e-6;
 
-  /** Amounts. */
+  /** CPUs; tasks may take parts of one. */
   public double cpus;
 
   /** Accelerator cards. */
   public double cards;
 
-  /** Memory. */
+  /** Memory in GB. */
   public double memGb;
 
-  /** A room of the given size. */
+  /** The given amounts. */
   public ResourceVector(double cpus, double cards, double memGb) {
     this.cpus = cpus;
     this.cards = cards;
@@ -30,23 +30,23 @@
 
   /** How many tasks of the job fit, {@code most} at the most. */
   public int capacityFor(JobSpec job, int most) {
-    double n = most;
+    double tasks = most;
     if (job.cpus() > 0) {
-      n = Math.min(n, (cpus + EPSILON) / job.cpus());
+      tasks = Math.min(tasks, (cpus + EPSILON) / job.cpus());
     }
     if (job.cards() > 0) {
-      n = Math.min(n, (cards + EPSILON) / job.cards());
+      tasks = Math.min(tasks, (cards + EPSILON) / job.cards());
     }
     if (job.memGb() > 0) {
-      n = Math.min(n, (memGb + EPSILON) / job.memGb());
+      tasks = Math.min(tasks, (memGb + EPSILON) / job.memGb());
     }
-    return (int) Math.max(0, n);
+    return (int) Math.max(0, tasks);
   }
 
-  /** Adds what {@code n} tasks of the job take; negative to take away. */
-  public void add(JobSpec job, int n) {
-    cpus += n * job.cpus();
-    cards += n * job.cards();
-    memGb += n * job.memGb();
+  /** Adds what {@code tasks} tasks of the job take; negative to take away. */
+  public void add(JobSpec job, int tasks) {
+    cpus += tasks * job.cpus();
+    cards += tasks * job.cards();
+    memGb += tasks * job.memGb();
   }
 }
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
@@ -5,10 +5,10 @@
 
 /** One record in the state service that holds the attempts of several small jobs. */
 public final class SharedAttemptRecord {
-  /** Its name, never used again. */
+  /** Its name in the state service, never used for another one. */
   public final String name;
 
-  /** The record's version as last seen; 0 when there is none. */
+  /** The record's version in the state service as last seen; 0 when there is none. */
   public long version;
 
   private final ObjectLinkedOpenHashSet<AttemptRecord> members = new ObjectLinkedOpenHashSet<>();
@@ -23,7 +23,7 @@
     this.version = version;
   }
 
-  /** Jobs whose attempts it holds, those that are finished and not yet forgotten too. */
+  /** Jobs whose attempts it holds, also those that are finished and not yet removed. */
   public Collection<AttemptRecord> members() {
     return members;
   }
@@ -33,20 +33,20 @@
     return reservedBytes;
   }
 
-  void add(AttemptRecord c) {
-    c.sharedRecord = this;
-    if (members.add(c)) {
-      reservedBytes += SharedAttemptRecords.reservedBytes(c);
+  void add(AttemptRecord attemptRecord) {
+    attemptRecord.sharedRecord = this;
+    if (members.add(attemptRecord)) {
+      reservedBytes += SharedAttemptRecords.reservedBytes(attemptRecord);
     }
   }
 
-  void remove(AttemptRecord c) {
-    if (members.remove(c)) {
-      reservedBytes -= SharedAttemptRecords.reservedBytes(c);
+  void remove(AttemptRecord attemptRecord) {
+    if (members.remove(attemptRecord)) {
+      reservedBytes -= SharedAttemptRecords.reservedBytes(attemptRecord);
     }
     // A next leader would restore a cancelled job's attempts, and wait for proof that they are
     // gone; a done job's it ignores.
-    listsCancelledJob |= c.job.cancelled;
+    listsCancelledJob |= attemptRecord.job.cancelled;
   }
 
   /** True when it is to be written or deleted although no member of it has changed. */
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
@@ -15,7 +15,7 @@
  * end records say so.
  */
 public final class SharedAttemptRecords {
-  /** Jobs of more tasks have records of their own. */
+  /** Jobs with more tasks have records of their own. */
   static final int MAX_TASKS = 4;
 
   /** Members of a record, where the limits of transactions and values allow so many. */
@@ -52,9 +52,9 @@
   }
 
   /** The most that a job can take of a record's value, wherever its tasks are placed. */
-  public static int reservedBytes(AttemptRecord c) {
-    JobSpec s = c.job.spec;
-    return MEMBER_BYTES + s.id().length() + ATTEMPT_BYTES * s.tasks();
+  public static int reservedBytes(AttemptRecord attemptRecord) {
+    JobSpec spec = attemptRecord.job.spec;
+    return MEMBER_BYTES + spec.id().length() + ATTEMPT_BYTES * spec.tasks();
   }
 
   /** All records that there are. */
@@ -62,20 +62,24 @@
     return records;
   }
 
-  /** True when the chunk is to be written into a shared record, which it has from then on. */
-  public boolean assignRecord(AttemptRecord c) {
-    if (c.sharedRecord != null) {
+  /**
+   * Assigns a job's attempts to a shared record, if it may share one.
+   *
+   * @return true when they are to be written into {@link AttemptRecord#sharedRecord}
+   */
+  public boolean assignRecord(AttemptRecord attemptRecord) {
+    if (attemptRecord.sharedRecord != null) {
       return true;
     }
-    JobSpec s = c.job.spec;
-    if (c.mayHaveOwnRecord
-        || c.version != 0
-        || s.tasks() > MAX_TASKS
-        || s.dependencies().isGated()
-        || s.service()) {
+    JobSpec spec = attemptRecord.job.spec;
+    if (attemptRecord.mayHaveOwnRecord
+        || attemptRecord.version != 0
+        || spec.tasks() > MAX_TASKS
+        || spec.dependencies().isGated()
+        || spec.service()) {
       return false;
     }
-    int bytes = reservedBytes(c);
+    int bytes = reservedBytes(attemptRecord);
     if (maxMembers == 0 || bytes > maxBytes) {
       return false;
     }
@@ -85,14 +89,14 @@
       openRecord = new SharedAttemptRecord(term + "-" + createdCount++, 0);
       records.add(openRecord);
     }
-    openRecord.add(c);
+    openRecord.add(attemptRecord);
     return true;
   }
 
   /** True when a record is to be written or deleted although no member of it has changed. */
   public boolean anyNeedsWrite() {
-    for (SharedAttemptRecord r : records) {
-      if (r.needsWrite()) {
+    for (SharedAttemptRecord sharedRecord : records) {
+      if (sharedRecord.needsWrite()) {
         return true;
       }
     }
@@ -101,35 +105,35 @@
 
   /** A record that an earlier leader wrote. */
   public SharedAttemptRecord restore(String name, long version) {
-    SharedAttemptRecord r = new SharedAttemptRecord(name, version);
-    records.add(r);
-    return r;
+    SharedAttemptRecord sharedRecord = new SharedAttemptRecord(name, version);
+    records.add(sharedRecord);
+    return sharedRecord;
   }
 
   /** A member of it was read from it. */
-  public void restoreMember(SharedAttemptRecord r, AttemptRecord c) {
-    r.add(c);
+  public void restoreMember(SharedAttemptRecord sharedRecord, AttemptRecord attemptRecord) {
+    sharedRecord.add(attemptRecord);
   }
 
   /** Nothing of the job is left. */
-  void remove(AttemptRecord c) {
-    if (c.sharedRecord != null) {
-      c.sharedRecord.remove(c);
-      removeIfUnused(c.sharedRecord);
+  void remove(AttemptRecord attemptRecord) {
+    if (attemptRecord.sharedRecord != null) {
+      attemptRecord.sharedRecord.remove(attemptRecord);
+      removeIfUnused(attemptRecord.sharedRecord);
     }
   }
 
   /** The record was written or deleted. */
-  public void markWritten(SharedAttemptRecord r, long version) {
-    r.markWritten(version);
-    removeIfUnused(r);
+  public void markWritten(SharedAttemptRecord sharedRecord, long version) {
+    sharedRecord.markWritten(version);
+    removeIfUnused(sharedRecord);
   }
 
-  /** A record that nobody needs and that is not there any more is forgotten. */
-  private void removeIfUnused(SharedAttemptRecord r) {
-    if (r.members().isEmpty() && r.version == 0) {
-      records.remove(r);
-      openRecord = openRecord == r ? null : openRecord;
+  /** Drops a record without members that is not in the state service any more. */
+  private void removeIfUnused(SharedAttemptRecord sharedRecord) {
+    if (sharedRecord.members().isEmpty() && sharedRecord.version == 0) {
+      records.remove(sharedRecord);
+      openRecord = openRecord == sharedRecord ? null : openRecord;
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/Team.java
+++ b/src/main/java/org/mallowroad/core/Team.java
@@ -1,8 +1,8 @@
 package org.mallowroad.core;
 
-/** A team's guarantee and limit, and what its unresolved attempts take. */
+/** A team's guarantee and limit, and what its attempts take that are not proven gone. */
 public final class Team {
-  /** Name, guarantee and limit as set. */
+  /** Its name in the settings. */
   public final String name;
 
   final double cpus;
@@ -12,7 +12,7 @@
   double usedCpus;
   double usedCards;
 
-  /** Part of what is used by attempts that were told to stop. */
+  /** The part of the used CPUs that is taken by attempts whose stop was requested. */
   double stoppingCpus;
 
   /** A team as the settings give it; a limit of 0 is none. */
@@ -26,16 +26,16 @@
     this.cardsMax = cardsMax > 0 ? cardsMax : Double.POSITIVE_INFINITY;
   }
 
-  /** True when {@code n} more tasks of the job stay within the limit. */
-  public boolean allows(JobSpec job, int n) {
-    return usedCpus + n * job.cpus() <= cpusMax + ResourceVector.EPSILON
-        && usedCards + n * job.cards() <= cardsMax + ResourceVector.EPSILON;
+  /** True when {@code tasks} more tasks of the job stay within the limit. */
+  public boolean allows(JobSpec job, int tasks) {
+    return usedCpus + tasks * job.cpus() <= cpusMax + ResourceVector.EPSILON
+        && usedCards + tasks * job.cards() <= cardsMax + ResourceVector.EPSILON;
   }
 
-  /** How many more tasks of the job stay within the limit, {@code n} at the most. */
-  public int maxTasks(JobSpec job, int n) {
+  /** How many more tasks of the job stay within the limit, {@code tasks} at the most. */
+  public int maxTasks(JobSpec job, int tasks) {
     return new ResourceVector(cpusMax - usedCpus, cardsMax - usedCards, Double.MAX_VALUE)
-        .capacityFor(job, n);
+        .capacityFor(job, tasks);
   }
 
   /** How many of the job's tasks the limit allows at once, with nothing else of the team. */
@@ -43,10 +43,10 @@
     return new ResourceVector(cpusMax, cardsMax, Double.MAX_VALUE).capacityFor(job, job.tasks());
   }
 
-  /** True when {@code n} tasks of the job alone stay within the limit. */
-  public boolean couldEverRun(JobSpec job, int n) {
-    return n * job.cpus() <= cpusMax + ResourceVector.EPSILON
-        && n * job.cards() <= cardsMax + ResourceVector.EPSILON;
+  /** True when {@code tasks} tasks of the job alone stay within the limit. */
+  public boolean couldEverRun(JobSpec job, int tasks) {
+    return tasks * job.cpus() <= cpusMax + ResourceVector.EPSILON
+        && tasks * job.cards() <= cardsMax + ResourceVector.EPSILON;
   }
 
   /** True when one more task of the job keeps the team within its guarantee. */
@@ -62,9 +62,9 @@
         && (job.cards() == 0 || usedCards - job.cards() >= cards - ResourceVector.EPSILON);
   }
 
-  void add(JobSpec job, int n) {
-    usedCpus += n * job.cpus();
-    usedCards += n * job.cards();
+  void add(JobSpec job, int tasks) {
+    usedCpus += tasks * job.cpus();
+    usedCards += tasks * job.cards();
   }
 
   /** Guaranteed cards. */
@@ -87,12 +87,12 @@
     return cardsMax;
   }
 
-  /** Cards that unresolved attempts take. */
+  /** Cards that attempts take. */
   public double usedCards() {
     return usedCards;
   }
 
-  /** CPUs that unresolved attempts take. */
+  /** CPUs that attempts take. */
   public double usedCpus() {
     return usedCpus;
   }
--- a/src/main/java/org/mallowroad/core/WorkerCommand.java
+++ b/src/main/java/org/mallowroad/core/WorkerCommand.java
@@ -10,18 +10,18 @@
  */
 public record WorkerCommand(
     Kind kind, String job, int task, int attempt, double graceS, List<String> imageSources) {
-  /** Without givers. */
+  /** A command without image sources. */
   public WorkerCommand(Kind kind, String job, int task, int attempt, double graceS) {
     this(kind, job, task, attempt, graceS, List.of());
   }
 
-  /** What is ordered. */
+  /** The kinds of commands. */
   public enum Kind {
     /** Start a task. */
     LAUNCH,
     /** Stop a task. */
     STOP,
-    /** Drop an exited task from the reports. */
+    /** Leave an exited task out of the heartbeats from now on, and forget it. */
     CLEAR
   }
 }
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -180,7 +180,7 @@
   private void count(Attempt a, Machine m, boolean silent) {
     if (!silent
         && a.phase != Attempt.Phase.RECORDING
-        && a.phase != Attempt.Phase.COMMITTED
+        && a.phase != Attempt.Phase.READY
         && a.phase != Attempt.Phase.PULLING) {
       return;
     }
@@ -200,7 +200,7 @@
     c.oldestMs = Math.min(c.oldestMs, a.createdMs);
     switch (a.phase) {
       case RECORDING -> c.recording++;
-      case COMMITTED -> c.ready++;
+      case READY -> c.ready++;
       default -> c.pulling++;
     }
   }
--- a/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
+++ b/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
@@ -248,7 +248,7 @@
   }
 
   private boolean isPreemptable(Attempt a, Request request) {
-    if (a.phase == Attempt.Phase.RECORDING || a.phase == Attempt.Phase.COMMITTED) {
+    if (a.phase == Attempt.Phase.RECORDING || a.phase == Attempt.Phase.READY) {
       return false;
     }
     int victimPriority = a.job.spec.priority();
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -102,7 +102,7 @@
   private List<WorkerCommand> report(Worker w, Heartbeat.State state) {
     List<Heartbeat.Entry> all = new ArrayList<>();
     for (Attempt a : w.machine.attempts()) {
-      if (a.phase != Attempt.Phase.RECORDING && a.phase != Attempt.Phase.COMMITTED) {
+      if (a.phase != Attempt.Phase.RECORDING && a.phase != Attempt.Phase.READY) {
         all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
       }
     }
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -357,6 +357,6 @@
   }
 
   private static long recorded(List<Attempt> of) {
-    return of.stream().filter(a -> a.phase == Attempt.Phase.COMMITTED).count();
+    return of.stream().filter(a -> a.phase == Attempt.Phase.READY).count();
   }
 }
