--- a/src/main/java/org/mallowroad/election/LeaderElection.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -6,7 +6,6 @@
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.state.CallResult;
 import org.mallowroad.state.KeyValueStore;
-import org.mallowroad.state.Transaction;
 import org.mallowroad.state.VersionedValue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -37,9 +36,9 @@
   public static final String TERM = "term";
 
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-  private static final long LEASE_DURATION_MS = 3_000;
+  static final long LEASE_DURATION_MS = 3_000;
   private static final long RENEWAL_INTERVAL_MS = 700;
-  private static final long RENEWAL_TIMEOUT_MS = 1_000;
+  static final long RENEWAL_TIMEOUT_MS = 1_000;
   private static final long WATCH_WAIT_MS = 10_000;
 
   /** Delay of another read of the leader after a read or a watch that failed. */
@@ -47,21 +46,12 @@
 
   private static final long WATCH_RETRY_MS = 200;
 
-  /** Delay of another attempt to learn how one's own election ended. */
-  private static final long OUTCOME_RETRY_MS = 200;
-
   /** Bounds of the random delay after which a candidate reads who was elected. */
   private static final int CANDIDATE_JITTER_MS = 200;
 
   private static final long CANDIDATE_READ_MS = 400;
   private static final long CANDIDATE_READ_AFTER_DELETION_MS = 100;
 
-  /** An election whose outcome cannot be read for this long is given up. */
-  private static final long OUTCOME_TIMEOUT_MS = 2 * LEASE_DURATION_MS;
-
-  /** A lease that cannot be renewed before leading begins is given up after this time. */
-  private static final long CONFIRMATION_TIMEOUT_MS = 10 * LEASE_DURATION_MS;
-
   /** After resigning a node is no candidate for this long, so that another is elected. */
   private static final long RESIGNATION_BACKOFF_MS = 6_000;
 
@@ -85,9 +75,6 @@
     LEADER
   }
 
-  /** An election of this node under way. */
-  private record Candidacy(long lease, long term, long leaseSentMs) {}
-
   private final EventLoop loop;
   private final KeyValueStore store;
   private final String node;
@@ -276,123 +263,48 @@
     state = State.CANDIDATE;
     long restartDelayMs = loop.now() < delayedCandidacyUntilMs ? RESTART_DELAY_MS : 0;
     long delayMs = candidacyDelayMs.getAsLong() + restartDelayMs;
+    Candidacy candidacy =
+        new Candidacy(loop, store, node, () -> highestSeenToken, new CandidacyListener());
     if (delayMs > 0) {
       // By then another leads, and the conditions of this node's transaction fail; or nobody does.
-      loop.after(delayMs, this::requestLease);
+      loop.after(delayMs, candidacy::start);
     } else {
-      requestLease();
+      candidacy.start();
     }
   }
 
-  private void requestLease() {
-    long sentMs = loop.now();
-    store.grantLease(
-        LEASE_DURATION_MS,
-        (result, grantedLease) -> {
-          if (result == CallResult.OK) {
-            readTerm(grantedLease, sentMs);
-          } else {
-            state = State.FOLLOWER; // Nothing was written.
-          }
-        });
-  }
-
-  private void readTerm(long grantedLease, long sentMs) {
-    store.get(
-        TERM,
-        (result, item) -> {
-          if (result != CallResult.OK) {
-            state = State.FOLLOWER; // Nothing was written.
-            return;
-          }
-          long term = Math.max(LeaderRecord.decodeTerm(item.value()), highestSeenToken) + 1;
-          elect(new Candidacy(grantedLease, term, sentMs), item.version());
-        });
-  }
-
-  private void elect(Candidacy candidacy, long termVersion) {
-    LeaderRecord record = new LeaderRecord(node, candidacy.term(), candidacy.lease());
-    candidacyLease = candidacy.lease();
-    Transaction transaction =
-        new Transaction()
-            .requireVersion(LEADER, 0)
-            .requireVersion(TERM, termVersion)
-            .put(LEADER, record.encode(), candidacy.lease())
-            // The last token of the term's block: the next term is above all of them.
-            .put(TERM, LeaderRecord.encodeTerm(FencingTokens.last(candidacy.term())));
-    store.compareAndSwap(
-        transaction,
-        (result, revision, failedKeys) -> {
-          switch (result) {
-            case OK -> confirm(candidacy, revision);
-            case UNKNOWN -> readOutcome(candidacy);
-            default -> candidacyEnded();
-          }
-        });
-  }
+  /** What becomes of this node's candidacy. */
+  private final class CandidacyListener implements Candidacy.Listener {
+    @Override
+    public void transactionSent(long sentLease) {
+      candidacyLease = sentLease;
+    }
 
-  /** The candidacy is over without an election. */
-  private void candidacyEnded() {
-    state = State.FOLLOWER;
-    candidacyLease = 0;
-  }
+    @Override
+    public void elected(Candidacy.Election election) {
+      lead(election);
+    }
 
-  /** An election whose outcome is unknown is settled by reading who leads. */
-  private void readOutcome(Candidacy candidacy) {
-    store.get(
-        LEADER,
-        (result, item) -> {
-          if (result == CallResult.OK) {
-            // The lease tells the elections apart: one of the previous process that is executed
-            // late has the same name and may have the same term.
-            if (LeaderRecord.decode(item.value())
-                .equals(new LeaderRecord(node, candidacy.term(), candidacy.lease()))) {
-              confirm(candidacy, item.version());
-            } else {
-              candidacyEnded();
-            }
-          } else if (loop.now() - candidacy.leaseSentMs() > OUTCOME_TIMEOUT_MS) {
-            candidacyEnded();
-          } else {
-            loop.after(OUTCOME_RETRY_MS, () -> readOutcome(candidacy));
-          }
-        });
-  }
+    @Override
+    public void abandoned() {
+      state = State.FOLLOWER;
+    }
 
-  /**
-   * A node that was paused while it was elected learns of it late: its lease may be over and
-   * another elected since. Then the lease is renewed first, and a leadership that is over is never
-   * begun.
-   */
-  private void confirm(Candidacy candidacy, long version) {
-    if (loop.now() - candidacy.leaseSentMs() < LEASE_DURATION_MS) {
-      lead(candidacy, version);
-      return;
+    @Override
+    public void notElected() {
+      state = State.FOLLOWER;
+      candidacyLease = 0;
     }
-    long sentMs = loop.now();
-    store.renewLease(
-        candidacy.lease(),
-        RENEWAL_TIMEOUT_MS,
-        (result, renewedLease) -> {
-          if (result == CallResult.OK) {
-            confirm(new Candidacy(candidacy.lease(), candidacy.term(), sentMs), version);
-          } else if (result == CallResult.LEASE_EXPIRED
-              || loop.now() - candidacy.leaseSentMs() > CONFIRMATION_TIMEOUT_MS) {
-            candidacyEnded();
-          } else {
-            loop.after(OUTCOME_RETRY_MS, () -> confirm(candidacy, version));
-          }
-        });
   }
 
-  private void lead(Candidacy candidacy, long version) {
+  private void lead(Candidacy.Election election) {
     state = State.LEADER;
     leader = node;
-    leaderTerm = candidacy.term();
-    ownTerm = candidacy.term();
-    leaderKeyVersion = version;
-    lease = candidacy.lease();
-    renewedMs = candidacy.leaseSentMs();
+    leaderTerm = election.term();
+    ownTerm = election.term();
+    leaderKeyVersion = election.leaderKeyVersion();
+    lease = election.lease();
+    renewedMs = election.leaseSentMs();
     LOG.info("event=elected term={}", ownTerm);
     renewalTimer = loop.every(RENEWAL_INTERVAL_MS, this::renew);
     listener.elected(ownTerm, leaderKeyVersion);
