--- /dev/null
+++ b/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
@@ -0,0 +1,129 @@
+package org.mallowroad.controller.persistence;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Map;
+import org.mallowroad.core.AttemptRecord;
+import org.mallowroad.core.Job;
+import org.mallowroad.core.JobSpec;
+import org.mallowroad.core.Machine;
+import org.mallowroad.core.MachineType;
+import org.mallowroad.core.SchedulerState;
+import org.mallowroad.core.SharedAttemptRecord;
+import org.mallowroad.net.EventLoop;
+import org.mallowroad.state.AttemptRecordCodec;
+import org.mallowroad.state.JobRecordCodec;
+import org.mallowroad.state.RecordKeys;
+import org.mallowroad.state.RecordedAttempt;
+import org.mallowroad.state.VersionedValue;
+import org.mallowroad.wire.InvalidMessageException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Brings records into the scheduler state. One that cannot be read is logged and left out: the
+ * others count. Confined to the event loop.
+ */
+final class RecordRestorer {
+  private static final Logger LOG = LoggerFactory.getLogger(RecordRestorer.class);
+
+  private final EventLoop loop;
+  private final RecordDecodingContext decodingContext;
+  private final SchedulerState schedulerState;
+
+  RecordRestorer(
+      EventLoop loop, RecordDecodingContext decodingContext, SchedulerState schedulerState) {
+    this.loop = loop;
+    this.decodingContext = decodingContext;
+    this.schedulerState = schedulerState;
+  }
+
+  /** Restores a job from its open record; null when the record cannot be used. */
+  Job restoreOpenJob(VersionedValue item) {
+    try {
+      JobSpec spec = JobRecordCodec.decodeOpen(item.value(), decodingContext.codec());
+      if (spec.team() < 0) {
+        LOG.error("event=team_unknown job={}", spec.id());
+        return null;
+      }
+      long ageMs = loop.wallMs() - spec.submittedMs();
+      return schedulerState.accept(spec, item.version(), ageMs, loop.now());
+    } catch (InvalidMessageException e) {
+      unreadable(item, e);
+      return null;
+    }
+  }
+
+  /**
+   * Restores a job that was cancelled from the open record that its end record keeps: its attempts
+   * may still be on machines.
+   */
+  void restoreCancelledJob(VersionedValue endRecord) {
+    try {
+      JsonNode openRecord = JobRecordCodec.openRecordOf(endRecord.value());
+      JobSpec spec = JobRecordCodec.decodeOpen(openRecord, decodingContext.codec());
+      if (spec.team() >= 0) {
+        schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
+      }
+    } catch (InvalidMessageException e) {
+      unreadable(endRecord, e);
+    }
+  }
+
+  private static void unreadable(VersionedValue item, InvalidMessageException e) {
+    LOG.error("event=record_unreadable key={} reason=\"{}\"", item.key(), e.getMessage());
+  }
+
+  /** Restores an attempt record that is a job's own; one of an unknown job is left out. */
+  void restoreAttempts(VersionedValue item) {
+    Job job = schedulerState.job(RecordKeys.jobOfAttemptsKey(item.key()));
+    if (job == null) {
+      return;
+    }
+    int index = RecordKeys.indexOfAttemptsKey(item.key());
+    if (index < job.attemptRecordCount()) {
+      restore(job.attemptRecord(index), item.version(), item.value(), item.key());
+    }
+  }
+
+  /**
+   * Restores a shared record. Jobs that are done stay listed in it until it is written again: they
+   * are left out.
+   */
+  void restoreSharedAttempts(VersionedValue item) {
+    SharedAttemptRecord shared =
+        schedulerState
+            .sharedAttemptRecords()
+            .restore(RecordKeys.nameOfSharedAttemptsKey(item.key()), item.version());
+    for (Map.Entry<String, JsonNode> member : AttemptRecordCodec.membersOfShared(item.value())) {
+      Job job = schedulerState.job(member.getKey());
+      if (job != null && job.attemptRecordCount() == 1) {
+        schedulerState.sharedAttemptRecords().restoreMember(shared, job.attemptRecord(0));
+        restore(job.attemptRecord(0), 0, member.getValue(), item.key());
+      }
+    }
+  }
+
+  private void restore(AttemptRecord record, long version, JsonNode value, String key) {
+    Job job = record.job;
+    schedulerState.restoreRecord(
+        record,
+        version,
+        AttemptRecordCodec.doneTasks(value),
+        AttemptRecordCodec.highestAttemptNumber(value));
+    for (RecordedAttempt attempt : AttemptRecordCodec.unresolvedAttempts(value)) {
+      MachineType type = decodingContext.type(attempt.type());
+      int zone = decodingContext.zones().find(attempt.zone());
+      if (type == null || zone < 0) {
+        LOG.error("event=record_unreadable key={} machine={}", key, attempt.machine());
+        continue;
+      }
+      Machine machine =
+          schedulerState.registerMachine(attempt.machine(), type, zone, attempt.spot(), loop.now());
+      schedulerState.restoreAttempt(
+          job, attempt.task(), attempt.number(), machine, attempt.incarnation(), loop.now());
+    }
+    if (job.isCancelled()) {
+      schedulerState.markForRewrite(record, loop.now());
+    }
+  }
+}
