--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -70,8 +70,8 @@
   private char typingFor;
 
   /** A look at one page as it comes. */
-  static Screen.InspectCommands look(Page show) {
-    return new Screen.InspectCommands(show, Sort.QUEUE, "", 0);
+  static Screen.ViewOptions look(Page show) {
+    return new Screen.ViewOptions(show, Sort.QUEUE, "", 0);
   }
 
   @Override
@@ -81,7 +81,7 @@
       if (json) {
         System.out.println(new String(ConsoleCodec.encode(o), StandardCharsets.UTF_8));
       } else {
-        print(new Screen(width, 0).draw(o, new Screen.InspectCommands(show, sort, filter, 0)));
+        print(new Screen(width, 0).draw(o, new Screen.ViewOptions(show, sort, filter, 0)));
       }
       return code(o);
     }
@@ -136,7 +136,7 @@
     List<String> lines;
     Screen screen = new Screen(columns - 1, rows - 1);
     if (job.isEmpty()) {
-      lines = new ArrayList<>(screen.draw(o, new Screen.InspectCommands(show, sort, filter, page)));
+      lines = new ArrayList<>(screen.draw(o, new Screen.ViewOptions(show, sort, filter, page)));
     } else {
       JobSnapshot p = asker.job(job);
       lines =
--- a/src/main/java/org/mallowroad/cli/Try.java
+++ b/src/main/java/org/mallowroad/cli/Try.java
@@ -48,17 +48,17 @@
   @Option(names = "--for-s", paramLabel = "SECONDS", description = "End by itself after so long.")
   private double forS = Double.MAX_VALUE;
 
-  private record MetricSample(
+  private record SampleJob(
       String team, String taskClass, String rank, int tasks, double cpus, boolean together) {}
 
   /** One of them every two seconds, in turn; together somewhat more than the machines hold. */
-  private static final List<MetricSample> SAMPLES =
+  private static final List<SampleJob> SAMPLES =
       List.of(
-          new MetricSample("ratings", "rating-recalc", "urgent", 4, 2, false),
-          new MetricSample("archive", "replay-render", "idle", 40, 1, false),
-          new MetricSample("planning", "site-planner", "normal", 6, 4, true),
-          new MetricSample("ratings", "opening-stats", "normal", 16, 1, false),
-          new MetricSample("planning", "waitlist-match", "critical", 2, 2, false));
+          new SampleJob("ratings", "rating-recalc", "urgent", 4, 2, false),
+          new SampleJob("archive", "replay-render", "idle", 40, 1, false),
+          new SampleJob("planning", "site-planner", "normal", 6, 4, true),
+          new SampleJob("ratings", "opening-stats", "normal", 16, 1, false),
+          new SampleJob("planning", "waitlist-match", "critical", 2, 2, false));
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -127,7 +127,7 @@
   }
 
   /** A refused submission is tried again like any user would: with the next one. */
-  private static void submit(String node, int n, MetricSample s) {
+  private static void submit(String node, int n, SampleJob s) {
     String job =
         """
         {"name_id":"job-%d","docket":"%s","crew":"%s","form":"sweep","rank":"%s","moves":%d,
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -61,7 +61,7 @@
   /** One look. */
   RecordedState read() {
     try {
-      return new InspectCommands().read();
+      return new Inspection().read();
     } catch (InvalidMessageException e) {
       return RecordedState.none(address, e.getMessage());
     } catch (RuntimeException e) {
@@ -74,9 +74,9 @@
    * How a game stands by the records: a line for each side, and its neighbours that are nobody's.
    */
   List<String> game(String league, long number) throws InvalidMessageException {
-    InspectCommands look = new InspectCommands();
+    Inspection inspection = new Inspection();
     BlockKey key = new BlockKey(league, (int) (number / Block.GAMES));
-    Block block = FoldCodec.decodeBlock(look.value(RecordKeys.foldBlock(key)));
+    Block block = FoldCodec.decodeBlock(inspection.value(RecordKeys.foldBlock(key)));
     List<String> out = new ArrayList<>();
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
       if (e.getKey().game() == Block.place(number)) {
@@ -86,7 +86,7 @@
                 + ": revision "
                 + f.revision()
                 + (f.taken() ? " (taken back) " : " ")
-                + look.jobOutcome(f)
+                + inspection.jobOutcome(f)
                 + (f.base() == null
                     ? ""
                     : "; until then revision "
@@ -103,7 +103,7 @@
   }
 
   /** A look and what it has used of its budget. */
-  private final class InspectCommands {
+  private final class Inspection {
     private int reads;
     private boolean partial;
     private final NameIndex teams = new NameIndex();
--- a/src/main/java/org/mallowroad/console/view/Screen.java
+++ b/src/main/java/org/mallowroad/console/view/Screen.java
@@ -49,7 +49,7 @@
    * @param filter lines that have this text; empty for all
    * @param page of the list, from 0
    */
-  public record InspectCommands(Page show, Sort sort, String filter, int page) {}
+  public record ViewOptions(Page show, Sort sort, String filter, int page) {}
 
   private static final List<String> RANKS = List.of("critical", "urgent", "normal", "idle");
 
@@ -63,18 +63,18 @@
   }
 
   /** The lines, each as wide as the screen at the most. */
-  public List<String> draw(Overview o, InspectCommands look) {
+  public List<String> draw(Overview o, ViewOptions options) {
     List<String> out = new ArrayList<>(head(o));
     List<String> body =
-        switch (look.show) {
-          case QUEUES -> queues(o, look);
-          case JOBS -> jobs(o, look);
-          case MACHINES -> machines(o, look);
+        switch (options.show) {
+          case QUEUES -> queues(o, options);
+          case JOBS -> jobs(o, options);
+          case MACHINES -> machines(o, options);
           case NODES -> nodes(o);
         };
     int room = height == 0 ? body.size() : Math.max(1, height - out.size() - 1);
     int pages = Math.max(1, (body.size() - 1 + Math.max(1, room - 1) - 1) / Math.max(1, room - 1));
-    int page = Math.min(look.page, pages - 1);
+    int page = Math.min(options.page, pages - 1);
     if (body.size() <= room) {
       out.addAll(body);
     } else {
@@ -128,7 +128,7 @@
     return out;
   }
 
-  private List<String> queues(Overview o, InspectCommands look) {
+  private List<String> queues(Overview o, ViewOptions options) {
     List<String> out = new ArrayList<>();
     out.add(
         cut(
@@ -136,7 +136,7 @@
                 "%-10s %-14s %4s %6s %7s  %s",
                 "TEAM", "CLASS", "JOBS", "TASKS", "LONGEST", "WHY")));
     List<ReasonLine> lines = new ArrayList<>(o.reasons());
-    switch (look.sort) {
+    switch (options.sort) {
       case LONGEST -> lines.sort(Comparator.comparingDouble((ReasonLine r) -> -r.longestS()));
       case TEAM -> lines.sort(Comparator.comparing(ReasonLine::team));
       default -> {} // Most tasks first, as they are.
@@ -144,7 +144,7 @@
     for (ReasonLine r : lines) {
       add(
           out,
-          look,
+          options,
           String.format(
               "%-10s %-14s %4d %6d %7s  %s: %s",
               fit(r.team(), 10),
@@ -159,7 +159,7 @@
       for (TeamLine t : o.picture().teams()) {
         add(
             out,
-            look,
+            options,
             String.format(
                 Locale.ROOT,
                 "%-10s %-14s %4s %6d %7s  wait, %d run, CPUs %.0f of %.0f",
@@ -176,7 +176,7 @@
     return out;
   }
 
-  private List<String> jobs(Overview o, InspectCommands look) {
+  private List<String> jobs(Overview o, ViewOptions options) {
     List<String> out = new ArrayList<>();
     String form = "%-11s %-9s %-1s %5s %5s %4s %5s %6s %6s  %s";
     out.add(
@@ -184,7 +184,7 @@
             String.format(
                 form, "JOB", "TEAM", "R", "TASKS", "DONE", "RUN", "WAIT", "AGE", "DUE", "WHY")));
     List<JobLine> lines = new ArrayList<>(o.jobs());
-    switch (look.sort) {
+    switch (options.sort) {
       case WAITING -> lines.sort(Comparator.comparingInt((JobLine j) -> -j.waiting()));
       case LONGEST -> lines.sort(Comparator.comparingDouble((JobLine j) -> -j.sinceS()));
       case DUE ->
@@ -196,7 +196,7 @@
     for (JobLine j : lines) {
       add(
           out,
-          look,
+          options,
           String.format(
               form,
               fit(j.id(), 11),
@@ -228,7 +228,7 @@
     return priority >= 0 && priority < RANKS.size() ? RANKS.get(priority) : "?";
   }
 
-  private List<String> machines(Overview o, InspectCommands look) {
+  private List<String> machines(Overview o, ViewOptions options) {
     List<String> out = new ArrayList<>();
     out.add(
         cut(
@@ -252,7 +252,7 @@
     for (MachineLine m : o.picture().machines()) {
       add(
           out,
-          look,
+          options,
           String.format(
               Locale.ROOT,
               "%-10s %-12s %-4s %5d %4d %5d %6d %4d %5d %5.0f%% %8.2f%s",
@@ -273,7 +273,7 @@
       if (z.silent() > 0) {
         add(
             out,
-            look,
+            options,
             String.format(
                 "%-10s %d of %d machines silent%s",
                 fit(z.name(), 10),
@@ -409,9 +409,9 @@
     return out;
   }
 
-  private void add(List<String> out, InspectCommands look, String line) {
-    if (look.filter.isEmpty()
-        || line.toLowerCase(Locale.ROOT).contains(look.filter.toLowerCase(Locale.ROOT))) {
+  private void add(List<String> out, ViewOptions options, String line) {
+    if (options.filter.isEmpty()
+        || line.toLowerCase(Locale.ROOT).contains(options.filter.toLowerCase(Locale.ROOT))) {
       out.add(cut(line));
     }
   }
--- a/src/main/java/org/mallowroad/simulation/StateModel.java
+++ b/src/main/java/org/mallowroad/simulation/StateModel.java
@@ -19,7 +19,7 @@
   private final EventQueue time;
   private final SplittableRandom random;
   private final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
-  private final List<StarvationCheck> watches = new ArrayList<>();
+  private final List<PendingWatch> watches = new ArrayList<>();
   private final int rps;
   private long secondMs;
   private int calls;
@@ -55,7 +55,7 @@
   /** The node that alone is not served, or -1. */
   int refused = -1;
 
-  private record StarvationCheck(int node, String target, Network.Reply reply, long untilMs) {}
+  private record PendingWatch(int node, String target, Network.Reply reply, long untilMs) {}
 
   StateModel(EventQueue time, SplittableRandom random, int rps, int writesPerSecond) {
     super(Network.Kind.STATE, 0, "state", null);
@@ -132,7 +132,7 @@
       InMemoryKeyValueStore.Answer a = store.serve(method, target, body, time.ms());
       if (a == null) {
         long block = InMemoryKeyValueStore.block(target);
-        watches.add(new StarvationCheck(node, target, reply, time.ms() + block));
+        watches.add(new PendingWatch(node, target, reply, time.ms() + block));
       } else {
         reply.answer(a.status(), Json.bytes(a.body()));
       }
@@ -145,8 +145,8 @@
   }
 
   private void wake() {
-    for (Iterator<StarvationCheck> it = watches.iterator(); it.hasNext(); ) {
-      StarvationCheck w = it.next();
+    for (Iterator<PendingWatch> it = watches.iterator(); it.hasNext(); ) {
+      PendingWatch w = it.next();
       if (!serves(w.node)) {
         continue;
       }
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -90,7 +90,7 @@
       for (int width : new int[] {10, 80, 132}) {
         Screen s = new Screen(width, 24);
         for (int at : new int[] {0, 3, 9_999}) {
-          List<String> lines = s.draw(o, new Screen.InspectCommands(page, Sort.QUEUE, "", at));
+          List<String> lines = s.draw(o, new Screen.ViewOptions(page, Sort.QUEUE, "", at));
           assertTrue(lines.size() <= 24, page + " has " + lines.size() + " lines");
           for (String l : lines) {
             assertTrue(l.length() <= Math.max(80, width), l);
@@ -105,20 +105,17 @@
   void linesAreSortedFilteredAndPaged() {
     Overview o = overview(many(100));
     Screen s = new Screen(80, 0);
-    assertEquals(
-        "job-99", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.WAITING, "", 0)));
-    assertEquals(
-        "job-99", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.LONGEST, "", 0)));
-    assertEquals("job-99", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.DUE, "", 0)));
-    assertEquals("job-0", firstJob(s, o, new Screen.InspectCommands(Page.JOBS, Sort.QUEUE, "", 0)));
-    List<String> found = s.draw(o, new Screen.InspectCommands(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
+    assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.WAITING, "", 0)));
+    assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.LONGEST, "", 0)));
+    assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.DUE, "", 0)));
+    assertEquals("job-0", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", 0)));
+    List<String> found = s.draw(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
     assertEquals(1, found.stream().filter(l -> l.startsWith("job-")).count());
     // Each job stands on exactly one of the pages.
     Screen small = new Screen(80, 24);
     List<String> seen = new ArrayList<>();
     for (int page = 0; page < 30; page++) {
-      List<String> lines =
-          small.draw(o, new Screen.InspectCommands(Page.JOBS, Sort.QUEUE, "", page));
+      List<String> lines = small.draw(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
       String last = lines.get(lines.size() - 1);
       lines.stream().filter(l -> l.startsWith("job-")).map(l -> l.split(" ")[0]).forEach(seen::add);
       if (last.matches("-- page (\\d+) of \\1 --")) {
@@ -129,7 +126,7 @@
     assertEquals(100, seen.stream().distinct().count());
   }
 
-  private static String firstJob(Screen s, Overview o, Screen.InspectCommands look) {
+  private static String firstJob(Screen s, Overview o, Screen.ViewOptions look) {
     return s.draw(o, look).stream()
         .filter(l -> l.startsWith("job-"))
         .findFirst()
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -33,7 +33,7 @@
   private static final long LEASE_MS = 26_000;
 
   /** Two zones of 20 machines that report every 4 s on virtual time, each with four tasks. */
-  private static final class Simulation {
+  private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0, 1});
@@ -54,7 +54,7 @@
     int deafTo;
     long now = 1_000_000;
 
-    Simulation(boolean takenOver) {
+    TestCluster(boolean takenOver) {
       zones.intern("a");
       zones.intern("b");
       health = new FleetHealth(HealthPolicy.defaults(), 2, 4, now);
@@ -135,11 +135,11 @@
   }
 
   private interface Case {
-    void run(Simulation w);
+    void run(TestCluster w);
   }
 
   private static DynamicTest day(String name, boolean takenOver, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(takenOver)));
+    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster(takenOver)));
   }
 
   @TestFactory
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -29,7 +29,7 @@
   private static final long TERM = 7;
 
   /** Two teams, two zones of ten machines of 4 CPUs when all are there, virtual time. */
-  private static final class Simulation implements AutoscalerView {
+  private static final class TestCluster implements AutoscalerView {
     final NameIndex zones = new NameIndex();
     final NameIndex classes = new NameIndex();
     final MachineType type =
@@ -46,7 +46,7 @@
     int sequence;
     int named;
 
-    Simulation() {
+    TestCluster() {
       zones.intern("north");
       zones.intern("south");
       classes.intern("c");
@@ -154,12 +154,12 @@
 
   /** Brings the obstacle about and returns the job that waits. */
   private interface Setup {
-    Job in(Simulation w);
+    Job in(TestCluster w);
   }
 
   /** Takes the obstacle away. */
   private interface Remedy {
-    void in(Simulation w);
+    void in(TestCluster w);
   }
 
   private static DynamicTest reason(
@@ -167,7 +167,7 @@
     return DynamicTest.dynamicTest(
         expected + ": " + detail,
         () -> {
-          Simulation w = new Simulation();
+          TestCluster w = new TestCluster();
           Job j = setup.in(w);
           PendingReason f = w.why(j);
           assertNotNull(f);
@@ -416,7 +416,7 @@
         DynamicTest.dynamicTest(
             "what runs has no reason, and a job says where its tasks are",
             () -> {
-              Simulation w = new Simulation();
+              TestCluster w = new TestCluster();
               w.machines(2);
               Job j = w.job(JobSpecs.array("job-1", 3, 2));
               w.run();
@@ -432,7 +432,7 @@
         DynamicTest.dynamicTest(
             "a job that ends between two steps is left out, and the others are explained",
             () -> {
-              Simulation w = new Simulation();
+              TestCluster w = new TestCluster();
               w.machines(2);
               for (int i = 1; i <= 5; i++) {
                 w.job(JobSpecs.array("job-" + i, 1, 4).zone(1));
@@ -458,7 +458,7 @@
       @ForAll @Size(max = 12) List<@IntRange(max = 199) Integer> machines,
       @ForAll @Size(min = 1, max = 10) List<@IntRange(max = 99_999) Integer> jobs,
       @ForAll @IntRange(max = 15) int site) {
-    Simulation w = new Simulation();
+    TestCluster w = new TestCluster();
     for (int m : machines) {
       Machine made = w.machine(m % 2);
       made.draining = m / 2 % 10 == 9;
@@ -504,7 +504,7 @@
     }
   }
 
-  private static void without(Simulation w, Job j, PendingReason f) {
+  private static void without(TestCluster w, Job j, PendingReason f) {
     switch (f.reason()) {
       case TEAM_LIMIT ->
           w.schedulerState
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -35,7 +35,7 @@
   private static final int TASKS = 150;
 
   /** Machines of 32 CPUs in two zones, jobs of 150 tasks of 4 CPUs. */
-  private static final class Simulation {
+  private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t32", 32, 0, 256, 100, 1, 2.0, 0.5, 30, new int[] {0, 1});
@@ -44,7 +44,7 @@
     final Autoscaler fleet;
     long now = 1_000_000;
 
-    Simulation(int machines) {
+    TestCluster(int machines) {
       zones.intern("north-eastern-zone");
       zones.intern("south-western-zone");
       Team team = new Team("team", 1e6, 0, 1e6, 0);
@@ -111,11 +111,11 @@
   }
 
   private interface Case {
-    void run(Simulation w);
+    void run(TestCluster w);
   }
 
   private static DynamicTest scale(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(MACHINES)));
+    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster(MACHINES)));
   }
 
   private static void atMost(long bound, long n) {
@@ -313,14 +313,14 @@
 
   /** For the measurement. */
   static SnapshotBuilder full(double differ) {
-    return explained(new Simulation(MACHINES), differ);
+    return explained(new TestCluster(MACHINES), differ);
   }
 
   /**
    * The fleet is full, and 300 jobs of two teams wait with 10,000 tasks; each wants so many more
    * CPUs than the one before.
    */
-  private static SnapshotBuilder explained(Simulation w, double differ) {
+  private static SnapshotBuilder explained(TestCluster w, double differ) {
     w.schedulerState.accept(JobSpecs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
     w.placement.placeTasks(w.now);
     w.commit();
@@ -347,7 +347,7 @@
             w -> {
               w.jobs(2);
               w.placement.placeTasks(w.now);
-              Simulation next = new Simulation(MACHINES);
+              TestCluster next = new TestCluster(MACHINES);
               for (Job j : w.schedulerState.jobs()) {
                 Job taken = next.schedulerState.accept(j.spec, 5, 0, next.now);
                 for (int i = 0; i < j.attemptRecordCount(); i++) {
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -26,7 +26,7 @@
       new MachineType(1, "large", 32, 0, 256, 100, 1, 9.0, 4.0, 30, new int[] {0, 1});
   private static final List<MachineType> TYPES = List.of(SMALL, LARGE);
 
-  private static final class Simulation {
+  private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final SchedulerState schedulerState;
     final Autoscaler fleet;
@@ -35,12 +35,12 @@
     long now = 1_000_000;
     long sequence;
 
-    Simulation() {
+    TestCluster() {
       this(64);
     }
 
     /** With a limit of the one team. */
-    Simulation(double cpus) {
+    TestCluster(double cpus) {
       zones.intern("a");
       zones.intern("b");
       schedulerState =
@@ -67,11 +67,11 @@
   }
 
   private interface Case {
-    void run(Simulation w);
+    void run(TestCluster w);
   }
 
   private static DynamicTest policy(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster()));
   }
 
   @TestFactory
@@ -148,7 +148,7 @@
         policy(
             "after a refusal one call shows whether there is room again",
             narrow -> {
-              Simulation w = new Simulation(1_000);
+              TestCluster w = new TestCluster(1_000);
               MachineVariant v = new MachineVariant(SMALL, 0, true);
               w.fleet.refused(v, w.now);
               w.now += 20_000;
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -36,7 +36,7 @@
       new MachineType(0, "box", 32, 0, 256, 100, 0.4, 2.0, 0.9, 30, new int[] {0, 1});
   private static final List<MachineType> TYPES = List.of(BOX);
 
-  private static final class Simulation {
+  private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final SchedulerState schedulerState;
     final TaskScheduler placement;
@@ -46,7 +46,7 @@
     long sequence;
     int names;
 
-    Simulation() {
+    TestCluster() {
       zones.intern("a");
       zones.intern("b");
       schedulerState =
@@ -121,11 +121,11 @@
   }
 
   private interface Case {
-    void run(Simulation w);
+    void run(TestCluster w);
   }
 
   private static DynamicTest gang(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster()));
   }
 
   private static int sum(List<ScaleOutRequest> rents) {
@@ -348,7 +348,7 @@
     return out;
   }
 
-  private static Attempt run(Simulation w, Job job, Machine m) {
+  private static Attempt run(TestCluster w, Job job, Machine m) {
     Attempt a = w.schedulerState.start(job, job.pendingTasks.dequeueInt(), m, w.now);
     JobSpecs.commit(w.schedulerState, w.now);
     w.schedulerState
--- a/src/test/java/org/mallowroad/core/health/FleetHealthTest.java
+++ b/src/test/java/org/mallowroad/core/health/FleetHealthTest.java
@@ -22,14 +22,14 @@
   private static final long HEARTBEAT_INTERVAL_MS = 4_000;
 
   /** Two zones of machines that send a heartbeat every 4 s, and the baseline of one job. */
-  private static final class Simulation {
+  private static final class TestCluster {
     final FleetHealth health =
         new FleetHealth(HealthPolicy.defaults(), 2, HEARTBEAT_INTERVAL_MS / 1000.0, 0);
     final List<MachineHealth> machines = new ArrayList<>();
     final RunTimeBaseline job = new RunTimeBaseline(15);
     long now;
 
-    Simulation(int a, int b) {
+    TestCluster(int a, int b) {
       for (int i = 0; i < a + b; i++) {
         MachineHealth m = new MachineHealth("n-" + i, i < a ? 0 : 1);
         health.register(m, now);
@@ -62,11 +62,11 @@
   }
 
   private interface Case {
-    void run(Simulation simulation);
+    void run(TestCluster simulation);
   }
 
   private static DynamicTest testCase(String name, Case body) {
-    return DynamicTest.dynamicTest(name, () -> body.run(new Simulation(10, 10)));
+    return DynamicTest.dynamicTest(name, () -> body.run(new TestCluster(10, 10)));
   }
 
   @TestFactory
@@ -142,7 +142,7 @@
         testCase(
             "when no zone reports the controller is likely isolated before many are overdue",
             ignored -> {
-              Simulation w = new Simulation(40, 40);
+              TestCluster w = new TestCluster(40, 40);
               w.pass(20_000, 0, 0);
               assertFalse(w.health.failureDetector().isLikelyIsolated(w.now));
               w.now += 2_700;
@@ -385,7 +385,7 @@
   @Property(tries = 200, seed = "43")
   void suspectShareIsBounded(
       @ForAll @Size(min = 1, max = 400) List<@IntRange(min = 0, max = 3_999) Integer> events) {
-    Simulation w = new Simulation(20, 20);
+    TestCluster w = new TestCluster(20, 20);
     for (int e : events) {
       int machine = e % 40;
       double times = Math.pow(2, e / 40 % 8 - 2);
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -31,7 +31,7 @@
 
 /** Who fetches, how many at once, and from whom; today's workers see nothing of it. */
 final class ImageDistributionTest {
-  private static final class Simulation {
+  private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t", 1, 0, 64, 40, 0.4, 1, 0.5, 30, new int[] {0, 1});
@@ -43,7 +43,7 @@
     long sequence;
     int jobs;
 
-    Simulation(ImageFetchPolicy p, boolean handsOn) {
+    TestCluster(ImageFetchPolicy p, boolean handsOn) {
       zones.intern("a");
       zones.intern("b");
       this.handsOn = handsOn;
@@ -137,11 +137,11 @@
   }
 
   private interface Case {
-    void run(Simulation w);
+    void run(TestCluster w);
   }
 
   private static DynamicTest stage(String name, ImageFetchPolicy p, boolean handsOn, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation(p, handsOn)));
+    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster(p, handsOn)));
   }
 
   private static final ImageFetchPolicy NONE = ImageFetchPolicy.defaults();
@@ -304,7 +304,7 @@
             }));
   }
 
-  private static List<Machine> busy(Simulation w) {
+  private static List<Machine> busy(TestCluster w) {
     List<Machine> out = new ArrayList<>();
     w.machines.forEach(
         m -> {
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -19,7 +19,7 @@
 /** Stopping is for room that does not come by itself. */
 final class ExpectedReleasesTest {
   /** A full fleet of 100 machines of 4 CPUs with tasks of 60 s by their estimate. */
-  private static final class Simulation {
+  private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0});
@@ -28,7 +28,7 @@
     long sequence;
     long now = 1_000_000;
 
-    Simulation() {
+    TestCluster() {
       zones.intern("a");
       schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
       placement = new TaskScheduler(schedulerState);
@@ -69,11 +69,11 @@
   }
 
   private interface Case {
-    void run(Simulation w);
+    void run(TestCluster w);
   }
 
   private static DynamicTest full(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new Simulation()));
+    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster()));
   }
 
   @TestFactory
