--- a/src/main/java/org/mallowroad/core/explain/AutoscalerView.java
+++ b/src/main/java/org/mallowroad/core/explain/AutoscalerView.java
@@ -5,18 +5,18 @@
 import org.mallowroad.core.autoscaling.MachineVariant;
 import org.mallowroad.core.autoscaling.PendingMachines;
 
-/** What the explanation asks of the leadership beyond ledger and placement. */
+/** What explanations ask of the leader besides the scheduler state and placement. */
 public interface AutoscalerView {
-  /** Machines rented and not yet reporting. */
+  /** Machines that are rented and do not report yet. */
   List<PendingMachines> coming(long now);
 
-  /** Since when the cloud has refused the variant; -1 while it has not. */
-  long refusedSinceMs(MachineVariant v);
+  /** Since when the cloud has refused the variant; -1 while it does not. */
+  long refusedSinceMs(MachineVariant variant);
 
-  /** Machine types as last read. */
+  /** The machine types that the cloud offers, as last read. */
   List<MachineType> types();
 
-  /** True while the leader's lease holds: otherwise nothing is placed. */
+  /** True while the leader's lease holds; otherwise nothing is placed. */
   boolean firm();
 
   /** When the lease was last renewed. */
--- a/src/main/java/org/mallowroad/core/explain/CountFormat.java
+++ b/src/main/java/org/mallowroad/core/explain/CountFormat.java
@@ -1,11 +1,20 @@
 package org.mallowroad.core.explain;
 
-/** Numbers of things in words for people. */
+import java.util.Locale;
+
+/** Formats counts and amounts for people. */
 public final class CountFormat {
   private CountFormat() {}
 
-  /** As {@code 1 task} or {@code 3 tasks}. */
-  public static String of(int n, String thing) {
-    return n + " " + thing + (n == 1 ? "" : "s");
+  /** A count of things, as {@code 1 task} or {@code 3 tasks}. */
+  public static String of(int count, String thing) {
+    return count + " " + thing + (count == 1 ? "" : "s");
+  }
+
+  /** An amount, without decimals if it is whole and with one otherwise. */
+  static String amount(double amount) {
+    return amount == Math.rint(amount)
+        ? Long.toString((long) amount)
+        : String.format(Locale.ROOT, "%.1f", amount);
   }
 }
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -22,8 +22,10 @@
 import org.mallowroad.core.explain.NodeSnapshot.ZoneLine;
 
 /**
- * Puts a leader's findings into lines of a picture. Asked in turns: {@link #begin}, {@link #step}
- * until it says so, then the lines.
+ * Makes the lines of a leader's {@link NodeSnapshot}: {@link #begin}, then {@link #step} until it
+ * returns true, then the lines.
+ *
+ * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class SnapshotBuilder {
   /** Open jobs that are explained and listed; those first in the queue, then those that run. */
@@ -149,7 +151,7 @@
     int[] silent = new int[zones.size()];
     for (Machine m : schedulerState.machines()) {
       machines[m.zone]++;
-      silent[m.zone] += explainer.unheard(m, now) ? 1 : 0;
+      silent[m.zone] += explainer.isSilent(m, now) ? 1 : 0;
     }
     List<ZoneLine> out = new ArrayList<>();
     for (int z = 0; z < machines.length; z++) {
@@ -185,7 +187,7 @@
       s.empty += m.isEmpty() ? 1 : 0;
       s.doubted += m.health.isSuspect() ? 1 : 0;
       StartRefusal no = schedulerState.machineRefusal(m, now);
-      s.silent += explainer.unheard(m, now) ? 1 : 0;
+      s.silent += explainer.isSilent(m, now) ? 1 : 0;
       s.leaving += no == StartRefusal.DRAINING_OR_FAILED ? 1 : 0;
       s.booked += m.type.cpus() - m.freeCpus();
     }
@@ -267,7 +269,7 @@
               m.type.name(),
               zones.name(m.zone),
               m.spot,
-              explainer.unheard(m, at),
+              explainer.isSilent(m, at),
               a.isStopping(),
               seconds(at - a.createdMs)));
     }
