--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -119,8 +119,8 @@
     }
   }
 
-  /** Until when places are left alone by a gang, and how often one failed it. */
-  private static final class MetricHistory {
+  /** Until when a gang avoids each zone after a failed reservation, and how often one failed. */
+  private static final class PlaceBackoff {
     private final Long2LongOpenHashMap untilMs = new Long2LongOpenHashMap();
     private int failures;
     private int zone = ANYWHERE;
@@ -129,7 +129,7 @@
   private final MachinePool machinePool;
   private final Reference2ObjectLinkedOpenHashMap<Job, Gather> gathers =
       new Reference2ObjectLinkedOpenHashMap<>();
-  private final Reference2ObjectLinkedOpenHashMap<Job, MetricHistory> pasts =
+  private final Reference2ObjectLinkedOpenHashMap<Job, PlaceBackoff> backoffs =
       new Reference2ObjectLinkedOpenHashMap<>();
   private final Long2LongOpenHashMap refusedUntil = new Long2LongOpenHashMap();
   private final Long2ObjectOpenHashMap<long[]> ceilings = new Long2ObjectOpenHashMap<>();
@@ -160,7 +160,7 @@
     if (g != null) {
       return new State(g.zone, g.places, need(job), g.rented, g.sinceMs + MOST_MS, false);
     }
-    MetricHistory p = pasts.get(job);
+    PlaceBackoff p = backoffs.get(job);
     if (p == null || p.failures == 0) {
       return null;
     }
@@ -177,7 +177,7 @@
   public void reserve(List<Job> queue, Predicate<Job> mayStart, long now) {
     losses.watch(machinePool.machines(), now);
     if (gathers.isEmpty() && queue.stream().noneMatch(j -> j.spec.gang())) {
-      pasts.clear();
+      backoffs.clear();
       return;
     }
     for (Gather g : new ArrayList<>(gathers.values())) {
@@ -186,7 +186,7 @@
         end(g);
       }
     }
-    pasts.keySet().removeIf(j -> !j.hasWaitingTasks());
+    backoffs.keySet().removeIf(j -> !j.hasWaitingTasks());
     for (Job job : queue) {
       if (!job.spec.gang()
           || !mayStart.test(job)
@@ -222,7 +222,7 @@
       return null; // The fleet's first cycle tells what can be rented.
     }
     clock = now;
-    MetricHistory past = pasts.computeIfAbsent(job, j -> new MetricHistory());
+    PlaceBackoff backoff = backoffs.computeIfAbsent(job, j -> new PlaceBackoff());
     int best = Integer.MIN_VALUE;
     long bestAt = Long.MAX_VALUE;
     int bestNear = -1;
@@ -230,7 +230,7 @@
     int to = job.spec.together() ? machinePool.zones() : 0;
     for (int zone = from; zone < to; zone++) {
       if (taken(zone)
-          || past.untilMs.get(zone) > now
+          || backoff.untilMs.get(zone) > now
           || (job.spec.zone() >= 0 && zone >= 0 && zone != job.spec.zone())
           || (job.spec.together() && job.liveAttemptCount() > 0 && !job.hasLiveAttemptIn(zone))
           || (zone >= 0 && machinePool.health().failureDetector().isPartitioned(zone))) {
@@ -253,7 +253,7 @@
     }
     Gather g = new Gather(job, best, now);
     gathers.put(job, g);
-    past.zone = best;
+    backoff.zone = best;
     changed(g, Change.What.GATHERS, now);
     return g;
   }
@@ -568,7 +568,7 @@
   }
 
   private void fail(Gather g, long now) {
-    MetricHistory p = pasts.computeIfAbsent(g.job, j -> new MetricHistory());
+    PlaceBackoff p = backoffs.computeIfAbsent(g.job, j -> new PlaceBackoff());
     p.zone = g.zone;
     long wait = Math.min(MOST_BACKOFF_MS, BACKOFF_MS << Math.min(8, p.failures));
     p.failures++;
