--- a/src/main/java/org/mallowroad/core/image/ImageDistribution.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -50,12 +50,12 @@
   }
 
   /** One machine's fetch of one image, whatever the number of tasks that wait for it. */
-  private static final class BoundedHttpGet {
+  private static final class ImageFetch {
     private final long sinceMs;
     private final List<Machine> imageSources;
     private int tasks;
 
-    BoundedHttpGet(long sinceMs, List<Machine> imageSources) {
+    ImageFetch(long sinceMs, List<Machine> imageSources) {
       this.sinceMs = sinceMs;
       this.imageSources = imageSources;
     }
@@ -63,7 +63,7 @@
 
   private static final class Wave {
     private final ReferenceLinkedOpenHashSet<Machine> holders = new ReferenceLinkedOpenHashSet<>();
-    private final Reference2ObjectLinkedOpenHashMap<Machine, BoundedHttpGet> fetching =
+    private final Reference2ObjectLinkedOpenHashMap<Machine, ImageFetch> fetching =
         new Reference2ObjectLinkedOpenHashMap<>();
     private final int[] across;
 
@@ -129,13 +129,13 @@
       return;
     }
     Wave w = wave(s.image());
-    BoundedHttpGet f = w.fetching.get(a.machine);
+    ImageFetch f = w.fetching.get(a.machine);
     if (f == null) {
       if (w.holders.contains(a.machine) || cached) {
         return;
       }
       List<Machine> from = imageSources(w, a.machine, fit);
-      f = new BoundedHttpGet(now, from);
+      f = new ImageFetch(now, from);
       w.fetching.put(a.machine, f);
       fetches.addTo(a.machine, 1);
       begun++;
@@ -158,9 +158,9 @@
       return;
     }
     Wave w = wave(s.image());
-    BoundedHttpGet f = w.fetching.get(a.machine);
+    ImageFetch f = w.fetching.get(a.machine);
     if (f == null && !w.holders.contains(a.machine)) {
-      f = new BoundedHttpGet(now, List.of());
+      f = new ImageFetch(now, List.of());
       w.fetching.put(a.machine, f);
       fetches.addTo(a.machine, 1);
       fromSource++;
@@ -182,7 +182,7 @@
   /** The addresses that a launch names: certain holders for a worker that can take from them. */
   public List<String> imageSources(Attempt a) {
     Wave w = waves.get(a.job.spec.image());
-    BoundedHttpGet f = w == null ? null : w.fetching.get(a.machine);
+    ImageFetch f = w == null ? null : w.fetching.get(a.machine);
     if (f == null || f.imageSources.isEmpty()) {
       return List.of();
     }
@@ -248,7 +248,7 @@
   /** An attempt is gone; a fetch for which no task waits any more is given up. */
   public void gone(Attempt a) {
     Wave w = waves.get(a.job.spec.image());
-    BoundedHttpGet f = w == null ? null : w.fetching.get(a.machine);
+    ImageFetch f = w == null ? null : w.fetching.get(a.machine);
     if (f != null && --f.tasks <= 0) {
       over(w, a.machine);
     }
@@ -256,7 +256,7 @@
   }
 
   private void over(Wave w, Machine m) {
-    BoundedHttpGet f = w.fetching.remove(m);
+    ImageFetch f = w.fetching.remove(m);
     if (f == null) {
       return;
     }
