--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -315,7 +315,7 @@
 
   private void tick() {
     long now = loop.now();
-    writeBudget.share().turn(now);
+    writeBudget.share().update(now);
     context.load().tick(now, TICK_INTERVAL_MS);
     if (isolation.isCutOffFromWorkers(now)) {
       // Nobody else can end this leadership: its lease is renewed, and no worker can carry a higher
@@ -417,27 +417,27 @@
 
   private final class RecordListener implements StateLoader.Listener {
     @Override
-    public void taken(int count, List<VersionedValue> rental) {
+    public void loaded(int count, List<VersionedValue> rental) {
       recovered(count, rental);
     }
 
     @Override
-    public void accepted() {
-      writeBudget.share().accepted();
+    public void jobAccepted() {
+      writeBudget.share().jobAccepted();
     }
 
     @Override
-    public void cancelled() {
-      writeBudget.share().cancelled();
+    public void jobCancelled() {
+      writeBudget.share().jobCancelled();
     }
 
     @Override
-    public void opened(Job job) {
+    public void openJobFound(Job job) {
       dependencyGates.jobAccepted(job);
     }
 
     @Override
-    public void changed() {
+    public void stateChanged() {
       placement.requestPass();
     }
   }
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -65,7 +65,7 @@
   void openRecordFound(VersionedValue item) {
     Job job = restorer.restoreOpenJob(item);
     if (job != null) {
-      listener.opened(job);
+      listener.openJobFound(job);
     }
   }
 
@@ -96,7 +96,7 @@
     CancellationView.Reading reading = view.beginReading(sentMs);
     for (VersionedValue event : events) {
       if (event.value() != null) {
-        listener.accepted();
+        listener.jobAccepted();
         openRecordFound(event);
       } else {
         openRecordDeleted(RecordKeys.jobOfOpenKey(event.key()), reading);
@@ -104,7 +104,7 @@
     }
     reading.markApplied();
     if (!events.isEmpty()) {
-      listener.changed();
+      listener.stateChanged();
     }
   }
 
@@ -112,13 +112,13 @@
   private void openRecordDeleted(String id, CancellationView.Reading reading) {
     Job job = schedulerState.job(id);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
-      listener.cancelled();
+      listener.jobCancelled();
       reading.awaitAnother();
       committer.readJobEnd(
           job,
           () -> {
             reading.markApplied();
-            listener.changed();
+            listener.stateChanged();
           });
     }
   }
@@ -160,6 +160,6 @@
       }
     }
     reading.markApplied();
-    listener.changed();
+    listener.stateChanged();
   }
 }
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -53,19 +53,19 @@
      * @param attemptRecords number of attempt records, shared ones included
      * @param rentals the records of rental requests
      */
-    void taken(int attemptRecords, List<VersionedValue> rentals);
+    void loaded(int attemptRecords, List<VersionedValue> rentals);
 
     /** An open job is in the scheduler state; may be told more than once. */
-    void opened(Job job);
+    void openJobFound(Job job);
 
     /** A job was accepted by any node. */
-    void accepted();
+    void jobAccepted();
 
     /** A job that was not about to end is over: it was cancelled by any node. */
-    void cancelled();
+    void jobCancelled();
 
     /** There may be something to place or to stop. */
-    void changed();
+    void stateChanged();
   }
 
   /** A loader of one term. */
@@ -215,7 +215,7 @@
       }
       // Of jobs that are over as well: readJobEnds has read how each of them ended.
       view.beginReading(sentMs).markApplied();
-      listener.taken(attempts.size() + sharedAttempts.size(), rentals);
+      listener.loaded(attempts.size() + sharedAttempts.size(), rentals);
       watcher.watch(openJobsRevision);
     }
   }
