--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -165,11 +165,11 @@
       return d;
     }
     return new ImageFetchPolicy(
-        (int) number(file, e, "source-limit", d.source(), 0, 100_000),
-        (int) number(file, e, "machine-limit", d.machine(), 0, 100),
-        (int) number(file, e, "takers", d.takers(), 0, 100),
-        (int) number(file, e, "across", d.across(), 1, 100),
-        number(file, e, "least-gb", d.leastGb(), 0, 1e6));
+        (int) number(file, e, "source-limit", d.sharedSourceLimit(), 0, 100_000),
+        (int) number(file, e, "machine-limit", d.perMachineLimit(), 0, 100),
+        (int) number(file, e, "takers", d.perSourceLimit(), 0, 100),
+        (int) number(file, e, "across", d.crossZoneLimit(), 1, 100),
+        number(file, e, "least-gb", d.minimumGb(), 0, 1e6));
   }
 
   /** The same with limits on fetches. */
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -25,7 +25,7 @@
   void log() {
     logLoad();
     if (schedulerState.attemptsStarted() > 0) {
-      LOG.info("event=image_fetches {}", schedulerState.imageDistribution().figures());
+      LOG.info("event=image_fetches {}", schedulerState.imageDistribution().logFields());
     }
     logCosts();
     context.load().beginInterval();
--- a/src/main/java/org/mallowroad/core/AttemptTracker.java
+++ b/src/main/java/org/mallowroad/core/AttemptTracker.java
@@ -103,11 +103,10 @@
     job.lastStartMs = now;
     attemptsStarted++;
     reserve(attempt);
-    imageDistribution.began(
+    imageDistribution.recordPlaced(
         attempt,
         machine.hasImage(job.spec.image()),
-        source -> admission.canServeImages(source, now),
-        now);
+        source -> admission.canServeImages(source, now));
     int underWay = job.liveAttemptCount + job.doneCount();
     if (job.begunMs < 0 && underWay >= admission.team(job.spec).maxConcurrentTasks(job.spec)) {
       job.begunMs = now;
@@ -262,7 +261,7 @@
       team.stoppingCpus -= job.spec.cpus();
     }
     attempt.phase = Attempt.Phase.GONE;
-    imageDistribution.gone(attempt);
+    imageDistribution.recordEnded(attempt);
     costAccounting.attemptResolved(attempt, outcome == AttemptOutcome.COMPLETED, now);
     job.liveAttempts[attempt.task] = null;
     job.liveAttemptCount--;
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -112,7 +112,7 @@
   /** Takes the worker's session and token, and ends what they prove to be over. */
   private void applySession(Machine machine, Heartbeat heartbeat, long now) {
     if (heartbeat.incarnation() > machine.incarnation) {
-      imageDistribution.lost(machine); // Its cache may be empty.
+      imageDistribution.removeMachine(machine); // Its cache may be empty.
       machine.unfencedLaunches.clear(); // A later session does not execute them any more.
       machine.exitsUnclearedSinceMs = -1;
     } else {
@@ -246,7 +246,7 @@
     switch (entry.state()) {
       case PULLING -> {
         if (attempt.restoredFromRecord && attempt.phase == Attempt.Phase.READY) {
-          imageDistribution.found(attempt, now);
+          imageDistribution.recordRecoveredFetch(attempt);
         }
         attempt.phase = Attempt.Phase.PULLING;
       }
@@ -269,7 +269,7 @@
       attempt.job.runningCount++;
       attempt.runningSinceMs = now;
       attempt.machine.recordImageUse(spec.image(), spec.imageGb());
-      imageDistribution.runs(attempt);
+      imageDistribution.recordRunning(attempt);
     }
     attempt.phase = phase;
   }
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -142,7 +142,7 @@
   public void markUsedNames(BitSet images, BitSet classes, BitSet types) {
     jobs.markUsedNames(images, classes, types);
     machines.markUsedNames(images, types);
-    imageDistribution.names(images);
+    imageDistribution.markTrackedImages(images);
   }
 
   /** The team of a job. */
@@ -414,7 +414,7 @@
     attempts.resolveAll(machine, now);
     machines.delete(machine);
     gangReservations.gone(machine);
-    imageDistribution.lost(machine);
+    imageDistribution.removeMachine(machine);
     health.remove(machine.health);
     costAccounting.machineDeleted(machine, now);
     attempts.machinesWithUnsentCommands().remove(machine);
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
@@ -65,7 +65,9 @@
       usage.machines++;
       usage.bookedCpus += (m.reservedFor == null ? m.bookedShare() : 1) * m.type.cpus();
       usage.cpus += m.type.cpus();
-      if (m.reservedFor != null || schedulerState.imageDistribution().gives(m) || !m.isEmpty()) {
+      if (m.reservedFor != null
+          || schedulerState.imageDistribution().isServing(m)
+          || !m.isEmpty()) {
         continue; // Reserved for a gang, or others fetch an image from it: as good as booked.
       }
       usage.idle++;
--- a/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
@@ -186,9 +186,9 @@
   }
 
   private String describeImageFetches(Job job) {
-    return CountFormat.of(schedulerState.imageDistribution().fromSource(), "machine")
+    return CountFormat.of(schedulerState.imageDistribution().sharedSourceFetchCount(), "machine")
         + " fetch from the source now, "
-        + schedulerState.imageDistribution().holders(job.spec.image())
+        + schedulerState.imageDistribution().holderCount(job.spec.image())
         + " hold the image";
   }
 
--- a/src/main/java/org/mallowroad/core/explain/PlacementQuestions.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementQuestions.java
@@ -67,7 +67,7 @@
         new JobShape(
             spec.team(),
             spec.gang() || TaskScheduler.isUrgent(spec),
-            schedulerState.imageDistribution().limited() ? spec.image() : -1,
+            schedulerState.imageDistribution().hasLimits() ? spec.image() : -1,
             spec.cpus(),
             spec.cards(),
             spec.memGb(),
--- a/src/main/java/org/mallowroad/core/image/ImageDistribution.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -13,340 +13,382 @@
 import org.mallowroad.core.Machine;
 
 /**
- * Which machine fetches which image, from whom, and when.
+ * Decides which machine fetches which image, from which image source, and when.
  *
- * <p>A machine holds an image <i>for certain</i> once it reported a task of it running in this
- * session; it is likely to while the images used since fit into its cache beside it. Only certain
- * holders are named as givers, each to a bounded number of takers, those of the taker's own zone
- * first. So a wave doubles with each stage, and two machines are never each other's giver: a giver
- * holds the image and a taker does not.
+ * <p>A machine is a <i>confirmed holder</i> of an image once it reported a running task of it in
+ * its present incarnation; it stays one while the images used since are likely to fit into its
+ * cache beside it. Only confirmed holders become image sources, each for a bounded number of
+ * fetchers, those of the fetcher's own zone first. So the number of holders doubles with each round
+ * of fetches, and two machines are never each other's source: a source holds the image and a
+ * fetcher does not.
  *
- * <p>A start is held back only by a limit that the operators have set: with none all fetch at once,
- * each at its own rate, and nothing that waits would make another one earlier. Where the source is
- * limited, a start whose worker takes from a giver does not count there, and is never held back.
+ * <p>A start is held back only by a limit that the operators have set: without one all machines
+ * fetch at once, each at its own rate, and no waiting start would make another one earlier. Where
+ * fetches from the shared source are limited, a start whose worker fetches from another machine
+ * does not count there, and is never held back.
  *
- * <p>What is known here is evidence, made from reports in each term: a leader that follows counts
- * the fetches that it finds under way as fetches from the source, and goes on from there. No rule
- * rests on it; a giver that dies, evicts or was never one costs its taker a try, since the worker
- * falls back to the source by itself.
+ * <p>The state is soft: it is rebuilt from heartbeats in each leader term. A new leader counts the
+ * fetches that it finds under way as fetches from the shared source. Correctness does not depend on
+ * it: a source that fails, has evicted the image or never held it costs its fetcher one attempt,
+ * since the worker falls back to the shared source by itself.
+ *
+ * <p>Confined to the thread of its {@code SchedulerState}.
  */
 public final class ImageDistribution {
-  /** Givers named in a launch. */
-  static final int MOST_GIVERS = 3;
+  /** Most image sources named in one launch command. */
+  static final int MAX_SOURCES_PER_LAUNCH = 3;
 
-  /** Holders looked at for one choice. */
-  private static final int MOST_LOOKED = 48;
+  /** Most confirmed holders examined to choose the sources of one fetch. */
+  private static final int MAX_HOLDERS_EXAMINED = 48;
 
-  /** Holders remembered of an image. */
-  static final int MOST_HOLDERS = 512;
+  /** Most confirmed holders remembered of one image; the least recently confirmed one goes. */
+  static final int MAX_HOLDERS_PER_IMAGE = 512;
 
-  /** Part of a cache that the images used since may fill before one is not counted on any more. */
-  private static final double SURE = 0.8;
+  /** Share of a cache that the images used since may fill before an image counts as evicted. */
+  private static final double CACHE_FILL_LIMIT = 0.8;
 
-  /** Answers whether a machine may be asked for something at all. */
-  public interface Fit {
-    /** True when it is heard, hears, stays and is not slow. */
-    boolean fit(Machine m);
+  /** Decides by a machine's health whether it may serve as an image source. */
+  @FunctionalInterface
+  public interface SourceEligibility {
+    /** True when the machine is reachable, is not about to leave and is not slow. */
+    boolean isEligible(Machine machine);
   }
 
   /** One machine's fetch of one image, whatever the number of tasks that wait for it. */
   private static final class ImageFetch {
-    private final long sinceMs;
     private final List<Machine> imageSources;
     private int tasks;
 
-    ImageFetch(long sinceMs, List<Machine> imageSources) {
-      this.sinceMs = sinceMs;
+    ImageFetch(List<Machine> imageSources) {
       this.imageSources = imageSources;
     }
   }
 
-  private static final class Wave {
+  /** The confirmed holders of one image, and the fetches of it under way. */
+  private static final class ImageState {
     private final ReferenceLinkedOpenHashSet<Machine> holders = new ReferenceLinkedOpenHashSet<>();
-    private final Reference2ObjectLinkedOpenHashMap<Machine, ImageFetch> fetching =
+    private final Reference2ObjectLinkedOpenHashMap<Machine, ImageFetch> fetches =
         new Reference2ObjectLinkedOpenHashMap<>();
-    private final int[] across;
 
-    Wave(int zones) {
-      this.across = new int[zones];
+    /** By the fetcher's zone: fetches under way from a source in another zone. */
+    private final int[] crossZoneFetches;
+
+    ImageState(int zones) {
+      this.crossZoneFetches = new int[zones];
     }
   }
 
   private final ImageFetchPolicy policy;
   private final int zones;
-  private final Int2ObjectLinkedOpenHashMap<Wave> waves = new Int2ObjectLinkedOpenHashMap<>();
-  private final Reference2IntOpenHashMap<Machine> takers = new Reference2IntOpenHashMap<>();
-  private final Reference2IntOpenHashMap<Machine> fetches = new Reference2IntOpenHashMap<>();
-  private int fromSource;
-  private long begun;
-  private long handed;
-  private long heldBack;
+  private final Int2ObjectLinkedOpenHashMap<ImageState> imageStates =
+      new Int2ObjectLinkedOpenHashMap<>();
+
+  /** Fetches under way by the image source that serves them. */
+  private final Reference2IntOpenHashMap<Machine> fetchesBySource =
+      new Reference2IntOpenHashMap<>();
+
+  /** Fetches under way by the machine that fetches. */
+  private final Reference2IntOpenHashMap<Machine> fetchesByMachine =
+      new Reference2IntOpenHashMap<>();
+
+  /** Fetches from the shared source under way. */
+  private int sharedSourceFetches;
+
+  // Totals of the term, for the log.
+  private long fetchesStarted;
+  private long fetchesFromMachines;
+  private long startsHeldBack;
   private long tasks;
-  private double gb;
+  private double fetchedGb;
 
-  /** Over a term's machines. */
+  /**
+   * Creates the empty state of a leader term.
+   *
+   * @param zones number of zones; a machine's zone is an index below it
+   */
   public ImageDistribution(ImageFetchPolicy policy, int zones) {
     this.policy = policy;
     this.zones = zones;
   }
 
-  /** True when the operators have set a limit: then images tell jobs apart. */
-  public boolean limited() {
-    return policy.source() > 0 || policy.machine() > 0;
+  /**
+   * True when the operators have limited fetches: then jobs that differ only in their image may
+   * differ in where they can start.
+   */
+  public boolean hasLimits() {
+    return policy.sharedSourceLimit() > 0 || policy.perMachineLimit() > 0;
   }
 
-  private boolean small(JobSpec s) {
-    return s.imageGb() < policy.leastGb();
+  /** Images below the policy's minimum size are neither tracked nor limited. */
+  private boolean isBelowMinimum(JobSpec spec) {
+    return spec.imageGb() < policy.minimumGb();
   }
 
   /** Whether a task whose image the machine does not hold may start there now. */
-  public boolean mayFetch(JobSpec s, Machine m, Fit fit) {
-    if (small(s)) {
+  public boolean mayFetch(JobSpec spec, Machine machine, SourceEligibility eligibility) {
+    if (isBelowMinimum(spec)) {
       return true;
     }
-    Wave w = waves.get(s.image());
-    if (w != null && (w.fetching.containsKey(m) || w.holders.contains(m))) {
-      return true; // One fetch is for all tasks that wait for it.
+    ImageState state = imageStates.get(spec.image());
+    if (state != null && (state.fetches.containsKey(machine) || state.holders.contains(machine))) {
+      return true; // All waiting tasks of the machine share one fetch.
     }
-    if (policy.machine() > 0 && fetches.getInt(m) >= policy.machine()) {
+    if (policy.perMachineLimit() > 0
+        && fetchesByMachine.getInt(machine) >= policy.perMachineLimit()) {
       return false;
     }
-    return policy.source() <= 0
-        || fromSource < policy.source()
-        || !imageSources(w, m, fit).isEmpty();
+    return policy.sharedSourceLimit() <= 0
+        || sharedSourceFetches < policy.sharedSourceLimit()
+        || !chooseSources(state, machine, eligibility).isEmpty();
   }
 
-  /** A start was held back for a limit. */
-  public void heldBack() {
-    heldBack++;
+  /** Counts a start that was held back by a limit. */
+  public void recordHeldBack() {
+    startsHeldBack++;
   }
 
-  /** An attempt is placed: its machine fetches, unless it holds the image or does so already. */
-  public void began(Attempt a, boolean cached, Fit fit, long now) {
-    JobSpec s = a.job.spec;
+  /**
+   * Records a placed attempt: its machine starts a fetch unless it holds the image or fetches it
+   * already.
+   *
+   * @param cached whether the machine is likely to have the image in its cache
+   */
+  public void recordPlaced(Attempt attempt, boolean cached, SourceEligibility eligibility) {
+    JobSpec spec = attempt.job.spec;
     tasks++;
-    if (small(s)) {
+    if (isBelowMinimum(spec)) {
       return;
     }
-    Wave w = wave(s.image());
-    ImageFetch f = w.fetching.get(a.machine);
-    if (f == null) {
-      if (w.holders.contains(a.machine) || cached) {
+    ImageState state = imageState(spec.image());
+    ImageFetch fetch = state.fetches.get(attempt.machine);
+    if (fetch == null) {
+      if (state.holders.contains(attempt.machine) || cached) {
         return;
       }
-      List<Machine> from = imageSources(w, a.machine, fit);
-      f = new ImageFetch(now, from);
-      w.fetching.put(a.machine, f);
-      fetches.addTo(a.machine, 1);
-      begun++;
-      gb += s.imageGb();
-      if (from.isEmpty()) {
-        fromSource++;
+      List<Machine> sources = chooseSources(state, attempt.machine, eligibility);
+      fetch = new ImageFetch(sources);
+      state.fetches.put(attempt.machine, fetch);
+      fetchesByMachine.addTo(attempt.machine, 1);
+      fetchesStarted++;
+      fetchedGb += spec.imageGb();
+      if (sources.isEmpty()) {
+        sharedSourceFetches++;
       } else {
-        handed++;
-        takers.addTo(from.get(0), 1);
-        w.across[a.machine.zone] += from.get(0).zone != a.machine.zone ? 1 : 0;
+        fetchesFromMachines++;
+        fetchesBySource.addTo(sources.get(0), 1);
+        state.crossZoneFetches[attempt.machine.zone] +=
+            sources.get(0).zone != attempt.machine.zone ? 1 : 0;
       }
     }
-    f.tasks++;
+    fetch.tasks++;
   }
 
-  /** A fetch that an earlier leader began is reported: from whom is not known. */
-  public void found(Attempt a, long now) {
-    JobSpec s = a.job.spec;
-    if (small(s)) {
+  /**
+   * Records a reported fetch that an earlier leader started. Its image source is not known, so it
+   * counts as a fetch from the shared source.
+   */
+  public void recordRecoveredFetch(Attempt attempt) {
+    JobSpec spec = attempt.job.spec;
+    if (isBelowMinimum(spec)) {
       return;
     }
-    Wave w = wave(s.image());
-    ImageFetch f = w.fetching.get(a.machine);
-    if (f == null && !w.holders.contains(a.machine)) {
-      f = new ImageFetch(now, List.of());
-      w.fetching.put(a.machine, f);
-      fetches.addTo(a.machine, 1);
-      fromSource++;
+    ImageState state = imageState(spec.image());
+    ImageFetch fetch = state.fetches.get(attempt.machine);
+    if (fetch == null && !state.holders.contains(attempt.machine)) {
+      fetch = new ImageFetch(List.of());
+      state.fetches.put(attempt.machine, fetch);
+      fetchesByMachine.addTo(attempt.machine, 1);
+      sharedSourceFetches++;
     }
-    if (f != null) {
-      f.tasks++;
+    if (fetch != null) {
+      fetch.tasks++;
     }
   }
 
-  private Wave wave(int image) {
-    Wave w = waves.get(image);
-    if (w == null) {
-      w = new Wave(zones);
-      waves.put(image, w);
+  private ImageState imageState(int image) {
+    ImageState state = imageStates.get(image);
+    if (state == null) {
+      state = new ImageState(zones);
+      imageStates.put(image, state);
     }
-    return w;
+    return state;
   }
 
-  /** The addresses that a launch names: certain holders for a worker that can take from them. */
-  public List<String> imageSources(Attempt a) {
-    Wave w = waves.get(a.job.spec.image());
-    ImageFetch f = w == null ? null : w.fetching.get(a.machine);
-    if (f == null || f.imageSources.isEmpty()) {
+  /**
+   * The addresses of image sources that the attempt's launch command names, best first: those
+   * chosen when the fetch began that are confirmed holders still.
+   */
+  public List<String> imageSources(Attempt attempt) {
+    ImageState state = imageStates.get(attempt.job.spec.image());
+    ImageFetch fetch = state == null ? null : state.fetches.get(attempt.machine);
+    if (fetch == null || fetch.imageSources.isEmpty()) {
       return List.of();
     }
-    List<String> out = new ArrayList<>();
-    for (Machine g : f.imageSources) {
-      if (w.holders.contains(g) && !g.address.isEmpty()) {
-        out.add(g.address);
+    List<String> addresses = new ArrayList<>();
+    for (Machine source : fetch.imageSources) {
+      if (state.holders.contains(source) && !source.address.isEmpty()) {
+        addresses.add(source.address);
       }
     }
-    return out;
+    return addresses;
   }
 
-  /** Who may hand the image on to the machine, the best first: its zone's, and those with least. */
-  private List<Machine> imageSources(Wave w, Machine m, Fit fit) {
-    if (w == null || policy.takers() <= 0 || !m.servesImages || w.holders.isEmpty()) {
+  /**
+   * The machines that may serve the image to the given one, best first: those of its own zone, or
+   * else of others, by the number of fetches that they serve.
+   */
+  private List<Machine> chooseSources(
+      ImageState state, Machine machine, SourceEligibility eligibility) {
+    if (state == null
+        || policy.perSourceLimit() <= 0
+        || !machine.servesImages
+        || state.holders.isEmpty()) {
       return List.of();
     }
-    List<Machine> own = new ArrayList<>();
-    List<Machine> others = new ArrayList<>();
-    int looked = 0;
-    boolean ownZone = false;
-    for (Machine g : w.holders) {
-      if (++looked > MOST_LOOKED || own.size() >= MOST_GIVERS) {
+    List<Machine> sameZone = new ArrayList<>();
+    List<Machine> otherZones = new ArrayList<>();
+    int examined = 0;
+    boolean ownZoneHolds = false;
+    for (Machine source : state.holders) {
+      if (++examined > MAX_HOLDERS_EXAMINED || sameZone.size() >= MAX_SOURCES_PER_LAUNCH) {
         break;
       }
-      ownZone |= g.zone == m.zone;
-      if (g != m && g.servesImages && takers.getInt(g) < policy.takers() && fit.fit(g)) {
-        (g.zone == m.zone ? own : others).add(g);
+      ownZoneHolds |= source.zone == machine.zone;
+      if (source != machine
+          && source.servesImages
+          && fetchesBySource.getInt(source) < policy.perSourceLimit()
+          && eligibility.isEligible(source)) {
+        (source.zone == machine.zone ? sameZone : otherZones).add(source);
       }
     }
-    if (!own.isEmpty()) {
-      own.sort((x, y) -> Integer.compare(takers.getInt(x), takers.getInt(y)));
-      return own;
+    if (!sameZone.isEmpty()) {
+      sameZone.sort(
+          (x, y) -> Integer.compare(fetchesBySource.getInt(x), fetchesBySource.getInt(y)));
+      return sameZone;
     }
-    // A copy or a few cross a zone's border; then its own holders hand on.
-    if (ownZone || w.across[m.zone] >= policy.across() || others.isEmpty()) {
+    // Only a few copies enter a zone from others; its own holders serve the rest of it.
+    if (ownZoneHolds
+        || state.crossZoneFetches[machine.zone] >= policy.crossZoneLimit()
+        || otherZones.isEmpty()) {
       return List.of();
     }
-    others.sort((x, y) -> Integer.compare(takers.getInt(x), takers.getInt(y)));
-    return others.subList(0, Math.min(MOST_GIVERS, others.size()));
+    otherZones.sort(
+        (x, y) -> Integer.compare(fetchesBySource.getInt(x), fetchesBySource.getInt(y)));
+    return otherZones.subList(0, Math.min(MAX_SOURCES_PER_LAUNCH, otherZones.size()));
   }
 
-  /** A task of the image runs on the machine: it holds it for certain. */
-  public void runs(Attempt a) {
-    JobSpec s = a.job.spec;
-    if (small(s)) {
+  /** Records that an attempt runs, which confirms its machine as a holder of the image. */
+  public void recordRunning(Attempt attempt) {
+    JobSpec spec = attempt.job.spec;
+    if (isBelowMinimum(spec)) {
       return;
     }
-    Wave w = wave(s.image());
-    over(w, a.machine);
-    w.holders.addAndMoveToFirst(a.machine);
-    if (w.holders.size() > MOST_HOLDERS) {
-      w.holders.removeLast();
+    ImageState state = imageState(spec.image());
+    endFetch(state, attempt.machine);
+    state.holders.addAndMoveToFirst(attempt.machine);
+    if (state.holders.size() > MAX_HOLDERS_PER_IMAGE) {
+      state.holders.removeLast();
     }
-    // What its cache may have dropped since is told to nobody.
-    for (int image : waves.keySet().toIntArray()) {
-      if (image != s.image() && !a.machine.isLikelyCached(image, SURE)) {
-        waves.get(image).holders.remove(a.machine);
+    // It is no source any more for images that its cache may have evicted since.
+    for (int image : imageStates.keySet().toIntArray()) {
+      if (image != spec.image() && !attempt.machine.isLikelyCached(image, CACHE_FILL_LIMIT)) {
+        imageStates.get(image).holders.remove(attempt.machine);
       }
     }
   }
 
-  /** An attempt is gone; a fetch for which no task waits any more is given up. */
-  public void gone(Attempt a) {
-    Wave w = waves.get(a.job.spec.image());
-    ImageFetch f = w == null ? null : w.fetching.get(a.machine);
-    if (f != null && --f.tasks <= 0) {
-      over(w, a.machine);
+  /** Records an attempt's end; a fetch for which no task waits any more ends with it. */
+  public void recordEnded(Attempt attempt) {
+    ImageState state = imageStates.get(attempt.job.spec.image());
+    ImageFetch fetch = state == null ? null : state.fetches.get(attempt.machine);
+    if (fetch != null && --fetch.tasks <= 0) {
+      endFetch(state, attempt.machine);
     }
-    tidy(a.job.spec.image(), w);
+    dropIfUnused(attempt.job.spec.image(), state);
   }
 
-  private void over(Wave w, Machine m) {
-    ImageFetch f = w.fetching.remove(m);
-    if (f == null) {
+  /** Ends the machine's fetch of the image, if any, and releases the slots that it took. */
+  private void endFetch(ImageState state, Machine machine) {
+    ImageFetch fetch = state.fetches.remove(machine);
+    if (fetch == null) {
       return;
     }
-    fetches.addTo(m, -1);
-    if (fetches.getInt(m) <= 0) {
-      fetches.removeInt(m);
+    fetchesByMachine.addTo(machine, -1);
+    if (fetchesByMachine.getInt(machine) <= 0) {
+      fetchesByMachine.removeInt(machine);
     }
-    if (f.imageSources.isEmpty()) {
-      fromSource--;
+    if (fetch.imageSources.isEmpty()) {
+      sharedSourceFetches--;
       return;
     }
-    Machine g = f.imageSources.get(0);
-    takers.addTo(g, -1);
-    if (takers.getInt(g) <= 0) {
-      takers.removeInt(g);
+    Machine source = fetch.imageSources.get(0);
+    fetchesBySource.addTo(source, -1);
+    if (fetchesBySource.getInt(source) <= 0) {
+      fetchesBySource.removeInt(source);
     }
-    w.across[m.zone] -= g.zone != m.zone ? 1 : 0;
+    state.crossZoneFetches[machine.zone] -= source.zone != machine.zone ? 1 : 0;
   }
 
-  /** The machine or its session is gone, with all that it held. */
-  public void lost(Machine m) {
-    for (int image : waves.keySet().toIntArray()) {
-      Wave w = waves.get(image);
-      w.holders.remove(m);
-      over(w, m);
-      tidy(image, w);
+  /** Forgets a machine that left or began a new incarnation, with its images and fetches. */
+  public void removeMachine(Machine machine) {
+    for (int image : imageStates.keySet().toIntArray()) {
+      ImageState state = imageStates.get(image);
+      state.holders.remove(machine);
+      endFetch(state, machine);
+      dropIfUnused(image, state);
     }
   }
 
-  private void tidy(int image, Wave w) {
-    if (w != null && w.holders.isEmpty() && w.fetching.isEmpty()) {
-      waves.remove(image);
+  /** Stops tracking an image that no machine holds or fetches. */
+  private void dropIfUnused(int image, ImageState state) {
+    if (state != null && state.holders.isEmpty() && state.fetches.isEmpty()) {
+      imageStates.remove(image);
     }
   }
 
-  /** True while others fetch from it: returning it would send them to the source. */
-  public boolean gives(Machine m) {
-    return takers.getInt(m) > 0;
-  }
-
-  /** Machines that hold an image for certain. */
-  public int holders(int image) {
-    Wave w = waves.get(image);
-    return w == null ? 0 : w.holders.size();
+  /**
+   * True while others fetch from the machine: releasing it would send them to the shared source.
+   */
+  public boolean isServing(Machine machine) {
+    return fetchesBySource.getInt(machine) > 0;
   }
 
-  /** Machines that fetch an image. */
-  public int fetching(int image) {
-    Wave w = waves.get(image);
-    return w == null ? 0 : w.fetching.size();
-  }
-
-  /** Fetches from the shared source under way. */
-  public int fromSource() {
-    return fromSource;
+  /** The number of confirmed holders of an image. */
+  public int holderCount(int image) {
+    ImageState state = imageStates.get(image);
+    return state == null ? 0 : state.holders.size();
   }
 
-  /** Images that are told apart. */
-  public int images() {
-    return waves.size();
+  /** The number of fetches from the shared source under way. */
+  public int sharedSourceFetchCount() {
+    return sharedSourceFetches;
   }
 
-  /** How long the oldest fetch of an image has lasted, in ms; 0 without one. */
-  public long oldestMs(int image, long now) {
-    Wave w = waves.get(image);
-    return w == null || w.fetching.isEmpty()
-        ? 0
-        : now - w.fetching.values().stream().mapToLong(f -> f.sinceMs).min().orElse(now);
+  /** The number of images that are tracked. */
+  public int trackedImageCount() {
+    return imageStates.size();
   }
 
-  /** Figures of the term so far: tasks, fetches, those handed on, held back, GB. */
-  public String figures() {
+  /** The term's totals as {@code key=value} pairs of a log line. */
+  public String logFields() {
     return "tasks="
         + tasks
         + " fetches="
-        + begun
+        + fetchesStarted
         + " handed_on="
-        + handed
+        + fetchesFromMachines
         + " held_back="
-        + heldBack
+        + startsHeldBack
         + " gb="
-        + Math.round(gb)
+        + Math.round(fetchedGb)
         + " from_source="
-        + fromSource
+        + sharedSourceFetches
         + " images="
-        + waves.size();
+        + imageStates.size();
   }
 
-  /** Marks the images that are told apart, so that their numbers are not given to others. */
-  public void names(BitSet images) {
-    Arrays.stream(waves.keySet().toIntArray()).forEach(images::set);
+  /** Sets the bits of the tracked images, so that their numbers are not reused for others. */
+  public void markTrackedImages(BitSet images) {
+    Arrays.stream(imageStates.keySet().toIntArray()).forEach(images::set);
   }
 }
--- a/src/main/java/org/mallowroad/core/image/ImageFetchPolicy.java
+++ b/src/main/java/org/mallowroad/core/image/ImageFetchPolicy.java
@@ -3,17 +3,24 @@
 /**
  * The operators' limits on fetches of images.
  *
- * @param source most machines that fetch from the shared source at once; 0: no limit
- * @param machine most images that a machine fetches at once; 0: no limit
- * @param takers most machines that one machine hands an image on to at once; 0: none does
- * @param across most machines of a zone that take an image from another zone before one of their
- *     own holds it
- * @param leastGb smaller images are not worth a thought
+ * @param sharedSourceLimit most machines that fetch from the shared source at once; 0: no limit
+ * @param perMachineLimit most images that one machine fetches at once; 0: no limit
+ * @param perSourceLimit most machines that one holder of an image serves at once; 0: machines do
+ *     not serve images
+ * @param crossZoneLimit most machines of a zone that fetch an image from another zone at once while
+ *     no machine of their own zone holds it
+ * @param minimumGb smaller images are neither tracked nor limited, in GB
  */
-public record ImageFetchPolicy(int source, int machine, int takers, int across, double leastGb) {
+public record ImageFetchPolicy(
+    int sharedSourceLimit,
+    int perMachineLimit,
+    int perSourceLimit,
+    int crossZoneLimit,
+    double minimumGb) {
   /**
-   * No limits; each holder hands on to one taker at a time: at the same rate out as in, that
-   * doubles the holders in the time of a fetch, and two takers only triple them in twice that time.
+   * No limits on fetches; each holder serves one machine at a time. With equal rates in and out
+   * that doubles the holders in the time of one fetch, whereas two at a time only triple them in
+   * twice that time.
    */
   public static ImageFetchPolicy defaults() {
     return new ImageFetchPolicy(0, 0, 1, 2, 1.0);
--- a/src/main/java/org/mallowroad/core/image/package-info.java
+++ b/src/main/java/org/mallowroad/core/image/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Large images that many machines want at once: who holds them for certain, how many fetch at a
- * time, and from whom (docs/weights.md). Decisions only.
+ * Distribution of large images that many machines need at once: which machines are confirmed
+ * holders, how many fetch at a time, and from which source (docs/weights.md). Decisions only; the
+ * workers do the I/O.
  */
 package org.mallowroad.core.image;
--- a/src/test/java/org/mallowroad/config/SettingsTest.java
+++ b/src/test/java/org/mallowroad/config/SettingsTest.java
@@ -126,8 +126,8 @@
     assertEquals(
         LinkPolicy.defaults(), OperatorSettings.load("deploy/links.xml").links().orElseThrow());
     assertTrue(OperatorSettings.defaults().links().isEmpty());
-    assertEquals(16, OperatorSettings.load("deploy/fetch.xml").fetches().source());
-    assertEquals(0, OperatorSettings.defaults().fetches().source());
+    assertEquals(16, OperatorSettings.load("deploy/fetch.xml").fetches().sharedSourceLimit());
+    assertEquals(0, OperatorSettings.defaults().fetches().sharedSourceLimit());
   }
 
   @Test
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -161,7 +161,7 @@
               Job j = w.job(6, 0);
               w.place();
               assertEquals(6, j.liveAttemptCount());
-              assertEquals(6, w.schedulerState.imageDistribution().fromSource());
+              assertEquals(6, w.schedulerState.imageDistribution().sharedSourceFetchCount());
             }),
         stage(
             "a limit of the source holds the others back until one holds the image",
@@ -183,13 +183,13 @@
               w.place();
               // One more from the source, and one that the holder hands on to.
               assertEquals(4, j.liveAttemptCount());
-              assertEquals(2, w.schedulerState.imageDistribution().fromSource());
+              assertEquals(2, w.schedulerState.imageDistribution().sharedSourceFetchCount());
               int handed = 0;
               for (Machine m : busy(w)) {
                 handed += w.imageSources(m).equals(List.of(first.address)) ? 1 : 0;
               }
               assertEquals(1, handed);
-              assertTrue(w.schedulerState.imageDistribution().gives(first));
+              assertTrue(w.schedulerState.imageDistribution().isServing(first));
             }),
         stage(
             "today's workers are told of nobody, and the limit is kept for them as well",
@@ -227,7 +227,7 @@
               assertEquals(List.of(), w.imageSources(c));
               a.interruptionMs = 0;
               w.report(a, null, 2);
-              assertEquals(0, w.schedulerState.imageDistribution().holders(0));
+              assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
               assertEquals(3, j.liveAttemptCount() + j.waitingCount() - 1);
             }),
         stage(
@@ -273,15 +273,15 @@
               w.report(first, Heartbeat.State.RUNNING);
               w.place();
               w.schedulerState.machineDeleted(first, w.now);
-              assertEquals(0, w.schedulerState.imageDistribution().holders(0));
+              assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
               w.schedulerState
                   .machines()
-                  .forEach(m -> assertFalse(w.schedulerState.imageDistribution().gives(m)));
+                  .forEach(m -> assertFalse(w.schedulerState.imageDistribution().isServing(m)));
               for (Machine m : List.copyOf(w.schedulerState.machines())) {
                 w.schedulerState.machineDeleted(m, w.now);
               }
-              assertEquals(0, w.schedulerState.imageDistribution().fromSource());
-              assertEquals(0, w.schedulerState.imageDistribution().images());
+              assertEquals(0, w.schedulerState.imageDistribution().sharedSourceFetchCount());
+              assertEquals(0, w.schedulerState.imageDistribution().trackedImageCount());
             }),
         stage(
             "what later images may have pushed out of a cache is told to nobody",
@@ -292,15 +292,15 @@
               Job j = w.job(1, 0);
               w.place();
               w.report(a, Heartbeat.State.RUNNING);
-              assertEquals(1, w.schedulerState.imageDistribution().holders(0));
+              assertEquals(1, w.schedulerState.imageDistribution().holderCount(0));
               w.schedulerState.cancel(j, w.now);
               w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.STOPPED, w.now);
               w.job(1, 1);
               w.place();
               w.report(a, Heartbeat.State.RUNNING);
               // 40 GB of cache, 20 and 20 in it: the older one is not counted on.
-              assertEquals(0, w.schedulerState.imageDistribution().holders(0));
-              assertEquals(1, w.schedulerState.imageDistribution().holders(1));
+              assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
+              assertEquals(1, w.schedulerState.imageDistribution().holderCount(1));
             }));
   }
 
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -127,11 +127,11 @@
   }
 
   private static void addFetch(ImageFetchPolicy fetch, Map<String, String> values) {
-    put(values, "fetch/source-limit", fetch.source());
-    put(values, "fetch/machine-limit", fetch.machine());
-    put(values, "fetch/takers", fetch.takers());
-    put(values, "fetch/across", fetch.across());
-    put(values, "fetch/least-gb", fetch.leastGb());
+    put(values, "fetch/source-limit", fetch.sharedSourceLimit());
+    put(values, "fetch/machine-limit", fetch.perMachineLimit());
+    put(values, "fetch/takers", fetch.perSourceLimit());
+    put(values, "fetch/across", fetch.crossZoneLimit());
+    put(values, "fetch/least-gb", fetch.minimumGb());
   }
 
   private static void put(Map<String, String> values, String name, Object value) {
