--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -50,10 +50,10 @@
     codec = new JobCodec(teamNames, zones, types, images, classes);
     for (Settings.Objective o : settings.objectives()) {
       switch (o.kind()) {
-        case "finished" -> objectives.finished(classes.intern(o.taskClass()), o.withinS());
-        case "wait" -> objectives.started(classes.intern(o.taskClass()), o.withinS());
-        case "deadline" -> objectives.deadline(classes.intern(o.taskClass()));
-        case "guarantee" -> objectives.guarantee(o.withinS());
+        case "finished" -> objectives.requireCompletion(classes.intern(o.taskClass()), o.withinS());
+        case "wait" -> objectives.requireStart(classes.intern(o.taskClass()), o.withinS());
+        case "deadline" -> objectives.requireDeadline(classes.intern(o.taskClass()));
+        case "guarantee" -> objectives.requireGuaranteedStart(o.withinS());
         default -> {} // Kinds that do not concern starting or finishing.
       }
     }
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -33,7 +33,7 @@
         job.maxAttemptNumber(),
         job.spec.cpus(),
         job.spec.estimateS());
-    attainment.done(job);
+    attainment.recordDone(job);
   }
 
   /** Logs a line for each class and team. */
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -304,7 +304,7 @@
     }
     double fetchS = job.spec.imageGb() / v.type().fetchGbPerS();
     double readyS = (now + v.plannedBootMs() - job.eligibleSinceMs()) / 1000.0 + fetchS;
-    double within = objectives.startWithinS(job.spec, fetchS, job.guaranteed, readyS);
+    double within = objectives.latestStartS(job.spec, fetchS, job.guaranteed, readyS);
     return start
         > (long)
             Math.min(
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -12,44 +12,68 @@
 import org.mallowroad.core.Team;
 
 /**
- * Who is served in a term: of the jobs that should be over by now, how many are, by class and by
- * team, and of the largest jobs of each class, that have to begin within {@link #BEGIN_MS}. A job
- * should be over at one and a half times its deadline or, without one, after {@link #PATIENCE_MS}.
- * Jobs that an earlier leader ended are not known; those that it left open are.
+ * Measures how far the jobs of a leader term attain their service-level objectives: of the jobs
+ * that are due, the share that is done, by class and by team; and of the largest jobs of each
+ * class, the share that started within {@link #START_TARGET_MS}. A job has started once as many of
+ * its tasks are under way or done as may run at once.
+ *
+ * <p>A job is due at one and a half times its deadline or, without one, after {@link
+ * #DEFAULT_DUE_MS}. Jobs that ended under an earlier leader are not counted; jobs that it left open
+ * are.
+ *
+ * <p>Confined to the thread of its leader.
  */
 public final class ObjectiveAttainment {
-  /** How long a job without a deadline may take before it counts as due. */
-  static final long PATIENCE_MS = 300_000;
+  /** Age in ms at which a job without a deadline is due. */
+  static final long DEFAULT_DUE_MS = 300_000;
 
-  /** Classes that are told apart; users make names up, so the rest is counted as one. */
-  private static final int MOST = 64;
+  /** A job with a deadline is due after this multiple of it, in ms for each second. */
+  private static final double DUE_MS_PER_DEADLINE_S = 1_500;
+
+  /**
+   * Most classes, and most teams, that are counted apart. Users choose class names freely, so the
+   * rest is counted together as {@link #OTHERS}.
+   */
+  private static final int MAX_NAMES = 64;
 
   private static final String OTHERS = "others";
 
-  /** What is known of a class or team. */
+  /**
+   * The attainment of one class or team.
+   *
+   * @param kind {@code class}, {@code team}, or {@code largest} for the largest jobs of a class
+   * @param name the class or team
+   * @param done jobs that are done; of the largest ones, those that started in time
+   * @param late open jobs that are overdue; of the largest ones, those that did not start in time
+   * @param open jobs that are open; 0 for the largest ones
+   * @param oldestMs age of the oldest open job in ms; 0 for the largest ones
+   */
   public record Line(String kind, String name, int done, int late, int open, long oldestMs) {
-    /** The part of what was due that is done; 1 where nothing was. */
+    /** The share of the due jobs that is done; 1 where none is due. */
     public double share() {
       return done + late == 0 ? 1 : (double) done / (done + late);
     }
   }
 
-  /** The largest jobs have to begin by then, as the smallest have. */
-  static final long BEGIN_MS = (long) (ServiceLevelObjectives.START_TARGET_S * 1000);
+  /** Age in ms by which every job, the largest ones too, is expected to have started. */
+  static final long START_TARGET_MS = (long) (ServiceLevelObjectives.START_TARGET_S * 1000);
 
-  /** Of a class the newest so many jobs are looked at for the largest of them. */
-  private static final int SIZES = 128;
+  /** Done jobs remembered of each class, the newest ones, to find the largest among them. */
+  private static final int MAX_REMEMBERED_STARTS = 128;
 
-  /** The largest tenth of a class's jobs, at least one, are its largest jobs. */
-  private static final int LARGEST_OF = 10;
+  /** One in this many jobs of a class, and at least one, counts among its largest. */
+  private static final int JOBS_PER_LARGEST = 10;
 
-  /** A job's size, and whether it had begun in time. */
-  private record Begun(int tasks, boolean inTime) {}
+  /** A job's size, and whether it started in time. */
+  private record JobStart(int tasks, boolean inTime) {}
 
-  private static final class Sum {
-    private final ArrayDeque<Begun> begun = new ArrayDeque<>();
+  /** The counts of one class or team. */
+  private static final class Counts {
+    private final ArrayDeque<JobStart> starts = new ArrayDeque<>();
 
     private int done;
+
+    // Recounted in each call of lines().
     private int late;
     private int open;
     private long oldestMs;
@@ -57,105 +81,119 @@
 
   private final NameIndex classes;
   private final List<Team> teams;
-  private final Object2ObjectLinkedOpenHashMap<String, Sum> byClass =
+  private final Object2ObjectLinkedOpenHashMap<String, Counts> byClass =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final Object2ObjectLinkedOpenHashMap<String, Sum> byTeam =
+  private final Object2ObjectLinkedOpenHashMap<String, Counts> byTeam =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** For the names of a site. */
+  /** Creates the empty counts of a leader term for the given classes and teams. */
   public ObjectiveAttainment(NameIndex classes, List<Team> teams) {
     this.classes = classes;
     this.teams = teams;
   }
 
-  private static Sum sum(Object2ObjectLinkedOpenHashMap<String, Sum> of, String name) {
-    Sum s = of.get(name);
-    if (s == null) {
-      String key = of.size() < MOST ? name : OTHERS;
-      s = of.computeIfAbsent(key, k -> new Sum());
+  /** The counts of a name, or of {@link #OTHERS} where there are too many names. */
+  private static Counts countsOf(
+      Object2ObjectLinkedOpenHashMap<String, Counts> countsByName, String name) {
+    Counts counts = countsByName.get(name);
+    if (counts == null) {
+      String key = countsByName.size() < MAX_NAMES ? name : OTHERS;
+      counts = countsByName.computeIfAbsent(key, k -> new Counts());
     }
-    return s;
+    return counts;
   }
 
-  /** A job is done. Services never are: they are served while they run, and not counted. */
-  public void done(Job job) {
-    Sum s = sum(byClass, classes.name(job.spec.taskClass()));
-    s.done++;
+  /** Counts a job that is done. Services never are, and are not counted as due either. */
+  public void recordDone(Job job) {
+    Counts counts = countsOf(byClass, classes.name(job.spec.taskClass()));
+    counts.done++;
     long begunMs = job.begunMs() < 0 ? job.lastStartMs() : job.begunMs();
-    s.begun.addLast(new Begun(job.spec.tasks(), begunMs - job.eligibleSinceMs() <= BEGIN_MS));
-    if (s.begun.size() > SIZES) {
-      s.begun.removeFirst();
+    counts.starts.addLast(
+        new JobStart(job.spec.tasks(), begunMs - job.eligibleSinceMs() <= START_TARGET_MS));
+    if (counts.starts.size() > MAX_REMEMBERED_STARTS) {
+      counts.starts.removeFirst();
     }
-    sum(byTeam, teams.get(job.spec.team()).name).done++;
+    countsOf(byTeam, teams.get(job.spec.team()).name).done++;
   }
 
-  private static long dueMs(JobSpec s) {
-    return s.dueS() > 0 ? (long) (s.dueS() * 1_500) : PATIENCE_MS;
+  /** The age in ms at which a job is due. */
+  private static long dueMs(JobSpec spec) {
+    return spec.dueS() > 0 ? (long) (spec.dueS() * DUE_MS_PER_DEADLINE_S) : DEFAULT_DUE_MS;
   }
 
-  /** A line for each class and team; costs the open jobs. */
+  /**
+   * Returns a line for each class, each team, and the largest jobs of each class. Takes time in
+   * proportion to the open jobs.
+   *
+   * @param open the open jobs of all classes
+   * @param now the time in ms
+   */
   public List<Line> lines(Collection<Job> open, long now) {
-    for (Sum s : byClass.values()) {
-      fresh(s);
-    }
-    for (Sum s : byTeam.values()) {
-      fresh(s);
-    }
-    Object2ObjectLinkedOpenHashMap<String, List<Begun>> due =
+    byClass.values().forEach(ObjectiveAttainment::resetOpen);
+    byTeam.values().forEach(ObjectiveAttainment::resetOpen);
+    Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsDue =
         new Object2ObjectLinkedOpenHashMap<>();
-    byClass.forEach((n, s) -> due.put(n, new ArrayList<>(s.begun)));
-    for (Job j : open) {
-      if (j.isCancelled() || j.isHeld()) {
-        continue; // A held job waits for others by its user's word.
-      }
-      boolean inTime = j.begunMs() >= 0 && j.begunMs() - j.eligibleSinceMs() <= BEGIN_MS;
-      if (inTime || now - j.eligibleSinceMs() > BEGIN_MS) {
-        String name = classes.name(j.spec.taskClass());
-        due.computeIfAbsent(
-                byClass.containsKey(name) || byClass.size() < MOST ? name : OTHERS,
-                k -> new ArrayList<>())
-            .add(new Begun(j.spec.tasks(), inTime));
+    byClass.forEach((name, counts) -> startsDue.put(name, new ArrayList<>(counts.starts)));
+    for (Job job : open) {
+      if (job.isCancelled() || job.isHeld()) {
+        continue; // A held job waits for its dependencies, as its user asked.
       }
-      if (j.spec.service()) {
+      addStart(job, startsDue, now);
+      if (job.spec.service()) {
         continue;
       }
-      long age = now - j.eligibleSinceMs();
-      count(sum(byClass, classes.name(j.spec.taskClass())), age, dueMs(j.spec));
-      count(sum(byTeam, teams.get(j.spec.team()).name), age, dueMs(j.spec));
+      long ageMs = now - job.eligibleSinceMs();
+      addOpen(countsOf(byClass, classes.name(job.spec.taskClass())), ageMs, dueMs(job.spec));
+      addOpen(countsOf(byTeam, teams.get(job.spec.team()).name), ageMs, dueMs(job.spec));
+    }
+    List<Line> lines = new ArrayList<>();
+    byClass.forEach((name, counts) -> lines.add(line("class", name, counts)));
+    byTeam.forEach((name, counts) -> lines.add(line("team", name, counts)));
+    startsDue.forEach((name, starts) -> addLargest(name, starts, lines));
+    return lines;
+  }
+
+  /** Adds an open job to the starts of its class if it has started in time or can no longer. */
+  private void addStart(
+      Job job, Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsDue, long now) {
+    boolean inTime = job.begunMs() >= 0 && job.begunMs() - job.eligibleSinceMs() <= START_TARGET_MS;
+    if (!inTime && now - job.eligibleSinceMs() <= START_TARGET_MS) {
+      return;
     }
-    List<Line> out = new ArrayList<>();
-    byClass.forEach((n, s) -> out.add(line("class", n, s)));
-    byTeam.forEach((n, s) -> out.add(line("team", n, s)));
-    due.forEach((n, all) -> largest(n, all, out));
-    return out;
+    String name = classes.name(job.spec.taskClass());
+    String key = byClass.containsKey(name) || byClass.size() < MAX_NAMES ? name : OTHERS;
+    startsDue
+        .computeIfAbsent(key, k -> new ArrayList<>())
+        .add(new JobStart(job.spec.tasks(), inTime));
   }
 
-  private static void largest(String name, List<Begun> all, List<Line> out) {
-    if (all.isEmpty()) {
+  /** Adds the line of the largest of the given jobs of a class, if there are any. */
+  private static void addLargest(String name, List<JobStart> starts, List<Line> lines) {
+    if (starts.isEmpty()) {
       return;
     }
-    all.sort(Comparator.comparingInt(Begun::tasks).reversed());
-    int n = Math.max(1, all.size() / LARGEST_OF);
+    starts.sort(Comparator.comparingInt(JobStart::tasks).reversed());
+    int largestCount = Math.max(1, starts.size() / JOBS_PER_LARGEST);
     int inTime = 0;
-    for (Begun b : all.subList(0, n)) {
-      inTime += b.inTime ? 1 : 0;
+    for (JobStart start : starts.subList(0, largestCount)) {
+      inTime += start.inTime ? 1 : 0;
     }
-    out.add(new Line("largest", name, inTime, n - inTime, 0, 0));
+    lines.add(new Line("largest", name, inTime, largestCount - inTime, 0, 0));
   }
 
-  private static void fresh(Sum s) {
-    s.late = 0;
-    s.open = 0;
-    s.oldestMs = 0;
+  private static void resetOpen(Counts counts) {
+    counts.late = 0;
+    counts.open = 0;
+    counts.oldestMs = 0;
   }
 
-  private static void count(Sum s, long age, long due) {
-    s.open++;
-    s.late += age > due ? 1 : 0;
-    s.oldestMs = Math.max(s.oldestMs, age);
+  private static void addOpen(Counts counts, long ageMs, long dueMs) {
+    counts.open++;
+    counts.late += ageMs > dueMs ? 1 : 0;
+    counts.oldestMs = Math.max(counts.oldestMs, ageMs);
   }
 
-  private static Line line(String kind, String name, Sum s) {
-    return new Line(kind, name, s.done, s.late, s.open, s.oldestMs);
+  private static Line line(String kind, String name, Counts counts) {
+    return new Line(kind, name, counts.done, counts.late, counts.open, counts.oldestMs);
   }
 }
--- a/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
+++ b/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
@@ -4,7 +4,11 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 import org.mallowroad.core.JobSpec;
 
-/** What users expect of each class of jobs, as the settings say. */
+/**
+ * The service-level objectives of the settings by class of jobs: completion times, start times and
+ * deadlines. Where several are set for one class the strictest counts. Times are in seconds after a
+ * job's submission.
+ */
 public final class ServiceLevelObjectives {
   /**
    * Seconds after its submission by which users expect every job to have started, also the largest
@@ -12,65 +16,79 @@
    */
   public static final double START_TARGET_S = 240;
 
-  /** Estimates are often wrong by half, so a little more is planned for. */
+  /** Run times are planned as this multiple of their estimates, which often are wrong by half. */
   private static final double ESTIMATE_MARGIN = 1.5;
 
-  private final Int2DoubleOpenHashMap finishedS = new Int2DoubleOpenHashMap();
-  private final Int2DoubleOpenHashMap waitS = new Int2DoubleOpenHashMap();
-  private final IntOpenHashSet deadline = new IntOpenHashSet();
-  private double guaranteeS = Double.POSITIVE_INFINITY;
+  /** A job without any objective should be done after this multiple of its estimate ... */
+  private static final double DEFAULT_ESTIMATE_FACTOR = 3;
 
-  /** None. */
+  /** ... and this many seconds. */
+  private static final double DEFAULT_ALLOWANCE_S = 60;
+
+  private final Int2DoubleOpenHashMap completionTargetsS = new Int2DoubleOpenHashMap();
+  private final Int2DoubleOpenHashMap startTargetsS = new Int2DoubleOpenHashMap();
+  private final IntOpenHashSet deadlineClasses = new IntOpenHashSet();
+  private double guaranteedStartTargetS = Double.POSITIVE_INFINITY;
+
+  /** Creates objectives of which none is set. */
   public ServiceLevelObjectives() {
-    finishedS.defaultReturnValue(Double.POSITIVE_INFINITY);
-    waitS.defaultReturnValue(Double.POSITIVE_INFINITY);
+    completionTargetsS.defaultReturnValue(Double.POSITIVE_INFINITY);
+    startTargetsS.defaultReturnValue(Double.POSITIVE_INFINITY);
   }
 
-  /** Jobs of the class are to be done within a time; the shortest one counts. */
-  public void finished(int taskClass, double withinS) {
-    finishedS.put(taskClass, Math.min(finishedS.get(taskClass), withinS));
+  /** Requires jobs of the class to be done within a time. */
+  public void requireCompletion(int taskClass, double withinS) {
+    completionTargetsS.put(taskClass, Math.min(completionTargetsS.get(taskClass), withinS));
   }
 
-  /** Tasks of the class are to start within a time. */
-  public void started(int taskClass, double withinS) {
-    waitS.put(taskClass, Math.min(waitS.get(taskClass), withinS));
+  /** Requires tasks of the class to start within a time. */
+  public void requireStart(int taskClass, double withinS) {
+    startTargetsS.put(taskClass, Math.min(startTargetsS.get(taskClass), withinS));
   }
 
-  /** Jobs of the class are to be done by their deadline. */
-  public void deadline(int taskClass) {
-    deadline.add(taskClass);
+  /** Requires jobs of the class to be done by their own deadlines. */
+  public void requireDeadline(int taskClass) {
+    deadlineClasses.add(taskClass);
   }
 
-  /** Work within a guarantee is to start within a time. */
-  public void guarantee(double withinS) {
-    guaranteeS = Math.min(guaranteeS, withinS);
+  /** Requires work within its team's guaranteed share to start within a time. */
+  public void requireGuaranteedStart(double withinS) {
+    guaranteedStartTargetS = Math.min(guaranteedStartTargetS, withinS);
   }
 
-  /** Seconds after its submission by which a job should be done; never infinite. */
-  public double doneWithinS(JobSpec s) {
-    double due = finishedS.get(s.taskClass());
-    if (deadline.contains(s.taskClass()) && s.dueS() > 0) {
-      due = Math.min(due, s.dueS());
+  /**
+   * Seconds after its submission by which a job should be done: by the objectives, or else by its
+   * own deadline, or else by its estimate. Always finite.
+   */
+  public double completionTargetS(JobSpec spec) {
+    double targetS = completionTargetsS.get(spec.taskClass());
+    if (deadlineClasses.contains(spec.taskClass()) && spec.dueS() > 0) {
+      targetS = Math.min(targetS, spec.dueS());
     }
-    if (due == Double.POSITIVE_INFINITY) {
-      // Nobody said: its own deadline, or some patience beyond the estimate.
-      due = s.dueS() > 0 ? s.dueS() : 3 * s.estimateS() + 60;
+    if (targetS == Double.POSITIVE_INFINITY) {
+      // No objective is set for it.
+      targetS =
+          spec.dueS() > 0
+              ? spec.dueS()
+              : DEFAULT_ESTIMATE_FACTOR * spec.estimateS() + DEFAULT_ALLOWANCE_S;
     }
-    return due;
+    return targetS;
   }
 
   /**
-   * Seconds after its submission by which the last task should start.
+   * Seconds after its submission by which the last task of a job should start, at least 0.
    *
-   * @param readyS when a machine rented now could run it: a wait that is exceeded by then is no
-   *     reason to rent
+   * @param fetchS seconds to fetch its image
+   * @param guaranteed whether the job is within its team's guaranteed share
+   * @param readyS seconds after its submission at which a machine rented now could run it: a start
+   *     objective that is missed by then is no reason to rent
    */
-  public double startWithinS(JobSpec s, double fetchS, boolean guaranteed, double readyS) {
-    double start = doneWithinS(s) - ESTIMATE_MARGIN * s.estimateS() - fetchS;
-    double wait = waitS.get(s.taskClass());
+  public double latestStartS(JobSpec spec, double fetchS, boolean guaranteed, double readyS) {
+    double startS = completionTargetS(spec) - ESTIMATE_MARGIN * spec.estimateS() - fetchS;
+    double startTargetS = startTargetsS.get(spec.taskClass());
     if (guaranteed) {
-      wait = Math.min(wait, guaranteeS);
+      startTargetS = Math.min(startTargetS, guaranteedStartTargetS);
     }
-    return Math.max(0, readyS <= wait ? Math.min(start, wait) : start);
+    return Math.max(0, readyS <= startTargetS ? Math.min(startS, startTargetS) : startS);
   }
 }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -119,12 +119,13 @@
               }
               Machine busy = w.machine("n-1", LARGE, false);
               w.schedulerState.start(w.job("job-1", 1, 32), 0, busy, w.now);
-              w.objectives.finished(0, 400); // Estimated at 60 s, both have time enough.
+              w.objectives.requireCompletion(0, 400); // Estimated at 60 s, both have time enough.
               w.job("job-2", 1, 32);
               assertTrue(w.rents(List.of()).isEmpty());
-              w.objectives.started(0, 3); // A machine that boots in 30 s cannot keep that either.
+              // A machine that boots in 30 s cannot keep that either.
+              w.objectives.requireStart(0, 3);
               assertTrue(w.rents(List.of()).isEmpty());
-              w.objectives.finished(0, 100);
+              w.objectives.requireCompletion(0, 100);
               assertEquals(LARGE, w.rents(List.of()).get(0).variant().type());
             }),
         policy(
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -27,40 +27,40 @@
   void aJobIsDueOnceItShouldBeOverAndCountsUntilItIs() {
     classes.intern("c");
     SchedulerState schedulerState = schedulerState();
-    ObjectiveAttainment served = new ObjectiveAttainment(classes, teams);
+    ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
     Job done = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
     schedulerState.accept(
         JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
-    served.done(done);
+    attainment.recordDone(done);
     schedulerState.jobs().remove(done);
     assertEquals(
         List.of("class c 1.0 1", "team red 1.0 1", "largest c 0.0 0"),
-        lines(served, schedulerState, ObjectiveAttainment.PATIENCE_MS));
+        lines(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS));
     assertEquals(
         List.of("class c 0.5 1", "team red 0.5 1", "largest c 0.0 0"),
-        lines(served, schedulerState, ObjectiveAttainment.PATIENCE_MS + 1));
+        lines(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS + 1));
     schedulerState.cancel(schedulerState.job("job-2"), 0);
     assertEquals(
         List.of("class c 1.0 0", "team red 1.0 0", "largest c 1.0 0"),
-        lines(served, schedulerState, ObjectiveAttainment.PATIENCE_MS + 1));
+        lines(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS + 1));
   }
 
   private static List<String> lines(
-      ObjectiveAttainment served, SchedulerState schedulerState, long now) {
-    return served.lines(schedulerState.jobs(), now).stream()
+      ObjectiveAttainment attainment, SchedulerState schedulerState, long now) {
+    return attainment.lines(schedulerState.jobs(), now).stream()
         .map(l -> l.kind() + " " + l.name() + " " + l.share() + " " + l.open())
         .toList();
   }
 
   @Test
   void namesThatUsersMakeUpAreCountedAsOneBeyondABound() {
-    ObjectiveAttainment served = new ObjectiveAttainment(classes, teams);
+    ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
     SchedulerState schedulerState = schedulerState();
     for (int i = 0; i < 1_000; i++) {
       int c = classes.intern("c" + i);
       JobSpec s = JobSpecs.array("job-" + i, 1, 1).taskClass(c).build();
-      served.done(schedulerState.accept(s, 1, 0, 0));
+      attainment.recordDone(schedulerState.accept(s, 1, 0, 0));
     }
-    assertTrue(served.lines(List.of(), 0).size() <= 131);
+    assertTrue(attainment.lines(List.of(), 0).size() <= 131);
   }
 }
