--- a/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
+++ b/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
@@ -170,14 +170,14 @@
             job.games(),
             blocks.all(),
             j -> jobOutcomes.containsKey(j) ? jobOutcomes.get(j) : service.finalOutcome(j));
-    if (outcome instanceof Claims.Asks asks) {
-      readOutcomes(new ArrayDeque<>(asks.jobs()));
+    if (outcome instanceof Claims.OutcomesNeeded needed) {
+      readOutcomes(new ArrayDeque<>(needed.jobs()));
     } else if (outcome instanceof Claims.Granted granted) {
       commit(granted.blocks());
     } else if (outcome instanceof Claims.Refused refused) {
       abandonAndEnd(AcceptanceResult.Status.REJECTED, refused.reason());
     } else {
-      abandonAndEnd(AcceptanceResult.Status.CONFLICT, ((Claims.Waits) outcome).reason());
+      abandonAndEnd(AcceptanceResult.Status.CONFLICT, ((Claims.Deferred) outcome).reason());
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -296,7 +296,7 @@
           }
         });
     dependencyGates.start();
-    folds.begin();
+    folds.start();
     provisioner.start();
     rentRequests.forEach(
         i -> provisioner.restore(i.key().substring(RecordKeys.RENTALS.length()), i.value()));
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
@@ -29,148 +30,179 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's part of the fold ledger, none of which anybody waits for: gives up claims with which
- * nobody goes on, writes down what is final so that it need not be asked again, and tells which
- * games are nobody's. Walks the blocks a page at a time with what the budget leaves, and rests
- * where there are none; a takeover begins the walk anew.
+ * The leader's background maintenance of the claim records. It abandons claims that no node
+ * continues, records final job outcomes in the blocks so that they need not be looked up again, and
+ * logs which games are unclaimed. No request waits for any of it.
+ *
+ * <p>It passes over the blocks a page at a time, writes with the permits that the write budget has
+ * to spare, and pauses between passes. A new leader begins a new pass.
+ *
+ * <p>Confined to the event loop.
  */
 public final class FoldMaintenance {
   private static final Logger LOG = LoggerFactory.getLogger(FoldMaintenance.class);
 
-  /** Users try a submission for 60 s; then, and some for clocks, nobody goes on with its claim. */
-  static final long STALE_MS = 90_000;
+  /**
+   * Age in ms at which a claim counts as abandoned: users repeat a submission for at most 60 s, and
+   * the rest allows for differences between clocks.
+   */
+  static final long ABANDONED_AFTER_MS = 90_000;
 
-  private static final long SWEEP_MS = 10_000;
-  private static final long PAGE_MS = 1_000;
-  private static final long REST_MS = 30_000;
-  private static final int PAGE = 50;
+  /** Interval between checks for abandoned claims, and age at which a rollback is repeated. */
+  private static final long ABANDON_INTERVAL_MS = 10_000;
 
-  /** Jobs asked about in a page; the others are asked at the next walk. */
-  private static final int MOST_ASKED = 24;
+  /** Interval between pages of a pass. */
+  private static final long PAGE_INTERVAL_MS = 1_000;
 
-  /** Writes that must be there to spare: what is final may be written at any time, or never. */
-  private static final double SPARE = 8;
+  /** Pause between passes, or after a page that could not be read. */
+  private static final long PASS_INTERVAL_MS = 30_000;
 
-  /** Lines about gaps after a walk, and games named in one. */
-  private static final int MOST_LINES = 20;
+  /** Most records read at once. */
+  private static final int PAGE_SIZE = 50;
 
-  private static final int MOST_GAMES = 12;
+  /** Most jobs looked up for one page; the others are looked up in the next pass. */
+  private static final int MAX_LOOKUPS_PER_PAGE = 24;
 
-  /** Leagues whose index is kept; beyond, the one looked at longest ago goes. */
-  static final int MOST_LEAGUES = 256;
+  /** Write permits left to others: final outcomes may be recorded at any time, or never. */
+  private static final double RESERVED_WRITE_PERMITS = 8;
+
+  /** Most log lines about unclaimed games after a pass. */
+  private static final int MAX_LOG_LINES = 20;
+
+  /** Most games named in one log line. */
+  private static final int MAX_GAMES_PER_LINE = 12;
+
+  /** Most leagues whose index is kept; beyond, the least recently updated one goes. */
+  static final int MAX_LEAGUES = 256;
 
   private final EventLoop loop;
   private final KeyValueStore state;
   private final ClaimService claims;
   private final RateLimiter writes;
-  private final int maxOps;
-  private final long version;
+  private final int maxTransactionWrites;
+  private final long leaderKeyVersion;
   private final Object2ObjectLinkedOpenHashMap<String, LeagueIndex> leagues =
       new Object2ObjectLinkedOpenHashMap<>();
-  private String at;
-  private boolean undoing;
+
+  /** The key after which the next page begins; null at the start of a pass. */
+  private String lastKey;
+
+  private boolean abandoning;
   private boolean stopped;
 
+  /**
+   * Creates the maintenance of one leader term.
+   *
+   * @param writes the leader's write budget
+   * @param maxTransactionWrites most writes of one transaction that the state service accepts
+   * @param leaderKeyVersion version of the leader key, which each write requires: a deposed leader
+   *     writes nothing
+   */
   public FoldMaintenance(
       EventLoop loop,
       KeyValueStore state,
       ClaimService claims,
       RateLimiter writes,
-      int maxOps,
-      long version) {
+      int maxTransactionWrites,
+      long leaderKeyVersion) {
     this.loop = loop;
     this.state = state;
     this.claims = claims;
     this.writes = writes;
-    this.maxOps = maxOps;
-    this.version = version;
+    this.maxTransactionWrites = maxTransactionWrites;
+    this.leaderKeyVersion = leaderKeyVersion;
   }
 
-  public void begin() {
-    loop.after(SWEEP_MS, this::sweep);
-    loop.after(PAGE_MS, this::page);
+  /** Starts both periodic tasks. */
+  public void start() {
+    loop.after(ABANDON_INTERVAL_MS, this::abandonClaims);
+    loop.after(PAGE_INTERVAL_MS, this::readNextPage);
   }
 
+  /** Stops at the end of the term; calls under way have no further effect. */
   public void stop() {
     stopped = true;
   }
 
-  /** A league's games as of the newest walk, or null. */
+  /** The index of a league as of the newest pass, or null where none is kept. */
   LeagueIndex league(String name) {
     return leagues.get(name);
   }
 
-  private void sweep() {
+  /** Abandons the first abandoned claim found; one at a time. */
+  private void abandonClaims() {
     if (stopped) {
       return;
     }
-    loop.after(SWEEP_MS, this::sweep);
-    if (undoing) {
+    loop.after(ABANDON_INTERVAL_MS, this::abandonClaims);
+    if (abandoning) {
       return;
     }
     state.listPage(
         RecordKeys.FOLD_INTENTS,
         null,
-        PAGE,
+        PAGE_SIZE,
         (result, items, revision) -> {
           if (!stopped && result == CallResult.OK) {
-            items.stream().filter(i -> stale(i.value())).findFirst().ifPresent(this::undo);
+            items.stream().filter(i -> isAbandoned(i.value())).findFirst().ifPresent(this::abandon);
           }
         });
   }
 
-  private boolean stale(JsonNode v) {
-    long age = loop.wallMs() - v.path("at").asLong();
-    return age > (v.has("undo") ? SWEEP_MS : STALE_MS);
+  private boolean isAbandoned(JsonNode intent) {
+    long ageMs = loop.wallMs() - intent.path("at").asLong();
+    return ageMs > (intent.has("undo") ? ABANDON_INTERVAL_MS : ABANDONED_AFTER_MS);
   }
 
-  private void undo(VersionedValue i) {
+  private void abandon(VersionedValue i) {
     String job = i.key().substring(RecordKeys.FOLD_INTENTS.length());
     try {
-      undoing = true;
+      abandoning = true;
       claims.abandon(
           job,
           i.version(),
           ClaimService.blockKeysOfIntent(i.value()),
           ok -> {
-            undoing = false;
-            LOG.info("event=claim_given_up job={} whole={}", job, ok);
+            abandoning = false;
+            LOG.info("event=claim_abandoned job={} complete={}", job, ok);
           });
     } catch (InvalidMessageException e) {
-      undoing = false;
+      abandoning = false;
       LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
     }
   }
 
-  private void page() {
+  /** Reads the next page of blocks. */
+  private void readNextPage() {
     if (stopped) {
       return;
     }
     state.listPage(
         RecordKeys.FOLD_BLOCKS,
-        at,
-        PAGE,
+        lastKey,
+        PAGE_SIZE,
         (result, items, revision) -> {
           if (stopped) {
             return;
           }
           if (result != CallResult.OK || items.isEmpty()) {
             if (result == CallResult.OK) {
-              at = null;
-              tell();
+              lastKey = null;
+              logUnclaimedGames();
             }
-            loop.after(REST_MS, this::page);
+            loop.after(PASS_INTERVAL_MS, this::readNextPage);
             return;
           }
-          at = items.get(items.size() - 1).key();
-          take(items);
+          lastKey = items.get(items.size() - 1).key();
+          resolveOutcomes(items);
         });
   }
 
-  private void take(List<VersionedValue> items) {
+  /** Looks up the jobs that a page's blocks name, then processes the blocks. */
+  private void resolveOutcomes(List<VersionedValue> items) {
     Map<BlockKey, Block> blocks = new LinkedHashMap<>();
     Map<BlockKey, Long> versions = new HashMap<>();
-    ArrayDeque<String> asks = new ArrayDeque<>();
+    ArrayDeque<String> jobs = new ArrayDeque<>();
     for (VersionedValue i : items) {
       try {
         BlockKey key = RecordKeys.blockOfKey(i.key());
@@ -178,49 +210,54 @@
         blocks.put(key, block);
         versions.put(key, i.version());
         for (Fold f : block.sides().values()) {
-          if (!f.settled() && asks.size() < MOST_ASKED && !asks.contains(f.job())) {
-            asks.add(f.job());
+          if (!f.settled() && jobs.size() < MAX_LOOKUPS_PER_PAGE && !jobs.contains(f.job())) {
+            jobs.add(f.job());
           }
         }
       } catch (InvalidMessageException | NumberFormatException e) {
         LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
       }
     }
-    ask(asks, new HashMap<>(), jobOutcomes -> judged(blocks, versions, jobOutcomes));
+    lookUpOutcomes(
+        jobs, new HashMap<>(), jobOutcomes -> processBlocks(blocks, versions, jobOutcomes));
   }
 
-  private void ask(
+  /** Looks up the outcomes of jobs one after another; those that cannot be read are left out. */
+  private void lookUpOutcomes(
       ArrayDeque<String> jobs,
       Map<String, JobOutcome> jobOutcomes,
-      java.util.function.Consumer<Map<String, JobOutcome>> told) {
-    String j = jobs.poll();
-    if (j == null || stopped) {
-      told.accept(jobOutcomes);
+      Consumer<Map<String, JobOutcome>> onResolved) {
+    String job = jobs.poll();
+    if (job == null || stopped) {
+      onResolved.accept(jobOutcomes);
       return;
     }
     claims.jobOutcome(
-        j,
+        job,
         jobOutcome -> {
-          jobOutcome.ifPresent(outcome -> jobOutcomes.put(j, outcome));
-          ask(jobs, jobOutcomes, told);
+          jobOutcome.ifPresent(outcome -> jobOutcomes.put(job, outcome));
+          lookUpOutcomes(jobs, jobOutcomes, onResolved);
         });
   }
 
-  private void judged(
+  /** Updates the indexes and records final outcomes as far as the write budget allows. */
+  private void processBlocks(
       Map<BlockKey, Block> blocks,
       Map<BlockKey, Long> versions,
       Map<String, JobOutcome> jobOutcomes) {
     if (stopped) {
       return;
     }
-    Transaction transaction = new Transaction().requireVersion(LeaderElection.LEADER, version);
+    Transaction transaction =
+        new Transaction().requireVersion(LeaderElection.LEADER, leaderKeyVersion);
     blocks.forEach(
         (k, b) -> {
-          index(k.league()).take(k.index(), b, jobOutcomes::get);
+          leagueIndex(k.league()).update(k.index(), b, jobOutcomes::get);
           Block settled = Claims.settled(b, jobOutcomes::get);
           if (settled != b
-              && transaction.writes() < maxOps / 2
-              && writes.availablePermits(loop.now()) - transaction.writes() >= SPARE) {
+              && transaction.writes() < maxTransactionWrites / 2
+              && writes.availablePermits(loop.now()) - transaction.writes()
+                  >= RESERVED_WRITE_PERMITS) {
             transaction.requireVersion(RecordKeys.foldBlock(k), versions.get(k));
             if (settled.sides().isEmpty()) {
               transaction.delete(RecordKeys.foldBlock(k));
@@ -229,39 +266,40 @@
             }
           }
         });
-    loop.after(PAGE_MS, this::page);
+    loop.after(PAGE_INTERVAL_MS, this::readNextPage);
     if (transaction.writes() > 0) {
       writes.forceAcquire(transaction.writes(), loop.now());
-      // Whatever comes of it: the next walk sees what is left.
+      // The result does not matter: the next pass finds what is left.
       state.compareAndSwap(transaction, (result, revision, failed) -> {});
     }
   }
 
-  private LeagueIndex index(String league) {
+  /** The league's index, created where there is none. */
+  private LeagueIndex leagueIndex(String league) {
     LeagueIndex i = leagues.getAndMoveToLast(league);
     if (i == null) {
       i = new LeagueIndex();
       leagues.putAndMoveToLast(league, i);
-      if (leagues.size() > MOST_LEAGUES) {
+      if (leagues.size() > MAX_LEAGUES) {
         leagues.removeFirst();
       }
     }
     return i;
   }
 
-  /** Games that are nobody's, a line a league. */
-  private void tell() {
+  /** Logs the unclaimed games, one line for each league. */
+  private void logUnclaimedGames() {
     int lines = 0;
     for (Map.Entry<String, LeagueIndex> e : leagues.entrySet()) {
-      long gaps = e.getValue().gapCount();
-      if (gaps > 0 && lines++ < MOST_LINES) {
-        LongList some = e.getValue().gaps(MOST_GAMES);
+      long unclaimed = e.getValue().unclaimedCount();
+      if (unclaimed > 0 && lines++ < MAX_LOG_LINES) {
+        LongList firstGames = e.getValue().unclaimedGames(MAX_GAMES_PER_LINE);
         LOG.info(
-            "event=gap league={} games={} seen_to={} first={}",
+            "event=games_unclaimed league={} games={} highest={} first={}",
             e.getKey(),
-            gaps,
-            e.getValue().seenTo(),
-            some);
+            unclaimed,
+            e.getValue().highestGame(),
+            firstGames);
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/fold/Block.java
+++ b/src/main/java/org/mallowroad/core/fold/Block.java
@@ -6,12 +6,16 @@
 /** The recorded sides of {@link #GAMES} consecutive games of a league. */
 public final class Block {
   /**
-   * Games a block: with two members a game a block is about 1.3 KB, and a submission of a thousand
-   * consecutive games touches 32 blocks; see docs/folds.md for other sizes.
+   * Games in a block. With two members in each game a block is about 1.3 KB, and a submission of a
+   * thousand consecutive games touches 32 blocks; docs/folds.md compares other sizes.
    */
   public static final int GAMES = 32;
 
-  /** A member's side of a game, by its place in the block. */
+  /**
+   * A member's side of a game.
+   *
+   * @param game index of the game in its block, from 0
+   */
   public record Side(int game, String member) implements Comparable<Side> {
     @Override
     public int compareTo(Side o) {
@@ -28,17 +32,17 @@
     sides.putAll(o.sides);
   }
 
-  /** A copy to be changed. */
+  /** An independent copy. */
   public Block copy() {
     return new Block(this);
   }
 
-  /** All sides in order. */
+  /** All recorded sides, ordered by game and member. */
   public Map<Side, Fold> sides() {
     return sides;
   }
 
-  /** A side, or null. */
+  /** The record of a side, or null. */
   public Fold get(Side s) {
     return sides.get(s);
   }
@@ -52,12 +56,12 @@
     }
   }
 
-  /** The place of a game in its block. */
+  /** The index of a game in its block. */
   public static int place(long number) {
     return (int) (number % GAMES);
   }
 
-  /** The number of a game by its place. */
+  /** The number of a game in its league, by its block and its index there. */
   public static long number(int index, int place) {
     return (long) index * GAMES + place;
   }
--- a/src/main/java/org/mallowroad/core/fold/BlockKey.java
+++ b/src/main/java/org/mallowroad/core/fold/BlockKey.java
@@ -1,6 +1,10 @@
 package org.mallowroad.core.fold;
 
-/** Names a block: consecutive games of a league. */
+/**
+ * Identifies a block of consecutive games of a league; ordered by league, then by index.
+ *
+ * @param index number of the block in its league, from 0
+ */
 public record BlockKey(String league, int index) implements Comparable<BlockKey> {
   @Override
   public int compareTo(BlockKey o) {
--- a/src/main/java/org/mallowroad/core/fold/Claims.java
+++ b/src/main/java/org/mallowroad/core/fold/Claims.java
@@ -8,37 +8,38 @@
 import java.util.function.Function;
 
 /**
- * Whether a job may claim what it wants to fold, by the blocks as they are read and by what has
- * become of the jobs that they name.
+ * Decides whether a job may claim the games that it wants to fold, by the blocks as read and by the
+ * outcomes of the jobs that they name.
  *
- * <p><b>Why this holds whatever happens between reading and writing.</b> The blocks are written
- * under the marks they were read with, so what is decided here is decided about them as they are. A
- * fate enters a decision to grant or to refuse only where it is final (done, cancelled); one that
- * may still change makes the claim wait. So a decision that is right when it is made stays right.
+ * <p><b>Why a decision holds whatever happens between reading and writing.</b> The blocks are
+ * written by compare-and-swap on the versions they were read with, so the decision is about the
+ * blocks as they are. A job's outcome enters a decision to grant or to refuse only where it is
+ * final (done, cancelled); one that may still change defers the claim. So a decision that is right
+ * when it is made stays right.
  */
 public final class Claims {
-  /** What comes of a wish to claim. */
-  public sealed interface Outcome permits Granted, Refused, Waits, Asks {}
+  /** The decision about a claim. */
+  public sealed interface Outcome permits Granted, Refused, Deferred, OutcomesNeeded {}
 
-  /** It may: these blocks are to be written; none when all of it is claimed by this job already. */
+  /** Granted by writing these blocks; none when this job has claimed all of it already. */
   public record Granted(Map<BlockKey, Block> blocks) implements Outcome {}
 
-  /** It never may: a game is folded by another job. */
+  /** Refused for good: another job has folded one of the games. */
   public record Refused(String reason) implements Outcome {}
 
-  /** Not now: another job that is not over has a claim. */
-  public record Waits(String reason) implements Outcome {}
+  /** Not possible now: another job, which is not over, has claimed one of the games. */
+  public record Deferred(String reason) implements Outcome {}
 
-  /** First it must be known what has become of these jobs. */
-  public record Asks(Set<String> jobs) implements Outcome {}
+  /** Undecided until the outcomes of these jobs are known. */
+  public record OutcomesNeeded(Set<String> jobs) implements Outcome {}
 
   private final String job;
   private final Map<BlockKey, Block> read;
   private final Function<String, JobOutcome> jobOutcomes;
   private final Map<BlockKey, Block> changed = new TreeMap<>();
-  private final Set<String> asks = new TreeSet<>();
+  private final Set<String> outcomesNeeded = new TreeSet<>();
   private String refused;
-  private String waits;
+  private String deferred;
 
   private Claims(String job, Map<BlockKey, Block> read, Function<String, JobOutcome> jobOutcomes) {
     this.job = job;
@@ -47,102 +48,103 @@
   }
 
   /**
-   * Decides.
+   * Decides about a job's claim to games.
    *
-   * @param read a block for each game, as it was read; an empty one where there is no record
-   * @param jobOutcomes what is known of a job; null where nobody has asked
+   * @param read the block of each game, as read; an empty one where there is no record
+   * @param jobOutcomes gives the outcome of a job, or null where it has not been looked up
    */
   public static Outcome decide(
       String job,
       List<Game> games,
       Map<BlockKey, Block> read,
       Function<String, JobOutcome> jobOutcomes) {
-    return new Claims(job, read, jobOutcomes).all(games);
+    return new Claims(job, read, jobOutcomes).claimAll(games);
   }
 
-  private Outcome all(List<Game> games) {
-    for (Game g : games) {
-      for (String m : g.members()) {
-        one(g, m);
+  private Outcome claimAll(List<Game> games) {
+    for (Game game : games) {
+      for (String member : game.members()) {
+        claimSide(game, member);
       }
     }
     if (refused != null) {
       return new Refused(refused);
     }
-    if (!asks.isEmpty()) {
-      return new Asks(asks);
+    if (!outcomesNeeded.isEmpty()) {
+      return new OutcomesNeeded(outcomesNeeded);
     }
-    return waits != null ? new Waits(waits) : new Granted(changed);
+    return deferred != null ? new Deferred(deferred) : new Granted(changed);
   }
 
-  private void one(Game g, String member) {
-    Block.Side side = new Block.Side(Block.place(g.number()), member);
-    BlockKey key = g.block();
-    Fold now = changed.getOrDefault(key, read.get(key)).get(side);
-    if (now != null && now.job().equals(job)) {
-      return; // Claimed by an earlier try of the same submission.
+  private void claimSide(Game game, String member) {
+    Block.Side side = new Block.Side(Block.place(game.number()), member);
+    BlockKey key = game.block();
+    Fold current = changed.getOrDefault(key, read.get(key)).get(side);
+    if (current != null && current.job().equals(job)) {
+      return; // Claimed by an earlier attempt of the same submission.
     }
-    if (now != null && !now.settled()) {
-      JobOutcome jobOutcome = jobOutcomes.apply(now.job());
+    if (current != null && !current.settled()) {
+      JobOutcome jobOutcome = jobOutcomes.apply(current.job());
       if (jobOutcome == null) {
-        asks.add(now.job());
+        outcomesNeeded.add(current.job());
         return;
       }
       switch (jobOutcome) {
-        case DONE -> now = now.asSettled();
-        case CANCELLED -> now = now.base();
+        case DONE -> current = current.asSettled();
+        case CANCELLED -> current = current.base();
         default -> {
-          waits = "folds: " + name(g, member) + " is held by " + now.job();
+          deferred = "folds: " + name(game, member) + " is held by " + current.job();
           return;
         }
       }
     }
-    if (now != null && now.revision() >= g.revision()) {
+    if (current != null && current.revision() >= game.revision()) {
       refused =
           "folds: "
-              + name(g, member)
-              + (now.revision() == g.revision()
+              + name(game, member)
+              + (current.revision() == game.revision()
                   ? " is folded by "
-                  : " is folded in revision " + now.revision() + " by ")
-              + now.job();
+                  : " is folded in revision " + current.revision() + " by ")
+              + current.job();
       return;
     }
     changed
         .computeIfAbsent(key, k -> read.get(k).copy())
-        .set(side, new Fold(g.revision(), g.taken(), job, false, now));
+        .set(side, new Fold(game.revision(), game.taken(), job, false, current));
   }
 
-  private static String name(Game g, String member) {
-    return "game " + g.number() + " of " + g.league() + " for " + member;
+  private static String name(Game game, String member) {
+    return "game " + game.number() + " of " + game.league() + " for " + member;
   }
 
   /**
-   * The block without the job's claims, what they would have replaced being back; the same object
-   * when there are none. Only for a job that can never be done any more.
+   * The block without the job's claims, with what they would have replaced restored; the same
+   * object when there are none. Only for a job that can no longer become done.
    */
   public static Block without(Block block, String job) {
-    return rewritten(block, f -> f.job().equals(job) ? JobOutcome.CANCELLED : null);
+    return rewrite(block, fold -> fold.job().equals(job) ? JobOutcome.CANCELLED : null);
   }
 
   /**
-   * The block with all that is final written down: what done jobs claimed is folded, what cancelled
-   * ones claimed is gone; the same object when nothing is. What a side means is not changed by it,
-   * since it follows from final fates alone: so it may be done at any time, by anybody, or never.
+   * The block with all final outcomes recorded: claims of done jobs are folded, those of cancelled
+   * ones are removed; the same object when there are none. This does not change what a side means,
+   * which follows from final outcomes alone: so any node may do it at any time, or never.
    */
   public static Block settled(Block block, Function<String, JobOutcome> jobOutcomes) {
-    return rewritten(block, f -> jobOutcomes.apply(f.job()));
+    return rewrite(block, fold -> jobOutcomes.apply(fold.job()));
   }
 
-  private static Block rewritten(Block block, Function<Fold, JobOutcome> jobOutcomes) {
-    Block out = block;
-    for (Map.Entry<Block.Side, Fold> e : List.copyOf(block.sides().entrySet())) {
-      Fold f = e.getValue();
-      JobOutcome jobOutcome = f.settled() ? null : jobOutcomes.apply(f);
+  private static Block rewrite(Block block, Function<Fold, JobOutcome> jobOutcomes) {
+    Block rewritten = block;
+    for (Map.Entry<Block.Side, Fold> entry : List.copyOf(block.sides().entrySet())) {
+      Fold fold = entry.getValue();
+      JobOutcome jobOutcome = fold.settled() ? null : jobOutcomes.apply(fold);
       if (jobOutcome == JobOutcome.DONE || jobOutcome == JobOutcome.CANCELLED) {
-        out = out == block ? block.copy() : out;
-        out.set(e.getKey(), jobOutcome == JobOutcome.DONE ? f.asSettled() : f.base());
+        rewritten = rewritten == block ? block.copy() : rewritten;
+        rewritten.set(
+            entry.getKey(), jobOutcome == JobOutcome.DONE ? fold.asSettled() : fold.base());
       }
     }
-    return out;
+    return rewritten;
   }
 }
--- a/src/main/java/org/mallowroad/core/fold/Game.java
+++ b/src/main/java/org/mallowroad/core/fold/Game.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * A game as a submission names it: for each of these members, this revision of it is to be folded.
+ * A game as a submission names it: this revision of it is to be folded for each of the members.
  *
  * @param number its number in the league, from 0
- * @param revision 1, and one more with each correction; a correction counts from its revision on
- * @param taken true when this revision takes the game back: it counts in nobody's rating
- * @param members whose ratings it goes into, each once
+ * @param revision 1 for the game itself, and one more with each correction
+ * @param taken true when this revision withdraws the game: it counts in no rating
+ * @param members the members whose ratings the game counts in, each once
  */
 public record Game(String league, long number, long revision, boolean taken, List<String> members) {
-  /** Bounds the list. */
+  /** Copies the list. */
   public Game {
     members = List.copyOf(members);
   }
 
-  /** The block that it is recorded in. */
+  /** The key of the block that records the game. */
   public BlockKey block() {
     return new BlockKey(league, (int) (number / Block.GAMES));
   }
--- a/src/main/java/org/mallowroad/core/fold/JobOutcome.java
+++ b/src/main/java/org/mallowroad/core/fold/JobOutcome.java
@@ -1,13 +1,13 @@
 package org.mallowroad.core.fold;
 
-/** What has become of a job that a side of a game names. */
+/** The outcome of a job that has claimed games, as far as it is known. */
 public enum JobOutcome {
-  /** Its submission is not accepted yet: it may be, or be undone. */
+  /** Its submission may still be accepted, or rolled back. */
   CLAIMING,
-  /** Accepted, not over. */
+  /** Accepted and not over. */
   OPEN,
-  /** Done: what it claims is folded. Final. */
+  /** Done, which is final: the games that it claimed are folded. */
   DONE,
-  /** Cancelled: what it claims is nobody's. Final. */
+  /** Cancelled, which is final: its claims are void. */
   CANCELLED
 }
--- a/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
+++ b/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
@@ -7,15 +7,16 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * What a league's blocks say of its games, kept in memory: bits by game, so that a hundred thousand
- * games are some kilobytes. Nothing is decided by it; it is made from the blocks, and made again.
+ * An in-memory index of the games of one league, built from its blocks: bitmaps by game, so that a
+ * hundred thousand games take some kilobytes. It serves reports only and decides nothing; each pass
+ * over the blocks updates it.
  */
 public final class LeagueIndex {
-  /** How a game stands. */
+  /** The state of a game. */
   public enum Standing {
-    /** Nobody has named it. */
+    /** No submission has named it. */
     MISSING,
-    /** Each side of it that was named is released: nobody's. */
+    /** A side of it that was named is released, and none is claimed. */
     RELEASED,
     /** A side is claimed by a job that is not over. */
     CLAIMED,
@@ -27,8 +28,8 @@
   private final RoaringBitmap claimed = new RoaringBitmap();
   private final RoaringBitmap released = new RoaringBitmap();
 
-  /** Takes a block anew; what is not in it any more and was there before is released. */
-  public void take(int index, Block block, Function<String, JobOutcome> jobOutcomes) {
+  /** Replaces the state of a block's games; a game that is not in it any more is released. */
+  public void update(int index, Block block, Function<String, JobOutcome> jobOutcomes) {
     int from = index * Block.GAMES;
     RoaringBitmap before = new RoaringBitmap();
     before.add((long) from, (long) from + Block.GAMES);
@@ -59,7 +60,7 @@
   }
 
   /** The highest game that was ever named, or -1. */
-  public long seenTo() {
+  public long highestGame() {
     long top = -1;
     for (RoaringBitmap b : new RoaringBitmap[] {folded, claimed, released}) {
       top = b.isEmpty() ? top : Math.max(top, b.last());
@@ -67,7 +68,7 @@
     return top;
   }
 
-  /** How a game stands. */
+  /** The state of a game. */
   public Standing standing(long game) {
     int g = (int) game;
     if (claimed.contains(g)) {
@@ -79,11 +80,13 @@
     return folded.contains(g) ? Standing.FOLDED : Standing.MISSING;
   }
 
-  /** Games below the highest that nobody has, the first {@code most} of them. */
-  public LongList gaps(int most) {
+  /**
+   * The first games, at most {@code most}, below the highest that are neither claimed nor folded.
+   */
+  public LongList unclaimedGames(int most) {
     LongList out = new LongArrayList();
     RoaringBitmap held = RoaringBitmap.or(folded, claimed);
-    long top = seenTo();
+    long top = highestGame();
     for (long g = held.isEmpty() ? 0 : held.nextAbsentValue(0);
         g >= 0 && g <= top && out.size() < most;
         g = held.nextAbsentValue((int) g + 1)) {
@@ -92,18 +95,13 @@
     return out;
   }
 
-  /** How many games are folded. */
-  public int folded() {
-    return folded.getCardinality();
+  /** The number of games below the highest that are neither claimed nor folded. */
+  public long unclaimedCount() {
+    return highestGame() + 1 - RoaringBitmap.or(folded, claimed).getCardinality();
   }
 
-  /** How many games below the highest nobody has. */
-  public long gapCount() {
-    return seenTo() + 1 - RoaringBitmap.or(folded, claimed).getCardinality();
-  }
-
-  /** Bytes that it takes, about. */
-  public long bytes() {
+  /** Approximate size of the bitmaps in bytes. */
+  public long sizeInBytes() {
     return folded.getLongSizeInBytes()
         + claimed.getLongSizeInBytes()
         + released.getLongSizeInBytes();
--- a/src/main/java/org/mallowroad/core/fold/Ranges.java
+++ b/src/main/java/org/mallowroad/core/fold/Ranges.java
@@ -7,12 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * Sets of block numbers as short text, such as {@code 3-9,12}: records name them by the hundred.
+ * Encodes sets of block numbers as short text, such as {@code 3-9,12}, since one record may name
+ * hundreds of them.
  */
 public final class Ranges {
   private Ranges() {}
 
-  /** As text; the numbers must rise. */
+  /** Encodes numbers, which must be in ascending order. */
   public static String text(IntList numbers) {
     StringBuilder b = new StringBuilder();
     for (int i = 0; i < numbers.size(); ) {
@@ -29,7 +30,12 @@
     return b.toString();
   }
 
-  /** The numbers of a text; {@link IllegalArgumentException} where it is none, or names more. */
+  /**
+   * Decodes numbers.
+   *
+   * @param most most numbers that the text may name
+   * @throws IllegalArgumentException if the text is malformed or names too many numbers
+   */
   public static IntList numbers(String text, int most) {
     IntList out = new IntArrayList();
     for (String part : text.split(",")) {
@@ -46,7 +52,7 @@
     return out;
   }
 
-  /** Blocks by league, as records have them. */
+  /** Block numbers by league, in ascending order and without duplicates. */
   public static Map<String, IntList> byLeague(Collection<BlockKey> keys) {
     Map<String, IntList> out = new TreeMap<>();
     keys.stream()
--- a/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
@@ -59,14 +59,14 @@
         row("nobody's", null, 1, null, "1 over 0"),
         row("nobody's, claimed by a correction first", null, 2, null, "2 over 0"),
         row("its own claim of an earlier try", by("job-1", 1, false, null), 1, null, "granted"),
-        row("held", by("job-2", 1, false, null), 1, JobOutcome.OPEN, "Waits"),
+        row("held", by("job-2", 1, false, null), 1, JobOutcome.OPEN, "Deferred"),
         row(
             "held by a claim that is not accepted",
             by("job-2", 1, false, null),
             1,
             JobOutcome.CLAIMING,
-            "Waits"),
-        row("nobody knows of whom", by("job-2", 1, false, null), 1, null, "Asks"),
+            "Deferred"),
+        row("nobody knows of whom", by("job-2", 1, false, null), 1, null, "OutcomesNeeded"),
         row(
             "folded, not written down yet",
             by("job-2", 1, false, null),
@@ -89,7 +89,7 @@
             1,
             JobOutcome.CANCELLED,
             "Refused"),
-        row("a correction held", by("job-3", 2, false, folded), 3, JobOutcome.OPEN, "Waits"),
+        row("a correction held", by("job-3", 2, false, folded), 3, JobOutcome.OPEN, "Deferred"),
         row(
             "a correction done, not written down yet",
             by("job-3", 2, false, folded),
@@ -142,21 +142,21 @@
     b.set(new Block.Side(3, "a"), by("job-3", 1, false, null));
     Map<String, JobOutcome> jobOutcomes =
         new HashMap<>(Map.of("job-2", JobOutcome.OPEN, "job-3", JobOutcome.CANCELLED));
-    i.take(0, b, jobOutcomes::get);
-    assertEquals(3, i.seenTo());
-    assertEquals(List.of(1L, 3L), i.gaps(9));
-    assertEquals(2, i.gapCount());
+    i.update(0, b, jobOutcomes::get);
+    assertEquals(3, i.highestGame());
+    assertEquals(List.of(1L, 3L), i.unclaimedGames(9));
+    assertEquals(2, i.unclaimedCount());
     assertEquals(LeagueIndex.Standing.RELEASED, i.standing(3));
     assertEquals(LeagueIndex.Standing.MISSING, i.standing(1));
     // Written down, the cancelled side is gone from the block, and known as released even so.
-    i.take(0, Claims.settled(b, jobOutcomes::get), jobOutcomes::get);
-    assertEquals(List.of(1L, 3L), i.gaps(9));
+    i.update(0, Claims.settled(b, jobOutcomes::get), jobOutcomes::get);
+    assertEquals(List.of(1L, 3L), i.unclaimedGames(9));
     Block far = new Block();
     far.set(new Block.Side(31, "a"), by("job-1", 1, true, null));
-    i.take(3, far, jobOutcomes::get);
-    assertEquals(127, i.seenTo());
-    assertEquals(List.of(1L), i.gaps(1));
-    assertTrue(i.bytes() < 400, "bytes " + i.bytes());
+    i.update(3, far, jobOutcomes::get);
+    assertEquals(127, i.highestGame());
+    assertEquals(List.of(1L), i.unclaimedGames(1));
+    assertTrue(i.sizeInBytes() < 400, "bytes " + i.sizeInBytes());
   }
 
   @Property(tries = 200)
