--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -156,17 +156,17 @@
     List<PendingMachines> pending = pendingMachines(now);
     List<Job> waiting = listener.waitingJobs();
     List<ScaleOutRequest> requests =
-        autoscaler.rents(waiting, pending, services.machineTypes().machineTypes(), now);
+        autoscaler.scaleOut(waiting, pending, services.machineTypes().machineTypes(), now);
     logGangChanges();
     rentals.submit(requests, now);
-    for (Machine machine : autoscaler.returns(!waiting.isEmpty(), now)) {
+    for (Machine machine : autoscaler.scaleIn(!waiting.isEmpty(), now)) {
       LOG.info("event=scale_in machine={} idle_ms={}", machine.name, now - machine.idleSinceMs);
       machine.deleting = true;
     }
   }
 
   private void logGangChanges() {
-    for (GangReservations.Change change : schedulerState.gangReservations().changes()) {
+    for (GangReservations.Change change : schedulerState.gangReservations().drainChanges()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
           change.what().name().toLowerCase(Locale.ROOT),
@@ -211,12 +211,14 @@
     @Override
     public void answered(MachineVariant variant, int machines, boolean isShort) {
       if (!isShort) {
-        autoscaler.granted(variant);
+        autoscaler.recordGrant(variant);
         return;
       }
       long now = loop.now();
-      autoscaler.refused(variant, now);
-      schedulerState.gangReservations().refused(variant, rentedMachines(variant) + machines, now);
+      autoscaler.recordRefusal(variant, now);
+      schedulerState
+          .gangReservations()
+          .recordRefusal(variant, rentedMachines(variant) + machines, now);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -413,7 +413,7 @@
   public void machineDeleted(Machine machine, long now) {
     attempts.resolveAll(machine, now);
     machines.delete(machine);
-    gangReservations.gone(machine);
+    gangReservations.removeMachine(machine);
     imageDistribution.removeMachine(machine);
     health.remove(machine.health);
     costAccounting.machineDeleted(machine, now);
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -61,17 +61,17 @@
   }
 
   /** Tasks forecast so far. */
-  public long forecasts() {
+  public long tasksForecast() {
     return tasksForecast;
   }
 
   /** Machines looked at so far: the cost of the forecasts. */
-  public long looked() {
+  public long machinesScanned() {
     return machinesScanned;
   }
 
   /** The cloud had none, or fewer than asked: other variants are tried for a while. */
-  public void refused(MachineVariant v, long now) {
+  public void recordRefusal(MachineVariant v, long now) {
     refusals.recordRefusal(v, now);
   }
 
@@ -87,10 +87,10 @@
    * starts in minutes; what an array of 100,000 has beyond that rents nothing more, and forecasting
    * it held the loop up for over a second (docs/incidents, huge-array).
    */
-  public static final int MOST_FORECAST = 16_000;
+  public static final int MAX_FORECAST_TASKS = 16_000;
 
   /** The cloud gave all that was asked for: there may be more. */
-  public void granted(MachineVariant v) {
+  public void recordGrant(MachineVariant v) {
     refusals.recordGrant(v);
   }
 
@@ -108,7 +108,7 @@
    * would be sooner, is one rented for it. So work that can wait for room does not rent dear
    * machines.
    */
-  public List<ScaleOutRequest> rents(
+  public List<ScaleOutRequest> scaleOut(
       List<Job> all, List<PendingMachines> every, List<MachineType> types, long now) {
     // Gangs gather by themselves (core.gang): in the averages and the forecasts their tasks would
     // rent one machine after the other, in each zone, and none of them would wait for the others.
@@ -123,7 +123,7 @@
       }
     }
     List<ScaleOutRequest> rents =
-        new ArrayList<>(schedulerState.gangReservations().rents(every, types, now));
+        new ArrayList<>(schedulerState.gangReservations().scaleOut(every, types, now));
     for (Object2IntMap.Entry<MachineVariant> e : added.object2IntEntrySet()) {
       for (int left = e.getIntValue(); left > 0; left -= ScaleOutRequest.MAX_MACHINES) {
         rents.add(new ScaleOutRequest(e.getKey(), Math.min(ScaleOutRequest.MAX_MACHINES, left)));
@@ -192,7 +192,7 @@
                 Math.max(now + MIN_REMAINING_BOOT_MS, c.sinceMs() + c.variant().plannedBootMs())));
       }
     }
-    int most = MOST_FORECAST;
+    int most = MAX_FORECAST_TASKS;
     for (int i = 0; i < counts.length && most > 0; i++) {
       if (counts[i] == 0) {
         continue;
@@ -400,7 +400,7 @@
   }
 
   /** Empty machines to be returned now, dearest first, as far as the headroom test allows. */
-  public List<Machine> returns(boolean anyWaiting, long now) {
+  public List<Machine> scaleIn(boolean anyWaiting, long now) {
     return scaleInPlanner.machinesToReturn(anyWaiting, now);
   }
 }
--- a/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
+++ b/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
@@ -4,46 +4,50 @@
 import org.mallowroad.core.Machine;
 
 /**
- * How often the cloud takes spot machines, by what was seen in this term: notices against the hours
- * that such machines were there. A gang's tasks run only together, so the loss of one repeats all.
+ * Estimates how often the cloud interrupts a spot machine: interruption notices in this term over
+ * machine hours. The tasks of a gang run only together, so the loss of one machine restarts all.
  */
 final class SpotInterruptionRate {
-  /** Before anything is seen: one loss in so many hours of a machine. */
+  /** The prior: one interruption in this many machine hours, before anything is observed. */
   private static final double PRIOR_HOURS = 1;
 
-  /** Machines are counted no more often than this. */
-  private static final long EVERY_MS = 1_000;
+  /** The shortest time between two observations. */
+  private static final long MIN_INTERVAL_MS = 1_000;
 
-  /** No estimate of repeats goes beyond this: it is a guess, and capacity has its say. */
-  private static final double MOST = 20;
+  /** Upper bound of {@link #expectedRuns}, since the rate is a rough estimate. */
+  private static final double MAX_RUNS = 20;
 
-  private double hours;
-  private long taken;
-  private long lastMs = Long.MIN_VALUE;
+  private double machineHours;
+  private long interruptions;
+  private long lastObservedMs = Long.MIN_VALUE;
 
-  /** Counts what is there now, and the notices that came since the last time. */
-  void watch(Collection<Machine> machines, long now) {
-    if (lastMs != Long.MIN_VALUE && now - lastMs < EVERY_MS) {
+  /** Adds the machine hours and the interruption notices since the last observation. */
+  void observe(Collection<Machine> machines, long now) {
+    if (lastObservedMs != Long.MIN_VALUE && now - lastObservedMs < MIN_INTERVAL_MS) {
       return;
     }
-    double h = lastMs == Long.MIN_VALUE ? 0 : (now - lastMs) / 3_600_000.0;
-    for (Machine m : machines) {
-      if (m.spot && !m.failed) {
-        hours += h;
-        // A notice counts once: in the turn in which it is first seen.
-        taken += m.interruptionNoticeMs > lastMs && m.interruptionNoticeMs <= now ? 1 : 0;
+    double elapsedHours =
+        lastObservedMs == Long.MIN_VALUE ? 0 : (now - lastObservedMs) / 3_600_000.0;
+    for (Machine machine : machines) {
+      if (machine.spot && !machine.failed) {
+        machineHours += elapsedHours;
+        // A notice counts once, in the observation that first sees it.
+        interruptions +=
+            machine.interruptionNoticeMs > lastObservedMs && machine.interruptionNoticeMs <= now
+                ? 1
+                : 0;
       }
     }
-    lastMs = now;
+    lastObservedMs = now;
   }
 
-  /** Losses of one machine in an hour. */
+  /** Interruptions of one machine an hour. */
   double perHour() {
-    return (taken + 1) / (hours + PRIOR_HOURS);
+    return (interruptions + 1) / (machineHours + PRIOR_HOURS);
   }
 
-  /** How often a run on so many spot machines is begun, on average, until one is whole. */
-  double repeats(int machines, double runS) {
-    return Math.min(MOST, Math.exp(machines * perHour() * runS / 3_600));
+  /** How many times a run on this many spot machines starts, on average, until one completes. */
+  double expectedRuns(int machines, double runS) {
+    return Math.min(MAX_RUNS, Math.exp(machines * perHour() * runS / 3_600));
   }
 }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -200,9 +200,9 @@
               w.placement.placeTasks(w.now);
               w.commit();
               int jobs = w.placement.queue(w.now).size();
-              w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
+              w.fleet.scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
               assertTrue(jobs >= 4, "jobs that wait: " + jobs);
-              assertEquals(Autoscaler.MOST_FORECAST, w.fleet.forecasts());
+              assertEquals(Autoscaler.MAX_FORECAST_TASKS, w.fleet.tasksForecast());
             }),
         scale(
             "a forecast looks at the fleet once a job, not once a task",
@@ -213,12 +213,12 @@
               int rented =
                   w
                       .fleet
-                      .rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
+                      .scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
                       .stream()
                       .mapToInt(ScaleOutRequest::count)
                       .sum();
               assertEquals(AutoscalerPolicy.defaults().step(), rented);
-              atMost((MACHINES + rented) * 2L * JOBS, w.fleet.looked());
+              atMost((MACHINES + rented) * 2L * JOBS, w.fleet.machinesScanned());
             }),
         scale(
             "rents come in calls that the cloud takes",
@@ -227,7 +227,7 @@
               w.placement.placeTasks(w.now);
               w.jobs(3);
               for (ScaleOutRequest r :
-                  w.fleet.rents(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
+                  w.fleet.scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
                 atMost(50, r.count());
               }
             }),
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -62,7 +62,7 @@
     }
 
     List<ScaleOutRequest> rents(List<PendingMachines> coming) {
-      return fleet.rents(placement.queue(now), coming, TYPES, now);
+      return fleet.scaleOut(placement.queue(now), coming, TYPES, now);
     }
   }
 
@@ -96,8 +96,8 @@
             "a refused variant is left out for a while, its next cheapest is taken",
             w -> {
               w.job("job-1", 1, 4);
-              w.fleet.refused(new MachineVariant(SMALL, 0, true), w.now);
-              w.fleet.refused(new MachineVariant(SMALL, 1, true), w.now);
+              w.fleet.recordRefusal(new MachineVariant(SMALL, 0, true), w.now);
+              w.fleet.recordRefusal(new MachineVariant(SMALL, 1, true), w.now);
               assertEquals(
                   new MachineVariant(SMALL, 0, false), w.rents(List.of()).get(0).variant());
             }),
@@ -115,7 +115,7 @@
             "work that can wait for room rents nothing, urgent work does",
             w -> {
               for (int z = 0; z < 2; z++) {
-                w.fleet.refused(new MachineVariant(LARGE, z, true), w.now);
+                w.fleet.recordRefusal(new MachineVariant(LARGE, z, true), w.now);
               }
               Machine busy = w.machine("n-1", LARGE, false);
               w.schedulerState.start(w.job("job-1", 1, 32), 0, busy, w.now);
@@ -151,17 +151,17 @@
             narrow -> {
               TestCluster w = new TestCluster(1_000);
               MachineVariant v = new MachineVariant(SMALL, 0, true);
-              w.fleet.refused(v, w.now);
+              w.fleet.recordRefusal(v, w.now);
               w.now += 20_000;
               for (int z = 0; z < 2; z++) {
-                w.fleet.refused(new MachineVariant(LARGE, z, true), w.now);
-                w.fleet.refused(new MachineVariant(LARGE, z, false), w.now);
-                w.fleet.refused(new MachineVariant(SMALL, z, false), w.now);
+                w.fleet.recordRefusal(new MachineVariant(LARGE, z, true), w.now);
+                w.fleet.recordRefusal(new MachineVariant(LARGE, z, false), w.now);
+                w.fleet.recordRefusal(new MachineVariant(SMALL, z, false), w.now);
               }
-              w.fleet.refused(new MachineVariant(SMALL, 1, true), w.now);
+              w.fleet.recordRefusal(new MachineVariant(SMALL, 1, true), w.now);
               w.job("job-1", 200, 4);
               assertEquals(List.of(new ScaleOutRequest(v, 50)), w.rents(List.of()));
-              w.fleet.granted(v);
+              w.fleet.recordGrant(v);
               assertEquals(200, w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
             }),
         policy(
@@ -171,7 +171,7 @@
                 w.machine("n-" + i, SMALL, true);
               }
               w.now += 5_000;
-              assertEquals(200 - 16, w.fleet.returns(false, w.now).size());
+              assertEquals(200 - 16, w.fleet.scaleIn(false, w.now).size());
             }),
         policy(
             "tasks beyond their team's limit rent nothing",
@@ -187,10 +187,10 @@
               w.machine("n-1", SMALL, true);
               Machine large = w.machine("n-2", LARGE, false);
               w.now += 60_000;
-              assertEquals(List.of(), w.fleet.returns(false, w.now)); // Not heard for too long.
+              assertEquals(List.of(), w.fleet.scaleIn(false, w.now)); // Not heard for too long.
               w.machine("n-1", SMALL, true);
               w.machine("n-2", LARGE, false);
-              List<Machine> back = w.fleet.returns(false, w.now);
+              List<Machine> back = w.fleet.scaleIn(false, w.now);
               assertEquals(large, back.get(0));
             }),
         policy(
@@ -203,7 +203,7 @@
               w.now += 60_000;
               w.machine("n-1", SMALL, true);
               w.machine("n-2", SMALL, true);
-              assertEquals(List.of(), w.fleet.returns(false, w.now));
+              assertEquals(List.of(), w.fleet.scaleIn(false, w.now));
               assertTrue(idle.isUsable());
             }));
   }
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -71,7 +71,7 @@
 
     List<ScaleOutRequest> cycle() {
       placement.placeTasks(now);
-      List<ScaleOutRequest> r = fleet.rents(placement.queue(now), coming, TYPES, now);
+      List<ScaleOutRequest> r = fleet.scaleOut(placement.queue(now), coming, TYPES, now);
       now += 2_000;
       return r;
     }
@@ -85,7 +85,7 @@
     /** The cloud answers a rent with some machines, which are up at once; the rest it refuses. */
     void give(ScaleOutRequest r, int some) {
       if (some < r.count()) {
-        schedulerState.gangReservations().refused(r.variant(), some, now);
+        schedulerState.gangReservations().recordRefusal(r.variant(), some, now);
       }
       for (int i = 0; i < some; i++) {
         machine(r.variant().zone());
@@ -99,7 +99,7 @@
           int count = zone == 0 && !spot ? there : 0;
           schedulerState
               .gangReservations()
-              .refused(new MachineVariant(BOX, zone, spot), count, now);
+              .recordRefusal(new MachineVariant(BOX, zone, spot), count, now);
         }
       }
     }
@@ -221,7 +221,7 @@
               for (int i = 0; i < 300; i++) {
                 for (ScaleOutRequest r : w.cycle()) {
                   rented += r.count();
-                  w.schedulerState.gangReservations().refused(r.variant(), 5, w.now);
+                  w.schedulerState.gangReservations().recordRefusal(r.variant(), 5, w.now);
                 }
               }
               // Ten minutes: a gathering asks for 84 at most, and the pause doubles each time.
@@ -236,16 +236,16 @@
               }
               w.schedulerState
                   .gangReservations()
-                  .refused(new MachineVariant(BOX, 0, true), 10, w.now);
+                  .recordRefusal(new MachineVariant(BOX, 0, true), 10, w.now);
               w.schedulerState
                   .gangReservations()
-                  .refused(new MachineVariant(BOX, 0, false), 10, w.now);
+                  .recordRefusal(new MachineVariant(BOX, 0, false), 10, w.now);
               w.schedulerState
                   .gangReservations()
-                  .refused(new MachineVariant(BOX, 1, true), 0, w.now);
+                  .recordRefusal(new MachineVariant(BOX, 1, true), 0, w.now);
               w.schedulerState
                   .gangReservations()
-                  .refused(new MachineVariant(BOX, 1, false), 0, w.now);
+                  .recordRefusal(new MachineVariant(BOX, 1, false), 0, w.now);
               Job one = w.gang("job-1", 7);
               Job two = w.gang("job-2", 7);
               w.begin();
@@ -265,10 +265,10 @@
               for (int z = 0; z < 2; z++) {
                 w.schedulerState
                     .gangReservations()
-                    .refused(new MachineVariant(BOX, z, true), 2, w.now);
+                    .recordRefusal(new MachineVariant(BOX, z, true), 2, w.now);
                 w.schedulerState
                     .gangReservations()
-                    .refused(new MachineVariant(BOX, z, false), 2, w.now);
+                    .recordRefusal(new MachineVariant(BOX, z, false), 2, w.now);
               }
               Job equal =
                   w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
@@ -303,7 +303,7 @@
               assertEquals(1, w.held(again));
               w.coming.add(
                   new PendingMachines(new MachineVariant(BOX, 0, true), 2, w.now, "job-2"));
-              w.now += GangReservations.MOST_MS + 1_000;
+              w.now += GangReservations.MAX_RESERVATION_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
               GangReservations.State s = w.schedulerState.gangReservations().state(again, w.now);
