--- a/src/test/java/org/mallowroad/cli/CommandRuns.java
+++ b/src/test/java/org/mallowroad/cli/CommandRuns.java
@@ -6,9 +6,13 @@
 import java.io.StringWriter;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
 import picocli.CommandLine;
 import picocli.CommandLine.Help.Ansi;
+import picocli.CommandLine.Model.OptionSpec;
 
 /** Runs commands inside the process, for tests of other packages. */
 public final class CommandRuns {
@@ -53,6 +57,21 @@
     command.getSubcommands().values().forEach(sub -> addHelp(sub, texts));
   }
 
+  /** The names and value labels of all options of all commands, hidden ones included. */
+  public static Set<String> optionNames() {
+    Set<String> names = new TreeSet<>();
+    addOptionNames(commandLine(), names);
+    return names;
+  }
+
+  private static void addOptionNames(CommandLine command, Set<String> names) {
+    for (OptionSpec option : command.getCommandSpec().options()) {
+      names.addAll(List.of(option.names()));
+      names.add(option.paramLabel());
+    }
+    command.getSubcommands().values().forEach(sub -> addOptionNames(sub, names));
+  }
+
   private static CommandLine commandLine() {
     CommandLine line = Main.line(false);
     line.setColorScheme(CommandLine.Help.defaultColorScheme(Ansi.OFF));
