--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -138,7 +138,7 @@
       return "unknown team";
     }
     Team team = newTeams().get(s.team());
-    if (!team.couldEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
+    if (!team.canEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
       return "more than the team's limit";
     }
     for (MachineType t : machineTypes) {
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -35,7 +35,7 @@
     int waiting = 0;
     int live = 0;
     for (Job j : schedulerState.jobs()) {
-      waiting += j.waitingCount();
+      waiting += j.pendingTaskCount();
       live += j.liveAttemptCount();
     }
     LoadStatistics load = context.load();
@@ -61,18 +61,20 @@
   }
 
   private void logCosts() {
-    for (CostAccounting.Line l :
-        schedulerState.costAccounting().lines(schedulerState.machines(), context.loop().now())) {
+    for (CostAccounting.MachineTypeCosts l :
+        schedulerState
+            .costAccounting()
+            .costsByMachineType(schedulerState.machines(), context.loop().now())) {
       LOG.info(
           "event=machine_cost type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
           l.type(),
           l.spot(),
-          l.machinesGone(),
+          l.deletedMachines(),
           toThousandths(l.boot()),
           toThousandths(l.idle()),
           toThousandths(l.starting()),
-          toThousandths(l.useful()),
-          toThousandths(l.lost()));
+          toThousandths(l.completedWork()),
+          toThousandths(l.lostWork()));
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -242,7 +242,7 @@
     @Override
     public JobProgress progress(String id) {
       Job job = leadership.isLeading() ? leadership.leader().job(id) : null;
-      return job == null ? null : new JobProgress(job.doneCount(), job.runningCount());
+      return job == null ? null : new JobProgress(job.doneTaskCount(), job.runningCount());
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -28,7 +28,7 @@
         job.spec.priority(),
         job.spec.tasks(),
         (now - job.submittedMs()) / 1000,
-        (long) job.spec.dueS(),
+        (long) job.spec.deadlineS(),
         (job.lastStartMs() - job.submittedMs()) / 1000,
         job.maxAttemptNumber(),
         job.spec.cpus(),
--- a/src/main/java/org/mallowroad/core/AttemptTracker.java
+++ b/src/main/java/org/mallowroad/core/AttemptTracker.java
@@ -107,9 +107,10 @@
         attempt,
         machine.hasImage(job.spec.image()),
         source -> admission.canServeImages(source, now));
-    int underWay = job.liveAttemptCount + job.doneCount();
-    if (job.begunMs < 0 && underWay >= admission.team(job.spec).maxConcurrentTasks(job.spec)) {
-      job.begunMs = now;
+    int underWay = job.liveAttemptCount + job.doneTaskCount();
+    if (job.fullyPlacedMs < 0
+        && underWay >= admission.team(job.spec).maxConcurrentTasks(job.spec)) {
+      job.fullyPlacedMs = now;
     }
     pendingWrites.addUncommittedStart(job.attemptRecordOf(task), now);
     return attempt;
--- a/src/main/java/org/mallowroad/core/CostAccounting.java
+++ b/src/main/java/org/mallowroad/core/CostAccounting.java
@@ -36,18 +36,18 @@
   }
 
   /** What was spent on a kind of machines so far, those that there are included. */
-  public record Line(
+  public record MachineTypeCosts(
       String type,
       boolean spot,
-      int machinesGone,
+      int deletedMachines,
       double boot,
       double idle,
       double starting,
-      double useful,
-      double lost) {}
+      double completedWork,
+      double lostWork) {}
 
   /** A line for each kind that was used; what runs is neither idle nor anything else yet. */
-  public List<Line> lines(Collection<Machine> machines, long now) {
+  public List<MachineTypeCosts> costsByMachineType(Collection<Machine> machines, long now) {
     Reference2DoubleOpenHashMap<Kind> living = new Reference2DoubleOpenHashMap<>();
     for (Machine m : machines) {
       double sum = cost(m, 1, now - m.firstSeenMs);
@@ -56,10 +56,12 @@
       }
       living.addTo(kind(m.type, m.spot), sum);
     }
-    List<Line> lines = new ArrayList<>();
+    List<MachineTypeCosts> lines = new ArrayList<>();
     for (Kind k : kinds.values()) {
       double idle = living.getDouble(k) + k.life - k.starting - k.useful - k.lost;
-      lines.add(new Line(k.type, k.spot, k.machines, k.boot, idle, k.starting, k.useful, k.lost));
+      lines.add(
+          new MachineTypeCosts(
+              k.type, k.spot, k.machines, k.boot, idle, k.starting, k.useful, k.lost));
     }
     return lines;
   }
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -54,7 +54,7 @@
    * When as many of its tasks as its team's limit allows at once were placed or done, or -1. This
    * is the moment that the service-level objective for the start of jobs refers to.
    */
-  long begunMs = -1;
+  long fullyPlacedMs = -1;
 
   /**
    * True while its dependencies are not met: no task of it starts, it does not count as waiting,
@@ -129,7 +129,7 @@
   }
 
   /** True when the task is done. */
-  public boolean isDone(int task) {
+  public boolean isTaskDone(int task) {
     return doneTasks.get(task);
   }
 
@@ -144,12 +144,12 @@
   }
 
   /** Number of tasks done. */
-  public int doneCount() {
+  public int doneTaskCount() {
     return doneTasks.cardinality();
   }
 
   /** Number of tasks that wait to be started. */
-  public int waitingCount() {
+  public int pendingTaskCount() {
     return pendingTasks.size();
   }
 
@@ -194,8 +194,8 @@
   }
 
   /** When it had begun, the largest part of it that may run at once, or -1. */
-  public long begunMs() {
-    return begunMs;
+  public long fullyPlacedMs() {
+    return fullyPlacedMs;
   }
 
   /** False where its other tasks keep its next one from a zone. */
@@ -259,7 +259,7 @@
   }
 
   /** True while tasks wait and may be started. */
-  public boolean hasWaitingTasks() {
+  public boolean hasStartableTasks() {
     return !held && !cancelled && !ended && !pendingTasks.isEmpty();
   }
 
--- a/src/main/java/org/mallowroad/core/JobSpec.java
+++ b/src/main/java/org/mallowroad/core/JobSpec.java
@@ -3,27 +3,31 @@
 import org.mallowroad.core.dependency.JobDependencies;
 
 /**
- * What a user submitted, with names as dense indices.
+ * A job as the user submitted it. Names are interned as dense indices, see {@link NameIndex}.
  *
- * @param id as the user chose it, unique among jobs
- * @param taskClass index of the class that the user named, by which run times are compared
+ * @param id chosen by the user, unique among jobs
+ * @param taskClass index of the user-defined task class; run times are compared within a class
  * @param team index of the team
- * @param service true when its tasks are replicas that run until the job is cancelled
- * @param gang true when its tasks run only all at the same time
- * @param priority 0 is critical, {@link #IDLE} gives way to all other work
+ * @param service true when the tasks are replicas that run until the job is cancelled
+ * @param gang true when the tasks must all run at the same time
+ * @param priority 0 (critical) to {@link #IDLE}; a lower number takes precedence
+ * @param tasks number of tasks
+ * @param cpus CPUs of one task; may be fractional
  * @param cards accelerator cards of one task
+ * @param memGb memory of one task in GB
  * @param image index of the container image
- * @param types bit set of allowed type indices, or null for any
- * @param zone index of the only allowed zone, or -1 for any
- * @param together true when all of its tasks must run in one zone
- * @param scatter true when at most half of its tasks may run in one zone
- * @param spot true when it may run on spot machines
+ * @param imageGb size of the container image in GB
+ * @param types indices of the allowed machine types, or null for any
+ * @param zone index of the required zone, or -1 for any
+ * @param together true when all tasks must run in the same zone
+ * @param scatter true when at most half of the tasks may run in the same zone
+ * @param spot true when the tasks may run on spot machines
  * @param estimateS expected run time of a task in seconds
- * @param checkpointS interval at which a task saves its progress, in seconds; 0 when it does not
- * @param saveS how long saving takes, in seconds
- * @param dueS deadline in seconds after submission, or 0 for none
- * @param submittedMs when it was accepted, as the time of day
- * @param dependencies the games that it folds, and what it waits for
+ * @param checkpointIntervalS seconds between checkpoints of a task; 0 when it writes none
+ * @param checkpointDurationS seconds that writing a checkpoint takes
+ * @param deadlineS deadline in seconds after submission, or 0 for none
+ * @param submittedMs wall-clock time at which it was accepted, in ms
+ * @param dependencies the games that the job folds, and what must be complete before it starts
  */
 public record JobSpec(
     String id,
@@ -44,35 +48,35 @@
     boolean scatter,
     boolean spot,
     double estimateS,
-    double checkpointS,
-    double saveS,
-    double dueS,
+    double checkpointIntervalS,
+    double checkpointDurationS,
+    double deadlineS,
     long submittedMs,
     JobDependencies dependencies) {
 
-  /** The priority of work that gives way to all other. */
+  /** The lowest priority: such work gives way to all other work. */
   public static final int IDLE = 3;
 
-  /** True when the job allows the type, wherever the machine is. */
+  /** True when the job allows this machine type, in whichever zone. */
   public boolean allowsType(int type) {
     return types == null || types.get(type);
   }
 
-  /** True when the job allows a machine of this type and zone, spot or not. */
+  /** True when the job allows a machine of this type in this zone, on-demand or spot as given. */
   public boolean allows(int type, int inZone, boolean onSpot) {
     return allowsType(type) && (zone < 0 || zone == inZone) && (spot || !onSpot);
   }
 
   /**
-   * True when its own rules keep a gang's tasks from ever running at the same time: half of them
-   * may be in one zone, and all have to be. The protocol has no refusal for that, so it is
-   * accepted, and shown for what it is.
+   * True when a gang's own constraints contradict each other: {@code scatter} allows only half of
+   * its tasks in a zone, but all of them have to share one. The protocol has no status for
+   * rejecting such a job, so it is accepted and reported as unsatisfiable.
    */
   public boolean isUnsatisfiable(int zones) {
     return gang && scatter && maxTasksPerZone() < tasks && (together || zone >= 0 || zones < 2);
   }
 
-  /** The most tasks that may be in one zone at the same time. */
+  /** Maximum number of tasks that may run in the same zone at the same time. */
   public int maxTasksPerZone() {
     return scatter ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -173,7 +173,7 @@
   }
 
   /** The share of its scarcest resource that attempts take, from 0 to 1. */
-  public double bookedShare() {
+  public double allocatedShare() {
     double b = 1 - freeResources.cpus / type.cpus();
     if (type.memGb() > 0) {
       b = Math.max(b, 1 - freeResources.memGb / type.memGb());
--- a/src/main/java/org/mallowroad/core/StartAdmission.java
+++ b/src/main/java/org/mallowroad/core/StartAdmission.java
@@ -60,7 +60,7 @@
     if (!machine.freeResources.fits(spec)) {
       return StartRefusal.RESOURCES;
     }
-    if (!team(spec).allows(spec, 1)) {
+    if (!team(spec).isWithinLimit(spec, 1)) {
       return StartRefusal.QUOTA;
     }
     return job.allowsZone(machine.zone) ? null : StartRefusal.ZONE_RULES;
--- a/src/main/java/org/mallowroad/core/Team.java
+++ b/src/main/java/org/mallowroad/core/Team.java
@@ -5,10 +5,10 @@
   /** Its name in the settings. */
   public final String name;
 
-  final double cpus;
-  final double cards;
-  final double cpusMax;
-  final double cardsMax;
+  final double guaranteedCpus;
+  final double guaranteedCards;
+  final double cpuLimit;
+  final double cardLimit;
   double usedCpus;
   double usedCards;
 
@@ -18,48 +18,49 @@
   /** A team as the settings give it; a limit of 0 is none. */
   public Team(String name, double cpus, double cards, double cpusMax, double cardsMax) {
     this.name = name;
-    this.cpus = cpus;
-    this.cards = cards;
+    this.guaranteedCpus = cpus;
+    this.guaranteedCards = cards;
     // The platform's "0 means none": a team that is a guest has neither guarantee nor limit. Taken
     // for a limit of 0, every job of such a team was refused (docs/incidents, guests-refused).
-    this.cpusMax = cpusMax > 0 ? cpusMax : Double.POSITIVE_INFINITY;
-    this.cardsMax = cardsMax > 0 ? cardsMax : Double.POSITIVE_INFINITY;
+    this.cpuLimit = cpusMax > 0 ? cpusMax : Double.POSITIVE_INFINITY;
+    this.cardLimit = cardsMax > 0 ? cardsMax : Double.POSITIVE_INFINITY;
   }
 
   /** True when {@code tasks} more tasks of the job stay within the limit. */
-  public boolean allows(JobSpec job, int tasks) {
-    return usedCpus + tasks * job.cpus() <= cpusMax + ResourceVector.EPSILON
-        && usedCards + tasks * job.cards() <= cardsMax + ResourceVector.EPSILON;
+  public boolean isWithinLimit(JobSpec job, int tasks) {
+    return usedCpus + tasks * job.cpus() <= cpuLimit + ResourceVector.EPSILON
+        && usedCards + tasks * job.cards() <= cardLimit + ResourceVector.EPSILON;
   }
 
   /** How many more tasks of the job stay within the limit, {@code tasks} at the most. */
-  public int maxTasks(JobSpec job, int tasks) {
-    return new ResourceVector(cpusMax - usedCpus, cardsMax - usedCards, Double.MAX_VALUE)
+  public int maxAdditionalTasks(JobSpec job, int tasks) {
+    return new ResourceVector(cpuLimit - usedCpus, cardLimit - usedCards, Double.MAX_VALUE)
         .capacityFor(job, tasks);
   }
 
   /** How many of the job's tasks the limit allows at once, with nothing else of the team. */
   public int maxConcurrentTasks(JobSpec job) {
-    return new ResourceVector(cpusMax, cardsMax, Double.MAX_VALUE).capacityFor(job, job.tasks());
+    return new ResourceVector(cpuLimit, cardLimit, Double.MAX_VALUE).capacityFor(job, job.tasks());
   }
 
   /** True when {@code tasks} tasks of the job alone stay within the limit. */
-  public boolean couldEverRun(JobSpec job, int tasks) {
-    return tasks * job.cpus() <= cpusMax + ResourceVector.EPSILON
-        && tasks * job.cards() <= cardsMax + ResourceVector.EPSILON;
+  public boolean canEverRun(JobSpec job, int tasks) {
+    return tasks * job.cpus() <= cpuLimit + ResourceVector.EPSILON
+        && tasks * job.cards() <= cardLimit + ResourceVector.EPSILON;
   }
 
   /** True when one more task of the job keeps the team within its guarantee. */
   public boolean staysWithinGuarantee(JobSpec job) {
-    return usedCpus + job.cpus() <= cpus + ResourceVector.EPSILON
-        && usedCards + job.cards() <= cards + ResourceVector.EPSILON;
+    return usedCpus + job.cpus() <= guaranteedCpus + ResourceVector.EPSILON
+        && usedCards + job.cards() <= guaranteedCards + ResourceVector.EPSILON;
   }
 
   /** True when the team keeps its guarantee in full without one task of the job. */
   public boolean keepsGuaranteeWithout(JobSpec job) {
     // What is stopping already is as good as gone: many tasks may be stopped in one pass.
-    return usedCpus - stoppingCpus - job.cpus() >= cpus - ResourceVector.EPSILON
-        && (job.cards() == 0 || usedCards - job.cards() >= cards - ResourceVector.EPSILON);
+    return usedCpus - stoppingCpus - job.cpus() >= guaranteedCpus - ResourceVector.EPSILON
+        && (job.cards() == 0
+            || usedCards - job.cards() >= guaranteedCards - ResourceVector.EPSILON);
   }
 
   void add(JobSpec job, int tasks) {
@@ -68,23 +69,23 @@
   }
 
   /** Guaranteed cards. */
-  public double cards() {
-    return cards;
+  public double guaranteedCards() {
+    return guaranteedCards;
   }
 
   /** Guaranteed CPUs. */
-  public double cpus() {
-    return cpus;
+  public double guaranteedCpus() {
+    return guaranteedCpus;
   }
 
   /** Limit of CPUs; infinite without one. */
-  public double cpusMax() {
-    return cpusMax;
+  public double cpuLimit() {
+    return cpuLimit;
   }
 
   /** Limit of cards; infinite without one. */
-  public double cardsMax() {
-    return cardsMax;
+  public double cardLimit() {
+    return cardLimit;
   }
 
   /** Cards that attempts take. */
--- a/src/main/java/org/mallowroad/core/autoscaling/ForecastMachine.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ForecastMachine.java
@@ -49,7 +49,7 @@
 
   private static double remainingS(Attempt a, long now) {
     if (a.isStopping()) {
-      return a.job.spec.saveS();
+      return a.job.spec.checkpointDurationS();
     }
     double estimateS = a.job.spec.service() ? SERVICE_ESTIMATE_S : a.job.spec.estimateS();
     return Math.max(estimateS - (now - a.createdMs) / 1000.0, estimateS / OVERDUE_DIVISOR);
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
@@ -63,7 +63,7 @@
         continue;
       }
       usage.machines++;
-      usage.bookedCpus += (m.reservedFor == null ? m.bookedShare() : 1) * m.type.cpus();
+      usage.bookedCpus += (m.reservedFor == null ? m.allocatedShare() : 1) * m.type.cpus();
       usage.cpus += m.type.cpus();
       if (m.reservedFor != null
           || schedulerState.imageDistribution().isServing(m)
--- a/src/main/java/org/mallowroad/core/autoscaling/SpareCapacityTrigger.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/SpareCapacityTrigger.java
@@ -37,9 +37,9 @@
     double spare = 0;
     if (waitingPerMachine < policy.waitingLimit()) {
       for (Machine m : schedulerState.machines()) {
-        if (counts(m) && m.bookedShare() < policy.bookedLimit()) {
+        if (counts(m) && m.allocatedShare() < policy.bookedLimit()) {
           unsaturated++;
-          spare += policy.bookedLimit() - m.bookedShare();
+          spare += policy.bookedLimit() - m.allocatedShare();
         }
       }
       unsaturated += pendingCount;
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -133,7 +133,7 @@
       if (spec.cpus() <= 0) {
         counts[i] = pendingTasks;
       } else {
-        double remainingCpus = team.cpusMax() - team.usedCpus() - plannedCpus[spec.team()];
+        double remainingCpus = team.cpuLimit() - team.usedCpus() - plannedCpus[spec.team()];
         double limit = (remainingCpus + ResourceVector.EPSILON) / spec.cpus();
         counts[i] = (int) Math.max(0, Math.min(pendingTasks, limit));
       }
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -63,7 +63,7 @@
     List<Job> queue = placement.queue(now);
     jobs.addAll(queue);
     for (Job job : schedulerState.jobs()) {
-      if (!job.hasWaitingTasks() && !job.isEnded()) {
+      if (!job.hasStartableTasks() && !job.isEnded()) {
         jobs.add(job);
       }
     }
@@ -143,7 +143,7 @@
     if (job.isHeld() && !job.isCancelled()) {
       return PendingReason.of(job, PendingCause.HELD_BY_TIES, job.holdReason);
     }
-    if (!job.hasWaitingTasks()) {
+    if (!job.hasStartableTasks()) {
       return tasks == null ? null : unstartedTasks.explain(tasks);
     }
     PendingReason reason = waitingTasks.explain(job);
--- a/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
@@ -115,10 +115,10 @@
   private PendingReason explainGang(Job job) {
     int places = placement.findGangPlacement(job, survey.now()).size();
     questions.addAsked(schedulerState.machines().size());
-    if (places >= job.waitingCount()) {
+    if (places >= job.pendingTaskCount()) {
       return aboutToStart(job);
     }
-    String detail = "places for " + places + " of " + job.waitingCount() + " tasks";
+    String detail = "places for " + places + " of " + job.pendingTaskCount() + " tasks";
     GangReservations.State state = schedulerState.gangReservations().state(job, survey.now());
     if (state == null) {
       return capacity.explain(job, PendingCause.GANG, detail + "; waits for its turn to gather");
@@ -171,16 +171,16 @@
 
   private String describeTeamLimit(JobSpec spec) {
     Team team = schedulerState.team(spec);
-    boolean cardsExceeded = spec.cards() > 0 && team.usedCards() + spec.cards() > team.cardsMax();
+    boolean cardsExceeded = spec.cards() > 0 && team.usedCards() + spec.cards() > team.cardLimit();
     return cardsExceeded
         ? CountFormat.amount(team.usedCards())
             + " of "
-            + CountFormat.amount(team.cardsMax())
+            + CountFormat.amount(team.cardLimit())
             + " cards used by "
             + team.name
         : CountFormat.amount(team.usedCpus())
             + " of "
-            + CountFormat.amount(team.cpusMax())
+            + CountFormat.amount(team.cpuLimit())
             + " CPUs used by "
             + team.name;
   }
--- a/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
+++ b/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
@@ -44,7 +44,7 @@
     waitingCpus = new double[schedulerState.teams().size()][PRIORITIES][2];
     for (Job job : queue) {
       waitingCpus[job.spec.team()][job.spec.priority()][job.isGuaranteed() ? 1 : 0] +=
-          job.waitingCount() * job.spec.cpus();
+          job.pendingTaskCount() * job.spec.cpus();
     }
     surveyMachines();
     for (MachineType type : autoscaler.types()) {
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -75,17 +75,17 @@
 
   private JobLine line(Job j, PendingReason f) {
     double ageS = seconds(now - j.submittedMs());
-    double due = j.spec.dueS();
+    double due = j.spec.deadlineS();
     return new JobLine(
         j.spec.id(),
         schedulerState.team(j.spec).name,
         explainer.taskClass(j),
         j.spec.priority(),
         j.spec.tasks(),
-        j.doneCount(),
+        j.doneTaskCount(),
         j.runningCount(),
         explainer.starting(j),
-        j.waitingCount(),
+        j.pendingTaskCount(),
         explainer.silent(j),
         ageS,
         due > 0,
@@ -127,7 +127,7 @@
     int[] waiting = new int[schedulerState.teams().size()];
     int[] running = new int[waiting.length];
     for (Job j : schedulerState.jobs()) {
-      waiting[j.spec.team()] += j.waitingCount();
+      waiting[j.spec.team()] += j.pendingTaskCount();
       running[j.spec.team()] += j.runningCount();
     }
     List<TeamLine> out = new ArrayList<>();
@@ -137,8 +137,8 @@
           new TeamLine(
               team.name,
               tenths(team.usedCpus()),
-              team.cpus(),
-              Double.isInfinite(team.cpusMax()) ? 0 : team.cpusMax(),
+              team.guaranteedCpus(),
+              Double.isInfinite(team.cpuLimit()) ? 0 : team.cpuLimit(),
               waiting[t],
               running[t]));
     }
--- a/src/main/java/org/mallowroad/core/gang/GangCandidates.java
+++ b/src/main/java/org/mallowroad/core/gang/GangCandidates.java
@@ -65,7 +65,7 @@
 
   private static Candidate candidate(Job job, Machine machine, long now, long byMs) {
     ResourceVector free = machine.copyFreeResources();
-    int maxPlaces = job.waitingCount();
+    int maxPlaces = job.pendingTaskCount();
     int places = free.capacityFor(job.spec, maxPlaces);
     long availableAtMs = now;
     if (byMs > now) {
@@ -96,7 +96,7 @@
   private static long expectedEndMs(Attempt attempt, long now) {
     JobSpec spec = attempt.job.spec;
     if (attempt.isStopping()) {
-      return now + (long) (spec.saveS() * 1000) + STOP_MARGIN_MS;
+      return now + (long) (spec.checkpointDurationS() * 1000) + STOP_MARGIN_MS;
     }
     if (spec.service()) {
       return Long.MAX_VALUE;
@@ -116,7 +116,7 @@
       placesInZone[candidate.machine.zone] += places;
       total += places;
     }
-    return Math.min(total, job.waitingCount());
+    return Math.min(total, job.pendingTaskCount());
   }
 
   /**
@@ -132,7 +132,7 @@
       int places = Math.max(0, placesWithinZoneLimit(job, candidate, placesInZone));
       placesInZone[candidate.machine.zone] += places;
       total += places;
-      if (total >= job.waitingCount()) {
+      if (total >= job.pendingTaskCount()) {
         return candidate.availableAtMs;
       }
     }
--- a/src/main/java/org/mallowroad/core/gang/GangReservation.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservation.java
@@ -38,7 +38,7 @@
 
   /** Tasks of the gang that have not been started. */
   int neededPlaces() {
-    return job.waitingCount();
+    return job.pendingTaskCount();
   }
 
   /** True when machines of the zone may be reserved. */
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -120,7 +120,7 @@
       return null;
     }
     long until = backoff.untilMs(backoff.latestZone);
-    return new State(backoff.latestZone, 0, job.waitingCount(), 0, until, until > now);
+    return new State(backoff.latestZone, 0, job.pendingTaskCount(), 0, until, until > now);
   }
 
   /**
@@ -136,7 +136,7 @@
       return;
     }
     endFinished(mayStart, now);
-    backoffs.keySet().removeIf(j -> !j.hasWaitingTasks());
+    backoffs.keySet().removeIf(j -> !j.hasStartableTasks());
     for (Job job : queue) {
       if (!job.spec.gang()
           || !mayStart.test(job)
@@ -155,7 +155,7 @@
 
   private void endFinished(Predicate<Job> mayStart, long now) {
     for (GangReservation reservation : new ArrayList<>(reservations.values())) {
-      if (!reservation.job.hasWaitingTasks() || !mayStart.test(reservation.job)) {
+      if (!reservation.job.hasStartableTasks() || !mayStart.test(reservation.job)) {
         recordChange(reservation, Change.What.ENDS, now);
         end(reservation);
       }
@@ -182,7 +182,7 @@
       int places = placesBy(job, zone, now, now + Math.max(0, bootMs));
       long startMs = candidates.completeAtMs(job, zone, now, now + RELEASE_HORIZON_MS);
       if (bootMs >= 0
-          && places + offers.attainablePlaces(job.spec, zone, now) >= job.waitingCount()) {
+          && places + offers.attainablePlaces(job.spec, zone, now) >= job.pendingTaskCount()) {
         startMs = Math.min(startMs, now + bootMs);
       }
       if (startMs < bestStartMs
@@ -299,7 +299,7 @@
         bootMs >= 0
             && placesBy(job, reservation.zone, now, now + bootMs)
                     + offers.attainablePlaces(job.spec, reservation.zone, now)
-                >= job.waitingCount();
+                >= job.pendingTaskCount();
     return now + (cloudCanComplete ? bootMs : RELEASE_HORIZON_MS);
   }
 
@@ -311,7 +311,8 @@
           && spec.priority() > job.spec.priority()
           && attempt.number <= MAX_PREEMPTIBLE_ATTEMPT
           && (attempt.phase == Attempt.Phase.RUNNING || attempt.phase == Attempt.Phase.PULLING)) {
-        machinePool.requestStop(attempt, spec.checkpointS() > 0 ? spec.saveS() : 0, now);
+        machinePool.requestStop(
+            attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -107,7 +107,7 @@
   public void recordDone(Job job) {
     Counts counts = countsOf(byClass, classes.name(job.spec.taskClass()));
     counts.done++;
-    long begunMs = job.begunMs() < 0 ? job.lastStartMs() : job.begunMs();
+    long begunMs = job.fullyPlacedMs() < 0 ? job.lastStartMs() : job.fullyPlacedMs();
     counts.starts.addLast(
         new JobStart(job.spec.tasks(), begunMs - job.eligibleSinceMs() <= START_TARGET_MS));
     if (counts.starts.size() > MAX_REMEMBERED_STARTS) {
@@ -118,7 +118,9 @@
 
   /** The age in ms at which a job is due. */
   private static long dueMs(JobSpec spec) {
-    return spec.dueS() > 0 ? (long) (spec.dueS() * DUE_MS_PER_DEADLINE_S) : DEFAULT_DUE_MS;
+    return spec.deadlineS() > 0
+        ? (long) (spec.deadlineS() * DUE_MS_PER_DEADLINE_S)
+        : DEFAULT_DUE_MS;
   }
 
   /**
@@ -156,7 +158,8 @@
   /** Adds an open job to the starts of its class if it has started in time or can no longer. */
   private void addStart(
       Job job, Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsDue, long now) {
-    boolean inTime = job.begunMs() >= 0 && job.begunMs() - job.eligibleSinceMs() <= START_TARGET_MS;
+    boolean inTime =
+        job.fullyPlacedMs() >= 0 && job.fullyPlacedMs() - job.eligibleSinceMs() <= START_TARGET_MS;
     if (!inTime && now - job.eligibleSinceMs() <= START_TARGET_MS) {
       return;
     }
--- a/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
+++ b/src/main/java/org/mallowroad/core/objective/ServiceLevelObjectives.java
@@ -62,14 +62,14 @@
    */
   public double completionTargetS(JobSpec spec) {
     double targetS = completionTargetsS.get(spec.taskClass());
-    if (deadlineClasses.contains(spec.taskClass()) && spec.dueS() > 0) {
-      targetS = Math.min(targetS, spec.dueS());
+    if (deadlineClasses.contains(spec.taskClass()) && spec.deadlineS() > 0) {
+      targetS = Math.min(targetS, spec.deadlineS());
     }
     if (targetS == Double.POSITIVE_INFINITY) {
       // No objective is set for it.
       targetS =
-          spec.dueS() > 0
-              ? spec.dueS()
+          spec.deadlineS() > 0
+              ? spec.deadlineS()
               : DEFAULT_ESTIMATE_FACTOR * spec.estimateS() + DEFAULT_ALLOWANCE_S;
     }
     return targetS;
--- a/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
+++ b/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
@@ -61,7 +61,7 @@
   /** True while any task of any job waits. */
   boolean hasWaitingTasks() {
     for (Job j : schedulerState.jobs()) {
-      if (j.hasWaitingTasks()) {
+      if (j.hasStartableTasks()) {
         return true;
       }
     }
@@ -80,15 +80,15 @@
     List<QueuedJob> queued = new ArrayList<>();
     for (Job j : openJobsBySubmission()) {
       JobSpec s = j.spec;
-      int remaining = s.tasks() - j.doneCount();
+      int remaining = s.tasks() - j.doneTaskCount();
       teamCpus[s.team()] += remaining * s.cpus();
       teamCards[s.team()] += remaining * s.cards();
       Team team = schedulerState.team(s);
       j.guaranteed =
-          teamCpus[s.team()] <= team.cpus() + ResourceVector.EPSILON
-              && teamCards[s.team()] <= team.cards() + ResourceVector.EPSILON;
+          teamCpus[s.team()] <= team.guaranteedCpus() + ResourceVector.EPSILON
+              && teamCards[s.team()] <= team.guaranteedCards() + ResourceVector.EPSILON;
       j.aged = now - j.eligibleSinceMs() > 1000 * Math.max(0, AGING_S - fetchS(s));
-      if (j.hasWaitingTasks()) {
+      if (j.hasStartableTasks()) {
         queued.add(new QueuedJob(j, j.eligibleSinceMs() + (long) (1000 * dueAfterS(s))));
       }
     }
@@ -122,8 +122,8 @@
    * image takes: on a machine that it gets now it starts only after the fetch.
    */
   private double dueAfterS(JobSpec s) {
-    if (s.dueS() > 0) {
-      return s.dueS();
+    if (s.deadlineS() > 0) {
+      return s.deadlineS();
     }
     double usual =
         Math.min(
@@ -151,7 +151,7 @@
    */
   double maxYieldS(JobSpec s) {
     double slackS = dueAfterS(s) - s.estimateS();
-    if (s.dueS() > 0) {
+    if (s.deadlineS() > 0) {
       return DEADLINE_YIELD_SHARE * slackS;
     }
     // Without this bound a job whose image no machine holds comes last, again and again, until it
--- a/src/main/java/org/mallowroad/core/scheduling/MachineDrainer.java
+++ b/src/main/java/org/mallowroad/core/scheduling/MachineDrainer.java
@@ -32,8 +32,8 @@
         continue;
       }
       JobSpec s = a.job.spec;
-      if (s.checkpointS() > 0) {
-        schedulerState.requestStop(a, s.saveS(), now);
+      if (s.checkpointIntervalS() > 0) {
+        schedulerState.requestStop(a, s.checkpointDurationS(), now);
       } else if (!endsWithin(a, secondsLeft, now)) {
         schedulerState.requestStop(a, 0, now);
       }
--- a/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
+++ b/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
@@ -67,6 +67,6 @@
   /** True when the team's limit keeps the job's next task, or all tasks of a gang, from a start. */
   boolean exceedsTeamLimit(Job job) {
     int tasks = job.spec.gang() ? job.pendingTasks.size() : 1;
-    return !schedulerState.team(job.spec).allows(job.spec, tasks);
+    return !schedulerState.team(job.spec).isWithinLimit(job.spec, tasks);
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
+++ b/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
@@ -116,7 +116,8 @@
 
   /** Waiting tasks within the team's limit that will not find room by themselves. */
   private int tasksNeedingRoom(Job job) {
-    int startable = schedulerState.team(job.spec).maxTasks(job.spec, job.pendingTasks.size());
+    int startable =
+        schedulerState.team(job.spec).maxAdditionalTasks(job.spec, job.pendingTasks.size());
     int expected = releases.expectedRoom(job.spec, startable);
     releases.claim(job.spec, startable);
     return startable - expected;
@@ -244,7 +245,7 @@
 
   private void stop(Attempt a, long now) {
     JobSpec s = a.job.spec;
-    schedulerState.requestStop(a, s.checkpointS() > 0 ? s.saveS() : 0, now);
+    schedulerState.requestStop(a, s.checkpointIntervalS() > 0 ? s.checkpointDurationS() : 0, now);
   }
 
   private boolean isPreemptable(Attempt a, Request request) {
@@ -271,7 +272,7 @@
   /** CPU seconds of work lost when the attempt is stopped now: all since its last checkpoint. */
   private static double lossCpuS(Attempt a, long now) {
     double ranS = (now - a.createdMs) / 1000.0;
-    double checkpointS = a.job.spec.checkpointS();
+    double checkpointS = a.job.spec.checkpointIntervalS();
     double lostS = checkpointS > 0 ? Math.min(ranS, checkpointS) : ranS;
     return lostS * Math.max(MIN_LOSS_CPUS, a.job.spec.cpus());
   }
--- a/src/main/java/org/mallowroad/state/AttemptRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/AttemptRecordCodec.java
@@ -52,7 +52,7 @@
     int highestNumber = 0;
     Groups groups = new Groups(zones);
     for (int task = record.firstTask(); task < record.endTask(); task++) {
-      if (record.job.isDone(task)) {
+      if (record.job.isTaskDone(task)) {
         done.set(task - record.firstTask());
       }
       highestNumber = Math.max(highestNumber, record.job.highestAttemptNumber(task));
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -24,15 +24,15 @@
  */
 public final class StateSpaceExplorer {
   /** What is played: makes its processes, and judges the store. */
-  public interface Scene {
+  public interface Scenario {
     /** Sets the stage; called for each history. */
-    void begin(Stage stage);
+    void setUp(Execution stage);
 
     /** After each transaction that was carried out. */
-    void applied(Stage stage);
+    void afterTransaction(Execution stage);
 
     /** When nothing is left to do. */
-    void end(Stage stage);
+    void afterCompletion(Execution stage);
   }
 
   private record Call(
@@ -46,15 +46,15 @@
   private record Due(Process by, long ms, long sequence, Runnable task) {}
 
   /** One history being played. */
-  public static final class Stage {
+  public static final class Execution {
     /** What the state service keeps. */
     public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
 
     /** What a scene notes; part of the state. */
-    public final List<String> notes = new ArrayList<>();
+    public final List<String> observations = new ArrayList<>();
 
     /** Calls of one process are answered in their order; those of several in any. */
-    public boolean inOrder;
+    public boolean respondsInCallOrder;
 
     private final List<Process> processes = new ArrayList<>();
     private final List<Call> waiting = new ArrayList<>();
@@ -65,27 +65,27 @@
     private long now = 1_000;
     private long sequence;
     private int troubles;
-    private Scene scene;
+    private Scenario scene;
 
     /** A process of the scene. */
-    public Process process(String name) {
+    public Process addProcess(String name) {
       Process p = new Process(this, name);
       processes.add(p);
       return p;
     }
 
     /** Something that may happen once, at any moment; it counts as a trouble. */
-    public void offer(String name, Runnable what) {
+    public void addFault(String name, Runnable what) {
       offers.put(name, what);
     }
 
     /** Something that happens once, at any moment, in each history; no trouble. */
-    public void event(String name, Runnable what) {
+    public void addEvent(String name, Runnable what) {
       events.put(name, what);
     }
 
     /** Plays on without a choice until a call waits whose text has this in it. */
-    public void until(String text) {
+    public void runUntilCallWaits(String text) {
       soon();
       while (waiting.stream().noneMatch(x -> x.text().contains(text))) {
         choose("go 0");
@@ -93,9 +93,9 @@
     }
 
     /** Fails the history. */
-    public void check(boolean good, String what) {
+    public void require(boolean good, String what) {
       if (!good) {
-        throw new AssertionError(what + "; notes " + notes + "; store " + keys());
+        throw new AssertionError(what + "; notes " + observations + "; store " + keys());
       }
     }
 
@@ -113,7 +113,7 @@
       while (ran) {
         ran = false;
         for (Process p : processes) {
-          Runnable r = p.dead ? null : p.queue.poll();
+          Runnable r = p.isCrashed ? null : p.queue.poll();
           if (r != null) {
             r.run();
             ran = true;
@@ -127,7 +127,7 @@
       List<String> out = new ArrayList<>();
       Set<Process> first = new HashSet<>();
       for (int i = 0; i < waiting.size(); i++) {
-        if (first.add(waiting.get(i).by) || !inOrder) {
+        if (first.add(waiting.get(i).by) || !respondsInCallOrder) {
           out.add("go " + i);
         }
       }
@@ -143,7 +143,7 @@
           }
         }
         for (Process p : processes) {
-          if (!p.dead && p.mayEnd) {
+          if (!p.isCrashed && p.mayCrash) {
             out.add("end " + p.name);
           }
         }
@@ -181,11 +181,11 @@
           troubles++;
           for (Process p : processes) {
             if (p.name.equals(w[1])) {
-              p.dead = true;
+              p.isCrashed = true;
             }
           }
-          waiting.removeIf(x -> x.by.dead);
-          timers.removeIf(t -> t.by.dead);
+          waiting.removeIf(x -> x.by.isCrashed);
+          timers.removeIf(t -> t.by.isCrashed);
         }
         case "offer" -> {
           troubles++;
@@ -226,7 +226,7 @@
         byte[] body = x.body == null ? new byte[0] : x.body;
         InMemoryKeyValueStore.Answer a = store.serve(x.method, x.path, body, now);
         if (x.path.equals("/multi") && a.status() == 200) {
-          scene.applied(this);
+          scene.afterTransaction(this);
         }
         return a;
       } catch (InvalidMessageException e) {
@@ -237,13 +237,13 @@
     private String state() {
       StringBuilder b = new StringBuilder(keys());
       b.append('|')
-          .append(notes)
+          .append(observations)
           .append('|')
           .append(troubles)
           .append(offers.keySet())
           .append(events.keySet());
       for (Process p : processes) {
-        b.append('|').append(p.name).append(p.dead).append(p.heard);
+        b.append('|').append(p.name).append(p.isCrashed).append(p.heard);
       }
       waiting.forEach(x -> b.append('|').append(x.text()));
       late.forEach(x -> b.append("|late ").append(x.text()));
@@ -255,29 +255,29 @@
   /** A process: a loop whose timers run when no call waits, and calls that the explorer orders. */
   public static final class Process extends EventLoop implements RequestSender {
     /** True where it may end at any moment. */
-    public boolean mayEnd;
+    public boolean mayCrash;
 
-    private final Stage stage;
+    private final Execution stage;
     private final String name;
     private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
     private long heard = 7;
-    private boolean dead;
+    private boolean isCrashed;
 
-    private Process(Stage stage, String name) {
+    private Process(Execution stage, String name) {
       this.stage = stage;
       this.name = name;
     }
 
     private void tell(Runnable answer, String what) {
-      if (!dead) {
+      if (!isCrashed) {
         heard = heard * 1_000_003 + what.hashCode();
         queue.add(answer);
       }
     }
 
     /** True once it has ended. */
-    public boolean dead() {
-      return dead;
+    public boolean isCrashed() {
+      return isCrashed;
     }
 
     @Override
@@ -309,11 +309,11 @@
     }
   }
 
-  private final Scene scene;
+  private final Scenario scene;
   private final int troubles;
   private final int most;
   private final Set<String> seen = new HashSet<>();
-  private int histories;
+  private int executions;
 
   /**
    * Over a scene.
@@ -321,7 +321,7 @@
    * @param troubles in one history
    * @param most states; beyond it the exploration has failed to be one
    */
-  public StateSpaceExplorer(Scene scene, int troubles, int most) {
+  public StateSpaceExplorer(Scenario scene, int troubles, int most) {
     this.scene = scene;
     this.troubles = troubles;
     this.most = most;
@@ -333,21 +333,21 @@
   }
 
   /** Histories played to their end. */
-  public int histories() {
-    return histories;
+  public int executions() {
+    return executions;
   }
 
   /** Plays all; {@code each} gets each end. */
-  public void explore(Consumer<Stage> each) {
+  public void explore(Consumer<Execution> each) {
     ArrayDeque<int[]> left = new ArrayDeque<>();
     left.add(new int[0]);
     int[] prefix;
     while ((prefix = left.pollLast()) != null) {
-      Stage s = new Stage();
+      Execution s = new Execution();
       s.scene = scene;
       List<String> made = new ArrayList<>();
       try {
-        scene.begin(s);
+        scene.setUp(s);
         s.soon();
         for (int c : prefix) {
           String choice = s.choices(troubles).get(c);
@@ -356,8 +356,8 @@
         }
         int n = s.choices(troubles).size();
         if (n == 0) {
-          histories++;
-          scene.end(s);
+          executions++;
+          scene.afterCompletion(s);
           each.accept(s);
           continue;
         }
--- a/src/test/java/org/mallowroad/SteppedClock.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -10,7 +10,7 @@
 import org.mallowroad.wire.Json;
 
 /** A clock, a store and loops of processes on it; each call to the store takes a millisecond. */
-public final class SteppedClock {
+public final class VirtualTimeHarness {
   private record Due(long ms, long sequence, Runnable task) {}
 
   private final PriorityQueue<Due> due =
@@ -20,48 +20,49 @@
   public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
 
   /** The time. */
-  public long now = 1_000;
+  public long nowMs = 1_000;
 
   /** Transactions are done, and nobody hears of it. */
-  public boolean loseAnswers;
+  public boolean loseTransactionResponses;
 
   /** So many transactions are done next of which nobody hears. */
-  public int loseNext;
+  public int transactionResponsesToLose;
 
   /** Puts and deletes that were asked for. */
-  public int writes;
+  public int requestedWrites;
 
   /** While above the time, each call gets 429. */
-  public long crowdedUntilMs;
+  public long rateLimitedUntilMs;
 
   /** A transaction that fails names the first condition only. */
-  public boolean firstFailureOnly;
+  public boolean reportFirstFailureOnly;
 
   /** Runs before the next transaction. */
-  public Runnable beforeMulti = () -> {};
+  public Runnable beforeTransaction = () -> {};
 
   /** Calls that reached the service. */
-  public int calls;
+  public int receivedCalls;
 
   private long sequence;
 
   /** Plays for a while. */
-  public void run(long ms) {
-    long until = now + ms;
+  public void advance(long ms) {
+    long until = nowMs + ms;
     while (!due.isEmpty() && due.peek().ms() <= until) {
       Due d = due.poll();
-      now = Math.max(now, d.ms());
-      store.expire(now);
+      nowMs = Math.max(nowMs, d.ms());
+      store.expire(nowMs);
       d.task().run();
     }
-    now = until;
-    store.expire(now);
+    nowMs = until;
+    store.expire(nowMs);
   }
 
   /** Does a call to the store from outside of any process. */
-  public InMemoryKeyValueStore.Answer serve(String method, String path, String body) {
+  public InMemoryKeyValueStore.Answer callStore(String method, String path, String body) {
     try {
-      return store.serve(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), now);
+      return store.serve(
+          method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), nowMs);
     } catch (InvalidMessageException e) {
       throw new IllegalStateException(e);
     }
@@ -70,16 +71,16 @@
   /** One process. */
   public final class Process extends EventLoop implements RequestSender {
     /** Nothing of it runs any more. */
-    public boolean dead;
+    public boolean crashed;
 
     @Override
     public long nanos() {
-      return now * 1_000_000;
+      return nowMs * 1_000_000;
     }
 
     @Override
     public long wallMs() {
-      return 1_000_000 + now;
+      return 1_000_000 + nowMs;
     }
 
     @Override
@@ -91,10 +92,10 @@
     protected Timer schedule(long ms, Runnable task) {
       due.add(
           new Due(
-              now + ms,
+              nowMs + ms,
               sequence++,
               () -> {
-                if (!dead) {
+                if (!crashed) {
                   task.run();
                 }
               }));
@@ -117,26 +118,26 @@
 
     private void serve(
         String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-      calls++;
+      receivedCalls++;
       boolean multi = path.equals("/multi");
-      if (now < crowdedUntilMs) {
+      if (nowMs < rateLimitedUntilMs) {
         answer.answered(429, new byte[0]);
         return;
       }
       if (multi) {
-        beforeMulti.run();
-        writes += writes(body);
+        beforeTransaction.run();
+        requestedWrites += writes(body);
       }
       try {
         InMemoryKeyValueStore.Answer a =
-            store.serve(method, path, body == null ? new byte[0] : body, now);
+            store.serve(method, path, body == null ? new byte[0] : body, nowMs);
         if (a == null) {
           // A watch that waits: asked again until something has changed.
           after(50, () -> serve(method, path, body, timeoutMs - 50, answer));
-        } else if (multi && (loseAnswers || loseNext-- > 0)) {
+        } else if (multi && (loseTransactionResponses || transactionResponsesToLose-- > 0)) {
           after(timeoutMs, () -> answer.failed(true));
         } else {
-          if (firstFailureOnly && a.status() == 409) {
+          if (reportFirstFailureOnly && a.status() == 409) {
             ArrayNode failed = (ArrayNode) a.body().get("failed");
             while (failed.size() > 1) {
               failed.remove(1);
--- a/src/test/java/org/mallowroad/api/OpenJobsTest.java
+++ b/src/test/java/org/mallowroad/api/OpenJobsTest.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.wire.InvalidMessageException;
@@ -25,18 +25,18 @@
   private static final double RPS = 10;
 
   private static final class NodeUnderTest {
-    private final SteppedClock c = new SteppedClock();
-    private final SteppedClock.Process p = c.new Process();
+    private final VirtualTimeHarness c = new VirtualTimeHarness();
+    private final VirtualTimeHarness.Process p = c.new Process();
     private final KeyValueStore state = new KeyValueStore(p, p, p);
     private final UserApi users =
         new UserApi(
             p,
             state,
             new UserApi.Limits(
-                new RateLimiter(RPS, RPS, c.now),
+                new RateLimiter(RPS, RPS, c.nowMs),
                 RPS,
-                new RateLimiter(100, 100, c.now),
-                new RateLimiter(100, 100, c.now),
+                new RateLimiter(100, 100, c.nowMs),
+                new RateLimiter(100, 100, c.nowMs),
                 8,
                 64,
                 1_000),
@@ -44,7 +44,7 @@
     private final List<String> answers = new ArrayList<>();
 
     private void run(long ms) {
-      c.run(ms);
+      c.advance(ms);
     }
 
     private void accepted(String id) {
@@ -53,13 +53,13 @@
 
     private void put(String key, String v) {
       String body = "{\"writes\":[{\"put\":\"" + key + "\",\"v\":" + v + "}]}";
-      assertEquals(200, c.serve("POST", "/multi", body).status());
+      assertEquals(200, c.callStore("POST", "/multi", body).status());
     }
 
     private void ends(String id) {
       String body =
           "{\"writes\":[{\"delete\":\"open/%s\"},{\"put\":\"end/%s\",\"v\":{\"end\":\"done\"}}]}";
-      assertEquals(200, c.serve("POST", "/multi", body.formatted(id, id)).status());
+      assertEquals(200, c.callStore("POST", "/multi", body.formatted(id, id)).status());
     }
 
     private void ask(String id) {
@@ -91,7 +91,7 @@
       if (s.has("bad")) {
         throw new InvalidMessageException("bad: not a field");
       }
-      return JobSpecs.array(s.path("name_id").asText(), 1, 1).build();
+      return JobSpecBuilder.job(s.path("name_id").asText(), 1, 1).build();
     }
 
     @Override
@@ -149,7 +149,7 @@
                 h.run(500);
               }
               assertEquals(40, h.answers().size());
-              int before = h.c.calls;
+              int before = h.c.receivedCalls;
               for (int n = 0; n < 400; n++) {
                 h.ask(id(n % 40));
               }
@@ -157,7 +157,8 @@
               List<String> answers = h.answers();
               assertEquals(400, answers.size());
               assertTrue(answers.stream().allMatch(s -> s.endsWith("queued")), answers.toString());
-              assertTrue(h.c.calls - before <= 16, "calls: " + (h.c.calls - before));
+              assertTrue(
+                  h.c.receivedCalls - before <= 16, "calls: " + (h.c.receivedCalls - before));
             }),
         rule(
             "an end that another node recorded is in the next answer",
@@ -179,7 +180,7 @@
         rule(
             "a failed comparison tells nothing of jobs whose conditions it does not name",
             h -> {
-              h.c.firstFailureOnly = true;
+              h.c.reportFirstFailureOnly = true;
               for (int i = 0; i < 4; i++) {
                 h.accepted(id(i));
                 h.ask(id(i));
@@ -204,9 +205,9 @@
               h.ask(id(0));
               h.run(1_000);
               h.answers();
-              h.c.beforeMulti =
+              h.c.beforeTransaction =
                   () -> {
-                    h.c.beforeMulti = () -> {};
+                    h.c.beforeTransaction = () -> {};
                     h.ends(id(0));
                   };
               h.ask(id(0));
@@ -238,17 +239,17 @@
               h.accepted(id(1));
               h.accepted(id(2));
               h.ends(id(2));
-              int before = h.c.writes;
+              int before = h.c.requestedWrites;
               for (int n = 1; n <= 2; n++) {
                 h.submit("{\"name_id\":\"" + id(n) + "\"}");
                 h.run(100);
               }
               assertEquals(List.of("submit done", "submit queued"), h.answers());
-              assertEquals(0, h.c.writes - before);
+              assertEquals(0, h.c.requestedWrites - before);
               h.submit("{\"name_id\":\"" + id(3) + "\"}");
               h.run(100);
               assertEquals(List.of("submit 201"), h.answers());
-              assertEquals(1, h.c.writes - before);
+              assertEquals(1, h.c.requestedWrites - before);
             }),
         rule(
             "thirty lookups of unknown jobs cost a handful of calls",
@@ -256,7 +257,7 @@
               for (int i = 0; i < 30; i += 2) {
                 h.accepted(id(i));
               }
-              int before = h.c.calls;
+              int before = h.c.receivedCalls;
               for (int i = 0; i < 30; i++) {
                 h.ask(id(i));
               }
@@ -264,7 +265,8 @@
               List<String> answers = h.answers();
               assertEquals(15, answers.stream().filter(s -> s.endsWith("queued")).count());
               assertEquals(15, answers.stream().filter(s -> s.endsWith("404")).count());
-              assertTrue(h.c.calls - before <= 12, "calls: " + (h.c.calls - before));
+              assertTrue(
+                  h.c.receivedCalls - before <= 12, "calls: " + (h.c.receivedCalls - before));
             }),
         rule(
             "an unknown job is answered 404, and any job 503 while the service refuses calls",
@@ -276,7 +278,7 @@
               h.ask(id(3));
               h.run(1_000);
               assertEquals(List.of(id(3) + " queued"), h.answers());
-              h.c.crowdedUntilMs = h.c.now + 1_000;
+              h.c.rateLimitedUntilMs = h.c.nowMs + 1_000;
               h.ask(id(3));
               h.run(500);
               assertEquals(List.of(id(3) + " 503"), h.answers());
--- a/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
+++ b/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.mallowroad.StateSpaceExplorer;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.Fold;
@@ -93,8 +93,8 @@
 
   /** One node on a clock. */
   private static final class Here {
-    private final SteppedClock c = new SteppedClock();
-    private final SteppedClock.Process p = c.new Process();
+    private final VirtualTimeHarness c = new VirtualTimeHarness();
+    private final VirtualTimeHarness.Process p = c.new Process();
     private final ClaimService claims = claimService(p, new KeyValueStore(p, p, p), 16);
 
     String accept(String id, List<Game> games) {
@@ -105,7 +105,7 @@
           games,
           JobDependencies.NONE,
           result -> said[0] = result.status() + " " + result.reason());
-      c.run(20_000);
+      c.advance(20_000);
       return said[0].trim();
     }
   }
@@ -160,11 +160,11 @@
     List<Game> large = games(2_000, 3_000);
     h.claims.accept("job-3", value(large), large, JobDependencies.NONE, result -> {});
     while (holders(h.c.store).size() < 300) {
-      h.c.run(1);
+      h.c.advance(1);
     }
-    h.p.dead = true;
+    h.p.crashed = true;
     assertEquals(1, h.c.store.keys(RecordKeys.FOLD_INTENTS).size());
-    SteppedClock.Process other = h.c.new Process();
+    VirtualTimeHarness.Process other = h.c.new Process();
     ClaimService there = claimService(other, new KeyValueStore(other, other, other), 16);
     List<String> said = new ArrayList<>();
     there.accept(
@@ -173,7 +173,7 @@
         large,
         JobDependencies.NONE,
         result -> said.add(result.status() + ""));
-    h.c.run(20_000);
+    h.c.advance(20_000);
     assertEquals(List.of("ACCEPTED"), said);
     assertEquals(1_001, holders(h.c.store).size());
     assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS));
@@ -183,7 +183,7 @@
   void aRecordThatIsNotOursIsNotWrittenOver() throws InvalidMessageException {
     Here h = new Here();
     String put = "{\"writes\":[{\"put\":\"fold/l/0000000\",\"v\":%s}]}";
-    h.c.serve("POST", "/multi", put.formatted("{\"v\":2}"));
+    h.c.callStore("POST", "/multi", put.formatted("{\"v\":2}"));
     assertTrue(
         h.accept("job-1", games(0, 2))
             .startsWith("UNAVAILABLE block fold/l/0000000 cannot be read"));
@@ -194,22 +194,22 @@
    * Two nodes claim, one of them in steps; each call in any order, answers lost, transactions late
    * or twice, a node ends, and a leader gives the intent up in the middle.
    */
-  private static final class Claim implements StateSpaceExplorer.Scene {
+  private static final class Claim implements StateSpaceExplorer.Scenario {
     private final List<Game> one = List.of(game(1, 1), game(40, 1));
     private final List<Game> two = List.of(game(40, 1));
     private int accepted;
 
     @Override
-    public void begin(StateSpaceExplorer.Stage s) {
+    public void setUp(StateSpaceExplorer.Execution s) {
       node(s, "a", "job-1", one);
       node(s, "b", "job-2", two);
-      s.offer("undo", () -> undo(s, "c"));
+      s.addFault("undo", () -> undo(s, "c"));
     }
 
-    private void node(StateSpaceExplorer.Stage s, String name, String job, List<Game> games) {
-      StateSpaceExplorer.Process p = s.process(name);
-      p.mayEnd = true;
-      Consumer<String> note = end -> s.notes.add(job + " " + end);
+    private void node(StateSpaceExplorer.Execution s, String name, String job, List<Game> games) {
+      StateSpaceExplorer.Process p = s.addProcess(name);
+      p.mayCrash = true;
+      Consumer<String> note = end -> s.observations.add(job + " " + end);
       claimService(p, new KeyValueStore(p, p, p), 4)
           .accept(
               job,
@@ -219,12 +219,12 @@
               result -> note.accept(result.status() + ""));
     }
 
-    private static void undo(StateSpaceExplorer.Stage s, String name) {
+    private static void undo(StateSpaceExplorer.Execution s, String name) {
       JsonNode v = s.store.value(RecordKeys.foldIntent("job-1"));
       if (v == null) {
         return;
       }
-      StateSpaceExplorer.Process p = s.process(name);
+      StateSpaceExplorer.Process p = s.addProcess(name);
       try {
         claimService(p, new KeyValueStore(p, p, p), 4)
             .abandon(
@@ -238,24 +238,26 @@
     }
 
     @Override
-    public void applied(StateSpaceExplorer.Stage s) {
+    public void afterTransaction(StateSpaceExplorer.Execution s) {
       Map<Long, String> by = holders(s.store);
       if (s.store.value(RecordKeys.openJob("job-1")) != null) {
-        s.check("job-1".equals(by.get(1L)) && "job-1".equals(by.get(40L)), "job-1 is half claimed");
+        s.require(
+            "job-1".equals(by.get(1L)) && "job-1".equals(by.get(40L)), "job-1 is half claimed");
       }
       if (s.store.value(RecordKeys.openJob("job-2")) != null) {
-        s.check("job-2".equals(by.get(40L)), "job-2 is half claimed");
+        s.require("job-2".equals(by.get(40L)), "job-2 is half claimed");
       }
     }
 
     @Override
-    public void end(StateSpaceExplorer.Stage s) {
-      applied(s);
+    public void afterCompletion(StateSpaceExplorer.Execution s) {
+      afterTransaction(s);
       for (String job : List.of("job-1", "job-2")) {
         boolean open = s.store.value(RecordKeys.openJob(job)) != null;
-        s.check(open || !s.notes.contains(job + " ACCEPTED"), job + " was accepted and is not");
+        s.require(
+            open || !s.observations.contains(job + " ACCEPTED"), job + " was accepted and is not");
         boolean intent = s.store.value(RecordKeys.foldIntent(job)) != null;
-        s.check(
+        s.require(
             open || intent || !holders(s.store).containsValue(job), job + " left claims behind");
         accepted += open ? 1 : 0;
       }
@@ -269,8 +271,8 @@
     StateSpaceExplorer e =
         new StateSpaceExplorer(scene, Integer.getInteger("explore.troubles", 1), 400_000);
     e.explore(s -> {});
-    System.out.println("claims: " + e.states() + " states, " + e.histories() + " histories");
-    assertTrue(e.histories() > 100, "histories " + e.histories());
+    System.out.println("claims: " + e.states() + " states, " + e.executions() + " histories");
+    assertTrue(e.executions() > 100, "histories " + e.executions());
     assertTrue(scene.accepted > 100, "accepted " + scene.accepted);
   }
 }
--- a/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.worker.HeartbeatResponder;
 
 /** What becomes of heartbeats that come before a leader has read the records. */
 final class DeferredHeartbeatsTest {
-  private final SteppedClock clock = new SteppedClock();
-  private final SteppedClock.Process process = clock.new Process();
+  private final VirtualTimeHarness clock = new VirtualTimeHarness();
+  private final VirtualTimeHarness.Process process = clock.new Process();
   private final DeferredHeartbeats deferred = new DeferredHeartbeats();
   private final List<String> turnedAway = new ArrayList<>();
   private final List<String> added = new ArrayList<>();
@@ -76,7 +76,7 @@
     assertEquals(10, turnedAway.size());
     drain();
     assertEquals(24, handled.size());
-    clock.run(1_000);
+    clock.advance(1_000);
     assertEquals(4_000, handled.size());
     assertEquals("m3999 1", handled.get(3_999));
   }
--- a/src/test/java/org/mallowroad/controller/PlacementLoopTest.java
+++ b/src/test/java/org/mallowroad/controller/PlacementLoopTest.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 
 /** When placement passes run. */
 final class PlacementLoopTest {
-  private final SteppedClock clock = new SteppedClock();
+  private final VirtualTimeHarness clock = new VirtualTimeHarness();
   private final LeaderLifecycle lifecycle = new LeaderLifecycle();
   private final LoadStatistics load = new LoadStatistics();
   private final List<Long> passesMs = new ArrayList<>();
@@ -18,21 +18,21 @@
       new PlacementLoop(clock.new Process(), lifecycle, load, this::pass);
 
   private void pass() {
-    passesMs.add(clock.now);
-    clock.now += passTakesMs;
+    passesMs.add(clock.nowMs);
+    clock.nowMs += passTakesMs;
   }
 
   @Test
   void runsOnlyWhileTheTermIsServing() {
     placement.requestPass();
-    clock.run(1_000);
+    clock.advance(1_000);
     assertEquals(List.of(), passesMs, "recovering");
     lifecycle.recovered();
     placement.requestPass();
     lifecycle.stop();
-    clock.run(1_000);
+    clock.advance(1_000);
     placement.requestPass();
-    clock.run(1_000);
+    clock.advance(1_000);
     assertEquals(List.of(), passesMs, "stopped");
   }
 
@@ -42,9 +42,9 @@
     for (int i = 0; i < 100; i++) {
       placement.requestPass();
       placement.requestPass();
-      clock.run(1);
+      clock.advance(1);
     }
-    clock.run(100);
+    clock.advance(100);
     assertEquals(List.of(1_000L, 1_040L, 1_080L, 1_120L), passesMs);
     assertEquals(4, load.placementPasses());
   }
@@ -54,9 +54,9 @@
     lifecycle.recovered();
     passTakesMs = 100;
     placement.requestPass();
-    clock.run(150);
+    clock.advance(150);
     placement.requestPass();
-    clock.run(1_000);
+    clock.advance(1_000);
     assertEquals(List.of(1_000L, 1_300L), passesMs);
     assertEquals(200, load.placementMs());
   }
@@ -67,9 +67,9 @@
     List<Integer> passesBefore = new ArrayList<>();
     placement.afterNextPass(() -> passesBefore.add(passesMs.size()));
     placement.requestPass();
-    clock.run(100);
+    clock.advance(100);
     placement.requestPass();
-    clock.run(100);
+    clock.advance(100);
     assertEquals(List.of(1), passesBefore);
   }
 }
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.api.UserApi;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.SchedulerState;
@@ -111,7 +111,7 @@
       throws InvalidMessageException {
     Job job = schedulerState.accept(clusterConfig.codec.decode(submission(n), now), 5, 0, now);
     placement.placeTasks(now);
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     if (n % 2 == 0) {
       schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
       schedulerState.cancel(job, now);
@@ -126,7 +126,7 @@
       schedulerState.markEnded(job, now);
     }
     assertTrue(job.isFinished());
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     schedulerState.removeJob(job);
     schedulerState.machinesWithUnsentCommands().clear();
   }
@@ -207,7 +207,7 @@
 
   @Test
   void endedJobsAreRememberedUpToABound() {
-    EventLoop loop = new SteppedClock().new Process();
+    EventLoop loop = new VirtualTimeHarness().new Process();
     UserApi users =
         new UserApi(loop, null, new UserApi.Limits(null, 1, null, null, 8, 64, 5_000), null);
     for (int n = 0; n < 100_000; n++) {
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -11,7 +11,7 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
@@ -39,7 +39,7 @@
 final class DependencyGateControllerTest {
   private static final String RUN = "run/job-9/0";
 
-  private static final class GatedStart implements StateSpaceExplorer.Scene {
+  private static final class GatedStart implements StateSpaceExplorer.Scenario {
     private final boolean successor;
     private int started;
     private int corrected;
@@ -48,7 +48,7 @@
       this.successor = successor;
     }
 
-    private static long put(StateSpaceExplorer.Stage s, String key, JsonNode v) {
+    private static long put(StateSpaceExplorer.Execution s, String key, JsonNode v) {
       ObjectNode t = Json.object();
       t.putArray("writes").addObject().put("put", key).set("v", v);
       try {
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void begin(StateSpaceExplorer.Stage s) {
+    public void setUp(StateSpaceExplorer.Execution s) {
       JobDependencies dependencies =
           new JobDependencies(
               Map.of(), List.of(), List.of(new JobDependencies.RequiredGames("l", 0, null)));
@@ -83,16 +83,17 @@
       leader(s, "one", dependencies, version);
       // In one transaction, as FoldingTest explores it.
       if (successor) {
-        s.inOrder = true;
-        s.until(RUN); // The release of the one that is deposed is on record, its start on its way.
+        s.respondsInCallOrder = true;
+        s.runUntilCallWaits(
+            RUN); // The release of the one that is deposed is on record, its start on its way.
       }
-      s.event("correction", () -> correct(s));
+      s.addEvent("correction", () -> correct(s));
       if (successor) {
-        s.event("successor", () -> leader(s, "two", dependencies, version));
+        s.addEvent("successor", () -> leader(s, "two", dependencies, version));
       }
     }
 
-    private static void correct(StateSpaceExplorer.Stage s) {
+    private static void correct(StateSpaceExplorer.Execution s) {
       Fold base = new Fold(1, false, "job-1", true, null);
       Block b = new Block();
       b.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
@@ -104,15 +105,15 @@
     }
 
     private static void leader(
-        StateSpaceExplorer.Stage s, String name, JobDependencies dependencies, long open) {
+        StateSpaceExplorer.Execution s, String name, JobDependencies dependencies, long open) {
       long version = put(s, LeaderElection.LEADER, Json.object().put("node", name));
-      StateSpaceExplorer.Process p = s.process(name);
+      StateSpaceExplorer.Process p = s.addProcess(name);
       KeyValueStore state = new KeyValueStore(p, p, p);
       NameIndex zones = new NameIndex();
       zones.intern("a");
       SchedulerState schedulerState =
           new SchedulerState(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
-      JobSpec spec = JobSpecs.array("job-9", 1, 1).dependencies(dependencies).build();
+      JobSpec spec = JobSpecBuilder.job("job-9", 1, 1).dependencies(dependencies).build();
       Job job = schedulerState.accept(spec, open, 0, p.now());
       DependencyGateController[] gates = new DependencyGateController[1];
       boolean[] busy = new boolean[1];
@@ -135,7 +136,7 @@
      * validated again after a conflict.
      */
     private static void start(
-        StateSpaceExplorer.Stage s,
+        StateSpaceExplorer.Execution s,
         KeyValueStore state,
         DependencyGateController gates,
         Job job,
@@ -161,18 +162,18 @@
     }
 
     @Override
-    public void applied(StateSpaceExplorer.Stage s) {
-      if (s.store.value(RUN) == null || s.notes.contains("started")) {
+    public void afterTransaction(StateSpaceExplorer.Execution s) {
+      if (s.store.value(RUN) == null || s.observations.contains("started")) {
         return;
       }
-      s.notes.add("started");
-      s.check(
+      s.observations.add("started");
+      s.require(
           s.store.value(RecordKeys.openJob("job-2")) == null, "started while a correction is open");
     }
 
     @Override
-    public void end(StateSpaceExplorer.Stage s) {
-      started += s.notes.contains("started") ? 1 : 0;
+    public void afterCompletion(StateSpaceExplorer.Execution s) {
+      started += s.observations.contains("started") ? 1 : 0;
       corrected += s.store.value(RecordKeys.openJob("job-2")) != null ? 1 : 0;
     }
   }
@@ -190,9 +191,9 @@
   private static void explore(GatedStart scene, int troubles) {
     StateSpaceExplorer e = new StateSpaceExplorer(scene, troubles, 400_000);
     e.explore(s -> {});
-    System.out.println("gated starts: " + e.states() + " states, " + e.histories() + " histories");
+    System.out.println("gated starts: " + e.states() + " states, " + e.executions() + " histories");
     assertTrue(scene.started > 50, "started " + scene.started);
     assertTrue(scene.corrected > 50, "corrected " + scene.corrected);
-    assertTrue(scene.started < e.histories(), "in some the correction comes first");
+    assertTrue(scene.started < e.executions(), "in some the correction comes first");
   }
 }
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -27,8 +27,8 @@
 final class WriteBehindCommitterTest {
   private static final double RPS = 22;
   private static final int VALUE_BYTES = 8 * 1024;
-  private final SteppedClock c = new SteppedClock();
-  private final SteppedClock.Process p = c.new Process();
+  private final VirtualTimeHarness c = new VirtualTimeHarness();
+  private final VirtualTimeHarness.Process p = c.new Process();
   private final KeyValueStore state = new KeyValueStore(p, p, p);
   private final NameIndex zones = new NameIndex();
   private final MachineType type =
@@ -41,12 +41,12 @@
   WriteBehindCommitterTest() {
     zones.intern("a");
     schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
-    machine = schedulerState.registerMachine("n-1", type, 0, false, c.now);
+    machine = schedulerState.registerMachine("n-1", type, 0, false, c.nowMs);
     schedulerState.processHeartbeat(
         machine,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
-        c.now);
+        c.nowMs);
     leaderVersion = put(LeaderElection.LEADER);
     committer = committer(16);
   }
@@ -55,7 +55,7 @@
     return new WriteBehindCommitter(
         p,
         state,
-        new RateLimiter(RPS, 24, c.now),
+        new RateLimiter(RPS, 24, c.nowMs),
         schedulerState,
         zones,
         new WriteBehindCommitter.Options(leaderVersion, maxOps),
@@ -86,13 +86,13 @@
 
   private long put(String key) {
     String body = "{\"writes\":[{\"put\":\"" + key + "\",\"v\":{}}]}";
-    return c.serve("POST", "/multi", body).body().path("epoch").asLong();
+    return c.callStore("POST", "/multi", body).body().path("epoch").asLong();
   }
 
   private Attempt start(String id, int priority) {
-    JobSpec s = JobSpecs.array(id, 1, 1).priority(priority).build();
-    Job job = schedulerState.accept(s, put("open/" + id), 0, c.now);
-    return schedulerState.start(job, 0, machine, c.now);
+    JobSpec s = JobSpecBuilder.job(id, 1, 1).priority(priority).build();
+    Job job = schedulerState.accept(s, put("open/" + id), 0, c.nowMs);
+    return schedulerState.start(job, 0, machine, c.nowMs);
   }
 
   @Test
@@ -108,14 +108,14 @@
         others.add(start("job-2" + s + i, 1));
       }
       committer.commitPending();
-      c.run(1_000);
+      c.advance(1_000);
       if (s == 0) {
         assertTrue(recorded(others) >= 10, "in the first second: " + recorded(others));
       }
     }
     assertTrue(recorded(others) >= 70, "others: " + recorded(others));
     assertTrue(recorded(idle) >= 25, "idle: " + recorded(idle));
-    c.run(25_000);
+    c.advance(25_000);
     assertEquals(432, recorded(others) + recorded(idle));
   }
 
@@ -126,20 +126,20 @@
         .sharedAttemptRecords()
         .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(20);
-    int before = c.writes;
+    int before = c.requestedWrites;
     committer.commitPending();
-    c.run(100);
+    c.advance(100);
     assertEquals(20, recorded(all));
-    assertEquals(1, c.writes - before);
+    assertEquals(1, c.requestedWrites - before);
     assertEquals(1, c.store.keys("starts/").size());
     assertEquals(0, c.store.keys("run/").size());
-    all.forEach(a -> schedulerState.resolve(a, AttemptOutcome.COMPLETED, c.now));
-    c.run(1_000);
+    all.forEach(a -> schedulerState.resolve(a, AttemptOutcome.COMPLETED, c.nowMs));
+    c.advance(1_000);
     committer.commitPending();
-    c.run(20_000);
+    c.advance(20_000);
     assertEquals(List.of(), List.copyOf(c.store.keys("starts/")));
     assertEquals(List.of(), List.copyOf(c.store.keys("open/")));
-    assertEquals(1 + 2 * 20 + 1, c.writes - before);
+    assertEquals(1 + 2 * 20 + 1, c.requestedWrites - before);
     assertEquals(0, schedulerState.jobs().size());
     assertEquals(0, schedulerState.sharedAttemptRecords().records().size());
   }
@@ -153,7 +153,7 @@
     List<Attempt> all = startMany(5);
     cancelFirst();
     committer.commitPending();
-    c.run(1_000);
+    c.advance(1_000);
     assertEquals(4, recorded(all));
     assertEquals(Attempt.Phase.GONE, all.get(0).phase);
     assertEquals(List.of("job-11", "job-12", "job-13", "job-14"), sharedJobs());
@@ -167,14 +167,14 @@
         .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
     List<Attempt> all = startMany(3);
     committer.commitPending();
-    c.run(100);
+    c.advance(100);
     cancelFirst();
     committer.jobCancelled(all.get(0).job);
-    schedulerState.resolve(all.get(0), AttemptOutcome.STOPPED, c.now);
+    schedulerState.resolve(all.get(0), AttemptOutcome.STOPPED, c.nowMs);
     committer.commitPending();
-    c.run(10_000);
+    c.advance(10_000);
     committer.commitPending();
-    c.run(10_000);
+    c.advance(10_000);
     assertEquals(List.of("job-11", "job-12"), sharedJobs());
   }
 
@@ -190,12 +190,12 @@
             .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
       }
       List<Attempt> all = startMany(shared ? 3 : 1);
-      int before = c.writes;
-      c.loseNext = 1;
+      int before = c.requestedWrites;
+      c.transactionResponsesToLose = 1;
       committer.commitPending();
-      c.run(600);
+      c.advance(600);
       assertEquals(all.size(), recorded(all));
-      assertEquals(2, c.writes - before);
+      assertEquals(2, c.requestedWrites - before);
     }
   }
 
@@ -206,24 +206,24 @@
   void exitsTakeAFifthOfTheWrites() {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      JobSpec s = JobSpecs.array("job-3" + i, 100, 1).build();
-      Job job = schedulerState.accept(s, put("open/job-3" + i), 0, c.now);
+      JobSpec s = JobSpecBuilder.job("job-3" + i, 100, 1).build();
+      Job job = schedulerState.accept(s, put("open/job-3" + i), 0, c.nowMs);
       for (int t = 0; t < 100; t++) {
-        schedulerState.start(job, t, machine, c.now);
+        schedulerState.start(job, t, machine, c.nowMs);
       }
       jobs.add(job);
     }
     committer.commitPending();
-    c.run(10_000);
-    int before = c.writes;
+    c.advance(10_000);
+    int before = c.requestedWrites;
     for (int t = 0; t < 40; t++) {
       for (Job job : jobs) {
-        schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, c.now);
+        schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, c.nowMs);
       }
       committer.commitPending();
-      c.run(500);
+      c.advance(500);
     }
-    int written = c.writes - before;
+    int written = c.requestedWrites - before;
     assertTrue(written <= 20 * RPS * 0.25, "in 20 s: " + written);
     assertTrue(written >= 30, "each record at least once: " + written);
   }
@@ -238,7 +238,7 @@
     committer.commitPending();
     boolean some = false;
     for (int ms = 0; ms < 20; ms++) {
-      c.run(1);
+      c.advance(1);
       assertEquals(recorded(all), sharedJobs().size());
       some |= recorded(all) > 30 && recorded(all) < 90;
     }
@@ -249,15 +249,15 @@
   /** Its own record may be there though nobody has heard so: it never joins a shared one. */
   @Test
   void aJobWhoseOwnRecordIsUnknownSharesNone() {
-    c.loseAnswers = true;
+    c.loseTransactionResponses = true;
     List<Attempt> all = startMany(1);
     committer.commitPending();
-    c.run(1_000);
-    c.loseAnswers = false;
+    c.advance(1_000);
+    c.loseTransactionResponses = false;
     schedulerState
         .sharedAttemptRecords()
         .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    c.run(10_000);
+    c.advance(10_000);
     assertEquals(1, recorded(all));
     assertEquals(List.of(), sharedJobs());
   }
@@ -274,7 +274,7 @@
         .enable(WriteBehindCommitter.maxSharedMembers(maxOps), VALUE_BYTES);
     List<Attempt> all = startMany(60);
     committer(maxOps).commitPending();
-    c.run(10_000);
+    c.advance(10_000);
     assertEquals(60, recorded(all));
   }
 
@@ -289,13 +289,14 @@
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
       Job job =
-          schedulerState.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, c.now);
+          schedulerState.accept(
+              JobSpecBuilder.job(id, 4, 1).build(), put("open/" + id), 0, c.nowMs);
       for (int t = 0; t < 4; t++) {
-        all.add(schedulerState.start(job, t, longNamed(t), c.now));
+        all.add(schedulerState.start(job, t, longNamed(t), c.nowMs));
       }
     }
     committer.commitPending();
-    c.run(10_000);
+    c.advance(10_000);
     assertEquals(96, recorded(all));
     for (String key : c.store.keys("starts/")) {
       int bytes = c.store.value(key).toString().length();
@@ -309,11 +310,11 @@
     schedulerState
         .sharedAttemptRecords()
         .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    JobSpec s = JobSpecs.array("job-1", 1, 1).service().build();
-    Job job = schedulerState.accept(s, put("open/job-1"), 0, c.now);
-    List<Attempt> all = List.of(schedulerState.start(job, 0, machine, c.now));
+    JobSpec s = JobSpecBuilder.job("job-1", 1, 1).service().build();
+    Job job = schedulerState.accept(s, put("open/job-1"), 0, c.nowMs);
+    List<Attempt> all = List.of(schedulerState.start(job, 0, machine, c.nowMs));
     committer.commitPending();
-    c.run(1_000);
+    c.advance(1_000);
     assertEquals(1, recorded(all));
     assertEquals(List.of(), sharedJobs());
     assertEquals(List.of("run/job-1/0"), List.copyOf(c.store.keys("run/")));
@@ -321,9 +322,12 @@
 
   private Machine longNamed(int i) {
     Machine m =
-        schedulerState.registerMachine("machine-with-a-long-name-" + i, type, 0, false, c.now);
+        schedulerState.registerMachine("machine-with-a-long-name-" + i, type, 0, false, c.nowMs);
     schedulerState.processHeartbeat(
-        m, new Heartbeat(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()), true, c.now);
+        m,
+        new Heartbeat(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()),
+        true,
+        c.nowMs);
     return m;
   }
 
@@ -340,7 +344,7 @@
   }
 
   private void cancelFirst() {
-    c.serve(
+    c.callStore(
         "POST",
         "/multi",
         "{\"writes\":[{\"delete\":\"open/job-10\"},"
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -12,7 +12,7 @@
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -64,7 +64,7 @@
       placement = new TaskScheduler(schedulerState);
       fleet =
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
-      job = schedulerState.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
+      job = schedulerState.accept(JobSpecBuilder.job("job-1", 160, 1).spot().build(), 5, 0, now);
       for (int i = 0; i < 40; i++) {
         machines.add(schedulerState.registerMachine("n-" + i, type, i / 20, true, now));
       }
@@ -76,7 +76,7 @@
       } else {
         pass(8_000, 0, 0);
         assertEquals(160, placement.placeTasks(now).size());
-        JobSpecs.commit(schedulerState, now);
+        JobSpecBuilder.commitDirtyRecords(schedulerState, now);
         pass(8_000, 0, 0);
       }
     }
@@ -87,7 +87,7 @@
       heardToken[i] = deaf ? heardToken[i] : Math.max(TERM, m.fencingToken);
       schedulerState.processHeartbeat(
           m,
-          JobSpecs.report(
+          JobSpecBuilder.heartbeatListingAttempts(
               m,
               ++sequence,
               heardToken[i],
@@ -163,10 +163,10 @@
               w.pass(20_000, 0, 20);
               int gone = w.returned();
               assertTrue(gone >= 10 && gone <= 13, "returned " + gone);
-              assertEquals(0, w.job.waitingCount());
+              assertEquals(0, w.job.pendingTaskCount());
               w.pass(13_000, 0, 20);
               // No deletion is answered here: it is the leases that free them.
-              assertEquals(80, w.job.waitingCount());
+              assertEquals(80, w.job.pendingTaskCount());
               gone = w.returned();
               assertTrue(gone <= 14, "returned " + gone);
               // Back: the same machines are used again.
@@ -179,7 +179,7 @@
             false,
             w -> {
               w.pass(33_000, 0, 20);
-              assertEquals(80, w.job.waitingCount());
+              assertEquals(80, w.job.pendingTaskCount());
               int kept = 20 - w.returned();
               int rented = w.rented();
               assertTrue(kept >= 6, "kept " + kept);
@@ -192,7 +192,7 @@
               w.pass(20_000, 0, 20);
               int first = w.returned();
               assertTrue(first >= 14 && first <= 19, "returned " + first);
-              assertEquals(0, w.job.waitingCount());
+              assertEquals(0, w.job.pendingTaskCount());
               w.pass(40_000, 0, 20);
               assertEquals(20, w.returned());
             }),
@@ -211,7 +211,7 @@
               }
               assertEquals(0, w.health.failureDetector().partitionedZoneCount());
               w.schedulerState.accept(
-                  JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
+                  JobSpecBuilder.job("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
               assertTrue(w.rented() > 0);
             }),
         day(
@@ -289,9 +289,9 @@
               assertEquals(
                   StartRefusal.DRAINING_OR_FAILED, w.schedulerState.machineRefusal(m, w.now));
               assertEquals(1, w.returned());
-              assertEquals(0, w.job.waitingCount()); // Nothing is freed by a suspicion.
+              assertEquals(0, w.job.pendingTaskCount()); // Nothing is freed by a suspicion.
               w.schedulerState.machineDeleted(m, w.now);
-              assertEquals(4, w.job.waitingCount());
+              assertEquals(4, w.job.pendingTaskCount());
             }),
         day(
             "of a deaf zone no more is returned than of a cut one; it works again when it hears",
@@ -324,14 +324,17 @@
             "a leader alone with its workers sends each of them round once in a lease",
             false,
             w -> {
-              Heartbeat r = JobSpecs.report(w.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
+              Heartbeat r =
+                  JobSpecBuilder.heartbeatListingAttempts(
+                      w.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
               assertTrue(w.responder.redirectOnce(r, w.now));
               assertFalse(w.responder.redirectOnce(r, w.now + 6_000));
               assertFalse(w.responder.redirectOnce(r, w.now + LEASE_MS - 1));
               assertTrue(w.responder.redirectOnce(r, w.now + LEASE_MS));
               assertTrue(
                   w.responder.redirectOnce(
-                      JobSpecs.report(w.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
+                      JobSpecBuilder.heartbeatListingAttempts(
+                          w.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
                       w.now + 10));
             }),
         day(
--- a/src/test/java/org/mallowroad/core/AttemptTrackerTest.java
+++ b/src/test/java/org/mallowroad/core/AttemptTrackerTest.java
@@ -15,7 +15,7 @@
   @TestFactory
   Stream<DynamicTest> proofsThatAnAttemptIsGone() {
     return Stream.of(
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "an exit frees the attempt but is cleared only once committed",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -23,14 +23,14 @@
               Attempt a = cluster.startCommitted(j, 0, m);
               Heartbeat.Entry exit = SchedulerFixture.entry(a, Heartbeat.State.EXITED, "done");
               assertEquals(List.of(), cluster.heartbeat(m, 1, SchedulerFixture.TERM, exit));
-              assertTrue(j.isDone(0));
+              assertTrue(j.isTaskDone(0));
               assertEquals(List.of(), cluster.heartbeat(m, 1, SchedulerFixture.TERM, exit));
               cluster.commit();
               assertEquals(
                   List.of(new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-1", 0, 1, 0)),
                   cluster.heartbeat(m, 1, SchedulerFixture.TERM, exit));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a heartbeat older than the newest one seen is dropped",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -44,7 +44,7 @@
               assertNull(cluster.heartbeatWithSequence(m, 1, 49, SchedulerFixture.TERM));
               assertEquals(Attempt.Phase.RUNNING, a.phase);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a heartbeat without the task proves nothing before the worker has seen this term's token",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -56,7 +56,7 @@
               cluster.heartbeat(m, 1, SchedulerFixture.TERM);
               assertEquals(Attempt.Phase.GONE, a.phase);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a later incarnation proves all attempts of earlier ones gone",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -64,9 +64,9 @@
               Attempt a = cluster.startCommitted(j, 0, m);
               cluster.heartbeat(m, 2, SchedulerFixture.TERM);
               assertEquals(Attempt.Phase.GONE, a.phase);
-              assertTrue(j.hasWaitingTasks());
+              assertTrue(j.hasStartableTasks());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "an expired lease proves tasks gone only if the worker had seen this term's token",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -85,7 +85,7 @@
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertEquals(Attempt.Phase.READY, b.phase);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a deleted machine frees its tasks and is never registered again",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -96,7 +96,7 @@
                   cluster.schedulerState.registerMachine(
                       "n-1", cluster.type, 0, false, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a cancelled job is stopped, starts nothing and counts until it is proven gone",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -127,7 +127,7 @@
               assertEquals(0, cluster.schedulerState.team(j.spec).usedCpus());
               assertTrue(j.isFinished());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a start cancelled while its commit was under way is never launched",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -140,7 +140,7 @@
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertEquals(List.of(), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "an attempt that no record knows is stopped, then cleared",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -149,7 +149,7 @@
                   List.of(new WorkerCommand(WorkerCommand.Kind.STOP, "job-9", 0, 3, 0)),
                   cluster.heartbeat(m, 1, SchedulerFixture.TERM, e));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a job that fails everywhere backs off ever longer",
             cluster -> {
               Job j = cluster.job("job-1", 1, 1);
@@ -166,7 +166,7 @@
                 last = j.retryNotBeforeMs - cluster.now;
               }
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "attempt numbers of a restored task go on from the highest recorded one",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -174,7 +174,7 @@
               cluster.schedulerState.restoreRecord(j.attemptRecord(0), 3, new BitSet(), 6);
               assertEquals(7, cluster.startCommitted(j, 0, m).number);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a restored attempt counts, and heartbeats of earlier incarnations are dropped",
             cluster -> {
               Machine m =
@@ -185,7 +185,7 @@
               assertEquals(1, cluster.schedulerState.team(j.spec).usedCpus());
               assertNull(cluster.heartbeatWithSequence(m, 3, 100, SchedulerFixture.TERM));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a heartbeat proves restored attempts of earlier incarnations gone, also where a later one is known",
             cluster -> {
               Machine m =
@@ -197,7 +197,7 @@
               cluster.schedulerState.finishRestore(j, cluster.now);
               cluster.heartbeatWithSequence(m, 2, 100, SchedulerFixture.TERM - 1);
               assertEquals(1, cluster.schedulerState.team(j.spec).usedCpus());
-              assertEquals(1, j.waitingCount());
+              assertEquals(1, j.pendingTaskCount());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/core/FailoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -15,7 +15,8 @@
 
   private Machine report(
       SchedulerState schedulerState, Machine m, Heartbeat.State state, long now) {
-    schedulerState.processHeartbeat(m, JobSpecs.report(m, ++sequence, 2, state), true, now);
+    schedulerState.processHeartbeat(
+        m, JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 2, state), true, now);
     return m;
   }
 
@@ -25,7 +26,7 @@
     SchedulerState schedulerState =
         new SchedulerState(2, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
     long now = 1_000_000;
-    Job job = schedulerState.accept(JobSpecs.array("job-1", 80, 1).spot().build(), 5, 0, now);
+    Job job = schedulerState.accept(JobSpecBuilder.job("job-1", 80, 1).spot().build(), 5, 0, now);
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       machines.add(schedulerState.registerMachine("n-" + i, type, 0, true, now));
@@ -41,7 +42,7 @@
     for (int t = 40; t < 80; t++) {
       schedulerState.start(job, t, machines.get(t / 8), now);
     }
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     for (int i = 5; i < 10; i++) {
       report(schedulerState, machines.get(i), Heartbeat.State.RUNNING, now);
     }
@@ -51,7 +52,7 @@
     for (int i = 5; i < 10; i++) {
       report(schedulerState, machines.get(i), Heartbeat.State.EXITED, now + 60_000);
     }
-    assertEquals(80, job.doneCount());
+    assertEquals(80, job.doneTaskCount());
     assertEquals(0, schedulerState.health().stragglerDetector().suspectCount());
     assertEquals(0, schedulerState.health().stragglerDetector().refusedSuspicions());
   }
--- a/src/test/java/org/mallowroad/core/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/mallowroad/core/HeartbeatReconcilerTest.java
@@ -14,7 +14,7 @@
   @TestFactory
   Stream<DynamicTest> directCommands() {
     return Stream.of(
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a launch is sent directly once, and only to a worker that has seen this term's token",
             cluster -> {
               Machine old =
@@ -49,7 +49,7 @@
                       .heartbeatReconciler()
                       .takeDirectCommands(m, true, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "an exit is not cleared while a launch of the attempt may still arrive",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -74,7 +74,7 @@
                   cluster.heartbeat(m, 1, SchedulerFixture.TERM, exit));
               assertEquals(SchedulerFixture.TERM + 1, m.fencingToken);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "many exits that wait for a higher token raise it at once",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -93,7 +93,7 @@
                   exits.length, cluster.heartbeat(m, 1, SchedulerFixture.TERM, exits).size());
               assertEquals(SchedulerFixture.TERM + 1, m.fencingToken);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "an attempt launched only in responses is cleared at once, and the token stays",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -105,7 +105,7 @@
               assertEquals(1, cluster.heartbeat(m, 1, SchedulerFixture.TERM, exit).size());
               assertEquals(SchedulerFixture.TERM, m.fencingToken);
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a cancelled launch in flight raises the token, and is gone once the worker has seen it",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -119,7 +119,7 @@
               cluster.heartbeat(m, 1, SchedulerFixture.TERM + 1);
               assertTrue(j.isFinished());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "at the last token of the term launches go in responses only",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -133,7 +133,7 @@
                       .takeDirectCommands(m, true, cluster.now));
               assertEquals(1, cluster.heartbeat(m, 1, SchedulerFixture.TERM).size());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a cancelled attempt with a launch in flight counts until its machine is deleted",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -158,7 +158,7 @@
               cluster.schedulerState.machineDeleted(m, cluster.now);
               assertTrue(j.isFinished());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a later incarnation fences a launch in flight",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -169,7 +169,7 @@
               assertEquals(Attempt.Phase.GONE, a.phase);
               assertTrue(m.unfencedLaunches.isEmpty());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a launch refused as a whole is sent again in the next response",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
--- a/src/test/java/org/mallowroad/core/JobSpecs.java
+++ b/src/test/java/org/mallowroad/core/JobSpecBuilder.java
@@ -5,7 +5,7 @@
 import org.mallowroad.core.dependency.JobDependencies;
 
 /** Builds job specs for the tables. */
-public final class JobSpecs {
+public final class JobSpecBuilder {
   private final String id;
   private final int tasks;
   private final double cpus;
@@ -22,67 +22,67 @@
   private double save;
   private JobDependencies dependencies = JobDependencies.NONE;
 
-  private JobSpecs(String id, int tasks, double cpus) {
+  private JobSpecBuilder(String id, int tasks, double cpus) {
     this.id = id;
     this.tasks = tasks;
     this.cpus = cpus;
   }
 
-  public static JobSpecs array(String id, int tasks, double cpus) {
-    return new JobSpecs(id, tasks, cpus);
+  public static JobSpecBuilder job(String id, int tasks, double cpus) {
+    return new JobSpecBuilder(id, tasks, cpus);
   }
 
-  public JobSpecs taskClass(int index) {
+  public JobSpecBuilder taskClass(int index) {
     taskClass = index;
     return this;
   }
 
-  public JobSpecs service() {
+  public JobSpecBuilder service() {
     service = true;
     return this;
   }
 
-  public JobSpecs gang() {
+  public JobSpecBuilder gang() {
     gang = true;
     return this;
   }
 
-  public JobSpecs together() {
+  public JobSpecBuilder together() {
     together = true;
     return this;
   }
 
-  public JobSpecs scatter() {
+  public JobSpecBuilder scatter() {
     scatter = true;
     return this;
   }
 
-  public JobSpecs spot() {
+  public JobSpecBuilder spot() {
     spot = true;
     return this;
   }
 
-  public JobSpecs zone(int z) {
+  public JobSpecBuilder zone(int z) {
     zone = z;
     return this;
   }
 
-  public JobSpecs team(int t) {
+  public JobSpecBuilder team(int t) {
     team = t;
     return this;
   }
 
-  public JobSpecs priority(int p) {
+  public JobSpecBuilder priority(int p) {
     priority = p;
     return this;
   }
 
-  public JobSpecs dependencies(JobDependencies t) {
+  public JobSpecBuilder dependencies(JobDependencies t) {
     dependencies = t;
     return this;
   }
 
-  public JobSpecs saves(double everyS, double inS) {
+  public JobSpecBuilder checkpoints(double everyS, double inS) {
     checkpoint = everyS;
     save = inS;
     return this;
@@ -116,7 +116,7 @@
   }
 
   /** A report that lists all of a machine's attempts in one state. */
-  public static Heartbeat report(
+  public static Heartbeat heartbeatListingAttempts(
       Machine m, long sequence, long fencingToken, Heartbeat.State state) {
     List<Heartbeat.Entry> tasks = new ArrayList<>();
     for (Attempt a : m.attempts()) {
@@ -128,7 +128,7 @@
   }
 
   /** Commits all that is dirty, with every start in it. */
-  public static void commit(SchedulerState schedulerState, long now) {
+  public static void commitDirtyRecords(SchedulerState schedulerState, long now) {
     for (AttemptRecord c : new ArrayList<>(schedulerState.dirtyRecords())) {
       List<Attempt> recorded = new ArrayList<>();
       for (int t = c.firstTask(); t < c.endTask(); t++) {
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -87,13 +87,13 @@
       m.lastResponseMs = now;
     }
 
-    Job job(JobSpecs s) {
+    Job job(JobSpecBuilder s) {
       return schedulerState.accept(s.build(), 5, 0, now);
     }
 
     void run() {
       placement.placeTasks(now);
-      JobSpecs.commit(schedulerState, now);
+      JobSpecBuilder.commitDirtyRecords(schedulerState, now);
       for (Machine m : new ArrayList<>(schedulerState.machines())) {
         if (schedulerState.machineRefusal(m, now) != StartRefusal.HEARTBEAT_OVERDUE) {
           report(m);
@@ -174,14 +174,14 @@
           assertEquals(expected, f.reason(), f.toString());
           assertTrue(f.detail().contains(detail), f.detail());
           assertTrue(f.sinceMs() <= w.now, f.toString());
-          int before = j.waitingCount();
+          int before = j.pendingTaskCount();
           remedy.in(w);
           if (w.firm) {
             w.placement.placeTasks(w.now);
           }
           PendingReason then = w.why(j);
           assertTrue(
-              j.waitingCount() < before || then == null || then.reason() != expected,
+              j.pendingTaskCount() < before || then == null || then.reason() != expected,
               "still " + then);
         });
   }
@@ -194,7 +194,7 @@
             "24 of 24 CPUs used by team",
             w -> {
               w.machines(10);
-              Job j = w.job(JobSpecs.array("job-1", 20, 2));
+              Job j = w.job(JobSpecBuilder.job("job-1", 20, 2));
               w.run();
               return j;
             },
@@ -204,9 +204,9 @@
             "work of other that goes first runs on or waits for 40 CPUs",
             w -> {
               w.machines(10);
-              w.job(JobSpecs.array("job-1", 10, 4).team(1).priority(1));
+              w.job(JobSpecBuilder.job("job-1", 10, 4).team(1).priority(1));
               w.run();
-              return w.job(JobSpecs.array("job-2", 3, 2));
+              return w.job(JobSpecBuilder.job("job-2", 3, 2));
             },
             w -> w.machines(4)),
         reason(
@@ -214,9 +214,9 @@
             "2 machines full",
             w -> {
               w.machines(2);
-              w.job(JobSpecs.array("job-1", 2, 4));
+              w.job(JobSpecBuilder.job("job-1", 2, 4));
               w.run();
-              return w.job(JobSpecs.array("job-2", 3, 2));
+              return w.job(JobSpecBuilder.job("job-2", 3, 2));
             },
             w -> w.machines(2)),
         reason(
@@ -225,7 +225,7 @@
             w -> {
               w.coming.add(
                   new PendingMachines(new MachineVariant(w.type, 1, false), 2, w.now - 5_000));
-              return w.job(JobSpecs.array("job-1", 3, 2));
+              return w.job(JobSpecBuilder.job("job-1", 3, 2));
             },
             w -> {
               w.coming.clear();
@@ -237,7 +237,7 @@
             w -> {
               w.refusing = true;
               w.machine(0);
-              return w.job(JobSpecs.array("job-1", 3, 2).zone(1));
+              return w.job(JobSpecBuilder.job("job-1", 3, 2).zone(1));
             },
             w -> w.refusing = false),
         reason(
@@ -245,7 +245,7 @@
             "none of the types, zones and kinds it allows",
             w -> {
               w.machine(0);
-              return w.job(JobSpecs.array("job-1", 3, 2).zone(1));
+              return w.job(JobSpecBuilder.job("job-1", 3, 2).zone(1));
             },
             w -> w.machine(1)),
         reason(
@@ -254,7 +254,7 @@
             w -> {
               w.machines(20);
               w.silent(10_000, w.in(0));
-              return w.job(JobSpecs.array("job-1", 3, 2).zone(0));
+              return w.job(JobSpecBuilder.job("job-1", 3, 2).zone(0));
             },
             w -> w.in(0).forEach(w::report)),
         reason(
@@ -262,7 +262,7 @@
             "in zone north, which is cut off",
             w -> {
               w.machines(20);
-              Job j = w.job(JobSpecs.array("job-1", 3, 2).zone(0));
+              Job j = w.job(JobSpecBuilder.job("job-1", 3, 2).zone(0));
               w.run();
               w.silent(10_000, w.in(0));
               return j;
@@ -274,7 +274,7 @@
             w -> {
               w.machines(2);
               w.silent(10_000, w.in(0));
-              return w.job(JobSpecs.array("job-1", 3, 2).zone(0));
+              return w.job(JobSpecBuilder.job("job-1", 3, 2).zone(0));
             },
             w -> w.in(0).forEach(w::report)),
         reason(
@@ -282,7 +282,7 @@
             "2 tasks on silent machines, one on n-001 in zone north",
             w -> {
               w.machines(2);
-              Job j = w.job(JobSpecs.array("job-1", 2, 2).zone(0));
+              Job j = w.job(JobSpecBuilder.job("job-1", 2, 2).zone(0));
               w.run();
               w.silent(8_000, w.in(0));
               return j;
@@ -296,7 +296,7 @@
             "places for 4 of 5 tasks",
             w -> {
               w.machines(4);
-              return w.job(JobSpecs.array("job-1", 5, 3).gang());
+              return w.job(JobSpecBuilder.job("job-1", 5, 3).gang());
             },
             w -> w.machines(1)),
         reason(
@@ -304,10 +304,10 @@
             "its other tasks are in north (together)",
             w -> {
               w.machine(0);
-              Job j = w.job(JobSpecs.array("job-1", 3, 4).together());
+              Job j = w.job(JobSpecBuilder.job("job-1", 3, 4).together());
               w.run();
               w.machines(8);
-              w.job(JobSpecs.array("job-2", 4, 4).team(1).zone(0).priority(1));
+              w.job(JobSpecBuilder.job("job-2", 4, 4).team(1).zone(0).priority(1));
               w.run();
               return j;
             },
@@ -317,7 +317,7 @@
             "never: all 4 tasks of the gang have to be in one zone, and scatter lets 2 be there",
             w -> {
               w.machines(8);
-              return w.job(JobSpecs.array("job-1", 4, 1).gang().scatter().zone(0));
+              return w.job(JobSpecBuilder.job("job-1", 4, 1).gang().scatter().zone(0));
             },
             w -> w.schedulerState.cancel(w.schedulerState.job("job-1"), w.now)),
         reason(
@@ -326,13 +326,13 @@
             w -> {
               w.machines(10);
               Machine m = w.machine(0);
-              w.job(JobSpecs.array("job-0", 10, 4).team(1));
+              w.job(JobSpecBuilder.job("job-0", 10, 4).team(1));
               for (int i = 0; i < 5; i++) {
                 w.schedulerState.health().taskFailed(m.health, 100 + i, false, w.now);
               }
               assertTrue(m.health.isSuspect());
               w.run();
-              return w.job(JobSpecs.array("job-1", 1, 1).priority(1));
+              return w.job(JobSpecBuilder.job("job-1", 1, 1).priority(1));
             },
             w -> w.machine(0)),
         reason(
@@ -340,7 +340,7 @@
             "1 machine",
             w -> {
               w.machine(0);
-              Job j = w.job(JobSpecs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecBuilder.job("job-1", 1, 1));
               w.run();
               w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.FAILED, w.now);
               w.now += 2_000;
@@ -353,7 +353,7 @@
             "1 failure in a row",
             w -> {
               w.machines(2);
-              Job j = w.job(JobSpecs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecBuilder.job("job-1", 1, 1));
               w.run();
               w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.LAUNCH_REFUSED, w.now);
               return j;
@@ -365,7 +365,7 @@
             w -> {
               w.machines(2);
               w.schedulerState.machines().forEach(m -> m.draining = true);
-              return w.job(JobSpecs.array("job-1", 1, 1));
+              return w.job(JobSpecBuilder.job("job-1", 1, 1));
             },
             w -> w.machine(0)),
         reason(
@@ -374,7 +374,7 @@
             w -> {
               w.machines(2);
               w.firm = false;
-              return w.job(JobSpecs.array("job-1", 1, 1));
+              return w.job(JobSpecBuilder.job("job-1", 1, 1));
             },
             w -> w.firm = true),
         reason(
@@ -382,21 +382,25 @@
             "1 start, 1 uncommitted record",
             w -> {
               w.machines(2);
-              Job j = w.job(JobSpecs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecBuilder.job("job-1", 1, 1));
               w.placement.placeTasks(w.now);
               return j;
             },
-            w -> JobSpecs.commit(w.schedulerState, w.now)),
+            w -> JobSpecBuilder.commitDirtyRecords(w.schedulerState, w.now)),
         reason(
             PendingCause.IMAGE,
             "1 task without an image",
             w -> {
               Machine m = w.machine(0);
-              Job j = w.job(JobSpecs.array("job-1", 1, 1));
+              Job j = w.job(JobSpecBuilder.job("job-1", 1, 1));
               w.placement.placeTasks(w.now);
-              JobSpecs.commit(w.schedulerState, w.now);
+              JobSpecBuilder.commitDirtyRecords(w.schedulerState, w.now);
               w.schedulerState.processHeartbeat(
-                  m, JobSpecs.report(m, ++w.sequence, TERM, Heartbeat.State.PULLING), true, w.now);
+                  m,
+                  JobSpecBuilder.heartbeatListingAttempts(
+                      m, ++w.sequence, TERM, Heartbeat.State.PULLING),
+                  true,
+                  w.now);
               return j;
             },
             w -> w.schedulerState.machines().forEach(w::report)),
@@ -405,7 +409,7 @@
             "there is room",
             w -> {
               w.machines(2);
-              return w.job(JobSpecs.array("job-1", 1, 1));
+              return w.job(JobSpecBuilder.job("job-1", 1, 1));
             },
             w -> {}));
   }
@@ -418,7 +422,7 @@
             () -> {
               TestCluster w = new TestCluster();
               w.machines(2);
-              Job j = w.job(JobSpecs.array("job-1", 3, 2));
+              Job j = w.job(JobSpecBuilder.job("job-1", 3, 2));
               w.run();
               assertNull(w.why(j));
               JobSnapshot p = w.sketch.job("job-1", w.now + 4_000);
@@ -435,7 +439,7 @@
               TestCluster w = new TestCluster();
               w.machines(2);
               for (int i = 1; i <= 5; i++) {
-                w.job(JobSpecs.array("job-" + i, 1, 4).zone(1));
+                w.job(JobSpecBuilder.job("job-" + i, 1, 4).zone(1));
               }
               w.run();
               w.sketch.begin(w.now);
@@ -473,7 +477,7 @@
     List<Job> all = new ArrayList<>();
     for (int i = 0; i < jobs.size(); i++) {
       int x = jobs.get(i);
-      JobSpecs s = JobSpecs.array("job-" + i, 1 + x % 5, 1 + x / 5 % 4).team(x / 20 % 2);
+      JobSpecBuilder s = JobSpecBuilder.job("job-" + i, 1 + x % 5, 1 + x / 5 % 4).team(x / 20 % 2);
       s = s.priority(x / 40 % 4).zone(x / 160 % 3 - 1);
       s = x / 480 % 4 == 1 ? s.gang() : s;
       s = x / 1920 % 4 == 1 ? s.together() : x / 1920 % 4 == 2 ? s.scatter() : s;
@@ -486,7 +490,7 @@
       w.silent(9_000, w.in(0));
     }
     for (Job j : all) {
-      if (!j.hasWaitingTasks()) {
+      if (!j.hasStartableTasks()) {
         continue;
       }
       PendingReason f = w.why(j);
--- a/src/test/java/org/mallowroad/core/PreemptionTest.java
+++ b/src/test/java/org/mallowroad/core/PreemptionTest.java
@@ -14,13 +14,16 @@
   @TestFactory
   Stream<DynamicTest> interruptionNotices() {
     return Stream.of(
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a machine with an interruption notice gets no work, and its tasks save or are stopped",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
               Job saving =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 1, 1).saves(30, 4).build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-1", 1, 1).checkpoints(30, 4).build(),
+                      5,
+                      0,
+                      cluster.now);
               Job other = cluster.job("job-2", 1, 1);
               Attempt a = cluster.startCommitted(saving, 0, m);
               Attempt b = cluster.startCommitted(other, 0, m);
@@ -53,7 +56,7 @@
                       new WorkerCommand(WorkerCommand.Kind.STOP, "job-2", 0, 1, 0)),
                   cluster.heartbeat(m, 1, SchedulerFixture.TERM, ra, rb));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a task that is expected to end before the interruption goes on",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -69,7 +72,7 @@
   @TestFactory
   Stream<DynamicTest> preemption() {
     return Stream.of(
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "higher priority stops lower, never the same",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -81,7 +84,7 @@
                   SchedulerFixture.TERM,
                   SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-2", 1, 4).build(), 6, 0, cluster.now);
+                  JobSpecBuilder.job("job-2", 1, 4).build(), 6, 0, cluster.now);
               cluster.now += 2_000;
               cluster.heartbeat(
                   m,
@@ -91,7 +94,7 @@
               cluster.taskScheduler.placeTasks(cluster.now);
               assertFalse(a.isStopping());
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-3", 1, 4).priority(1).build(), 7, 0, cluster.now);
+                  JobSpecBuilder.job("job-3", 1, 4).priority(1).build(), 7, 0, cluster.now);
               cluster.now += 2_000;
               cluster.heartbeat(
                   m,
@@ -101,7 +104,7 @@
               cluster.taskScheduler.placeTasks(cluster.now);
               assertTrue(a.isStopping());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a guarantee stops what another team borrows at the same priority",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -120,7 +123,7 @@
                   SchedulerFixture.TERM,
                   SchedulerFixture.entry(b, Heartbeat.State.RUNNING, null));
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-2", 1, 4).team(1).build(), 6, 0, cluster.now);
+                  JobSpecBuilder.job("job-2", 1, 4).team(1).build(), 6, 0, cluster.now);
               cluster.now += 5_000;
               cluster.heartbeat(
                   m,
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -65,7 +65,7 @@
       for (int j = 0; j < JOBS; j++) {
         String id = "job-" + (100 * priority + j);
         schedulerState.accept(
-            JobSpecs.array(id, TASKS, 4).priority(priority).spot().build(), 5, 0, now);
+            JobSpecBuilder.job(id, TASKS, 4).priority(priority).spot().build(), 5, 0, now);
       }
     }
 
@@ -106,7 +106,7 @@
     }
 
     void commit() {
-      JobSpecs.commit(schedulerState, now);
+      JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     }
   }
 
@@ -194,7 +194,8 @@
             w -> {
               w.jobs(1);
               for (int i = 0; i < 4; i++) {
-                JobSpecs s = JobSpecs.array("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
+                JobSpecBuilder s =
+                    JobSpecBuilder.job("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
                 w.schedulerState.accept(s.spot().build(), 5, 0, w.now);
               }
               w.placement.placeTasks(w.now);
@@ -254,7 +255,7 @@
             w -> {
               Job j =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-1", 128, 32).spot().build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-1", 128, 32).spot().build(), 5, 0, w.now);
               w.placement.placeTasks(w.now);
               String text = Json.text(AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
               atMost(6 * 1024, text.length());
@@ -299,7 +300,7 @@
             "more jobs than a picture lists are counted and not explained",
             w -> {
               for (int j = 0; j < SnapshotBuilder.MOST_JOBS + 50; j++) {
-                w.schedulerState.accept(JobSpecs.array("job-" + j, 1, 99).build(), 5, 0, w.now);
+                w.schedulerState.accept(JobSpecBuilder.job("job-" + j, 1, 99).build(), 5, 0, w.now);
               }
               SnapshotBuilder s = w.sketch();
               s.begin(w.now);
@@ -321,20 +322,20 @@
    * CPUs than the one before.
    */
   private static SnapshotBuilder explained(TestCluster w, double differ) {
-    w.schedulerState.accept(JobSpecs.array("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
+    w.schedulerState.accept(JobSpecBuilder.job("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
     w.placement.placeTasks(w.now);
     w.commit();
     for (int j = 1; j <= 300; j++) {
       int tasks = j <= 100 ? 34 : 33;
       w.schedulerState.accept(
-          JobSpecs.array("job-" + j, tasks, 4 + differ * j).team(j % 2).build(), 5, 0, w.now);
+          JobSpecBuilder.job("job-" + j, tasks, 4 + differ * j).team(j % 2).build(), 5, 0, w.now);
     }
     w.schedulerState
         .machines()
         .forEach(
             m ->
                 w.schedulerState.processHeartbeat(
-                    m, JobSpecs.report(m, 2, 1, RUNNING), true, w.now));
+                    m, JobSpecBuilder.heartbeatListingAttempts(m, 2, 1, RUNNING), true, w.now));
     return w.sketch();
   }
 
@@ -362,7 +363,7 @@
                   }
                 }
                 next.schedulerState.finishRestore(taken, next.now);
-                assertEquals(j.waitingCount(), taken.waitingCount());
+                assertEquals(j.pendingTaskCount(), taken.pendingTaskCount());
                 assertEquals(j.liveAttemptCount(), taken.liveAttemptCount());
               }
               atMost(JOBS * TASKS, next.schedulerState.rebuiltQueueTasks());
@@ -378,7 +379,7 @@
             w -> {
               Job j =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-1", 100, 8).spot().build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-1", 100, 8).spot().build(), 5, 0, w.now);
               w.placement.placeTasks(w.now);
               List<RecordedAttempt> live =
                   AttemptRecordCodec.unresolvedAttempts(
--- a/src/test/java/org/mallowroad/core/SchedulerFixture.java
+++ b/src/test/java/org/mallowroad/core/SchedulerFixture.java
@@ -35,7 +35,7 @@
 
   /** An accepted job of the first team. */
   Job job(String id, int tasks, double cpus) {
-    return schedulerState.accept(JobSpecs.array(id, tasks, cpus).build(), 5, 0, now);
+    return schedulerState.accept(JobSpecBuilder.job(id, tasks, cpus).build(), 5, 0, now);
   }
 
   /** A machine that has sent its first heartbeat. */
@@ -87,7 +87,7 @@
 
   /** Commits all that is dirty. */
   void commit() {
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
   }
 
   /** What a worker says of an attempt. */
@@ -96,7 +96,7 @@
   }
 
   /** A test of its own state, named by the behaviour that it checks. */
-  static DynamicTest rule(String behaviour, Consumer<SchedulerFixture> test) {
+  static DynamicTest testCase(String behaviour, Consumer<SchedulerFixture> test) {
     return DynamicTest.dynamicTest(behaviour, () -> test.accept(new SchedulerFixture()));
   }
 }
--- a/src/test/java/org/mallowroad/core/StartAdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/StartAdmissionTest.java
@@ -15,14 +15,14 @@
   @TestFactory
   Stream<DynamicTest> startRules() {
     return Stream.of(
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a start that is not committed is not launched",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
               cluster.schedulerState.start(cluster.job("job-1", 1, 1), 0, m, cluster.now);
               assertEquals(List.of(), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a job that had ended, and was placed again from an outdated list, starts nothing",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -36,7 +36,7 @@
               cluster.schedulerState.markEnded(launched.job, cluster.now);
               assertTrue(launched.isStopping());
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a lost launch is sent again as the same attempt",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -45,7 +45,7 @@
               assertEquals(List.of(launch), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
               assertEquals(List.of(launch), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a leader without state launches nothing",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -56,17 +56,17 @@
               assertEquals(
                   List.of(), cluster.schedulerState.processHeartbeat(m, r, false, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a limit of 0 is none: a guest team without a guarantee runs",
             cluster -> {
               Team guest = new Team("guest", 0, 0, 0, 0);
-              JobSpec s = JobSpecs.array("job-1", 900, 32).build();
-              assertTrue(guest.couldEverRun(s, 900));
-              assertTrue(guest.allows(s, 900));
+              JobSpec s = JobSpecBuilder.job("job-1", 900, 32).build();
+              assertTrue(guest.canEverRun(s, 900));
+              assertTrue(guest.isWithinLimit(s, 900));
               assertFalse(guest.staysWithinGuarantee(s));
-              assertEquals(900, guest.maxTasks(s, 900));
+              assertEquals(900, guest.maxAdditionalTasks(s, 900));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "launches not taken in three heartbeats make a machine unreachable, until one is acknowledged",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -94,7 +94,7 @@
               cluster.heartbeat(m, 1, m.fencingToken);
               assertNull(cluster.schedulerState.machineRefusal(m, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a session lost although its heartbeats were answered means unreachable; a hung one does not",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -108,7 +108,7 @@
               cluster.heartbeat(n, 2, SchedulerFixture.TERM);
               assertNull(cluster.schedulerState.machineRefusal(n, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "late duplicates of heartbeats change nothing, whatever they say and whenever they come",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -137,7 +137,7 @@
                   cluster.schedulerState.registerMachine(
                       "n-1", cluster.type, 0, false, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a task with an unresolved attempt does not start again",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -148,7 +148,7 @@
                   StartRefusal.TASK_NOT_PENDING,
                   cluster.schedulerState.startRefusal(j, 0, n, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "attempts that are not proven gone count against the team's limit",
             cluster -> {
               Job j = cluster.job("job-1", 3, 4);
@@ -161,21 +161,21 @@
                   cluster.schedulerState.machine("n-1"), cluster.now);
               assertNull(cluster.schedulerState.startRefusal(j, 2, free, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "together keeps tasks in one zone, scatter allows half of them in a zone",
             cluster -> {
               Machine a = cluster.machine("n-1", 0);
               Machine b = cluster.machine("n-2", 1);
               Job t =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 2, 1).together().build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-1", 2, 1).together().build(), 5, 0, cluster.now);
               cluster.startCommitted(t, 0, a);
               assertEquals(
                   StartRefusal.ZONE_RULES,
                   cluster.schedulerState.startRefusal(t, 1, b, cluster.now));
               Job s =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-2", 3, 0.5).scatter().build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-2", 3, 0.5).scatter().build(), 5, 0, cluster.now);
               cluster.startCommitted(s, 0, a);
               cluster.startCommitted(s, 1, a);
               assertEquals(
@@ -183,13 +183,13 @@
                   cluster.schedulerState.startRefusal(s, 2, a, cluster.now));
               assertNull(cluster.schedulerState.startRefusal(s, 2, b, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a job's constraints on type, zone and spot machines are kept",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
               Job z =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 1, 1).zone(1).build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-1", 1, 1).zone(1).build(), 5, 0, cluster.now);
               assertEquals(
                   StartRefusal.CONSTRAINTS,
                   cluster.schedulerState.startRefusal(z, 0, m, cluster.now));
@@ -198,12 +198,12 @@
               cluster.heartbeat(spot, 1, SchedulerFixture.TERM);
               Job o =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-2", 1, 1).build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-2", 1, 1).build(), 5, 0, cluster.now);
               assertEquals(
                   StartRefusal.CONSTRAINTS,
                   cluster.schedulerState.startRefusal(o, 0, spot, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a machine whose heartbeat is overdue gets no work",
             cluster -> {
               Machine m = cluster.machine("n-1", 0);
@@ -213,17 +213,17 @@
                   cluster.schedulerState.startRefusal(
                       cluster.job("job-1", 1, 1), 0, m, cluster.now));
             }),
-        SchedulerFixture.rule(
+        SchedulerFixture.testCase(
             "a gang starts with all its tasks or not at all",
             cluster -> {
               cluster.machine("n-1", 0);
               Job g =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 2, 4).gang().build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-1", 2, 4).gang().build(), 5, 0, cluster.now);
               assertEquals(0, cluster.taskScheduler.placeTasks(cluster.now).size());
               cluster.machine("n-2", 1);
               assertEquals(2, cluster.taskScheduler.placeTasks(cluster.now).size());
-              assertFalse(g.hasWaitingTasks());
+              assertFalse(g.hasStartableTasks());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -103,7 +103,7 @@
         now);
     Job job =
         schedulerState.accept(
-            JobSpecs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
+            JobSpecBuilder.job("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
     for (int t = 0; t < tasks; t++) {
       schedulerState.start(job, t, m, now);
     }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -58,7 +58,7 @@
     }
 
     Job job(String id, int tasks, double cpus) {
-      return schedulerState.accept(JobSpecs.array(id, tasks, cpus).spot().build(), 5, 0, now);
+      return schedulerState.accept(JobSpecBuilder.job(id, tasks, cpus).spot().build(), 5, 0, now);
     }
 
     List<ScaleOutRequest> rents(List<PendingMachines> coming) {
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -60,13 +60,17 @@
       Machine m = schedulerState.registerMachine("n-" + names++, BOX, zone, false, now);
       schedulerState
           .heartbeatReconciler()
-          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(
+              m,
+              JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+              true,
+              now);
       return m;
     }
 
     Job gang(String id, int tasks) {
       return schedulerState.accept(
-          JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
+          JobSpecBuilder.job(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
     List<ScaleOutRequest> cycle() {
@@ -108,7 +112,11 @@
     void hear(Machine m) {
       schedulerState
           .heartbeatReconciler()
-          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(
+              m,
+              JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+              true,
+              now);
     }
 
     int held(Job job) {
@@ -159,7 +167,7 @@
               Machine m = w.schedulerState.machine("n-0");
               assertEquals(job, m.reservedFor);
               Job other =
-                  w.schedulerState.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
+                  w.schedulerState.accept(JobSpecBuilder.job("job-2", 9, 1).build(), 5, 0, w.now);
               w.cycle();
               assertEquals(0, other.liveAttemptCount());
               assertEquals(
@@ -180,7 +188,8 @@
               for (int i = 0; i < 3; i++) {
                 run(
                     w,
-                    w.schedulerState.accept(JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
+                    w.schedulerState.accept(
+                        JobSpecBuilder.job("job-" + i, 1, 8).build(), 5, 0, w.now),
                     busy.get(i));
               }
               Job job = w.gang("job-9", 3);
@@ -271,10 +280,10 @@
                     .recordRefusal(new MachineVariant(BOX, z, false), 2, w.now);
               }
               Job equal =
-                  w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
+                  w.schedulerState.accept(JobSpecBuilder.job("job-1", 1, 8).build(), 5, 0, w.now);
               Job idle =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
               Attempt a = run(w, equal, m);
               Attempt b = run(w, idle, n);
               Job job = w.gang("job-3", 2);
@@ -317,7 +326,10 @@
               }
               Job job =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-1", 4, 32).gang().scatter().spot().build(),
+                      5,
+                      0,
+                      w.now);
               List<ScaleOutRequest> rents = w.begin();
               assertEquals(0, job.liveAttemptCount());
               assertTrue(sum(rents) >= 2);
@@ -350,10 +362,14 @@
 
   private static Attempt run(TestCluster w, Job job, Machine m) {
     Attempt a = w.schedulerState.start(job, job.pendingTasks.dequeueInt(), m, w.now);
-    JobSpecs.commit(w.schedulerState, w.now);
+    JobSpecBuilder.commitDirtyRecords(w.schedulerState, w.now);
     w.schedulerState
         .heartbeatReconciler()
-        .reconcile(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
+        .reconcile(
+            m,
+            JobSpecBuilder.heartbeatListingAttempts(m, ++w.sequence, 1, Heartbeat.State.RUNNING),
+            true,
+            w.now);
     return a;
   }
 }
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -123,7 +123,7 @@
 
     void place() {
       placement.placeTasks(now);
-      JobSpecs.commit(schedulerState, now);
+      JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     }
 
     List<String> imageSources(Machine m) {
@@ -228,7 +228,7 @@
               a.interruptionMs = 0;
               w.report(a, null, 2);
               assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
-              assertEquals(3, j.liveAttemptCount() + j.waitingCount() - 1);
+              assertEquals(3, j.liveAttemptCount() + j.pendingTaskCount() - 1);
             }),
         stage(
             "a copy or two cross a zone's border, then its own holder hands on",
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
@@ -28,9 +28,9 @@
     classes.intern("c");
     SchedulerState schedulerState = schedulerState();
     ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
-    Job done = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
+    Job done = schedulerState.accept(JobSpecBuilder.job("job-1", 1, 1).build(), 1, 0, 0);
     schedulerState.accept(
-        JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
+        JobSpecBuilder.job("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
     attainment.recordDone(done);
     schedulerState.jobs().remove(done);
     assertEquals(
@@ -58,7 +58,7 @@
     SchedulerState schedulerState = schedulerState();
     for (int i = 0; i < 1_000; i++) {
       int c = classes.intern("c" + i);
-      JobSpec s = JobSpecs.array("job-" + i, 1, 1).taskClass(c).build();
+      JobSpec s = JobSpecBuilder.job("job-" + i, 1, 1).taskClass(c).build();
       attainment.recordDone(schedulerState.accept(s, 1, 0, 0));
     }
     assertTrue(attainment.lines(List.of(), 0).size() <= 131);
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -39,15 +39,18 @@
 
     void report(Machine m) {
       schedulerState.processHeartbeat(
-          m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          m,
+          JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+          true,
+          now);
     }
 
     /** Normal tasks fill the fleet and have run for so long. */
     void fill(double cpus, long ranMs) {
       int n = (int) (400 / cpus);
-      schedulerState.accept(JobSpecs.array("job-1", n, cpus).spot().build(), 5, 0, now);
+      schedulerState.accept(JobSpecBuilder.job("job-1", n, cpus).spot().build(), 5, 0, now);
       assertEquals(n, placement.placeTasks(now).size());
-      JobSpecs.commit(schedulerState, now);
+      JobSpecBuilder.commitDirtyRecords(schedulerState, now);
       for (Machine m : schedulerState.machines()) {
         report(m);
       }
@@ -58,7 +61,7 @@
     /** Urgent tasks wait for two seconds; how many others were stopped for them. */
     long urgent(int tasks) {
       schedulerState.accept(
-          JobSpecs.array("job-2" + ++sequence, tasks, 1).priority(1).spot().build(), 5, 0, now);
+          JobSpecBuilder.job("job-2" + ++sequence, tasks, 1).priority(1).spot().build(), 5, 0, now);
       for (int i = 0; i < 5; i++) {
         now += 500;
         schedulerState.machines().forEach(this::report);
@@ -103,7 +106,7 @@
             w -> {
               w.fill(1, 40_000);
               w.schedulerState.accept(
-                  JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, w.now);
+                  JobSpecBuilder.job("job-0", 30, 1).priority(0).spot().build(), 5, 0, w.now);
               long stops = w.urgent(30);
               assertTrue(stops >= 25 && stops <= 50, "stopped " + stops);
             }),
@@ -112,7 +115,7 @@
             w -> {
               Job j =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-1", 100, 4).spot().build(), 5, 0, w.now);
               for (int t = 0; t < 100; t++) {
                 w.schedulerState.restoreAttempt(
                     j, t, 4, w.schedulerState.machine("n-" + t), 1, w.now);
@@ -121,7 +124,7 @@
               w.schedulerState.machines().forEach(w::report);
               assertEquals(0, w.urgent(20));
               w.schedulerState.accept(
-                  JobSpecs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, w.now);
+                  JobSpecBuilder.job("job-0", 8, 1).priority(0).spot().build(), 5, 0, w.now);
               assertEquals(2, w.urgent(1));
             }),
         full(
@@ -129,7 +132,7 @@
             w -> {
               w.fill(1, 40_000);
               w.schedulerState.accept(
-                  JobSpecs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, w.now);
+                  JobSpecBuilder.job("job-3", 1, 4).priority(1).spot().build(), 5, 0, w.now);
               assertEquals(4, w.urgent(1));
             }));
   }
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -10,7 +10,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -68,7 +68,10 @@
   private Machine machine(String name) {
     Machine m = schedulerState.registerMachine(name, type, 0, false, now);
     schedulerState.processHeartbeat(
-        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        m,
+        JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+        true,
+        now);
     return m;
   }
 
@@ -88,9 +91,12 @@
     now += 90_000;
     assertEquals(List.of("job-1", "job-2"), order());
     placement.placeTasks(now);
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     schedulerState.processHeartbeat(
-        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        m,
+        JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+        true,
+        now);
     assertEquals(1, large.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
@@ -115,11 +121,11 @@
   void aJobHasBegunWhenAsMuchAsItsTeamsLimitAllowsIsUnderWay() {
     Job j = job("job-1", 1, 150, 1, 60);
     for (int i = 0; i < 100; i++) {
-      assertEquals(-1, j.begunMs());
+      assertEquals(-1, j.fullyPlacedMs());
       machine("n-" + i);
       placement.placeTasks(now);
     }
     assertEquals(100, j.liveAttemptCount());
-    assertTrue(j.begunMs() == now, "400 CPUs are the limit, 4 each");
+    assertTrue(j.fullyPlacedMs() == now, "400 CPUs are the limit, 4 each");
   }
 }
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.state.KeyValueStore;
 
@@ -17,11 +17,11 @@
 final class LeaderElectionTest {
   /** Processes that elect, on one store. */
   private static final class Here {
-    private final SteppedClock c = new SteppedClock();
+    private final VirtualTimeHarness c = new VirtualTimeHarness();
 
     private final class Process implements LeaderElection.Listener {
       private long elected;
-      private final SteppedClock.Process process = c.new Process();
+      private final VirtualTimeHarness.Process process = c.new Process();
       private final LeaderElection election;
 
       Process(String node) {
@@ -31,7 +31,7 @@
       }
 
       void dies() {
-        process.dead = true;
+        process.crashed = true;
       }
 
       @Override
@@ -46,7 +46,7 @@
     }
 
     private void run(long ms) {
-      c.run(ms);
+      c.advance(ms);
     }
 
     private JsonNode leader() {
@@ -96,17 +96,17 @@
               // living one is lost, and what it then reads has its name and its term. An earlier
               // build's record names no lease, so nobody ends it before.
               long lease = lease(h);
-              h.c.loseAnswers = true;
-              h.c.beforeMulti =
+              h.c.loseTransactionResponses = true;
+              h.c.beforeTransaction =
                   () -> {
-                    h.c.beforeMulti = () -> {};
+                    h.c.beforeTransaction = () -> {};
                     late(h, lease);
                   };
               Here.Process after = h.new Process("n0");
               h.run(1_700);
               assertEquals("n0", h.leader() == null ? "n0" : h.leader().path("node").asText());
               assertFalse(after.election.isLeading());
-              h.c.loseAnswers = false;
+              h.c.loseTransactionResponses = false;
               h.run(6_000);
               assertTrue(after.election.isLeading());
               assertTrue(after.elected > FencingTokens.last(1));
@@ -134,7 +134,7 @@
   }
 
   private static long lease(Here h) {
-    return h.c.serve("POST", "/leases", "{\"life_ms\":3000}").body().path("tenure").asLong();
+    return h.c.callStore("POST", "/leases", "{\"life_ms\":3000}").body().path("tenure").asLong();
   }
 
   private static void late(Here h, long lease) {
@@ -149,6 +149,6 @@
   }
 
   private static void put(Here h, String multi) {
-    assertEquals(200, h.c.serve("POST", "/multi", multi).status());
+    assertEquals(200, h.c.callStore("POST", "/multi", multi).status());
   }
 }
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.api.Reply;
 import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.core.Heartbeat;
@@ -94,7 +94,7 @@
   }
 
   private static EventLoop loop() {
-    return new SteppedClock().new Process();
+    return new VirtualTimeHarness().new Process();
   }
 
   @Test
--- a/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.linkstate.ExternalService;
 import org.mallowroad.core.linkstate.LinkPolicy;
 import org.mallowroad.core.linkstate.LinkStateTable;
@@ -22,7 +22,7 @@
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          SteppedClock.Process loop = new SteppedClock().new Process();
+          VirtualTimeHarness.Process loop = new VirtualTimeHarness().new Process();
           LinkStateTable links =
               new LinkStateTable(
                   LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, loop.now());
--- a/src/test/java/org/mallowroad/state/TransactionRetryTest.java
+++ b/src/test/java/org/mallowroad/state/TransactionRetryTest.java
@@ -9,14 +9,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.wire.Json;
 
 /** Transactions whose answers are lost, and what their callers hear of them. */
 final class TransactionRetryTest {
   private static final class Here {
-    private final SteppedClock c = new SteppedClock();
-    private final SteppedClock.Process p = c.new Process();
+    private final VirtualTimeHarness c = new VirtualTimeHarness();
+    private final VirtualTimeHarness.Process p = c.new Process();
     private final KeyValueStore state = new KeyValueStore(p, p, p);
     private final List<String> heard = new ArrayList<>();
     private int copies;
@@ -25,17 +25,17 @@
       // The service's usual time is known.
       for (int i = 0; i < 40; i++) {
         state.get("a/" + i, (result, item) -> {});
-        c.run(10);
+        c.advance(10);
       }
     }
 
     private void put(String key) {
       Transaction transaction = new Transaction().requireVersion(key, 0).put(key, Json.object());
-      long sent = c.now;
+      long sent = c.nowMs;
       state.compareAndSwapWithRetry(
           transaction,
           () -> copies++,
-          (result, revision, failed) -> heard.add(result + " after " + (c.now - sent) / 100));
+          (result, revision, failed) -> heard.add(result + " after " + (c.nowMs - sent) / 100));
     }
   }
 
@@ -50,25 +50,25 @@
             "an answer in time needs no copy",
             h -> {
               h.put("k");
-              h.c.run(5_000);
+              h.c.advance(5_000);
               assertEquals(List.of("OK after 0"), h.heard);
               assertEquals(0, h.copies);
             }),
         rule(
             "a lost answer is known within a part of a second: the copy finds the key written",
             h -> {
-              h.c.loseNext = 1;
+              h.c.transactionResponsesToLose = 1;
               h.put("k");
-              h.c.run(5_000);
+              h.c.advance(5_000);
               assertEquals(List.of("CONDITION_FAILED after 0"), h.heard);
               assertEquals(1, h.copies);
             }),
         rule(
             "with all answers lost it is unknown, said once, after a few copies",
             h -> {
-              h.c.loseAnswers = true;
+              h.c.loseTransactionResponses = true;
               h.put("k");
-              h.c.run(10_000);
+              h.c.advance(10_000);
               assertEquals(1, h.heard.size());
               assertTrue(h.heard.get(0).startsWith("UNKNOWN"), h.heard.toString());
               assertEquals(2, h.copies);
@@ -76,23 +76,23 @@
         rule(
             "a refusal is an answer; while calls are refused nothing is sent again",
             h -> {
-              h.c.crowdedUntilMs = h.c.now + 1_000;
+              h.c.rateLimitedUntilMs = h.c.nowMs + 1_000;
               h.put("k");
-              h.c.run(500);
+              h.c.advance(500);
               assertEquals(List.of("NOT_EXECUTED after 0"), h.heard);
-              h.c.crowdedUntilMs = 0;
-              h.c.loseNext = 1;
+              h.c.rateLimitedUntilMs = 0;
+              h.c.transactionResponsesToLose = 1;
               h.put("l");
-              h.c.run(300);
+              h.c.advance(300);
               assertEquals(0, h.copies);
             }),
         rule(
             "copies are bounded, however many answers are lost",
             h -> {
-              h.c.loseAnswers = true;
+              h.c.loseTransactionResponses = true;
               for (int i = 0; i < 200; i++) {
                 h.put("k" + i);
-                h.c.run(10);
+                h.c.advance(10);
               }
               assertTrue(h.copies <= 30, "copies: " + h.copies);
             }));
