--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -68,12 +68,12 @@
     if (value.path("job").has(DependencyCodec.DEPENDENCIES)) {
       transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
-    writes.forceAcquire(transaction.writes(), loop.now());
+    writes.forceAcquire(transaction.writeCount(), loop.now());
     // Sent twice when an answer is late; if one of the two fails, its failed conditions are read as
     // the outcome.
     state.compareAndSwapWithRetry(
         transaction,
-        () -> writes.forceAcquire(transaction.writes(), loop.now()),
+        () -> writes.forceAcquire(transaction.writeCount(), loop.now()),
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
             lookup.ended(id, false);
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -159,7 +159,7 @@
   boolean answersPromptly() {
     return waiting.size() < maxConditions / 2
         && reads.delayMs() < PROMPT_ANSWER_MS
-        && !state.health().isResponseLate();
+        && !state.health().hasLateResponses();
   }
 
   /** Asks whether a job is open, over or absent. */
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -84,7 +84,7 @@
     }
     listing = true;
     state.list(
-        RecordKeys.SHARED_ATTEMPTS,
+        RecordKeys.SHARED_ATTEMPT_RECORDS_PREFIX,
         (result, items, revision) -> {
           listing = false;
           if (result == CallResult.OK) {
@@ -112,7 +112,7 @@
 
   private void listOwn(Responder x, OpenJobs.Entry job) {
     state.list(
-        RecordKeys.attemptsOf(job.id),
+        RecordKeys.attemptRecordsPrefix(job.id),
         (result, items, revision) -> {
           if (result == CallResult.OK) {
             int done = 0;
--- a/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
+++ b/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
@@ -18,7 +18,7 @@
 /**
  * Checks that a job with dependencies would not wait for itself.
  *
- * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER} with its
+ * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER_KEY} with its
  * acceptance, whose version is a condition of the acceptance. So of two jobs that together would
  * close a cycle, the second is checked again and sees the first.
  */
@@ -61,11 +61,11 @@
       return;
     }
     reader.read(
-        RecordKeys.DEPENDENCY_ORDER,
+        RecordKeys.DEPENDENCY_ORDER_KEY,
         (value, version) -> {
           orderVersion = version;
           state.list(
-              RecordKeys.DEPENDENCIES,
+              RecordKeys.DEPENDENCIES_PREFIX,
               (result, items, revision) -> {
                 if (result != CallResult.OK) {
                   listener.unavailable();
@@ -81,7 +81,7 @@
     for (VersionedValue i : items) {
       try {
         waiting.put(
-            i.key().substring(RecordKeys.DEPENDENCIES.length()),
+            i.key().substring(RecordKeys.DEPENDENCIES_PREFIX.length()),
             DependencyCodec.decodeRecord(i.value()));
       } catch (InvalidMessageException e) {
         listener.unreadable(i.key() + " cannot be read: " + e.getMessage());
@@ -103,8 +103,8 @@
   /** Adds the job's dependencies to its acceptance, on condition that the check still holds. */
   void addTo(Transaction transaction) {
     if (dependencies.isGated()) {
-      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER, orderVersion);
-      transaction.put(RecordKeys.DEPENDENCY_ORDER, Json.object().put("by", id));
+      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER_KEY, orderVersion);
+      transaction.put(RecordKeys.DEPENDENCY_ORDER_KEY, Json.object().put("by", id));
       transaction.put(RecordKeys.dependencies(id), DependencyCodec.encodeRecord(dependencies));
     }
   }
--- a/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
+++ b/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
@@ -348,8 +348,8 @@
 
   /** Reads again what other jobs changed; when the service does not say what, everything. */
   private void rereadAndDecide(List<String> failed, Collection<BlockKey> written) {
-    boolean leaguesChanged = failed.isEmpty() || failed.stream().anyMatch(RecordKeys::isLeague);
-    boolean orderChanged = failed.isEmpty() || failed.contains(RecordKeys.DEPENDENCY_ORDER);
+    boolean leaguesChanged = failed.isEmpty() || failed.stream().anyMatch(RecordKeys::isLeagueKey);
+    boolean orderChanged = failed.isEmpty() || failed.contains(RecordKeys.DEPENDENCY_ORDER_KEY);
     List<BlockKey> changed = ClaimedBlocks.failedKeys(failed, written);
     Runnable reread =
         () ->
@@ -380,12 +380,12 @@
    */
   private void send(
       Transaction transaction, LongConsumer committed, Consumer<List<String>> conditionFailed) {
-    long waitMs = context.writes().millisUntilAvailable(transaction.writes(), loop.now());
+    long waitMs = context.writes().millisUntilAvailable(transaction.writeCount(), loop.now());
     if (waitMs > 0) {
       loop.after(waitMs, () -> send(transaction, committed, conditionFailed));
       return;
     }
-    context.writes().forceAcquire(transaction.writes(), loop.now());
+    context.writes().forceAcquire(transaction.writeCount(), loop.now());
     context
         .state()
         .compareAndSwap(
--- a/src/main/java/org/mallowroad/api/claim/LeagueRecord.java
+++ b/src/main/java/org/mallowroad/api/claim/LeagueRecord.java
@@ -13,7 +13,9 @@
 record LeagueRecord(long upTo, long changes, long version) {
   static LeagueRecord decode(JsonNode value, long version) {
     return new LeagueRecord(
-        field(value, LeagueRecordCodec.UP_TO), field(value, LeagueRecordCodec.CHANGES), version);
+        field(value, LeagueRecordCodec.HIGHEST_GAME),
+        field(value, LeagueRecordCodec.CHANGE_COUNT),
+        version);
   }
 
   private static long field(JsonNode value, String name) {
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -113,15 +113,16 @@
         new JobCodec(teams, zones, new NameIndex(), new NameIndex(), classes);
 
     RecordedState read() throws InvalidMessageException {
-      JsonNode leader = value(LeaderElection.LEADER);
-      JsonNode term = value(LeaderElection.TERM);
-      List<VersionedValue> open = list(RecordKeys.OPEN_JOBS);
-      List<VersionedValue> run = list(RecordKeys.ATTEMPTS);
-      List<VersionedValue> rental = list(RecordKeys.RENTALS);
+      JsonNode leader = value(LeaderElection.LEADER_KEY);
+      JsonNode term = value(LeaderElection.TERM_KEY);
+      List<VersionedValue> open = list(RecordKeys.OPEN_JOBS_PREFIX);
+      List<VersionedValue> run = list(RecordKeys.ATTEMPT_RECORDS_PREFIX);
+      List<VersionedValue> rental = list(RecordKeys.RENTALS_PREFIX);
       Map<String, int[]> of = new LinkedHashMap<>();
       int attempts = 0;
       for (VersionedValue i : run) {
-        String id = i.key().substring(RecordKeys.ATTEMPTS.length(), i.key().lastIndexOf('/'));
+        String id =
+            i.key().substring(RecordKeys.ATTEMPT_RECORDS_PREFIX.length(), i.key().lastIndexOf('/'));
         int[] counts = of.computeIfAbsent(id, k -> new int[2]);
         int live = AttemptRecordCodec.unresolvedAttempts(i.value()).size();
         counts[0] += AttemptRecordCodec.doneTasks(i.value()).cardinality();
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -87,7 +87,7 @@
 
   /** Decodes submissions. */
   @Override
-  public JobCodec codec() {
+  public JobCodec jobCodec() {
     return codec;
   }
 
@@ -123,7 +123,7 @@
   }
 
   @Override
-  public MachineType type(String name) {
+  public MachineType machineType(String name) {
     for (MachineType t : machineTypes) {
       if (t.name().equals(name)) {
         return t;
--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -116,15 +116,15 @@
     return context.cancellationView().isStale(now)
         || parts.responder.isLeaseUncertain(context.lease().renewedMs(), now)
         || (parts.isolation.isCutOffFromStateAndPeers(now)
-            && parts.responder.redirectOnce(heartbeat, now));
+            && parts.responder.tryRedirect(heartbeat, now));
   }
 
   private void recordContact(Machine machine, int relayPeer, long now) {
     parts.isolation.heartbeatReceived(now);
-    parts.responder.heartbeatArrived(machine.zone, relayPeer < 0, now);
+    parts.responder.recordHeartbeatRoute(machine.zone, relayPeer < 0, now);
     parts.provisioner.heartbeatReceived(machine);
     machine.relayPeer = relayPeer;
-    parts.responder.evaluateTasks(machine, loop.now());
+    parts.responder.evaluateTaskHealth(machine, loop.now());
   }
 
   /** The next placement pass may start tasks there: the answer can then include their launches. */
@@ -136,7 +136,7 @@
 
   /** The machine that sent the heartbeat, or null where its type or zone is unknown. */
   private Machine findOrAddMachine(Heartbeat heartbeat) {
-    MachineType type = context.clusterConfig().type(heartbeat.type());
+    MachineType type = context.clusterConfig().machineType(heartbeat.type());
     int zone = context.clusterConfig().zones.find(heartbeat.zone());
     if (type == null || zone < 0) {
       return null;
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -92,7 +92,7 @@
     this.folds = newFoldMaintenance();
     this.stateLoader = newStateLoader();
     this.provisioner = newProvisioner();
-    this.isolation = new LeaderIsolationDetector(context, provisioner::runningMachines);
+    this.isolation = new LeaderIsolationDetector(context, provisioner::runningMachineCount);
     this.heartbeats =
         new HeartbeatHandler(
             context,
@@ -239,7 +239,7 @@
   /** Begins to read the records of the term before. */
   void start() {
     timers.add(loop.every(TICK_INTERVAL_MS, this::detectPauses));
-    stateLoader.begin();
+    stateLoader.load();
   }
 
   /**
@@ -299,7 +299,9 @@
     folds.start();
     provisioner.start();
     rentRequests.forEach(
-        i -> provisioner.restore(i.key().substring(RecordKeys.RENTALS.length()), i.value()));
+        i ->
+            provisioner.restoreRental(
+                i.key().substring(RecordKeys.RENTALS_PREFIX.length()), i.value()));
     LOG.info(
         "event=takeover term={} jobs={} records={} rent_requests={} ms={}",
         term.number(),
@@ -374,12 +376,12 @@
     }
 
     @Override
-    public void startRecorded(Job job, long revision) {
+    public void gatedStartCommitted(Job job, long revision) {
       dependencyGates.startRecorded(job, revision);
     }
 
     @Override
-    public void revalidate(Job job, Runnable next) {
+    public void reloadStartConditions(Job job, Runnable next) {
       dependencyGates.revalidate(job, next);
     }
 
@@ -432,7 +434,7 @@
     }
 
     @Override
-    public void openJobFound(Job job) {
+    public void openJobRestored(Job job) {
       dependencyGates.jobAccepted(job);
     }
 
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -86,13 +86,15 @@
   /**
    * True when this leader's lease must have expired and no peer is reachable. Either it is cut off
    * and another node leads, or the state service and the peers are down. This node cannot tell the
-   * two apart, but a worker that asks the other nodes can ({@link FailureResponder#redirectOnce}).
+   * two apart, but a worker that asks the other nodes can ({@link FailureResponder#tryRedirect}).
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
     return settings.nodes() > 1
         && services.reachablePeers().getAsInt() == 0
-        && now - Math.max(context.lease().renewedMs(), services.state().health().lastContactMs())
+        && now
+                - Math.max(
+                    context.lease().renewedMs(), services.state().health().lastExecutedCallSentMs())
             > LEASE_SURELY_OVER_MS;
   }
 }
--- a/src/main/java/org/mallowroad/controller/LeaderLease.java
+++ b/src/main/java/org/mallowroad/controller/LeaderLease.java
@@ -24,11 +24,11 @@
 
   /** True while the lease was renewed so recently that it cannot have expired. */
   boolean isValid() {
-    return loop.now() - election.renewedMs() < VALID_AFTER_RENEWAL_MS;
+    return loop.now() - election.lastRenewalSentMs() < VALID_AFTER_RENEWAL_MS;
   }
 
   /** When the last successful renewal was sent, on the steady clock. */
   long renewedMs() {
-    return election.renewedMs();
+    return election.lastRenewalSentMs();
   }
 }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -232,7 +232,7 @@
     boolean isIdle = !state.route().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
     if (!isProbingState && (state.route().takeProbe(now) || isIdle)) {
       isProbingState = true;
-      probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
+      probe(state, "/kv/" + LeaderElection.LEADER_KEY, () -> isProbingState = false);
     }
     // Only the leader uses the cloud; other nodes need no route to it.
     if (cloud.route().takeProbe(now) && listener.isLeading()) {
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -133,7 +133,7 @@
           // No retry: a write that is lost is made by the next term.
           Transaction transaction =
               new Transaction()
-                  .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
+                  .requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion)
                   .requireVersion(KEY, item.version())
                   .put(KEY, value);
           state.compareAndSwap(transaction, (r, revision, failed) -> {});
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -73,7 +73,7 @@
     gauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
     gauge(
         "mallowroad.state.silence.ms",
-        m -> m.node.loop.now() - m.node.state.health().lastContactMs());
+        m -> m.node.loop.now() - m.node.state.health().lastExecutedCallSentMs());
   }
 
   private void registerLinks(LinkMonitor links) {
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -171,7 +171,7 @@
     boolean hasDetails = builder != null;
     String node = clusterConfig.settings.node();
     String remoteLeader = election.leader() == null ? "" : election.leader();
-    long silentMs = loop.now() - state.health().lastContactMs();
+    long silentMs = loop.now() - state.health().lastExecutedCallSentMs();
     return new NodeSnapshot(
         NodeSnapshot.FORMAT,
         node,
@@ -181,7 +181,7 @@
         loop.wallMs(),
         (spentNanos + loop.nanos() - beganNanos) / 1000,
         leader == null ? 0 : leader.loopLagMs(),
-        state.health().lastContactMs() < 0 ? -1 : silentMs / 1000.0,
+        state.health().lastExecutedCallSentMs() < 0 ? -1 : silentMs / 1000.0,
         leader != null && leader.isLeaseValid(),
         totals,
         teams,
@@ -222,7 +222,7 @@
 
     @Override
     public long renewedMs() {
-      return election.renewedMs();
+      return election.lastRenewalSentMs();
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/WriteBudget.java
+++ b/src/main/java/org/mallowroad/controller/WriteBudget.java
@@ -1,7 +1,7 @@
 package org.mallowroad.controller;
 
 import org.mallowroad.config.Settings;
-import org.mallowroad.controller.persistence.WriteRateLimiter;
+import org.mallowroad.controller.persistence.LeaderWriteRateAdjuster;
 import org.mallowroad.net.RateLimiter;
 
 /**
@@ -11,7 +11,7 @@
  * @param share adapts the rate of {@code limiter} to what users' requests leave
  * @param maxTransactionWrites writes of the largest transaction
  */
-record WriteBudget(RateLimiter limiter, WriteRateLimiter share, int maxTransactionWrites) {
+record WriteBudget(RateLimiter limiter, LeaderWriteRateAdjuster share, int maxTransactionWrites) {
   /** The share of the writes per second that the leader begins with. */
   private static final double INITIAL_SHARE = 0.75;
 
@@ -36,6 +36,6 @@
         new RateLimiter(
             writeRps * INITIAL_SHARE, Math.max(maxTransactionWrites, writeRps * BURST_SHARE), now);
     return new WriteBudget(
-        limiter, new WriteRateLimiter(writeRps, limiter, now), maxTransactionWrites);
+        limiter, new LeaderWriteRateAdjuster(writeRps, limiter, now), maxTransactionWrites);
   }
 }
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -91,7 +91,7 @@
   /** All open jobs are known: reads the releases that earlier leaders recorded. */
   public void start() {
     store.list(
-        RecordKeys.RELEASES,
+        RecordKeys.RELEASES_PREFIX,
         (result, records, revision) -> {
           if (stopped) {
             return;
@@ -101,7 +101,8 @@
             return;
           }
           for (VersionedValue record : records) {
-            DependencyGate gate = gates.get(record.key().substring(RecordKeys.RELEASES.length()));
+            DependencyGate gate =
+                gates.get(record.key().substring(RecordKeys.RELEASES_PREFIX.length()));
             if (gate != null) {
               restore(gate, record.value(), record.version());
             }
@@ -249,7 +250,7 @@
   private void recordRelease(DependencyGate gate, Job job) {
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderVersion)
+            .requireVersion(LeaderElection.LEADER_KEY, leaderVersion)
             .requireVersion(RecordKeys.openJob(gate.jobId()), job.version)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     addLeagueConditions(gate, transaction);
@@ -278,7 +279,7 @@
   private void releaseNotRecorded(
       DependencyGate gate, Job job, CallResult result, List<String> failed) {
     boolean conflict = result == CallResult.CONDITION_FAILED;
-    if (conflict && failed.contains(LeaderElection.LEADER)) {
+    if (conflict && failed.contains(LeaderElection.LEADER_KEY)) {
       deposed.run();
     } else if (conflict && failed.contains(RecordKeys.release(gate.jobId()))) {
       // An earlier write of this leader that had no answer was applied: taken as it is recorded.
@@ -305,7 +306,7 @@
    * up to the highest game that any gate requires.
    */
   private void leagueChanged(VersionedValue record) {
-    String league = record.key().substring(RecordKeys.LEAGUES.length());
+    String league = record.key().substring(RecordKeys.LEAGUES_PREFIX.length());
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
     for (DependencyGate gate : List.copyOf(gates.all())) {
       if (gate.isOutdatedBy(league, changes)) {
@@ -326,7 +327,7 @@
         gate.leagueVersions());
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderVersion)
+            .requireVersion(LeaderElection.LEADER_KEY, leaderVersion)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     putRelease(gate, true, transaction);
     store.compareAndSwap(
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -139,7 +139,7 @@
       return;
     }
     state.listPage(
-        RecordKeys.FOLD_INTENTS,
+        RecordKeys.FOLD_INTENTS_PREFIX,
         null,
         PAGE_SIZE,
         (result, items, revision) -> {
@@ -155,7 +155,7 @@
   }
 
   private void abandon(VersionedValue i) {
-    String job = i.key().substring(RecordKeys.FOLD_INTENTS.length());
+    String job = i.key().substring(RecordKeys.FOLD_INTENTS_PREFIX.length());
     try {
       abandoning = true;
       claims.abandon(
@@ -178,7 +178,7 @@
       return;
     }
     state.listPage(
-        RecordKeys.FOLD_BLOCKS,
+        RecordKeys.FOLD_BLOCKS_PREFIX,
         lastKey,
         PAGE_SIZE,
         (result, items, revision) -> {
@@ -205,7 +205,7 @@
     ArrayDeque<String> jobs = new ArrayDeque<>();
     for (VersionedValue i : items) {
       try {
-        BlockKey key = RecordKeys.blockOfKey(i.key());
+        BlockKey key = RecordKeys.blockOfFoldBlockKey(i.key());
         Block block = FoldCodec.decodeBlock(i.value());
         blocks.put(key, block);
         versions.put(key, i.version());
@@ -249,14 +249,14 @@
       return;
     }
     Transaction transaction =
-        new Transaction().requireVersion(LeaderElection.LEADER, leaderKeyVersion);
+        new Transaction().requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion);
     blocks.forEach(
         (k, b) -> {
           leagueIndex(k.league()).update(k.index(), b, jobOutcomes::get);
           Block settled = Claims.settled(b, jobOutcomes::get);
           if (settled != b
-              && transaction.writes() < maxTransactionWrites / 2
-              && writes.availablePermits(loop.now()) - transaction.writes()
+              && transaction.writeCount() < maxTransactionWrites / 2
+              && writes.availablePermits(loop.now()) - transaction.writeCount()
                   >= RESERVED_WRITE_PERMITS) {
             transaction.requireVersion(RecordKeys.foldBlock(k), versions.get(k));
             if (settled.sides().isEmpty()) {
@@ -267,8 +267,8 @@
           }
         });
     loop.after(PAGE_INTERVAL_MS, this::readNextPage);
-    if (transaction.writes() > 0) {
-      writes.forceAcquire(transaction.writes(), loop.now());
+    if (transaction.writeCount() > 0) {
+      writes.forceAcquire(transaction.writeCount(), loop.now());
       // The result does not matter: the next pass finds what is left.
       state.compareAndSwap(transaction, (result, revision, failed) -> {});
     }
--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -168,7 +168,7 @@
   /** Reads blocks of a league in order, up to the one with the last required game. */
   private void readPage(RequiredGamesCheck check, String after, Runnable next) {
     store.listPage(
-        RecordKeys.FOLD_BLOCKS + check.league() + "/",
+        RecordKeys.FOLD_BLOCKS_PREFIX + check.league() + "/",
         after,
         PAGE_BLOCKS,
         (status, blocks, revision) -> {
@@ -196,7 +196,7 @@
       return;
     }
     VersionedValue record = blocks.get(index);
-    BlockKey key = RecordKeys.blockOfKey(record.key());
+    BlockKey key = RecordKeys.blockOfFoldBlockKey(record.key());
     if (key.index() > check.lastBlock()) {
       checkBlocks(check, blocks.subList(0, index), index, next);
       return;
--- a/src/main/java/org/mallowroad/controller/dependency/LeagueWatch.java
+++ b/src/main/java/org/mallowroad/controller/dependency/LeagueWatch.java
@@ -57,7 +57,7 @@
     }
     running = true;
     store.list(
-        RecordKeys.LEAGUES,
+        RecordKeys.LEAGUES_PREFIX,
         (result, records, revision) -> {
           if (result == CallResult.OK) {
             records.forEach(changed);
@@ -79,7 +79,7 @@
       return;
     }
     store.watch(
-        RecordKeys.LEAGUES,
+        RecordKeys.LEAGUES_PREFIX,
         fromRevision,
         WATCH_MS,
         (result, changes, revision) -> {
--- a/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
+++ b/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
@@ -42,7 +42,7 @@
 
   /** How often required games of a league were claimed, by the league's record or its absence. */
   static long leagueChanges(JsonNode leagueRecord) {
-    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGES).asLong();
+    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGE_COUNT).asLong();
   }
 
   private static Map<String, Long> numbers(JsonNode object) {
--- a/src/main/java/org/mallowroad/controller/persistence/CommitApplier.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitApplier.java
@@ -27,7 +27,7 @@
     for (WrittenSharedRecord written : commit.writtenSharedRecords()) {
       sharedRecordCommitted(written, revision);
     }
-    commit.jobsWithStartConditions().forEach(job -> listener.startRecorded(job, revision));
+    commit.jobsWithStartConditions().forEach(job -> listener.gatedStartCommitted(job, revision));
     for (Job job : commit.endedJobs()) {
       schedulerState.markEnded(job, loop.now());
       listener.jobEnded(job, true);
--- a/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
@@ -62,13 +62,13 @@
     List<Consumer<Runnable>> steps = new ArrayList<>();
     List<Job> jobs = new ArrayList<>(commit.endedJobs());
     for (WrittenRecord written : commit.writtenRecords()) {
-      if (mayHaveFailed.test(RecordKeys.attempts(written.record()))) {
+      if (mayHaveFailed.test(RecordKeys.attemptRecord(written.record()))) {
         steps.add(next -> readRecord(written, next));
       }
       addOnce(jobs, written.record().job);
     }
     for (WrittenSharedRecord written : commit.writtenSharedRecords()) {
-      if (mayHaveFailed.test(RecordKeys.sharedAttempts(written.record()))) {
+      if (mayHaveFailed.test(RecordKeys.sharedAttemptRecord(written.record()))) {
         steps.add(next -> readSharedRecord(written, next));
       }
       written.members().forEach(member -> addOnce(jobs, member.record().job));
@@ -80,10 +80,10 @@
         steps.add(next -> readJobEnd(job, next));
       }
     }
-    boolean anyLeagueFailed = failedKeys.stream().anyMatch(RecordKeys::isLeague);
+    boolean anyLeagueFailed = failedKeys.stream().anyMatch(RecordKeys::isLeagueKey);
     for (Job job : commit.jobsWithStartConditions()) {
       if (mayHaveFailed.test(RecordKeys.release(job.spec.id())) || anyLeagueFailed) {
-        steps.add(next -> listener.revalidate(job, next));
+        steps.add(next -> listener.reloadStartConditions(job, next));
       }
     }
     run(steps, 0, done);
@@ -108,7 +108,7 @@
 
   private void readRecord(WrittenRecord written, Runnable next) {
     read(
-        RecordKeys.attempts(written.record()),
+        RecordKeys.attemptRecord(written.record()),
         item -> {
           if (isSame(written.value(), item.value())) {
             applier.recordCommitted(written, item.version());
@@ -121,7 +121,7 @@
 
   private void readSharedRecord(WrittenSharedRecord written, Runnable next) {
     read(
-        RecordKeys.sharedAttempts(written.record()),
+        RecordKeys.sharedAttemptRecord(written.record()),
         item -> {
           if (isSame(written.value(), item.value())) {
             applier.sharedRecordCommitted(written, item.version());
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -117,7 +117,8 @@
     this.now = now;
     this.maxWrites = maxWrites;
     this.maxConditions = maxConditions;
-    this.transaction = new Transaction().requireVersion(LeaderElection.LEADER, leaderKeyVersion);
+    this.transaction =
+        new Transaction().requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion);
   }
 
   /** The transaction, once {@link #finish} was called. */
@@ -152,7 +153,7 @@
 
   /** Number of puts and deletes. */
   int writes() {
-    return transaction.writes()
+    return transaction.writeCount()
         + (writtenSharedRecords.isEmpty() ? includedSharedRecords.size() : 0);
   }
 
@@ -170,7 +171,7 @@
   }
 
   private boolean hasRoomForConditions(int more) {
-    return transaction.conditions() + includedSharedRecords.size() + more <= maxConditions;
+    return transaction.conditionCount() + includedSharedRecords.size() + more <= maxConditions;
   }
 
   /** Adds the ends of jobs whose tasks are all done for at least {@code ms}. */
@@ -208,7 +209,9 @@
   }
 
   private void delete(AttemptRecord c) {
-    transaction.requireVersion(RecordKeys.attempts(c), c.version).delete(RecordKeys.attempts(c));
+    transaction
+        .requireVersion(RecordKeys.attemptRecord(c), c.version)
+        .delete(RecordKeys.attemptRecord(c));
     writtenRecords.add(new WrittenRecord(c, c.changeCount, true, List.of(), null));
     estimatedBytes += KEY_BYTES;
   }
@@ -321,8 +324,8 @@
     }
     ObjectNode value = AttemptRecordCodec.encode(c, zones);
     transaction
-        .requireVersion(RecordKeys.attempts(c), c.version)
-        .put(RecordKeys.attempts(c), value);
+        .requireVersion(RecordKeys.attemptRecord(c), c.version)
+        .put(RecordKeys.attemptRecord(c), value);
     writtenRecords.add(new WrittenRecord(c, c.changeCount, false, starts, value));
     estimatedBytes += Json.text(value).length() + KEY_BYTES;
   }
@@ -374,14 +377,14 @@
           r.members().stream().filter(c -> included.contains(c) && !c.isFinished()).toList();
       List<WrittenRecord> written =
           sharedMembers.stream().filter(w -> w.record().sharedRecord == r).toList();
-      transaction.requireVersion(RecordKeys.sharedAttempts(r), r.version);
+      transaction.requireVersion(RecordKeys.sharedAttemptRecord(r), r.version);
       if (!remaining.isEmpty()) {
         JsonNode value = AttemptRecordCodec.encodeShared(remaining, zones);
-        transaction.put(RecordKeys.sharedAttempts(r), value);
+        transaction.put(RecordKeys.sharedAttemptRecord(r), value);
         writtenSharedRecords.add(new WrittenSharedRecord(r, value, written));
       } else {
         if (r.version > 0) {
-          transaction.delete(RecordKeys.sharedAttempts(r));
+          transaction.delete(RecordKeys.sharedAttemptRecord(r));
         }
         writtenSharedRecords.add(new WrittenSharedRecord(r, null, written));
       }
--- a/src/main/java/org/mallowroad/controller/persistence/WriteRateLimiter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/LeaderWriteRateAdjuster.java
@@ -11,7 +11,7 @@
  *
  * <p>Confined to the event loop.
  */
-public final class WriteRateLimiter {
+public final class LeaderWriteRateAdjuster {
   private static final double MAX_SHARE = 0.75;
   private static final double MIN_SHARE = 0.5;
 
@@ -42,7 +42,7 @@
    * @param writesPerSecond writes that the service takes
    * @param leaderWrites the leader's limiter, whose rate is set
    */
-  public WriteRateLimiter(double writesPerSecond, RateLimiter leaderWrites, long now) {
+  public LeaderWriteRateAdjuster(double writesPerSecond, RateLimiter leaderWrites, long now) {
     this.writesPerSecond = writesPerSecond;
     this.leaderWrites = leaderWrites;
     this.updatedMs = now;
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -65,7 +65,7 @@
   void openRecordFound(VersionedValue item) {
     Job job = restorer.restoreOpenJob(item);
     if (job != null) {
-      listener.openJobFound(job);
+      listener.openJobRestored(job);
     }
   }
 
@@ -76,7 +76,7 @@
     }
     long sentMs = loop.now();
     store.watch(
-        RecordKeys.OPEN_JOBS,
+        RecordKeys.OPEN_JOBS_PREFIX,
         afterRevision,
         WATCH_WAIT_MS,
         (result, events, revision) -> {
@@ -99,7 +99,7 @@
         listener.jobAccepted();
         openRecordFound(event);
       } else {
-        openRecordDeleted(RecordKeys.jobOfOpenKey(event.key()), reading);
+        openRecordDeleted(RecordKeys.jobOfOpenJobKey(event.key()), reading);
       }
     }
     reading.markApplied();
@@ -130,7 +130,7 @@
     }
     long sentMs = loop.now();
     store.list(
-        RecordKeys.OPEN_JOBS,
+        RecordKeys.OPEN_JOBS_PREFIX,
         (result, openRecords, revision) -> {
           if (isStopped) {
             return;
@@ -148,7 +148,7 @@
     CancellationView.Reading reading = view.beginReading(sentMs);
     ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
     for (VersionedValue item : openRecords) {
-      String id = RecordKeys.jobOfOpenKey(item.key());
+      String id = RecordKeys.jobOfOpenJobKey(item.key());
       ids.add(id);
       if (schedulerState.job(id) == null) {
         openRecordFound(item); // Open records never change: the others need not be read again.
--- a/src/main/java/org/mallowroad/controller/persistence/RecordDecodingContext.java
+++ b/src/main/java/org/mallowroad/controller/persistence/RecordDecodingContext.java
@@ -11,11 +11,11 @@
   List<MachineType> machineTypes();
 
   /** The machine type of this name, or null when the cloud does not offer it. */
-  MachineType type(String name);
+  MachineType machineType(String name);
 
   /** The index of zone names. */
   NameIndex zones();
 
   /** Decodes submissions into job specifications. */
-  JobCodec codec();
+  JobCodec jobCodec();
 }
--- a/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
+++ b/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
@@ -40,7 +40,7 @@
   /** Restores a job from its open record; null when the record cannot be used. */
   Job restoreOpenJob(VersionedValue item) {
     try {
-      JobSpec spec = JobRecordCodec.decodeOpen(item.value(), decodingContext.codec());
+      JobSpec spec = JobRecordCodec.decodeOpen(item.value(), decodingContext.jobCodec());
       if (spec.team() < 0) {
         LOG.error("event=team_unknown job={}", spec.id());
         return null;
@@ -60,7 +60,7 @@
   void restoreCancelledJob(VersionedValue endRecord) {
     try {
       JsonNode openRecord = JobRecordCodec.openRecordOf(endRecord.value());
-      JobSpec spec = JobRecordCodec.decodeOpen(openRecord, decodingContext.codec());
+      JobSpec spec = JobRecordCodec.decodeOpen(openRecord, decodingContext.jobCodec());
       if (spec.team() >= 0) {
         schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
       }
@@ -75,11 +75,11 @@
 
   /** Restores an attempt record that is a job's own; one of an unknown job is left out. */
   void restoreAttempts(VersionedValue item) {
-    Job job = schedulerState.job(RecordKeys.jobOfAttemptsKey(item.key()));
+    Job job = schedulerState.job(RecordKeys.jobOfAttemptRecordKey(item.key()));
     if (job == null) {
       return;
     }
-    int index = RecordKeys.indexOfAttemptsKey(item.key());
+    int index = RecordKeys.indexOfAttemptRecordKey(item.key());
     if (index < job.attemptRecordCount()) {
       restore(job.attemptRecord(index), item.version(), item.value(), item.key());
     }
@@ -93,7 +93,7 @@
     SharedAttemptRecord shared =
         schedulerState
             .sharedAttemptRecords()
-            .restore(RecordKeys.nameOfSharedAttemptsKey(item.key()), item.version());
+            .restore(RecordKeys.nameOfSharedAttemptRecordKey(item.key()), item.version());
     for (Map.Entry<String, JsonNode> member : AttemptRecordCodec.membersOfShared(item.value())) {
       Job job = schedulerState.job(member.getKey());
       if (job != null && job.attemptRecordCount() == 1) {
@@ -111,7 +111,7 @@
         AttemptRecordCodec.doneTasks(value),
         AttemptRecordCodec.highestAttemptNumber(value));
     for (RecordedAttempt attempt : AttemptRecordCodec.unresolvedAttempts(value)) {
-      MachineType type = decodingContext.type(attempt.type());
+      MachineType type = decodingContext.machineType(attempt.type());
       int zone = decodingContext.zones().find(attempt.zone());
       if (type == null || zone < 0) {
         LOG.error("event=record_unreadable key={} machine={}", key, attempt.machine());
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -56,7 +56,7 @@
     void loaded(int attemptRecords, List<VersionedValue> rentals);
 
     /** An open job is in the scheduler state; may be told more than once. */
-    void openJobFound(Job job);
+    void openJobRestored(Job job);
 
     /** A job was accepted by any node. */
     void jobAccepted();
@@ -96,12 +96,12 @@
   }
 
   /** Reads all records, again and again until every list is read. */
-  public void begin() {
+  public void load() {
     if (isStopped) {
       return;
     }
     if (decodingContext.machineTypes().isEmpty()) {
-      loop.after(MACHINE_TYPES_RETRY_MS, this::begin);
+      loop.after(MACHINE_TYPES_RETRY_MS, this::load);
       return;
     }
     new Loading().start();
@@ -124,26 +124,26 @@
      */
     void start() {
       store.list(
-          RecordKeys.OPEN_JOBS,
+          RecordKeys.OPEN_JOBS_PREFIX,
           (result, items, revision) -> {
             openJobs = items;
             openJobsRevision = revision;
             listRead(result);
           });
       store.list(
-          RecordKeys.ATTEMPTS,
+          RecordKeys.ATTEMPT_RECORDS_PREFIX,
           (result, items, revision) -> {
             attempts = items;
             listRead(result);
           });
       store.list(
-          RecordKeys.SHARED_ATTEMPTS,
+          RecordKeys.SHARED_ATTEMPT_RECORDS_PREFIX,
           (result, items, revision) -> {
             sharedAttempts = items;
             listRead(result);
           });
       store.list(
-          RecordKeys.RENTALS,
+          RecordKeys.RENTALS_PREFIX,
           (result, items, revision) -> {
             rentals = items;
             listRead(result);
@@ -156,7 +156,7 @@
         return;
       }
       if (hasFailed) {
-        loop.after(LIST_RETRY_MS, StateLoader.this::begin);
+        loop.after(LIST_RETRY_MS, StateLoader.this::load);
       } else {
         restoreInTurns(openJobs, 0, watcher::openRecordFound, this::readJobEnds);
       }
@@ -185,9 +185,9 @@
      */
     private void readJobEnds() {
       ObjectOpenHashSet<String> open = new ObjectOpenHashSet<>();
-      openJobs.forEach(item -> open.add(RecordKeys.jobOfOpenKey(item.key())));
+      openJobs.forEach(item -> open.add(RecordKeys.jobOfOpenJobKey(item.key())));
       ObjectLinkedOpenHashSet<String> ended = new ObjectLinkedOpenHashSet<>();
-      attempts.forEach(item -> ended.add(RecordKeys.jobOfAttemptsKey(item.key())));
+      attempts.forEach(item -> ended.add(RecordKeys.jobOfAttemptRecordKey(item.key())));
       sharedAttempts.forEach(
           item ->
               AttemptRecordCodec.membersOfShared(item.value())
@@ -198,7 +198,7 @@
 
     private void jobEndsRead(Set<String> doneJobs) {
       for (VersionedValue item : attempts) {
-        if (doneJobs.contains(RecordKeys.jobOfAttemptsKey(item.key()))) {
+        if (doneJobs.contains(RecordKeys.jobOfAttemptRecordKey(item.key()))) {
           committer.deleteObsoleteRecord(item.key(), item.version());
         }
       }
--- a/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
@@ -59,7 +59,7 @@
 
   private final EventLoop loop;
   private final KeyValueStore store;
-  private final RateLimiter writes;
+  private final RateLimiter writeRateLimiter;
   private final SchedulerState schedulerState;
   private final NameIndex zones;
   private final Options options;
@@ -102,14 +102,14 @@
     void addStartConditions(Job job, Transaction transaction);
 
     /** What {@link #addStartConditions} added is committed. */
-    void startRecorded(Job job, long revision);
+    void gatedStartCommitted(Job job, long revision);
 
     /**
      * A condition that {@link #addStartConditions} added may have failed: reads it again.
      *
      * @param next run when that is done
      */
-    void revalidate(Job job, Runnable next);
+    void reloadStartConditions(Job job, Runnable next);
 
     /**
      * A job's end is committed, or was found to be.
@@ -123,14 +123,14 @@
   public WriteBehindCommitter(
       EventLoop loop,
       KeyValueStore store,
-      RateLimiter writes,
+      RateLimiter writeRateLimiter,
       SchedulerState schedulerState,
       NameIndex zones,
       Options options,
       Listener listener) {
     this.loop = loop;
     this.store = store;
-    this.writes = writes;
+    this.writeRateLimiter = writeRateLimiter;
     this.schedulerState = schedulerState;
     this.zones = zones;
     this.options = options;
@@ -158,12 +158,12 @@
   }
 
   /** Number of transactions of this term. */
-  public long commits() {
+  public long commitCount() {
     return commitCount;
   }
 
   /** Number of puts and deletes of this term, retries included. */
-  public long writes() {
+  public long writeCount() {
     return writeCount;
   }
 
@@ -240,17 +240,17 @@
       return;
     }
     commit.finish();
-    int size = commit.transaction().writes();
+    int size = commit.transaction().writeCount();
     if (size == 0) {
       applied(commit, 0);
       commitPending();
       return;
     }
-    long waitMs = writes.millisUntilAvailable(size, now);
+    long waitMs = writeRateLimiter.millisUntilAvailable(size, now);
     if (waitMs > 0) {
       sendAfter(waitMs);
     } else {
-      writes.forceAcquire(size, now);
+      writeRateLimiter.forceAcquire(size, now);
       send(commit, size);
     }
   }
@@ -272,7 +272,7 @@
     store.compareAndSwapWithRetry(
         commit.transaction(),
         () -> {
-          writes.forceAcquire(size, loop.now());
+          writeRateLimiter.forceAcquire(size, loop.now());
           writeCount += size;
         },
         (result, revision, failedKeys) -> onOutcome(commit, result, revision, failedKeys));
@@ -283,7 +283,7 @@
    * would hold up those that need not.
    */
   private CommitTransactionBuilder buildTransaction(long now) {
-    double available = writes.availablePermits(now);
+    double available = writeRateLimiter.availablePermits(now);
     int minWrites = Math.min(MIN_WRITES, options.maxWrites());
     int maxWrites = (int) Math.max(minWrites, Math.min(options.maxWrites(), available));
     CommitTransactionBuilder commit =
@@ -311,7 +311,7 @@
    * that time, whatever number of tasks end in it meanwhile.
    */
   private long deferralMs() {
-    double perSecond = DEFERRED_SHARE * writes.permitsPerSecond();
+    double perSecond = DEFERRED_SHARE * writeRateLimiter.permitsPerSecond();
     long ms = (long) (MS_PER_SECOND * schedulerState.dirtyRecords().size() / perSecond);
     return Math.max(MIN_DEFERRAL_MS, Math.min(MAX_DEFERRAL_MS, ms));
   }
@@ -348,7 +348,7 @@
   }
 
   private void onConflict(CommitTransactionBuilder commit, List<String> failedKeys) {
-    if (failedKeys.contains(LeaderElection.LEADER)) {
+    if (failedKeys.contains(LeaderElection.LEADER_KEY)) {
       isBusy = false;
       listener.deposed();
       return;
--- a/src/main/java/org/mallowroad/controller/persistence/package-info.java
+++ b/src/main/java/org/mallowroad/controller/persistence/package-info.java
@@ -3,7 +3,7 @@
  * org.mallowroad.controller.persistence.StateLoader}), what it writes from then on, behind the
  * decisions and in batches ({@link org.mallowroad.controller.persistence.WriteBehindCommitter}),
  * and the share of the service's write rate that it may use ({@link
- * org.mallowroad.controller.persistence.WriteRateLimiter}).
+ * org.mallowroad.controller.persistence.LeaderWriteRateAdjuster}).
  *
  * <p>Everything here is confined to the controller's event loop.
  */
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -172,7 +172,7 @@
    * delete it. If no other node leads it is back after it asked each node once, well within its
    * lease, and is answered. No answer is given that was not given before, so no proof changes.
    */
-  public boolean redirectOnce(Heartbeat heartbeat, long now) {
+  public boolean tryRedirect(Heartbeat heartbeat, long now) {
     long last = redirectedMs.getOrDefault(heartbeat.machine(), Long.MIN_VALUE / 2);
     if (now - last < leaseMs) {
       return false;
@@ -190,7 +190,7 @@
    *
    * @param direct false when a peer relayed it
    */
-  public void heartbeatArrived(int zone, boolean direct, long now) {
+  public void recordHeartbeatRoute(int zone, boolean direct, long now) {
     if (direct) {
       lastDirectMs[zone] = now;
       rerouted[zone] = false;
@@ -206,7 +206,7 @@
    * Takes from the state of the machine's tasks, after its heartbeat, what it says of the machine's
    * health. The cost is proportional to the tasks of this machine.
    */
-  public void evaluateTasks(Machine machine, long now) {
+  public void evaluateTaskHealth(Machine machine, long now) {
     int overdue = 0;
     for (Attempt attempt : machine.attempts()) {
       if (attempt.isStopping()) {
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineListReconciler.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineListReconciler.java
@@ -57,7 +57,7 @@
 
   private void reconcileMachine(ListedMachine listed) {
     SchedulerState schedulerState = services.schedulerState();
-    MachineType type = services.machineTypes().type(listed.type());
+    MachineType type = services.machineTypes().machineType(listed.type());
     int zone = services.zones().find(listed.zone());
     if (type == null || zone < 0 || schedulerState.isDeleted(listed.name())) {
       return;
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -99,12 +99,12 @@
   }
 
   /** Takes over a rental request that an earlier leader recorded. */
-  public void restore(String name, JsonNode record) {
+  public void restoreRental(String name, JsonNode record) {
     rentals.restore(name, record);
   }
 
   /** The number of machines whose workers should send heartbeats. */
-  public int runningMachines() {
+  public int runningMachineCount() {
     int count = 0;
     for (Machine machine : schedulerState.machines()) {
       if (!machine.deleting && !machine.failed) {
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineTypeCatalog.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineTypeCatalog.java
@@ -9,7 +9,7 @@
   List<MachineType> machineTypes();
 
   /** The machine type of this name, or null when the cloud does not offer it. */
-  MachineType type(String name);
+  MachineType machineType(String name);
 
   /** Replaces all machine types by those of a newer answer. */
   void replaceMachineTypes(List<MachineType> types);
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -96,7 +96,7 @@
 
   /** Takes over a recorded request; repeating it tells which machines it brought. */
   void restore(String name, JsonNode record) {
-    MachineType type = services.machineTypes().type(record.path(TYPE).asText());
+    MachineType type = services.machineTypes().machineType(record.path(TYPE).asText());
     int zone = services.zones().find(record.path(ZONE).asText());
     if (type == null || zone < 0) {
       return;
@@ -147,7 +147,7 @@
       String key = RecordKeys.rental(rental.name);
       transaction.requireVersion(key, 0).put(key, encode(request));
     }
-    services.writes().forceAcquire(transaction.writes(), now);
+    services.writes().forceAcquire(transaction.writeCount(), now);
     recording = true;
     services
         .store()
@@ -165,7 +165,8 @@
     }
     if (result == CallResult.OK) {
       batch.forEach(this::send);
-    } else if (result == CallResult.CONDITION_FAILED && failed.contains(LeaderElection.LEADER)) {
+    } else if (result == CallResult.CONDITION_FAILED
+        && failed.contains(LeaderElection.LEADER_KEY)) {
       listener.deposed();
     } else {
       // Not known to be recorded, so never sent. The names are not used again.
@@ -174,7 +175,7 @@
   }
 
   private Transaction leaderTransaction() {
-    return new Transaction().requireVersion(LeaderElection.LEADER, settings.leaderKeyVersion());
+    return new Transaction().requireVersion(LeaderElection.LEADER_KEY, settings.leaderKeyVersion());
   }
 
   private ObjectNode encode(ScaleOutRequest request) {
@@ -272,7 +273,7 @@
     }
     Transaction transaction = leaderTransaction();
     completed.forEach(rental -> transaction.delete(RecordKeys.rental(rental.name)));
-    services.writes().forceAcquire(transaction.writes(), now);
+    services.writes().forceAcquire(transaction.writeCount(), now);
     deleting = true;
     services
         .store()
--- a/src/main/java/org/mallowroad/election/Candidacy.java
+++ b/src/main/java/org/mallowroad/election/Candidacy.java
@@ -34,7 +34,7 @@
    * An election under way, or won.
    *
    * @param leaseSentMs when the newest call was sent that the lease was granted or renewed by
-   * @param leaderKeyVersion version of {@link LeaderElection#LEADER}; 0 while it is not known
+   * @param leaderKeyVersion version of {@link LeaderElection#LEADER_KEY}; 0 while it is not known
    */
   record Election(long lease, long term, long leaseSentMs, long leaderKeyVersion) {
     private Election at(long version) {
@@ -48,7 +48,7 @@
 
   /** Told what becomes of the candidacy. */
   interface Listener {
-    /** From now on the key {@link LeaderElection#LEADER} may be written with this lease. */
+    /** From now on the key {@link LeaderElection#LEADER_KEY} may be written with this lease. */
     void transactionSent(long lease);
 
     /** The node is elected, and its lease held a moment ago. */
@@ -90,7 +90,7 @@
 
   private void readTerm(long grantedLease, long sentMs) {
     store.get(
-        LeaderElection.TERM,
+        LeaderElection.TERM_KEY,
         (result, item) -> {
           if (result != CallResult.OK) {
             listener.abandoned();
@@ -107,11 +107,13 @@
     listener.transactionSent(election.lease());
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, 0)
-            .requireVersion(LeaderElection.TERM, termVersion)
-            .put(LeaderElection.LEADER, record.encode(), election.lease())
+            .requireVersion(LeaderElection.LEADER_KEY, 0)
+            .requireVersion(LeaderElection.TERM_KEY, termVersion)
+            .put(LeaderElection.LEADER_KEY, record.encode(), election.lease())
             // The last token of the term's block: the next term is above all of them.
-            .put(LeaderElection.TERM, LeaderRecord.encodeTerm(FencingTokens.last(election.term())));
+            .put(
+                LeaderElection.TERM_KEY,
+                LeaderRecord.encodeTerm(FencingTokens.last(election.term())));
     store.compareAndSwap(
         transaction,
         (result, revision, failedKeys) -> {
@@ -126,7 +128,7 @@
   /** An election whose outcome is unknown is settled by reading who leads. */
   private void readOutcome(Election election) {
     store.get(
-        LeaderElection.LEADER,
+        LeaderElection.LEADER_KEY,
         (result, item) -> {
           if (result == CallResult.OK) {
             // The lease tells the elections apart: one of the previous process that is executed
--- a/src/main/java/org/mallowroad/election/LeaderElection.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -13,27 +13,27 @@
 /**
  * Elects one leader among the controllers that share a state service.
  *
- * <p>The key {@link #LEADER} names the leader and lives on its lease; the key {@link #TERM} holds
- * the highest fencing token given out and is never deleted. A candidate writes both in one
+ * <p>The key {@link #LEADER_KEY} names the leader and lives on its lease; the key {@link #TERM_KEY}
+ * holds the highest fencing token given out and is never deleted. A candidate writes both in one
  * transaction, on the condition that nobody leads and that the term is still the one it read.
  *
  * <p><b>Why at most one leader can write.</b> Every write of a leader requires the version of
- * {@link #LEADER} that its election wrote. When its lease ends the key is deleted, and when another
- * is elected it gets a new version: either way the condition of the deposed leader's writes fails,
- * whatever that leader believes and however late they arrive.
+ * {@link #LEADER_KEY} that its election wrote. When its lease ends the key is deleted, and when
+ * another is elected it gets a new version: either way the condition of the deposed leader's writes
+ * fails, whatever that leader believes and however late they arrive.
  *
  * <p><b>Why terms rise.</b> The term is raised in the same transaction as the leader is named, from
- * a version of {@link #TERM} that is among the conditions, so no two leaders have the same term.
- * Workers refuse commands of a lower fencing token than they have seen.
+ * a version of {@link #TERM_KEY} that is among the conditions, so no two leaders have the same
+ * term. Workers refuse commands of a lower fencing token than they have seen.
  *
  * <p>Confined to the event loop.
  */
 public final class LeaderElection {
   /** The key that names the leader. */
-  public static final String LEADER = "leader";
+  public static final String LEADER_KEY = "leader";
 
   /** The key of the highest fencing token given out. */
-  public static final String TERM = "term";
+  public static final String TERM_KEY = "term";
 
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
   static final long LEASE_DURATION_MS = 3_000;
@@ -92,7 +92,7 @@
 
   private long leaderKeyVersion;
   private long lease;
-  private long renewedMs;
+  private long lastRenewalSentMs;
   private boolean isRenewing;
   private EventLoop.Timer renewalTimer;
 
@@ -109,7 +109,7 @@
      * This node leads from now on.
      *
      * @param term the first fencing token of its term
-     * @param version the version of {@link #LEADER}, a condition of each of its writes
+     * @param version the version of {@link #LEADER_KEY}, a condition of each of its writes
      */
     void elected(long term, long version);
 
@@ -165,13 +165,13 @@
   }
 
   /** When the newest renewal of the lease was sent that succeeded, on the steady clock. */
-  public long renewedMs() {
-    return renewedMs;
+  public long lastRenewalSentMs() {
+    return lastRenewalSentMs;
   }
 
   private void readLeader() {
     store.get(
-        LEADER,
+        LEADER_KEY,
         (result, item) -> {
           if (result != CallResult.OK) {
             loop.after(READ_RETRY_MS, this::readLeader);
@@ -193,7 +193,7 @@
 
   private void watchLeader(long afterRevision) {
     store.watch(
-        LEADER,
+        LEADER_KEY,
         afterRevision,
         WATCH_WAIT_MS,
         (result, events, revision) -> {
@@ -203,7 +203,7 @@
           }
           boolean isAbsent = false;
           for (VersionedValue event : events) {
-            if (event.key().equals(LEADER)) {
+            if (event.key().equals(LEADER_KEY)) {
               leaderKeyRead(event);
               isAbsent = event.value() == null;
             }
@@ -304,7 +304,7 @@
     ownTerm = election.term();
     leaderKeyVersion = election.leaderKeyVersion();
     lease = election.lease();
-    renewedMs = election.leaseSentMs();
+    lastRenewalSentMs = election.leaseSentMs();
     LOG.info("event=elected term={}", ownTerm);
     renewalTimer = loop.every(RENEWAL_INTERVAL_MS, this::renew);
     listener.elected(ownTerm, leaderKeyVersion);
@@ -326,7 +326,7 @@
             return;
           }
           if (result == CallResult.OK) {
-            renewedMs = sentMs;
+            lastRenewalSentMs = sentMs;
           } else if (result == CallResult.LEASE_EXPIRED) {
             LOG.warn("event=lease_expired term={}", ownTerm);
             stepDown();
@@ -346,8 +346,8 @@
   }
 
   /**
-   * Gives the leadership up: a write failed on the version of {@link #LEADER}, or a higher term was
-   * seen.
+   * Gives the leadership up: a write failed on the version of {@link #LEADER_KEY}, or a higher term
+   * was seen.
    */
   public void stepDown() {
     if (!isLeading()) {
--- a/src/main/java/org/mallowroad/election/LeaderRecord.java
+++ b/src/main/java/org/mallowroad/election/LeaderRecord.java
@@ -5,7 +5,7 @@
 import org.mallowroad.wire.Json;
 
 /**
- * The value of the key {@link LeaderElection#LEADER}.
+ * The value of the key {@link LeaderElection#LEADER_KEY}.
  *
  * @param node the leader's name
  * @param term the first fencing token of its term
@@ -31,12 +31,12 @@
     return Json.object().put(NODE, node).put(TERM, term).put(LEASE, lease);
   }
 
-  /** The highest fencing token of the key {@link LeaderElection#TERM}; 0 when there is none. */
+  /** The highest fencing token of the key {@link LeaderElection#TERM_KEY}; 0 when there is none. */
   static long decodeTerm(JsonNode value) {
     return value == null ? 0 : value.path(HIGHEST_TOKEN).asLong();
   }
 
-  /** The value of the key {@link LeaderElection#TERM}. */
+  /** The value of the key {@link LeaderElection#TERM_KEY}. */
   static ObjectNode encodeTerm(long highestToken) {
     return Json.object().put(HIGHEST_TOKEN, highestToken);
   }
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -140,9 +140,9 @@
 
   private Map<BlockKey, Block> blocks() {
     Map<BlockKey, Block> out = new TreeMap<>();
-    for (String key : store.keys(RecordKeys.FOLD_BLOCKS)) {
+    for (String key : store.keys(RecordKeys.FOLD_BLOCKS_PREFIX)) {
       try {
-        out.put(RecordKeys.blockOfKey(key), FoldCodec.decodeBlock(store.value(key)));
+        out.put(RecordKeys.blockOfFoldBlockKey(key), FoldCodec.decodeBlock(store.value(key)));
       } catch (InvalidMessageException e) {
         checker.breach("folded_twice", key + ": " + e.getMessage());
       }
--- a/src/main/java/org/mallowroad/state/CallHandler.java
+++ b/src/main/java/org/mallowroad/state/CallHandler.java
@@ -44,13 +44,13 @@
   public final void answered(int status, byte[] body) {
     health.responded(status, sentMs, countsForLatency());
     ObjectNode parsed = Json.object();
-    if (status < Status.FIRST_SERVER_ERROR
-        && status != Status.TOO_MANY_REQUESTS
+    if (status < HttpStatus.FIRST_SERVER_ERROR
+        && status != HttpStatus.TOO_MANY_REQUESTS
         && body.length > 0) {
       try {
         parsed = Json.parseObject(body);
       } catch (InvalidMessageException e) {
-        if (status == Status.OK || status == Status.CONFLICT) {
+        if (status == HttpStatus.OK || status == HttpStatus.CONFLICT) {
           malformed(e);
           return;
         }
--- a/src/main/java/org/mallowroad/state/Status.java
+++ b/src/main/java/org/mallowroad/state/HttpStatus.java
@@ -1,7 +1,7 @@
 package org.mallowroad.state;
 
 /** HTTP status codes of the state service. */
-final class Status {
+final class HttpStatus {
   static final int OK = 200;
   static final int BAD_REQUEST = 400;
   static final int NOT_FOUND = 404;
@@ -11,5 +11,5 @@
   static final int FIRST_SERVER_ERROR = 500;
   static final int UNAVAILABLE = 503;
 
-  private Status() {}
+  private HttpStatus() {}
 }
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -153,8 +153,8 @@
           @Override
           void onResponse(int status, ObjectNode body) throws InvalidMessageException {
             switch (status) {
-              case Status.OK -> listener.onRead(CallResult.OK, StateServiceCodec.item(body));
-              case Status.NOT_FOUND ->
+              case HttpStatus.OK -> listener.onRead(CallResult.OK, StateServiceCodec.item(body));
+              case HttpStatus.NOT_FOUND ->
                   listener.onRead(CallResult.OK, new VersionedValue(key, null, 0));
               default -> listener.onRead(CallResult.NOT_EXECUTED, null);
             }
@@ -257,7 +257,7 @@
         new CallHandler(health, loop.now()) {
           @Override
           void onResponse(int status, ObjectNode body) throws InvalidMessageException {
-            if (status == Status.OK) {
+            if (status == HttpStatus.OK) {
               listener.onPage(body);
             } else {
               listener.onFailure();
@@ -307,18 +307,18 @@
     sender.call(
         "POST",
         "/multi",
-        Json.bytes(transaction.json()),
+        Json.bytes(transaction.requestBody()),
         TIMEOUT_MS,
         new CallHandler(health, loop.now()) {
           @Override
           void onResponse(int status, ObjectNode body) throws InvalidMessageException {
-            if (status == Status.OK) {
+            if (status == HttpStatus.OK) {
               listener.onOutcome(CallResult.OK, StateServiceCodec.revision(body), List.of());
-            } else if (status == Status.CONFLICT) {
+            } else if (status == HttpStatus.CONFLICT) {
               listener.onOutcome(
                   CallResult.CONDITION_FAILED, 0, StateServiceCodec.failedKeys(body));
             } else {
-              if (status == Status.BAD_REQUEST) {
+              if (status == HttpStatus.BAD_REQUEST) {
                 LOG.error("event=state_refused body={}", body);
               }
               listener.onOutcome(CallResult.NOT_EXECUTED, 0, List.of());
@@ -359,8 +359,9 @@
           @Override
           void onResponse(int status, ObjectNode response) {
             switch (status) {
-              case Status.OK -> listener.onLease(CallResult.OK, StateServiceCodec.lease(response));
-              case Status.NOT_FOUND -> listener.onLease(CallResult.LEASE_EXPIRED, 0);
+              case HttpStatus.OK ->
+                  listener.onLease(CallResult.OK, StateServiceCodec.lease(response));
+              case HttpStatus.NOT_FOUND -> listener.onLease(CallResult.LEASE_EXPIRED, 0);
               default -> listener.onLease(CallResult.NOT_EXECUTED, 0);
             }
           }
@@ -396,10 +397,10 @@
 
           @Override
           void onResponse(int status, ObjectNode body) throws InvalidMessageException {
-            if (status == Status.OK) {
+            if (status == HttpStatus.OK) {
               List<VersionedValue> events = StateServiceCodec.events(body);
               listener.onEvents(CallResult.OK, events, StateServiceCodec.revision(body));
-            } else if (status == Status.GONE) {
+            } else if (status == HttpStatus.GONE) {
               listener.onEvents(CallResult.REVISION_COMPACTED, List.of(), 0);
             } else {
               listener.onEvents(CallResult.NOT_EXECUTED, List.of(), 0);
--- a/src/main/java/org/mallowroad/state/ServiceHealth.java
+++ b/src/main/java/org/mallowroad/state/ServiceHealth.java
@@ -24,7 +24,7 @@
   private final EventLoop loop;
   private final LatencyEstimator latency = new LatencyEstimator();
   private final LogLimiter malformedLog = LogLimiter.usual();
-  private long lastContactMs = NEVER_MS;
+  private long lastExecutedCallSentMs = NEVER_MS;
   private long lastServedMs = NEVER_MS;
   private long lastFailureMs = NEVER_MS;
   private long lastThrottledMs = NEVER_MS;
@@ -40,8 +40,8 @@
    * that may have waited in a socket while this process was paused, and says nothing of the time
    * since.
    */
-  public long lastContactMs() {
-    return lastContactMs;
+  public long lastExecutedCallSentMs() {
+    return lastExecutedCallSentMs;
   }
 
   /** True when the newest sign of the service is a failure within the last seconds. */
@@ -55,7 +55,7 @@
   }
 
   /** True while responses to transactions are late: one was sent again within the last seconds. */
-  public boolean isResponseLate() {
+  public boolean hasLateResponses() {
     return loop.now() - lastRetryMs < LATE_MEMORY_MS;
   }
 
@@ -75,18 +75,18 @@
    * @param countsForLatency false for calls that wait for something to happen
    */
   void responded(int status, long sentMs, boolean countsForLatency) {
-    if (status == Status.OK
-        || status == Status.NOT_FOUND
-        || status == Status.CONFLICT
-        || status == Status.GONE) {
-      lastContactMs = Math.max(lastContactMs, sentMs);
+    if (status == HttpStatus.OK
+        || status == HttpStatus.NOT_FOUND
+        || status == HttpStatus.CONFLICT
+        || status == HttpStatus.GONE) {
+      lastExecutedCallSentMs = Math.max(lastExecutedCallSentMs, sentMs);
       lastServedMs = loop.now();
       if (countsForLatency) {
         latency.sample(lastServedMs - sentMs);
       }
-    } else if (status == Status.UNAVAILABLE) {
+    } else if (status == HttpStatus.UNAVAILABLE) {
       lastFailureMs = loop.now();
-    } else if (status == Status.TOO_MANY_REQUESTS) {
+    } else if (status == HttpStatus.TOO_MANY_REQUESTS) {
       lastThrottledMs = loop.now();
     }
   }
--- a/src/main/java/org/mallowroad/state/Transaction.java
+++ b/src/main/java/org/mallowroad/state/Transaction.java
@@ -13,8 +13,8 @@
  */
 public final class Transaction {
   private final ObjectNode request = Json.object();
-  private final ArrayNode conditions = request.putArray(Fields.CONDITIONS);
-  private final ArrayNode writes = request.putArray(Fields.WRITES);
+  private final ArrayNode conditionArray = request.putArray(Fields.CONDITIONS);
+  private final ArrayNode writeArray = request.putArray(Fields.WRITES);
 
   /**
    * Adds a condition: the key has this version when the transaction is executed.
@@ -22,7 +22,7 @@
    * @param version 0: the key does not exist
    */
   public Transaction requireVersion(String key, long version) {
-    ObjectNode condition = conditions.addObject();
+    ObjectNode condition = conditionArray.addObject();
     condition.put(Fields.KEY, key);
     condition.put(Fields.VERSION, version);
     return this;
@@ -39,7 +39,7 @@
    * @param lease 0: none
    */
   public Transaction put(String key, JsonNode value, long lease) {
-    ObjectNode write = writes.addObject();
+    ObjectNode write = writeArray.addObject();
     write.put(Fields.PUT, key);
     write.set(Fields.VALUE, value);
     if (lease > 0) {
@@ -50,22 +50,22 @@
 
   /** Deletes a key. */
   public Transaction delete(String key) {
-    writes.addObject().put(Fields.DELETE, key);
+    writeArray.addObject().put(Fields.DELETE, key);
     return this;
   }
 
   /** Number of puts and deletes. */
-  public int writes() {
-    return writes.size();
+  public int writeCount() {
+    return writeArray.size();
   }
 
   /** Number of conditions. */
-  public int conditions() {
-    return conditions.size();
+  public int conditionCount() {
+    return conditionArray.size();
   }
 
   /** The request body. */
-  ObjectNode json() {
+  ObjectNode requestBody() {
     return request;
   }
 }
--- a/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
+++ b/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
@@ -56,10 +56,10 @@
   /** Who holds each game by the records: the job of each side. */
   private static Map<Long, String> holders(InMemoryKeyValueStore store) {
     Map<Long, String> out = new TreeMap<>();
-    for (String key : store.keys(RecordKeys.FOLD_BLOCKS)) {
+    for (String key : store.keys(RecordKeys.FOLD_BLOCKS_PREFIX)) {
       try {
         Block b = FoldCodec.decodeBlock(store.value(key));
-        int index = RecordKeys.blockOfKey(key).index();
+        int index = RecordKeys.blockOfFoldBlockKey(key).index();
         for (Map.Entry<Block.Side, Fold> e : b.sides().entrySet()) {
           out.put(Block.number(index, e.getKey().game()), e.getValue().job());
         }
@@ -155,7 +155,7 @@
     assertEquals(
         "CONFLICT folds: game 900 of l for m is held by job-1", h.accept("job-2", games(0, 1_000)));
     assertEquals(Map.of(900L, "job-1"), holders(h.c.store));
-    assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS));
+    assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS_PREFIX));
     // Its node ends in the middle; the same submission at another one goes on.
     List<Game> large = games(2_000, 3_000);
     h.claims.accept("job-3", value(large), large, JobDependencies.NONE, result -> {});
@@ -163,7 +163,7 @@
       h.c.run(1);
     }
     h.p.dead = true;
-    assertEquals(1, h.c.store.keys(RecordKeys.FOLD_INTENTS).size());
+    assertEquals(1, h.c.store.keys(RecordKeys.FOLD_INTENTS_PREFIX).size());
     SteppedClock.Process other = h.c.new Process();
     ClaimService there = claimService(other, new KeyValueStore(other, other, other), 16);
     List<String> said = new ArrayList<>();
@@ -176,7 +176,7 @@
     h.c.run(20_000);
     assertEquals(List.of("ACCEPTED"), said);
     assertEquals(1_001, holders(h.c.store).size());
-    assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS));
+    assertEquals(List.of(), h.c.store.keys(RecordKeys.FOLD_INTENTS_PREFIX));
   }
 
   @Test
@@ -187,7 +187,7 @@
     assertTrue(
         h.accept("job-1", games(0, 2))
             .startsWith("UNAVAILABLE block fold/l/0000000 cannot be read"));
-    assertEquals(List.of(), h.c.store.keys(RecordKeys.OPEN_JOBS));
+    assertEquals(List.of(), h.c.store.keys(RecordKeys.OPEN_JOBS_PREFIX));
   }
 
   /**
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -137,7 +137,7 @@
     SchedulerState schedulerState =
         new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
     TaskScheduler placement = new TaskScheduler(schedulerState);
-    MachineType type = clusterConfig.type("t32");
+    MachineType type = clusterConfig.machineType("t32");
     int n = 0;
     long now = 0;
     Machine m = null;
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -105,7 +105,7 @@
 
     private static void leader(
         StateSpaceExplorer.Stage s, String name, JobDependencies dependencies, long open) {
-      long version = put(s, LeaderElection.LEADER, Json.object().put("node", name));
+      long version = put(s, LeaderElection.LEADER_KEY, Json.object().put("node", name));
       StateSpaceExplorer.Process p = s.process(name);
       KeyValueStore state = new KeyValueStore(p, p, p);
       NameIndex zones = new NameIndex();
@@ -143,7 +143,7 @@
         boolean[] busy) {
       Transaction transaction =
           new Transaction()
-              .requireVersion(LeaderElection.LEADER, version)
+              .requireVersion(LeaderElection.LEADER_KEY, version)
               .requireVersion(RecordKeys.openJob("job-9"), job.version);
       gates.addStartConditions(job, transaction);
       transaction.requireVersion(RUN, 0).put(RUN, Json.object().put("by", version));
@@ -154,7 +154,7 @@
               gates.startRecorded(job, revision);
             } else if (result == CallResult.UNKNOWN && s.store.value(RUN) == null) {
               start(s, state, gates, job, version, busy);
-            } else if (!failed.contains(LeaderElection.LEADER)) {
+            } else if (!failed.contains(LeaderElection.LEADER_KEY)) {
               gates.revalidate(job, () -> busy[0] = false);
             }
           });
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -47,7 +47,7 @@
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
         c.now);
-    leaderVersion = put(LeaderElection.LEADER);
+    leaderVersion = put(LeaderElection.LEADER_KEY);
     committer = committer(16);
   }
 
@@ -64,10 +64,10 @@
           public void addStartConditions(Job job, Transaction transaction) {}
 
           @Override
-          public void startRecorded(Job job, long revision) {}
+          public void gatedStartCommitted(Job job, long revision) {}
 
           @Override
-          public void revalidate(Job job, Runnable next) {
+          public void reloadStartConditions(Job job, Runnable next) {
             next.run();
           }
 
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -95,7 +95,7 @@
           true,
           now);
       m.lastResponseMs = now;
-      responder.evaluateTasks(m, now);
+      responder.evaluateTaskHealth(m, now);
     }
 
     /** Time passes; machines from {@code from} to {@code to} are not heard. */
@@ -325,12 +325,12 @@
             false,
             w -> {
               Heartbeat r = JobSpecs.report(w.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
-              assertTrue(w.responder.redirectOnce(r, w.now));
-              assertFalse(w.responder.redirectOnce(r, w.now + 6_000));
-              assertFalse(w.responder.redirectOnce(r, w.now + LEASE_MS - 1));
-              assertTrue(w.responder.redirectOnce(r, w.now + LEASE_MS));
+              assertTrue(w.responder.tryRedirect(r, w.now));
+              assertFalse(w.responder.tryRedirect(r, w.now + 6_000));
+              assertFalse(w.responder.tryRedirect(r, w.now + LEASE_MS - 1));
+              assertTrue(w.responder.tryRedirect(r, w.now + LEASE_MS));
               assertTrue(
-                  w.responder.redirectOnce(
+                  w.responder.tryRedirect(
                       JobSpecs.report(w.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
                       w.now + 10));
             }),
--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -74,7 +74,8 @@
           .keySet()
           .forEach(name -> kinds.add(kind(name.substring(name.indexOf(' ') + 1))));
     }
-    Set<String> wanted = new TreeSet<>(Set.of(LeaderElection.LEADER, LeaderElection.TERM, "types"));
+    Set<String> wanted =
+        new TreeSet<>(Set.of(LeaderElection.LEADER_KEY, LeaderElection.TERM_KEY, "types"));
     for (Field field : RecordKeys.class.getDeclaredFields()) {
       if (Modifier.isStatic(field.getModifiers()) && field.getType() == String.class) {
         field.setAccessible(true);
--- a/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -113,26 +113,28 @@
         new Case(RecordKeys.endedJob("job-000412"), RecordValuesGoldenTest::rewriteEnd),
         new Case(RecordKeys.endedJob("job-7"), RecordValuesGoldenTest::rewriteEnd),
         new Case(
-            RecordKeys.ATTEMPTS + "job-000412/0",
+            RecordKeys.ATTEMPT_RECORDS_PREFIX + "job-000412/0",
             v -> {
               Deployment d = new Deployment();
               return AttemptRecordCodec.encode(
                   d.restore(d.accept(SUBMISSION).attemptRecord(0), v), d.zones);
             }),
         new Case(
-            RecordKeys.ATTEMPTS + "job-000412/2",
+            RecordKeys.ATTEMPT_RECORDS_PREFIX + "job-000412/2",
             v -> {
               Deployment d = new Deployment();
               return AttemptRecordCodec.encode(
                   d.restore(d.accept(SUBMISSION).attemptRecord(2), v), d.zones);
             }),
-        new Case(RecordKeys.SHARED_ATTEMPTS + "1-7", RecordValuesGoldenTest::rewriteShared),
+        new Case(
+            RecordKeys.SHARED_ATTEMPT_RECORDS_PREFIX + "1-7",
+            RecordValuesGoldenTest::rewriteShared),
         new Case(
             RecordKeys.league("pnw-2026"),
             v ->
                 LeagueRecordCodec.encode(
-                    v.get(LeagueRecordCodec.UP_TO).asLong(),
-                    v.get(LeagueRecordCodec.CHANGES).asLong())),
+                    v.get(LeagueRecordCodec.HIGHEST_GAME).asLong(),
+                    v.get(LeagueRecordCodec.CHANGE_COUNT).asLong())),
         new Case(
             RecordKeys.dependencies("job-000412"),
             v -> DependencyCodec.encodeRecord(DependencyCodec.decodeRecord(v))),
@@ -165,7 +167,8 @@
   private static JsonNode rewriteShared(ObjectNode value) throws InvalidMessageException {
     Deployment deployment = new Deployment();
     SharedAttemptRecord shared = deployment.schedulerState.sharedAttemptRecords().restore("1-7", 6);
-    assertEquals(RecordKeys.SHARED_ATTEMPTS + "1-7", RecordKeys.sharedAttempts(shared));
+    assertEquals(
+        RecordKeys.SHARED_ATTEMPT_RECORDS_PREFIX + "1-7", RecordKeys.sharedAttemptRecord(shared));
     List<AttemptRecord> members = new ArrayList<>();
     for (Map.Entry<String, JsonNode> run : AttemptRecordCodec.membersOfShared(value)) {
       String submission =
@@ -207,7 +210,8 @@
   @Test
   void keysOfBlocksAreReadAndWrittenAgain() {
     assertEquals("fold/pnw-2026/0000031", RecordKeys.foldBlock(new BlockKey("pnw-2026", 31)));
-    assertEquals(new BlockKey("pnw-2026", 31), RecordKeys.blockOfKey("fold/pnw-2026/0000031"));
+    assertEquals(
+        new BlockKey("pnw-2026", 31), RecordKeys.blockOfFoldBlockKey("fold/pnw-2026/0000031"));
     assertEquals("intent/job-7", RecordKeys.foldIntent("job-7"));
     assertEquals("release/job-7", RecordKeys.release("job-7"));
   }
