--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -97,7 +97,7 @@
         number(file, e, "booked-spare", d.bookedSpare(), 0, 1),
         number(file, e, "waiting-spare", d.waitingSpare(), 0, 1e6),
         (long) (number(file, e, "cycle-s", d.cycleMs() / 1000.0, 0.1, 3600) * 1000),
-        (int) number(file, e, "step", d.step(), 1, 1000),
+        (int) number(file, e, "step", d.maxScaleOutPerType(), 1, 1000),
         (long) (number(file, e, "idle-s", d.idleMs() / 1000.0, 0, 86400) * 1000));
   }
 
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -338,7 +338,7 @@
     monitor.checkCancellationView(now);
     schedulerState.expireLeases(now);
     if (isLeaseValid()) {
-      context.taskScheduler().drain(now);
+      context.taskScheduler().drainInterruptedMachines(now);
     }
     placement.requestPass();
   }
--- a/src/main/java/org/mallowroad/controller/LeaderMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LeaderMonitor.java
@@ -5,7 +5,7 @@
 import org.mallowroad.controller.persistence.WriteBehindCommitter;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.admission.CommitLag;
+import org.mallowroad.core.admission.CommitLagMonitor;
 import org.mallowroad.net.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,7 +24,7 @@
   private final EventLoop loop;
   private final SchedulerState schedulerState;
   private final Runnable overloaded;
-  private final CommitLag commitLag = new CommitLag();
+  private final CommitLagMonitor commitLag = new CommitLagMonitor();
   private final ObjectiveLogger objectives;
   private final LoadLogger loadLogger;
   private final List<EventLoop.Timer> timers = new ArrayList<>();
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -47,7 +47,7 @@
         load.directCommands(),
         load.placementPasses(),
         load.placementMs(),
-        context.taskScheduler().preemptions(),
+        context.taskScheduler().preemptionCount(),
         committer.commits(),
         committer.writes(),
         schedulerState.dirtyRecords().size(),
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -2,7 +2,7 @@
 
 import org.mallowroad.api.UserApi;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.admission.Admission;
+import org.mallowroad.core.admission.AdmissionRateLimiter;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.peer.PeerMessenger;
@@ -18,7 +18,7 @@
   private final LeaderServices services;
   private final PeerMessenger peers;
   private final UserApi users;
-  private final Admission admission;
+  private final AdmissionRateLimiter admission;
   private final MachineTypeCache machineTypes;
   private final SharedRecordRollout sharedRecords;
 
@@ -29,7 +29,7 @@
       LeaderServices services,
       PeerMessenger peers,
       UserApi users,
-      Admission admission,
+      AdmissionRateLimiter admission,
       MachineTypeCache machineTypes) {
     this.services = services;
     this.peers = peers;
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -7,7 +7,7 @@
 import org.mallowroad.config.Settings;
 import org.mallowroad.console.ConsoleServer;
 import org.mallowroad.core.Heartbeat;
-import org.mallowroad.core.admission.Admission;
+import org.mallowroad.core.admission.AdmissionRateLimiter;
 import org.mallowroad.core.cancellation.CancellationView;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.IncomingRequest;
@@ -183,9 +183,9 @@
   }
 
   private void updateAdmission() {
-    Admission admission = components.admission;
+    AdmissionRateLimiter admission = components.admission;
     long now = loop.now();
-    admission.recordStateService(
+    admission.recordStateServiceRefusals(
         now - components.state.health().lastThrottledMs() < ADMISSION_INTERVAL_MS, now);
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -11,7 +11,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.admission.Admission;
+import org.mallowroad.core.admission.AdmissionRateLimiter;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.IncomingRequest;
@@ -89,7 +89,7 @@
   final PeerMessenger peers;
   final MachineTypeCache machineTypes;
   final CancellationPropagation cancellations;
-  final Admission admission;
+  final AdmissionRateLimiter admission;
 
   /** Monitors links and relays round broken ones; null where the operator has it off. */
   final LinkMonitor links;
@@ -114,7 +114,7 @@
                 host, clusterConfig, clusterConfig.operator.links().get(), stateCalls, cloudCalls)
             : null;
     this.state = newStateClient(settings, stateCalls, stateWatches);
-    this.admission = new Admission(loop.now());
+    this.admission = new AdmissionRateLimiter(loop.now());
     this.cloud = newCloudClient(settings, cloudCalls);
     this.machineTypes = new MachineTypeCache(loop, state, cloud, clusterConfig);
     this.workers =
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -38,16 +38,16 @@
 
   /** Logs a line for each class and team. */
   void logAttainment(Collection<Job> openJobs, long now) {
-    for (ObjectiveAttainment.Line l : attainment.lines(openJobs, now)) {
+    for (ObjectiveAttainment.Summary l : attainment.summarize(openJobs, now)) {
       LOG.info(
           "event=objective_attainment {}={} share={} done={} late={} open={} oldest_s={}",
           l.kind(),
           l.name(),
-          Math.round(l.share() * 1000) / 1000.0,
+          Math.round(l.doneShare() * 1000) / 1000.0,
           l.done(),
-          l.late(),
+          l.overdue(),
           l.open(),
-          l.oldestMs() / 1000);
+          l.oldestOpenAgeMs() / 1000);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -93,7 +93,7 @@
   }
 
   private void apply(List<VersionedValue> events, long sentMs) {
-    CancellationView.Reading reading = view.beginReading(sentMs);
+    CancellationView.ViewRead reading = view.beginRead(sentMs);
     for (VersionedValue event : events) {
       if (event.value() != null) {
         listener.jobAccepted();
@@ -109,11 +109,11 @@
   }
 
   /** The view is no newer than how the job ended: until that is read, nothing of it is stopped. */
-  private void openRecordDeleted(String id, CancellationView.Reading reading) {
+  private void openRecordDeleted(String id, CancellationView.ViewRead reading) {
     Job job = schedulerState.job(id);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.jobCancelled();
-      reading.awaitAnother();
+      reading.awaitFollowUpRead();
       committer.readJobEnd(
           job,
           () -> {
@@ -145,7 +145,7 @@
   }
 
   private void compare(List<VersionedValue> openRecords, long sentMs) {
-    CancellationView.Reading reading = view.beginReading(sentMs);
+    CancellationView.ViewRead reading = view.beginRead(sentMs);
     ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
     for (VersionedValue item : openRecords) {
       String id = RecordKeys.jobOfOpenKey(item.key());
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -214,7 +214,7 @@
         schedulerState.finishRestore(job, loop.now());
       }
       // Of jobs that are over as well: readJobEnds has read how each of them ended.
-      view.beginReading(sentMs).markApplied();
+      view.beginRead(sentMs).markApplied();
       listener.loaded(attempts.size() + sharedAttempts.size(), rentals);
       watcher.watch(openJobsRevision);
     }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -156,10 +156,10 @@
     List<PendingMachines> pending = pendingMachines(now);
     List<Job> waiting = listener.waitingJobs();
     List<ScaleOutRequest> requests =
-        autoscaler.scaleOut(waiting, pending, services.machineTypes().machineTypes(), now);
+        autoscaler.planScaleOut(waiting, pending, services.machineTypes().machineTypes(), now);
     logGangChanges();
     rentals.submit(requests, now);
-    for (Machine machine : autoscaler.scaleIn(!waiting.isEmpty(), now)) {
+    for (Machine machine : autoscaler.planScaleIn(!waiting.isEmpty(), now)) {
       LOG.info("event=scale_in machine={} idle_ms={}", machine.name, now - machine.idleSinceMs);
       machine.deleting = true;
     }
@@ -169,12 +169,12 @@
     for (GangReservations.Change change : schedulerState.gangReservations().drainChanges()) {
       LOG.info(
           "event=gang_{} job={} zone={} places={} of={} lasted_ms={}",
-          change.what().name().toLowerCase(Locale.ROOT),
+          change.transition().name().toLowerCase(Locale.ROOT),
           change.job().spec.id(),
           change.zone() < 0 ? "any" : services.zones().name(change.zone()),
-          change.places(),
-          change.need(),
-          change.lastedMs());
+          change.slots(),
+          change.neededSlots(),
+          change.durationMs());
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -114,7 +114,7 @@
     for (Rental rental : rentals.values()) {
       if (!rental.isAnswered) {
         ScaleOutRequest r = rental.request;
-        pending.add(new PendingMachines(r.variant(), r.count(), rental.requestedMs, r.gang()));
+        pending.add(new PendingMachines(r.variant(), r.count(), rental.requestedMs, r.gangId()));
       }
     }
   }
@@ -183,8 +183,9 @@
     record.put(ZONE, services.zones().name(request.variant().zone()));
     record.put(SPOT, request.variant().spot());
     record.put(COUNT, request.count());
-    if (request.gang() != null) {
-      record.put(GANG, request.gang()); // The next leader keeps its machines reserved for the gang.
+    if (request.gangId() != null) {
+      record.put(
+          GANG, request.gangId()); // The next leader keeps its machines reserved for the gang.
     }
     return record;
   }
@@ -248,7 +249,7 @@
       if (MachineListReconciler.isAwaited(name, services.schedulerState())) {
         booting.addRented(
             new BootingMachines.BootingMachine(
-                name, request.variant(), rental.requestedMs, now, request.gang()));
+                name, request.variant(), rental.requestedMs, now, request.gangId()));
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/admission/Admission.java
+++ b/src/main/java/org/mallowroad/core/admission/AdmissionRateLimiter.java
@@ -12,7 +12,7 @@
  * <p>Times are in milliseconds of the caller's monotonic clock. Not thread-safe: confined to the
  * controller's event loop.
  */
-public final class Admission {
+public final class AdmissionRateLimiter {
   /** Least time between two decreases, since the effect of one takes as long to show. */
   static final long DECREASE_INTERVAL_MS = 3_000;
 
@@ -63,7 +63,7 @@
   private long refused;
 
   /** Creates the limit of a node; no job is limited at first. */
-  public Admission(long now) {
+  public AdmissionRateLimiter(long now) {
     this.secondMs = now;
     this.tokensMs = now;
   }
@@ -101,7 +101,7 @@
    *
    * @param refused true when it refused a call for its rate limits in that second
    */
-  public void recordStateService(boolean refused, long now) {
+  public void recordStateServiceRefusals(boolean refused, long now) {
     refusedSeconds = refused ? refusedSeconds + 1 : Math.max(0, refusedSeconds - 1);
     if (refusedSeconds >= LASTING_REFUSAL_SECONDS) {
       refusedSeconds = LASTING_REFUSAL_SECONDS;
--- a/src/main/java/org/mallowroad/core/admission/CommitLag.java
+++ b/src/main/java/org/mallowroad/core/admission/CommitLagMonitor.java
@@ -14,7 +14,7 @@
  * <p>Times are in milliseconds of the caller's monotonic clock. Not thread-safe: confined to the
  * controller's event loop.
  */
-public final class CommitLag {
+public final class CommitLagMonitor {
   /** Starts wait for a few seconds in any burst, and longer after a failover. */
   static final long MAX_START_WAIT_MS = 12_000;
 
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -86,16 +86,16 @@
    * machine requested now would be sooner, is one requested for it. So work that can wait does not
    * cause expensive machines to be requested.
    */
-  public List<ScaleOutRequest> scaleOut(
+  public List<ScaleOutRequest> planScaleOut(
       List<Job> queue, List<PendingMachines> pending, List<MachineType> types, long now) {
     // Gangs request machines by their reservations (core.gang): in the averages and the forecast
     // their tasks would request one machine after the other, in each zone, without waiting for the
     // rest of the gang.
     List<Job> jobs = queue.stream().filter(j -> !j.spec.gang()).toList();
-    List<PendingMachines> shared = pending.stream().filter(p -> p.gang() == null).toList();
+    List<PendingMachines> shared = pending.stream().filter(p -> p.gangId() == null).toList();
     Object2IntLinkedOpenHashMap<MachineVariant> requested = forecast(jobs, shared, types, now);
     List<ScaleOutRequest> requests =
-        new ArrayList<>(schedulerState.gangReservations().scaleOut(pending, types, now));
+        new ArrayList<>(schedulerState.gangReservations().planScaleOut(pending, types, now));
     for (Object2IntMap.Entry<MachineVariant> entry : requested.object2IntEntrySet()) {
       int remaining = entry.getIntValue();
       for (; remaining > 0; remaining -= ScaleOutRequest.MAX_MACHINES) {
@@ -125,7 +125,7 @@
   }
 
   /** Empty machines to return now, most expensive first, as far as the headroom test allows. */
-  public List<Machine> scaleIn(boolean anyWaiting, long now) {
+  public List<Machine> planScaleIn(boolean anyWaiting, long now) {
     return scaleInPlanner.machinesToReturn(anyWaiting, now);
   }
 }
--- a/src/main/java/org/mallowroad/core/autoscaling/AutoscalerPolicy.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/AutoscalerPolicy.java
@@ -1,15 +1,17 @@
 package org.mallowroad.core.autoscaling;
 
 /**
- * The design's open settings.
+ * The autoscaler's thresholds and intervals, which operators may set.
  *
- * @param bookedLimit a machine is saturated at this booked share of its scarcest resource
- * @param waitingLimit or at this many waiting tasks
- * @param bookedSpare rent when the averaged booked spare falls below this
- * @param waitingSpare or the averaged waiting spare below this
- * @param cycleMs time between two decisions
- * @param step most machines rented of one type in a cycle
- * @param idleMs how long a machine is empty before it may go back
+ * @param bookedLimit a machine is saturated when this share of its scarcest resource is booked
+ * @param waitingLimit all machines are saturated when this many tasks wait per machine
+ * @param bookedSpare scale out when the average of {@code bookedLimit} less the booked share, over
+ *     the unsaturated machines, falls below this
+ * @param waitingSpare scale out when {@code waitingLimit} less the waiting tasks per machine falls
+ *     below this
+ * @param cycleMs time between two scaling cycles in milliseconds
+ * @param maxScaleOutPerType most machines of one type that are requested in a cycle
+ * @param idleMs how long a machine must be empty before it may be returned, in milliseconds
  */
 public record AutoscalerPolicy(
     double bookedLimit,
@@ -17,10 +19,10 @@
     double bookedSpare,
     double waitingSpare,
     long cycleMs,
-    int step,
+    int maxScaleOutPerType,
     long idleMs) {
 
-  /** Starting values; see docs/design.md for what changed against the document. */
+  /** The defaults; docs/design.md lists where they differ from the original design. */
   public static AutoscalerPolicy defaults() {
     return new AutoscalerPolicy(0.80, 5, 0.10, 3, 2_000, 400, 30_000);
   }
--- a/src/main/java/org/mallowroad/core/autoscaling/PendingMachines.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/PendingMachines.java
@@ -1,13 +1,14 @@
 package org.mallowroad.core.autoscaling;
 
 /**
- * Machines that are rented but have not sent a heartbeat yet. They will take waiting tasks.
+ * Machines of one variant that were requested from the cloud and have not sent a heartbeat yet.
  *
- * @param sinceMs when they were rented
- * @param gang id of the gang that they are reserved for; null when any waiting task may use them
+ * @param count number of machines
+ * @param requestedMs when they were requested, in milliseconds
+ * @param gangId id of the gang that they were requested for; null when any task may use them
  */
-public record PendingMachines(MachineVariant variant, int count, long sinceMs, String gang) {
-  /** Machines that any waiting task may use. */
+public record PendingMachines(MachineVariant variant, int count, long requestedMs, String gangId) {
+  /** Creates pending machines that any task may use. */
   public PendingMachines(MachineVariant variant, int count, long sinceMs) {
     this(variant, count, sinceMs, null);
   }
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleOutRequest.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleOutRequest.java
@@ -1,16 +1,16 @@
 package org.mallowroad.core.autoscaling;
 
 /**
- * Machines of one variant that are to be rented.
+ * A request to the cloud for machines of one variant.
  *
  * @param count number of machines; at most {@link #MAX_MACHINES}
- * @param gang id of the gang that they are reserved for; null when any waiting task may use them
+ * @param gangId id of the gang that the machines are for; null when any task may use them
  */
-public record ScaleOutRequest(MachineVariant variant, int count, String gang) {
-  /** The cloud rents no more machines in one call. */
+public record ScaleOutRequest(MachineVariant variant, int count, String gangId) {
+  /** Most machines that the cloud provides in one call. */
   public static final int MAX_MACHINES = 50;
 
-  /** Machines that any waiting task may use. */
+  /** Creates a request for machines that any task may use. */
   public ScaleOutRequest(MachineVariant variant, int count) {
     this(variant, count, null);
   }
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -145,7 +145,8 @@
   /** True while a machine of any type may still be requested in this cycle. */
   private boolean canRequest() {
     for (MachineType type : types) {
-      if (requestedOfType[type.index()] < policy.step() && variants.isObtainable(type, now)) {
+      if (requestedOfType[type.index()] < policy.maxScaleOutPerType()
+          && variants.isObtainable(type, now)) {
         return true;
       }
     }
@@ -166,7 +167,7 @@
     firstPending = machines.size();
     for (PendingMachines request : pending) {
       MachineVariant variant = request.variant();
-      long bootedAtMs = request.sinceMs() + variant.plannedBootMs();
+      long bootedAtMs = request.requestedMs() + variant.plannedBootMs();
       long availableMs = Math.max(now + MIN_REMAINING_BOOT_MS, bootedAtMs);
       for (int i = 0; i < request.count(); i++) {
         boolean partitioned = health.failureDetector().isPartitioned(variant.zone());
@@ -178,7 +179,7 @@
   }
 
   private boolean mayRequest(MachineVariant variant) {
-    return requestedOfType[variant.type().index()] < policy.step();
+    return requestedOfType[variant.type().index()] < policy.maxScaleOutPerType();
   }
 
   /** Requests a machine and adds it to the forecast as the last one. */
--- a/src/main/java/org/mallowroad/core/cancellation/CancellationView.java
+++ b/src/main/java/org/mallowroad/core/cancellation/CancellationView.java
@@ -41,7 +41,7 @@
   private final long maxAgeMs;
 
   /** Readings that are not applied in full yet, oldest first. */
-  private final ArrayDeque<Reading> readings = new ArrayDeque<>();
+  private final ArrayDeque<ViewRead> readings = new ArrayDeque<>();
 
   private boolean hasView;
 
@@ -49,16 +49,16 @@
   private long viewMs;
 
   /** A reading whose answer has come, until it is applied in full. */
-  public final class Reading {
+  public final class ViewRead {
     private long sentMs;
     private int outstanding = 1;
 
-    private Reading(long sentMs) {
+    private ViewRead(long sentMs) {
       this.sentMs = sentMs;
     }
 
     /** Something more has to be read and applied before this reading counts. */
-    public void awaitAnother() {
+    public void awaitFollowUpRead() {
       outstanding++;
     }
 
@@ -91,14 +91,14 @@
    *
    * @param sentMs when the request was sent
    */
-  public Reading beginReading(long sentMs) {
+  public ViewRead beginRead(long sentMs) {
     if (readings.size() >= MAX_READINGS) {
-      Reading newest = readings.peekLast();
+      ViewRead newest = readings.peekLast();
       newest.sentMs = Math.max(newest.sentMs, sentMs);
       newest.outstanding++;
       return newest;
     }
-    Reading reading = new Reading(sentMs);
+    ViewRead reading = new ViewRead(sentMs);
     readings.add(reading);
     return reading;
   }
@@ -106,7 +106,7 @@
   /** Counts applied readings in order: a later one does not repeat what an earlier one showed. */
   private void advance() {
     while (!readings.isEmpty() && readings.peek().outstanding <= 0) {
-      Reading reading = readings.poll();
+      ViewRead reading = readings.poll();
       viewMs = hasView ? Math.max(viewMs, reading.sentMs) : reading.sentMs;
       hasView = true;
     }
--- a/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
@@ -119,31 +119,32 @@
       return aboutToStart(job);
     }
     String detail = "places for " + places + " of " + job.waitingCount() + " tasks";
-    GangReservations.State state = schedulerState.gangReservations().state(job, survey.now());
+    GangReservations.ReservationStatus state =
+        schedulerState.gangReservations().status(job, survey.now());
     if (state == null) {
       return capacity.explain(job, PendingCause.GANG, detail + "; waits for its turn to gather");
     }
     return new PendingReason(
         PendingCause.GANG,
         job.waitingSinceMs(),
-        state.untilMs(),
+        state.endsAtMs(),
         state.zone(),
         detail + "; " + describeReservation(state));
   }
 
-  private String describeReservation(GangReservations.State state) {
+  private String describeReservation(GangReservations.ReservationStatus state) {
     String where = state.zone() < 0 ? "any zone" : "zone " + zones.name(state.zone());
-    if (state.givenUp()) {
+    if (state.isBackingOff()) {
       return where + " could not hold all of it and is left alone until then";
     }
     return "gathers in "
         + where
         + ": "
-        + state.places()
+        + state.slots()
         + " of "
-        + state.need()
+        + state.neededSlots()
         + " held or soon free, "
-        + CountFormat.of(state.rented(), "machine")
+        + CountFormat.of(state.requestedMachines(), "machine")
         + " rented for it";
   }
 
--- a/src/main/java/org/mallowroad/core/explain/PlacementQuestions.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementQuestions.java
@@ -93,7 +93,7 @@
           continue; // Removed since the survey.
         }
         asked++;
-        StartRefusal refusal = placement.refusal(job, machine, survey.now());
+        StartRefusal refusal = placement.placementRefusal(job, machine, survey.now());
         counts.add(machine, refusal);
         if (refusal == null) {
           return counts;
--- a/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
+++ b/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
@@ -93,10 +93,10 @@
 
   private static void addBooting(MachineGroup group, PendingMachines pending) {
     group.booting += pending.count();
-    long bootedMs = pending.sinceMs() + (long) (pending.variant().type().bootS() * 1000);
+    long bootedMs = pending.requestedMs() + (long) (pending.variant().type().bootS() * 1000);
     if (bootedMs < group.firstBootedMs) {
       group.firstBootedMs = bootedMs;
-      group.firstRentedMs = pending.sinceMs();
+      group.firstRentedMs = pending.requestedMs();
     }
   }
 
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -35,7 +35,7 @@
  *
  * <p>Reservations last for one term: the next leader begins anew, with the place that has the most
  * capacity; machines that were requested for a gang are known by their records ({@code
- * PendingMachines#gang}). Confined to the thread of the event loop.
+ * PendingMachines#gangId}). Confined to the thread of the event loop.
  */
 public final class GangReservations {
   /** A reservation that is not complete after this time is given up. */
@@ -67,12 +67,19 @@
   private static final int MAX_PREEMPTIBLE_ATTEMPT = 3;
 
   /** How a gang's reservation stands, for the explanation of pending tasks. */
-  public record State(int zone, int places, int need, int rented, long untilMs, boolean givenUp) {}
+  public record ReservationStatus(
+      int zone,
+      int slots,
+      int neededSlots,
+      int requestedMachines,
+      long endsAtMs,
+      boolean isBackingOff) {}
 
   /** A state transition of a reservation, for the log. */
-  public record Change(Job job, int zone, What what, int places, int need, long lastedMs) {
+  public record Change(
+      Job job, int zone, Transition transition, int slots, int neededSlots, long durationMs) {
     /** The transition; its name is part of the log event. */
-    public enum What {
+    public enum Transition {
       /** The reservation begins. */
       GATHERS,
       /** All tasks were placed, or the gang may no longer start. */
@@ -104,10 +111,10 @@
   }
 
   /** How the job's reservation stands; null when it never had one. */
-  public State state(Job job, long now) {
+  public ReservationStatus status(Job job, long now) {
     GangReservation reservation = reservations.get(job);
     if (reservation != null) {
-      return new State(
+      return new ReservationStatus(
           reservation.zone,
           reservation.places,
           reservation.neededPlaces(),
@@ -120,7 +127,7 @@
       return null;
     }
     long until = backoff.untilMs(backoff.latestZone);
-    return new State(backoff.latestZone, 0, job.waitingCount(), 0, until, until > now);
+    return new ReservationStatus(backoff.latestZone, 0, job.waitingCount(), 0, until, until > now);
   }
 
   /**
@@ -129,7 +136,7 @@
    * @param queue jobs that wait, in the order in which they get capacity
    * @param mayStart whether a gang may start: neither held back nor beyond its team's limit
    */
-  public void reserve(List<Job> queue, Predicate<Job> mayStart, long now) {
+  public void updateReservations(List<Job> queue, Predicate<Job> mayStart, long now) {
     offers.observeInterruptions(now);
     if (reservations.isEmpty() && queue.stream().noneMatch(j -> j.spec.gang())) {
       backoffs.clear();
@@ -156,7 +163,7 @@
   private void endFinished(Predicate<Job> mayStart, long now) {
     for (GangReservation reservation : new ArrayList<>(reservations.values())) {
       if (!reservation.job.hasWaitingTasks() || !mayStart.test(reservation.job)) {
-        recordChange(reservation, Change.What.ENDS, now);
+        recordChange(reservation, Change.Transition.ENDS, now);
         end(reservation);
       }
     }
@@ -199,7 +206,7 @@
     GangReservation reservation = new GangReservation(job, bestZone, now);
     reservations.put(job, reservation);
     backoff.latestZone = bestZone;
-    recordChange(reservation, Change.What.GATHERS, now);
+    recordChange(reservation, Change.Transition.GATHERS, now);
     return reservation;
   }
 
@@ -320,7 +327,7 @@
    * The machines to request now for what reservations lack. Reservations that cannot be completed
    * are given up here, where it is known what the cloud has.
    */
-  public List<ScaleOutRequest> scaleOut(
+  public List<ScaleOutRequest> planScaleOut(
       List<PendingMachines> pending, List<MachineType> offered, long now) {
     offers.setTypes(offered);
     List<ScaleOutRequest> requests = new ArrayList<>();
@@ -350,7 +357,7 @@
     int places = 0;
     for (PendingMachines machines : pending) {
       MachineVariant variant = machines.variant();
-      if (spec.id().equals(machines.gang()) && reservation.covers(variant.zone())) {
+      if (spec.id().equals(machines.gangId()) && reservation.covers(variant.zone())) {
         places += machines.count() * Math.max(1, variant.type().capacityFor(spec));
       }
     }
@@ -400,7 +407,7 @@
     backoffs
         .computeIfAbsent(reservation.job, j -> new PlaceBackoff())
         .recordFailure(reservation.zone, now);
-    recordChange(reservation, Change.What.GIVES_UP, now);
+    recordChange(reservation, Change.Transition.GIVES_UP, now);
     end(reservation);
   }
 
@@ -409,7 +416,7 @@
     reservations.remove(reservation.job);
   }
 
-  private void recordChange(GangReservation reservation, Change.What what, long now) {
+  private void recordChange(GangReservation reservation, Change.Transition what, long now) {
     if (changes.size() < MAX_RESERVATIONS) {
       changes.add(
           new Change(
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -44,14 +44,16 @@
    * @param kind {@code class}, {@code team}, or {@code largest} for the largest jobs of a class
    * @param name the class or team
    * @param done jobs that are done; of the largest ones, those that started in time
-   * @param late open jobs that are overdue; of the largest ones, those that did not start in time
+   * @param overdue open jobs that are overdue; of the largest ones, those that did not start in
+   *     time
    * @param open jobs that are open; 0 for the largest ones
-   * @param oldestMs age of the oldest open job in ms; 0 for the largest ones
+   * @param oldestOpenAgeMs age of the oldest open job in ms; 0 for the largest ones
    */
-  public record Line(String kind, String name, int done, int late, int open, long oldestMs) {
+  public record Summary(
+      String kind, String name, int done, int overdue, int open, long oldestOpenAgeMs) {
     /** The share of the due jobs that is done; 1 where none is due. */
-    public double share() {
-      return done + late == 0 ? 1 : (double) done / (done + late);
+    public double doneShare() {
+      return done + overdue == 0 ? 1 : (double) done / (done + overdue);
     }
   }
 
@@ -128,7 +130,7 @@
    * @param open the open jobs of all classes
    * @param now the time in ms
    */
-  public List<Line> lines(Collection<Job> open, long now) {
+  public List<Summary> summarize(Collection<Job> open, long now) {
     byClass.values().forEach(ObjectiveAttainment::resetOpen);
     byTeam.values().forEach(ObjectiveAttainment::resetOpen);
     Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsDue =
@@ -146,7 +148,7 @@
       addOpen(countsOf(byClass, classes.name(job.spec.taskClass())), ageMs, dueMs(job.spec));
       addOpen(countsOf(byTeam, teams.get(job.spec.team()).name), ageMs, dueMs(job.spec));
     }
-    List<Line> lines = new ArrayList<>();
+    List<Summary> lines = new ArrayList<>();
     byClass.forEach((name, counts) -> lines.add(line("class", name, counts)));
     byTeam.forEach((name, counts) -> lines.add(line("team", name, counts)));
     startsDue.forEach((name, starts) -> addLargest(name, starts, lines));
@@ -168,7 +170,7 @@
   }
 
   /** Adds the line of the largest of the given jobs of a class, if there are any. */
-  private static void addLargest(String name, List<JobStart> starts, List<Line> lines) {
+  private static void addLargest(String name, List<JobStart> starts, List<Summary> lines) {
     if (starts.isEmpty()) {
       return;
     }
@@ -178,7 +180,7 @@
     for (JobStart start : starts.subList(0, largestCount)) {
       inTime += start.inTime ? 1 : 0;
     }
-    lines.add(new Line("largest", name, inTime, largestCount - inTime, 0, 0));
+    lines.add(new Summary("largest", name, inTime, largestCount - inTime, 0, 0));
   }
 
   private static void resetOpen(Counts counts) {
@@ -193,7 +195,7 @@
     counts.oldestMs = Math.max(counts.oldestMs, ageMs);
   }
 
-  private static Line line(String kind, String name, Counts counts) {
-    return new Line(kind, name, counts.done, counts.late, counts.open, counts.oldestMs);
+  private static Summary line(String kind, String name, Counts counts) {
+    return new Summary(kind, name, counts.done, counts.late, counts.open, counts.oldestMs);
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
@@ -53,7 +53,7 @@
   }
 
   /** Attempts stopped so far so that more important work gets room. */
-  public long preemptions() {
+  public long preemptionCount() {
     return preemptor.preemptions();
   }
 
@@ -85,7 +85,7 @@
     fleetOrder.refresh();
     schedulerState
         .gangReservations()
-        .reserve(waiting, j -> !j.isBackingOff(now) && !exceedsTeamLimit(j), now);
+        .updateReservations(waiting, j -> !j.isBackingOff(now) && !exceedsTeamLimit(j), now);
     binPacker.findCandidates(waiting, now);
     preemptor.beginPass(now);
     teamsKeptForGang.clear();
@@ -158,7 +158,7 @@
    * goes by it, so what is shown to users is what was decided. Where the zone rules, the machine's
    * health or a failure are named, nothing else stands in the way: the machine has room.
    */
-  public StartRefusal refusal(Job job, Machine m, long now) {
+  public StartRefusal placementRefusal(Job job, Machine m, long now) {
     return placementRules.refusal(job, m, now);
   }
 
@@ -180,7 +180,7 @@
   }
 
   /** Stops tasks on machines that the cloud is about to take back, so that they start elsewhere. */
-  public void drain(long now) {
+  public void drainInterruptedMachines(long now) {
     machineDrainer.drain(now);
   }
 }
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -126,7 +126,7 @@
     int rented() {
       int n = 0;
       for (ScaleOutRequest r :
-          fleet.scaleOut(placement.queue(now), List.of(), List.of(type), now)) {
+          fleet.planScaleOut(placement.queue(now), List.of(), List.of(type), now)) {
         assertFalse(
             health.failureDetector().isPartitioned(r.variant().zone()), "rented in a cut zone");
         n += r.count();
--- a/src/test/java/org/mallowroad/core/PreemptionTest.java
+++ b/src/test/java/org/mallowroad/core/PreemptionTest.java
@@ -46,7 +46,7 @@
                   StartRefusal.DRAINING_OR_FAILED,
                   cluster.schedulerState.startRefusal(
                       cluster.job("job-3", 1, 1), 0, m, cluster.now));
-              cluster.taskScheduler.drain(cluster.now);
+              cluster.taskScheduler.drainInterruptedMachines(cluster.now);
               assertEquals(
                   List.of(
                       new WorkerCommand(WorkerCommand.Kind.STOP, "job-1", 0, 1, 4),
@@ -61,7 +61,7 @@
               Heartbeat.Entry e = SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null);
               cluster.heartbeat(m, 1, SchedulerFixture.TERM, e);
               m.interruptionMs = cluster.now + 90_000; // Estimated at 60 s.
-              cluster.taskScheduler.drain(cluster.now);
+              cluster.taskScheduler.drainInterruptedMachines(cluster.now);
               assertFalse(a.isStopping());
             }));
   }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -200,7 +200,7 @@
               w.placement.placeTasks(w.now);
               w.commit();
               int jobs = w.placement.queue(w.now).size();
-              w.fleet.scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
+              w.fleet.planScaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
               assertTrue(jobs >= 4, "jobs that wait: " + jobs);
               assertEquals(Autoscaler.MAX_FORECAST_TASKS, w.fleet.tasksForecast());
             }),
@@ -213,11 +213,11 @@
               int rented =
                   w
                       .fleet
-                      .scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
+                      .planScaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
                       .stream()
                       .mapToInt(ScaleOutRequest::count)
                       .sum();
-              assertEquals(AutoscalerPolicy.defaults().step(), rented);
+              assertEquals(AutoscalerPolicy.defaults().maxScaleOutPerType(), rented);
               atMost((MACHINES + rented) * 2L * JOBS, w.fleet.machinesScanned());
             }),
         scale(
@@ -227,7 +227,8 @@
               w.placement.placeTasks(w.now);
               w.jobs(3);
               for (ScaleOutRequest r :
-                  w.fleet.scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
+                  w.fleet.planScaleOut(
+                      w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
                 atMost(50, r.count());
               }
             }),
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -23,7 +23,7 @@
 final class AdmissionTest {
   private static final class Fixture {
     private long now;
-    private final Admission admission = new Admission(0);
+    private final AdmissionRateLimiter admission = new AdmissionRateLimiter(0);
 
     /** Offers that many jobs a second; returns how many were admitted. */
     private int offer(int seconds, int aSecond, boolean lag, boolean refusals) {
@@ -33,7 +33,7 @@
           now += 1_000 / aSecond;
           admitted += admission.tryAdmit(now) ? 1 : 0;
         }
-        admission.recordStateService(refusals, now);
+        admission.recordStateServiceRefusals(refusals, now);
         if (lag) {
           admission.recordOverload(now);
         }
@@ -124,7 +124,7 @@
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          CommitLag lag = new CommitLag();
+          CommitLagMonitor lag = new CommitLagMonitor();
           for (long now = 0; now <= afterMs; now += 1_000) {
             lag.measure(schedulerState, now >= servedFromMs, now);
           }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -62,7 +62,7 @@
     }
 
     List<ScaleOutRequest> rents(List<PendingMachines> coming) {
-      return fleet.scaleOut(placement.queue(now), coming, TYPES, now);
+      return fleet.planScaleOut(placement.queue(now), coming, TYPES, now);
     }
   }
 
@@ -171,7 +171,7 @@
                 w.machine("n-" + i, SMALL, true);
               }
               w.now += 5_000;
-              assertEquals(200 - 16, w.fleet.scaleIn(false, w.now).size());
+              assertEquals(200 - 16, w.fleet.planScaleIn(false, w.now).size());
             }),
         policy(
             "tasks beyond their team's limit rent nothing",
@@ -187,10 +187,10 @@
               w.machine("n-1", SMALL, true);
               Machine large = w.machine("n-2", LARGE, false);
               w.now += 60_000;
-              assertEquals(List.of(), w.fleet.scaleIn(false, w.now)); // Not heard for too long.
+              assertEquals(List.of(), w.fleet.planScaleIn(false, w.now)); // Not heard for too long.
               w.machine("n-1", SMALL, true);
               w.machine("n-2", LARGE, false);
-              List<Machine> back = w.fleet.scaleIn(false, w.now);
+              List<Machine> back = w.fleet.planScaleIn(false, w.now);
               assertEquals(large, back.get(0));
             }),
         policy(
@@ -203,7 +203,7 @@
               w.now += 60_000;
               w.machine("n-1", SMALL, true);
               w.machine("n-2", SMALL, true);
-              assertEquals(List.of(), w.fleet.scaleIn(false, w.now));
+              assertEquals(List.of(), w.fleet.planScaleIn(false, w.now));
               assertTrue(idle.isUsable());
             }));
   }
--- a/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
+++ b/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
@@ -24,13 +24,13 @@
             "the view is stale before the first reading is applied",
             v -> {
               assertTrue(v.isStale(0));
-              v.beginReading(100);
+              v.beginRead(100);
               assertTrue(v.isStale(101));
             }),
         view(
             "the age counts from the sending, and the view is stale above the maximum age",
             v -> {
-              v.beginReading(1_000).markApplied();
+              v.beginRead(1_000).markApplied();
               assertEquals(5_000, v.ageMs(6_000));
               assertEquals(false, v.isStale(11_000));
               assertTrue(v.isStale(11_001));
@@ -38,10 +38,10 @@
         view(
             "a reading does not count before its further reads are applied",
             v -> {
-              v.beginReading(1_000).markApplied();
-              CancellationView.Reading r = v.beginReading(5_000);
-              r.awaitAnother();
-              r.awaitAnother();
+              v.beginRead(1_000).markApplied();
+              CancellationView.ViewRead r = v.beginRead(5_000);
+              r.awaitFollowUpRead();
+              r.awaitFollowUpRead();
               r.markApplied();
               r.markApplied();
               assertTrue(v.isStale(11_001));
@@ -51,9 +51,9 @@
         view(
             "a later reading does not count before an earlier one that is not applied",
             v -> {
-              v.beginReading(1_000).markApplied();
-              CancellationView.Reading first = v.beginReading(5_000);
-              v.beginReading(9_000).markApplied();
+              v.beginRead(1_000).markApplied();
+              CancellationView.ViewRead first = v.beginRead(5_000);
+              v.beginRead(9_000).markApplied();
               assertTrue(v.isStale(11_001));
               first.markApplied();
               assertEquals(2_001, v.ageMs(11_001));
@@ -61,20 +61,20 @@
         view(
             "an answer to an older request does not age the view",
             v -> {
-              v.beginReading(5_000).markApplied();
-              v.beginReading(4_000).markApplied();
+              v.beginRead(5_000).markApplied();
+              v.beginRead(4_000).markApplied();
               assertEquals(0, v.ageMs(5_000));
             }),
         view(
             "pending readings are bounded, and none of them is lost",
             v -> {
-              v.beginReading(0).markApplied();
-              List<CancellationView.Reading> all =
+              v.beginRead(0).markApplied();
+              List<CancellationView.ViewRead> all =
                   Stream.iterate(1L, i -> i + 1)
                       .limit(3L * CancellationView.MAX_READINGS)
-                      .map(v::beginReading)
+                      .map(v::beginRead)
                       .toList();
-              all.subList(1, all.size()).forEach(CancellationView.Reading::markApplied);
+              all.subList(1, all.size()).forEach(CancellationView.ViewRead::markApplied);
               assertEquals(300, v.ageMs(300));
               all.get(0).markApplied();
               assertEquals(300 - 3L * CancellationView.MAX_READINGS, v.ageMs(300));
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -71,7 +71,7 @@
 
     List<ScaleOutRequest> cycle() {
       placement.placeTasks(now);
-      List<ScaleOutRequest> r = fleet.scaleOut(placement.queue(now), coming, TYPES, now);
+      List<ScaleOutRequest> r = fleet.planScaleOut(placement.queue(now), coming, TYPES, now);
       now += 2_000;
       return r;
     }
@@ -143,9 +143,10 @@
               List<ScaleOutRequest> rents = w.begin();
               assertEquals(12, sum(rents)); // 11 lacking and 6% of it
               assertTrue(rents.stream().allMatch(r -> r.variant().zone() == 1));
-              assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gang())));
+              assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gangId())));
               rents.forEach(
-                  r -> w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gang())));
+                  r ->
+                      w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gangId())));
               for (int i = 0; i < 5; i++) {
                 assertEquals(List.of(), w.cycle());
               }
@@ -194,7 +195,7 @@
               }
               w.cycle();
               assertEquals(3, w.held(job));
-              assertEquals(3, w.schedulerState.gangReservations().state(job, w.now).places());
+              assertEquals(3, w.schedulerState.gangReservations().status(job, w.now).slots());
             }),
         gang(
             "a zone that cannot complete it is given up at once, and another is tried",
@@ -306,8 +307,9 @@
               w.now += GangReservations.MAX_RESERVATION_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
-              GangReservations.State s = w.schedulerState.gangReservations().state(again, w.now);
-              assertTrue(s.givenUp() && s.untilMs() > w.now);
+              GangReservations.ReservationStatus s =
+                  w.schedulerState.gangReservations().status(again, w.now);
+              assertTrue(s.isBackingOff() && s.endsAtMs() > w.now);
             }),
         gang(
             "scatter counts no more of a zone than its rules allow",
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -47,8 +47,8 @@
 
   private static List<String> lines(
       ObjectiveAttainment attainment, SchedulerState schedulerState, long now) {
-    return attainment.lines(schedulerState.jobs(), now).stream()
-        .map(l -> l.kind() + " " + l.name() + " " + l.share() + " " + l.open())
+    return attainment.summarize(schedulerState.jobs(), now).stream()
+        .map(l -> l.kind() + " " + l.name() + " " + l.doneShare() + " " + l.open())
         .toList();
   }
 
@@ -61,6 +61,6 @@
       JobSpec s = JobSpecs.array("job-" + i, 1, 1).taskClass(c).build();
       attainment.recordDone(schedulerState.accept(s, 1, 0, 0));
     }
-    assertTrue(attainment.lines(List.of(), 0).size() <= 131);
+    assertTrue(attainment.summarize(List.of(), 0).size() <= 131);
   }
 }
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -64,7 +64,7 @@
         schedulerState.machines().forEach(this::report);
         placement.placeTasks(now);
       }
-      return placement.preemptions();
+      return placement.preemptionCount();
     }
   }
 
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -98,7 +98,7 @@
     }
     // Stopped, it would take the room again at once: the two stopped each other 3,713 times.
     assertFalse(large.liveAttempt(0).isStopping());
-    assertEquals(0, placement.preemptions());
+    assertEquals(0, placement.preemptionCount());
   }
 
   @Test
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -91,7 +91,7 @@
     put(values, "fleet/booked-spare", fleet.bookedSpare());
     put(values, "fleet/waiting-spare", fleet.waitingSpare());
     put(values, "fleet/cycle-s in ms", fleet.cycleMs());
-    put(values, "fleet/step", fleet.step());
+    put(values, "fleet/step", fleet.maxScaleOutPerType());
     put(values, "fleet/idle-s in ms", fleet.idleMs());
   }
 
