--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -47,7 +47,7 @@
         load.directCommands(),
         load.placementPasses(),
         load.placementMs(),
-        context.taskScheduler().preemptions(),
+        context.taskScheduler().preemptionCount(),
         committer.commitCount(),
         committer.writeCount(),
         schedulerState.dirtyRecords().size(),
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -67,7 +67,7 @@
         schedulerState.machines().forEach(this::report);
         placement.placeTasks(now);
       }
-      return placement.preemptions();
+      return placement.preemptionCount();
     }
   }
 
