--- a/src/main/java/org/mallowroad/api/claim/ClaimService.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimService.java
@@ -107,7 +107,7 @@
   /** The blocks that hold these games, in order. */
   public static Collection<BlockKey> blockKeys(List<Game> games) {
     TreeSet<BlockKey> keys = new TreeSet<>();
-    games.forEach(g -> keys.add(g.block()));
+    games.forEach(g -> keys.add(g.blockKey()));
     return keys;
   }
 
--- a/src/main/java/org/mallowroad/api/claim/IntentRollback.java
+++ b/src/main/java/org/mallowroad/api/claim/IntentRollback.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.core.fold.Claims;
+import org.mallowroad.core.fold.ClaimRules;
 import org.mallowroad.state.CallResult;
 import org.mallowroad.state.RecordKeys;
 import org.mallowroad.state.Transaction;
@@ -86,7 +86,7 @@
         .all()
         .forEach(
             (key, block) -> {
-              Block without = Claims.without(block, id);
+              Block without = ClaimRules.withoutClaimsOf(block, id);
               if (without != block) {
                 changed.put(key, without);
               }
--- a/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
+++ b/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
@@ -12,7 +12,7 @@
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.core.fold.Claims;
+import org.mallowroad.core.fold.ClaimRules;
 import org.mallowroad.core.fold.Game;
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.net.EventLoop;
@@ -25,7 +25,7 @@
 /**
  * One acceptance of a job that folds games or has dependencies, until its outcome is known.
  *
- * <p>It reads the records that it touches and decides which blocks it changes ({@link Claims}).
+ * <p>It reads the records that it touches and decides which blocks it changes ({@link ClaimRules}).
  * What fits into one transaction is accepted by it. Otherwise it records an intent, claims some
  * blocks at a time, and accepts the job with the last transaction. When a condition fails it reads
  * what has changed and decides again.
@@ -164,20 +164,20 @@
   }
 
   private void decide() {
-    Claims.Outcome outcome =
-        Claims.decide(
+    ClaimRules.Decision outcome =
+        ClaimRules.decide(
             id,
             job.games(),
             blocks.all(),
             j -> jobOutcomes.containsKey(j) ? jobOutcomes.get(j) : service.finalOutcome(j));
-    if (outcome instanceof Claims.OutcomesNeeded needed) {
+    if (outcome instanceof ClaimRules.OutcomesNeeded needed) {
       readOutcomes(new ArrayDeque<>(needed.jobs()));
-    } else if (outcome instanceof Claims.Granted granted) {
+    } else if (outcome instanceof ClaimRules.Granted granted) {
       commit(granted.blocks());
-    } else if (outcome instanceof Claims.Refused refused) {
+    } else if (outcome instanceof ClaimRules.Refused refused) {
       abandonAndEnd(AcceptanceResult.Status.REJECTED, refused.reason());
     } else {
-      abandonAndEnd(AcceptanceResult.Status.CONFLICT, ((Claims.Deferred) outcome).reason());
+      abandonAndEnd(AcceptanceResult.Status.CONFLICT, ((ClaimRules.Deferred) outcome).reason());
     }
   }
 
--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -108,15 +108,15 @@
     }
     return new HealthPolicy(
         number(file, e, "slow-factor", d.slowFactor(), 1.1, 100),
-        (int) number(file, e, "slow-samples", d.slowSamples(), 2, 12),
+        (int) number(file, e, "slow-samples", d.minSlowSamples(), 2, 12),
         number(file, e, "slow-share", d.maxSlowShare(), 0, 1),
         (long) (number(file, e, "favour-s", d.suspicionExpiryMs() / 1000.0, 1, 86400) * 1000),
-        (int) number(file, e, "errors", d.errors(), 1, 100),
+        (int) number(file, e, "errors", d.minFailedJobs(), 1, 100),
         number(file, e, "cut-share", d.partitionShare(), 0.05, 1),
         (int) number(file, e, "cut-least", d.minPartitionMachines(), 1, 1e6),
-        number(file, e, "cut-returns", d.partitionReturnShare(), 0, 1),
-        number(file, e, "haste-share", d.returnShare(), 0, 1),
-        (int) number(file, e, "haste-least", d.minReturns(), 1, 1e6),
+        number(file, e, "cut-returns", d.maxPartitionDeletionShare(), 0, 1),
+        number(file, e, "haste-share", d.maxDeletionShare(), 0, 1),
+        (int) number(file, e, "haste-least", d.minDeletions(), 1, 1e6),
         number(file, e, "replace-share", d.maxReplacementShare(), 0, 1),
         (long) (number(file, e, "still-s", d.pauseMs() / 1000.0, 0.5, 60) * 1000));
   }
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -75,17 +75,17 @@
    */
   List<String> game(String league, long number) throws InvalidMessageException {
     Inspection inspection = new Inspection();
-    BlockKey key = new BlockKey(league, (int) (number / Block.GAMES));
+    BlockKey key = new BlockKey(league, (int) (number / Block.GAMES_PER_BLOCK));
     Block block = FoldCodec.decodeBlock(inspection.value(RecordKeys.foldBlock(key)));
     List<String> out = new ArrayList<>();
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
-      if (e.getKey().game() == Block.place(number)) {
+      if (e.getKey().gameIndex() == Block.gameIndex(number)) {
         Fold f = e.getValue();
         out.add(
             e.getKey().member()
                 + ": revision "
                 + f.revision()
-                + (f.taken() ? " (taken back) " : " ")
+                + (f.retracted() ? " (taken back) " : " ")
                 + inspection.jobOutcome(f)
                 + (f.base() == null
                     ? ""
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -178,7 +178,7 @@
 
   /** Calls of this node that were made by way of a peer. */
   long detours() {
-    return state.route().relayedCalls() + cloud.route().relayedCalls();
+    return state.route().relayedCallCount() + cloud.route().relayedCallCount();
   }
 
   /**
@@ -230,12 +230,12 @@
     long now = loop.now();
     long ageMs = links.ageMs(ExternalService.STATE, now);
     boolean isIdle = !state.route().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
-    if (!isProbingState && (state.route().takeProbe(now) || isIdle)) {
+    if (!isProbingState && (state.route().startProbeIfDue(now) || isIdle)) {
       isProbingState = true;
       probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
     }
     // Only the leader uses the cloud; other nodes need no route to it.
-    if (cloud.route().takeProbe(now) && listener.isLeading()) {
+    if (cloud.route().startProbeIfDue(now) && listener.isLeading()) {
       probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
     logChanges(now);
@@ -249,9 +249,9 @@
             c.down() ? "link_down" : "link_up",
             c.from(),
             c.to(),
-            c.lastedMs(),
-            c.by(),
-            logLimiter.suppressed() + links.takeUnkeptChanges());
+            c.previousStateMs(),
+            c.reportedBy(),
+            logLimiter.suppressed() + links.takeDroppedChangeCount());
       }
     }
   }
@@ -287,8 +287,10 @@
     @Override
     public OptionalLong onLinkState(LinkStateAdvertisement advertised) {
       if (!links.accept(advertised, loop.now())) {
-        long began = links.startedMs(advertised.node());
-        return began > advertised.started() ? OptionalLong.of(began) : OptionalLong.empty();
+        long began = links.processStartedMs(advertised.node());
+        return began > advertised.processStartedMs()
+            ? OptionalLong.of(began)
+            : OptionalLong.empty();
       }
       if (election != null) {
         if (advertised.leading()) {
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -53,12 +53,14 @@
   }
 
   private void registerHealth() {
-    gauge("mallowroad.machines.late", m -> m.ofHealth(h -> h.failureDetector().overdueCount()));
+    gauge(
+        "mallowroad.machines.late",
+        m -> m.ofHealth(h -> h.failureDetector().overdueMachineCount()));
     gauge(
         "mallowroad.machines.doubted", m -> m.ofHealth(h -> h.stragglerDetector().suspectCount()));
     gauge(
         "mallowroad.machines.slow.refused",
-        m -> m.ofHealth(h -> h.stragglerDetector().refusedSuspicions()));
+        m -> m.ofHealth(h -> h.stragglerDetector().refusedSuspicionCount()));
     gauge("mallowroad.zones.cut", m -> m.ofHealth(h -> h.failureDetector().partitionedZoneCount()));
     gauge("mallowroad.stood.still", m -> m.ofHealth(h -> h.pauseDetector().pauseCount()));
     gauge(
@@ -79,14 +81,14 @@
   private void registerLinks(LinkMonitor links) {
     gauge("mallowroad.links.down", m -> links.links().downLinkCount());
     gauge("mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
-    gauge("mallowroad.links.state.via", m -> links.stateRoute().relay());
+    gauge("mallowroad.links.state.via", m -> links.stateRoute().relayPeer());
     gauge(
         "mallowroad.links.state.age.ms",
         m -> links.links().ageMs(ExternalService.STATE, m.node.loop.now()));
     gauge("mallowroad.detours", m -> links.detours());
     gauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
     gauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
-    gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkers());
+    gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkerCount());
   }
 
   private void registerInvalidMessages() {
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -50,7 +50,7 @@
 
   /** One hop to a peer that reaches the state service; without one the request fails at once. */
   private void relayByLinkState(String method, String path, byte[] body, Responder responder) {
-    int peer = links.stateRoute().choose(loop.now());
+    int peer = links.stateRoute().chooseRoute(loop.now());
     if (peer == RouteSelector.DIRECT) {
       refuse(responder);
     } else {
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -129,7 +129,7 @@
    */
   public void jobEnded(Job job, boolean done) {
     gates.remove(job.spec.id());
-    gates.jobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
+    gates.recordJobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
     evaluateNext();
   }
 
@@ -185,7 +185,7 @@
             LOG.info("event=dependency_gate_closed job={}", gate.jobId());
             gate.close();
             schedulerState.hold(job, loop.now());
-            gates.queue(gate);
+            gates.enqueue(gate);
             loop.soon(this::evaluateNext);
           }
           next.run();
@@ -195,7 +195,7 @@
   /** Takes over a release record, or its absence. */
   private void restore(DependencyGate gate, JsonNode record, long version) {
     if (record == null) {
-      gate.releaseMissing(version);
+      gate.recordMissingRelease(version);
       return;
     }
     gate.restore(ReleaseRecordCodec.decode(record), version);
@@ -209,7 +209,7 @@
     if (evaluating || stopped || !releasesRead) {
       return;
     }
-    DependencyGate gate = gates.pollToEvaluate();
+    DependencyGate gate = gates.pollGateToEvaluate();
     if (gate == null) {
       leagueWatch.start();
       return;
@@ -231,13 +231,13 @@
       job.holdReason = unmet.dependencies().describe();
       evaluationEnded();
     } else if (outcome instanceof GateEvaluation.Met met) {
-      gate.confirm(met.leagueVersions(), met.leagueChanges());
+      gate.setConfirmedLeagues(met.leagueVersions(), met.leagueChanges());
       recordRelease(gate, job);
     }
   }
 
   private void evaluateLater(DependencyGate gate) {
-    gates.queue(gate);
+    gates.enqueue(gate);
     loop.after(RETRY_MS, this::evaluationEnded);
   }
 
@@ -296,7 +296,7 @@
 
   private static void putRelease(DependencyGate gate, boolean started, Transaction transaction) {
     transaction.put(
-        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.release(started)));
+        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.toRelease(started)));
   }
 
   /**
@@ -307,18 +307,18 @@
   private void leagueChanged(VersionedValue record) {
     String league = record.key().substring(RecordKeys.LEAGUES.length());
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
-    for (DependencyGate gate : List.copyOf(gates.all())) {
+    for (DependencyGate gate : List.copyOf(gates.allGates())) {
       if (gate.isOutdatedBy(league, changes)) {
         supersede(gate, league);
       }
     }
-    gates.leagueChanged(league);
+    gates.recordLeagueChanged(league);
     evaluateNext();
   }
 
   /** The job started with games that have a newer version: logged once, and recorded. */
   private void supersede(DependencyGate gate, String league) {
-    gate.supersede();
+    gate.markSuperseded();
     LOG.warn(
         "event=dependency_superseded job={} league={} version={}",
         gate.jobId(),
@@ -333,7 +333,7 @@
         transaction,
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
-            gate.releaseRewritten(revision);
+            gate.recordRewrittenRelease(revision);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -12,7 +12,7 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.core.fold.Claims;
+import org.mallowroad.core.fold.ClaimRules;
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.core.fold.LeagueIndex;
@@ -253,7 +253,7 @@
     blocks.forEach(
         (k, b) -> {
           leagueIndex(k.league()).update(k.index(), b, jobOutcomes::get);
-          Block settled = Claims.settled(b, jobOutcomes::get);
+          Block settled = ClaimRules.withFinalOutcomes(b, jobOutcomes::get);
           if (settled != b
               && transaction.writes() < maxTransactionWrites / 2
               && writes.availablePermits(loop.now()) - transaction.writes()
--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -127,7 +127,7 @@
     if (end.value() == null) {
       unmet.add(jobId + " is not accepted yet, as far as is known");
     } else if (end.value().path("end").asText().equals(Fields.DONE)) {
-      gate.jobCompleted(jobId);
+      gate.recordCompletedJob(jobId);
     } else {
       unmet.add(jobId + " was withdrawn: this can only be withdrawn as well");
     }
@@ -187,7 +187,7 @@
       RequiredGamesCheck check, List<VersionedValue> blocks, int index, Runnable next) {
     if (index == blocks.size() || unmet.isFull()) {
       boolean hasMore = index > 0 && blocks.size() == PAGE_BLOCKS;
-      if (hasMore && !check.isReached() && unmet.isEmpty()) {
+      if (hasMore && !check.hasReachedLastGame() && unmet.isEmpty()) {
         readPage(check, blocks.get(blocks.size() - 1).key(), next);
         return;
       }
@@ -210,7 +210,7 @@
       return;
     }
     readOutcomes(
-        RequiredGamesCheck.unknownJobs(block, jobOutcomes.keySet()),
+        RequiredGamesCheck.jobsWithUnknownOutcome(block, jobOutcomes.keySet()),
         () -> {
           check.check(key, block, jobOutcomes::get);
           checkBlocks(check, blocks, index + 1, next);
--- a/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
+++ b/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
@@ -22,7 +22,7 @@
     ObjectNode versions = record.putObject(LEAGUE_VERSIONS);
     release.leagueVersions().forEach(versions::put);
     ObjectNode changes = record.putObject(LEAGUE_CHANGES);
-    release.leagueChanges().forEach(changes::put);
+    release.leagueClaimCounts().forEach(changes::put);
     if (release.started()) {
       record.put(STARTED, true);
     }
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -122,7 +122,8 @@
     this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy policy = health.policy();
-    this.deletions = new TokenBucket(policy.returnShare(), policy.minReturns(), leaseMs, now);
+    this.deletions =
+        new TokenBucket(policy.maxDeletionShare(), policy.minDeletions(), leaseMs, now);
     this.zoneDeletions = new TokenBucket[zones.size()];
     this.lastDirectMs = new long[zones.size()];
     this.rerouted = new boolean[zones.size()];
@@ -130,7 +131,7 @@
     Arrays.fill(lastDirectMs, now);
     for (int z = 0; z < zoneDeletions.length; z++) {
       zoneDeletions[z] =
-          new TokenBucket(policy.partitionReturnShare(), 1, ZONE_REFILL_LEASES * leaseMs, now);
+          new TokenBucket(policy.maxPartitionDeletionShare(), 1, ZONE_REFILL_LEASES * leaseMs, now);
     }
   }
 
@@ -142,7 +143,7 @@
     long pausedMs = health.pauseDetector().recordActivity(now);
     if (pausedMs > 0) {
       LOG.warn("event=process_paused term={} ms={}", term, pausedMs);
-      health.failureDetector().restart(now);
+      health.failureDetector().resetSilence(now);
     }
   }
 
@@ -196,7 +197,7 @@
       rerouted[zone] = false;
     } else if (!rerouted[zone] && now - lastDirectMs[zone] > REROUTED_AFTER_MS) {
       rerouted[zone] = true;
-      health.failureDetector().restartZone(zone, now);
+      health.failureDetector().resetZoneSilence(zone, now);
       LOG.warn(
           "event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - lastDirectMs[zone]);
     }
@@ -217,10 +218,10 @@
         overdue++;
       } else if (attempt.phase == Attempt.Phase.PULLING) {
         double needS = attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
-        health.imageFetchWaiting(machine.health, now - attempt.createdMs, needS * 1000, now);
+        health.recordImageWait(machine.health, now - attempt.createdMs, needS * 1000, now);
       }
     }
-    health.tasksOverdue(machine.health, overdue, now);
+    health.setOverdueTasks(machine.health, overdue, now);
   }
 
   /**
@@ -230,14 +231,14 @@
   void evaluate(long now) {
     machineLines = 0;
     FailureDetector failureDetector = health.failureDetector();
-    for (FailureDetector.ZoneVerdict verdict : failureDetector.evaluate(now)) {
+    for (FailureDetector.ZoneStateChange verdict : failureDetector.evaluate(now)) {
       LOG.warn(
           "event={} zone={} silent={} of={} lasted_ms={}",
           verdict.partitioned() ? "zone_silent" : "zone_recovered",
           zones.name(verdict.zone()),
-          verdict.overdue(),
-          verdict.known(),
-          verdict.lastedMs());
+          verdict.overdueMachines(),
+          verdict.knownMachines(),
+          verdict.previousStateMs());
     }
     for (FleetHealth.SuspicionChange change : health.takeChanges()) {
       logMachine(
@@ -245,7 +246,7 @@
           event(change.suspicion()),
           Math.round(change.slowdown() * 100) / 100.0);
     }
-    suppressedLines += health.takeUnkeptChanges();
+    suppressedLines += health.takeDroppedChangeCount();
     Arrays.fill(unreachableInZone, 0);
     for (Machine machine : schedulerState.machines()) {
       unreachableInZone[machine.zone] += machine.health.outboundReachability().isBroken() ? 1 : 0;
@@ -307,7 +308,7 @@
         schedulerState.requestStop(attempt, 0, now);
       }
     }
-    int known = health.failureDetector().knownMachines(machine.zone);
+    int known = health.failureDetector().knownMachineCount(machine.zone);
     boolean may =
         unreachableInZone[machine.zone] >= health.policy().minPartitionMachines()
             ? zoneDeletions[machine.zone].tryTake(known, now)
@@ -333,7 +334,7 @@
       // An idle one delays nothing, but it may be gone for good: kept for ever it would keep the
       // zone partitioned, and nothing would be rented there any more.
       return (!machine.isEmpty() || silentForMs > IDLE_KEPT_LEASES * leaseMs)
-          && zoneDeletions[zone].tryTake(failureDetector.knownMachines(zone), now);
+          && zoneDeletions[zone].tryTake(failureDetector.knownMachineCount(zone), now);
     }
     if (failureDetector.isLikelyIsolated(now) && silentForMs <= leaseMs) {
       return false; // When most are silent the fault is more likely on this side.
--- a/src/main/java/org/mallowroad/core/AttemptTracker.java
+++ b/src/main/java/org/mallowroad/core/AttemptTracker.java
@@ -277,7 +277,7 @@
     // What an earlier leader began was seen to run for a part of its time only; and a task that
     // had completed before ends at once when it is started again.
     if (attempt.runningSinceMs > 0 && !attempt.restoredFromRecord && attempt.number == 1) {
-      health.taskFinished(
+      health.recordTaskFinished(
           attempt.machine.health,
           job.runTimes,
           job.spec.taskClass(),
@@ -301,7 +301,7 @@
           job.failedMachines.add(attempt.machine.name);
         }
         boolean jobAtFault = job.failedMachines.size() >= MAX_FAILED_MACHINES;
-        health.taskFailed(attempt.machine.health, job.spec.id().hashCode(), jobAtFault, now);
+        health.recordTaskFailed(attempt.machine.health, job.spec.id().hashCode(), jobAtFault, now);
         backOff(job, now);
       }
       // A service's replica is to run for ever: one that ends well has failed too.
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -145,7 +145,7 @@
   }
 
   private void applyMachineStatus(Machine machine, Heartbeat heartbeat, long now) {
-    if (machine.health.isOverdue() && machine.isEmpty()) {
+    if (machine.health.isHeartbeatOverdue() && machine.isEmpty()) {
       machine.idleSinceMs = now; // Nothing could use it meanwhile: it has not been idle for long.
     }
     // A heartbeat that waited while this process was paused is as old as the pause.
@@ -170,7 +170,7 @@
               && attempt.isStopping()
               && attempt.launchToken == machine.fencingToken;
     }
-    due |= machine.health.outboundReachability().takeProbe(now);
+    due |= machine.health.outboundReachability().startProbeIfDue(now);
     // The last token of the block is never raised: then launches go in responses only.
     if (due && machine.fencingToken < FencingTokens.last(timing.term())) {
       machine.fencingToken++;
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -133,7 +133,7 @@
     sizes.put("outbox", machinesWithUnsentCommands().size());
     sizes.put("shared", sharedAttemptRecords.records().size());
     sizes.put("ending", jobsToComplete().size());
-    sizes.put("watched", health.failureDetector().knownMachines());
+    sizes.put("watched", health.failureDetector().knownMachineCount());
     sizes.put("classes", health.stragglerDetector().taskClassCount());
     return sizes;
   }
--- a/src/main/java/org/mallowroad/core/dependency/DependencyGate.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGate.java
@@ -27,7 +27,7 @@
   private final JobDependencies dependencies;
   private final Set<String> completedJobs = new ObjectLinkedOpenHashSet<>();
   private final Map<String, Long> leagueVersions = new Object2ObjectLinkedOpenHashMap<>();
-  private final Map<String, Long> leagueChanges = new Object2ObjectLinkedOpenHashMap<>();
+  private final Map<String, Long> leagueClaimCounts = new Object2ObjectLinkedOpenHashMap<>();
   private State state = State.CLOSED;
   private long releaseVersion;
   private boolean superseded;
@@ -79,14 +79,14 @@
   }
 
   /** A required job was seen done. That is final, so it is never asked for again. */
-  public void jobCompleted(String requiredJob) {
+  public void recordCompletedJob(String requiredJob) {
     completedJobs.add(requiredJob);
   }
 
   /** Sets what the next release names; the gate stays as it is until the release is recorded. */
-  public void confirm(Map<String, Long> versions, Map<String, Long> changes) {
+  public void setConfirmedLeagues(Map<String, Long> versions, Map<String, Long> changes) {
     replace(leagueVersions, versions);
-    replace(leagueChanges, changes);
+    replace(leagueClaimCounts, changes);
   }
 
   /** The release is recorded: tasks may start. */
@@ -109,14 +109,14 @@
   /** Takes over a release as it is recorded. */
   public void restore(GateRelease release, long recordVersion) {
     replace(leagueVersions, release.leagueVersions());
-    replace(leagueChanges, release.leagueChanges());
+    replace(leagueClaimCounts, release.leagueClaimCounts());
     superseded = release.superseded();
     releaseVersion = recordVersion;
     state = release.started() ? State.STARTED : State.OPEN;
   }
 
   /** There is no release record. */
-  public void releaseMissing(long recordVersion) {
+  public void recordMissingRelease(long recordVersion) {
     leagueVersions.clear();
     releaseVersion = recordVersion;
     state = State.CLOSED;
@@ -127,17 +127,17 @@
    * was not noticed before.
    */
   public boolean isOutdatedBy(String league, long changes) {
-    Long confirmed = leagueChanges.get(league);
+    Long confirmed = leagueClaimCounts.get(league);
     return state == State.STARTED && confirmed != null && changes > confirmed && !superseded;
   }
 
   /** The job started with games that were corrected since. */
-  public void supersede() {
+  public void markSuperseded() {
     superseded = true;
   }
 
   /** The superseded release was recorded. */
-  public void releaseRewritten(long recordVersion) {
+  public void recordRewrittenRelease(long recordVersion) {
     releaseVersion = recordVersion;
   }
 
@@ -146,8 +146,8 @@
    *
    * @param started true when the record says that a start was recorded under it
    */
-  public GateRelease release(boolean started) {
-    return new GateRelease(leagueVersions(), leagueChanges, started, superseded);
+  public GateRelease toRelease(boolean started) {
+    return new GateRelease(leagueVersions(), leagueClaimCounts, started, superseded);
   }
 
   private static void replace(Map<String, Long> values, Map<String, Long> by) {
--- a/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
@@ -24,11 +24,11 @@
       new Object2ObjectLinkedOpenHashMap<>();
   private final ObjectLinkedOpenHashSet<DependencyGate> toEvaluate =
       new ObjectLinkedOpenHashSet<>();
-  private long visits;
+  private long visitCount;
 
   /** How many gates were visited so far: the cost of the events, in tests and figures. */
-  public long visits() {
-    return visits;
+  public long visitCount() {
+    return visitCount;
   }
 
   /** A gated job became known; the same gate again when it was known before. */
@@ -51,7 +51,7 @@
   }
 
   /** All gates, in the order in which they were added. */
-  public Collection<DependencyGate> all() {
+  public Collection<DependencyGate> allGates() {
     return gates.values();
   }
 
@@ -89,22 +89,22 @@
    * @param done true when it is done, false when it was cancelled
    * @param foldedLeagues the leagues of which it folded games
    */
-  public void jobEnded(String jobId, boolean done, Set<String> foldedLeagues) {
+  public void recordJobEnded(String jobId, boolean done, Set<String> foldedLeagues) {
     for (DependencyGate gate : List.copyOf(byRequiredJob.getOrDefault(jobId, Set.of()))) {
-      visits++;
+      visitCount++;
       if (done) {
-        gate.jobCompleted(jobId);
+        gate.recordCompletedJob(jobId);
       }
-      queue(gate);
+      enqueue(gate);
     }
-    foldedLeagues.forEach(this::leagueChanged);
+    foldedLeagues.forEach(this::recordLeagueChanged);
   }
 
   /** A league's games changed. */
-  public void leagueChanged(String league) {
+  public void recordLeagueChanged(String league) {
     for (DependencyGate gate : byRequiredLeague.getOrDefault(league, Set.of())) {
-      visits++;
-      queue(gate);
+      visitCount++;
+      enqueue(gate);
     }
   }
 
@@ -114,17 +114,17 @@
   }
 
   /** Queues a gate to be evaluated, behind all others, unless its job has started. */
-  public void queue(DependencyGate gate) {
+  public void enqueue(DependencyGate gate) {
     if (gate.state() != DependencyGate.State.STARTED) {
       toEvaluate.addAndMoveToLast(gate);
     }
   }
 
   /** Takes the next closed gate from the queue; null when there is none. */
-  public DependencyGate pollToEvaluate() {
+  public DependencyGate pollGateToEvaluate() {
     for (int n = toEvaluate.size(); n > 0; n--) {
       DependencyGate gate = toEvaluate.removeFirst();
-      visits++;
+      visitCount++;
       if (gate.state() == DependencyGate.State.CLOSED && gates.get(gate.jobId()) == gate) {
         return gate;
       }
--- a/src/main/java/org/mallowroad/core/dependency/GateRelease.java
+++ b/src/main/java/org/mallowroad/core/dependency/GateRelease.java
@@ -7,12 +7,13 @@
  *
  * @param leagueVersions the version of each required league's record when its games were confirmed;
  *     conditions of the first start
- * @param leagueChanges how often required games of each league had been claimed at that time
- * @param started true once a first start is recorded: from then on the release is not undone
- * @param superseded true once a required league changed after the first start
+ * @param leagueClaimCounts how often required games of each league had been claimed at that time
+ * @param started true once the job's first start is recorded; the release cannot be undone after
+ *     that
+ * @param superseded true once a required league changed after the job's first start
  */
 public record GateRelease(
     Map<String, Long> leagueVersions,
-    Map<String, Long> leagueChanges,
+    Map<String, Long> leagueClaimCounts,
     boolean started,
     boolean superseded) {}
--- a/src/main/java/org/mallowroad/core/dependency/JobDependencies.java
+++ b/src/main/java/org/mallowroad/core/dependency/JobDependencies.java
@@ -27,7 +27,7 @@
    *
    * @param member only the recorded games of this member; null requires every game, without a gap
    */
-  public record RequiredGames(String league, long upTo, String member) {}
+  public record RequiredGames(String league, long lastGame, String member) {}
 
   /** True when the job depends on something: then it starts only through a dependency gate. */
   public boolean isGated() {
@@ -37,7 +37,7 @@
   /** The highest required game of each league with required games, leagues in order. */
   public Map<String, Long> highestRequiredGames() {
     Map<String, Long> highest = new TreeMap<>();
-    requiredGames.forEach(g -> highest.merge(g.league(), g.upTo(), Math::max));
+    requiredGames.forEach(g -> highest.merge(g.league(), g.lastGame(), Math::max));
     return highest;
   }
 
@@ -56,7 +56,7 @@
       if (blocks == null || blocks.isEmpty()) {
         continue;
       }
-      long lowestFolded = Block.number(blocks.getInt(0), 0);
+      long lowestFolded = Block.gameNumber(blocks.getInt(0), 0);
       if (lowestFolded <= required.getValue()) {
         return true;
       }
--- a/src/main/java/org/mallowroad/core/dependency/RequiredGamesCheck.java
+++ b/src/main/java/org/mallowroad/core/dependency/RequiredGamesCheck.java
@@ -34,16 +34,16 @@
 
   /** The index of the block with the last required game. */
   public int lastBlock() {
-    return (int) (required.upTo() / Block.GAMES);
+    return (int) (required.lastGame() / Block.GAMES_PER_BLOCK);
   }
 
   /** True when the blocks so far reach beyond the last required game. */
-  public boolean isReached() {
-    return nextGame > required.upTo();
+  public boolean hasReachedLastGame() {
+    return nextGame > required.lastGame();
   }
 
   /** The jobs of the block's claims whose outcome is needed and not in {@code known}. */
-  public static ArrayDeque<String> unknownJobs(Block block, Set<String> known) {
+  public static ArrayDeque<String> jobsWithUnknownOutcome(Block block, Set<String> known) {
     ArrayDeque<String> jobs = new ArrayDeque<>();
     for (Fold fold : block.sides().values()) {
       if (!fold.settled() && !known.contains(fold.job()) && !jobs.contains(fold.job())) {
@@ -56,15 +56,15 @@
   /**
    * Checks one block.
    *
-   * @param outcomes of each job that {@link #unknownJobs} names
+   * @param outcomes of each job that {@link #jobsWithUnknownOutcome} names
    */
   public void check(BlockKey key, Block block, Function<String, JobOutcome> outcomes) {
-    long firstGame = Block.number(key.index(), 0);
+    long firstGame = Block.gameNumber(key.index(), 0);
     requireNoGapBefore(firstGame);
     nextGame = Math.max(nextGame, firstGame);
     for (Map.Entry<Block.Side, Fold> side : block.sides().entrySet()) {
-      long game = Block.number(key.index(), side.getKey().game());
-      if (game > required.upTo()) {
+      long game = Block.gameNumber(key.index(), side.getKey().gameIndex());
+      if (game > required.lastGame()) {
         return;
       }
       String member = side.getKey().member();
@@ -79,7 +79,7 @@
 
   /** All blocks there are were checked: what follows them is missing. */
   public void finish() {
-    if (required.member() == null && !isReached() && !unmet.isFull()) {
+    if (required.member() == null && !hasReachedLastGame() && !unmet.isFull()) {
       unmet.add("game " + nextGame + " of " + league() + " and what follows is nobody's");
     }
   }
--- a/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
+++ b/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
@@ -107,7 +107,7 @@
   boolean isSilent(Machine machine, long at) {
     return schedulerState.machineRefusal(machine, at) == StartRefusal.HEARTBEAT_OVERDUE
         || schedulerState.health().isPartitionedAway(machine.health)
-        || (machine.deleting && !machine.failed && machine.health.isOverdue());
+        || (machine.deleting && !machine.failed && machine.health.isHeartbeatOverdue());
   }
 
   /** When the survey was made. */
--- a/src/main/java/org/mallowroad/core/fold/Block.java
+++ b/src/main/java/org/mallowroad/core/fold/Block.java
@@ -3,23 +3,25 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectRBTreeMap;
 import java.util.Map;
 
-/** The recorded sides of {@link #GAMES} consecutive games of a league. */
+/** The recorded sides of {@link #GAMES_PER_BLOCK} consecutive games of a league. */
 public final class Block {
   /**
    * Games in a block. With two members in each game a block is about 1.3 KB, and a submission of a
    * thousand consecutive games touches 32 blocks; docs/folds.md compares other sizes.
    */
-  public static final int GAMES = 32;
+  public static final int GAMES_PER_BLOCK = 32;
 
   /**
    * A member's side of a game.
    *
-   * @param game index of the game in its block, from 0
+   * @param gameIndex index of the game in its block, from 0
    */
-  public record Side(int game, String member) implements Comparable<Side> {
+  public record Side(int gameIndex, String member) implements Comparable<Side> {
     @Override
     public int compareTo(Side o) {
-      return game != o.game ? Integer.compare(game, o.game) : member.compareTo(o.member);
+      return gameIndex != o.gameIndex
+          ? Integer.compare(gameIndex, o.gameIndex)
+          : member.compareTo(o.member);
     }
   }
 
@@ -57,13 +59,13 @@
   }
 
   /** The index of a game in its block. */
-  public static int place(long number) {
-    return (int) (number % GAMES);
+  public static int gameIndex(long number) {
+    return (int) (number % GAMES_PER_BLOCK);
   }
 
   /** The number of a game in its league, by its block and its index there. */
-  public static long number(int index, int place) {
-    return (long) index * GAMES + place;
+  public static long gameNumber(int index, int place) {
+    return (long) index * GAMES_PER_BLOCK + place;
   }
 
   @Override
--- a/src/main/java/org/mallowroad/core/fold/Ranges.java
+++ b/src/main/java/org/mallowroad/core/fold/BlockNumberRanges.java
@@ -10,11 +10,11 @@
  * Encodes sets of block numbers as short text, such as {@code 3-9,12}, since one record may name
  * hundreds of them.
  */
-public final class Ranges {
-  private Ranges() {}
+public final class BlockNumberRanges {
+  private BlockNumberRanges() {}
 
   /** Encodes numbers, which must be in ascending order. */
-  public static String text(IntList numbers) {
+  public static String encode(IntList numbers) {
     StringBuilder b = new StringBuilder();
     for (int i = 0; i < numbers.size(); ) {
       int j = i;
@@ -36,7 +36,7 @@
    * @param most most numbers that the text may name
    * @throws IllegalArgumentException if the text is malformed or names too many numbers
    */
-  public static IntList numbers(String text, int most) {
+  public static IntList decode(String text, int most) {
     IntList out = new IntArrayList();
     for (String part : text.split(",")) {
       int dash = part.indexOf('-');
@@ -53,7 +53,7 @@
   }
 
   /** Block numbers by league, in ascending order and without duplicates. */
-  public static Map<String, IntList> byLeague(Collection<BlockKey> keys) {
+  public static Map<String, IntList> blockNumbersByLeague(Collection<BlockKey> keys) {
     Map<String, IntList> out = new TreeMap<>();
     keys.stream()
         .sorted()
--- a/src/main/java/org/mallowroad/core/fold/Claims.java
+++ b/src/main/java/org/mallowroad/core/fold/ClaimRules.java
@@ -17,21 +17,21 @@
  * final (done, cancelled); one that may still change defers the claim. So a decision that is right
  * when it is made stays right.
  */
-public final class Claims {
+public final class ClaimRules {
   /** The decision about a claim. */
-  public sealed interface Outcome permits Granted, Refused, Deferred, OutcomesNeeded {}
+  public sealed interface Decision permits Granted, Refused, Deferred, OutcomesNeeded {}
 
   /** Granted by writing these blocks; none when this job has claimed all of it already. */
-  public record Granted(Map<BlockKey, Block> blocks) implements Outcome {}
+  public record Granted(Map<BlockKey, Block> blocks) implements Decision {}
 
   /** Refused for good: another job has folded one of the games. */
-  public record Refused(String reason) implements Outcome {}
+  public record Refused(String reason) implements Decision {}
 
   /** Not possible now: another job, which is not over, has claimed one of the games. */
-  public record Deferred(String reason) implements Outcome {}
+  public record Deferred(String reason) implements Decision {}
 
   /** Undecided until the outcomes of these jobs are known. */
-  public record OutcomesNeeded(Set<String> jobs) implements Outcome {}
+  public record OutcomesNeeded(Set<String> jobs) implements Decision {}
 
   private final String job;
   private final Map<BlockKey, Block> read;
@@ -41,7 +41,8 @@
   private String refused;
   private String deferred;
 
-  private Claims(String job, Map<BlockKey, Block> read, Function<String, JobOutcome> jobOutcomes) {
+  private ClaimRules(
+      String job, Map<BlockKey, Block> read, Function<String, JobOutcome> jobOutcomes) {
     this.job = job;
     this.read = read;
     this.jobOutcomes = jobOutcomes;
@@ -53,15 +54,15 @@
    * @param read the block of each game, as read; an empty one where there is no record
    * @param jobOutcomes gives the outcome of a job, or null where it has not been looked up
    */
-  public static Outcome decide(
+  public static Decision decide(
       String job,
       List<Game> games,
       Map<BlockKey, Block> read,
       Function<String, JobOutcome> jobOutcomes) {
-    return new Claims(job, read, jobOutcomes).claimAll(games);
+    return new ClaimRules(job, read, jobOutcomes).claimAll(games);
   }
 
-  private Outcome claimAll(List<Game> games) {
+  private Decision claimAll(List<Game> games) {
     for (Game game : games) {
       for (String member : game.members()) {
         claimSide(game, member);
@@ -77,8 +78,8 @@
   }
 
   private void claimSide(Game game, String member) {
-    Block.Side side = new Block.Side(Block.place(game.number()), member);
-    BlockKey key = game.block();
+    Block.Side side = new Block.Side(Block.gameIndex(game.number()), member);
+    BlockKey key = game.blockKey();
     Fold current = changed.getOrDefault(key, read.get(key)).get(side);
     if (current != null && current.job().equals(job)) {
       return; // Claimed by an earlier attempt of the same submission.
@@ -110,7 +111,7 @@
     }
     changed
         .computeIfAbsent(key, k -> read.get(k).copy())
-        .set(side, new Fold(game.revision(), game.taken(), job, false, current));
+        .set(side, new Fold(game.revision(), game.retracted(), job, false, current));
   }
 
   private static String name(Game game, String member) {
@@ -121,7 +122,7 @@
    * The block without the job's claims, with what they would have replaced restored; the same
    * object when there are none. Only for a job that can no longer become done.
    */
-  public static Block without(Block block, String job) {
+  public static Block withoutClaimsOf(Block block, String job) {
     return rewrite(block, fold -> fold.job().equals(job) ? JobOutcome.CANCELLED : null);
   }
 
@@ -130,7 +131,7 @@
    * ones are removed; the same object when there are none. This does not change what a side means,
    * which follows from final outcomes alone: so any node may do it at any time, or never.
    */
-  public static Block settled(Block block, Function<String, JobOutcome> jobOutcomes) {
+  public static Block withFinalOutcomes(Block block, Function<String, JobOutcome> jobOutcomes) {
     return rewrite(block, fold -> jobOutcomes.apply(fold.job()));
   }
 
--- a/src/main/java/org/mallowroad/core/fold/Game.java
+++ b/src/main/java/org/mallowroad/core/fold/Game.java
@@ -7,17 +7,18 @@
  *
  * @param number its number in the league, from 0
  * @param revision 1 for the game itself, and one more with each correction
- * @param taken true when this revision withdraws the game: it counts in no rating
+ * @param retracted true when this revision retracts the game, which then counts in no rating
  * @param members the members whose ratings the game counts in, each once
  */
-public record Game(String league, long number, long revision, boolean taken, List<String> members) {
+public record Game(
+    String league, long number, long revision, boolean retracted, List<String> members) {
   /** Copies the list. */
   public Game {
     members = List.copyOf(members);
   }
 
   /** The key of the block that records the game. */
-  public BlockKey block() {
-    return new BlockKey(league, (int) (number / Block.GAMES));
+  public BlockKey blockKey() {
+    return new BlockKey(league, (int) (number / Block.GAMES_PER_BLOCK));
   }
 }
--- a/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
+++ b/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
@@ -13,7 +13,7 @@
  */
 public final class LeagueIndex {
   /** The state of a game. */
-  public enum Standing {
+  public enum GameState {
     /** No submission has named it. */
     MISSING,
     /** A side of it that was named is released, and none is claimed. */
@@ -30,16 +30,16 @@
 
   /** Replaces the state of a block's games; a game that is not in it any more is released. */
   public void update(int index, Block block, Function<String, JobOutcome> jobOutcomes) {
-    int from = index * Block.GAMES;
+    int from = index * Block.GAMES_PER_BLOCK;
     RoaringBitmap before = new RoaringBitmap();
-    before.add((long) from, (long) from + Block.GAMES);
+    before.add((long) from, (long) from + Block.GAMES_PER_BLOCK);
     RoaringBitmap known = RoaringBitmap.or(RoaringBitmap.or(folded, claimed), released);
     before.and(known);
-    folded.remove((long) from, (long) from + Block.GAMES);
-    claimed.remove((long) from, (long) from + Block.GAMES);
-    released.remove((long) from, (long) from + Block.GAMES);
+    folded.remove((long) from, (long) from + Block.GAMES_PER_BLOCK);
+    claimed.remove((long) from, (long) from + Block.GAMES_PER_BLOCK);
+    released.remove((long) from, (long) from + Block.GAMES_PER_BLOCK);
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
-      int game = from + e.getKey().game();
+      int game = from + e.getKey().gameIndex();
       Fold f = e.getValue();
       JobOutcome jobOutcome = f.settled() ? JobOutcome.DONE : jobOutcomes.apply(f.job());
       if (jobOutcome == JobOutcome.DONE) {
@@ -69,15 +69,15 @@
   }
 
   /** The state of a game. */
-  public Standing standing(long game) {
+  public GameState gameState(long game) {
     int g = (int) game;
     if (claimed.contains(g)) {
-      return Standing.CLAIMED;
+      return GameState.CLAIMED;
     }
     if (released.contains(g)) {
-      return Standing.RELEASED;
+      return GameState.RELEASED;
     }
-    return folded.contains(g) ? Standing.FOLDED : Standing.MISSING;
+    return folded.contains(g) ? GameState.FOLDED : GameState.MISSING;
   }
 
   /**
--- a/src/main/java/org/mallowroad/core/health/FailureDetector.java
+++ b/src/main/java/org/mallowroad/core/health/FailureDetector.java
@@ -47,15 +47,20 @@
   private static final double MIN_SILENT_INTERVALS = 0.75;
 
   /**
-   * A change in the state of a zone.
+   * A zone became partitioned, or ceased to be.
    *
    * @param zone index of the zone
-   * @param partitioned whether it is partitioned now
-   * @param overdue machines of the zone whose heartbeats are overdue
-   * @param known machines of the zone that are known
-   * @param lastedMs how long the previous state had lasted
+   * @param partitioned true when the zone is considered partitioned now
+   * @param overdueMachines number of machines of the zone whose heartbeats are overdue
+   * @param knownMachines number of known machines of the zone
+   * @param previousStateMs how long the previous state had lasted, in ms
    */
-  public record ZoneVerdict(int zone, boolean partitioned, int overdue, int known, long lastedMs) {}
+  public record ZoneStateChange(
+      int zone,
+      boolean partitioned,
+      int overdueMachines,
+      int knownMachines,
+      long previousStateMs) {}
 
   private final HealthPolicy policy;
   private final long heartbeatIntervalMs;
@@ -74,7 +79,7 @@
   private final long[] listeningSinceMs;
   private int totalOverdue;
   private int totalKnown;
-  private long examinedMachines;
+  private long examinedMachineCount;
 
   /**
    * Creates a detector that has been listening since {@code now}.
@@ -133,7 +138,7 @@
    * heartbeat interval, and the time to find this leader again: its worker was turned away or gave
    * this node up.
    */
-  public void restart(long now) {
+  public void resetSilence(long now) {
     Arrays.fill(listeningSinceMs, now + LEADER_SEARCH_MS);
     for (MachineHealth machine : byLastHeartbeat) {
       setOverdue(machine, false);
@@ -145,7 +150,7 @@
    * first heartbeat came by way of a peer. The other workers get the time to find that route too;
    * otherwise half of a working fleet would be deleted as silent meanwhile.
    */
-  public void restartZone(int zone, long now) {
+  public void resetZoneSilence(int zone, long now) {
     listeningSinceMs[zone] = now + LEADER_SEARCH_MS;
     for (MachineHealth machine : byLastHeartbeat) {
       if (machine.zone == zone) {
@@ -212,22 +217,22 @@
   }
 
   /** Machines examined by all evaluations so far: a measure of their cost. */
-  public long examinedMachines() {
-    return examinedMachines;
+  public long examinedMachineCount() {
+    return examinedMachineCount;
   }
 
   /** Number of machines whose heartbeats are overdue. */
-  public int overdueCount() {
+  public int overdueMachineCount() {
     return totalOverdue;
   }
 
   /** Number of known machines. */
-  public int knownMachines() {
+  public int knownMachineCount() {
     return totalKnown;
   }
 
   /** Number of known machines of a zone. */
-  public int knownMachines(int zone) {
+  public int knownMachineCount(int zone) {
     return known[zone];
   }
 
@@ -236,16 +241,16 @@
    *
    * @return the zones whose state changed
    */
-  public List<ZoneVerdict> evaluate(long now) {
+  public List<ZoneStateChange> evaluate(long now) {
     markOverdueMachines(now);
-    List<ZoneVerdict> changed = new ArrayList<>();
+    List<ZoneStateChange> changed = new ArrayList<>();
     for (int zone = 0; zone < partitioned.length; zone++) {
       boolean isPartitioned =
           partitioned[zone] ? partitionLasts(zone, now) : partitionBegins(zone, now);
       if (isPartitioned != partitioned[zone]) {
         partitioned[zone] = isPartitioned;
         long lastedMs = now - verdictSinceMs[zone];
-        changed.add(new ZoneVerdict(zone, isPartitioned, overdue[zone], known[zone], lastedMs));
+        changed.add(new ZoneStateChange(zone, isPartitioned, overdue[zone], known[zone], lastedMs));
         verdictSinceMs[zone] = now;
       }
     }
@@ -254,7 +259,7 @@
 
   private void markOverdueMachines(long now) {
     for (MachineHealth machine : byLastHeartbeat) {
-      examinedMachines++;
+      examinedMachineCount++;
       if (now - machine.lastHeartbeatMs <= overdueAfterMs) {
         break; // The machines behind it sent their heartbeats later.
       }
--- a/src/main/java/org/mallowroad/core/health/FleetHealth.java
+++ b/src/main/java/org/mallowroad/core/health/FleetHealth.java
@@ -14,7 +14,7 @@
  */
 public final class FleetHealth {
   /** Changes of suspicion that are kept for the log; further ones are only counted. */
-  private static final int MAX_KEPT_CHANGES = 64;
+  private static final int MAX_PENDING_CHANGES = 64;
 
   /**
    * A machine became suspect, or is trusted again.
@@ -30,7 +30,7 @@
   private final PauseDetector pauseDetector;
   private final StragglerDetector stragglerDetector;
   private final List<SuspicionChange> changes = new ArrayList<>();
-  private long unkeptChanges;
+  private long droppedChangeCount;
   private int fleetSize;
 
   /**
@@ -81,7 +81,7 @@
     long arrivedMs = pauseDetector.latestArrivalMs(now);
     failureDetector.recordHeartbeat(machine, arrivedMs);
     if (stragglerDetector.expireSuspicion(machine, now)) {
-      recordChange(machine);
+      recordSuspicionChange(machine);
     }
     return arrivedMs;
   }
@@ -93,49 +93,50 @@
     fleetSize--;
   }
 
-  /** Records that a task ended well; see {@link StragglerDetector#taskFinished}. */
-  public void taskFinished(
+  /** Records that a task ended well; see {@link StragglerDetector#recordTaskFinished}. */
+  public void recordTaskFinished(
       MachineHealth machine,
       RunTimeBaseline job,
       int taskClass,
       long ranMs,
       double estimateS,
       long now) {
-    if (stragglerDetector.taskFinished(machine, job, taskClass, ranMs, estimateS, fleetSize, now)) {
-      recordChange(machine);
+    if (stragglerDetector.recordTaskFinished(
+        machine, job, taskClass, ranMs, estimateS, fleetSize, now)) {
+      recordSuspicionChange(machine);
     }
   }
 
-  /** Records that a task failed; see {@link StragglerDetector#taskFailed}. */
-  public void taskFailed(MachineHealth machine, int job, boolean jobAtFault, long now) {
-    if (stragglerDetector.taskFailed(machine, job, jobAtFault, fleetSize, now)) {
-      recordChange(machine);
+  /** Records that a task failed; see {@link StragglerDetector#recordTaskFailed}. */
+  public void recordTaskFailed(MachineHealth machine, int job, boolean jobAtFault, long now) {
+    if (stragglerDetector.recordTaskFailed(machine, job, jobAtFault, fleetSize, now)) {
+      recordSuspicionChange(machine);
     }
   }
 
   /** Sets how many tasks on the machine have run for several times as long as their peers. */
-  public void tasksOverdue(MachineHealth machine, int tasks, long now) {
-    if (stragglerDetector.tasksOverdue(machine, tasks, fleetSize, now)) {
-      recordChange(machine);
+  public void setOverdueTasks(MachineHealth machine, int tasks, long now) {
+    if (stragglerDetector.setOverdueTasks(machine, tasks, fleetSize, now)) {
+      recordSuspicionChange(machine);
     }
   }
 
-  /** Records a task's wait for its image; see {@link StragglerDetector#imageFetchWaiting}. */
-  public void imageFetchWaiting(MachineHealth machine, long waitedMs, double expectedMs, long now) {
-    if (stragglerDetector.imageFetchWaiting(machine, waitedMs, expectedMs, fleetSize, now)) {
-      recordChange(machine);
+  /** Records a task's wait for its image; see {@link StragglerDetector#recordImageWait}. */
+  public void recordImageWait(MachineHealth machine, long waitedMs, double expectedMs, long now) {
+    if (stragglerDetector.recordImageWait(machine, waitedMs, expectedMs, fleetSize, now)) {
+      recordSuspicionChange(machine);
     }
   }
 
-  private void recordChange(MachineHealth machine) {
-    if (changes.size() < MAX_KEPT_CHANGES) {
+  private void recordSuspicionChange(MachineHealth machine) {
+    if (changes.size() < MAX_PENDING_CHANGES) {
       changes.add(new SuspicionChange(machine, machine.suspicion(), machine.slowdown()));
     } else {
-      unkeptChanges++;
+      droppedChangeCount++;
     }
   }
 
-  /** Takes the changes since the last call, {@link #MAX_KEPT_CHANGES} at the most. */
+  /** Takes the changes since the last call, {@link #MAX_PENDING_CHANGES} at the most. */
   public List<SuspicionChange> takeChanges() {
     List<SuspicionChange> taken = new ArrayList<>(changes);
     changes.clear();
@@ -143,9 +144,9 @@
   }
 
   /** Takes the number of changes since the last call that were counted but not kept. */
-  public long takeUnkeptChanges() {
-    long taken = unkeptChanges;
-    unkeptChanges = 0;
+  public long takeDroppedChangeCount() {
+    long taken = droppedChangeCount;
+    droppedChangeCount = 0;
     return taken;
   }
 
--- a/src/main/java/org/mallowroad/core/health/HealthPolicy.java
+++ b/src/main/java/org/mallowroad/core/health/HealthPolicy.java
@@ -4,36 +4,38 @@
  * The operators' thresholds for health evidence (XML, element {@code health}).
  *
  * @param slowFactor a machine is slow when its tasks take this many times as long as their peers
- * @param slowSamples least number of tasks that must show it
- * @param maxSlowShare at most this share of the fleet is suspected at once: when more machines seem
- *     slow the whole day is slow
- * @param suspicionExpiryMs without new evidence a suspicion expires after this time, in ms, and the
- *     machine is tried again
- * @param errors number of jobs whose tasks must fail on a machine to make it faulty
- * @param partitionShare a zone is partitioned when this share of its machines is overdue while the
- *     rest of the fleet reports; it also is when none of its machines reports
- * @param minPartitionMachines zones of fewer machines are never taken for partitioned
- * @param partitionReturnShare this share of a partitioned zone's machines may be deleted before
- *     their leases expire
- * @param returnShare this share of the fleet may be deleted for silence at once; the allowance
- *     refills in the time of a worker's lease
- * @param minReturns this many machines may be deleted at once whatever the size of the fleet
- * @param maxReplacementShare at most this share of a partitioned zone's capacity is replaced in
+ * @param minSlowSamples minimum number of slow tasks on a machine before it is considered slow
+ * @param maxSlowShare maximum share of the fleet that may be suspect at once; when more machines
+ *     seem slow, the cause is a general slowdown and not the machines
+ * @param suspicionExpiryMs time in ms after which a suspicion without new evidence expires and the
+ *     machine gets tasks again
+ * @param minFailedJobs number of jobs whose tasks must fail on a machine before it is considered
+ *     faulty
+ * @param partitionShare share of a zone's machines that must be overdue, while the rest of the
+ *     fleet reports, before the zone is considered partitioned; a zone of which no machine reports
+ *     is considered partitioned as well
+ * @param minPartitionMachines zones with fewer machines are never considered partitioned
+ * @param maxPartitionDeletionShare maximum share of a partitioned zone's machines that may be
+ *     deleted before their leases expire
+ * @param maxDeletionShare maximum share of the fleet that may be deleted for silence at once; the
+ *     allowance refills within the length of a worker's lease
+ * @param minDeletions number of machines that may be deleted at once whatever the size of the fleet
+ * @param maxReplacementShare maximum share of a partitioned zone's capacity that is replaced in
  *     other zones
- * @param pauseMs a gap of more than this between two activities of the event loop, in ms, is a
- *     pause of the process
+ * @param pauseMs a gap between two activities of the event loop that is longer than this, in ms,
+ *     counts as a pause of the process
  */
 public record HealthPolicy(
     double slowFactor,
-    int slowSamples,
+    int minSlowSamples,
     double maxSlowShare,
     long suspicionExpiryMs,
-    int errors,
+    int minFailedJobs,
     double partitionShare,
     int minPartitionMachines,
-    double partitionReturnShare,
-    double returnShare,
-    int minReturns,
+    double maxPartitionDeletionShare,
+    double maxDeletionShare,
+    int minDeletions,
     double maxReplacementShare,
     long pauseMs) {
 
--- a/src/main/java/org/mallowroad/core/health/MachineHealth.java
+++ b/src/main/java/org/mallowroad/core/health/MachineHealth.java
@@ -76,7 +76,7 @@
   }
 
   /** True when the machine's heartbeat was overdue at the newest evaluation. */
-  public boolean isOverdue() {
+  public boolean isHeartbeatOverdue() {
     return overdue;
   }
 
--- a/src/main/java/org/mallowroad/core/health/OutboundReachability.java
+++ b/src/main/java/org/mallowroad/core/health/OutboundReachability.java
@@ -60,7 +60,7 @@
   }
 
   /** True once in {@link #PROBE_INTERVAL_MS} while the link is broken: a probe is to be sent. */
-  public boolean takeProbe(long now) {
+  public boolean startProbeIfDue(long now) {
     if (!broken || now - probedMs < PROBE_INTERVAL_MS) {
       return false;
     }
--- a/src/main/java/org/mallowroad/core/health/StragglerDetector.java
+++ b/src/main/java/org/mallowroad/core/health/StragglerDetector.java
@@ -57,7 +57,7 @@
   private final double slowExcess;
 
   private int suspectCount;
-  private long refusedSuspicions;
+  private long refusedSuspicionCount;
 
   /** Creates a detector with the operators' thresholds. */
   public StragglerDetector(HealthPolicy policy) {
@@ -74,8 +74,8 @@
    * Number of judgements so far by which a machine would have become suspect, had not too many
    * others been: the sign of a slow day.
    */
-  public long refusedSuspicions() {
-    return refusedSuspicions;
+  public long refusedSuspicionCount() {
+    return refusedSuspicionCount;
   }
 
   /** Number of classes that are kept. */
@@ -98,7 +98,7 @@
    * @param fleetSize number of machines
    * @return true when the machine's suspicion changed
    */
-  public boolean taskFinished(
+  public boolean recordTaskFinished(
       MachineHealth machine,
       RunTimeBaseline job,
       int taskClass,
@@ -154,7 +154,7 @@
    *
    * @return true when the machine's suspicion changed
    */
-  public boolean tasksOverdue(MachineHealth machine, int tasks, int fleetSize, long now) {
+  public boolean setOverdueTasks(MachineHealth machine, int tasks, int fleetSize, long now) {
     if (machine.overdueTasks == tasks) {
       return false;
     }
@@ -183,7 +183,7 @@
     }
     int all = finished + machine.overdueTasks;
     if (machine.suspicion == Suspicion.NONE) {
-      if (slow >= policy.slowSamples() && slow >= MIN_AGREEMENT * all) {
+      if (slow >= policy.minSlowSamples() && slow >= MIN_AGREEMENT * all) {
         return suspect(machine, Suspicion.SLOW, fleetSize, now);
       }
     } else if (machine.suspicion == Suspicion.SLOW) {
@@ -201,7 +201,7 @@
     // In a tiny fleet no machine may be avoided: urgent tasks might have nowhere else to go.
     int minAllowed = fleetSize < MIN_FLEET ? 0 : 1;
     if (suspectCount + 1 > Math.max(minAllowed, policy.maxSlowShare() * fleetSize)) {
-      refusedSuspicions++;
+      refusedSuspicionCount++;
       return false;
     }
     machine.suspicion = suspicion;
@@ -227,17 +227,17 @@
    * @param fleetSize number of machines
    * @return true when the machine became suspect
    */
-  public boolean taskFailed(
+  public boolean recordTaskFailed(
       MachineHealth machine, int job, boolean jobAtFault, int fleetSize, long now) {
     if (jobAtFault) {
       machine.failedJobs.remove(job);
       return false;
     }
-    if (machine.failedJobs.size() < policy.errors()) {
+    if (machine.failedJobs.size() < policy.minFailedJobs()) {
       machine.failedJobs.add(job);
     }
     return machine.suspicion == Suspicion.NONE
-        && machine.failedJobs.size() >= policy.errors()
+        && machine.failedJobs.size() >= policy.minFailedJobs()
         && suspect(machine, Suspicion.FAULTY, fleetSize, now);
   }
 
@@ -249,7 +249,7 @@
    * @param fleetSize number of machines
    * @return true when the machine became suspect
    */
-  public boolean imageFetchWaiting(
+  public boolean recordImageWait(
       MachineHealth machine, long waitedMs, double expectedMs, int fleetSize, long now) {
     return machine.suspicion == Suspicion.NONE
         && waitedMs > FETCH_FACTOR * expectedMs + FETCH_GRACE_MS
--- a/src/main/java/org/mallowroad/core/image/ImageDistribution.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -125,7 +125,7 @@
   }
 
   /** Whether a task whose image the machine does not hold may start there now. */
-  public boolean mayFetch(JobSpec spec, Machine machine, SourceEligibility eligibility) {
+  public boolean canFetch(JobSpec spec, Machine machine, SourceEligibility eligibility) {
     if (isBelowMinimum(spec)) {
       return true;
     }
@@ -143,7 +143,7 @@
   }
 
   /** Counts a start that was held back by a limit. */
-  public void recordHeldBack() {
+  public void recordHeldBackStart() {
     startsHeldBack++;
   }
 
--- a/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
+++ b/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
@@ -175,7 +175,7 @@
   }
 
   /** Number of workers that are tracked. */
-  public int trackedWorkers() {
+  public int trackedWorkerCount() {
     return workers.size();
   }
 }
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
@@ -3,36 +3,38 @@
 import java.util.List;
 
 /**
- * Link-state advertisement: what a node says of its own links. Ages are in ms at the time of
- * sending, since the nodes share no clock; -1 stands for a link that is down or was never used.
+ * Link-state advertisement: a node's report on its own links. Ages are in ms at the time of
+ * sending, since the nodes share no clock; -1 marks a link that is down or was never used.
  *
- * @param node name of the node
- * @param started when its process began, by its time of day; orders advertisements across restarts
+ * @param node name of the advertising node
+ * @param processStartedMs start time of the node's process in its own wall-clock time, in ms;
+ *     orders advertisements across restarts
  * @param sequence number of the advertisement within its process
- * @param term the term that the node leads, or the highest it has seen
- * @param leading whether the node leads
- * @param stateAgeMs age of its newest successful direct call to the state service
- * @param cloudAgeMs age of its newest successful direct call to the cloud
- * @param peers names of the controllers that it reaches
- * @param zones when it last received heartbeats, by zone
+ * @param term the term that the node leads, or the highest that it has seen
+ * @param leading true when the node is the leader
+ * @param stateAgeMs age of the node's newest successful direct call to the state service
+ * @param cloudAgeMs age of the node's newest successful direct call to the cloud
+ * @param reachablePeers names of the controllers that the node reaches
+ * @param zoneContacts when the node last received heartbeats, by zone
  */
 public record LinkStateAdvertisement(
     String node,
-    long started,
+    long processStartedMs,
     long sequence,
     long term,
     boolean leading,
     long stateAgeMs,
     long cloudAgeMs,
-    List<String> peers,
-    List<ZoneContact> zones) {
+    List<String> reachablePeers,
+    List<ZoneContact> zoneContacts) {
   /** Most entries of each list; further ones, which a faulty peer may send, are dropped. */
   public static final int MAX_ENTRIES = 256;
 
   /** Copies the lists and cuts them to {@link #MAX_ENTRIES}. */
   public LinkStateAdvertisement {
-    peers = List.copyOf(peers.subList(0, Math.min(MAX_ENTRIES, peers.size())));
-    zones = List.copyOf(zones.subList(0, Math.min(MAX_ENTRIES, zones.size())));
+    reachablePeers =
+        List.copyOf(reachablePeers.subList(0, Math.min(MAX_ENTRIES, reachablePeers.size())));
+    zoneContacts = List.copyOf(zoneContacts.subList(0, Math.min(MAX_ENTRIES, zoneContacts.size())));
   }
 
   /**
@@ -47,7 +49,9 @@
 
   /** True when this is newer than another advertisement of the same node. */
   boolean isNewerThan(LinkStateAdvertisement other) {
-    return started != other.started ? started > other.started : sequence > other.sequence;
+    return processStartedMs != other.processStartedMs
+        ? processStartedMs > other.processStartedMs
+        : sequence > other.sequence;
   }
 
   /** Age of the newest successful direct call to a service; -1 when the link is down. */
@@ -57,7 +61,7 @@
 
   /** The node's contact with a zone, or null when it names none. */
   public ZoneContact zoneContact(String zone) {
-    for (ZoneContact contact : zones) {
+    for (ZoneContact contact : zoneContacts) {
       if (contact.zone().equals(zone)) {
         return contact;
       }
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
@@ -20,13 +20,13 @@
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   /** Changes that are kept for the log; further ones are only counted. */
-  private static final int MAX_KEPT_CHANGES = 64;
+  private static final int MAX_PENDING_CHANGES = 64;
 
   private final LinkPolicy policy;
   private final String node;
   private final List<String> peers;
   private final List<String> zones;
-  private long started;
+  private long processStartedMs;
 
   /** Links to the external services, by ordinal. */
   private final Link[] toService = new Link[ExternalService.values().length];
@@ -41,19 +41,20 @@
   private final long[] relayedHeartbeatMs;
 
   private final ArrayDeque<LinkChange> changes = new ArrayDeque<>();
-  private long unkeptChanges;
+  private long droppedChangeCount;
   private long sequence;
 
   /**
    * A link went down or came up.
    *
-   * @param from the node at this end of the link
-   * @param to the peer or, in lower case, the external service at the other end
-   * @param down whether it is down now
-   * @param lastedMs how long the previous state had lasted
-   * @param by the node that says so
+   * @param from the node at the near end of the link
+   * @param to the peer or, in lower case, the external service at the far end
+   * @param down true when the link is down now
+   * @param previousStateMs how long the previous state had lasted, in ms
+   * @param reportedBy the node that observed the change
    */
-  public record LinkChange(String from, String to, boolean down, long lastedMs, String by) {}
+  public record LinkChange(
+      String from, String to, boolean down, long previousStateMs, String reportedBy) {}
 
   /**
    * Creates the table of a node.
@@ -74,7 +75,7 @@
     this.node = node;
     this.peers = List.copyOf(peers);
     this.zones = List.copyOf(zones);
-    this.started = started;
+    this.processStartedMs = started;
     Arrays.setAll(toService, i -> new Link(now));
     this.toPeer = new Link[peers.size()];
     Arrays.setAll(toPeer, i -> new Link(now));
@@ -181,9 +182,9 @@
    * When the process of a node's newest advertisement began, by its own time of day; 0 without an
    * advertisement.
    */
-  public long startedMs(String nodeName) {
+  public long processStartedMs(String nodeName) {
     int peer = peerIndex(nodeName);
-    return peer < 0 || advertisements[peer] == null ? 0 : advertisements[peer].started();
+    return peer < 0 || advertisements[peer] == null ? 0 : advertisements[peer].processStartedMs();
   }
 
   /**
@@ -192,19 +193,19 @@
    * day was set back by more than the restart took. Without a later start time all advertisements
    * of this process would be ignored.
    */
-  public void supersede(long otherStarted) {
-    started = Math.max(started, otherStarted + 1);
+  public void advanceStartTimePast(long otherStarted) {
+    processStartedMs = Math.max(processStartedMs, otherStarted + 1);
   }
 
   private void keepChange(LinkChange change) {
-    if (changes.size() < MAX_KEPT_CHANGES) {
+    if (changes.size() < MAX_PENDING_CHANGES) {
       changes.add(change);
     } else {
-      unkeptChanges++;
+      droppedChangeCount++;
     }
   }
 
-  /** Takes the changes since the last call, {@link #MAX_KEPT_CHANGES} at the most. */
+  /** Takes the changes since the last call, {@link #MAX_PENDING_CHANGES} at the most. */
   public List<LinkChange> takeChanges() {
     List<LinkChange> taken = new ArrayList<>(changes);
     changes.clear();
@@ -212,9 +213,9 @@
   }
 
   /** Takes the number of changes since the last call that were counted but not kept. */
-  public long takeUnkeptChanges() {
-    long taken = unkeptChanges;
-    unkeptChanges = 0;
+  public long takeDroppedChangeCount() {
+    long taken = droppedChangeCount;
+    droppedChangeCount = 0;
     return taken;
   }
 
@@ -236,7 +237,7 @@
     }
     return new LinkStateAdvertisement(
         node,
-        started,
+        processStartedMs,
         ++sequence,
         term,
         leading,
@@ -288,11 +289,11 @@
     return count;
   }
 
-  /** Peers by way of which the service can be reached; see {@link #reaches}. */
+  /** Peers by way of which the service can be reached; see {@link #canPeerReach}. */
   public IntList peersReaching(ExternalService service, long now) {
     IntList reaching = new IntArrayList();
     for (int peer = 0; peer < advertisements.length; peer++) {
-      if (reaches(peer, service, now)) {
+      if (canPeerReach(peer, service, now)) {
         reaching.add(peer);
       }
     }
@@ -303,7 +304,7 @@
    * True when this node reaches the peer, and the peer's fresh advertisement says that it reaches
    * the service by its own link.
    */
-  public boolean reaches(int peer, ExternalService service, long now) {
+  public boolean canPeerReach(int peer, ExternalService service, long now) {
     LinkStateAdvertisement advertisement = freshAdvertisement(peer, now);
     return advertisement != null
         && !toPeer[peer].isDown()
--- a/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
+++ b/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
@@ -33,7 +33,7 @@
   /** True from a failure of the direct path until it has worked for the recovery time. */
   private boolean directPathDown;
 
-  private int relay = DIRECT;
+  private int relayPeer = DIRECT;
 
   /** Since when the direct path works again; -1 while it does not. */
   private long workingSinceMs = -1;
@@ -44,8 +44,8 @@
   private long changedMs = Long.MIN_VALUE / 2;
 
   private int relapses;
-  private long routeChanges;
-  private long relayedCalls;
+  private long routeChangeCount;
+  private long relayedCallCount;
 
   /** Creates the selector for calls to a service. */
   public RouteSelector(LinkStateTable links, ExternalService service) {
@@ -54,21 +54,21 @@
   }
 
   /** The route of a call that is sent now: {@link #DIRECT} or a peer. */
-  public int choose(long now) {
+  public int chooseRoute(long now) {
     if (!directPathDown) {
       return DIRECT;
     }
-    boolean keep = relay != DIRECT && links.reaches(relay, service, now);
-    int chosen = keep ? relay : findRelay(relay, now);
-    if (chosen != relay) {
-      relay = chosen;
-      routeChanges++;
+    boolean keep = relayPeer != DIRECT && links.canPeerReach(relayPeer, service, now);
+    int chosen = keep ? relayPeer : findRelay(relayPeer, now);
+    if (chosen != relayPeer) {
+      relayPeer = chosen;
+      routeChangeCount++;
     }
     return chosen;
   }
 
   /** A peer for a hedged copy of a direct call without an answer; {@link #DIRECT} for none. */
-  public int chooseHedge(long now) {
+  public int chooseHedgePeer(long now) {
     return directPathDown ? DIRECT : findRelay(DIRECT, now);
   }
 
@@ -99,7 +99,7 @@
       if (workingSinceMs < 0) {
         workingSinceMs = now;
       }
-      if (relay == DIRECT || now - workingSinceMs >= links.policy().recoveryMs() << relapses) {
+      if (relayPeer == DIRECT || now - workingSinceMs >= links.policy().recoveryMs() << relapses) {
         returnToDirectPath(now);
       }
     }
@@ -109,28 +109,28 @@
     relapses = now - changedMs < RELAPSE_MS ? Math.min(relapses + 1, MAX_DOUBLINGS) : 0;
     directPathDown = true;
     changedMs = now;
-    routeChanges++;
+    routeChangeCount++;
   }
 
   private void returnToDirectPath(long now) {
     directPathDown = false;
     changedMs = now;
-    relay = DIRECT;
-    routeChanges++;
+    relayPeer = DIRECT;
+    routeChangeCount++;
   }
 
   /** Records whether a call that was relayed by a peer was done. */
   public void recordRelayedCall(int peer, boolean succeeded, long now) {
     if (succeeded) {
-      relayedCalls++;
-    } else if (directPathDown && peer == relay) {
-      relay = findRelay(relay, now);
-      routeChanges++;
+      relayedCallCount++;
+    } else if (directPathDown && peer == relayPeer) {
+      relayPeer = findRelay(relayPeer, now);
+      routeChangeCount++;
     }
   }
 
   /** True when the direct path is to be probed now: no call shows that it works again. */
-  public boolean takeProbe(long now) {
+  public boolean startProbeIfDue(long now) {
     if (!directPathDown || now - probedMs < PROBE_INTERVAL_MS) {
       return false;
     }
@@ -144,17 +144,17 @@
   }
 
   /** The peer that relays the calls, or {@link #DIRECT}. */
-  public int relay() {
-    return relay;
+  public int relayPeer() {
+    return relayPeer;
   }
 
   /** Number of route changes so far: calls that still wait on an earlier route are given up. */
-  public long routeChanges() {
-    return routeChanges;
+  public long routeChangeCount() {
+    return routeChangeCount;
   }
 
   /** Number of calls that were done by way of a peer. */
-  public long relayedCalls() {
-    return relayedCalls;
+  public long relayedCallCount() {
+    return relayedCallCount;
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/BinPacker.java
+++ b/src/main/java/org/mallowroad/core/scheduling/BinPacker.java
@@ -93,7 +93,7 @@
     while (!job.pendingTasks.isEmpty()) {
       StartRefusal refusal = placementRules.refusal(job, m, now);
       if (refusal == StartRefusal.IMAGE_FETCH_LIMIT) {
-        schedulerState.imageDistribution().recordHeldBack();
+        schedulerState.imageDistribution().recordHeldBackStart();
       }
       if (refusal != null) {
         return refusal;
--- a/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
+++ b/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
@@ -49,7 +49,7 @@
   private boolean mayFetchImage(JobSpec s, Machine m, long now) {
     return schedulerState
         .imageDistribution()
-        .mayFetch(s, m, source -> schedulerState.canServeImages(source, now));
+        .canFetch(s, m, source -> schedulerState.canServeImages(source, now));
   }
 
   /**
--- a/src/main/java/org/mallowroad/peer/LinkCodec.java
+++ b/src/main/java/org/mallowroad/peer/LinkCodec.java
@@ -159,15 +159,15 @@
   byte[] encode(LinkStateAdvertisement r) {
     GenericRecord g = linkState.newRecord();
     g.put("node", r.node());
-    g.put("started", r.started());
+    g.put("started", r.processStartedMs());
     g.put("seq", r.sequence());
     g.put("term", r.term());
     g.put("leading", r.leading());
     g.put("stateMs", r.stateAgeMs());
     g.put("cloudMs", r.cloudAgeMs());
-    g.put("peers", r.peers());
+    g.put("peers", r.reachablePeers());
     List<GenericRecord> zones = new ArrayList<>();
-    for (LinkStateAdvertisement.ZoneContact h : r.zones()) {
+    for (LinkStateAdvertisement.ZoneContact h : r.zoneContacts()) {
       GenericRecord z = new GenericData.Record(zoneSchema);
       z.put("zone", h.zone());
       z.put("directMs", h.directAgeMs());
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -160,7 +160,7 @@
 
   private void superseded(byte[] body) {
     try {
-      links.supersede(codec().decodeNewerProcess(body).startedMs());
+      links.advanceStartTimePast(codec().decodeNewerProcess(body).startedMs());
     } catch (InvalidMessageException e) {
       // Another build's response: the peer goes on ignoring this process's link states.
     }
--- a/src/main/java/org/mallowroad/peer/RelayedCaller.java
+++ b/src/main/java/org/mallowroad/peer/RelayedCaller.java
@@ -99,9 +99,9 @@
 
   /** Fails long polls on a route that has changed since, so that they are sent on the new one. */
   private void checkRoute() {
-    route.choose(loop.now());
+    route.chooseRoute(loop.now());
     for (Call c : new ArrayList<>(longPolls)) {
-      if (c.routeChanges != route.routeChanges()) {
+      if (c.routeChanges != route.routeChangeCount()) {
         c.finish(() -> c.handler.failed(true));
       }
     }
@@ -140,8 +140,8 @@
     }
 
     void start() {
-      int peer = route.choose(startMs);
-      routeChanges = route.routeChanges();
+      int peer = route.chooseRoute(startMs);
+      routeChanges = route.routeChangeCount();
       if (deadlineMs - startMs > LONG_POLL_TIMEOUT_MS) {
         longPolls.add(this);
       }
@@ -167,7 +167,7 @@
 
     /** Sends the call a second time, through a peer, where one seems to be faster. */
     private void hedge() {
-      int peer = route.chooseHedge(loop.now());
+      int peer = route.chooseHedgePeer(loop.now());
       if (!finished && peer != RouteSelector.DIRECT) {
         sendThrough(peer);
       }
@@ -258,7 +258,7 @@
       private void relayOrFail(boolean sent, Runnable refusal) {
         inFlight--;
         maybeExecuted |= sent;
-        int peer = route.choose(loop.now());
+        int peer = route.chooseRoute(loop.now());
         if (!finished
             && inFlight == 0
             && !maybeExecuted
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -169,7 +169,7 @@
       for (Map.Entry<Block.Side, Fold> side : block.getValue().sides().entrySet()) {
         Fold f = side.getValue();
         boolean awaited =
-            Block.number(block.getKey().index(), side.getKey().game()) <= game
+            Block.gameNumber(block.getKey().index(), side.getKey().gameIndex()) <= game
                 && side.getKey().member().equals(member);
         if (awaited && !f.settled() && f.base() == null && !isDone(f.job())) {
           return true;
@@ -201,7 +201,7 @@
                 b.sides()
                     .forEach(
                         (s, f) -> {
-                          long n = Block.number(k.index(), s.game());
+                          long n = Block.gameNumber(k.index(), s.gameIndex());
                           long claimed = store.version(RecordKeys.openJob(f.job()));
                           boolean later = claimed == 0 || claimed > confirmed;
                           boolean counts =
@@ -241,8 +241,8 @@
     int named = 0;
     int superseded = 0;
     for (Want w : want) {
-      Block b = blocks.get(new BlockKey(LEAGUE, (int) (w.game / Block.GAMES)));
-      Fold f = b == null ? null : b.get(new Block.Side(Block.place(w.game), w.member));
+      Block b = blocks.get(new BlockKey(LEAGUE, (int) (w.game / Block.GAMES_PER_BLOCK)));
+      Fold f = b == null ? null : b.get(new Block.Side(Block.gameIndex(w.game), w.member));
       boolean is = f != null && f.job().equals(job);
       boolean base = f != null && f.base() != null && f.base().job().equals(job);
       named += is || base ? 1 : 0;
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.dependency.JobDependencies.RequiredGames;
-import org.mallowroad.core.fold.Ranges;
+import org.mallowroad.core.fold.BlockNumberRanges;
 
 /**
  * The dependencies of a job, in submissions and in records: jobs that must be over, and games of
@@ -122,13 +122,13 @@
     t.requiredJobs().forEach(jobs::add);
     ArrayNode games = h.putArray(GAMES);
     for (RequiredGames g : t.requiredGames()) {
-      ObjectNode x = games.addObject().put(LEAGUE, g.league()).put(UP_TO, g.upTo());
+      ObjectNode x = games.addObject().put(LEAGUE, g.league()).put(UP_TO, g.lastGame());
       if (g.member() != null) {
         x.put(MEMBER, g.member());
       }
     }
     ObjectNode folds = o.putObject(FoldCodec.BLOCKS);
-    t.foldedBlocks().forEach((l, n) -> folds.put(l, Ranges.text(n)));
+    t.foldedBlocks().forEach((l, n) -> folds.put(l, BlockNumberRanges.encode(n)));
     return o;
   }
 
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -17,9 +17,9 @@
 import java.util.zip.CRC32C;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.core.fold.BlockNumberRanges;
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.core.fold.Game;
-import org.mallowroad.core.fold.Ranges;
 
 /**
  * The games that a submission folds, and blocks of folds as they are stored.
@@ -131,7 +131,8 @@
     List<BlockKey> list = new ArrayList<>();
     keys.forEach(list::add);
     ObjectNode o = Json.object();
-    Ranges.byLeague(list).forEach((league, numbers) -> o.put(league, Ranges.text(numbers)));
+    BlockNumberRanges.blockNumbersByLeague(list)
+        .forEach((league, numbers) -> o.put(league, BlockNumberRanges.encode(numbers)));
     return o;
   }
 
@@ -145,7 +146,7 @@
     }
     try {
       for (Map.Entry<String, JsonNode> e : n.properties()) {
-        out.put(e.getKey(), Ranges.numbers(e.getValue().asText(), MAX_GAMES));
+        out.put(e.getKey(), BlockNumberRanges.decode(e.getValue().asText(), MAX_GAMES));
       }
     } catch (IllegalArgumentException e) {
       throw new InvalidMessageException(BLOCKS + ": " + e.getMessage());
@@ -165,12 +166,12 @@
         .sides()
         .forEach(
             (s, f) -> {
-              sides.add(s.game()).add(index(members, s.member()));
-              int flags = (f.taken() ? TAKEN_BACK : 0) | (f.settled() ? SETTLED : 0);
+              sides.add(s.gameIndex()).add(index(members, s.member()));
+              int flags = (f.retracted() ? TAKEN_BACK : 0) | (f.settled() ? SETTLED : 0);
               sides.add(f.revision()).add(flags | (f.base() != null ? HAS_BASE : 0));
               sides.add(index(jobs, f.job()));
               if (f.base() != null) {
-                sides.add(f.base().revision()).add(f.base().taken() ? TAKEN_BACK : 0);
+                sides.add(f.base().revision()).add(f.base().retracted() ? TAKEN_BACK : 0);
                 sides.add(index(jobs, f.base().job()));
               }
             });
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -11,8 +11,8 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.dependency.JobDependencies;
 import org.mallowroad.core.fold.BlockKey;
+import org.mallowroad.core.fold.BlockNumberRanges;
 import org.mallowroad.core.fold.Game;
-import org.mallowroad.core.fold.Ranges;
 
 /**
  * Decodes submissions: checks every field, and replaces names by their indices. Confined to the
@@ -152,11 +152,11 @@
     if (accepted) {
       folds = FoldCodec.decodeBlockKeys(o);
     } else {
-      List<BlockKey> keys = FoldCodec.decodeGames(o).stream().map(Game::block).toList();
+      List<BlockKey> keys = FoldCodec.decodeGames(o).stream().map(Game::blockKey).toList();
       if (notArray && !keys.isEmpty()) {
         throw new InvalidMessageException(FoldCodec.FOLDS + ": only an array folds games");
       }
-      folds = Ranges.byLeague(keys);
+      folds = BlockNumberRanges.blockNumbersByLeague(keys);
     }
     JobDependencies dependencies = DependencyCodec.decodeDependencies(o);
     return folds.isEmpty() && !dependencies.isGated()
--- a/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
+++ b/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
@@ -61,7 +61,7 @@
         Block b = FoldCodec.decodeBlock(store.value(key));
         int index = RecordKeys.blockOfKey(key).index();
         for (Map.Entry<Block.Side, Fold> e : b.sides().entrySet()) {
-          out.put(Block.number(index, e.getKey().game()), e.getValue().job());
+          out.put(Block.gameNumber(index, e.getKey().gameIndex()), e.getValue().job());
         }
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
--- a/src/test/java/org/mallowroad/core/FailoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -53,6 +53,6 @@
     }
     assertEquals(80, job.doneCount());
     assertEquals(0, schedulerState.health().stragglerDetector().suspectCount());
-    assertEquals(0, schedulerState.health().stragglerDetector().refusedSuspicions());
+    assertEquals(0, schedulerState.health().stragglerDetector().refusedSuspicionCount());
   }
 }
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -328,7 +328,7 @@
               Machine m = w.machine(0);
               w.job(JobSpecs.array("job-0", 10, 4).team(1));
               for (int i = 0; i < 5; i++) {
-                w.schedulerState.health().taskFailed(m.health, 100 + i, false, w.now);
+                w.schedulerState.health().recordTaskFailed(m.health, 100 + i, false, w.now);
               }
               assertTrue(m.health.isSuspect());
               w.run();
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -178,16 +178,16 @@
               for (int i = 0; i < 100; i++) {
                 s.evaluate(w.now + 10L * i);
               }
-              atMost(100, s.examinedMachines());
+              atMost(100, s.examinedMachineCount());
               for (Machine m : w.schedulerState.machines()) {
                 if (!m.name.endsWith("7")) {
                   w.schedulerState.health().recordHeartbeat(m.health, w.now + 6_000);
                 }
               }
-              long before = s.examinedMachines();
+              long before = s.examinedMachineCount();
               s.evaluate(w.now + 6_000);
-              assertEquals(MACHINES / 10, s.overdueCount());
-              atMost(MACHINES / 10 + 1, s.examinedMachines() - before);
+              assertEquals(MACHINES / 10, s.overdueMachineCount());
+              atMost(MACHINES / 10 + 1, s.examinedMachineCount() - before);
             }),
         scale(
             "arrays of 100,000 tasks are forecast up to a bound, others before them in full",
--- a/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
+++ b/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
@@ -82,21 +82,21 @@
       }
       gates.add("job-9" + i, on(jobs));
     }
-    while (gates.pollToEvaluate() != null) {
+    while (gates.pollGateToEvaluate() != null) {
       // Each is evaluated once when it is added.
     }
-    long before = gates.visits();
+    long before = gates.visitCount();
     for (int j = 0; j < 10; j++) {
-      gates.jobEnded("job-" + (70 + j), true, Set.of());
+      gates.recordJobEnded("job-" + (70 + j), true, Set.of());
     }
-    DependencyGate gate = gates.pollToEvaluate();
+    DependencyGate gate = gates.pollGateToEvaluate();
     assertEquals("job-97", gate.jobId());
     assertEquals(List.of(), gate.incompleteJobs());
-    assertNull(gates.pollToEvaluate());
-    assertTrue(gates.visits() - before <= 12, "visited " + (gates.visits() - before));
+    assertNull(gates.pollGateToEvaluate());
+    assertTrue(gates.visitCount() - before <= 12, "visited " + (gates.visitCount() - before));
     gates.remove("job-97");
-    gates.jobEnded("job-70", true, Set.of());
-    assertNull(gates.pollToEvaluate());
+    gates.recordJobEnded("job-70", true, Set.of());
+    assertNull(gates.pollGateToEvaluate());
   }
 
   @Test
@@ -105,15 +105,15 @@
     DependencyGate a = gates.add("job-1", games(9));
     DependencyGate b = gates.add("job-2", games(9));
     Map<String, Boolean> seen = new HashMap<>();
-    for (DependencyGate gate = gates.pollToEvaluate();
+    for (DependencyGate gate = gates.pollGateToEvaluate();
         gate != null;
-        gate = gates.pollToEvaluate()) {
+        gate = gates.pollGateToEvaluate()) {
       seen.put(gate.jobId(), true);
     }
     assertEquals(2, seen.size());
     a.start(1);
-    gates.leagueChanged("l");
-    assertEquals(b, gates.pollToEvaluate());
-    assertNull(gates.pollToEvaluate());
+    gates.recordLeagueChanged("l");
+    assertEquals(b, gates.pollGateToEvaluate());
+    assertNull(gates.pollGateToEvaluate());
   }
 }
--- a/src/test/java/org/mallowroad/core/fold/ClaimsTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
@@ -23,7 +23,7 @@
 import org.mallowroad.wire.Json;
 
 /** Each way in which a side of a game can stand, and what a claim of it comes to. */
-final class ClaimsTest {
+final class ClaimRulesTest {
   private static final BlockKey KEY = new BlockKey("l", 0);
   private static final Block.Side SIDE = new Block.Side(3, "m");
 
@@ -31,8 +31,8 @@
     Block b = new Block();
     b.set(SIDE, there);
     Game g = new Game("l", 3, revision, false, List.of("m"));
-    Claims.Outcome o = Claims.decide("job-1", List.of(g), Map.of(KEY, b), j -> jobOutcome);
-    if (o instanceof Claims.Granted x) {
+    ClaimRules.Decision o = ClaimRules.decide("job-1", List.of(g), Map.of(KEY, b), j -> jobOutcome);
+    if (o instanceof ClaimRules.Granted x) {
       Block after = x.blocks().get(KEY);
       Fold f = after == null ? null : after.get(SIDE);
       return f == null
@@ -104,7 +104,8 @@
     b.set(SIDE, by("job-2", 1, true, null));
     List<Game> games =
         List.of(new Game("l", 2, 1, false, List.of("m")), new Game("l", 3, 1, false, List.of("m")));
-    assertTrue(Claims.decide("job-1", games, Map.of(KEY, b), j -> null) instanceof Claims.Refused);
+    assertTrue(
+        ClaimRules.decide("job-1", games, Map.of(KEY, b), j -> null) instanceof ClaimRules.Refused);
     assertEquals(1, b.sides().size());
   }
 
@@ -115,7 +116,7 @@
     b.set(new Block.Side(0, "a"), by("job-3", 1, false, null));
     b.set(new Block.Side(1, "a"), by("job-4", 2, false, folded));
     b.set(new Block.Side(2, "a"), by("job-5", 1, false, null));
-    assertSame(b, Claims.settled(b, j -> JobOutcome.OPEN));
+    assertSame(b, ClaimRules.withFinalOutcomes(b, j -> JobOutcome.OPEN));
     Map<String, JobOutcome> jobOutcomes =
         new HashMap<>(
             Map.of(
@@ -125,12 +126,12 @@
                 JobOutcome.CANCELLED,
                 "job-5",
                 JobOutcome.CANCELLED));
-    Block s = Claims.settled(b, jobOutcomes::get);
+    Block s = ClaimRules.withFinalOutcomes(b, jobOutcomes::get);
     assertEquals(by("job-3", 1, true, null), s.get(new Block.Side(0, "a")));
     assertEquals(folded, s.get(new Block.Side(1, "a")));
     assertEquals(2, s.sides().size());
-    assertEquals(folded, Claims.without(b, "job-4").get(new Block.Side(1, "a")));
-    assertSame(b, Claims.without(b, "job-9"));
+    assertEquals(folded, ClaimRules.withoutClaimsOf(b, "job-4").get(new Block.Side(1, "a")));
+    assertSame(b, ClaimRules.withoutClaimsOf(b, "job-9"));
   }
 
   @Test
@@ -146,10 +147,10 @@
     assertEquals(3, i.highestGame());
     assertEquals(List.of(1L, 3L), i.unclaimedGames(9));
     assertEquals(2, i.unclaimedCount());
-    assertEquals(LeagueIndex.Standing.RELEASED, i.standing(3));
-    assertEquals(LeagueIndex.Standing.MISSING, i.standing(1));
+    assertEquals(LeagueIndex.GameState.RELEASED, i.gameState(3));
+    assertEquals(LeagueIndex.GameState.MISSING, i.gameState(1));
     // Written down, the cancelled side is gone from the block, and known as released even so.
-    i.update(0, Claims.settled(b, jobOutcomes::get), jobOutcomes::get);
+    i.update(0, ClaimRules.withFinalOutcomes(b, jobOutcomes::get), jobOutcomes::get);
     assertEquals(List.of(1L, 3L), i.unclaimedGames(9));
     Block far = new Block();
     far.set(new Block.Side(31, "a"), by("job-1", 1, true, null));
@@ -187,10 +188,10 @@
 
   @Test
   void blockNumbersAreShortAndBounded() {
-    assertEquals("3-5,9", Ranges.text(IntArrayList.of(3, 4, 5, 9)));
-    assertEquals(IntArrayList.of(3, 4, 5, 9), Ranges.numbers("3-5,9", 10));
+    assertEquals("3-5,9", BlockNumberRanges.encode(IntArrayList.of(3, 4, 5, 9)));
+    assertEquals(IntArrayList.of(3, 4, 5, 9), BlockNumberRanges.decode("3-5,9", 10));
     for (String bad : List.of("", "a", "5-3", "0-99999999", "1,2,3,4-9", "-4")) {
-      assertThrows(IllegalArgumentException.class, () -> Ranges.numbers(bad, 5), bad);
+      assertThrows(IllegalArgumentException.class, () -> BlockNumberRanges.decode(bad, 5), bad);
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/health/FleetHealthTest.java
+++ b/src/test/java/org/mallowroad/core/health/FleetHealthTest.java
@@ -53,7 +53,7 @@
 
     /** A task with an estimate of 40 s ends on a machine after that many times the estimate. */
     void task(int machine, double times) {
-      health.taskFinished(machines.get(machine), job, 0, (long) (40_000 * times), 40, now);
+      health.recordTaskFinished(machines.get(machine), job, 0, (long) (40_000 * times), 40, now);
     }
 
     Suspicion suspicion(int machine) {
@@ -95,7 +95,7 @@
               w.machines.sort(java.util.Comparator.comparingInt(MachineHealth::zone));
               w.pass(20_000, 0, 0);
               w.pass(3_500, 0, 110);
-              assertTrue(w.health.failureDetector().overdueCount() < 65);
+              assertTrue(w.health.failureDetector().overdueMachineCount() < 65);
               assertTrue(w.health.failureDetector().isPartitioned(0));
               assertFalse(w.health.failureDetector().isPartitioned(1));
               w.pass(3_000, 0, 0);
@@ -120,7 +120,7 @@
             w -> {
               w.pass(20_000, 0, 0);
               w.pass(30_000, 0, 6);
-              assertEquals(6, w.health.failureDetector().overdueCount());
+              assertEquals(6, w.health.failureDetector().overdueMachineCount());
               assertEquals(0, w.health.failureDetector().partitionedZoneCount());
             }),
         testCase(
@@ -128,7 +128,7 @@
             w -> {
               w.pass(20_000, 0, 0);
               w.pass(20_000, 5, 15);
-              assertEquals(10, w.health.failureDetector().overdueCount());
+              assertEquals(10, w.health.failureDetector().overdueMachineCount());
               assertEquals(0, w.health.failureDetector().partitionedZoneCount());
             }),
         testCase(
@@ -147,8 +147,8 @@
               assertFalse(w.health.failureDetector().isLikelyIsolated(w.now));
               w.now += 2_700;
               w.health.failureDetector().evaluate(w.now);
-              int late = w.health.failureDetector().overdueCount();
-              assertTrue(late > 0 && 2 * late < w.health.failureDetector().knownMachines());
+              int late = w.health.failureDetector().overdueMachineCount();
+              assertTrue(late > 0 && 2 * late < w.health.failureDetector().knownMachineCount());
               assertTrue(w.health.failureDetector().isLikelyIsolated(w.now));
             }),
         testCase(
@@ -158,8 +158,8 @@
               w.now += 9_000;
               FailureDetector s = w.health.failureDetector();
               s.evaluate(w.now);
-              assertEquals(s.knownMachines(), s.overdueCount());
-              s.restartZone(0, w.now);
+              assertEquals(s.knownMachineCount(), s.overdueMachineCount());
+              s.resetZoneSilence(0, w.now);
               w.now += 4_000;
               s.evaluate(w.now);
               for (MachineHealth m : w.machines) {
@@ -181,8 +181,8 @@
               w.machines.subList(0, 10).forEach(w.health::remove);
               w.health.failureDetector().evaluate(w.now);
               assertEquals(0, w.health.failureDetector().partitionedZoneCount());
-              assertEquals(10, w.health.failureDetector().knownMachines());
-              assertEquals(0, w.health.failureDetector().overdueCount());
+              assertEquals(10, w.health.failureDetector().knownMachineCount());
+              assertEquals(0, w.health.failureDetector().overdueMachineCount());
             }));
   }
 
@@ -209,11 +209,11 @@
               w.pass(10_000, 0, 0);
               w.now += 30_000;
               assertTrue(w.health.pauseDetector().recordActivity(w.now) > 0);
-              w.health.failureDetector().restart(w.now);
+              w.health.failureDetector().resetSilence(w.now);
               w.health.failureDetector().evaluate(w.now + 6_000);
-              assertEquals(0, w.health.failureDetector().overdueCount());
+              assertEquals(0, w.health.failureDetector().overdueMachineCount());
               w.health.failureDetector().evaluate(w.now + 9_000);
-              assertEquals(20, w.health.failureDetector().overdueCount());
+              assertEquals(20, w.health.failureDetector().overdueMachineCount());
             }));
   }
 
@@ -279,9 +279,9 @@
               }
               assertFalse(w.health.stragglerDetector().isTaskOverdue(w.job, 60_000, 40));
               assertTrue(w.health.stragglerDetector().isTaskOverdue(w.job, 100_000, 40));
-              w.health.tasksOverdue(w.machines.get(0), 4, w.now);
+              w.health.setOverdueTasks(w.machines.get(0), 4, w.now);
               assertEquals(Suspicion.NONE, w.suspicion(0));
-              w.health.tasksOverdue(w.machines.get(0), 5, w.now);
+              w.health.setOverdueTasks(w.machines.get(0), 5, w.now);
               assertEquals(Suspicion.SLOW, w.suspicion(0));
             }),
         testCase(
@@ -309,28 +309,28 @@
             w -> {
               MachineHealth m = w.machines.get(0);
               for (int i = 0; i < 9; i++) {
-                w.health.taskFailed(m, 7, false, w.now);
-                w.health.taskFailed(m, 100 + i, true, w.now);
+                w.health.recordTaskFailed(m, 7, false, w.now);
+                w.health.recordTaskFailed(m, 100 + i, true, w.now);
               }
               assertEquals(Suspicion.NONE, m.suspicion());
-              w.health.taskFailed(m, 8, false, w.now);
-              w.health.taskFailed(m, 9, false, w.now);
+              w.health.recordTaskFailed(m, 8, false, w.now);
+              w.health.recordTaskFailed(m, 9, false, w.now);
               assertEquals(Suspicion.FAULTY, m.suspicion());
             }),
         testCase(
             "an image fetch makes a machine suspect only after many times its expected time",
             w -> {
               MachineHealth m = w.machines.get(0);
-              w.health.imageFetchWaiting(m, 60_000, 10_000, w.now);
+              w.health.recordImageWait(m, 60_000, 10_000, w.now);
               assertEquals(Suspicion.NONE, m.suspicion());
-              w.health.imageFetchWaiting(m, 91_000, 10_000, w.now);
+              w.health.recordImageWait(m, 91_000, 10_000, w.now);
               assertEquals(Suspicion.NO_IMAGE, m.suspicion());
             }),
         testCase(
             "task classes are bounded, and unused ones are dropped",
             w -> {
               for (int c = 0; c < 5_000; c++) {
-                w.health.taskFinished(
+                w.health.recordTaskFinished(
                     w.machines.get(0), new RunTimeBaseline(1), c, 1_000, 1, w.now);
               }
               assertEquals(
@@ -345,12 +345,12 @@
             w -> {
               for (int i = 0; i < 100; i++) {
                 MachineHealth m = w.machines.get(0);
-                w.health.imageFetchWaiting(m, 1_000_000, 1, w.now);
+                w.health.recordImageWait(m, 1_000_000, 1, w.now);
                 w.now += HealthPolicy.defaults().suspicionExpiryMs() + 1;
                 w.health.recordHeartbeat(m, w.now);
               }
               assertEquals(64, w.health.takeChanges().size());
-              assertEquals(136, w.health.takeUnkeptChanges());
+              assertEquals(136, w.health.takeDroppedChangeCount());
               assertEquals(0, w.health.takeChanges().size());
             }));
   }
@@ -390,7 +390,7 @@
       int machine = e % 40;
       double times = Math.pow(2, e / 40 % 8 - 2);
       if (e / 320 % 4 == 3) {
-        w.health.taskFailed(w.machines.get(machine), e, false, w.now);
+        w.health.recordTaskFailed(w.machines.get(machine), e, false, w.now);
       } else {
         w.task(machine, times);
         w.task(machine, times);
@@ -437,8 +437,8 @@
       for (int i = registered.nextSetBit(0); i >= 0; i = registered.nextSetBit(i + 1)) {
         late += s.isOverdue(all.get(i)) ? 1 : 0;
       }
-      assertEquals(registered.cardinality(), s.knownMachines());
-      assertEquals(late, s.overdueCount());
+      assertEquals(registered.cardinality(), s.knownMachineCount());
+      assertEquals(late, s.overdueMachineCount());
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
+++ b/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
@@ -96,27 +96,27 @@
                       new LinkStateAdvertisement("n1", 100, 7, 1, true, 5, 5, List.of(), List.of()),
                       f.now));
               assertFalse(f.links.accept(restarted.advertise(1, false, f.now), f.now));
-              restarted.supersede(f.links.startedMs("n1"));
+              restarted.advanceStartTimePast(f.links.processStartedMs("n1"));
               assertTrue(f.links.accept(restarted.advertise(1, false, f.now), f.now));
               // An earlier start time changes nothing.
-              restarted.supersede(50);
+              restarted.advanceStartTimePast(50);
               assertTrue(f.links.accept(restarted.advertise(1, false, f.now), f.now));
-              assertEquals(101, f.links.startedMs("n1"));
+              assertEquals(101, f.links.processStartedMs("n1"));
             }),
         testCase(
             "a peer reaches a service while it and its advertisement and success are fresh",
             f -> {
               f.advertise("n1", 10);
-              assertTrue(f.links.reaches(0, ExternalService.STATE, f.now));
+              assertTrue(f.links.canPeerReach(0, ExternalService.STATE, f.now));
               f.links.recordPeerCall(0, false, f.now, f.now);
-              assertFalse(f.links.reaches(0, ExternalService.STATE, f.now));
+              assertFalse(f.links.canPeerReach(0, ExternalService.STATE, f.now));
               f.advertise("n2", POLICY.maxAgeMs() + 1);
-              assertFalse(f.links.reaches(1, ExternalService.STATE, f.now));
+              assertFalse(f.links.canPeerReach(1, ExternalService.STATE, f.now));
               f.advertise("n2", -1);
-              assertFalse(f.links.reaches(1, ExternalService.STATE, f.now));
+              assertFalse(f.links.canPeerReach(1, ExternalService.STATE, f.now));
               f.advertise("n2", 0);
               f.now += POLICY.maxAgeMs() + 1;
-              assertFalse(f.links.reaches(1, ExternalService.STATE, f.now));
+              assertFalse(f.links.canPeerReach(1, ExternalService.STATE, f.now));
               assertNull(f.links.freshAdvertisement(1, f.now));
             }),
         testCase(
@@ -128,7 +128,7 @@
               }
               List<LinkStateTable.LinkChange> changes = f.links.takeChanges();
               assertEquals(64, changes.size());
-              assertEquals(136, f.links.takeUnkeptChanges());
+              assertEquals(136, f.links.takeDroppedChangeCount());
               assertEquals("n0 state true", text(changes.get(0)));
               f.advertise("n1", 10);
               f.advertise("n1", -1);
@@ -146,7 +146,7 @@
               assertEquals(
                   LinkStateAdvertisement.MAX_ENTRIES,
                   new LinkStateAdvertisement("n1", 1, 1, 1, false, 0, 0, many, List.of())
-                      .peers()
+                      .reachablePeers()
                       .size());
             }));
   }
@@ -163,10 +163,10 @@
             f -> {
               f.advertise("n2", 10);
               f.directCall(true);
-              assertEquals(RouteSelector.DIRECT, f.route.choose(f.now));
+              assertEquals(RouteSelector.DIRECT, f.route.chooseRoute(f.now));
               f.now += 100;
               f.directCall(false);
-              assertEquals(1, f.route.choose(f.now));
+              assertEquals(1, f.route.chooseRoute(f.now));
             }),
         testCase(
             "calls are direct when no peer reaches the service",
@@ -174,7 +174,7 @@
               f.advertise("n1", -1);
               f.advertise("n2", -1);
               f.directCall(false);
-              assertEquals(RouteSelector.DIRECT, f.route.choose(f.now));
+              assertEquals(RouteSelector.DIRECT, f.route.chooseRoute(f.now));
             }),
         testCase(
             "another peer relays after one fails",
@@ -182,11 +182,11 @@
               f.advertise("n1", 10);
               f.advertise("n2", 10);
               f.directCall(false);
-              int first = f.route.choose(f.now);
-              long changes = f.route.routeChanges();
+              int first = f.route.chooseRoute(f.now);
+              long changes = f.route.routeChangeCount();
               f.route.recordRelayedCall(first, false, f.now);
-              assertEquals(1 - first, f.route.choose(f.now));
-              assertTrue(f.route.routeChanges() > changes);
+              assertEquals(1 - first, f.route.chooseRoute(f.now));
+              assertTrue(f.route.routeChangeCount() > changes);
             }),
         testCase(
             "calls return to the direct path after it has worked, later after each relapse",
@@ -196,9 +196,9 @@
                 f.now += 100;
                 f.advertise("n1", 10);
                 f.directCall(false);
-                assertEquals(0, f.route.choose(f.now));
+                assertEquals(0, f.route.chooseRoute(f.now));
                 long from = f.now;
-                while (f.route.choose(f.now) != RouteSelector.DIRECT) {
+                while (f.route.chooseRoute(f.now) != RouteSelector.DIRECT) {
                   f.now += 100;
                   f.advertise("n1", 10);
                   f.directCall(true);
@@ -212,7 +212,7 @@
             "without a relay calls return to the direct path at its first success",
             f -> {
               f.directCall(false);
-              f.route.choose(f.now);
+              f.route.chooseRoute(f.now);
               f.now += 500;
               f.directCall(true);
               assertFalse(f.route.isDirectPathDown());
@@ -220,13 +220,13 @@
         testCase(
             "the direct path is probed while calls are relayed, at most twice a second",
             f -> {
-              assertFalse(f.route.takeProbe(f.now));
+              assertFalse(f.route.startProbeIfDue(f.now));
               f.advertise("n1", 10);
               f.directCall(false);
               int tries = 0;
               for (int i = 0; i < 100; i++) {
                 f.now += 100;
-                tries += f.route.takeProbe(f.now) ? 1 : 0;
+                tries += f.route.startProbeIfDue(f.now) ? 1 : 0;
               }
               assertEquals(20, tries);
             }));
@@ -293,9 +293,9 @@
               for (int i = 0; i < 10_000; i++) {
                 f.shouldRelay("m" + i, 3, -1);
               }
-              assertEquals(HeartbeatRelay.MAX_WORKERS, f.relay.trackedWorkers());
+              assertEquals(HeartbeatRelay.MAX_WORKERS, f.relay.trackedWorkerCount());
               assertFalse(f.relay.shouldRelay("m9999", 0, 3, 4, -1, f.now));
-              assertEquals(1, f.relay.trackedWorkers());
+              assertEquals(1, f.relay.trackedWorkerCount());
             }));
   }
 
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -97,15 +97,15 @@
 
   private static void addHealth(HealthPolicy health, Map<String, String> values) {
     put(values, "health/slow-factor", health.slowFactor());
-    put(values, "health/slow-samples", health.slowSamples());
+    put(values, "health/slow-samples", health.minSlowSamples());
     put(values, "health/slow-share", health.maxSlowShare());
     put(values, "health/favour-s in ms", health.suspicionExpiryMs());
-    put(values, "health/errors", health.errors());
+    put(values, "health/errors", health.minFailedJobs());
     put(values, "health/cut-share", health.partitionShare());
     put(values, "health/cut-least", health.minPartitionMachines());
-    put(values, "health/cut-returns", health.partitionReturnShare());
-    put(values, "health/haste-share", health.returnShare());
-    put(values, "health/haste-least", health.minReturns());
+    put(values, "health/cut-returns", health.maxPartitionDeletionShare());
+    put(values, "health/haste-share", health.maxDeletionShare());
+    put(values, "health/haste-least", health.minDeletions());
     put(values, "health/replace-share", health.maxReplacementShare());
     put(values, "health/still-s in ms", health.pauseMs());
   }
