--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -5,8 +5,8 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.dependency.DependencyGate;
 import org.mallowroad.core.dependency.DependencyGate.State;
+import org.mallowroad.core.dependency.DependencyGate;
 import org.mallowroad.core.dependency.DependencyGates;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -130,7 +130,7 @@
    */
   public void jobEnded(Job job, boolean done) {
     gates.remove(job.spec.id());
-    gates.jobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
+    gates.recordJobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
     evaluateNext();
   }
 
@@ -186,7 +186,7 @@
             LOG.info("event=dependency_gate_closed job={}", gate.jobId());
             gate.close();
             schedulerState.hold(job, loop.now());
-            gates.queue(gate);
+            gates.enqueue(gate);
             loop.soon(this::evaluateNext);
           }
           next.run();
@@ -196,7 +196,7 @@
   /** Takes over a release record, or its absence. */
   private void restore(DependencyGate gate, JsonNode record, long version) {
     if (record == null) {
-      gate.releaseMissing(version);
+      gate.recordMissingRelease(version);
       return;
     }
     gate.restore(ReleaseRecordCodec.decode(record), version);
@@ -210,7 +210,7 @@
     if (evaluating || stopped || !releasesRead) {
       return;
     }
-    DependencyGate gate = gates.pollToEvaluate();
+    DependencyGate gate = gates.pollGateToEvaluate();
     if (gate == null) {
       leagueWatch.start();
       return;
@@ -232,13 +232,13 @@
       job.holdReason = unmet.dependencies().describe();
       evaluationEnded();
     } else if (outcome instanceof GateEvaluation.Met met) {
-      gate.confirm(met.leagueVersions(), met.leagueChanges());
+      gate.setConfirmedLeagues(met.leagueVersions(), met.leagueChanges());
       recordRelease(gate, job);
     }
   }
 
   private void evaluateLater(DependencyGate gate) {
-    gates.queue(gate);
+    gates.enqueue(gate);
     loop.after(RETRY_MS, this::evaluationEnded);
   }
 
@@ -297,7 +297,7 @@
 
   private static void putRelease(DependencyGate gate, boolean started, Transaction transaction) {
     transaction.put(
-        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.release(started)));
+        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.toRelease(started)));
   }
 
   /**
@@ -308,18 +308,18 @@
   private void leagueChanged(VersionedValue record) {
     String league = record.key().substring(RecordKeys.LEAGUES_PREFIX.length());
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
-    for (DependencyGate gate : List.copyOf(gates.all())) {
+    for (DependencyGate gate : List.copyOf(gates.allGates())) {
       if (gate.isOutdatedBy(league, changes)) {
         supersede(gate, league);
       }
     }
-    gates.leagueChanged(league);
+    gates.recordLeagueChanged(league);
     evaluateNext();
   }
 
   /** The job started with games that have a newer version: logged once, and recorded. */
   private void supersede(DependencyGate gate, String league) {
-    gate.supersede();
+    gate.markSuperseded();
     LOG.warn(
         "event=dependency_superseded job={} league={} version={}",
         gate.jobId(),
@@ -334,7 +334,7 @@
         transaction,
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
-            gate.releaseRewritten(revision);
+            gate.recordRewrittenRelease(revision);
           }
         });
   }
--- a/src/test/java/org/mallowroad/core/FailoverPaceTest.java
+++ b/src/test/java/org/mallowroad/core/FailoverPaceTest.java
@@ -54,6 +54,6 @@
     }
     assertEquals(80, job.doneTaskCount());
     assertEquals(0, schedulerState.health().stragglerDetector().suspectCount());
-    assertEquals(0, schedulerState.health().stragglerDetector().refusedSuspicions());
+    assertEquals(0, schedulerState.health().stragglerDetector().refusedSuspicionCount());
   }
 }
