--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -22,7 +22,7 @@
  * and stops it; {@link NodeComponents} builds its parts.
  *
  * <p>Everything runs on the node's event loop. The public methods may be called from any thread,
- * except {@link #begin()}, which is for callers that run the loop themselves.
+ * except {@link #startOnEventLoop()}, which is for callers that run the loop themselves.
  */
 public final class Node {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
@@ -94,7 +94,7 @@
     loop.soon(
         () -> {
           try {
-            begin();
+            startOnEventLoop();
             started.complete(null);
           } catch (RuntimeException e) {
             // Whatever it is, the thread that waits has to hear of it.
@@ -112,7 +112,7 @@
   }
 
   /** As {@link #start()}, for a caller that runs on the loop itself. */
-  public void begin() {
+  public void startOnEventLoop() {
     host.listen(new Requests());
     warnOfShortCancellationView();
     startConsole();
--- a/src/main/java/org/mallowroad/simulation/Simulation.java
+++ b/src/main/java/org/mallowroad/simulation/Simulation.java
@@ -358,7 +358,7 @@
           new Node(
               new ClusterConfig(settings(i), plan.links() ? o.with(LinkPolicy.defaults()) : o), h);
       nodes.set(i, n);
-      time.after(0, h, n::begin);
+      time.after(0, h, n::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -276,7 +276,7 @@
     SimulatedEnvironment host = hosts.get(node);
     try {
       Node process = new Node(new ClusterConfig(settings(node), operator), new RecordingHost(host));
-      time.after(0, host, process::begin);
+      time.after(0, host, process::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
