--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -121,7 +121,8 @@
       Map<String, int[]> of = new LinkedHashMap<>();
       int attempts = 0;
       for (VersionedValue i : run) {
-        String id = i.key().substring(RecordKeys.ATTEMPT_RECORDS_PREFIX.length(), i.key().lastIndexOf('/'));
+        String id =
+            i.key().substring(RecordKeys.ATTEMPT_RECORDS_PREFIX.length(), i.key().lastIndexOf('/'));
         int[] counts = of.computeIfAbsent(id, k -> new int[2]);
         int live = AttemptRecordCodec.unresolvedAttempts(i.value()).size();
         counts[0] += AttemptRecordCodec.doneTasks(i.value()).cardinality();
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
-import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings;
+import org.mallowroad.config.Settings.Member;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
@@ -288,7 +288,9 @@
     public OptionalLong onLinkState(LinkStateAdvertisement advertised) {
       if (!links.accept(advertised, loop.now())) {
         long began = links.processStartedMs(advertised.node());
-        return began > advertised.processStartedMs() ? OptionalLong.of(began) : OptionalLong.empty();
+        return began > advertised.processStartedMs()
+            ? OptionalLong.of(began)
+            : OptionalLong.empty();
       }
       if (election != null) {
         if (advertised.leading()) {
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -53,7 +53,9 @@
   }
 
   private void registerHealth() {
-    gauge("mallowroad.machines.late", m -> m.ofHealth(h -> h.failureDetector().overdueMachineCount()));
+    gauge(
+        "mallowroad.machines.late",
+        m -> m.ofHealth(h -> h.failureDetector().overdueMachineCount()));
     gauge(
         "mallowroad.machines.doubted", m -> m.ofHealth(h -> h.stragglerDetector().suspectCount()));
     gauge(
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -10,8 +10,8 @@
 import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.MachineHealth;
+import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.PauseDetector;
 import org.mallowroad.core.health.TokenBucket;
 import org.slf4j.Logger;
@@ -122,7 +122,8 @@
     this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy policy = health.policy();
-    this.deletions = new TokenBucket(policy.maxDeletionShare(), policy.minDeletions(), leaseMs, now);
+    this.deletions =
+        new TokenBucket(policy.maxDeletionShare(), policy.minDeletions(), leaseMs, now);
     this.zoneDeletions = new TokenBucket[zones.size()];
     this.lastDirectMs = new long[zones.size()];
     this.rerouted = new boolean[zones.size()];
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -185,7 +185,8 @@
     record.put(SPOT, request.variant().spot());
     record.put(COUNT, request.count());
     if (request.gangId() != null) {
-      record.put(GANG, request.gangId()); // The next leader keeps its machines reserved for the gang.
+      record.put(
+          GANG, request.gangId()); // The next leader keeps its machines reserved for the gang.
     }
     return record;
   }
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -145,7 +145,8 @@
   /** True while a machine of any type may still be requested in this cycle. */
   private boolean canRequest() {
     for (MachineType type : types) {
-      if (requestedOfType[type.index()] < policy.maxScaleOutPerType() && variants.isObtainable(type, now)) {
+      if (requestedOfType[type.index()] < policy.maxScaleOutPerType()
+          && variants.isObtainable(type, now)) {
         return true;
       }
     }
--- a/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
@@ -119,7 +119,8 @@
       return aboutToStart(job);
     }
     String detail = "places for " + places + " of " + job.pendingTaskCount() + " tasks";
-    GangReservations.ReservationStatus state = schedulerState.gangReservations().status(job, survey.now());
+    GangReservations.ReservationStatus state =
+        schedulerState.gangReservations().status(job, survey.now());
     if (state == null) {
       return capacity.explain(job, PendingCause.GANG, detail + "; waits for its turn to gather");
     }
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -67,10 +67,17 @@
   private static final int MAX_PREEMPTIBLE_ATTEMPT = 3;
 
   /** How a gang's reservation stands, for the explanation of pending tasks. */
-  public record ReservationStatus(int zone, int slots, int neededSlots, int requestedMachines, long endsAtMs, boolean isBackingOff) {}
+  public record ReservationStatus(
+      int zone,
+      int slots,
+      int neededSlots,
+      int requestedMachines,
+      long endsAtMs,
+      boolean isBackingOff) {}
 
   /** A state transition of a reservation, for the log. */
-  public record Change(Job job, int zone, Transition transition, int slots, int neededSlots, long durationMs) {
+  public record Change(
+      Job job, int zone, Transition transition, int slots, int neededSlots, long durationMs) {
     /** The transition; its name is part of the log event. */
     public enum Transition {
       /** The reservation begins. */
@@ -120,7 +127,8 @@
       return null;
     }
     long until = backoff.untilMs(backoff.latestZone);
-    return new ReservationStatus(backoff.latestZone, 0, job.pendingTaskCount(), 0, until, until > now);
+    return new ReservationStatus(
+        backoff.latestZone, 0, job.pendingTaskCount(), 0, until, until > now);
   }
 
   /**
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -49,7 +49,8 @@
    * @param open jobs that are open; 0 for the largest ones
    * @param oldestOpenAgeMs age of the oldest open job in ms; 0 for the largest ones
    */
-  public record Summary(String kind, String name, int done, int overdue, int open, long oldestOpenAgeMs) {
+  public record Summary(
+      String kind, String name, int done, int overdue, int open, long oldestOpenAgeMs) {
     /** The share of the due jobs that is done; 1 where none is due. */
     public double doneShare() {
       return done + overdue == 0 ? 1 : (double) done / (done + overdue);
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -228,7 +228,8 @@
               w.placement.placeTasks(w.now);
               w.jobs(3);
               for (ScaleOutRequest r :
-                  w.fleet.planScaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
+                  w.fleet.planScaleOut(
+                      w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
                 atMost(50, r.count());
               }
             }),
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -153,7 +153,8 @@
               assertTrue(rents.stream().allMatch(r -> r.variant().zone() == 1));
               assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gangId())));
               rents.forEach(
-                  r -> w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gangId())));
+                  r ->
+                      w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gangId())));
               for (int i = 0; i < 5; i++) {
                 assertEquals(List.of(), w.cycle());
               }
@@ -315,7 +316,8 @@
               w.now += GangReservations.MAX_RESERVATION_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
-              GangReservations.ReservationStatus s = w.schedulerState.gangReservations().status(again, w.now);
+              GangReservations.ReservationStatus s =
+                  w.schedulerState.gangReservations().status(again, w.now);
               assertTrue(s.isBackingOff() && s.endsAtMs() > w.now);
             }),
         gang(
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -129,7 +129,8 @@
               h.run(200);
               assertEquals(42, p.elected);
               assertEquals(
-                  FencingTokens.last(42), h.c.store.value(LeaderElection.TERM_KEY).path("n").asLong());
+                  FencingTokens.last(42),
+                  h.c.store.value(LeaderElection.TERM_KEY).path("n").asLong());
             }));
   }
 
