--- a/src/main/java/org/mallowroad/core/fold/ClaimRules.java
+++ b/src/main/java/org/mallowroad/core/fold/ClaimRules.java
@@ -111,7 +111,7 @@
     }
     changed
         .computeIfAbsent(key, k -> read.get(k).copy())
-        .set(side, new Fold(game.revision(), game.retracted(), job, false, current));
+        .set(side, new Fold(game.revision(), game.taken(), job, false, current));
   }
 
   private static String name(Game game, String member) {
