--- a/src/main/java/org/mallowroad/core/Attempt.java
+++ b/src/main/java/org/mallowroad/core/Attempt.java
@@ -3,78 +3,80 @@
 import org.mallowroad.core.health.StragglerDetector;
 
 /**
- * One try to run one task on one machine. It takes quota and resources until it is proven gone
- * ({@link AttemptTracker}). Times are milliseconds on the process's steady clock.
+ * One attempt to run a task on a machine. It counts against its team's quota and its machine's
+ * resources until it is proven gone, see {@link AttemptTracker}. Times are milliseconds on the
+ * process's monotonic clock.
  */
 public final class Attempt {
   /**
-   * The states of an attempt, in their order; the first two and the last are the leader's. Their
-   * names in lower case are part of the console's JSON.
+   * The states of an attempt in the order of its life cycle. The leader sets the first two and the
+   * last; the others are reported by the worker. The names in lower case are part of the console's
+   * JSON.
    */
   public enum Phase {
-    /** Its record is not yet committed: it must not be launched. */
+    /** The record of the attempt is not committed yet, so it must not be launched. */
     RECORDING,
-    /** Its record is committed: its launch is sent until a heartbeat lists it. */
+    /** The record is committed; the launch is resent until a heartbeat lists the attempt. */
     READY,
-    /** The worker fetches its image. */
+    /** The worker is fetching the image. */
     PULLING,
-    /** The worker runs it. */
+    /** The task is running. */
     RUNNING,
-    /** The worker saves its progress after a stop. */
+    /** The worker is saving the task's progress after a stop command. */
     FLUSHING,
-    /** Proven gone. */
+    /** The attempt is proven gone. */
     GONE
   }
 
-  /** The job whose task it runs. */
+  /** The job that the task belongs to. */
   public final Job job;
 
-  /** The number of the task in its job. */
+  /** The index of the task in its job. */
   public final int task;
 
-  /** The attempt's number, higher than any earlier one of this task. */
+  /** The attempt number, higher than that of every earlier attempt of this task. */
   public final int number;
 
-  /** Where it runs. */
+  /** The machine that the attempt is placed on. */
   public final Machine machine;
 
-  /** The incarnation of the worker that it was made for. */
+  /** The worker incarnation that the attempt was created for. */
   public final long incarnation;
 
-  /** How far it has come. */
+  /** The current state. */
   public Phase phase;
 
-  /** Seconds that it has to save its progress before it is stopped; negative while it may run. */
+  /** Grace period for saving progress, in seconds; negative until a stop is requested. */
   public double stopGraceS = -1;
 
-  /** When it was made, or restored on failover. */
+  /** Time at which the attempt was created, or restored on failover. */
   public final long createdMs;
 
-  /** True once a direct command with its stop was sent. */
+  /** True once the latest stop request was sent in a direct command. */
   boolean stopSentDirectly;
 
-  /** True when an earlier leader made it: when it began to run is not known then. */
+  /** True when an earlier leader created the attempt, so its real start of running is unknown. */
   boolean restoredFromRecord;
 
-  /** True once the response to a heartbeat carried its launch. */
+  /** True once a heartbeat response has carried the launch. */
   public boolean launchInHeartbeatResponse;
 
-  /** True once its launch was sent, in a response or a direct command. */
+  /** True once the launch was sent, in a heartbeat response or a direct command. */
   public boolean launchSent;
 
   /**
-   * True while a direct command with its launch is unanswered: the launch may be executed at any
-   * later time, unless the worker's incarnation or token rises or its machine is deleted.
+   * True while a direct command with the launch is unanswered. The worker may execute the launch at
+   * any later time, unless its incarnation or fencing token rises or the machine is deleted.
    */
   public boolean launchInFlight;
 
-  /** The fencing token on the direct command that carried its launch; 0 when none did. */
+  /** The fencing token of the direct command that carried the launch; 0 when there was none. */
   long launchToken;
 
-  /** When it was first reported to run; 0 before. */
+  /** Time of the first heartbeat that reported the task running; 0 before that. */
   long runningSinceMs;
 
-  /** When its stop was requested last. */
+  /** Time of the latest stop request. */
   long stopRequestedMs;
 
   Attempt(Job job, int task, int number, Machine machine, long incarnation, Phase phase, long now) {
@@ -87,24 +89,24 @@
     this.createdMs = now;
   }
 
-  /** True once its stop was requested. */
+  /** True once a stop was requested. */
   public boolean isStopping() {
     return stopGraceS >= 0;
   }
 
-  /** True when it has run for several times as long as its peers did. */
+  /** True when the task has run several times as long as the other tasks of its job took. */
   public boolean isOverdue(StragglerDetector stragglerDetector, long now) {
     return runningSinceMs > 0
         && stragglerDetector.isTaskOverdue(
             job.runTimes, now - runningSinceMs, job.spec.estimateS());
   }
 
-  /** When it was first reported to run; 0 before. */
+  /** Time of the first heartbeat that reported the task running; 0 before that. */
   public long runningSinceMs() {
     return runningSinceMs;
   }
 
-  /** Its name among those of one worker; no two attempts ever have the same. */
+  /** Identifies the attempt in its machine's tables; unique among all attempts of all terms. */
   String key() {
     return key(job.spec.id(), task, number);
   }
@@ -113,8 +115,8 @@
     return job + "/" + task + "/" + number;
   }
 
-  /** Takes a request for a stop; a shorter time to save replaces a longer one. */
-  void stop(double graceS, long now) {
+  /** Records a stop request; a shorter grace period replaces a longer one. */
+  void recordStopRequest(double graceS, long now) {
     if (stopGraceS < 0 || graceS < stopGraceS) {
       stopGraceS = graceS;
       stopSentDirectly = false;
--- a/src/main/java/org/mallowroad/core/AttemptOutcome.java
+++ b/src/main/java/org/mallowroad/core/AttemptOutcome.java
@@ -2,16 +2,16 @@
 
 /** How an attempt ended. */
 public enum AttemptOutcome {
-  /** The task completed; of a service this is a failure, since its replicas are to run on. */
+  /** The task completed. For a service this is a failure, since its replicas must keep running. */
   COMPLETED,
-  /** It was stopped by command, or gave up because its gang was not complete. */
+  /** The task was stopped by a command, or gave up because its gang was incomplete. */
   STOPPED,
-  /** The task failed by itself. */
+  /** The task exited with an error. */
   FAILED,
-  /** The worker refused the launch for want of resources. */
+  /** The worker refused the launch because it lacked free resources. */
   INSUFFICIENT_RESOURCES,
   /** The worker refused the launch for another reason. */
   LAUNCH_REFUSED,
-  /** It is gone with its machine or its session, or was never started. */
+  /** The attempt ended with its machine or worker session, or was never started. */
   LOST
 }
--- a/src/main/java/org/mallowroad/core/AttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/AttemptRecord.java
@@ -1,48 +1,49 @@
 package org.mallowroad.core;
 
 /**
- * A range of a job's tasks whose attempts one record in the state service holds, and how that
- * record stands. A small job's record may be a part of a {@link SharedAttemptRecord}.
+ * A range of a job's tasks whose attempts are stored in one record of the state service, and the
+ * write status of that record. A small job's record may be part of a {@link SharedAttemptRecord}.
  */
 public final class AttemptRecord {
   /**
-   * Tasks in a record: few enough that a full record stays below the state service's value limit.
+   * Maximum number of tasks in a record; a full record stays below the state service's value limit.
    */
   public static final int TASKS_PER_RECORD = 128;
 
-  /** The job whose tasks these are. */
+  /** The job that the tasks belong to. */
   public final Job job;
 
-  /** Its index among the records of the job. */
+  /** The index of this record among the job's records. */
   public final int index;
 
-  /** The record's version in the state service as last seen; 0 when there is none. */
+  /** The last known version of the record in the state service; 0 when it is not stored there. */
   public long version;
 
   /**
-   * True once a record of its own may have been written, known or not: it never shares one then, or
-   * a next leader could find two and take the older one's attempts.
+   * True once an unshared record may have been written, even if the write's result is unknown. From
+   * then on these tasks never join a shared record: the next leader could find both records and
+   * restore the attempts of the older one.
    */
   public boolean mayHaveOwnRecord;
 
-  /** The record that it shares with other small jobs, or null: then it has one of its own. */
+  /** The record that these tasks share with other small jobs; null when the record is unshared. */
   public SharedAttemptRecord sharedRecord;
 
-  /** True when memory knows more than the record. */
+  /** True when the state in memory is newer than the stored record. */
   public boolean dirty;
 
-  /** Counts changes, so that a commit clears {@link #dirty} only if nothing came after it. */
+  /** Counts changes; a commit clears {@link #dirty} only if no change followed the one written. */
   public long changeCount;
 
-  /** How many of its attempts wait for a commit before they may be launched. */
+  /** Number of attempts whose launch waits for this record's commit. */
   int uncommittedStarts;
 
-  /** How many of its attempts wait for a commit before they may be launched. */
+  /** Number of attempts whose launch waits for this record's commit. */
   public int uncommittedStarts() {
     return uncommittedStarts;
   }
 
-  /** Since when it is dirty, on the steady clock; after a commit, when that was. */
+  /** Time at which the record became dirty, or of its latest commit if later, in monotonic ms. */
   public long dirtySinceMs;
 
   AttemptRecord(Job job, int index) {
@@ -50,25 +51,25 @@
     this.index = index;
   }
 
-  /** True when it will not be written again: its job is over and all of its attempts are gone. */
+  /** True when the record will not be written again: its job is over and no attempt is live. */
   public boolean isFinished() {
     return (job.cancelled || job.ended) && !hasLiveAttempts();
   }
 
-  /** The first task of the range. */
+  /** Index of the first task of the range. */
   public int firstTask() {
     return index * TASKS_PER_RECORD;
   }
 
-  /** One past the last task of the range. */
+  /** Index after the last task of the range. */
   public int endTask() {
     return Math.min(job.spec.tasks(), firstTask() + TASKS_PER_RECORD);
   }
 
   /** True when a task of the range has an attempt that is not proven gone. */
   public boolean hasLiveAttempts() {
-    for (int t = firstTask(); t < endTask(); t++) {
-      if (job.liveAttempts[t] != null) {
+    for (int task = firstTask(); task < endTask(); task++) {
+      if (job.liveAttempts[task] != null) {
         return true;
       }
     }
--- a/src/main/java/org/mallowroad/core/AttemptTracker.java
+++ b/src/main/java/org/mallowroad/core/AttemptTracker.java
@@ -8,35 +8,36 @@
 import org.mallowroad.core.image.ImageDistribution;
 
 /**
- * The life cycle of attempts, from the start over the commit to the proof that they are gone.
+ * Manages the life cycle of attempts: start, commit, stop, and the proof that an attempt is gone.
  *
- * <p><b>The rule.</b> An attempt takes quota, a place in its zone and resources of its machine from
- * the moment it is made until it is proven gone. The proofs are these, and there is no other,
- * however likely it seems that an attempt has ended:
+ * <p><b>Invariant.</b> An attempt occupies its team's quota, a slot in its zone and resources of
+ * its machine from its creation until it is proven gone. Only the following are proofs; no other
+ * evidence is accepted, however likely it seems that an attempt has ended:
  *
  * <ul>
- *   <li>the worker reports its exit;
- *   <li>the worker reports with a later incarnation, since a new session starts without tasks;
- *   <li>a worker that has seen this term's token sends a newer heartbeat without it, and no launch
- *       of it is in flight ({@link HeartbeatReconciler});
- *   <li>the cloud confirmed the deletion of the machine, or lists it as failed;
- *   <li>the worker's lease must have expired, {@link #leaseExpiryMs};
- *   <li>it was never committed, so its launch was never sent and never will be.
+ *   <li>the worker reports the exit of the task;
+ *   <li>the worker sends a heartbeat with a later incarnation, since a new session starts without
+ *       tasks;
+ *   <li>a worker that has seen this term's fencing token sends a newer heartbeat that does not list
+ *       the attempt, and no launch of the attempt is in flight ({@link HeartbeatReconciler});
+ *   <li>the cloud confirms the deletion of the machine, or lists it as failed;
+ *   <li>the worker's lease must have expired, see {@link #leaseExpiryMs};
+ *   <li>the attempt was never committed, so its launch was never sent and never will be.
  * </ul>
  *
- * <p>So a task never has two attempts that run, and no quota is exceeded, whatever the network
- * loses, delays or repeats. All changes of what an attempt takes go through {@link #reserve} and
- * {@link #resolve}.
+ * <p>Therefore a task never has two running attempts and no quota is exceeded, whatever the network
+ * loses, delays or duplicates. Every change of what an attempt occupies goes through {@link
+ * #allocateResources} and {@link #resolve}.
  */
 final class AttemptTracker {
   private static final long RETRY_BASE_MS = 250;
   private static final long MAX_RETRY_MS = 60_000;
   private static final int MAX_RETRY_DOUBLINGS = 8;
 
-  /** A machine that refused a launch for want of resources gets no new work for this long. */
+  /** Backoff in ms for a machine that refused a launch because it lacked free resources. */
   private static final long MACHINE_BACKOFF_MS = 3_000;
 
-  /** A job that failed on so many machines is at fault itself: more are not remembered. */
+  /** After failures on this many machines the job itself is at fault; no more are recorded. */
   private static final int MAX_FAILED_MACHINES = 3;
 
   private final TermTiming timing;
@@ -47,7 +48,7 @@
   private final ImageDistribution imageDistribution;
   private final CostAccounting costAccounting;
 
-  /** Machines for which a launch or a stop may be due that no message has carried yet. */
+  /** Machines that may have a launch or stop command that no message has carried yet. */
   private final ObjectLinkedOpenHashSet<Machine> machinesWithUnsentCommands =
       new ObjectLinkedOpenHashSet<>();
 
@@ -71,12 +72,12 @@
     this.costAccounting = costAccounting;
   }
 
-  /** Machines that may have commands to be sent straight away; the caller removes them. */
+  /** Machines that may have commands to send directly; the caller removes those it has handled. */
   Collection<Machine> machinesWithUnsentCommands() {
     return machinesWithUnsentCommands;
   }
 
-  /** Number of attempts made in this term. */
+  /** Number of attempts created in this term. */
   long attemptsStarted() {
     return attemptsStarted;
   }
@@ -87,7 +88,7 @@
   }
 
   /**
-   * Makes an attempt; it must be committed before its launch is sent.
+   * Creates an attempt. It must be committed before its launch is sent.
    *
    * @throws StartRefusedException when {@link StartAdmission} refuses it
    */
@@ -102,23 +103,21 @@
     job.highestAttemptNumbers[task] = number;
     job.lastStartMs = now;
     attemptsStarted++;
-    reserve(attempt);
+    allocateResources(attempt);
     imageDistribution.recordPlaced(
         attempt,
         machine.hasImage(job.spec.image()),
         source -> admission.canServeImages(source, now));
-    int underWay = job.liveAttemptCount + job.doneTaskCount();
+    int placedOrDone = job.liveAttemptCount + job.doneTaskCount();
     if (job.fullyPlacedMs < 0
-        && underWay >= admission.team(job.spec).maxConcurrentTasks(job.spec)) {
+        && placedOrDone >= admission.team(job.spec).maxConcurrentTasks(job.spec)) {
       job.fullyPlacedMs = now;
     }
     pendingWrites.addUncommittedStart(job.attemptRecordOf(task), now);
     return attempt;
   }
 
-  /**
-   * Takes an attempt that the records of an earlier term have: it counts until it is proven gone.
-   */
+  /** Restores an attempt from an earlier term's record. It counts until it is proven gone. */
   void restore(Job job, int task, int number, Machine machine, long incarnation, long now) {
     if (task < 0
         || task >= job.spec.tasks()
@@ -130,8 +129,8 @@
         new Attempt(job, task, number, machine, incarnation, Attempt.Phase.READY, now);
     attempt.restoredFromRecord = true;
     job.highestAttemptNumbers[task] = Math.max(job.highestAttemptNumbers[task], number);
-    reserve(attempt);
-    // A heartbeat of an earlier session must not look like news.
+    allocateResources(attempt);
+    // Prevents a heartbeat of an earlier session from being accepted as new.
     if (incarnation > machine.incarnation) {
       machine.incarnation = incarnation;
       machine.sequence = 0;
@@ -141,8 +140,8 @@
     }
   }
 
-  /** From now on the attempt takes quota, a place in its zone and resources of its machine. */
-  private void reserve(Attempt attempt) {
+  /** Charges the attempt to its team's quota, its zone and its machine's resources. */
+  private void allocateResources(Attempt attempt) {
     Job job = attempt.job;
     job.liveAttempts[attempt.task] = attempt;
     job.liveAttemptCount++;
@@ -151,9 +150,9 @@
     admission.team(job.spec).add(job.spec, 1);
   }
 
-  /** The record of these attempts is committed: those that still wait may be launched. */
-  void committed(List<Attempt> recorded) {
-    for (Attempt attempt : recorded) {
+  /** Marks attempts whose record was committed as ready to launch, unless they are gone already. */
+  void markCommitted(List<Attempt> writtenAttempts) {
+    for (Attempt attempt : writtenAttempts) {
       if (attempt.phase == Attempt.Phase.RECORDING) {
         attempt.phase = Attempt.Phase.READY;
         pendingWrites.removeUncommittedStart(attempt.job.attemptRecordOf(attempt.task));
@@ -163,20 +162,21 @@
   }
 
   /**
-   * Asks for a stop; the attempt goes on taking what it takes until it is proven gone.
+   * Requests a stop. The attempt keeps its quota and resources until it is proven gone.
    *
-   * @param graceS seconds that it has to save its progress
+   * @param graceS grace period for saving progress, in seconds
    */
   void requestStop(Attempt attempt, double graceS, long now) {
     if (!attempt.isStopping()) {
       admission.team(attempt.job.spec).stoppingCpus += attempt.job.spec.cpus();
     }
-    attempt.stop(graceS, now);
+    attempt.recordStopRequest(graceS, now);
     machinesWithUnsentCommands.add(attempt.machine);
   }
 
   /**
-   * Ends what there is of a job that is over: what was never launched at once, the rest by a stop.
+   * Ends all attempts of a job that has ended or was cancelled. Uncommitted ones are resolved at
+   * once, since they were never launched; the others are stopped.
    */
   void stopAll(Job job, long now) {
     for (Attempt attempt : job.liveAttempts) {
@@ -191,7 +191,7 @@
     }
   }
 
-  /** Withdraws the attempts of a job that are not committed: their launches were never sent. */
+  /** Resolves the job's uncommitted attempts, whose launches were never sent. */
   void withdrawUncommitted(Job job, long now) {
     for (Attempt attempt : job.liveAttempts) {
       if (attempt != null && attempt.phase == Attempt.Phase.RECORDING) {
@@ -200,9 +200,7 @@
     }
   }
 
-  /**
-   * All attempts on a machine are proven gone, since the cloud deleted it or says that it failed.
-   */
+  /** Resolves all attempts on a machine that the cloud has deleted or reported as failed. */
   void resolveAll(Machine machine, long now) {
     for (Attempt attempt : new ArrayList<>(machine.attempts)) {
       resolve(attempt, AttemptOutcome.LOST, now);
@@ -210,8 +208,8 @@
   }
 
   /**
-   * Resolves the attempts of a worker whose lease must have expired. Those that were never
-   * committed were never sent: the lease says nothing of them.
+   * Resolves the attempts of a worker whose lease must have expired. Uncommitted attempts stay:
+   * their launches were never sent, so the lease does not concern them.
    */
   void expireLease(Machine machine, long now) {
     long expiryMs = leaseExpiryMs(machine);
@@ -226,9 +224,10 @@
   }
 
   /**
-   * When the lease of the machine's worker must have expired if no response reaches it any more,
-   * which proves its attempts gone; -1 while no lease can prove that. The worker must have seen
-   * this term's token: from then on only this leader's responses renewed its lease.
+   * Time by which the lease of the machine's worker must have expired if no further response
+   * reaches it; this proves its attempts gone. Returns -1 while lease expiry cannot be proven: the
+   * worker must have seen this term's token, because only then can no other leader's response renew
+   * the lease.
    */
   long leaseExpiryMs(Machine machine) {
     return machine.highestTokenSeen >= timing.term() && machine.lastResponseMs >= 0
@@ -236,12 +235,12 @@
         : -1;
   }
 
-  /** Frees what an attempt takes, now that it is proven gone; a second call does nothing. */
+  /** Releases the quota and resources of an attempt that is proven gone. Idempotent. */
   void resolve(Attempt attempt, AttemptOutcome outcome, long now) {
     if (attempt.phase == Attempt.Phase.GONE) {
       return;
     }
-    free(attempt, outcome, now);
+    releaseResources(attempt, outcome, now);
     if (outcome == AttemptOutcome.COMPLETED && !attempt.job.spec.service()) {
       completeTask(attempt, now);
       return;
@@ -250,7 +249,7 @@
     requeue(attempt, now);
   }
 
-  private void free(Attempt attempt, AttemptOutcome outcome, long now) {
+  private void releaseResources(Attempt attempt, AttemptOutcome outcome, long now) {
     Job job = attempt.job;
     Team team = admission.team(job.spec);
     if (attempt.phase == Attempt.Phase.RUNNING || attempt.phase == Attempt.Phase.FLUSHING) {
@@ -275,8 +274,8 @@
   private void completeTask(Attempt attempt, long now) {
     Job job = attempt.job;
     attemptsCompleted++;
-    // What an earlier leader began was seen to run for a part of its time only; and a task that
-    // had completed before ends at once when it is started again.
+    // Restored attempts are no run time samples, since only a part of their run was observed.
+    // Neither are retries: a task that had completed before ends at once when it is started again.
     if (attempt.runningSinceMs > 0 && !attempt.restoredFromRecord && attempt.number == 1) {
       health.taskFinished(
           attempt.machine.health,
@@ -305,7 +304,7 @@
         health.taskFailed(attempt.machine.health, job.spec.id().hashCode(), jobAtFault, now);
         backOff(job, now);
       }
-      // A service's replica is to run for ever: one that ends well has failed too.
+      // Replicas of a service must keep running, so a successful exit is a failure too.
       case LAUNCH_REFUSED, COMPLETED -> {
         job.consecutiveFailures++;
         backOff(job, now);
@@ -315,7 +314,7 @@
     }
   }
 
-  /** A job that keeps failing is retried ever more seldom, never in a tight loop. */
+  /** Delays the next start of a failing job by exponential backoff. */
   private static void backOff(Job job, long now) {
     int doublings = Math.min(MAX_RETRY_DOUBLINGS, job.consecutiveFailures);
     long delayMs = Math.min(MAX_RETRY_MS, RETRY_BASE_MS << doublings);
--- a/src/main/java/org/mallowroad/core/CostAccounting.java
+++ b/src/main/java/org/mallowroad/core/CostAccounting.java
@@ -7,35 +7,44 @@
 import java.util.List;
 
 /**
- * Where the money of a term went, by machine type, ordinary or spot: boots, idle resources, starts
- * and image fetches, work that was lost, work that completed. It is summed up at a machine's first
- * heartbeat, when an attempt is proven gone and when a machine is, so it costs a few additions an
- * event and lags by what is still running. Prices are those of the moment; a machine that is found
- * on failover counts from then.
+ * Accounts for the cost of one term by machine type, on-demand and spot separately: boot time, idle
+ * resources, task start-up including image fetches, lost work and completed work.
+ *
+ * <p>Totals are updated at a machine's first heartbeat, when an attempt is proven gone and when a
+ * machine is deleted. This costs a few additions per event, and work that is still running is not
+ * included. Costs use the prices at the time of the event. A machine that was found on failover is
+ * charged from that time on.
  */
 public final class CostAccounting {
   private static final double MS_PER_HOUR = 3_600_000;
 
-  private final Int2ObjectLinkedOpenHashMap<Kind> kinds = new Int2ObjectLinkedOpenHashMap<>();
+  private final Int2ObjectLinkedOpenHashMap<CostTotals> totalsByMachineKind =
+      new Int2ObjectLinkedOpenHashMap<>();
 
-  /** What went into machines of one type, ordinary or spot; amounts are money. */
-  private static final class Kind {
+  /** Totals for the machines of one type, on-demand or spot; all amounts are money. */
+  private static final class CostTotals {
     private final String type;
     private final boolean spot;
     private double boot;
-    private double life;
+    private double lifetime;
     private double starting;
-    private double useful;
-    private double lost;
-    private int machines;
+    private double completedWork;
+    private double lostWork;
+    private int deletedMachines;
 
-    Kind(String type, boolean spot) {
+    CostTotals(String type, boolean spot) {
       this.type = type;
       this.spot = spot;
     }
   }
 
-  /** What was spent on a kind of machines so far, those that there are included. */
+  /**
+   * Costs so far of the on-demand or spot machines of one type, existing machines included.
+   *
+   * @param deletedMachines number of machines deleted so far
+   * @param idle cost that no resolved or live attempt accounts for, boot time included
+   * @param starting cost of attempts before their task ran
+   */
   public record MachineTypeCosts(
       String type,
       boolean spot,
@@ -46,70 +55,84 @@
       double completedWork,
       double lostWork) {}
 
-  /** A line for each kind that was used; what runs is neither idle nor anything else yet. */
+  /** Costs of each machine type used. Unresolved attempts are not included, not even as idle. */
   public List<MachineTypeCosts> costsByMachineType(Collection<Machine> machines, long now) {
-    Reference2DoubleOpenHashMap<Kind> living = new Reference2DoubleOpenHashMap<>();
-    for (Machine m : machines) {
-      double sum = cost(m, 1, now - m.firstSeenMs);
-      for (Attempt a : m.attempts) {
-        sum -= cost(m, share(a.job.spec, m.type), now - a.createdMs);
+    Reference2DoubleOpenHashMap<CostTotals> liveIdleCosts = new Reference2DoubleOpenHashMap<>();
+    for (Machine machine : machines) {
+      double idleCost = cost(machine, 1, now - machine.firstSeenMs);
+      for (Attempt attempt : machine.attempts) {
+        idleCost -= cost(machine, share(attempt.job.spec, machine.type), now - attempt.createdMs);
       }
-      living.addTo(kind(m.type, m.spot), sum);
+      liveIdleCosts.addTo(totalsOf(machine.type, machine.spot), idleCost);
     }
-    List<MachineTypeCosts> lines = new ArrayList<>();
-    for (Kind k : kinds.values()) {
-      double idle = living.getDouble(k) + k.life - k.starting - k.useful - k.lost;
-      lines.add(
+    List<MachineTypeCosts> costs = new ArrayList<>();
+    for (CostTotals totals : totalsByMachineKind.values()) {
+      double idle =
+          liveIdleCosts.getDouble(totals)
+              + totals.lifetime
+              - totals.starting
+              - totals.completedWork
+              - totals.lostWork;
+      costs.add(
           new MachineTypeCosts(
-              k.type, k.spot, k.machines, k.boot, idle, k.starting, k.useful, k.lost));
+              totals.type,
+              totals.spot,
+              totals.deletedMachines,
+              totals.boot,
+              idle,
+              totals.starting,
+              totals.completedWork,
+              totals.lostWork));
     }
-    return lines;
+    return costs;
   }
 
-  private Kind kind(MachineType type, boolean spot) {
+  private CostTotals totalsOf(MachineType type, boolean spot) {
     int key = 2 * type.index() + (spot ? 1 : 0);
-    Kind k = kinds.get(key);
-    if (k == null) {
-      k = new Kind(type.name(), spot);
-      kinds.put(key, k);
+    CostTotals totals = totalsByMachineKind.get(key);
+    if (totals == null) {
+      totals = new CostTotals(type.name(), spot);
+      totalsByMachineKind.put(key, totals);
     }
-    return k;
+    return totals;
   }
 
-  private static double cost(Machine m, double share, long ms) {
-    return share * m.type.price(m.spot) * ms / MS_PER_HOUR;
+  private static double cost(Machine machine, double share, long durationMs) {
+    return share * machine.type.price(machine.spot) * durationMs / MS_PER_HOUR;
   }
 
-  /** A machine sent its first heartbeat, this many milliseconds after it was rented. */
-  public void machineBooted(Machine m, long ms) {
-    kind(m.type, m.spot).boot += cost(m, 1, ms);
+  /**
+   * Records a machine's first heartbeat, which came {@code bootMs} after the machine was rented.
+   */
+  public void machineBooted(Machine machine, long bootMs) {
+    totalsOf(machine.type, machine.spot).boot += cost(machine, 1, bootMs);
   }
 
-  /** An attempt is proven gone. */
-  void attemptResolved(Attempt a, boolean done, long now) {
-    Kind k = kind(a.machine.type, a.machine.spot);
-    double share = share(a.job.spec, a.machine.type);
-    long ran = a.runningSinceMs > 0 ? now - a.runningSinceMs : 0;
-    k.starting += cost(a.machine, share, now - a.createdMs - ran);
-    if (done) {
-      k.useful += cost(a.machine, share, ran);
+  /** Adds the costs of an attempt that is proven gone. */
+  void attemptResolved(Attempt attempt, boolean completed, long now) {
+    CostTotals totals = totalsOf(attempt.machine.type, attempt.machine.spot);
+    double share = share(attempt.job.spec, attempt.machine.type);
+    long runMs = attempt.runningSinceMs > 0 ? now - attempt.runningSinceMs : 0;
+    totals.starting += cost(attempt.machine, share, now - attempt.createdMs - runMs);
+    if (completed) {
+      totals.completedWork += cost(attempt.machine, share, runMs);
     } else {
-      k.lost += cost(a.machine, share, ran);
+      totals.lostWork += cost(attempt.machine, share, runMs);
     }
   }
 
-  /** A machine is proven gone. */
-  void machineDeleted(Machine m, long now) {
-    Kind k = kind(m.type, m.spot);
-    k.machines++;
-    k.life += cost(m, 1, now - m.firstSeenMs);
+  /** Adds the costs of a deleted machine. */
+  void machineDeleted(Machine machine, long now) {
+    CostTotals totals = totalsOf(machine.type, machine.spot);
+    totals.deletedMachines++;
+    totals.lifetime += cost(machine, 1, now - machine.firstSeenMs);
   }
 
-  /** The share of a machine's price that a task costs: its part of the scarcer resource. */
-  private static double share(JobSpec s, MachineType t) {
-    double share = t.cpus() > 0 ? s.cpus() / t.cpus() : 0;
-    if (t.cards() > 0) {
-      share = Math.max(share, s.cards() / t.cards());
+  /** Share of a machine's price charged to a task: the larger of its CPU and card shares. */
+  private static double share(JobSpec spec, MachineType type) {
+    double share = type.cpus() > 0 ? spec.cpus() / type.cpus() : 0;
+    if (type.cards() > 0) {
+      share = Math.max(share, spec.cards() / type.cards());
     }
     return share;
   }
--- a/src/main/java/org/mallowroad/core/Heartbeat.java
+++ b/src/main/java/org/mallowroad/core/Heartbeat.java
@@ -3,16 +3,20 @@
 import java.util.List;
 
 /**
- * A worker's periodic message about itself and its tasks.
+ * A worker's periodic status message about itself and its tasks.
  *
- * @param address where the worker takes direct commands
- * @param incarnation identifies the worker's session, and rises with each one
- * @param sequence number of the message within the session
- * @param fencingToken the highest token that the worker has seen
- * @param interruptionNoticeS seconds until the cloud takes the spot machine back; negative without
- *     a notice
- * @param entries all tasks that the worker has, those included whose exits are not cleared yet
- * @param servesImages true when the worker fetches images from other workers, and serves its own
+ * @param machine name of the machine
+ * @param address address at which the worker accepts direct commands
+ * @param type name of the machine type
+ * @param zone name of the zone
+ * @param spot true for a spot machine
+ * @param incarnation identifies the worker's session; each session has a higher one
+ * @param sequence sequence number of the message within the session
+ * @param fencingToken highest fencing token that the worker has seen
+ * @param interruptionNoticeS seconds until the cloud reclaims the spot machine; negative without a
+ *     notice
+ * @param entries all tasks on the worker, including exited ones that are not cleared yet
+ * @param servesImages true when the worker fetches images from other workers and serves its own
  */
 public record Heartbeat(
     String machine,
@@ -27,7 +31,7 @@
     List<Entry> entries,
     boolean servesImages) {
 
-  /** From a worker that serves no images. */
+  /** Creates the heartbeat of a worker that does not exchange images with other workers. */
   public Heartbeat(
       String machine,
       String address,
@@ -37,7 +41,7 @@
       long incarnation,
       long sequence,
       long fencingToken,
-      double noticeS,
+      double interruptionNoticeS,
       List<Entry> entries) {
     this(
         machine,
@@ -48,27 +52,31 @@
         incarnation,
         sequence,
         fencingToken,
-        noticeS,
+        interruptionNoticeS,
         entries,
         false);
   }
 
   /** The states of a task on a worker. */
   public enum State {
-    /** Its image is being fetched. */
+    /** The image is being fetched. */
     PULLING,
-    /** Running. */
+    /** The task is running. */
     RUNNING,
-    /** It saves its progress after a stop. */
+    /** The task is saving its progress after a stop command. */
     FLUSHING,
-    /** It has ended; listed until the leader clears it. */
+    /** The task has ended; it is listed until the leader clears it. */
     EXITED
   }
 
   /**
-   * One task on the machine.
+   * The status of one task on the machine.
    *
-   * @param exitReason for an exited task, the cause as the worker gave it, else null
+   * @param job id of the job
+   * @param task index of the task in its job
+   * @param attempt attempt number of the task
+   * @param state state of the task
+   * @param exitReason the exit reason that the worker gave for an exited task, else null
    */
   public record Entry(String job, int task, int attempt, State state, String exitReason) {}
 }
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -8,30 +8,31 @@
 import org.mallowroad.core.image.ImageDistribution;
 
 /**
- * Compares a worker's heartbeats with the attempts that the leader knows, and answers with the
- * commands that bring the two together. It resolves attempts by nothing but the proofs in the class
- * comment of {@link AttemptTracker}.
+ * Reconciles a worker's heartbeats with the attempts that the leader knows, and returns the
+ * commands that make the worker match the leader's state. Attempts are resolved only by the proofs
+ * listed in the class comment of {@link AttemptTracker}.
  *
- * <p><b>Why a clear command may have to wait.</b> A launch that was sent straight to a worker may
- * be executed late, or once more after it was answered: messages are delayed, and duplicates of old
- * ones come. While the worker remembers the attempt that does nothing; once it is cleared, it would
- * start again. So an attempt that was launched that way is cleared only in a message with a higher
- * fencing token than its launch had: the worker has that token when it forgets the attempt, and
- * refuses the launch from then on. For this the leader raises the token of that one worker, within
- * its term's block of tokens, at most once in {@link #TOKEN_RAISE_DELAY_MS} or for {@link
- * #TOKEN_RAISE_EXITS} exits.
+ * <p><b>Why a clear command may have to wait.</b> The network may delay or duplicate messages, so a
+ * launch that was sent in a direct command may be executed late, or again after it was answered.
+ * While the worker remembers the attempt, a second launch has no effect; after the attempt is
+ * cleared, it would start the task again. Therefore an attempt that was launched by a direct
+ * command is cleared only in a message whose fencing token is higher than the launch's: the worker
+ * knows that token when it forgets the attempt, and rejects the launch from then on. To do this the
+ * leader raises the token of that worker within the term's block of tokens, once the oldest exit
+ * has waited for {@link #TOKEN_RAISE_DELAY_MS} or {@link #TOKEN_RAISE_EXIT_COUNT} exits are listed.
  */
 public final class HeartbeatReconciler {
   /**
-   * An unwanted attempt whose launch is in flight for so long is ended by its machine's deletion.
+   * A machine is deleted when a launch is still in flight this long after a stop of its attempt was
+   * requested.
    */
   private static final long DELETE_TO_FENCE_AFTER_MS = 8_000;
 
-  /** Exits may wait so long for a higher token; a worker sends one more heartbeat for each one. */
+  /** Maximum wait of an exit for a higher token. Each raise costs the worker an extra heartbeat. */
   static final long TOKEN_RAISE_DELAY_MS = 10_000;
 
-  /** No more exits than this wait for a higher token: heartbeats must stay small. */
-  static final int TOKEN_RAISE_EXITS = 16;
+  /** Number of listed exits that raises the token at once, to keep heartbeats small. */
+  static final int TOKEN_RAISE_EXIT_COUNT = 16;
 
   private final TermTiming timing;
   private final AttemptTracker attempts;
@@ -53,11 +54,11 @@
   }
 
   /**
-   * Takes a worker's heartbeat and answers with the commands for it.
+   * Applies a worker's heartbeat and returns the commands for the worker.
    *
    * @param mayLaunch false while the leader cannot reach the state service, and for a heartbeat
-   *     that answers direct commands, to which no response is sent
-   * @return null when the message is older than one seen before and must be ignored
+   *     that answers direct commands, since no response is sent to it
+   * @return null when the heartbeat is not newer than the newest one seen and must be ignored
    */
   public List<WorkerCommand> reconcile(
       Machine machine, Heartbeat heartbeat, boolean mayLaunch, long now) {
@@ -69,25 +70,30 @@
     applyMachineStatus(machine, heartbeat, now);
     raiseFencingToken(machine, heartbeat, now);
     List<WorkerCommand> commands = new ArrayList<>();
-    ObjectOpenHashSet<Attempt> listed = applyEntries(machine, heartbeat, now, commands);
-    boolean launchMissed = applyUnlisted(machine, heartbeat, listed, mayLaunch, now, commands);
-    // Heartbeats that answer direct commands come many to one response, which may still be on its
-    // way: they do not show that it was lost.
-    if (launchMissed && mayLaunch) {
+    ObjectOpenHashSet<Attempt> listedAttempts = applyEntries(machine, heartbeat, now, commands);
+    boolean launchUnacknowledged =
+        applyUnlisted(machine, heartbeat, listedAttempts, mayLaunch, now, commands);
+    // Several heartbeats that answer direct commands may arrive while one heartbeat response is
+    // still
+    // in transit, so they are no evidence that the response was lost.
+    if (launchUnacknowledged && mayLaunch) {
       machine.health.outboundReachability().recordUnacknowledged(now);
     }
     machine.lastResponseToken = machine.fencingToken;
     return commands;
   }
 
-  /** True for a duplicate, and for a heartbeat that a newer one has overtaken. */
+  /** True for a duplicate and for a heartbeat that arrives after a newer one. */
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
     return heartbeat.incarnation() < machine.incarnation
         || (heartbeat.incarnation() == machine.incarnation
             && heartbeat.sequence() <= machine.sequence);
   }
 
-  /** What the heartbeat shows of the responses before it; call before it is applied. */
+  /**
+   * Records what the heartbeat shows about the delivery of earlier responses. Must be called before
+   * the heartbeat is applied.
+   */
   private void recordDeliveryEvidence(
       Machine machine, Heartbeat heartbeat, boolean mayLaunch, long now) {
     OutboundReachability reachability = machine.health.outboundReachability();
@@ -99,8 +105,8 @@
         && machine.lastResponseToken > 0) {
       reachability.recordAcknowledged();
     }
-    // A duplicate or a hung machine does not look like this: each heartbeat that was counted was
-    // answered, and a machine that hangs sends none.
+    // The worker lost its session although its recent heartbeats were answered. Neither duplicates,
+    // which were dropped above, nor a hung machine, which sends no heartbeats, cause this.
     if (machine.incarnation > 0
         && heartbeat.incarnation() > machine.incarnation
         && machine.lastHeartbeatMs >= 0
@@ -109,17 +115,19 @@
     }
   }
 
-  /** Takes the worker's session and token, and ends what they prove to be over. */
+  /** Applies the worker's incarnation and token, and resolves the attempts they prove gone. */
   private void applySession(Machine machine, Heartbeat heartbeat, long now) {
     if (heartbeat.incarnation() > machine.incarnation) {
-      imageDistribution.removeMachine(machine); // Its cache may be empty.
-      machine.unfencedLaunches.clear(); // A later session does not execute them any more.
-      machine.exitsUnclearedSinceMs = -1;
+      imageDistribution.removeMachine(machine); // The new session's image cache may be empty.
+      machine.unfencedLaunches.clear(); // The new session rejects them.
+      machine.exitsAwaitingTokenSinceMs = -1;
     } else {
       dropFencedLaunches(machine, heartbeat.fencingToken());
     }
-    // Not only when the session is news: a failover may have read records of two sessions, and the
-    // earlier one's attempts would stay for ever (docs/incidents, stuck-of-an-earlier-session).
+    // Done for every heartbeat, not only for the first of a session: a failover may restore
+    // attempts
+    // of two sessions, and those of the earlier one would otherwise never be resolved
+    // (docs/incidents, stuck-of-an-earlier-session).
     for (Attempt attempt : new ArrayList<>(machine.attempts)) {
       if (attempt.incarnation < heartbeat.incarnation()) {
         attempt.launchInFlight = false;
@@ -131,7 +139,9 @@
     machine.highestTokenSeen = Math.max(machine.highestTokenSeen, heartbeat.fencingToken());
   }
 
-  /** The worker refuses launches with a lower token than it has seen from now on. */
+  /**
+   * Drops launches with a lower token than the worker has seen, since it rejects them from now on.
+   */
   private static void dropFencedLaunches(Machine machine, long tokenSeen) {
     if (machine.unfencedLaunches.isEmpty()) {
       return;
@@ -146,9 +156,10 @@
 
   private void applyMachineStatus(Machine machine, Heartbeat heartbeat, long now) {
     if (machine.health.isOverdue() && machine.isEmpty()) {
-      machine.idleSinceMs = now; // Nothing could use it meanwhile: it has not been idle for long.
+      machine.idleSinceMs =
+          now; // While overdue, the machine accepted no tasks; do not count that time as idle.
     }
-    // A heartbeat that waited while this process was paused is as old as the pause.
+    // After a pause of this process the heartbeat counts as received when the pause began.
     machine.lastHeartbeatMs = health.recordHeartbeat(machine.health, now);
     machine.address = heartbeat.address();
     machine.servesImages = heartbeat.servesImages();
@@ -161,66 +172,67 @@
     }
   }
 
-  /** Raises the worker's token when exits have waited long enough for it, or a fence is due. */
+  /** Raises the worker's token when waiting exits, a cancelled launch or a probe require it. */
   private void raiseFencingToken(Machine machine, Heartbeat heartbeat, long now) {
-    boolean due = exitsNeedHigherToken(machine, heartbeat, now);
+    boolean raiseNeeded = exitsNeedHigherToken(machine, heartbeat, now);
     for (Attempt attempt : machine.attempts) {
-      due |=
+      raiseNeeded |=
           attempt.launchInFlight
               && attempt.isStopping()
               && attempt.launchToken == machine.fencingToken;
     }
-    due |= machine.health.outboundReachability().takeProbe(now);
-    // The last token of the block is never raised: then launches go in responses only.
-    if (due && machine.fencingToken < FencingTokens.last(timing.term())) {
+    raiseNeeded |= machine.health.outboundReachability().takeProbe(now);
+    // The block's last token cannot be raised; from then on launches go in heartbeat responses
+    // only.
+    if (raiseNeeded && machine.fencingToken < FencingTokens.last(timing.term())) {
       machine.fencingToken++;
-      machine.exitsUnclearedSinceMs = -1;
+      machine.exitsAwaitingTokenSinceMs = -1;
     }
   }
 
   private static boolean exitsNeedHigherToken(Machine machine, Heartbeat heartbeat, long now) {
-    if (machine.exitsUnclearedSinceMs < 0) {
+    if (machine.exitsAwaitingTokenSinceMs < 0) {
       return false;
     }
-    if (now - machine.exitsUnclearedSinceMs >= TOKEN_RAISE_DELAY_MS) {
+    if (now - machine.exitsAwaitingTokenSinceMs >= TOKEN_RAISE_DELAY_MS) {
       return true;
     }
-    int exited = 0;
+    int exitCount = 0;
     for (Heartbeat.Entry entry : heartbeat.entries()) {
-      exited += entry.state() == Heartbeat.State.EXITED ? 1 : 0;
+      exitCount += entry.state() == Heartbeat.State.EXITED ? 1 : 0;
     }
-    return exited >= TOKEN_RAISE_EXITS;
+    return exitCount >= TOKEN_RAISE_EXIT_COUNT;
   }
 
-  /** Applies what the worker says of each of its tasks; returns the attempts that it lists. */
+  /** Applies the reported status of each task; returns the live attempts that are listed. */
   private ObjectOpenHashSet<Attempt> applyEntries(
       Machine machine, Heartbeat heartbeat, long now, List<WorkerCommand> commands) {
-    ObjectOpenHashSet<Attempt> listed = new ObjectOpenHashSet<>();
+    ObjectOpenHashSet<Attempt> listedAttempts = new ObjectOpenHashSet<>();
     for (Heartbeat.Entry entry : heartbeat.entries()) {
       Job job = jobs.get(entry.job());
-      boolean hasTask = job != null && entry.task() >= 0 && entry.task() < job.spec.tasks();
-      Attempt attempt = hasTask ? job.liveAttempts[entry.task()] : null;
+      boolean taskExists = job != null && entry.task() >= 0 && entry.task() < job.spec.tasks();
+      Attempt attempt = taskExists ? job.liveAttempts[entry.task()] : null;
       if (attempt == null
           || attempt.number != entry.attempt()
           || attempt.machine != machine
           || attempt.incarnation != heartbeat.incarnation()) {
-        answerUnknownAttempt(machine, entry, hasTask ? job : null, now, commands);
+        answerUnknownAttempt(machine, entry, taskExists ? job : null, now, commands);
         continue;
       }
       if (attempt.launchInHeartbeatResponse && attempt.phase == Attempt.Phase.READY) {
         machine.health.outboundReachability().recordAcknowledged();
       }
-      listed.add(attempt);
+      listedAttempts.add(attempt);
       applyTaskStatus(attempt, entry, now, commands);
     }
-    return listed;
+    return listedAttempts;
   }
 
   /**
-   * Answers an entry that is no live attempt: what runs is stopped, what exited is cleared once its
-   * exit is committed and no launch of it can start it again.
+   * Handles an entry that is not a live attempt. A task that has not exited is stopped. An exited
+   * one is cleared once its exit is committed and no launch can start it again.
    *
-   * @param job the entry's job when it has such a task, else null
+   * @param job the entry's job; null when the job is unknown or has no such task
    */
   private static void answerUnknownAttempt(
       Machine machine, Heartbeat.Entry entry, Job job, long now, List<WorkerCommand> commands) {
@@ -229,18 +241,18 @@
       return;
     }
     if (job != null && job.attemptRecordOf(entry.task()).dirty) {
-      return; // Its exit is not committed yet, as far as is known.
+      return; // The exit may not be committed yet.
     }
     long launchToken =
         machine.unfencedLaunches.getLong(Attempt.key(entry.job(), entry.task(), entry.attempt()));
     if (launchToken < machine.fencingToken) {
       commands.add(command(WorkerCommand.Kind.CLEAR, entry));
-    } else if (machine.exitsUnclearedSinceMs < 0) {
-      machine.exitsUnclearedSinceMs = now;
+    } else if (machine.exitsAwaitingTokenSinceMs < 0) {
+      machine.exitsAwaitingTokenSinceMs = now;
     }
   }
 
-  /** Takes what the worker says of a live attempt. */
+  /** Applies the reported status of a live attempt. */
   private void applyTaskStatus(
       Attempt attempt, Heartbeat.Entry entry, long now, List<WorkerCommand> commands) {
     switch (entry.state()) {
@@ -277,7 +289,8 @@
   private static AttemptOutcome outcome(String exitReason) {
     return switch (exitReason == null ? "" : exitReason) {
       case "done" -> AttemptOutcome.COMPLETED;
-      // A gang's task gives up without its peers; it is not at fault.
+      // A gang's task gave up because other tasks of the gang were missing; that is not its
+      // failure.
       case "stopped", "peers", "incomplete" -> AttemptOutcome.STOPPED;
       case "no_room" -> AttemptOutcome.INSUFFICIENT_RESOURCES;
       case "in_use", "no_such" -> AttemptOutcome.LAUNCH_REFUSED;
@@ -286,45 +299,48 @@
   }
 
   /**
-   * Launches the attempts of the worker's session that it does not list, or resolves them where
-   * that proves them gone.
+   * Handles the attempts of the worker's session that the heartbeat does not list: launches those
+   * that are ready, and resolves those whose absence proves them gone.
    *
-   * @return true when an earlier response carried the launch of one of them
+   * @return true when an earlier heartbeat response carried the launch of one that is not listed
    */
   private boolean applyUnlisted(
       Machine machine,
       Heartbeat heartbeat,
-      ObjectOpenHashSet<Attempt> listed,
+      ObjectOpenHashSet<Attempt> listedAttempts,
       boolean mayLaunch,
       long now,
       List<WorkerCommand> commands) {
-    boolean obeysThisTerm = heartbeat.fencingToken() >= timing.term();
-    boolean launchMissed = false;
+    boolean hasSeenTermToken = heartbeat.fencingToken() >= timing.term();
+    boolean launchUnacknowledged = false;
     for (Attempt attempt : new ArrayList<>(machine.attempts)) {
-      if (attempt.incarnation != heartbeat.incarnation() || listed.contains(attempt)) {
+      if (attempt.incarnation != heartbeat.incarnation() || listedAttempts.contains(attempt)) {
         continue;
       }
-      boolean committed = attempt.phase == Attempt.Phase.READY;
-      launchMissed |= attempt.launchInHeartbeatResponse && committed;
-      if (committed && !attempt.isStopping()) {
+      boolean ready = attempt.phase == Attempt.Phase.READY;
+      launchUnacknowledged |= attempt.launchInHeartbeatResponse && ready;
+      if (ready && !attempt.isStopping()) {
         if (mayLaunch) {
           attempt.launchSent = true;
           attempt.launchInHeartbeatResponse = true;
           commands.add(launchCommand(attempt));
         }
       } else if (attempt.phase != Attempt.Phase.RECORDING
-          && obeysThisTerm
+          && hasSeenTermToken
           && !attempt.launchInFlight) {
-        // Responses carry launches too. So a newer heartbeat of a worker that obeys this term and
-        // does not list the attempt proves that it has ended, or never started; but a launch that
-        // was sent straight to the worker may still come.
+        // A newer heartbeat from a worker that has seen this term's token proves that an unlisted
+        // attempt has ended or never started, even when a heartbeat response carried its launch.
+        // Only
+        // a direct command that is still in flight could start it later.
         attempts.resolve(attempt, AttemptOutcome.LOST, now);
       }
     }
-    return launchMissed;
+    return launchUnacknowledged;
   }
 
-  /** A launch as its worker is to have it: one that can fetch images from others is told whom. */
+  /**
+   * Launch command for an attempt, with image sources if its worker can fetch from other workers.
+   */
   public WorkerCommand launchCommand(Attempt attempt) {
     List<String> imageSources =
         attempt.machine.servesImages ? imageDistribution.imageSources(attempt) : List.of();
@@ -351,20 +367,20 @@
   }
 
   /**
-   * Commands to be sent straight to the worker now: launches that no message has carried yet, and
-   * stops. Launches count as in flight until {@link #directCommandsAnswered}.
+   * Returns the commands to send directly to the worker now: launches and stops that were not sent
+   * yet. Launches count as in flight until {@link #directCommandsAnswered} is called.
    */
   public List<WorkerCommand> takeDirectCommands(Machine machine, boolean mayLaunch, long now) {
     List<WorkerCommand> commands = new ArrayList<>();
-    if (!takesDirectCommands(machine, now)) {
+    if (!canSendDirectCommands(machine, now)) {
       return commands;
     }
-    boolean launches = mayLaunch && machine.fencingToken < FencingTokens.last(timing.term());
+    boolean canLaunch = mayLaunch && machine.fencingToken < FencingTokens.last(timing.term());
     for (Attempt attempt : machine.attempts) {
       if (attempt.incarnation != machine.incarnation) {
         continue;
       }
-      if (launches
+      if (canLaunch
           && attempt.phase == Attempt.Phase.READY
           && !attempt.launchSent
           && !attempt.isStopping()) {
@@ -383,8 +399,12 @@
     return commands;
   }
 
-  /** Only a worker that obeys this term and was heard a moment ago is worth the risk. */
-  private boolean takesDirectCommands(Machine machine, long now) {
+  /**
+   * True when the worker has seen this term's token, its heartbeat is not overdue and responses
+   * reach it. For other workers, the risk of a launch that stays in flight outweighs the faster
+   * start.
+   */
+  private boolean canSendDirectCommands(Machine machine, long now) {
     return machine.isUsable()
         && machine.highestTokenSeen >= timing.term()
         && now - machine.lastHeartbeatMs <= timing.heartbeatOverdueMs()
@@ -392,8 +412,9 @@
   }
 
   /**
-   * The worker answered direct commands, or certainly never got them: no launch is in flight.
-   * Duplicates of one that was answered may still come, so the attempt stays unfenced.
+   * Records that the worker answered direct commands, or certainly never received them, so that
+   * their launches are no longer in flight. Duplicates may still arrive, so the launches stay in
+   * the machine's unfenced launches.
    */
   public void directCommandsAnswered(Machine machine, List<WorkerCommand> commands) {
     for (WorkerCommand command : commands) {
@@ -408,8 +429,8 @@
   }
 
   /**
-   * True when an attempt that is not wanted any more may still be started by a launch in flight:
-   * only the machine's deletion ends that in time.
+   * True when a launch in flight may still start an attempt whose stop was requested, and raising
+   * the fencing token did not settle this in time. The machine must then be deleted.
    */
   public boolean needsDeletionToFence(Machine machine, long now) {
     for (Attempt attempt : machine.attempts) {
--- a/src/main/java/org/mallowroad/core/Job.java
+++ b/src/main/java/org/mallowroad/core/Job.java
@@ -6,96 +6,97 @@
 import org.mallowroad.core.health.RunTimeBaseline;
 
 /**
- * An accepted job and how its tasks stand. Times are milliseconds on the process's steady clock.
+ * An accepted job and the state of its tasks. Times are milliseconds on the process's monotonic
+ * clock.
  *
- * <p>A task is done, or has a live attempt (one that is not proven gone), or is pending.
+ * <p>Each task is done, has a live attempt (one that is not proven gone), or is pending.
  */
 public final class Job {
-  /** What the user submitted. */
+  /** The job as the user submitted it. */
   public final JobSpec spec;
 
-  /** Version of the job's open record, which never changes while the job is open. */
+  /** Version of the job's open record, which does not change while the job is open. */
   public final long version;
 
   /** Tasks that completed. */
   final BitSet doneTasks = new BitSet();
 
-  /** By task: an upper bound for the numbers of its attempts; the next one gets a higher one. */
+  /** By task: upper bound of the attempt numbers used; the next attempt gets a higher number. */
   final int[] highestAttemptNumbers;
 
-  /** By task: its attempt that is not proven gone, or null. */
+  /** By task: the live attempt, or null. */
   final Attempt[] liveAttempts;
 
-  /** The records of its attempts, each for {@link AttemptRecord#TASKS_PER_RECORD} tasks. */
+  /** The job's attempt records, each covering {@link AttemptRecord#TASKS_PER_RECORD} tasks. */
   final AttemptRecord[] attemptRecords;
 
-  /** Tasks that wait to be started, the next one first. */
+  /** Tasks that wait to be started, in starting order. */
   public final IntArrayFIFOQueue pendingTasks = new IntArrayFIFOQueue();
 
-  /** By zone: how many live attempts it has there. */
+  /** By zone: number of live attempts. */
   final int[] liveAttemptsByZone;
 
-  /** How long its completed tasks took: by it the straggler detector judges the others. */
+  /** Run times of completed tasks; the straggler detector compares running tasks with them. */
   final RunTimeBaseline runTimes;
 
-  /** Machines on which a task of this job ended with an error. */
+  /** Names of machines on which a task of this job ended with an error. */
   public final ObjectOpenHashSet<String> failedMachines = new ObjectOpenHashSet<>();
 
   /**
    * True when the job fits into its team's guarantee together with the team's earlier unfinished
-   * jobs; as of the newest queue.
+   * jobs, as of the latest rebuild of the job queue.
    */
   public boolean guaranteed;
 
-  /** True when it has waited so long that it goes before guaranteed work of its priority. */
+  /** True when the job has waited so long that it precedes guaranteed work of its priority. */
   public boolean aged;
 
   /**
-   * When as many of its tasks as its team's limit allows at once were placed or done, or -1. This
-   * is the moment that the service-level objective for the start of jobs refers to.
+   * Time at which as many tasks as the team's limit allows at once were placed or done; -1 before
+   * that. The service-level objective for the start of jobs refers to this time.
    */
   long fullyPlacedMs = -1;
 
   /**
-   * True while its dependencies are not met: no task of it starts, it does not count as waiting,
-   * and it does not age. Only a release that is on record in the state service ends this.
+   * True while the job's dependencies are not met: none of its tasks starts, and it neither counts
+   * as waiting nor ages. Only a release that is recorded in the state service ends this.
    */
   boolean held;
 
-  /** When it was released in this term, or 0. */
+  /** Time at which the job was released in this term, or 0. */
   long releasedMs;
 
-  /** The dependencies that are not met, for people; empty when it is not held. */
+  /** Human-readable list of the unmet dependencies; empty when the job is not held. */
   public String holdReason = "";
 
   int liveAttemptCount;
   int runningCount;
 
-  /** Failures in a row, without a task that completed between them. */
+  /** Number of failures since a task last completed. */
   int consecutiveFailures;
 
-  /** No task of it is started before this time, after failures. */
+  /** End of the backoff after failures: no task starts before this time. */
   long retryNotBeforeMs;
 
-  /** Since when it has had pending tasks without a break. */
+  /** Start of the current period in which the job has always had pending tasks. */
   long waitingSinceMs;
 
-  /** When its last task completed, once all have. */
+  /** Time at which the last task completed, once all have. */
   long allDoneMs;
 
-  /** When one of its tasks was last placed on a machine; before that, its submission. */
+  /** Time at which a task was last placed on a machine; the submission time before that. */
   long lastStartMs;
 
-  /** When it was submitted. */
+  /** Submission time on the monotonic clock. */
   final long submittedMs;
 
-  /** True once the user's cancellation is known; nothing is launched from then on. */
+  /** True once the user's cancellation is known; no task starts from then on. */
   boolean cancelled;
 
-  /** True once its end is on record in the state service. */
+  /** True once the job's end is recorded in the state service. */
   boolean ended;
 
-  Job(JobSpec spec, long version, int zones, long submittedMs, long now) {
+  Job(JobSpec spec, long version, int zoneCount, long submittedMs, long now) {
     this.submittedMs = submittedMs;
     this.lastStartMs = submittedMs;
     this.spec = spec;
@@ -106,29 +107,29 @@
     this.attemptRecords =
         new AttemptRecord
             [(spec.tasks() + AttemptRecord.TASKS_PER_RECORD - 1) / AttemptRecord.TASKS_PER_RECORD];
-    for (int i = 0; i < attemptRecords.length; i++) {
-      attemptRecords[i] = new AttemptRecord(this, i);
+    for (int index = 0; index < attemptRecords.length; index++) {
+      attemptRecords[index] = new AttemptRecord(this, index);
     }
-    this.liveAttemptsByZone = new int[zones];
+    this.liveAttemptsByZone = new int[zoneCount];
     this.waitingSinceMs = now;
   }
 
-  /** A record of its attempts, by the index of the record. */
+  /** The job's attempt record with the given index. */
   public AttemptRecord attemptRecord(int index) {
     return attemptRecords[index];
   }
 
-  /** The record that holds a task, by the task's number. */
+  /** The attempt record that covers a task. */
   AttemptRecord attemptRecordOf(int task) {
     return attemptRecords[task / AttemptRecord.TASKS_PER_RECORD];
   }
 
-  /** How many records the job may have. */
+  /** Number of attempt records. */
   public int attemptRecordCount() {
     return attemptRecords.length;
   }
 
-  /** True when the task is done. */
+  /** True when the task has completed. */
   public boolean isTaskDone(int task) {
     return doneTasks.get(task);
   }
@@ -138,12 +139,12 @@
     return liveAttempts[task];
   }
 
-  /** Highest attempt number that a task has had. */
+  /** Upper bound of the attempt numbers that a task has had. */
   public int highestAttemptNumber(int task) {
     return highestAttemptNumbers[task];
   }
 
-  /** Number of tasks done. */
+  /** Number of completed tasks. */
   public int doneTaskCount() {
     return doneTasks.cardinality();
   }
@@ -158,107 +159,107 @@
     return liveAttemptCount;
   }
 
-  /** True while it is tried again only later, after failures. */
+  /** True while the job's backoff after failures lasts. */
   public boolean isBackingOff(long now) {
     return retryNotBeforeMs > now;
   }
 
-  /** Until when it is held back after failures. */
+  /** End of the backoff after failures: no task starts before this time. */
   public long retryNotBeforeMs() {
     return retryNotBeforeMs;
   }
 
-  /** Failures in a row, without a task that completed between them. */
+  /** Number of failures since a task last completed. */
   public int consecutiveFailures() {
     return consecutiveFailures;
   }
 
-  /** True when there are machines on which a task of it ended with an error. */
+  /** True when a task of this job has ended with an error on some machine. */
   public boolean hasFailedMachines() {
     return !failedMachines.isEmpty();
   }
 
-  /** Since when tasks of it have waited without a break. */
+  /** Start of the current period in which the job has always had pending tasks. */
   public long waitingSinceMs() {
     return waitingSinceMs;
   }
 
-  /** True when it was within its team's guarantee in the newest queue. */
+  /** True when the job was within its team's guarantee at the latest rebuild of the job queue. */
   public boolean isGuaranteed() {
     return guaranteed;
   }
 
-  /** True when it goes before other work of its priority: within a guarantee, or long overdue. */
+  /** True when the job precedes other work of its priority, by its team's guarantee or by aging. */
   public boolean hasPrecedence() {
     return guaranteed || aged;
   }
 
-  /** When it had begun, the largest part of it that may run at once, or -1. */
+  /** Time at which as many tasks as may run at once were placed or done; -1 before that. */
   public long fullyPlacedMs() {
     return fullyPlacedMs;
   }
 
-  /** False where its other tasks keep its next one from a zone. */
+  /** True unless the zones of the other tasks rule out this zone for the next task. */
   public boolean allowsZone(int zone) {
     return !(spec.together() && liveAttemptCount > liveAttemptsByZone[zone])
         && !(spec.scatter() && liveAttemptsByZone[zone] >= spec.maxTasksPerZone());
   }
 
-  /** Number of live attempts in each zone; a copy. */
+  /** A copy of the numbers of live attempts by zone. */
   public int[] copyLiveAttemptsByZone() {
     return liveAttemptsByZone.clone();
   }
 
-  /** True when live attempts of it are in a zone. */
+  /** True when the job has live attempts in a zone. */
   public boolean hasLiveAttemptIn(int zone) {
     return liveAttemptsByZone[zone] > 0;
   }
 
-  /** Number of tasks known to run. */
+  /** Number of tasks that are known to be running. */
   public int runningCount() {
     return runningCount;
   }
 
-  /** When it was submitted. */
+  /** Submission time on the monotonic clock. */
   public long submittedMs() {
     return submittedMs;
   }
 
-  /** When one of its tasks was last given to a machine. */
+  /** Time at which a task was last placed on a machine; the submission time before that. */
   public long lastStartMs() {
     return lastStartMs;
   }
 
-  /** The most attempts that one of its tasks has had. */
+  /** Highest attempt number among all tasks. */
   public int maxAttemptNumber() {
-    int most = 0;
-    for (int n : highestAttemptNumbers) {
-      most = Math.max(most, n);
+    int max = 0;
+    for (int number : highestAttemptNumbers) {
+      max = Math.max(max, number);
     }
-    return most;
+    return max;
   }
 
-  /** When its last task was done, once all are. */
+  /** Time at which the last task completed, once all have. */
   public long allDoneMs() {
     return allDoneMs;
   }
 
-  /** True when all tasks are done. */
+  /** True when all tasks have completed. */
   public boolean areAllTasksDone() {
     return doneTasks.cardinality() == spec.tasks();
   }
 
-  /** True while its dependencies are not met. */
+  /** True while the job's dependencies are not met. */
   public boolean isHeld() {
     return held;
   }
 
-  /** Since when it could have started: its submission, or its release. */
+  /** Time since which the job has been eligible to start: its submission or its later release. */
   public long eligibleSinceMs() {
     return Math.max(submittedMs, releasedMs);
   }
 
-  /** True while tasks wait and may be started. */
+  /** True while the job has pending tasks and is eligible to start them. */
   public boolean hasStartableTasks() {
     return !held && !cancelled && !ended && !pendingTasks.isEmpty();
   }
@@ -268,12 +269,12 @@
     return cancelled;
   }
 
-  /** True once the job's end is recorded as done. */
+  /** True once the job's end is recorded in the state service. */
   public boolean isEnded() {
     return ended;
   }
 
-  /** True when nothing of an ended job is left on any machine. */
+  /** True when the job has ended or was cancelled, and no attempt of it is live. */
   public boolean isFinished() {
     return (cancelled || ended) && liveAttemptCount == 0;
   }
--- a/src/main/java/org/mallowroad/core/JobRegistry.java
+++ b/src/main/java/org/mallowroad/core/JobRegistry.java
@@ -5,7 +5,7 @@
 import java.util.BitSet;
 import java.util.Collection;
 
-/** The jobs of one term, with the queues of their pending tasks, and which of them are complete. */
+/** The jobs of one term, their queues of pending tasks, and the jobs ready to be completed. */
 final class JobRegistry {
   private final int zoneCount;
   private final Object2ObjectLinkedOpenHashMap<String, Job> jobs =
@@ -17,7 +17,7 @@
     this.zoneCount = zoneCount;
   }
 
-  /** Open jobs and those whose attempts are not all proven gone, in the order of acceptance. */
+  /** Open jobs and jobs with attempts not yet proven gone, in order of acceptance. */
   Collection<Job> all() {
     return jobs.values();
   }
@@ -27,17 +27,17 @@
     return jobs.get(id);
   }
 
-  /** Jobs whose tasks are all done and whose end is to be committed. */
+  /** Jobs whose tasks are all done and whose end is not committed yet. */
   Collection<Job> jobsToComplete() {
     return jobsToComplete;
   }
 
-  /** Tasks looked at so far to rebuild queues: what a failover costs. */
+  /** Number of tasks visited so far to rebuild queues; measures the cost of a failover. */
   long rebuiltQueueTasks() {
     return rebuiltQueueTasks;
   }
 
-  /** Marks the indices of the names that jobs have. */
+  /** Marks the name indices that jobs use. */
   void markUsedNames(BitSet images, BitSet classes, BitSet types) {
     for (Job job : jobs.values()) {
       images.set(job.spec.image());
@@ -48,11 +48,11 @@
     }
   }
 
-  /** Adds an open job with all of its tasks pending; the known one when it is known already. */
+  /** Adds an open job with all tasks pending, or returns the existing job with the same id. */
   Job accept(JobSpec spec, long version, long ageMs, long now) {
-    Job known = jobs.get(spec.id());
-    if (known != null) {
-      return known;
+    Job existing = jobs.get(spec.id());
+    if (existing != null) {
+      return existing;
     }
     Job job = new Job(spec, version, zoneCount, now - Math.max(0, ageMs), now);
     for (int task = 0; task < spec.tasks(); task++) {
@@ -63,7 +63,7 @@
     return job;
   }
 
-  /** Makes the queue of a restored job from what its records said. */
+  /** Rebuilds the queue of a restored job from its done tasks and live attempts. */
   void rebuildQueue(Job job) {
     job.pendingTasks.clear();
     if (job.cancelled || job.ended) {
@@ -77,7 +77,7 @@
     }
   }
 
-  /** When all tasks of the job are done its end is to be committed. */
+  /** Schedules the commit of the job's end if all its tasks are done. */
   void completeIfDone(Job job, long now) {
     if (job.areAllTasksDone()) {
       job.allDoneMs = now;
@@ -85,13 +85,13 @@
     }
   }
 
-  /** Nothing of the job starts any more, and it is not completed. */
+  /** Clears the job's queue and withdraws it from completion, so that no task of it starts. */
   void close(Job job) {
     job.pendingTasks.clear();
     jobsToComplete.remove(job);
   }
 
-  /** Drops a job of which nothing is left. */
+  /** Removes a job that has no attempts left. */
   void remove(Job job) {
     jobs.remove(job.spec.id());
     jobsToComplete.remove(job);
--- a/src/main/java/org/mallowroad/core/JobSpec.java
+++ b/src/main/java/org/mallowroad/core/JobSpec.java
@@ -63,8 +63,8 @@
   }
 
   /** True when the job allows a machine of this type in this zone, on-demand or spot as given. */
-  public boolean allows(int type, int inZone, boolean onSpot) {
-    return allowsType(type) && (zone < 0 || zone == inZone) && (spot || !onSpot);
+  public boolean allows(int type, int machineZone, boolean spotMachine) {
+    return allowsType(type) && (zone < 0 || zone == machineZone) && (spot || !spotMachine);
   }
 
   /**
@@ -72,8 +72,8 @@
    * its tasks in a zone, but all of them have to share one. The protocol has no status for
    * rejecting such a job, so it is accepted and reported as unsatisfiable.
    */
-  public boolean isUnsatisfiable(int zones) {
-    return gang && scatter && maxTasksPerZone() < tasks && (together || zone >= 0 || zones < 2);
+  public boolean isUnsatisfiable(int zoneCount) {
+    return gang && scatter && maxTasksPerZone() < tasks && (together || zone >= 0 || zoneCount < 2);
   }
 
   /** Maximum number of tasks that may run in the same zone at the same time. */
--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -7,13 +7,12 @@
 import org.mallowroad.core.health.MachineHealth;
 
 /**
- * A rented machine as the leader knows it. Times are milliseconds on the process's steady clock.
+ * A rented machine as known to the leader. Times are milliseconds on the process's monotonic clock.
  */
 public final class Machine {
-  /** The cloud's name for it. */
+  /** The name that the cloud assigned. */
   public final String name;
 
-  /** Its type. */
   public final MachineType type;
 
   /** The index of its zone. */
@@ -22,85 +21,86 @@
   /** True for a spot machine. */
   public final boolean spot;
 
-  /** What is suspected of it; evidence only, never a proof that an attempt is gone. */
+  /** Health evidence about the machine; never a proof that an attempt is gone. */
   public final MachineHealth health;
 
-  /** Where its worker takes direct commands; empty until its first heartbeat. */
+  /** Address at which the worker accepts direct commands; empty until the first heartbeat. */
   public String address = "";
 
-  /** The peer that relayed its newest heartbeat, or -1 when that came directly. */
+  /** Index of the peer that relayed the latest heartbeat; -1 when it came directly. */
   public int relayPeer = -1;
 
-  /** The worker's incarnation in the newest heartbeat seen; 0 before the first one. */
+  /** The highest worker incarnation seen; 0 before the first heartbeat. */
   public long incarnation;
 
-  /** The sequence number of the newest heartbeat of that incarnation. */
+  /** The highest heartbeat sequence number seen of that incarnation. */
   public long sequence;
 
-  /** The highest fencing token that the worker said it has seen. */
+  /** The highest fencing token that the worker has acknowledged in a heartbeat. */
   public long highestTokenSeen;
 
   /**
-   * The token on every message to it: the term's, raised when {@link HeartbeatReconciler} needs.
+   * The fencing token of every message to the machine: the term's first token, or a higher one
+   * after {@link HeartbeatReconciler} raised it.
    */
   public long fencingToken;
 
-  /** The token on the response to its newest heartbeat; 0 before the first one. */
+  /** The fencing token of the latest heartbeat response; 0 before the first one. */
   long lastResponseToken;
 
-  /** When its newest heartbeat to this leader came, or -1. */
+  /** Time of the latest heartbeat that this leader received, or -1. */
   public long lastHeartbeatMs = -1;
 
-  /** When this leader last responded to it, which may have renewed its lease, or -1. */
+  /** Time of this leader's latest response, which may have renewed the worker's lease, or -1. */
   public long lastResponseMs = -1;
 
-  /** When it was rented or first seen. */
+  /** Time at which the machine was rented or first seen. */
   public long firstSeenMs;
 
-  /** When the cloud will take the spot machine back, or 0. */
+  /** Time at which the cloud will reclaim the spot machine, or 0. */
   public long interruptionMs;
 
-  /** When the notice of that came, or 0. */
+  /** Time at which the interruption notice arrived, or 0. */
   public long interruptionNoticeMs;
 
-  /** True when its worker said that it serves images to others, and fetches from them. */
+  /** True when the worker serves images to other workers and fetches images from them. */
   public boolean servesImages;
 
-  /** No new work goes to it. */
+  /** True when the machine gets no new work. */
   public boolean draining;
 
-  /** A delete request is to be sent to the cloud, or its answer has not come yet. */
+  /** True when a delete request is due or its response is outstanding. */
   public boolean deleting;
 
-  /** The cloud's list said that it has failed. */
+  /** True once the cloud's machine list reported the machine as failed. */
   public boolean failed;
 
-  /** The gang that it is reserved for: nothing else starts here; null for none. */
+  /** The gang that the machine is reserved for; no other job's task starts here. Null for none. */
   public Job reservedFor;
 
-  /** No new work before this time, after it refused a launch. */
+  /** End of the backoff after the worker refused a launch: no new work before this time. */
   long backoffUntilMs;
 
-  /** Since when it has no attempt, or -1 while it has one. */
+  /** Time since which the machine has no attempts; -1 while it has some. */
   public long idleSinceMs;
 
-  /** Its attempts that are not proven gone, in the order in which they were made. */
+  /** Attempts on this machine that are not proven gone, in the order of their creation. */
   public final ObjectLinkedOpenHashSet<Attempt> attempts = new ObjectLinkedOpenHashSet<>();
 
   /**
-   * Attempts whose launch was in a direct command, and the token on it. The command may come late,
-   * or once more; were the attempt cleared before the worker has seen a higher token, it would
-   * start again.
+   * Fencing tokens of launches that were sent in direct commands, by attempt key. Such a command
+   * may arrive late or as a duplicate; if the attempt were cleared before the worker has seen a
+   * higher token, the command would start it again.
    */
   final Object2LongOpenHashMap<String> unfencedLaunches = new Object2LongOpenHashMap<>();
 
-  /** Since when exited attempts wait for a higher token to be cleared; -1 when none does. */
-  long exitsUnclearedSinceMs = -1;
+  /** Time since which an exited attempt waits for a higher token to be cleared; -1 for none. */
+  long exitsAwaitingTokenSinceMs = -1;
 
-  /** What no attempt takes. */
+  /** Resources that no attempt occupies. */
   public final ResourceVector freeResources;
 
-  /** Images most likely in its cache and their GB, the least recently used first. */
+  /** Sizes in GB of the images that are probably cached, least recently used first. */
   final Int2DoubleLinkedOpenHashMap cachedImages = new Int2DoubleLinkedOpenHashMap();
 
   Machine(String name, MachineType type, int zone, boolean spot, long fencingToken, long now) {
@@ -115,86 +115,90 @@
     this.idleSinceMs = now;
   }
 
-  /** True once a heartbeat came to this leader, unless the machine drains or has failed. */
+  /**
+   * True once this leader received a heartbeat, unless the machine is draining, deleted or failed.
+   */
   public boolean isUsable() {
     return lastHeartbeatMs >= 0 && !draining && !deleting && !failed;
   }
 
-  /** Its attempts that are not proven gone. */
+  /** Attempts on this machine that are not proven gone, in the order of their creation. */
   public Iterable<Attempt> attempts() {
     return attempts;
   }
 
-  /** True when it has no attempt that is not proven gone. */
+  /** True when all attempts on this machine are proven gone. */
   public boolean isEmpty() {
     return attempts.isEmpty();
   }
 
-  /** True when the image was fetched here and is most likely still cached. */
+  /** True when the image was used here and is probably still cached. */
   public boolean hasImage(int image) {
     return cachedImages.containsKey(image);
   }
 
-  /** True when it and the images used since fill no more than the given share of the cache. */
-  public boolean isLikelyCached(int image, double share) {
-    double sum = 0;
-    for (IntBidirectionalIterator it =
+  /** True when the image and those used since fill no more than the given share of the cache. */
+  public boolean isLikelyCached(int image, double maxCacheShare) {
+    double totalGb = 0;
+    for (IntBidirectionalIterator mostRecentFirst =
             cachedImages.keySet().iterator(cachedImages.isEmpty() ? 0 : cachedImages.lastIntKey());
-        it.hasPrevious(); ) {
-      int i = it.previousInt();
-      sum += cachedImages.get(i);
-      if (i == image) {
-        return sum <= share * type.cacheGb();
+        mostRecentFirst.hasPrevious(); ) {
+      int cachedImage = mostRecentFirst.previousInt();
+      totalGb += cachedImages.get(cachedImage);
+      if (cachedImage == image) {
+        return totalGb <= maxCacheShare * type.cacheGb();
       }
     }
     return false;
   }
 
-  /** Remembers an image use; the least recently used ones go when the cache is full. */
+  /**
+   * Records the use of an image, and evicts the least recently used images if the cache is full.
+   */
   public void recordImageUse(int image, double gb) {
     cachedImages.putAndMoveToLast(image, gb);
-    double sum = 0;
-    for (double g : cachedImages.values()) {
-      sum += g;
+    double totalGb = 0;
+    for (double cachedGb : cachedImages.values()) {
+      totalGb += cachedGb;
     }
-    while (sum > type.cacheGb() && cachedImages.size() > 1) {
-      sum -= cachedImages.removeFirstDouble();
+    while (totalGb > type.cacheGb() && cachedImages.size() > 1) {
+      totalGb -= cachedImages.removeFirstDouble();
     }
   }
 
-  /** A copy of what no attempt takes. */
+  /** A copy of the free resources. */
   public ResourceVector copyFreeResources() {
     return new ResourceVector(freeResources.cpus, freeResources.cards, freeResources.memGb);
   }
 
-  /** CPUs that no attempt takes. */
+  /** Free CPUs. */
   public double freeCpus() {
     return freeResources.cpus;
   }
 
-  /** The share of its scarcest resource that attempts take, from 0 to 1. */
+  /** Allocated share of the machine's most heavily allocated resource, from 0 to 1. */
   public double allocatedShare() {
-    double b = 1 - freeResources.cpus / type.cpus();
+    double share = 1 - freeResources.cpus / type.cpus();
     if (type.memGb() > 0) {
-      b = Math.max(b, 1 - freeResources.memGb / type.memGb());
+      share = Math.max(share, 1 - freeResources.memGb / type.memGb());
     }
     if (type.cards() > 0) {
-      b = Math.max(b, 1 - freeResources.cards / type.cards());
+      share = Math.max(share, 1 - freeResources.cards / type.cards());
     }
-    return b;
+    return share;
   }
 
-  void add(Attempt a) {
-    attempts.add(a);
-    freeResources.add(a.job.spec, -1);
+  void add(Attempt attempt) {
+    attempts.add(attempt);
+    freeResources.add(attempt.job.spec, -1);
     idleSinceMs = -1;
   }
 
-  void remove(Attempt a, long now) {
-    attempts.remove(a);
-    freeResources.add(a.job.spec, 1);
+  void remove(Attempt attempt, long now) {
+    attempts.remove(attempt);
+    freeResources.add(attempt.job.spec, 1);
     if (attempts.isEmpty()) {
-      // Start again from exact figures so that rounding never adds up.
+      // Reset to the exact capacity so that rounding errors do not accumulate.
       freeResources.cpus = type.cpus();
       freeResources.cards = type.cards();
       freeResources.memGb = type.memGb();
--- a/src/main/java/org/mallowroad/core/MachineRegistry.java
+++ b/src/main/java/org/mallowroad/core/MachineRegistry.java
@@ -5,12 +5,12 @@
 import java.util.BitSet;
 import java.util.Collection;
 
-/** The machines of one term by name, and the names of those that were deleted in it. */
+/** The machines of one term by name, and the names of machines that were deleted in the term. */
 final class MachineRegistry {
   /**
-   * Deleted machines whose names are remembered: heartbeats and lists of the cloud that still have
-   * them come minutes late at the most. A later one would be registered as an unexpected machine,
-   * and deleted again.
+   * Maximum number of remembered names of deleted machines. Heartbeats and cloud lists that still
+   * name a deleted machine arrive at most minutes late. One that arrives after the name was dropped
+   * registers an unexpected machine, which is then deleted again.
    */
   static final int MAX_DELETED_NAMES = 10_000;
 
@@ -20,12 +20,12 @@
   private final ObjectLinkedOpenHashSet<String> deletedNames = new ObjectLinkedOpenHashSet<>();
   private long version;
 
-  /** Without machines; new ones get the term's first fencing token. */
+  /** Creates an empty registry; new machines get the term's first fencing token. */
   MachineRegistry(long term) {
     this.term = term;
   }
 
-  /** All machines that are not proven deleted, in the order in which they became known. */
+  /** All machines that are not proven deleted, in the order of registration. */
   Collection<Machine> all() {
     return machines.values();
   }
@@ -35,22 +35,22 @@
     return machines.get(name);
   }
 
-  /** True when the machine was deleted in this term, as far back as names are remembered. */
+  /** True when the machine was deleted in this term and its name is still remembered. */
   boolean isDeleted(String name) {
     return deletedNames.contains(name);
   }
 
-  /** How many names of deleted machines are remembered. */
+  /** Number of remembered names of deleted machines. */
   int deletedCount() {
     return deletedNames.size();
   }
 
-  /** Changes with every machine that is added or deleted. */
+  /** A counter that changes whenever a machine is added or deleted. */
   long version() {
     return version;
   }
 
-  /** Marks the indices of the names that machines have. */
+  /** Marks the name indices that machines use. */
   void markUsedNames(BitSet images, BitSet types) {
     for (Machine machine : machines.values()) {
       types.set(machine.type.index());
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Adds a machine that is neither known nor deleted. */
+  /** Adds a machine that is neither registered nor remembered as deleted. */
   Machine add(String name, MachineType type, int zone, boolean spot, long now) {
     Machine machine = new Machine(name, type, zone, spot, term, now);
     machines.put(name, machine);
@@ -66,7 +66,7 @@
     return machine;
   }
 
-  /** Drops a machine that is proven deleted; its name is remembered. */
+  /** Removes a machine that is proven deleted and remembers its name. */
   void delete(Machine machine) {
     machines.remove(machine.name);
     version++;
--- a/src/main/java/org/mallowroad/core/MachineType.java
+++ b/src/main/java/org/mallowroad/core/MachineType.java
@@ -1,15 +1,18 @@
 package org.mallowroad.core;
 
 /**
- * What the cloud says of a machine type.
+ * A machine type as the cloud offers it.
  *
- * @param index a dense number, for bit sets and arrays
- * @param cards accelerator cards
- * @param cacheGb size of the image cache
- * @param fetchGbPerS rate at which the machine fetches images
- * @param price of an ordinary machine an hour
- * @param spotPrice of a spot machine an hour
- * @param bootS usual boot time in seconds
+ * @param index dense index, for bit sets and arrays
+ * @param name name in the cloud's API
+ * @param cpus number of CPUs
+ * @param cards number of accelerator cards
+ * @param memGb memory in GB
+ * @param cacheGb size of the image cache in GB
+ * @param fetchGbPerS rate at which the machine fetches images, in GB/s
+ * @param price price of an on-demand machine per hour
+ * @param spotPrice price of a spot machine per hour
+ * @param bootS typical boot time in seconds
  * @param zones indices of the zones where the type is offered
  */
 public record MachineType(
@@ -32,7 +35,7 @@
         && job.memGb() <= memGb + ResourceVector.EPSILON;
   }
 
-  /** How many tasks of the job fit on an empty machine of this type. */
+  /** Number of the job's tasks that fit on an empty machine of this type. */
   public int capacityFor(JobSpec job) {
     return new ResourceVector(cpus, cards, memGb).capacityFor(job, 1_000_000);
   }
@@ -47,7 +50,7 @@
     return false;
   }
 
-  /** The price of an ordinary or a spot machine an hour. */
+  /** Price per hour of an on-demand or spot machine. */
   public double price(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/org/mallowroad/core/NameIndex.java
+++ b/src/main/java/org/mallowroad/core/NameIndex.java
@@ -6,59 +6,59 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Gives names dense indices, so that the scheduler can work on bit sets and arrays. */
+/** Interns names as dense indices, so that the scheduler can use bit sets and arrays. */
 public final class NameIndex {
-  private final Object2IntOpenHashMap<String> index = new Object2IntOpenHashMap<>();
-  private final List<String> names = new ArrayList<>();
+  private final Object2IntOpenHashMap<String> indexByName = new Object2IntOpenHashMap<>();
+  private final List<String> namesByIndex = new ArrayList<>();
   private final IntArrayList freeIndices = new IntArrayList();
 
-  /** An empty table. */
+  /** Creates an empty index. */
   public NameIndex() {
-    index.defaultReturnValue(-1);
+    indexByName.defaultReturnValue(-1);
   }
 
-  /** The index of a name, which is given one when it is new. */
+  /** Returns the index of a name; a new name is assigned one. */
   public int intern(String name) {
-    int i = index.getInt(name);
-    if (i < 0) {
+    int index = indexByName.getInt(name);
+    if (index < 0) {
       if (freeIndices.isEmpty()) {
-        i = names.size();
-        names.add(name);
+        index = namesByIndex.size();
+        namesByIndex.add(name);
       } else {
-        i = freeIndices.popInt();
-        names.set(i, name);
+        index = freeIndices.popInt();
+        namesByIndex.set(index, name);
       }
-      index.put(name, i);
+      indexByName.put(name, index);
     }
-    return i;
+    return index;
   }
 
-  /** The index of a name, or -1 when it was never seen. */
+  /** The index of a name, or -1 when the name has none. */
   public int find(String name) {
-    return index.getInt(name);
+    return indexByName.getInt(name);
   }
 
-  /** The name behind an index. */
-  public String name(int i) {
-    return names.get(i);
+  /** The name that an index was assigned to. */
+  public String name(int index) {
+    return namesByIndex.get(index);
   }
 
-  /** How many names there are. */
+  /** Number of names. */
   public int size() {
-    return index.size();
+    return indexByName.size();
   }
 
   /**
-   * Forgets the names whose indices are not used any more, so that names which users make up do not
-   * pile up; the indices are given to new names.
+   * Removes the names whose indices are unused and reuses these indices for new names, so that
+   * user-defined names do not accumulate.
    */
-  public void retain(BitSet used) {
-    for (int i = 0; i < names.size(); i++) {
-      String name = names.get(i);
-      if (name != null && !used.get(i)) {
-        index.removeInt(name);
-        names.set(i, null);
-        freeIndices.push(i);
+  public void retain(BitSet usedIndices) {
+    for (int index = 0; index < namesByIndex.size(); index++) {
+      String name = namesByIndex.get(index);
+      if (name != null && !usedIndices.get(index)) {
+        indexByName.removeInt(name);
+        namesByIndex.set(index, null);
+        freeIndices.push(index);
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/PendingWrites.java
+++ b/src/main/java/org/mallowroad/core/PendingWrites.java
@@ -4,28 +4,29 @@
 import java.util.Collection;
 
 /**
- * The attempt records whose state in memory is newer than in the state service, and which of them
- * starts wait for: no launch is sent before the record of its attempt is committed.
+ * Tracks the attempt records whose state in memory is newer than in the state service, and which of
+ * them are urgent because they contain uncommitted starts: no launch is sent before the record of
+ * its attempt is committed.
  */
 final class PendingWrites {
   private final ObjectLinkedOpenHashSet<AttemptRecord> dirtyRecords =
       new ObjectLinkedOpenHashSet<>();
 
-  /** The dirty records with uncommitted starts, in the order in which they were placed. */
+  /** The dirty records with uncommitted starts, in the order of their first such start. */
   private final ObjectLinkedOpenHashSet<AttemptRecord> urgentRecords =
       new ObjectLinkedOpenHashSet<>();
 
-  /** Records that changed since they were committed, those that have waited longest first. */
+  /** Records that changed since their latest commit, longest-waiting first. */
   Collection<AttemptRecord> dirtyRecords() {
     return dirtyRecords;
   }
 
-  /** The dirty records for which starts wait. */
+  /** The dirty records with uncommitted starts. */
   Collection<AttemptRecord> urgentRecords() {
     return urgentRecords;
   }
 
-  /** The record is to be written or deleted, since what it says of a task is out of date. */
+  /** Marks a record as out of date, so that it will be written or deleted. */
   void markDirty(AttemptRecord attemptRecord, long now) {
     if (!attemptRecord.dirty) {
       attemptRecord.dirty = true;
@@ -35,14 +36,14 @@
     dirtyRecords.add(attemptRecord);
   }
 
-  /** An attempt of the record was made, and is launched only once the record is committed. */
+  /** Adds a new attempt, whose launch waits for the record's commit. */
   void addUncommittedStart(AttemptRecord attemptRecord, long now) {
     markDirty(attemptRecord, now);
     attemptRecord.uncommittedStarts++;
     urgentRecords.add(attemptRecord);
   }
 
-  /** An attempt of the record waits for a commit no longer: it is committed, or withdrawn. */
+  /** Removes an attempt that no longer waits for a commit: it was committed or withdrawn. */
   void removeUncommittedStart(AttemptRecord attemptRecord) {
     if (--attemptRecord.uncommittedStarts == 0) {
       urgentRecords.remove(attemptRecord);
@@ -50,22 +51,24 @@
   }
 
   /**
-   * The record was written as it was when it had {@code changeCount} changes.
+   * Records that a commit of a record succeeded.
    *
-   * @param version its version in the state service from now on
+   * @param version the record's new version in the state service
+   * @param writtenChangeCount the record's change count when its written content was encoded
    */
-  void committed(AttemptRecord attemptRecord, long version, long changeCount, long now) {
+  void markCommitted(AttemptRecord attemptRecord, long version, long writtenChangeCount, long now) {
     attemptRecord.version = version;
     attemptRecord.dirtySinceMs = now;
-    if (attemptRecord.changeCount == changeCount) {
+    if (attemptRecord.changeCount == writtenChangeCount) {
       attemptRecord.dirty = false;
       dirtyRecords.remove(attemptRecord);
     } else {
-      dirtyRecords.addAndMoveToLast(attemptRecord); // The others have waited longer.
+      dirtyRecords.addAndMoveToLast(
+          attemptRecord); // It changed during the commit; the others have waited longer.
     }
   }
 
-  /** The job of the record is dropped: nothing of it is written any more. */
+  /** Removes a record whose job is removed; it will not be written any more. */
   void remove(AttemptRecord attemptRecord) {
     dirtyRecords.remove(attemptRecord);
     urgentRecords.remove(attemptRecord);
--- a/src/main/java/org/mallowroad/core/ResourceVector.java
+++ b/src/main/java/org/mallowroad/core/ResourceVector.java
@@ -1,20 +1,19 @@
 package org.mallowroad.core;
 
-/** Amounts of the three resources of a machine: CPUs, accelerator cards, memory. */
+/** Amounts of CPUs, accelerator cards and memory. */
 public final class ResourceVector {
-  /** Amounts are decimal numbers, so sums are compared with this tolerance. */
+  /** Tolerance for comparing sums of floating-point amounts. */
   public static final double EPSILON = 1e-6;
 
-  /** CPUs; tasks may take parts of one. */
+  /** Number of CPUs; may be fractional. */
   public double cpus;
 
-  /** Accelerator cards. */
+  /** Number of accelerator cards. */
   public double cards;
 
   /** Memory in GB. */
   public double memGb;
 
-  /** The given amounts. */
   public ResourceVector(double cpus, double cards, double memGb) {
     this.cpus = cpus;
     this.cards = cards;
@@ -28,22 +27,22 @@
         && job.memGb() <= memGb + EPSILON;
   }
 
-  /** How many tasks of the job fit, {@code most} at the most. */
-  public int capacityFor(JobSpec job, int most) {
-    double tasks = most;
+  /** Number of the job's tasks that fit, at most {@code max}. */
+  public int capacityFor(JobSpec job, int max) {
+    double capacity = max;
     if (job.cpus() > 0) {
-      tasks = Math.min(tasks, (cpus + EPSILON) / job.cpus());
+      capacity = Math.min(capacity, (cpus + EPSILON) / job.cpus());
     }
     if (job.cards() > 0) {
-      tasks = Math.min(tasks, (cards + EPSILON) / job.cards());
+      capacity = Math.min(capacity, (cards + EPSILON) / job.cards());
     }
     if (job.memGb() > 0) {
-      tasks = Math.min(tasks, (memGb + EPSILON) / job.memGb());
+      capacity = Math.min(capacity, (memGb + EPSILON) / job.memGb());
     }
-    return (int) Math.max(0, tasks);
+    return (int) Math.max(0, capacity);
   }
 
-  /** Adds what {@code tasks} tasks of the job take; negative to take away. */
+  /** Adds the resources of {@code tasks} tasks of the job; a negative number subtracts them. */
   public void add(JobSpec job, int tasks) {
     cpus += tasks * job.cpus();
     cards += tasks * job.cards();
--- a/src/main/java/org/mallowroad/core/SchedulerState.java
+++ b/src/main/java/org/mallowroad/core/SchedulerState.java
@@ -13,19 +13,20 @@
 import org.mallowroad.core.image.ImageFetchPolicy;
 
 /**
- * The state of one leader's term: its jobs, attempts and machines. It owns the classes that each
- * keep a part of it, and is what the rest of the scheduler talks to:
+ * The state of one leadership term: its jobs, attempts and machines. This facade is used by the
+ * rest of the scheduler; it owns the classes that each hold a part of the state:
  *
  * <ul>
- *   <li>{@link StartAdmission}: may this task start on this machine?
- *   <li>{@link AttemptTracker}: the life cycle of attempts, and the proof that one is gone;
- *   <li>{@link JobRegistry} and {@link MachineRegistry}: what there is;
- *   <li>{@link PendingWrites}: which attempt records are to be written;
- *   <li>{@link HeartbeatReconciler}: what workers say, and what they are told.
+ *   <li>{@link StartAdmission} decides whether a task may start on a machine;
+ *   <li>{@link AttemptTracker} manages the life cycle of attempts and the proofs that they are
+ *       gone;
+ *   <li>{@link JobRegistry} and {@link MachineRegistry} hold jobs and machines;
+ *   <li>{@link PendingWrites} tracks the attempt records to be written;
+ *   <li>{@link HeartbeatReconciler} turns worker heartbeats into proofs and commands.
  * </ul>
  *
- * <p>It does no I/O and reads no clock: callers pass the time as milliseconds on the process's
- * steady clock. It is confined to one thread, the event loop's.
+ * <p>The class performs no I/O and reads no clock: callers pass the time as milliseconds on the
+ * process's monotonic clock. It is confined to the event loop's thread.
  */
 public final class SchedulerState implements MachinePool {
   private final List<Team> teams;
@@ -42,7 +43,7 @@
   private final SharedAttemptRecords sharedAttemptRecords;
   private final GangReservations gangReservations = new GangReservations(this);
 
-  /** An empty state for a term that suspects machines by the default thresholds. */
+  /** Creates the empty state of a term with the default health thresholds. */
   public SchedulerState(
       long term, double leaseS, double heartbeatIntervalS, List<Team> teams, NameIndex zones) {
     this(
@@ -54,7 +55,7 @@
         new FleetHealth(HealthPolicy.defaults(), zones.size(), heartbeatIntervalS, 0));
   }
 
-  /** An empty state for a term without limits on image fetches. */
+  /** Creates the empty state of a term with the default image fetch policy. */
   public SchedulerState(
       long term,
       double leaseS,
@@ -66,12 +67,12 @@
   }
 
   /**
-   * An empty state for a term.
+   * Creates the empty state of a term.
    *
-   * @param term the first fencing token of the term
-   * @param leaseS how long a worker runs on without an answer of the leader, in seconds
-   * @param heartbeatIntervalS how often workers report, in seconds
-   * @param zones names of all zones; their indices are below its size
+   * @param term the first fencing token of the term, which identifies it
+   * @param leaseS seconds for which a worker keeps its tasks running without a leader's response
+   * @param heartbeatIntervalS interval of worker heartbeats in seconds
+   * @param zones names of all zones; their indices are less than its size
    */
   public SchedulerState(
       long term,
@@ -97,7 +98,7 @@
         new HeartbeatReconciler(timing, attempts, jobs, health, imageDistribution);
   }
 
-  /** Open jobs and those whose tasks are not all proven gone. */
+  /** Open jobs and jobs with attempts that are not proven gone, in order of acceptance. */
   public Collection<Job> jobs() {
     return jobs.all();
   }
@@ -117,12 +118,12 @@
     return machines.get(name);
   }
 
-  /** True when the machine was deleted in this term. */
-  public boolean isDeleted(String machine) {
-    return machines.isDeleted(machine);
+  /** True when the machine was deleted in this term and its name is still remembered. */
+  public boolean isDeleted(String machineName) {
+    return machines.isDeleted(machineName);
   }
 
-  /** How many entries each table holds: what an operator looks at when memory grows. */
+  /** Number of entries by table; helps operators to find the cause of memory growth. */
   public Map<String, Integer> tableSizes() {
     Map<String, Integer> sizes = new LinkedHashMap<>();
     sizes.put("jobs", jobs.all().size());
@@ -138,14 +139,14 @@
     return sizes;
   }
 
-  /** Marks the indices of names that jobs and machines have: these may not be reused. */
+  /** Marks the name indices that are in use and must not be reassigned. */
   public void markUsedNames(BitSet images, BitSet classes, BitSet types) {
     jobs.markUsedNames(images, classes, types);
     machines.markUsedNames(images, types);
     imageDistribution.markTrackedImages(images);
   }
 
-  /** The team of a job. */
+  /** The team that a job belongs to. */
   public Team team(JobSpec spec) {
     return admission.team(spec);
   }
@@ -155,35 +156,35 @@
     return teams;
   }
 
-  /** Records that changed since they were committed. */
+  /** Records that changed since their latest commit, longest-waiting first. */
   public Collection<AttemptRecord> dirtyRecords() {
     return pendingWrites.dirtyRecords();
   }
 
-  /** The dirty records for which starts wait. */
+  /** The dirty records with uncommitted starts. */
   public Collection<AttemptRecord> urgentRecords() {
     return pendingWrites.urgentRecords();
   }
 
   /**
-   * Machines that may have commands to be sent straight away. The caller removes those it has dealt
-   * with: a message to a worker must not cost a walk over the fleet.
+   * Machines that may have commands to send directly. The caller removes those it has handled. The
+   * set makes it unnecessary to iterate over the fleet for each message to a worker.
    */
   public Collection<Machine> machinesWithUnsentCommands() {
     return attempts.machinesWithUnsentCommands();
   }
 
-  /** Changes with every machine that comes or goes. */
+  /** A counter that changes whenever a machine is added or deleted. */
   public long machinesVersion() {
     return machines.version();
   }
 
-  /** Jobs whose tasks are all done and whose end is to be committed. */
+  /** Jobs whose tasks are all done and whose end is not committed yet. */
   public Collection<Job> jobsToComplete() {
     return jobs.jobsToComplete();
   }
 
-  /** Tasks looked at so far to rebuild queues: what a failover costs. */
+  /** Number of tasks visited so far to rebuild queues; measures the cost of a failover. */
   long rebuiltQueueTasks() {
     return jobs.rebuiltQueueTasks();
   }
@@ -193,22 +194,22 @@
     return health;
   }
 
-  /** Which small jobs share attempt records. */
+  /** The attempt records that small jobs share. */
   public SharedAttemptRecords sharedAttemptRecords() {
     return sharedAttemptRecords;
   }
 
-  /** Which machines are reserved for gangs. */
+  /** The machines that are reserved for gangs. */
   public GangReservations gangReservations() {
     return gangReservations;
   }
 
-  /** Who fetches which image, and from whom. */
+  /** The image fetches in progress and their sources. */
   public ImageDistribution imageDistribution() {
     return imageDistribution;
   }
 
-  /** True when other workers may be told to fetch an image from the machine. */
+  /** True when other workers may be directed to fetch images from the machine. */
   public boolean canServeImages(Machine machine, long now) {
     return admission.canServeImages(machine, now);
   }
@@ -218,12 +219,12 @@
     return zones.size();
   }
 
-  /** Where the money of this term went. */
+  /** The costs of this term. */
   public CostAccounting costAccounting() {
     return costAccounting;
   }
 
-  /** Number of attempts made in this term. */
+  /** Number of attempts created in this term. */
   public long attemptsStarted() {
     return attempts.attemptsStarted();
   }
@@ -234,21 +235,21 @@
   }
 
   /**
-   * Takes an open job that is recorded in the state service.
+   * Adds an open job that is recorded in the state service.
    *
-   * @param version of the job's record
-   * @param ageMs how long ago it was submitted
-   * @return the job that is known by this id, if there is one, else a new one
+   * @param version version of the job's record
+   * @param ageMs time since the submission
+   * @return the existing job with this id if there is one, else a new one
    */
   public Job accept(JobSpec spec, long version, long ageMs, long now) {
     return jobs.accept(spec, version, ageMs, now);
   }
 
   /**
-   * Takes what an attempt record says, on failover.
+   * Restores the contents of an attempt record on failover, except its attempts.
    *
-   * @param doneTasks bit 0 is the record's first task
-   * @param highestAttemptNumber an upper bound for the numbers that its tasks have had
+   * @param doneTasks completed tasks; bit 0 is the record's first task
+   * @param highestAttemptNumber upper bound of the attempt numbers that the tasks have had
    */
   public void restoreRecord(
       AttemptRecord attemptRecord, long version, BitSet doneTasks, int highestAttemptNumber) {
@@ -262,15 +263,16 @@
     }
   }
 
-  /** Takes a recorded attempt, on failover: it counts until it is proven gone. */
+  /** Restores a recorded attempt on failover. It counts until it is proven gone. */
   public void restoreAttempt(
       Job job, int task, int number, Machine machine, long incarnation, long now) {
     attempts.restore(job, task, number, machine, incarnation, now);
   }
 
   /**
-   * Call once all records of a restored job were taken: its queue is rebuilt here, once a job and
-   * not once an attempt, since a failover runs cold code on a fraction of a core.
+   * Completes the restoration of a job after all its records were restored. The job's queue is
+   * rebuilt here, once per job instead of once per attempt, since a failover runs code that is not
+   * JIT-compiled yet on a fraction of a core.
    */
   public void finishRestore(Job job, long now) {
     jobs.rebuildQueue(job);
@@ -279,7 +281,10 @@
     }
   }
 
-  /** The user cancelled the job: nothing of it starts any more, and what runs is stopped. */
+  /**
+   * Applies the user's cancellation: no task of the job starts any more, and its attempts are
+   * stopped.
+   */
   public void cancel(Job job, long now) {
     if (job.cancelled || job.ended) {
       return;
@@ -289,7 +294,7 @@
     attempts.stopAll(job, now);
   }
 
-  /** The job's dependencies are met, and that is on record: its tasks may start. */
+  /** Makes a held job eligible, after its release was recorded because its dependencies are met. */
   public void release(Job job, long now) {
     if (job.held) {
       job.held = false;
@@ -298,15 +303,18 @@
     }
   }
 
-  /** The release on record is no longer valid: starts that were to be recorded under it are not. */
+  /**
+   * Holds a job whose recorded release is no longer valid, and withdraws its uncommitted starts.
+   */
   public void hold(Job job, long now) {
     attempts.withdrawUncommitted(job, now);
     job.held = true;
   }
 
   /**
-   * The job's end is committed, or was found. A leader that took a list of open jobs which was
-   * older than that end may have placed tasks of it again (docs/incidents, done-job-placed-again).
+   * Records that the job's end is committed or was found in the state service, and stops its
+   * attempts. A leader that read a list of open jobs from before that end may have placed tasks of
+   * the job again (docs/incidents, done-job-placed-again).
    */
   public void markEnded(Job job, long now) {
     job.ended = true;
@@ -314,7 +322,7 @@
     attempts.stopAll(job, now);
   }
 
-  /** Drops a job of which nothing is left, once its records are deleted. */
+  /** Removes a job that has no attempts left, once its records are deleted. */
   public void removeJob(Job job) {
     jobs.remove(job);
     for (AttemptRecord attemptRecord : job.attemptRecords) {
@@ -323,21 +331,21 @@
     }
   }
 
-  /** The machine, made known if it is new; null when it is proven deleted. */
+  /** Returns the machine, registering it if it is new; null when it is proven deleted. */
   public Machine registerMachine(String name, MachineType type, int zone, boolean spot, long now) {
     if (machines.isDeleted(name)) {
       return null;
     }
-    Machine known = machines.get(name);
-    if (known != null) {
-      return known;
+    Machine existing = machines.get(name);
+    if (existing != null) {
+      return existing;
     }
     Machine machine = machines.add(name, type, zone, spot, now);
     health.register(machine.health, now);
     return machine;
   }
 
-  /** True when a placement pass may give the machine work, or has just done so. */
+  /** True when the machine accepts new tasks and has free CPUs, so a placement pass may use it. */
   public boolean canReceiveTasks(Machine machine, long now) {
     return admission.canReceiveTasks(machine, now);
   }
@@ -347,69 +355,70 @@
     return admission.machineRefusal(machine, now) == null;
   }
 
-  /** Why no new work goes to the machine at all; null when it may. */
+  /** Why the machine gets no new work from any job; null when it may get some. */
   public StartRefusal machineRefusal(Machine machine, long now) {
     return admission.machineRefusal(machine, now);
   }
 
-  /** Why the task may not start on the machine; null when it may. */
+  /** The first rule that forbids starting the task on the machine; null when it may start. */
   public StartRefusal startRefusal(Job job, int task, Machine machine, long now) {
     return admission.startRefusal(job, task, machine, now);
   }
 
   /**
-   * Makes an attempt; it must be committed before its launch is sent.
+   * Creates an attempt. It must be committed before its launch is sent.
    *
-   * @throws StartRefusedException when {@link #startRefusal} has a reason against it
+   * @throws StartRefusedException when {@link #startRefusal} returns a reason
    */
   public Attempt start(Job job, int task, Machine machine, long now) {
     return attempts.start(job, task, machine, now);
   }
 
-  /** The record is to be written or deleted once more. */
+  /** Marks a record to be written or deleted again. */
   public void markForRewrite(AttemptRecord attemptRecord, long now) {
     pendingWrites.markDirty(attemptRecord, now);
   }
 
   /**
-   * A commit of the record as it was at {@code changeCount} succeeded.
+   * Records that a commit of an attempt record succeeded.
    *
-   * @param version of the record in the state service from now on
-   * @param recorded the live attempts that were written
+   * @param version the record's new version in the state service
+   * @param changeCount the record's change count when its written content was encoded
+   * @param writtenAttempts the live attempts that were written
    */
   public void recordCommitted(
       AttemptRecord attemptRecord,
       long version,
       long changeCount,
-      List<Attempt> recorded,
+      List<Attempt> writtenAttempts,
       long now) {
-    pendingWrites.committed(attemptRecord, version, changeCount, now);
-    attempts.committed(recorded);
+    pendingWrites.markCommitted(attemptRecord, version, changeCount, now);
+    attempts.markCommitted(writtenAttempts);
   }
 
-  /** Frees what an attempt takes, now that it is proven gone. */
+  /** Releases the quota and resources of an attempt that is proven gone. Idempotent. */
   public void resolve(Attempt attempt, AttemptOutcome outcome, long now) {
     attempts.resolve(attempt, outcome, now);
   }
 
   /**
-   * Takes a worker's heartbeat and answers with the commands for it.
+   * Applies a worker's heartbeat and returns the commands for the worker.
    *
    * @param mayLaunch false while the leader cannot reach the state service, and for a heartbeat
    *     that answers direct commands
-   * @return null when the message is older than one seen before and must be ignored
+   * @return null when the heartbeat is not newer than the newest one seen and must be ignored
    */
   public List<WorkerCommand> processHeartbeat(
       Machine machine, Heartbeat heartbeat, boolean mayLaunch, long now) {
     return heartbeatReconciler.reconcile(machine, heartbeat, mayLaunch, now);
   }
 
-  /** What workers say, and what they are told. */
+  /** The component that processes heartbeats and creates worker commands. */
   public HeartbeatReconciler heartbeatReconciler() {
     return heartbeatReconciler;
   }
 
-  /** The machine and all on it are proven gone. */
+  /** Removes a machine that is proven deleted, and resolves its attempts. */
   public void machineDeleted(Machine machine, long now) {
     attempts.resolveAll(machine, now);
     machines.delete(machine);
@@ -420,7 +429,10 @@
     attempts.machinesWithUnsentCommands().remove(machine);
   }
 
-  /** The cloud says the machine failed: its tasks are gone, the name stays until it is deleted. */
+  /**
+   * Marks a machine that the cloud reported as failed, and resolves its attempts. It stays
+   * registered until it is deleted.
+   */
   public void machineFailed(Machine machine, long now) {
     machine.failed = true;
     attempts.resolveAll(machine, now);
@@ -434,8 +446,8 @@
   }
 
   /**
-   * When the lease of the machine's worker must have expired if no response reaches it any more,
-   * which proves its attempts gone; -1 while no lease can prove that.
+   * Time by which the lease of the machine's worker must have expired if no further response
+   * reaches it; this proves its attempts gone. Returns -1 while lease expiry cannot be proven.
    */
   public long leaseExpiryMs(Machine machine) {
     return attempts.leaseExpiryMs(machine);
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecord.java
@@ -3,19 +3,19 @@
 import it.unimi.dsi.fastutil.objects.ObjectLinkedOpenHashSet;
 import java.util.Collection;
 
-/** One record in the state service that holds the attempts of several small jobs. */
+/** A record in the state service that holds the attempts of several small jobs. */
 public final class SharedAttemptRecord {
-  /** Its name in the state service, never used for another one. */
+  /** The record's name in the state service; never reused for another record. */
   public final String name;
 
-  /** The record's version in the state service as last seen; 0 when there is none. */
+  /** The last known version of the record in the state service; 0 when it is not stored there. */
   public long version;
 
   private final ObjectLinkedOpenHashSet<AttemptRecord> members = new ObjectLinkedOpenHashSet<>();
 
   private int reservedBytes;
 
-  /** True when the record still lists a cancelled job of which nothing is left. */
+  /** True when the stored record still lists a cancelled job that was removed in memory. */
   private boolean listsCancelledJob;
 
   SharedAttemptRecord(String name, long version) {
@@ -23,12 +23,12 @@
     this.version = version;
   }
 
-  /** Jobs whose attempts it holds, also those that are finished and not yet removed. */
+  /** The member jobs' attempt records, including finished jobs that are not removed yet. */
   public Collection<AttemptRecord> members() {
     return members;
   }
 
-  /** Bytes of its value that its members may come to need. */
+  /** Upper bound of the bytes that the members need in the record's value. */
   int reservedBytes() {
     return reservedBytes;
   }
@@ -44,17 +44,17 @@
     if (members.remove(attemptRecord)) {
       reservedBytes -= SharedAttemptRecords.reservedBytes(attemptRecord);
     }
-    // A next leader would restore a cancelled job's attempts, and wait for proof that they are
-    // gone; a done job's it ignores.
+    // If the stored record kept listing a cancelled job, the next leader would restore its attempts
+    // and wait for proof that they are gone. The attempts of a done job are ignored.
     listsCancelledJob |= attemptRecord.job.cancelled;
   }
 
-  /** True when it is to be written or deleted although no member of it has changed. */
+  /** True when the record must be written or deleted although no member has changed. */
   public boolean needsWrite() {
     return version > 0 && (listsCancelledJob || members.isEmpty());
   }
 
-  /** It was written as it is in memory. */
+  /** Records that the state in memory was written, or that the record was deleted (version 0). */
   public void markWritten(long newVersion) {
     version = newVersion;
     listsCancelledJob = false;
--- a/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
+++ b/src/main/java/org/mallowroad/core/SharedAttemptRecords.java
@@ -4,27 +4,27 @@
 import java.util.Collection;
 
 /**
- * Which small jobs share a record, so that starts of many jobs take one write, and so do the ends
- * of all of them: a record of its own costs a small job one write when it starts and one when it is
- * over.
+ * Assigns small jobs to shared attempt records, so that the starts of many jobs need one write, and
+ * so do their ends. An unshared record costs a small job one write when it starts and one when it
+ * ends.
  *
- * <p>A record takes new jobs until it is full, then another one does. It is written with each start
- * of a member, and deleted once no member is left: so services, which may run for years, have
- * records of their own, or shared ones could never be done without again. Jobs that are done stay
- * listed in it until it is written for another reason; whoever reads it ignores them, since their
- * end records say so.
+ * <p>New jobs join the open record until it is full; then a new record is opened. A record is
+ * written with each start of a member and deleted once it has no members. Services may run for
+ * years and would keep a shared record from ever being deleted, so their records are never shared.
+ * A job that is done stays listed in the stored record until the record is written for another
+ * reason; readers ignore it because of the job's end record.
  */
 public final class SharedAttemptRecords {
-  /** Jobs with more tasks have records of their own. */
+  /** Jobs with more tasks than this do not share records. */
   static final int MAX_TASKS = 4;
 
-  /** Members of a record, where the limits of transactions and values allow so many. */
+  /** Maximum number of members, if the transaction and value limits allow that many. */
   public static final int MAX_MEMBERS = 24;
 
-  /** Bytes of a member without its id and its attempts. */
+  /** Bytes reserved for a member, without its id and attempts. */
   private static final int MEMBER_BYTES = 40;
 
-  /** Bytes of an attempt on a machine of its own, with the machine's name, type and zone. */
+  /** Bytes reserved for an attempt with the name, type and zone of its machine. */
   private static final int ATTEMPT_BYTES = 160;
 
   private final long term;
@@ -40,32 +40,32 @@
   }
 
   /**
-   * New small jobs share records from now on; those that do already go on in any case. A record
-   * that outgrew either bound could not be written any more.
+   * Enables sharing for new small jobs. Jobs that share a record already keep it in any case. A
+   * record that exceeded either limit could not be written any more.
    *
-   * @param mostMembers members whose conditions fit into one transaction
-   * @param mostBytes the largest value that the state service takes
+   * @param transactionMemberLimit number of members whose conditions fit into one transaction
+   * @param valueByteLimit size in bytes of the largest value that the state service accepts
    */
-  public void enable(int mostMembers, int mostBytes) {
-    this.maxMembers = Math.min(MAX_MEMBERS, mostMembers);
-    this.maxBytes = mostBytes;
+  public void enable(int transactionMemberLimit, int valueByteLimit) {
+    this.maxMembers = Math.min(MAX_MEMBERS, transactionMemberLimit);
+    this.maxBytes = valueByteLimit;
   }
 
-  /** The most that a job can take of a record's value, wherever its tasks are placed. */
+  /** Upper bound of a job's bytes in a record's value, wherever its tasks are placed. */
   public static int reservedBytes(AttemptRecord attemptRecord) {
     JobSpec spec = attemptRecord.job.spec;
     return MEMBER_BYTES + spec.id().length() + ATTEMPT_BYTES * spec.tasks();
   }
 
-  /** All records that there are. */
+  /** All shared records in memory or in the state service. */
   public Collection<SharedAttemptRecord> records() {
     return records;
   }
 
   /**
-   * Assigns a job's attempts to a shared record, if it may share one.
+   * Assigns a job's attempts to a shared record if the job is eligible for sharing.
    *
-   * @return true when they are to be written into {@link AttemptRecord#sharedRecord}
+   * @return true when the attempts belong into {@link AttemptRecord#sharedRecord}
    */
   public boolean assignRecord(AttemptRecord attemptRecord) {
     if (attemptRecord.sharedRecord != null) {
@@ -93,7 +93,7 @@
     return true;
   }
 
-  /** True when a record is to be written or deleted although no member of it has changed. */
+  /** True when a record must be written or deleted although no member has changed. */
   public boolean anyNeedsWrite() {
     for (SharedAttemptRecord sharedRecord : records) {
       if (sharedRecord.needsWrite()) {
@@ -103,19 +103,19 @@
     return false;
   }
 
-  /** A record that an earlier leader wrote. */
+  /** Adds a record that an earlier leader wrote. */
   public SharedAttemptRecord restore(String name, long version) {
     SharedAttemptRecord sharedRecord = new SharedAttemptRecord(name, version);
     records.add(sharedRecord);
     return sharedRecord;
   }
 
-  /** A member of it was read from it. */
+  /** Adds a member that was read from a restored record. */
   public void restoreMember(SharedAttemptRecord sharedRecord, AttemptRecord attemptRecord) {
     sharedRecord.add(attemptRecord);
   }
 
-  /** Nothing of the job is left. */
+  /** Removes a job that has no attempts left from its shared record. */
   void remove(AttemptRecord attemptRecord) {
     if (attemptRecord.sharedRecord != null) {
       attemptRecord.sharedRecord.remove(attemptRecord);
@@ -123,13 +123,13 @@
     }
   }
 
-  /** The record was written or deleted. */
+  /** Records that a shared record was written, or deleted (version 0). */
   public void markWritten(SharedAttemptRecord sharedRecord, long version) {
     sharedRecord.markWritten(version);
     removeIfUnused(sharedRecord);
   }
 
-  /** Drops a record without members that is not in the state service any more. */
+  /** Removes a record that has no members and is not in the state service. */
   private void removeIfUnused(SharedAttemptRecord sharedRecord) {
     if (sharedRecord.members().isEmpty() && sharedRecord.version == 0) {
       records.remove(sharedRecord);
--- a/src/main/java/org/mallowroad/core/StartAdmission.java
+++ b/src/main/java/org/mallowroad/core/StartAdmission.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * The one place that answers whether a task may start on a machine. Placement, gang reservations
- * and the explanation of waiting jobs all ask here, so what is shown to people is what was decided.
+ * The only place that decides whether a task may start on a machine. Placement, gang reservations
+ * and the explanation of pending jobs all use it, so the explanations that users see match the
+ * actual decisions.
  *
- * <p>The answers are read from the current state and are pure: nothing is changed by asking.
+ * <p>The methods depend only on the current state and have no side effects.
  */
 final class StartAdmission {
   private final List<Team> teams;
@@ -17,12 +18,12 @@
     this.heartbeatOverdueMs = heartbeatOverdueMs;
   }
 
-  /** The team of a job. */
+  /** The team that a job belongs to. */
   Team team(JobSpec spec) {
     return teams.get(spec.team());
   }
 
-  /** Why no new work goes to the machine at all; null when it may. */
+  /** Why the machine gets no new work from any job; null when it may get some. */
   StartRefusal machineRefusal(Machine machine, long now) {
     if (machine.draining || machine.deleting || machine.failed) {
       return StartRefusal.DRAINING_OR_FAILED;
@@ -36,9 +37,7 @@
     return machine.backoffUntilMs > now ? StartRefusal.BACKING_OFF_AFTER_REFUSAL : null;
   }
 
-  /**
-   * Why the task may not start on the machine, by the first rule that refuses; null when it may.
-   */
+  /** The first rule that forbids starting the task on the machine; null when it may start. */
   StartRefusal startRefusal(Job job, int task, Machine machine, long now) {
     if (job.cancelled || job.ended || job.held) {
       return StartRefusal.JOB_NOT_ELIGIBLE;
@@ -66,13 +65,13 @@
     return job.allowsZone(machine.zone) ? null : StartRefusal.ZONE_RULES;
   }
 
-  /** True when a placement pass may give the machine work, or has just done so. */
+  /** True when the machine accepts new tasks and has free CPUs, so a placement pass may use it. */
   boolean canReceiveTasks(Machine machine, long now) {
     return machineRefusal(machine, now) == null
         && machine.freeResources.cpus > ResourceVector.EPSILON;
   }
 
-  /** True when other workers may be told to fetch an image from the machine. */
+  /** True when other workers may be directed to fetch images from the machine. */
   boolean canServeImages(Machine machine, long now) {
     return machineRefusal(machine, now) == null
         && !machine.health.isSuspect()
--- a/src/main/java/org/mallowroad/core/StartRefusedException.java
+++ b/src/main/java/org/mallowroad/core/StartRefusedException.java
@@ -1,6 +1,6 @@
 package org.mallowroad.core;
 
-/** A start was requested that the rules refuse; callers ask for the refusal before they start. */
+/** Thrown for a start that {@link StartAdmission} refuses; callers should have checked before. */
 public final class StartRefusedException extends IllegalStateException {
   private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
     this.refusal = refusal;
   }
 
-  /** The first rule that refuses the start. */
+  /** The first rule that forbids the start. */
   public StartRefusal refusal() {
     return refusal;
   }
--- a/src/main/java/org/mallowroad/core/Team.java
+++ b/src/main/java/org/mallowroad/core/Team.java
@@ -1,8 +1,8 @@
 package org.mallowroad.core;
 
-/** A team's guarantee and limit, and what its attempts take that are not proven gone. */
+/** A team's guarantee and limit, and the usage of its attempts that are not proven gone. */
 public final class Team {
-  /** Its name in the settings. */
+  /** The team's name in the settings. */
   public final String name;
 
   final double guaranteedCpus;
@@ -12,38 +12,45 @@
   double usedCpus;
   double usedCards;
 
-  /** The part of the used CPUs that is taken by attempts whose stop was requested. */
+  /** Used CPUs of attempts whose stop was requested. */
   double stoppingCpus;
 
-  /** A team as the settings give it; a limit of 0 is none. */
-  public Team(String name, double cpus, double cards, double cpusMax, double cardsMax) {
+  /** Creates a team from its settings; a limit of 0 means no limit. */
+  public Team(
+      String name,
+      double guaranteedCpus,
+      double guaranteedCards,
+      double cpuLimit,
+      double cardLimit) {
     this.name = name;
-    this.guaranteedCpus = cpus;
-    this.guaranteedCards = cards;
-    // The platform's "0 means none": a team that is a guest has neither guarantee nor limit. Taken
-    // for a limit of 0, every job of such a team was refused (docs/incidents, guests-refused).
-    this.cpuLimit = cpusMax > 0 ? cpusMax : Double.POSITIVE_INFINITY;
-    this.cardLimit = cardsMax > 0 ? cardsMax : Double.POSITIVE_INFINITY;
+    this.guaranteedCpus = guaranteedCpus;
+    this.guaranteedCards = guaranteedCards;
+    // The platform uses 0 for "no limit"; guest teams have neither guarantee nor limit. When 0 was
+    // taken as a limit, every job of such a team was refused (docs/incidents, guests-refused).
+    this.cpuLimit = cpuLimit > 0 ? cpuLimit : Double.POSITIVE_INFINITY;
+    this.cardLimit = cardLimit > 0 ? cardLimit : Double.POSITIVE_INFINITY;
   }
 
-  /** True when {@code tasks} more tasks of the job stay within the limit. */
+  /** True when {@code tasks} more tasks of the job keep the team within its limit. */
   public boolean isWithinLimit(JobSpec job, int tasks) {
     return usedCpus + tasks * job.cpus() <= cpuLimit + ResourceVector.EPSILON
         && usedCards + tasks * job.cards() <= cardLimit + ResourceVector.EPSILON;
   }
 
-  /** How many more tasks of the job stay within the limit, {@code tasks} at the most. */
-  public int maxAdditionalTasks(JobSpec job, int tasks) {
+  /** Number of further tasks of the job that the limit allows, at most {@code max}. */
+  public int maxAdditionalTasks(JobSpec job, int max) {
     return new ResourceVector(cpuLimit - usedCpus, cardLimit - usedCards, Double.MAX_VALUE)
-        .capacityFor(job, tasks);
+        .capacityFor(job, max);
   }
 
-  /** How many of the job's tasks the limit allows at once, with nothing else of the team. */
+  /** Number of the job's tasks that the limit allows at once if the team runs nothing else. */
   public int maxConcurrentTasks(JobSpec job) {
     return new ResourceVector(cpuLimit, cardLimit, Double.MAX_VALUE).capacityFor(job, job.tasks());
   }
 
-  /** True when {@code tasks} tasks of the job alone stay within the limit. */
+  /**
+   * True when {@code tasks} tasks of the job stay within the limit if the team runs nothing else.
+   */
   public boolean canEverRun(JobSpec job, int tasks) {
     return tasks * job.cpus() <= cpuLimit + ResourceVector.EPSILON
         && tasks * job.cards() <= cardLimit + ResourceVector.EPSILON;
@@ -55,9 +62,9 @@
         && usedCards + job.cards() <= guaranteedCards + ResourceVector.EPSILON;
   }
 
-  /** True when the team keeps its guarantee in full without one task of the job. */
+  /** True when the team still uses its full guarantee after one task of the job is stopped. */
   public boolean keepsGuaranteeWithout(JobSpec job) {
-    // What is stopping already is as good as gone: many tasks may be stopped in one pass.
+    // Tasks that are being stopped count as gone, since one pass may stop many tasks.
     return usedCpus - stoppingCpus - job.cpus() >= guaranteedCpus - ResourceVector.EPSILON
         && (job.cards() == 0
             || usedCards - job.cards() >= guaranteedCards - ResourceVector.EPSILON);
@@ -68,7 +75,7 @@
     usedCards += tasks * job.cards();
   }
 
-  /** Guaranteed cards. */
+  /** Guaranteed accelerator cards. */
   public double guaranteedCards() {
     return guaranteedCards;
   }
@@ -78,22 +85,22 @@
     return guaranteedCpus;
   }
 
-  /** Limit of CPUs; infinite without one. */
+  /** CPU limit; infinite when there is none. */
   public double cpuLimit() {
     return cpuLimit;
   }
 
-  /** Limit of cards; infinite without one. */
+  /** Accelerator card limit; infinite when there is none. */
   public double cardLimit() {
     return cardLimit;
   }
 
-  /** Cards that attempts take. */
+  /** Accelerator cards of attempts that are not proven gone. */
   public double usedCards() {
     return usedCards;
   }
 
-  /** CPUs that attempts take. */
+  /** CPUs of attempts that are not proven gone. */
   public double usedCpus() {
     return usedCpus;
   }
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -16,364 +16,393 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Plays every order of the calls that a few processes make to one store, with lost answers, late
- * and repeated transactions, processes that end, and whatever else a scene offers, up to a bound of
- * such troubles. A history is a sequence of choices and is played anew for each; two histories with
- * the same store, the same answers heard and the same calls waiting go on alike, so one of them is
- * enough.
+ * A model checker that explores every order in which the requests of a few processes reach one
+ * store, with faults: lost responses, delayed and duplicated transactions, crashes, and faults that
+ * the scenario defines, up to a maximum number of faults per execution.
+ *
+ * <p>An execution is determined by its sequence of choices and is rerun from the start for each
+ * sequence. Two executions with the same store contents, received responses and pending requests
+ * continue identically, so only one of them is explored further.
  */
 public final class StateSpaceExplorer {
-  /** What is played: makes its processes, and judges the store. */
+  /** The system under test: creates the processes and checks the store. */
   public interface Scenario {
-    /** Sets the stage; called for each history. */
-    void setUp(Execution stage);
+    /**
+     * Creates the processes and the initial store contents; called at the start of each execution.
+     */
+    void setUp(Execution execution);
 
-    /** After each transaction that was carried out. */
-    void afterTransaction(Execution stage);
+    /** Called after each successful transaction. */
+    void afterTransaction(Execution execution);
 
-    /** When nothing is left to do. */
-    void afterCompletion(Execution stage);
+    /** Called when an execution has no choices left. */
+    void afterCompletion(Execution execution);
   }
 
   private record Call(
-      Process by, String method, String path, byte[] body, RequestSender.ResponseHandler answer) {
-    String text() {
-      String b = body == null ? "" : new String(body, StandardCharsets.UTF_8);
-      return by.name + " " + method + " " + path + " " + b;
+      Process caller,
+      String method,
+      String path,
+      byte[] body,
+      RequestSender.ResponseHandler handler) {
+    String description() {
+      String bodyText = body == null ? "" : new String(body, StandardCharsets.UTF_8);
+      return caller.name + " " + method + " " + path + " " + bodyText;
     }
   }
 
-  private record Due(Process by, long ms, long sequence, Runnable task) {}
+  private record ScheduledTask(Process owner, long dueMs, long sequence, Runnable task) {}
 
-  /** One history being played. */
+  /** One execution of the scenario. */
   public static final class Execution {
-    /** What the state service keeps. */
+    /** The contents of the state service. */
     public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
 
-    /** What a scene notes; part of the state. */
+    /** Observations recorded by the scenario; part of the explored state. */
     public final List<String> observations = new ArrayList<>();
 
-    /** Calls of one process are answered in their order; those of several in any. */
+    /**
+     * When true, requests of the same process are executed in the order in which they were sent.
+     */
     public boolean respondsInCallOrder;
 
     private final List<Process> processes = new ArrayList<>();
-    private final List<Call> waiting = new ArrayList<>();
-    private final List<Call> late = new ArrayList<>();
-    private final List<Due> timers = new ArrayList<>();
-    private final TreeMap<String, Runnable> offers = new TreeMap<>();
+    private final List<Call> pendingCalls = new ArrayList<>();
+    private final List<Call> delayedTransactions = new ArrayList<>();
+    private final List<ScheduledTask> timers = new ArrayList<>();
+    private final TreeMap<String, Runnable> faults = new TreeMap<>();
     private final TreeMap<String, Runnable> events = new TreeMap<>();
-    private long now = 1_000;
-    private long sequence;
-    private int troubles;
-    private Scenario scene;
+    private long nowMs = 1_000;
+    private long nextSequence;
+    private int injectedFaults;
+    private Scenario scenario;
 
-    /** A process of the scene. */
+    /** Adds a process. */
     public Process addProcess(String name) {
-      Process p = new Process(this, name);
-      processes.add(p);
-      return p;
+      Process process = new Process(this, name);
+      processes.add(process);
+      return process;
     }
 
-    /** Something that may happen once, at any moment; it counts as a trouble. */
-    public void addFault(String name, Runnable what) {
-      offers.put(name, what);
+    /** Adds an action that may happen once at any time and counts as a fault. */
+    public void addFault(String name, Runnable action) {
+      faults.put(name, action);
     }
 
-    /** Something that happens once, at any moment, in each history; no trouble. */
-    public void addEvent(String name, Runnable what) {
-      events.put(name, what);
+    /** Adds an action that happens once at any time in every execution; it is not a fault. */
+    public void addEvent(String name, Runnable action) {
+      events.put(name, action);
     }
 
-    /** Plays on without a choice until a call waits whose text has this in it. */
-    public void runUntilCallWaits(String text) {
-      soon();
-      while (waiting.stream().noneMatch(x -> x.text().contains(text))) {
-        choose("go 0");
+    /**
+     * Always completes the oldest pending request, until there is a pending request whose
+     * description contains the given text.
+     */
+    public void runUntilCallWaits(String part) {
+      runQueuedTasks();
+      while (pendingCalls.stream().noneMatch(call -> call.description().contains(part))) {
+        apply("complete 0");
       }
     }
 
-    /** Fails the history. */
-    public void require(boolean good, String what) {
-      if (!good) {
-        throw new AssertionError(what + "; notes " + observations + "; store " + keys());
+    /** Fails the execution if the condition does not hold. */
+    public void require(boolean condition, String violation) {
+      if (!condition) {
+        throw new AssertionError(
+            violation + "; observations " + observations + "; store " + describeStore());
       }
     }
 
-    private String keys() {
-      StringBuilder b = new StringBuilder();
-      for (String k : store.keys("")) {
-        b.append(k).append('@').append(store.version(k)).append('=').append(store.value(k));
-        b.append(' ');
+    private String describeStore() {
+      StringBuilder text = new StringBuilder();
+      for (String key : store.keys("")) {
+        text.append(key)
+            .append('@')
+            .append(store.version(key))
+            .append('=')
+            .append(store.value(key));
+        text.append(' ');
       }
-      return b.toString();
+      return text.toString();
     }
 
-    private void soon() {
-      boolean ran = true;
-      while (ran) {
-        ran = false;
-        for (Process p : processes) {
-          Runnable r = p.isCrashed ? null : p.queue.poll();
-          if (r != null) {
-            r.run();
-            ran = true;
+    private void runQueuedTasks() {
+      boolean ranTask = true;
+      while (ranTask) {
+        ranTask = false;
+        for (Process process : processes) {
+          Runnable task = process.crashed ? null : process.queuedTasks.poll();
+          if (task != null) {
+            task.run();
+            ranTask = true;
           }
         }
       }
     }
 
-    /** What may happen next, without troubles first. */
-    private List<String> choices(int most) {
-      List<String> out = new ArrayList<>();
-      Set<Process> first = new HashSet<>();
-      for (int i = 0; i < waiting.size(); i++) {
-        if (first.add(waiting.get(i).by) || !respondsInCallOrder) {
-          out.add("go " + i);
+    /** The possible next steps: requests or else a timer, then faults, delayed requests, events. */
+    private List<String> choices(int maxFaults) {
+      List<String> choices = new ArrayList<>();
+      Set<Process> callersSeen = new HashSet<>();
+      for (int index = 0; index < pendingCalls.size(); index++) {
+        if (callersSeen.add(pendingCalls.get(index).caller) || !respondsInCallOrder) {
+          choices.add("complete " + index);
         }
       }
-      if (out.isEmpty() && !timers.isEmpty()) {
-        out.add("time");
+      if (choices.isEmpty() && !timers.isEmpty()) {
+        choices.add("fire-timer");
       }
-      if (troubles < most) {
-        for (int i = 0; i < waiting.size(); i++) {
-          if (waiting.get(i).path.equals("/multi")) {
-            out.add("lost " + i);
-            out.add("late " + i);
-            out.add("twice " + i);
+      if (injectedFaults < maxFaults) {
+        for (int index = 0; index < pendingCalls.size(); index++) {
+          if (pendingCalls.get(index).path.equals("/multi")) {
+            choices.add("lose-response " + index);
+            choices.add("delay " + index);
+            choices.add("duplicate " + index);
           }
         }
-        for (Process p : processes) {
-          if (!p.isCrashed && p.mayCrash) {
-            out.add("end " + p.name);
+        for (Process process : processes) {
+          if (!process.crashed && process.mayCrash) {
+            choices.add("crash " + process.name);
           }
         }
-        offers.keySet().forEach(o -> out.add("offer " + o));
+        faults.keySet().forEach(fault -> choices.add("fault " + fault));
       }
-      for (int i = 0; i < late.size(); i++) {
-        out.add("land " + i);
+      for (int index = 0; index < delayedTransactions.size(); index++) {
+        choices.add("execute-delayed " + index);
       }
-      events.keySet().forEach(e -> out.add("event " + e));
-      return out;
+      events.keySet().forEach(event -> choices.add("event " + event));
+      return choices;
     }
 
-    private void choose(String c) {
-      String[] w = c.split(" ", 2);
-      switch (w[0]) {
-        case "go" -> go(waiting.remove(Integer.parseInt(w[1])), true);
-        case "lost" -> {
-          troubles++;
-          go(waiting.remove(Integer.parseInt(w[1])), false);
+    private void apply(String choice) {
+      String[] parts = choice.split(" ", 2);
+      switch (parts[0]) {
+        case "complete" -> complete(pendingCalls.remove(Integer.parseInt(parts[1])), true);
+        case "lose-response" -> {
+          injectedFaults++;
+          complete(pendingCalls.remove(Integer.parseInt(parts[1])), false);
         }
-        case "late" -> {
-          troubles++;
-          Call x = waiting.remove(Integer.parseInt(w[1]));
-          late.add(x);
-          x.by.tell(() -> x.answer.failed(true), "none");
+        case "delay" -> {
+          injectedFaults++;
+          Call call = pendingCalls.remove(Integer.parseInt(parts[1]));
+          delayedTransactions.add(call);
+          call.caller.enqueueResponse(() -> call.handler.failed(true), "none");
         }
-        case "twice" -> {
-          troubles++;
-          Call x = waiting.remove(Integer.parseInt(w[1]));
-          late.add(x);
-          go(x, true);
+        case "duplicate" -> {
+          injectedFaults++;
+          Call call = pendingCalls.remove(Integer.parseInt(parts[1]));
+          delayedTransactions.add(call);
+          complete(call, true);
         }
-        case "land" -> serve(late.remove(Integer.parseInt(w[1])));
-        case "end" -> {
-          troubles++;
-          for (Process p : processes) {
-            if (p.name.equals(w[1])) {
-              p.isCrashed = true;
+        case "execute-delayed" ->
+            applyToStore(delayedTransactions.remove(Integer.parseInt(parts[1])));
+        case "crash" -> {
+          injectedFaults++;
+          for (Process process : processes) {
+            if (process.name.equals(parts[1])) {
+              process.crashed = true;
             }
           }
-          waiting.removeIf(x -> x.by.isCrashed);
-          timers.removeIf(t -> t.by.isCrashed);
+          pendingCalls.removeIf(call -> call.caller.crashed);
+          timers.removeIf(timer -> timer.owner.crashed);
         }
-        case "offer" -> {
-          troubles++;
-          offers.remove(w[1]).run();
+        case "fault" -> {
+          injectedFaults++;
+          faults.remove(parts[1]).run();
         }
-        case "event" -> events.remove(w[1]).run();
+        case "event" -> events.remove(parts[1]).run();
         default -> {
-          Due first = timers.get(0);
-          for (Due d : timers) {
+          ScheduledTask first = timers.get(0);
+          for (ScheduledTask timer : timers) {
             first =
-                d.ms < first.ms || (d.ms == first.ms && d.sequence < first.sequence) ? d : first;
+                timer.dueMs < first.dueMs
+                        || (timer.dueMs == first.dueMs && timer.sequence < first.sequence)
+                    ? timer
+                    : first;
           }
           timers.remove(first);
-          now = Math.max(now, first.ms);
+          nowMs = Math.max(nowMs, first.dueMs);
           first.task.run();
         }
       }
-      soon();
+      runQueuedTasks();
     }
 
-    private void go(Call x, boolean heard) {
-      InMemoryKeyValueStore.Answer a = serve(x);
-      if (a == null) {
-        return; // A watch that has nothing to tell.
+    private void complete(Call call, boolean responseDelivered) {
+      InMemoryKeyValueStore.Answer response = applyToStore(call);
+      if (response == null) {
+        return; // A watch without changes.
       }
-      if (heard) {
-        byte[] body = Json.bytes(a.body());
-        x.by.tell(
-            () -> x.answer.answered(a.status(), body),
-            a.status() + new String(body, StandardCharsets.UTF_8));
+      if (responseDelivered) {
+        byte[] body = Json.bytes(response.body());
+        call.caller.enqueueResponse(
+            () -> call.handler.answered(response.status(), body),
+            response.status() + new String(body, StandardCharsets.UTF_8));
       } else {
-        x.by.tell(() -> x.answer.failed(true), "none");
+        call.caller.enqueueResponse(() -> call.handler.failed(true), "none");
       }
     }
 
-    private InMemoryKeyValueStore.Answer serve(Call x) {
+    private InMemoryKeyValueStore.Answer applyToStore(Call call) {
       try {
-        byte[] body = x.body == null ? new byte[0] : x.body;
-        InMemoryKeyValueStore.Answer a = store.serve(x.method, x.path, body, now);
-        if (x.path.equals("/multi") && a.status() == 200) {
-          scene.afterTransaction(this);
+        byte[] body = call.body == null ? new byte[0] : call.body;
+        InMemoryKeyValueStore.Answer response = store.serve(call.method, call.path, body, nowMs);
+        if (call.path.equals("/multi") && response.status() == 200) {
+          scenario.afterTransaction(this);
         }
-        return a;
+        return response;
       } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
       }
     }
 
-    private String state() {
-      StringBuilder b = new StringBuilder(keys());
-      b.append('|')
+    private String describeState() {
+      StringBuilder text = new StringBuilder(describeStore());
+      text.append('|')
           .append(observations)
           .append('|')
-          .append(troubles)
-          .append(offers.keySet())
+          .append(injectedFaults)
+          .append(faults.keySet())
           .append(events.keySet());
-      for (Process p : processes) {
-        b.append('|').append(p.name).append(p.isCrashed).append(p.heard);
+      for (Process process : processes) {
+        text.append('|')
+            .append(process.name)
+            .append(process.crashed)
+            .append(process.responseDigest);
       }
-      waiting.forEach(x -> b.append('|').append(x.text()));
-      late.forEach(x -> b.append("|late ").append(x.text()));
-      b.append(timers.size());
-      return b.toString();
+      pendingCalls.forEach(call -> text.append('|').append(call.description()));
+      delayedTransactions.forEach(call -> text.append("|delayed ").append(call.description()));
+      text.append(timers.size());
+      return text.toString();
     }
   }
 
-  /** A process: a loop whose timers run when no call waits, and calls that the explorer orders. */
+  /**
+   * A simulated process. The explorer orders its requests; timers fire only when no process has a
+   * pending request.
+   */
   public static final class Process extends EventLoop implements RequestSender {
-    /** True where it may end at any moment. */
+    /** When true, the process may crash at any time; this counts as a fault. */
     public boolean mayCrash;
 
-    private final Execution stage;
+    private final Execution execution;
     private final String name;
-    private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-    private long heard = 7;
-    private boolean isCrashed;
+    private final ArrayDeque<Runnable> queuedTasks = new ArrayDeque<>();
+    private long responseDigest = 7;
+    private boolean crashed;
 
-    private Process(Execution stage, String name) {
-      this.stage = stage;
+    private Process(Execution execution, String name) {
+      this.execution = execution;
       this.name = name;
     }
 
-    private void tell(Runnable answer, String what) {
-      if (!isCrashed) {
-        heard = heard * 1_000_003 + what.hashCode();
-        queue.add(answer);
+    private void enqueueResponse(Runnable task, String content) {
+      if (!crashed) {
+        responseDigest = responseDigest * 1_000_003 + content.hashCode();
+        queuedTasks.add(task);
       }
     }
 
-    /** True once it has ended. */
+    /** True once the process has crashed. */
     public boolean isCrashed() {
-      return isCrashed;
+      return crashed;
     }
 
     @Override
     public long nanos() {
-      return stage.now * 1_000_000;
+      return execution.nowMs * 1_000_000;
     }
 
     @Override
     public long wallMs() {
-      return 1_000_000 + stage.now;
+      return 1_000_000 + execution.nowMs;
     }
 
     @Override
     protected void execute(Runnable task) {
-      queue.add(task);
+      queuedTasks.add(task);
     }
 
     @Override
-    protected Timer schedule(long ms, Runnable task) {
-      Due d = new Due(this, stage.now + ms, stage.sequence++, task);
-      stage.timers.add(d);
-      return () -> stage.timers.remove(d);
+    protected Timer schedule(long delayMs, Runnable task) {
+      ScheduledTask timer =
+          new ScheduledTask(this, execution.nowMs + delayMs, execution.nextSequence++, task);
+      execution.timers.add(timer);
+      return () -> execution.timers.remove(timer);
     }
 
     @Override
     public void call(
-        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-      stage.waiting.add(new Call(this, method, path, body, answer));
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
+      execution.pendingCalls.add(new Call(this, method, path, body, handler));
     }
   }
 
-  private final Scenario scene;
-  private final int troubles;
-  private final int most;
-  private final Set<String> seen = new HashSet<>();
+  private final Scenario scenario;
+  private final int maxFaults;
+  private final int maxStates;
+  private final Set<String> visitedStates = new HashSet<>();
   private int executions;
 
   /**
-   * Over a scene.
+   * Creates an explorer of a scenario.
    *
-   * @param troubles in one history
-   * @param most states; beyond it the exploration has failed to be one
+   * @param maxFaults maximum number of faults in an execution
+   * @param maxStates the exploration fails when it reaches more states than this
    */
-  public StateSpaceExplorer(Scenario scene, int troubles, int most) {
-    this.scene = scene;
-    this.troubles = troubles;
-    this.most = most;
+  public StateSpaceExplorer(Scenario scenario, int maxFaults, int maxStates) {
+    this.scenario = scenario;
+    this.maxFaults = maxFaults;
+    this.maxStates = maxStates;
   }
 
-  /** Distinct states seen. */
+  /** Number of distinct states reached. */
   public int states() {
-    return seen.size();
+    return visitedStates.size();
   }
 
-  /** Histories played to their end. */
+  /** Number of executions that were completed. */
   public int executions() {
     return executions;
   }
 
-  /** Plays all; {@code each} gets each end. */
-  public void explore(Consumer<Execution> each) {
-    ArrayDeque<int[]> left = new ArrayDeque<>();
-    left.add(new int[0]);
+  /** Explores all executions; {@code onCompletion} receives each completed one. */
+  public void explore(Consumer<Execution> onCompletion) {
+    ArrayDeque<int[]> unexplored = new ArrayDeque<>();
+    unexplored.add(new int[0]);
     int[] prefix;
-    while ((prefix = left.pollLast()) != null) {
-      Execution s = new Execution();
-      s.scene = scene;
-      List<String> made = new ArrayList<>();
+    while ((prefix = unexplored.pollLast()) != null) {
+      Execution execution = new Execution();
+      execution.scenario = scenario;
+      List<String> choices = new ArrayList<>();
       try {
-        scene.setUp(s);
-        s.soon();
-        for (int c : prefix) {
-          String choice = s.choices(troubles).get(c);
-          made.add(choice);
-          s.choose(choice);
+        scenario.setUp(execution);
+        execution.runQueuedTasks();
+        for (int choiceIndex : prefix) {
+          String choice = execution.choices(maxFaults).get(choiceIndex);
+          choices.add(choice);
+          execution.apply(choice);
         }
-        int n = s.choices(troubles).size();
-        if (n == 0) {
+        int choiceCount = execution.choices(maxFaults).size();
+        if (choiceCount == 0) {
           executions++;
-          scene.afterCompletion(s);
-          each.accept(s);
+          scenario.afterCompletion(execution);
+          onCompletion.accept(execution);
           continue;
         }
-        if (!seen.add(s.state())) {
+        if (!visitedStates.add(execution.describeState())) {
           continue;
         }
-        if (seen.size() > most) {
-          throw new AssertionError("more than " + most + " states");
+        if (visitedStates.size() > maxStates) {
+          throw new AssertionError("more than " + maxStates + " states");
         }
-        for (int i = n - 1; i >= 0; i--) {
+        for (int index = choiceCount - 1; index >= 0; index--) {
           int[] next = Arrays.copyOf(prefix, prefix.length + 1);
-          next[prefix.length] = i;
-          left.add(next);
+          next[prefix.length] = index;
+          unexplored.add(next);
         }
       } catch (AssertionError e) {
-        throw new AssertionError(e.getMessage() + "; by " + made, e);
+        throw new AssertionError(e.getMessage() + "; choices " + choices, e);
       }
     }
   }
--- a/src/test/java/org/mallowroad/VirtualTimeHarness.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -9,56 +9,61 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
-/** A clock, a store and loops of processes on it; each call to the store takes a millisecond. */
+/**
+ * Runs the event loops of simulated processes and an in-memory state service in virtual time. Each
+ * request reaches the service one millisecond after it was sent.
+ */
 public final class VirtualTimeHarness {
-  private record Due(long ms, long sequence, Runnable task) {}
+  private record ScheduledTask(long dueMs, long sequence, Runnable task) {}
 
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::ms).thenComparingLong(Due::sequence));
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledTask::dueMs)
+              .thenComparingLong(ScheduledTask::sequence));
 
-  /** What the state service keeps. */
+  /** The contents of the state service. */
   public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
 
-  /** The time. */
+  /** The current virtual time in ms. */
   public long nowMs = 1_000;
 
-  /** Transactions are done, and nobody hears of it. */
+  /** While true, transactions are executed but their responses are lost. */
   public boolean loseTransactionResponses;
 
-  /** So many transactions are done next of which nobody hears. */
+  /** Number of next transactions that are executed but whose responses are lost. */
   public int transactionResponsesToLose;
 
-  /** Puts and deletes that were asked for. */
+  /** Number of puts and deletes requested in transactions. */
   public int requestedWrites;
 
-  /** While above the time, each call gets 429. */
+  /** Until this virtual time, every request is rejected with status 429. */
   public long rateLimitedUntilMs;
 
-  /** A transaction that fails names the first condition only. */
+  /** When true, a failed transaction reports only its first failed condition. */
   public boolean reportFirstFailureOnly;
 
-  /** Runs before the next transaction. */
+  /** Runs before each transaction. */
   public Runnable beforeTransaction = () -> {};
 
-  /** Calls that reached the service. */
+  /** Number of requests that reached the service, rejected ones and polls of watches included. */
   public int receivedCalls;
 
   private long sequence;
 
-  /** Plays for a while. */
-  public void advance(long ms) {
-    long until = nowMs + ms;
-    while (!due.isEmpty() && due.peek().ms() <= until) {
-      Due d = due.poll();
-      nowMs = Math.max(nowMs, d.ms());
+  /** Advances the virtual time and runs the tasks that become due. */
+  public void advance(long durationMs) {
+    long endMs = nowMs + durationMs;
+    while (!scheduledTasks.isEmpty() && scheduledTasks.peek().dueMs() <= endMs) {
+      ScheduledTask next = scheduledTasks.poll();
+      nowMs = Math.max(nowMs, next.dueMs());
       store.expire(nowMs);
-      d.task().run();
+      next.task().run();
     }
-    nowMs = until;
+    nowMs = endMs;
     store.expire(nowMs);
   }
 
-  /** Does a call to the store from outside of any process. */
+  /** Sends a request to the store that belongs to no process; it takes no virtual time. */
   public InMemoryKeyValueStore.Answer callStore(String method, String path, String body) {
     try {
       return store.serve(
@@ -68,9 +73,9 @@
     }
   }
 
-  /** One process. */
+  /** A simulated process: an event loop and a client of the state service. */
   public final class Process extends EventLoop implements RequestSender {
-    /** Nothing of it runs any more. */
+    /** When true, no task of this process runs any more. */
     public boolean crashed;
 
     @Override
@@ -89,10 +94,10 @@
     }
 
     @Override
-    protected Timer schedule(long ms, Runnable task) {
-      due.add(
-          new Due(
-              nowMs + ms,
+    protected Timer schedule(long delayMs, Runnable task) {
+      scheduledTasks.add(
+          new ScheduledTask(
+              nowMs + delayMs,
               sequence++,
               () -> {
                 if (!crashed) {
@@ -104,11 +109,11 @@
 
     @Override
     public void call(
-        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-      after(1, () -> serve(method, path, body, timeoutMs, answer));
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
+      after(1, () -> callStore(method, path, body, timeoutMs, handler));
     }
 
-    private static int writes(byte[] body) {
+    private static int countWrites(byte[] body) {
       try {
         return Json.parseObject(body).path("writes").size();
       } catch (InvalidMessageException e) {
@@ -116,34 +121,35 @@
       }
     }
 
-    private void serve(
-        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
+    private void callStore(
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
       receivedCalls++;
-      boolean multi = path.equals("/multi");
+      boolean isTransaction = path.equals("/multi");
       if (nowMs < rateLimitedUntilMs) {
-        answer.answered(429, new byte[0]);
+        handler.answered(429, new byte[0]);
         return;
       }
-      if (multi) {
+      if (isTransaction) {
         beforeTransaction.run();
-        requestedWrites += writes(body);
+        requestedWrites += countWrites(body);
       }
       try {
-        InMemoryKeyValueStore.Answer a =
+        InMemoryKeyValueStore.Answer response =
             store.serve(method, path, body == null ? new byte[0] : body, nowMs);
-        if (a == null) {
-          // A watch that waits: asked again until something has changed.
-          after(50, () -> serve(method, path, body, timeoutMs - 50, answer));
-        } else if (multi && (loseTransactionResponses || transactionResponsesToLose-- > 0)) {
-          after(timeoutMs, () -> answer.failed(true));
+        if (response == null) {
+          // A watch without changes yet; polled again until there is one.
+          after(50, () -> callStore(method, path, body, timeoutMs - 50, handler));
+        } else if (isTransaction
+            && (loseTransactionResponses || transactionResponsesToLose-- > 0)) {
+          after(timeoutMs, () -> handler.failed(true));
         } else {
-          if (reportFirstFailureOnly && a.status() == 409) {
-            ArrayNode failed = (ArrayNode) a.body().get("failed");
-            while (failed.size() > 1) {
-              failed.remove(1);
+          if (reportFirstFailureOnly && response.status() == 409) {
+            ArrayNode failedConditions = (ArrayNode) response.body().get("failed");
+            while (failedConditions.size() > 1) {
+              failedConditions.remove(1);
             }
           }
-          answer.answered(a.status(), Json.bytes(a.body()));
+          handler.answered(response.status(), Json.bytes(response.body()));
         }
       } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
--- a/src/test/java/org/mallowroad/core/JobSpecBuilder.java
+++ b/src/test/java/org/mallowroad/core/JobSpecBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.mallowroad.core.dependency.JobDependencies;
 
-/** Builds job specs for the tables. */
+/** Builds job specs for tests, and creates the heartbeats and commits that tests need. */
 public final class JobSpecBuilder {
   private final String id;
   private final int tasks;
@@ -18,8 +18,8 @@
   private int team;
   private int taskClass;
   private int priority = 2;
-  private double checkpoint;
-  private double save;
+  private double checkpointIntervalS;
+  private double checkpointDurationS;
   private JobDependencies dependencies = JobDependencies.NONE;
 
   private JobSpecBuilder(String id, int tasks, double cpus) {
@@ -62,29 +62,29 @@
     return this;
   }
 
-  public JobSpecBuilder zone(int z) {
-    zone = z;
+  public JobSpecBuilder zone(int index) {
+    zone = index;
     return this;
   }
 
-  public JobSpecBuilder team(int t) {
-    team = t;
+  public JobSpecBuilder team(int index) {
+    team = index;
     return this;
   }
 
-  public JobSpecBuilder priority(int p) {
-    priority = p;
+  public JobSpecBuilder priority(int value) {
+    priority = value;
     return this;
   }
 
-  public JobSpecBuilder dependencies(JobDependencies t) {
-    dependencies = t;
+  public JobSpecBuilder dependencies(JobDependencies value) {
+    dependencies = value;
     return this;
   }
 
-  public JobSpecBuilder checkpoints(double everyS, double inS) {
-    checkpoint = everyS;
-    save = inS;
+  public JobSpecBuilder checkpoints(double intervalS, double durationS) {
+    checkpointIntervalS = intervalS;
+    checkpointDurationS = durationS;
     return this;
   }
 
@@ -108,35 +108,47 @@
         scatter,
         spot,
         60,
-        checkpoint,
-        save,
+        checkpointIntervalS,
+        checkpointDurationS,
         0,
         1_000,
         dependencies);
   }
 
-  /** A report that lists all of a machine's attempts in one state. */
+  /** A heartbeat that lists all attempts of a machine in the same state. */
   public static Heartbeat heartbeatListingAttempts(
-      Machine m, long sequence, long fencingToken, Heartbeat.State state) {
-    List<Heartbeat.Entry> tasks = new ArrayList<>();
-    for (Attempt a : m.attempts()) {
-      String why = state == Heartbeat.State.EXITED ? "done" : null;
-      tasks.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, why));
+      Machine machine, long sequence, long fencingToken, Heartbeat.State state) {
+    List<Heartbeat.Entry> entries = new ArrayList<>();
+    for (Attempt attempt : machine.attempts()) {
+      String exitReason = state == Heartbeat.State.EXITED ? "done" : null;
+      entries.add(
+          new Heartbeat.Entry(
+              attempt.job.spec.id(), attempt.task, attempt.number, state, exitReason));
     }
     return new Heartbeat(
-        m.name, "h:1", m.type.name(), "a", m.spot, 1, sequence, fencingToken, -1, tasks);
+        machine.name,
+        "h:1",
+        machine.type.name(),
+        "a",
+        machine.spot,
+        1,
+        sequence,
+        fencingToken,
+        -1,
+        entries);
   }
 
-  /** Commits all that is dirty, with every start in it. */
+  /** Commits all dirty records with all their live attempts. */
   public static void commitDirtyRecords(SchedulerState schedulerState, long now) {
-    for (AttemptRecord c : new ArrayList<>(schedulerState.dirtyRecords())) {
-      List<Attempt> recorded = new ArrayList<>();
-      for (int t = c.firstTask(); t < c.endTask(); t++) {
-        if (c.job.liveAttempt(t) != null) {
-          recorded.add(c.job.liveAttempt(t));
+    for (AttemptRecord attemptRecord : new ArrayList<>(schedulerState.dirtyRecords())) {
+      List<Attempt> writtenAttempts = new ArrayList<>();
+      for (int task = attemptRecord.firstTask(); task < attemptRecord.endTask(); task++) {
+        if (attemptRecord.job.liveAttempt(task) != null) {
+          writtenAttempts.add(attemptRecord.job.liveAttempt(task));
         }
       }
-      schedulerState.recordCommitted(c, 9, c.changeCount, recorded, now);
+      schedulerState.recordCommitted(
+          attemptRecord, 9, attemptRecord.changeCount, writtenAttempts, now);
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/PreemptionTest.java
+++ b/src/test/java/org/mallowroad/core/PreemptionTest.java
@@ -9,29 +9,34 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Interruption notices of spot machines, and preemption by priority and by guarantee. */
+/**
+ * Tests the draining of machines with an interruption notice, and preemption by priority and by
+ * guarantee.
+ */
 final class PreemptionTest {
   @TestFactory
-  Stream<DynamicTest> interruptionNotices() {
+  Stream<DynamicTest> interruptionNoticeDrainsTheMachine() {
     return Stream.of(
         SchedulerFixture.testCase(
-            "a machine with an interruption notice gets no work, and its tasks save or are stopped",
+            "a machine with an interruption notice gets no work, and its tasks are checkpointed or stopped",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Job saving =
+              Machine machine = cluster.machine("n-1", 0);
+              Job checkpointingJob =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-1", 1, 1).checkpoints(30, 4).build(),
                       5,
                       0,
                       cluster.now);
-              Job other = cluster.job("job-2", 1, 1);
-              Attempt a = cluster.startCommitted(saving, 0, m);
-              Attempt b = cluster.startCommitted(other, 0, m);
-              Heartbeat.Entry ra = SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null);
-              Heartbeat.Entry rb = SchedulerFixture.entry(b, Heartbeat.State.RUNNING, null);
-              cluster.heartbeat(m, 1, SchedulerFixture.TERM, ra, rb);
+              Job plainJob = cluster.job("job-2", 1, 1);
+              Attempt attempt = cluster.startCommitted(checkpointingJob, 0, machine);
+              Attempt otherAttempt = cluster.startCommitted(plainJob, 0, machine);
+              Heartbeat.Entry entry =
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null);
+              Heartbeat.Entry otherEntry =
+                  SchedulerFixture.entry(otherAttempt, Heartbeat.State.RUNNING, null);
+              cluster.heartbeat(machine, 1, SchedulerFixture.TERM, entry, otherEntry);
               cluster.schedulerState.processHeartbeat(
-                  m,
+                  machine,
                   new Heartbeat(
                       "n-1",
                       "h:1",
@@ -42,101 +47,102 @@
                       ++cluster.sequence,
                       SchedulerFixture.TERM,
                       15,
-                      List.of(ra, rb)),
+                      List.of(entry, otherEntry)),
                   true,
                   cluster.now);
               assertEquals(
                   StartRefusal.DRAINING_OR_FAILED,
                   cluster.schedulerState.startRefusal(
-                      cluster.job("job-3", 1, 1), 0, m, cluster.now));
+                      cluster.job("job-3", 1, 1), 0, machine, cluster.now));
               cluster.taskScheduler.drain(cluster.now);
               assertEquals(
                   List.of(
                       new WorkerCommand(WorkerCommand.Kind.STOP, "job-1", 0, 1, 4),
                       new WorkerCommand(WorkerCommand.Kind.STOP, "job-2", 0, 1, 0)),
-                  cluster.heartbeat(m, 1, SchedulerFixture.TERM, ra, rb));
+                  cluster.heartbeat(machine, 1, SchedulerFixture.TERM, entry, otherEntry));
             }),
         SchedulerFixture.testCase(
-            "a task that is expected to end before the interruption goes on",
+            "a task that is expected to end before the interruption is not stopped",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Attempt a = cluster.startCommitted(cluster.job("job-1", 1, 1), 0, m);
-              Heartbeat.Entry e = SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null);
-              cluster.heartbeat(m, 1, SchedulerFixture.TERM, e);
-              m.interruptionMs = cluster.now + 90_000; // Estimated at 60 s.
+              Machine machine = cluster.machine("n-1", 0);
+              Attempt attempt = cluster.startCommitted(cluster.job("job-1", 1, 1), 0, machine);
+              Heartbeat.Entry entry =
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null);
+              cluster.heartbeat(machine, 1, SchedulerFixture.TERM, entry);
+              machine.interruptionMs = cluster.now + 90_000; // The estimated run time is 60 s.
               cluster.taskScheduler.drain(cluster.now);
-              assertFalse(a.isStopping());
+              assertFalse(attempt.isStopping());
             }));
   }
 
   @TestFactory
-  Stream<DynamicTest> preemption() {
+  Stream<DynamicTest> preemptionFollowsPriorityAndGuarantee() {
     return Stream.of(
         SchedulerFixture.testCase(
-            "higher priority stops lower, never the same",
+            "a job preempts tasks of lower priority but not of the same priority",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Job low = cluster.job("job-1", 1, 4);
-              Attempt a = cluster.startCommitted(low, 0, m);
+              Machine machine = cluster.machine("n-1", 0);
+              Job runningJob = cluster.job("job-1", 1, 4);
+              Attempt attempt = cluster.startCommitted(runningJob, 0, machine);
               cluster.heartbeat(
-                  m,
+                  machine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null));
               cluster.schedulerState.accept(
                   JobSpecBuilder.job("job-2", 1, 4).build(), 6, 0, cluster.now);
               cluster.now += 2_000;
               cluster.heartbeat(
-                  m,
+                  machine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null));
               cluster.taskScheduler.placeTasks(cluster.now);
-              assertFalse(a.isStopping());
+              assertFalse(attempt.isStopping());
               cluster.schedulerState.accept(
                   JobSpecBuilder.job("job-3", 1, 4).priority(1).build(), 7, 0, cluster.now);
               cluster.now += 2_000;
               cluster.heartbeat(
-                  m,
+                  machine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null));
               cluster.taskScheduler.placeTasks(cluster.now);
-              assertTrue(a.isStopping());
+              assertTrue(attempt.isStopping());
             }),
         SchedulerFixture.testCase(
-            "a guarantee stops what another team borrows at the same priority",
+            "a team within its guarantee preempts a task of the same priority of a team above its guarantee",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Machine n = cluster.machine("n-2", 0);
-              Job j = cluster.job("job-1", 2, 4);
-              Attempt a = cluster.startCommitted(j, 0, m);
-              Attempt b = cluster.startCommitted(j, 1, n);
+              Machine machine = cluster.machine("n-1", 0);
+              Machine otherMachine = cluster.machine("n-2", 0);
+              Job job = cluster.job("job-1", 2, 4);
+              Attempt attempt = cluster.startCommitted(job, 0, machine);
+              Attempt otherAttempt = cluster.startCommitted(job, 1, otherMachine);
               cluster.heartbeat(
-                  m,
+                  machine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null));
               cluster.heartbeat(
-                  n,
+                  otherMachine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(b, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(otherAttempt, Heartbeat.State.RUNNING, null));
               cluster.schedulerState.accept(
                   JobSpecBuilder.job("job-2", 1, 4).team(1).build(), 6, 0, cluster.now);
               cluster.now += 5_000;
               cluster.heartbeat(
-                  m,
+                  machine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null));
               cluster.heartbeat(
-                  n,
+                  otherMachine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(b, Heartbeat.State.RUNNING, null));
+                  SchedulerFixture.entry(otherAttempt, Heartbeat.State.RUNNING, null));
               cluster.taskScheduler.placeTasks(cluster.now);
-              assertEquals(1, (a.isStopping() ? 1 : 0) + (b.isStopping() ? 1 : 0));
+              assertEquals(1, (attempt.isStopping() ? 1 : 0) + (otherAttempt.isStopping() ? 1 : 0));
             }));
   }
 }
