--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -26,42 +26,46 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Half as many machines again as the users have, thousands of waiting tasks, in counts of work
- * rather than time: what the leader does must grow with what changed, not with fleet times queue.
+ * Bounds the work of the leader with thousands of pending tasks and 1.5 times as many machines as
+ * the users have. The tests count operations instead of measuring time: work must grow with what
+ * changed, not with the product of fleet size and queue length.
  */
 final class ScaleTest {
   private static final int MACHINES = 1_700;
   private static final int JOBS = 102;
   private static final int TASKS = 150;
 
-  /** Machines of 32 CPUs in two zones, jobs of 150 tasks of 4 CPUs. */
+  /** Machines with 32 CPUs in two zones; jobs of 150 tasks with 4 CPUs each. */
   private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t32", 32, 0, 256, 100, 1, 2.0, 0.5, 30, new int[] {0, 1});
     final SchedulerState schedulerState;
-    final TaskScheduler placement;
-    final Autoscaler fleet;
+    final TaskScheduler taskScheduler;
+    final Autoscaler autoscaler;
     long now = 1_000_000;
 
-    TestCluster(int machines) {
+    TestCluster(int machineCount) {
       zones.intern("north-eastern-zone");
       zones.intern("south-western-zone");
       Team team = new Team("team", 1e6, 0, 1e6, 0);
       schedulerState =
           new SchedulerState(1, 26, 4, List.of(team, new Team("other", 1e6, 0, 1e6, 0)), zones);
-      placement = new TaskScheduler(schedulerState);
-      fleet =
+      taskScheduler = new TaskScheduler(schedulerState);
+      autoscaler =
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
-      for (int i = 0; i < machines; i++) {
+      for (int i = 0; i < machineCount; i++) {
         String name = String.format("n-%06d", i);
-        Machine m = schedulerState.registerMachine(name, type, i % 2, false, now);
+        Machine machine = schedulerState.registerMachine(name, type, i % 2, false, now);
         schedulerState.processHeartbeat(
-            m, new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()), true, now);
+            machine,
+            new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()),
+            true,
+            now);
       }
     }
 
-    void jobs(int priority) {
+    void acceptJobs(int priority) {
       for (int j = 0; j < JOBS; j++) {
         String id = "job-" + (100 * priority + j);
         schedulerState.accept(
@@ -71,10 +75,10 @@
 
     PendingReasonExplainer explainer;
 
-    SnapshotBuilder sketch() {
+    SnapshotBuilder newSnapshotBuilder() {
       NameIndex classes = new NameIndex();
       classes.intern("class");
-      AutoscalerView nothing =
+      AutoscalerView emptyView =
           new AutoscalerView() {
             @Override
             public List<PendingMachines> coming(long at) {
@@ -101,297 +105,335 @@
               return now;
             }
           };
-      explainer = new PendingReasonExplainer(schedulerState, placement, nothing, zones, classes);
-      return new SnapshotBuilder(schedulerState, nothing, zones, explainer);
+      explainer =
+          new PendingReasonExplainer(schedulerState, taskScheduler, emptyView, zones, classes);
+      return new SnapshotBuilder(schedulerState, emptyView, zones, explainer);
     }
 
-    void commit() {
+    void commitDirtyRecords() {
       JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     }
   }
 
-  private interface Case {
+  private interface ScaleCase {
     void run(TestCluster w);
   }
 
-  private static DynamicTest scale(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster(MACHINES)));
+  private static DynamicTest testCase(String name, ScaleCase test) {
+    return DynamicTest.dynamicTest(name, () -> test.run(new TestCluster(MACHINES)));
   }
 
-  private static void atMost(long bound, long n) {
-    assertTrue(n <= bound, n + " instead of at most " + bound);
+  private static void assertAtMost(long bound, long actual) {
+    assertTrue(actual <= bound, actual + " instead of at most " + bound);
   }
 
   @TestFactory
-  Stream<DynamicTest> work() {
+  Stream<DynamicTest> workGrowsWithChangesNotWithFleetTimesQueue() {
     return Stream.of(
-        scale(
-            "a pass fills the fleet; a task does not cost a walk over it",
-            w -> {
-              w.jobs(2);
-              assertEquals(MACHINES * 8, w.placement.placeTasks(w.now).size());
-              // Once round for the room, then three times a job; 15,000 tasks would be 25 million.
-              atMost(MACHINES * (3 * JOBS + 2), w.placement.machinesScanned());
+        testCase(
+            "a placement pass fills the fleet without scanning it for each task",
+            cluster -> {
+              cluster.acceptJobs(2);
+              assertEquals(MACHINES * 8, cluster.taskScheduler.placeTasks(cluster.now).size());
+              // One scan for free capacity, then three scans per job. A scan per task would make 25
+              // million.
+              assertAtMost(MACHINES * (3 * JOBS + 2), cluster.taskScheduler.machinesScanned());
             }),
-        scale(
-            "with the fleet full, a pass looks at each machine once, however long the queue",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              w.jobs(3);
-              long before = w.placement.machinesScanned();
-              assertEquals(0, w.placement.placeTasks(w.now + 100).size());
-              atMost(MACHINES, w.placement.machinesScanned() - before);
+        testCase(
+            "with a full fleet, a placement pass scans each machine once, however long the queue is",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.acceptJobs(3);
+              long scannedBefore = cluster.taskScheduler.machinesScanned();
+              assertEquals(0, cluster.taskScheduler.placeTasks(cluster.now + 100).size());
+              assertAtMost(MACHINES, cluster.taskScheduler.machinesScanned() - scannedBefore);
             }),
-        scale(
-            "looking for work to stop walks the fleet for a few jobs and not at every pass",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              w.commit();
-              w.jobs(1);
-              w.now += 2_000;
-              long before = w.placement.machinesScanned();
+        testCase(
+            "the search for tasks to preempt scans the fleet for a few jobs, not in every pass",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.commitDirtyRecords();
+              cluster.acceptJobs(1);
+              cluster.now += 2_000;
+              long scannedBefore = cluster.taskScheduler.machinesScanned();
               for (int pass = 0; pass < 4; pass++) {
-                w.placement.placeTasks(w.now + 50L * pass);
+                cluster.taskScheduler.placeTasks(cluster.now + 50L * pass);
               }
-              atMost(MACHINES * (16 + 4), w.placement.machinesScanned() - before);
+              assertAtMost(
+                  MACHINES * (16 + 4), cluster.taskScheduler.machinesScanned() - scannedBefore);
             }),
-        scale(
-            "what will end soon is looked at once for all jobs that wait, not once a job",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              w.commit();
-              w.jobs(1);
-              w.now += 2_000;
-              long before = w.placement.attemptsScanned();
+        testCase(
+            "attempts that will end soon are scanned once for all pending jobs, not once per job",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.commitDirtyRecords();
+              cluster.acceptJobs(1);
+              cluster.now += 2_000;
+              long scannedBefore = cluster.taskScheduler.attemptsScanned();
               for (int pass = 0; pass < 4; pass++) {
-                w.placement.placeTasks(w.now + 50L * pass);
+                cluster.taskScheduler.placeTasks(cluster.now + 50L * pass);
               }
-              assertEquals(MACHINES * 8, w.placement.attemptsScanned() - before);
+              assertEquals(MACHINES * 8, cluster.taskScheduler.attemptsScanned() - scannedBefore);
             }),
-        scale(
-            "silence is judged from the machines that are late, not from the fleet",
-            w -> {
-              FailureDetector s = w.schedulerState.health().failureDetector();
+        testCase(
+            "the failure detector examines overdue machines, not the whole fleet",
+            cluster -> {
+              FailureDetector s = cluster.schedulerState.health().failureDetector();
               for (int i = 0; i < 100; i++) {
-                s.evaluate(w.now + 10L * i);
+                s.evaluate(cluster.now + 10L * i);
               }
-              atMost(100, s.examinedMachines());
-              for (Machine m : w.schedulerState.machines()) {
-                if (!m.name.endsWith("7")) {
-                  w.schedulerState.health().recordHeartbeat(m.health, w.now + 6_000);
+              assertAtMost(100, s.examinedMachines());
+              for (Machine machine : cluster.schedulerState.machines()) {
+                if (!machine.name.endsWith("7")) {
+                  cluster
+                      .schedulerState
+                      .health()
+                      .recordHeartbeat(machine.health, cluster.now + 6_000);
                 }
               }
-              long before = s.examinedMachines();
-              s.evaluate(w.now + 6_000);
+              long scannedBefore = s.examinedMachines();
+              s.evaluate(cluster.now + 6_000);
               assertEquals(MACHINES / 10, s.overdueCount());
-              atMost(MACHINES / 10 + 1, s.examinedMachines() - before);
+              assertAtMost(MACHINES / 10 + 1, s.examinedMachines() - scannedBefore);
             }),
-        scale(
-            "arrays of 100,000 tasks are forecast up to a bound, others before them in full",
-            w -> {
-              w.jobs(1);
+        testCase(
+            "jobs of 100,000 tasks are forecast up to a limit after the jobs before them are forecast in full",
+            cluster -> {
+              cluster.acceptJobs(1);
               for (int i = 0; i < 4; i++) {
                 JobSpecBuilder s =
                     JobSpecBuilder.job("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
-                w.schedulerState.accept(s.spot().build(), 5, 0, w.now);
+                cluster.schedulerState.accept(s.spot().build(), 5, 0, cluster.now);
               }
-              w.placement.placeTasks(w.now);
-              w.commit();
-              int jobs = w.placement.queue(w.now).size();
-              w.fleet.scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now);
-              assertTrue(jobs >= 4, "jobs that wait: " + jobs);
-              assertEquals(Autoscaler.MAX_FORECAST_TASKS, w.fleet.tasksForecast());
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.commitDirtyRecords();
+              int jobs = cluster.taskScheduler.queue(cluster.now).size();
+              cluster.autoscaler.scaleOut(
+                  cluster.taskScheduler.queue(cluster.now),
+                  List.of(),
+                  List.of(cluster.type),
+                  cluster.now);
+              assertTrue(jobs >= 4, "pending jobs: " + jobs);
+              assertEquals(Autoscaler.MAX_FORECAST_TASKS, cluster.autoscaler.tasksForecast());
             }),
-        scale(
-            "a forecast looks at the fleet once a job, not once a task",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              w.jobs(3);
-              int rented =
-                  w
-                      .fleet
-                      .scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)
+        testCase(
+            "a forecast scans the fleet once per job, not once per task",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.acceptJobs(3);
+              int requestedMachines =
+                  cluster
+                      .autoscaler
+                      .scaleOut(
+                          cluster.taskScheduler.queue(cluster.now),
+                          List.of(),
+                          List.of(cluster.type),
+                          cluster.now)
                       .stream()
                       .mapToInt(ScaleOutRequest::count)
                       .sum();
-              assertEquals(AutoscalerPolicy.defaults().step(), rented);
-              atMost((MACHINES + rented) * 2L * JOBS, w.fleet.machinesScanned());
+              assertEquals(AutoscalerPolicy.defaults().step(), requestedMachines);
+              assertAtMost(
+                  (MACHINES + requestedMachines) * 2L * JOBS, cluster.autoscaler.machinesScanned());
             }),
-        scale(
-            "rents come in calls that the cloud takes",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              w.jobs(3);
-              for (ScaleOutRequest r :
-                  w.fleet.scaleOut(w.placement.queue(w.now), List.of(), List.of(w.type), w.now)) {
-                atMost(50, r.count());
+        testCase(
+            "scale-out requests stay within the cloud's limit of machines per request",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.acceptJobs(3);
+              for (ScaleOutRequest request :
+                  cluster.autoscaler.scaleOut(
+                      cluster.taskScheduler.queue(cluster.now),
+                      List.of(),
+                      List.of(cluster.type),
+                      cluster.now)) {
+                assertAtMost(50, request.count());
               }
             }),
-        scale(
-            "one start writes one record, and one machine has something to send",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              w.commit();
-              w.schedulerState.machinesWithUnsentCommands().clear();
-              Machine m = w.schedulerState.machine("n-000007");
-              Attempt a = m.attempts().iterator().next();
-              w.schedulerState.resolve(a, AttemptOutcome.LOST, w.now);
-              assertEquals(1, w.schedulerState.dirtyRecords().size());
-              assertEquals(0, w.schedulerState.urgentRecords().size());
-              assertEquals(1, w.placement.placeTasks(w.now).size());
-              assertEquals(1, w.schedulerState.urgentRecords().size());
-              w.commit();
-              assertEquals(0, w.schedulerState.urgentRecords().size());
-              assertEquals(List.of(m), List.copyOf(w.schedulerState.machinesWithUnsentCommands()));
+        testCase(
+            "one start makes one record dirty and queues commands for one machine",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.commitDirtyRecords();
+              cluster.schedulerState.machinesWithUnsentCommands().clear();
+              Machine machine = cluster.schedulerState.machine("n-000007");
+              Attempt attempt = machine.attempts().iterator().next();
+              cluster.schedulerState.resolve(attempt, AttemptOutcome.LOST, cluster.now);
+              assertEquals(1, cluster.schedulerState.dirtyRecords().size());
+              assertEquals(0, cluster.schedulerState.urgentRecords().size());
+              assertEquals(1, cluster.taskScheduler.placeTasks(cluster.now).size());
+              assertEquals(1, cluster.schedulerState.urgentRecords().size());
+              cluster.commitDirtyRecords();
+              assertEquals(0, cluster.schedulerState.urgentRecords().size());
+              assertEquals(
+                  List.of(machine),
+                  List.copyOf(cluster.schedulerState.machinesWithUnsentCommands()));
             }),
-        scale(
-            "a full record stays well below the least value limit",
-            w -> {
-              Job j =
-                  w.schedulerState.accept(
-                      JobSpecBuilder.job("job-1", 128, 32).spot().build(), 5, 0, w.now);
-              w.placement.placeTasks(w.now);
-              String text = Json.text(AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
-              atMost(6 * 1024, text.length());
+        testCase(
+            "a full record stays well below the smallest value limit",
+            cluster -> {
+              Job job =
+                  cluster.schedulerState.accept(
+                      JobSpecBuilder.job("job-1", 128, 32).spot().build(), 5, 0, cluster.now);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              String json =
+                  Json.text(AttemptRecordCodec.encode(job.attemptRecord(0), cluster.zones));
+              assertAtMost(6 * 1024, json.length());
             }));
   }
 
-  /** What a console's question costs the loop: counts of questions to the decision, and bytes. */
+  /** Bounds the cost of a console snapshot: admission checks per step, and encoded bytes. */
   @TestFactory
-  Stream<DynamicTest> pictures() {
+  Stream<DynamicTest> snapshotCostIsBounded() {
     return Stream.of(
-        scale(
-            "nobody asks: nothing is explained; one asks: each machine once a job, in bounded turns",
-            w -> {
-              SnapshotBuilder s = explained(w, 0.001);
-              assertEquals(0, w.explainer.asked());
-              s.begin(w.now);
-              int turns = 1;
-              long before = 0;
+        testCase(
+            "a snapshot checks each machine once per job in bounded steps, and only when requested",
+            cluster -> {
+              SnapshotBuilder s = fullFleetWithWaitingJobs(cluster, 0.001);
+              assertEquals(0, cluster.explainer.asked());
+              s.begin(cluster.now);
+              int steps = 1;
+              long scannedBefore = 0;
               while (!s.step(10_000)) {
-                atMost(10_000 + MACHINES, w.explainer.asked() - before);
-                before = w.explainer.asked();
-                turns++;
+                assertAtMost(10_000 + MACHINES, cluster.explainer.asked() - scannedBefore);
+                scannedBefore = cluster.explainer.asked();
+                steps++;
               }
-              atMost((MACHINES + 1) * 301L, w.explainer.asked());
-              atMost(31L * MACHINES / 1_000, turns);
+              assertAtMost((MACHINES + 1) * 301L, cluster.explainer.asked());
+              assertAtMost(31L * MACHINES / 1_000, steps);
               assertEquals(301, s.jobs().size());
-              assertEquals(10_000, s.jobs().stream().mapToInt(j -> j.waiting()).sum());
-              // Two teams of one class that wait for the same thing are two lines.
+              assertEquals(10_000, s.jobs().stream().mapToInt(job -> job.waiting()).sum());
+              // Two teams with the same task class and the same pending reason get one line each.
               assertEquals(2, s.reasons().size());
-              atMost(1_000_000, ConsoleCodec.encode(s.jobs()).length);
+              assertAtMost(1_000_000, ConsoleCodec.encode(s.jobs()).length);
             }),
-        scale(
-            "jobs that the decision cannot tell apart are asked for once",
-            w -> {
-              SnapshotBuilder s = explained(w, 0);
-              s.begin(w.now);
+        testCase(
+            "jobs with identical requirements are checked once",
+            cluster -> {
+              SnapshotBuilder s = fullFleetWithWaitingJobs(cluster, 0);
+              s.begin(cluster.now);
               assertTrue(s.step(10_000));
-              atMost(2L * MACHINES + 301, w.explainer.asked());
+              assertAtMost(2L * MACHINES + 301, cluster.explainer.asked());
               assertEquals(301, s.jobs().size());
             }),
-        scale(
-            "more jobs than a picture lists are counted and not explained",
-            w -> {
-              for (int j = 0; j < SnapshotBuilder.MOST_JOBS + 50; j++) {
-                w.schedulerState.accept(JobSpecBuilder.job("job-" + j, 1, 99).build(), 5, 0, w.now);
+        testCase(
+            "jobs beyond the limit of a snapshot are counted but not explained",
+            cluster -> {
+              for (int job = 0; job < SnapshotBuilder.MOST_JOBS + 50; job++) {
+                cluster.schedulerState.accept(
+                    JobSpecBuilder.job("job-" + job, 1, 99).build(), 5, 0, cluster.now);
               }
-              SnapshotBuilder s = w.sketch();
-              s.begin(w.now);
+              SnapshotBuilder s = cluster.newSnapshotBuilder();
+              s.begin(cluster.now);
               while (!s.step(1_000_000)) {
-                atMost(SnapshotBuilder.MOST_JOBS, s.jobs().size());
+                assertAtMost(SnapshotBuilder.MOST_JOBS, s.jobs().size());
               }
               assertEquals(SnapshotBuilder.MOST_JOBS, s.jobs().size());
               assertEquals(50, s.jobsLeftOut());
             }));
   }
 
-  /** For the measurement. */
-  static SnapshotBuilder full(double differ) {
-    return explained(new TestCluster(MACHINES), differ);
+  /** A snapshot builder for {@link SnapshotCost}. */
+  static SnapshotBuilder fullFleetSnapshot(double cpuIncrement) {
+    return fullFleetWithWaitingJobs(new TestCluster(MACHINES), cpuIncrement);
   }
 
   /**
-   * The fleet is full, and 300 jobs of two teams wait with 10,000 tasks; each wants so many more
-   * CPUs than the one before.
+   * Fills the fleet, and adds 300 pending jobs of two teams with 10,000 tasks in total. Each job
+   * requests {@code cpuIncrement} more CPUs per task than the one before.
    */
-  private static SnapshotBuilder explained(TestCluster w, double differ) {
-    w.schedulerState.accept(JobSpecBuilder.job("job-0", MACHINES * 8, 4).build(), 5, 0, w.now);
-    w.placement.placeTasks(w.now);
-    w.commit();
-    for (int j = 1; j <= 300; j++) {
-      int tasks = j <= 100 ? 34 : 33;
-      w.schedulerState.accept(
-          JobSpecBuilder.job("job-" + j, tasks, 4 + differ * j).team(j % 2).build(), 5, 0, w.now);
+  private static SnapshotBuilder fullFleetWithWaitingJobs(
+      TestCluster cluster, double cpuIncrement) {
+    cluster.schedulerState.accept(
+        JobSpecBuilder.job("job-0", MACHINES * 8, 4).build(), 5, 0, cluster.now);
+    cluster.taskScheduler.placeTasks(cluster.now);
+    cluster.commitDirtyRecords();
+    for (int job = 1; job <= 300; job++) {
+      int tasks = job <= 100 ? 34 : 33;
+      cluster.schedulerState.accept(
+          JobSpecBuilder.job("job-" + job, tasks, 4 + cpuIncrement * job).team(job % 2).build(),
+          5,
+          0,
+          cluster.now);
     }
-    w.schedulerState
+    cluster
+        .schedulerState
         .machines()
         .forEach(
-            m ->
-                w.schedulerState.processHeartbeat(
-                    m, JobSpecBuilder.heartbeatListingAttempts(m, 2, 1, RUNNING), true, w.now));
-    return w.sketch();
+            machine ->
+                cluster.schedulerState.processHeartbeat(
+                    machine,
+                    JobSpecBuilder.heartbeatListingAttempts(machine, 2, 1, RUNNING),
+                    true,
+                    cluster.now));
+    return cluster.newSnapshotBuilder();
   }
 
-  /** A takeover of all jobs with all their attempts, as their records say. */
+  /** Bounds the cost of restoring all jobs and their attempts on failover. */
   @TestFactory
-  Stream<DynamicTest> takeover() {
+  Stream<DynamicTest> failoverVisitsEachTaskOnce() {
     return Stream.of(
-        scale(
-            "a takeover looks at each task once to make the queues, not once for each attempt",
-            w -> {
-              w.jobs(2);
-              w.placement.placeTasks(w.now);
-              TestCluster next = new TestCluster(MACHINES);
-              for (Job j : w.schedulerState.jobs()) {
-                Job taken = next.schedulerState.accept(j.spec, 5, 0, next.now);
-                for (int i = 0; i < j.attemptRecordCount(); i++) {
-                  next.schedulerState.restoreRecord(taken.attemptRecord(i), 9, new BitSet(), 1);
+        testCase(
+            "a failover visits each task once to rebuild the queues, not once for each attempt",
+            cluster -> {
+              cluster.acceptJobs(2);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              TestCluster newLeader = new TestCluster(MACHINES);
+              for (Job job : cluster.schedulerState.jobs()) {
+                Job restored = newLeader.schedulerState.accept(job.spec, 5, 0, newLeader.now);
+                for (int i = 0; i < job.attemptRecordCount(); i++) {
+                  newLeader.schedulerState.restoreRecord(
+                      restored.attemptRecord(i), 9, new BitSet(), 1);
                 }
-                for (int t = 0; t < TASKS; t++) {
-                  Attempt a = j.liveAttempt(t);
-                  if (a != null) {
-                    Machine m = next.schedulerState.machine(a.machine.name);
-                    next.schedulerState.restoreAttempt(
-                        taken, t, a.number, m, a.incarnation, next.now);
+                for (int task = 0; task < TASKS; task++) {
+                  Attempt attempt = job.liveAttempt(task);
+                  if (attempt != null) {
+                    Machine machine = newLeader.schedulerState.machine(attempt.machine.name);
+                    newLeader.schedulerState.restoreAttempt(
+                        restored,
+                        task,
+                        attempt.number,
+                        machine,
+                        attempt.incarnation,
+                        newLeader.now);
                   }
                 }
-                next.schedulerState.finishRestore(taken, next.now);
-                assertEquals(j.pendingTaskCount(), taken.pendingTaskCount());
-                assertEquals(j.liveAttemptCount(), taken.liveAttemptCount());
+                newLeader.schedulerState.finishRestore(restored, newLeader.now);
+                assertEquals(job.pendingTaskCount(), restored.pendingTaskCount());
+                assertEquals(job.liveAttemptCount(), restored.liveAttemptCount());
               }
-              atMost(JOBS * TASKS, next.schedulerState.rebuiltQueueTasks());
+              assertAtMost(JOBS * TASKS, newLeader.schedulerState.rebuiltQueueTasks());
             }));
   }
 
-  /** What a record says is what a takeover reads. */
+  /** Checks that a failover reads from a record what was written to it. */
   @TestFactory
-  Stream<DynamicTest> records() {
+  Stream<DynamicTest> attemptsAreRestoredFromTheirRecord() {
     return Stream.of(
-        scale(
-            "attempts come back from their record, each with its machine",
-            w -> {
-              Job j =
-                  w.schedulerState.accept(
-                      JobSpecBuilder.job("job-1", 100, 8).spot().build(), 5, 0, w.now);
-              w.placement.placeTasks(w.now);
-              List<RecordedAttempt> live =
+        testCase(
+            "attempts decoded from a record have their machine, number and incarnation",
+            cluster -> {
+              Job job =
+                  cluster.schedulerState.accept(
+                      JobSpecBuilder.job("job-1", 100, 8).spot().build(), 5, 0, cluster.now);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              List<RecordedAttempt> recordedAttempts =
                   AttemptRecordCodec.unresolvedAttempts(
-                      AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
-              assertEquals(100, live.size());
-              for (RecordedAttempt l : live) {
-                Attempt a = j.liveAttempt(l.task());
-                assertEquals(a.machine.name, l.machine());
-                assertEquals(a.number, l.number());
-                assertEquals(a.incarnation, l.incarnation());
-                assertEquals(w.zones.name(a.machine.zone), l.zone());
-                assertEquals("t32", l.type());
+                      AttemptRecordCodec.encode(job.attemptRecord(0), cluster.zones));
+              assertEquals(100, recordedAttempts.size());
+              for (RecordedAttempt recorded : recordedAttempts) {
+                Attempt attempt = job.liveAttempt(recorded.task());
+                assertEquals(attempt.machine.name, recorded.machine());
+                assertEquals(attempt.number, recorded.number());
+                assertEquals(attempt.incarnation, recorded.incarnation());
+                assertEquals(cluster.zones.name(attempt.machine.zone), recorded.zone());
+                assertEquals("t32", recorded.type());
               }
             }));
   }
--- a/src/test/java/org/mallowroad/core/SchedulerFixture.java
+++ b/src/test/java/org/mallowroad/core/SchedulerFixture.java
@@ -6,8 +6,8 @@
 import org.mallowroad.core.scheduling.TaskScheduler;
 
 /**
- * The state of one term on virtual time, for tests: two zones, machines of 4 CPUs, two teams with a
- * limit of 8 CPUs each, the first with a guarantee of 4 and the second of 8.
+ * A scheduler state in virtual time for tests: two zones, machines with 4 CPUs, and two teams with
+ * a limit of 8 CPUs each. The first team has a guarantee of 4 CPUs, the second of 8 CPUs.
  */
 final class SchedulerFixture {
   static final long TERM = 7;
@@ -33,36 +33,36 @@
     taskScheduler = new TaskScheduler(schedulerState);
   }
 
-  /** An accepted job of the first team. */
+  /** Accepts a job of the first team. */
   Job job(String id, int tasks, double cpus) {
     return schedulerState.accept(JobSpecBuilder.job(id, tasks, cpus).build(), 5, 0, now);
   }
 
-  /** A machine that has sent its first heartbeat. */
+  /** Registers a machine and processes its first heartbeat. */
   Machine machine(String name, int zone) {
-    Machine m = schedulerState.registerMachine(name, type, zone, false, now);
-    heartbeat(m, 1, TERM);
-    return m;
+    Machine machine = schedulerState.registerMachine(name, type, zone, false, now);
+    heartbeat(machine, 1, TERM);
+    return machine;
   }
 
-  /** A heartbeat with the next sequence number, and the response to it. */
+  /** Processes a heartbeat with the next sequence number; returns the commands for the worker. */
   List<WorkerCommand> heartbeat(
-      Machine m, long incarnation, long fencingToken, Heartbeat.Entry... entries) {
-    return heartbeatWithSequence(m, incarnation, ++sequence, fencingToken, entries);
+      Machine machine, long incarnation, long fencingToken, Heartbeat.Entry... entries) {
+    return heartbeatWithSequence(machine, incarnation, ++sequence, fencingToken, entries);
   }
 
-  /** A heartbeat with any sequence number; null when the leader ignores it. */
+  /** Processes a heartbeat with the given sequence number; returns null when it is ignored. */
   List<WorkerCommand> heartbeatWithSequence(
-      Machine m,
+      Machine machine,
       long incarnation,
       long heartbeatSequence,
       long fencingToken,
       Heartbeat.Entry... entries) {
-    List<WorkerCommand> o =
+    List<WorkerCommand> commands =
         schedulerState.processHeartbeat(
-            m,
+            machine,
             new Heartbeat(
-                m.name,
+                machine.name,
                 "h:1",
                 "t4",
                 "a",
@@ -74,29 +74,30 @@
                 List.of(entries)),
             true,
             now);
-    m.lastResponseMs = now;
-    return o;
+    machine.lastResponseMs = now;
+    return commands;
   }
 
-  /** Starts a task and commits that. */
-  Attempt startCommitted(Job j, int task, Machine m) {
-    Attempt a = schedulerState.start(j, task, m, now);
+  /** Starts a task and commits the start. */
+  Attempt startCommitted(Job job, int task, Machine machine) {
+    Attempt attempt = schedulerState.start(job, task, machine, now);
     commit();
-    return a;
+    return attempt;
   }
 
-  /** Commits all that is dirty. */
+  /** Commits all dirty records. */
   void commit() {
     JobSpecBuilder.commitDirtyRecords(schedulerState, now);
   }
 
-  /** What a worker says of an attempt. */
-  static Heartbeat.Entry entry(Attempt a, Heartbeat.State state, String exitReason) {
-    return new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, exitReason);
+  /** The heartbeat entry of an attempt in the given state. */
+  static Heartbeat.Entry entry(Attempt attempt, Heartbeat.State state, String exitReason) {
+    return new Heartbeat.Entry(
+        attempt.job.spec.id(), attempt.task, attempt.number, state, exitReason);
   }
 
-  /** A test of its own state, named by the behaviour that it checks. */
-  static DynamicTest testCase(String behaviour, Consumer<SchedulerFixture> test) {
-    return DynamicTest.dynamicTest(behaviour, () -> test.accept(new SchedulerFixture()));
+  /** A test that runs on a new fixture and is named after the expected behavior. */
+  static DynamicTest testCase(String name, Consumer<SchedulerFixture> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new SchedulerFixture()));
   }
 }
--- a/src/test/java/org/mallowroad/core/SnapshotCost.java
+++ b/src/test/java/org/mallowroad/core/SnapshotCost.java
@@ -9,32 +9,34 @@
 import org.mallowroad.wire.ConsoleCodec;
 
 /**
- * Not a test: prints what a picture of 10,000 waiting tasks of 300 jobs on a full fleet of 1,000
- * machines costs, first and when warm (docs/results.md). With an argument each job wants so many
- * more CPUs than the one before, so that none is answered by another one's answer.
+ * A manual benchmark, not a test. Prints the cost of building and encoding a console snapshot of
+ * 10,000 pending tasks in 300 jobs on a full fleet of 1,700 machines, cold and warm
+ * (docs/results.md). The optional argument is the number of CPUs by which each job's request
+ * exceeds that of the job before, so that no job can reuse the result of another.
  */
 final class SnapshotCost {
   private SnapshotCost() {}
 
-  private static long cpu() {
+  private static long cpuTimeNs() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
   }
 
   public static void main(String[] args) {
-    SnapshotBuilder s = ScaleTest.full(args.length == 0 ? 0 : Double.parseDouble(args[0]));
-    for (int i = 0; i < 40; i++) {
-      long began = cpu();
-      s.begin(1_000_000);
-      int turns = 0;
-      long longest = 0;
-      for (boolean over = false; !over; turns++) {
-        long turn = System.nanoTime();
-        over = s.step(10_000);
-        longest = Math.max(longest, System.nanoTime() - turn);
+    SnapshotBuilder builder =
+        ScaleTest.fullFleetSnapshot(args.length == 0 ? 0 : Double.parseDouble(args[0]));
+    for (int round = 0; round < 40; round++) {
+      long startNs = cpuTimeNs();
+      builder.begin(1_000_000);
+      int steps = 0;
+      long longestStepNs = 0;
+      for (boolean complete = false; !complete; steps++) {
+        long stepStartNs = System.nanoTime();
+        complete = builder.step(10_000);
+        longestStepNs = Math.max(longestStepNs, System.nanoTime() - stepStartNs);
       }
-      List<TeamLine> teams = s.teams();
-      List<MachineLine> machines = s.machines();
-      NodeSnapshot p =
+      List<TeamLine> teams = builder.teams();
+      List<MachineLine> machines = builder.machines();
+      NodeSnapshot snapshot =
           new NodeSnapshot(
               NodeSnapshot.FORMAT,
               "n",
@@ -46,20 +48,25 @@
               0,
               0,
               true,
-              s.totals(teams, machines),
+              builder.totals(teams, machines),
               teams,
-              s.jobs(),
-              s.jobsLeftOut(),
-              s.zones(),
+              builder.jobs(),
+              builder.jobsLeftOut(),
+              builder.zones(),
               machines,
-              s.reasons());
-      long made = cpu();
-      int bytes = ConsoleCodec.encode(p).length;
-      long served = cpu();
-      if (i < 3 || i % 10 == 9) {
+              builder.reasons());
+      long builtNs = cpuTimeNs();
+      int bytes = ConsoleCodec.encode(snapshot).length;
+      long encodedNs = cpuTimeNs();
+      if (round < 3 || round % 10 == 9) {
         System.out.printf(
-            "picture %d: made %.1f ms in %d turns, longest %.1f ms; put into %d bytes %.1f ms%n",
-            i, (made - began) / 1e6, turns, longest / 1e6, bytes, (served - made) / 1e6);
+            "snapshot %d: built in %.1f ms and %d steps, longest %.1f ms; encoded %d bytes in %.1f ms%n",
+            round,
+            (builtNs - startNs) / 1e6,
+            steps,
+            longestStepNs / 1e6,
+            bytes,
+            (encodedNs - builtNs) / 1e6);
       }
     }
   }
--- a/src/test/java/org/mallowroad/core/StartAdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/StartAdmissionTest.java
@@ -10,220 +10,224 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Each rule of a start with the case that it refuses, and what a start leads to. */
+/** Tests each rule that may refuse a start, and the launches that follow an admitted start. */
 final class StartAdmissionTest {
   @TestFactory
-  Stream<DynamicTest> startRules() {
+  Stream<DynamicTest> startIsRefusedByTheFirstViolatedRule() {
     return Stream.of(
         SchedulerFixture.testCase(
             "a start that is not committed is not launched",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              cluster.schedulerState.start(cluster.job("job-1", 1, 1), 0, m, cluster.now);
-              assertEquals(List.of(), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
+              Machine machine = cluster.machine("n-1", 0);
+              cluster.schedulerState.start(cluster.job("job-1", 1, 1), 0, machine, cluster.now);
+              assertEquals(List.of(), cluster.heartbeat(machine, 1, SchedulerFixture.TERM));
             }),
         SchedulerFixture.testCase(
-            "a job that had ended, and was placed again from an outdated list, starts nothing",
+            "a job that had ended and was placed again from an outdated list starts no task",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Job j = cluster.job("job-1", 2, 1);
-              Attempt recording = cluster.schedulerState.start(j, 0, m, cluster.now);
-              cluster.schedulerState.markEnded(j, cluster.now);
+              Machine machine = cluster.machine("n-1", 0);
+              Job job = cluster.job("job-1", 2, 1);
+              Attempt recording = cluster.schedulerState.start(job, 0, machine, cluster.now);
+              cluster.schedulerState.markEnded(job, cluster.now);
               assertEquals(Attempt.Phase.GONE, recording.phase);
-              assertTrue(j.isFinished());
-              assertEquals(List.of(), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
-              Attempt launched = cluster.startCommitted(cluster.job("job-2", 1, 1), 0, m);
+              assertTrue(job.isFinished());
+              assertEquals(List.of(), cluster.heartbeat(machine, 1, SchedulerFixture.TERM));
+              Attempt launched = cluster.startCommitted(cluster.job("job-2", 1, 1), 0, machine);
               cluster.schedulerState.markEnded(launched.job, cluster.now);
               assertTrue(launched.isStopping());
             }),
         SchedulerFixture.testCase(
-            "a lost launch is sent again as the same attempt",
+            "a lost launch is resent as the same attempt",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              cluster.startCommitted(cluster.job("job-1", 1, 1), 0, m);
+              Machine machine = cluster.machine("n-1", 0);
+              cluster.startCommitted(cluster.job("job-1", 1, 1), 0, machine);
               WorkerCommand launch = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
-              assertEquals(List.of(launch), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
-              assertEquals(List.of(launch), cluster.heartbeat(m, 1, SchedulerFixture.TERM));
+              assertEquals(List.of(launch), cluster.heartbeat(machine, 1, SchedulerFixture.TERM));
+              assertEquals(List.of(launch), cluster.heartbeat(machine, 1, SchedulerFixture.TERM));
             }),
         SchedulerFixture.testCase(
-            "a leader without state launches nothing",
+            "a leader that cannot reach the state service launches nothing",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              cluster.startCommitted(cluster.job("job-1", 1, 1), 0, m);
-              Heartbeat r =
+              Machine machine = cluster.machine("n-1", 0);
+              cluster.startCommitted(cluster.job("job-1", 1, 1), 0, machine);
+              Heartbeat heartbeat =
                   new Heartbeat(
                       "n-1", "h:1", "t4", "a", false, 1, 99, SchedulerFixture.TERM, -1, List.of());
               assertEquals(
-                  List.of(), cluster.schedulerState.processHeartbeat(m, r, false, cluster.now));
+                  List.of(),
+                  cluster.schedulerState.processHeartbeat(machine, heartbeat, false, cluster.now));
             }),
         SchedulerFixture.testCase(
-            "a limit of 0 is none: a guest team without a guarantee runs",
+            "a limit of 0 means no limit: a guest team without a guarantee may run tasks",
             cluster -> {
               Team guest = new Team("guest", 0, 0, 0, 0);
-              JobSpec s = JobSpecBuilder.job("job-1", 900, 32).build();
-              assertTrue(guest.canEverRun(s, 900));
-              assertTrue(guest.isWithinLimit(s, 900));
-              assertFalse(guest.staysWithinGuarantee(s));
-              assertEquals(900, guest.maxAdditionalTasks(s, 900));
+              JobSpec spec = JobSpecBuilder.job("job-1", 900, 32).build();
+              assertTrue(guest.canEverRun(spec, 900));
+              assertTrue(guest.isWithinLimit(spec, 900));
+              assertFalse(guest.staysWithinGuarantee(spec));
+              assertEquals(900, guest.maxAdditionalTasks(spec, 900));
             }),
         SchedulerFixture.testCase(
-            "launches not taken in three heartbeats make a machine unreachable, until one is acknowledged",
+            "launches missing from three heartbeats make a machine unreachable until a response is acknowledged",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Job j = cluster.job("job-1", 2, 1);
-              Attempt a = cluster.startCommitted(j, 0, m);
+              Machine machine = cluster.machine("n-1", 0);
+              Job job = cluster.job("job-1", 2, 1);
+              Attempt attempt = cluster.startCommitted(job, 0, machine);
               for (int i = 0; i < 4; i++) {
-                cluster.heartbeat(m, 1, SchedulerFixture.TERM);
+                cluster.heartbeat(machine, 1, SchedulerFixture.TERM);
                 cluster.now += 2_500;
               }
               assertEquals(
                   StartRefusal.OUTBOUND_UNREACHABLE,
-                  cluster.schedulerState.machineRefusal(m, cluster.now));
+                  cluster.schedulerState.machineRefusal(machine, cluster.now));
               assertEquals(
                   StartRefusal.OUTBOUND_UNREACHABLE,
-                  cluster.schedulerState.startRefusal(j, 1, m, cluster.now));
-              // Stopped, it is gone with the next report that does not list it.
-              cluster.schedulerState.requestStop(a, 0, cluster.now);
-              cluster.heartbeat(m, 1, SchedulerFixture.TERM);
-              assertNull(j.liveAttempt(0));
+                  cluster.schedulerState.startRefusal(job, 1, machine, cluster.now));
+              // Once stopped, the attempt is resolved by the next heartbeat that does not list it.
+              cluster.schedulerState.requestStop(attempt, 0, cluster.now);
+              cluster.heartbeat(machine, 1, SchedulerFixture.TERM);
+              assertNull(job.liveAttempt(0));
               cluster.now += 10_000;
-              cluster.heartbeat(m, 1, SchedulerFixture.TERM);
+              cluster.heartbeat(machine, 1, SchedulerFixture.TERM);
               assertTrue(
-                  m.fencingToken > SchedulerFixture.TERM,
-                  "told something that shows whether it hears");
-              cluster.heartbeat(m, 1, m.fencingToken);
-              assertNull(cluster.schedulerState.machineRefusal(m, cluster.now));
+                  machine.fencingToken > SchedulerFixture.TERM,
+                  "the token is raised to probe whether responses reach the worker");
+              cluster.heartbeat(machine, 1, machine.fencingToken);
+              assertNull(cluster.schedulerState.machineRefusal(machine, cluster.now));
             }),
         SchedulerFixture.testCase(
-            "a session lost although its heartbeats were answered means unreachable; a hung one does not",
+            "a session lost although its heartbeats were answered makes a machine unreachable; a hang does not",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
+              Machine machine = cluster.machine("n-1", 0);
               cluster.now += 4_000;
-              cluster.heartbeat(m, 2, SchedulerFixture.TERM);
+              cluster.heartbeat(machine, 2, SchedulerFixture.TERM);
               assertEquals(
                   StartRefusal.OUTBOUND_UNREACHABLE,
-                  cluster.schedulerState.machineRefusal(m, cluster.now));
-              Machine n = cluster.machine("n-2", 0);
+                  cluster.schedulerState.machineRefusal(machine, cluster.now));
+              Machine hungMachine = cluster.machine("n-2", 0);
               cluster.now += 25_000;
-              cluster.heartbeat(n, 2, SchedulerFixture.TERM);
-              assertNull(cluster.schedulerState.machineRefusal(n, cluster.now));
+              cluster.heartbeat(hungMachine, 2, SchedulerFixture.TERM);
+              assertNull(cluster.schedulerState.machineRefusal(hungMachine, cluster.now));
             }),
         SchedulerFixture.testCase(
-            "late duplicates of heartbeats change nothing, whatever they say and whenever they come",
+            "late duplicates of heartbeats change nothing, whatever their content and time of arrival",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Job j = cluster.job("job-1", 1, 1);
-              Attempt a = cluster.startCommitted(j, 0, m);
+              Machine machine = cluster.machine("n-1", 0);
+              Job job = cluster.job("job-1", 1, 1);
+              Attempt attempt = cluster.startCommitted(job, 0, machine);
               cluster.heartbeat(
-                  m,
+                  machine,
                   1,
                   SchedulerFixture.TERM,
-                  SchedulerFixture.entry(a, Heartbeat.State.RUNNING, null));
-              long heard = m.lastHeartbeatMs;
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null));
+              long lastHeartbeatMs = machine.lastHeartbeatMs;
               cluster.now += 40_000;
               assertNull(
-                  cluster.heartbeatWithSequence(m, 1, cluster.sequence - 1, SchedulerFixture.TERM));
+                  cluster.heartbeatWithSequence(
+                      machine, 1, cluster.sequence - 1, SchedulerFixture.TERM));
               assertNull(
                   cluster.heartbeatWithSequence(
-                      m,
+                      machine,
                       1,
                       cluster.sequence,
                       SchedulerFixture.TERM,
-                      SchedulerFixture.entry(a, Heartbeat.State.EXITED, "done")));
-              assertEquals(Attempt.Phase.RUNNING, a.phase);
-              assertEquals(heard, m.lastHeartbeatMs);
-              cluster.schedulerState.machineDeleted(m, cluster.now);
+                      SchedulerFixture.entry(attempt, Heartbeat.State.EXITED, "done")));
+              assertEquals(Attempt.Phase.RUNNING, attempt.phase);
+              assertEquals(lastHeartbeatMs, machine.lastHeartbeatMs);
+              cluster.schedulerState.machineDeleted(machine, cluster.now);
               assertNull(
                   cluster.schedulerState.registerMachine(
                       "n-1", cluster.type, 0, false, cluster.now));
             }),
         SchedulerFixture.testCase(
-            "a task with an unresolved attempt does not start again",
+            "a task with an unresolved attempt is not started again",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Machine n = cluster.machine("n-2", 0);
-              Job j = cluster.job("job-1", 1, 1);
-              cluster.startCommitted(j, 0, m);
+              Machine machine = cluster.machine("n-1", 0);
+              Machine otherMachine = cluster.machine("n-2", 0);
+              Job job = cluster.job("job-1", 1, 1);
+              cluster.startCommitted(job, 0, machine);
               assertEquals(
                   StartRefusal.TASK_NOT_PENDING,
-                  cluster.schedulerState.startRefusal(j, 0, n, cluster.now));
+                  cluster.schedulerState.startRefusal(job, 0, otherMachine, cluster.now));
             }),
         SchedulerFixture.testCase(
             "attempts that are not proven gone count against the team's limit",
             cluster -> {
-              Job j = cluster.job("job-1", 3, 4);
-              cluster.startCommitted(j, 0, cluster.machine("n-1", 0));
-              cluster.startCommitted(j, 1, cluster.machine("n-2", 0));
+              Job job = cluster.job("job-1", 3, 4);
+              cluster.startCommitted(job, 0, cluster.machine("n-1", 0));
+              cluster.startCommitted(job, 1, cluster.machine("n-2", 0));
               Machine free = cluster.machine("n-3", 0);
               assertEquals(
-                  StartRefusal.QUOTA, cluster.schedulerState.startRefusal(j, 2, free, cluster.now));
+                  StartRefusal.QUOTA,
+                  cluster.schedulerState.startRefusal(job, 2, free, cluster.now));
               cluster.schedulerState.machineDeleted(
                   cluster.schedulerState.machine("n-1"), cluster.now);
-              assertNull(cluster.schedulerState.startRefusal(j, 2, free, cluster.now));
+              assertNull(cluster.schedulerState.startRefusal(job, 2, free, cluster.now));
             }),
         SchedulerFixture.testCase(
-            "together keeps tasks in one zone, scatter allows half of them in a zone",
+            "together keeps all tasks in one zone, scatter allows at most half of them in a zone",
             cluster -> {
-              Machine a = cluster.machine("n-1", 0);
-              Machine b = cluster.machine("n-2", 1);
-              Job t =
+              Machine machineInZoneA = cluster.machine("n-1", 0);
+              Machine machineInZoneB = cluster.machine("n-2", 1);
+              Job togetherJob =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-1", 2, 1).together().build(), 5, 0, cluster.now);
-              cluster.startCommitted(t, 0, a);
+              cluster.startCommitted(togetherJob, 0, machineInZoneA);
               assertEquals(
                   StartRefusal.ZONE_RULES,
-                  cluster.schedulerState.startRefusal(t, 1, b, cluster.now));
-              Job s =
+                  cluster.schedulerState.startRefusal(togetherJob, 1, machineInZoneB, cluster.now));
+              Job scatterJob =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-2", 3, 0.5).scatter().build(), 5, 0, cluster.now);
-              cluster.startCommitted(s, 0, a);
-              cluster.startCommitted(s, 1, a);
+              cluster.startCommitted(scatterJob, 0, machineInZoneA);
+              cluster.startCommitted(scatterJob, 1, machineInZoneA);
               assertEquals(
                   StartRefusal.ZONE_RULES,
-                  cluster.schedulerState.startRefusal(s, 2, a, cluster.now));
-              assertNull(cluster.schedulerState.startRefusal(s, 2, b, cluster.now));
+                  cluster.schedulerState.startRefusal(scatterJob, 2, machineInZoneA, cluster.now));
+              assertNull(
+                  cluster.schedulerState.startRefusal(scatterJob, 2, machineInZoneB, cluster.now));
             }),
         SchedulerFixture.testCase(
-            "a job's constraints on type, zone and spot machines are kept",
+            "a job's constraints on zones and spot machines are respected",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
-              Job z =
+              Machine machine = cluster.machine("n-1", 0);
+              Job zoneJob =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-1", 1, 1).zone(1).build(), 5, 0, cluster.now);
               assertEquals(
                   StartRefusal.CONSTRAINTS,
-                  cluster.schedulerState.startRefusal(z, 0, m, cluster.now));
+                  cluster.schedulerState.startRefusal(zoneJob, 0, machine, cluster.now));
               Machine spot =
                   cluster.schedulerState.registerMachine("n-2", cluster.type, 0, true, cluster.now);
               cluster.heartbeat(spot, 1, SchedulerFixture.TERM);
-              Job o =
+              Job onDemandJob =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-2", 1, 1).build(), 5, 0, cluster.now);
               assertEquals(
                   StartRefusal.CONSTRAINTS,
-                  cluster.schedulerState.startRefusal(o, 0, spot, cluster.now));
+                  cluster.schedulerState.startRefusal(onDemandJob, 0, spot, cluster.now));
             }),
         SchedulerFixture.testCase(
             "a machine whose heartbeat is overdue gets no work",
             cluster -> {
-              Machine m = cluster.machine("n-1", 0);
+              Machine machine = cluster.machine("n-1", 0);
               cluster.now += 7_000;
               assertEquals(
                   StartRefusal.HEARTBEAT_OVERDUE,
                   cluster.schedulerState.startRefusal(
-                      cluster.job("job-1", 1, 1), 0, m, cluster.now));
+                      cluster.job("job-1", 1, 1), 0, machine, cluster.now));
             }),
         SchedulerFixture.testCase(
             "a gang starts with all its tasks or not at all",
             cluster -> {
               cluster.machine("n-1", 0);
-              Job g =
+              Job gang =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-1", 2, 4).gang().build(), 5, 0, cluster.now);
               assertEquals(0, cluster.taskScheduler.placeTasks(cluster.now).size());
               cluster.machine("n-2", 1);
               assertEquals(2, cluster.taskScheduler.placeTasks(cluster.now).size());
-              assertFalse(g.hasStartableTasks());
+              assertFalse(gang.hasStartableTasks());
             }));
   }
 }
