--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -74,8 +74,7 @@
     boolean launchUnacknowledged =
         applyUnlisted(machine, heartbeat, listedAttempts, mayLaunch, now, commands);
     // Several heartbeats that answer direct commands may arrive while one heartbeat response is
-    // still
-    // in transit, so they are no evidence that the response was lost.
+    // still in transit, so they are no evidence that the response was lost.
     if (launchUnacknowledged && mayLaunch) {
       machine.health.outboundReachability().recordUnacknowledged(now);
     }
@@ -119,14 +118,13 @@
   private void applySession(Machine machine, Heartbeat heartbeat, long now) {
     if (heartbeat.incarnation() > machine.incarnation) {
       imageDistribution.removeMachine(machine); // The new session's image cache may be empty.
-      machine.unfencedLaunches.clear(); // The new session rejects them.
+      machine.unfencedLaunches.clear(); // The new session does not execute them.
       machine.exitsAwaitingTokenSinceMs = -1;
     } else {
       dropFencedLaunches(machine, heartbeat.fencingToken());
     }
     // Done for every heartbeat, not only for the first of a session: a failover may restore
-    // attempts
-    // of two sessions, and those of the earlier one would otherwise never be resolved
+    // attempts of two sessions, and those of the earlier one would otherwise never be resolved
     // (docs/incidents, stuck-of-an-earlier-session).
     for (Attempt attempt : new ArrayList<>(machine.attempts)) {
       if (attempt.incarnation < heartbeat.incarnation()) {
@@ -156,8 +154,7 @@
 
   private void applyMachineStatus(Machine machine, Heartbeat heartbeat, long now) {
     if (machine.health.isOverdue() && machine.isEmpty()) {
-      machine.idleSinceMs =
-          now; // While overdue, the machine accepted no tasks; do not count that time as idle.
+      machine.idleSinceMs = now; // While overdue it got no tasks; that time is not idle time.
     }
     // After a pause of this process the heartbeat counts as received when the pause began.
     machine.lastHeartbeatMs = health.recordHeartbeat(machine.health, now);
@@ -182,8 +179,7 @@
               && attempt.launchToken == machine.fencingToken;
     }
     raiseNeeded |= machine.health.outboundReachability().takeProbe(now);
-    // The block's last token cannot be raised; from then on launches go in heartbeat responses
-    // only.
+    // At the block's last token there is no higher one, so launches go in responses only.
     if (raiseNeeded && machine.fencingToken < FencingTokens.last(timing.term())) {
       machine.fencingToken++;
       machine.exitsAwaitingTokenSinceMs = -1;
@@ -289,8 +285,7 @@
   private static AttemptOutcome outcome(String exitReason) {
     return switch (exitReason == null ? "" : exitReason) {
       case "done" -> AttemptOutcome.COMPLETED;
-      // A gang's task gave up because other tasks of the gang were missing; that is not its
-      // failure.
+      // A gang's task that gives up because other tasks are missing has not failed itself.
       case "stopped", "peers", "incomplete" -> AttemptOutcome.STOPPED;
       case "no_room" -> AttemptOutcome.INSUFFICIENT_RESOURCES;
       case "in_use", "no_such" -> AttemptOutcome.LAUNCH_REFUSED;
@@ -330,8 +325,7 @@
           && !attempt.launchInFlight) {
         // A newer heartbeat from a worker that has seen this term's token proves that an unlisted
         // attempt has ended or never started, even when a heartbeat response carried its launch.
-        // Only
-        // a direct command that is still in flight could start it later.
+        // Only a direct command that is still in flight could start it later.
         attempts.resolve(attempt, AttemptOutcome.LOST, now);
       }
     }
--- a/src/main/java/org/mallowroad/core/PendingWrites.java
+++ b/src/main/java/org/mallowroad/core/PendingWrites.java
@@ -63,8 +63,7 @@
       attemptRecord.dirty = false;
       dirtyRecords.remove(attemptRecord);
     } else {
-      dirtyRecords.addAndMoveToLast(
-          attemptRecord); // It changed during the commit; the others have waited longer.
+      dirtyRecords.addAndMoveToLast(attemptRecord); // The others have waited longer.
     }
   }
 
--- a/src/test/java/org/mallowroad/core/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/mallowroad/core/HeartbeatReconcilerTest.java
@@ -69,7 +69,7 @@
               cluster.commit();
               assertEquals(List.of(), cluster.heartbeat(machine, 1, SchedulerFixture.TERM, exit));
               cluster.schedulerState.heartbeatReconciler().directCommandsAnswered(machine, sent);
-              // A duplicate of the answered launch may still arrive, so the clear needs a higher
+              // A duplicate of the answered launch may still arrive; the clear needs a higher
               // token.
               assertEquals(List.of(), cluster.heartbeat(machine, 1, SchedulerFixture.TERM, exit));
               assertEquals(SchedulerFixture.TERM, machine.fencingToken);
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -116,7 +116,7 @@
   }
 
   private interface ScaleCase {
-    void run(TestCluster w);
+    void run(TestCluster cluster);
   }
 
   private static DynamicTest testCase(String name, ScaleCase test) {
@@ -135,8 +135,8 @@
             cluster -> {
               cluster.acceptJobs(2);
               assertEquals(MACHINES * 8, cluster.taskScheduler.placeTasks(cluster.now).size());
-              // One scan for free capacity, then three scans per job. A scan per task would make 25
-              // million.
+              // One scan for free capacity, then three scans per job. With a scan for each of
+              // 15,000 tasks, 25 million machines would be scanned.
               assertAtMost(MACHINES * (3 * JOBS + 2), cluster.taskScheduler.machinesScanned());
             }),
         testCase(
@@ -181,11 +181,11 @@
         testCase(
             "the failure detector examines overdue machines, not the whole fleet",
             cluster -> {
-              FailureDetector s = cluster.schedulerState.health().failureDetector();
+              FailureDetector failureDetector = cluster.schedulerState.health().failureDetector();
               for (int i = 0; i < 100; i++) {
-                s.evaluate(cluster.now + 10L * i);
+                failureDetector.evaluate(cluster.now + 10L * i);
               }
-              assertAtMost(100, s.examinedMachines());
+              assertAtMost(100, failureDetector.examinedMachines());
               for (Machine machine : cluster.schedulerState.machines()) {
                 if (!machine.name.endsWith("7")) {
                   cluster
@@ -194,19 +194,19 @@
                       .recordHeartbeat(machine.health, cluster.now + 6_000);
                 }
               }
-              long scannedBefore = s.examinedMachines();
-              s.evaluate(cluster.now + 6_000);
-              assertEquals(MACHINES / 10, s.overdueCount());
-              assertAtMost(MACHINES / 10 + 1, s.examinedMachines() - scannedBefore);
+              long scannedBefore = failureDetector.examinedMachines();
+              failureDetector.evaluate(cluster.now + 6_000);
+              assertEquals(MACHINES / 10, failureDetector.overdueCount());
+              assertAtMost(MACHINES / 10 + 1, failureDetector.examinedMachines() - scannedBefore);
             }),
         testCase(
             "jobs of 100,000 tasks are forecast up to a limit after the jobs before them are forecast in full",
             cluster -> {
               cluster.acceptJobs(1);
               for (int i = 0; i < 4; i++) {
-                JobSpecBuilder s =
+                JobSpecBuilder specBuilder =
                     JobSpecBuilder.job("job-huge" + i, 100_000, 1).priority(JobSpec.IDLE);
-                cluster.schedulerState.accept(s.spot().build(), 5, 0, cluster.now);
+                cluster.schedulerState.accept(specBuilder.spot().build(), 5, 0, cluster.now);
               }
               cluster.taskScheduler.placeTasks(cluster.now);
               cluster.commitDirtyRecords();
@@ -295,47 +295,47 @@
         testCase(
             "a snapshot checks each machine once per job in bounded steps, and only when requested",
             cluster -> {
-              SnapshotBuilder s = fullFleetWithWaitingJobs(cluster, 0.001);
+              SnapshotBuilder builder = fullFleetWithWaitingJobs(cluster, 0.001);
               assertEquals(0, cluster.explainer.asked());
-              s.begin(cluster.now);
+              builder.begin(cluster.now);
               int steps = 1;
-              long scannedBefore = 0;
-              while (!s.step(10_000)) {
-                assertAtMost(10_000 + MACHINES, cluster.explainer.asked() - scannedBefore);
-                scannedBefore = cluster.explainer.asked();
+              long checksBefore = 0;
+              while (!builder.step(10_000)) {
+                assertAtMost(10_000 + MACHINES, cluster.explainer.asked() - checksBefore);
+                checksBefore = cluster.explainer.asked();
                 steps++;
               }
               assertAtMost((MACHINES + 1) * 301L, cluster.explainer.asked());
               assertAtMost(31L * MACHINES / 1_000, steps);
-              assertEquals(301, s.jobs().size());
-              assertEquals(10_000, s.jobs().stream().mapToInt(job -> job.waiting()).sum());
+              assertEquals(301, builder.jobs().size());
+              assertEquals(10_000, builder.jobs().stream().mapToInt(job -> job.waiting()).sum());
               // Two teams with the same task class and the same pending reason get one line each.
-              assertEquals(2, s.reasons().size());
-              assertAtMost(1_000_000, ConsoleCodec.encode(s.jobs()).length);
+              assertEquals(2, builder.reasons().size());
+              assertAtMost(1_000_000, ConsoleCodec.encode(builder.jobs()).length);
             }),
         testCase(
             "jobs with identical requirements are checked once",
             cluster -> {
-              SnapshotBuilder s = fullFleetWithWaitingJobs(cluster, 0);
-              s.begin(cluster.now);
-              assertTrue(s.step(10_000));
+              SnapshotBuilder builder = fullFleetWithWaitingJobs(cluster, 0);
+              builder.begin(cluster.now);
+              assertTrue(builder.step(10_000));
               assertAtMost(2L * MACHINES + 301, cluster.explainer.asked());
-              assertEquals(301, s.jobs().size());
+              assertEquals(301, builder.jobs().size());
             }),
         testCase(
             "jobs beyond the limit of a snapshot are counted but not explained",
             cluster -> {
-              for (int job = 0; job < SnapshotBuilder.MOST_JOBS + 50; job++) {
+              for (int i = 0; i < SnapshotBuilder.MOST_JOBS + 50; i++) {
                 cluster.schedulerState.accept(
-                    JobSpecBuilder.job("job-" + job, 1, 99).build(), 5, 0, cluster.now);
+                    JobSpecBuilder.job("job-" + i, 1, 99).build(), 5, 0, cluster.now);
               }
-              SnapshotBuilder s = cluster.newSnapshotBuilder();
-              s.begin(cluster.now);
-              while (!s.step(1_000_000)) {
-                assertAtMost(SnapshotBuilder.MOST_JOBS, s.jobs().size());
+              SnapshotBuilder builder = cluster.newSnapshotBuilder();
+              builder.begin(cluster.now);
+              while (!builder.step(1_000_000)) {
+                assertAtMost(SnapshotBuilder.MOST_JOBS, builder.jobs().size());
               }
-              assertEquals(SnapshotBuilder.MOST_JOBS, s.jobs().size());
-              assertEquals(50, s.jobsLeftOut());
+              assertEquals(SnapshotBuilder.MOST_JOBS, builder.jobs().size());
+              assertEquals(50, builder.jobsLeftOut());
             }));
   }
 
@@ -354,10 +354,10 @@
         JobSpecBuilder.job("job-0", MACHINES * 8, 4).build(), 5, 0, cluster.now);
     cluster.taskScheduler.placeTasks(cluster.now);
     cluster.commitDirtyRecords();
-    for (int job = 1; job <= 300; job++) {
-      int tasks = job <= 100 ? 34 : 33;
+    for (int i = 1; i <= 300; i++) {
+      int tasks = i <= 100 ? 34 : 33;
       cluster.schedulerState.accept(
-          JobSpecBuilder.job("job-" + job, tasks, 4 + cpuIncrement * job).team(job % 2).build(),
+          JobSpecBuilder.job("job-" + i, tasks, 4 + cpuIncrement * i).team(i % 2).build(),
           5,
           0,
           cluster.now);
--- a/src/test/java/org/mallowroad/core/StartAdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/StartAdmissionTest.java
@@ -156,13 +156,13 @@
               Job job = cluster.job("job-1", 3, 4);
               cluster.startCommitted(job, 0, cluster.machine("n-1", 0));
               cluster.startCommitted(job, 1, cluster.machine("n-2", 0));
-              Machine free = cluster.machine("n-3", 0);
+              Machine freeMachine = cluster.machine("n-3", 0);
               assertEquals(
                   StartRefusal.QUOTA,
-                  cluster.schedulerState.startRefusal(job, 2, free, cluster.now));
+                  cluster.schedulerState.startRefusal(job, 2, freeMachine, cluster.now));
               cluster.schedulerState.machineDeleted(
                   cluster.schedulerState.machine("n-1"), cluster.now);
-              assertNull(cluster.schedulerState.startRefusal(job, 2, free, cluster.now));
+              assertNull(cluster.schedulerState.startRefusal(job, 2, freeMachine, cluster.now));
             }),
         SchedulerFixture.testCase(
             "together keeps all tasks in one zone, scatter allows at most half of them in a zone",
