--- a/src/main/java/org/mallowroad/core/Machine.java
+++ b/src/main/java/org/mallowroad/core/Machine.java
@@ -116,7 +116,8 @@
   }
 
   /**
-   * True once this leader received a heartbeat, unless the machine is draining, deleted or failed.
+   * True once this leader received a heartbeat, unless the machine is draining, being deleted or
+   * failed.
    */
   public boolean isUsable() {
     return lastHeartbeatMs >= 0 && !draining && !deleting && !failed;
