--- a/src/main/java/org/mallowroad/core/dependency/DependencyGate.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGate.java
@@ -9,17 +9,20 @@
 import java.util.Set;
 
 /**
- * The gate that keeps a job's tasks from starting until its dependencies are met: a leader's view
- * of the job's release record. Confined to the event loop.
+ * The gate that keeps a job's tasks from starting until the job's dependencies are met. It is the
+ * leader's view of the job's release record. Confined to the event loop.
  */
 public final class DependencyGate {
-  /** How far the job is. */
+  /** The stages of a gate. */
   public enum State {
-    /** No valid release is known; no task may start. */
+    /** No valid release is known, so no task may start. */
     CLOSED,
-    /** The release is recorded; the first start has all that was confirmed as its conditions. */
+    /**
+     * The release is recorded. The transaction of the first start has all that the release confirms
+     * as its conditions.
+     */
     OPEN,
-    /** A first start is recorded under the release, which cannot be undone any more. */
+    /** A first start is recorded under the release, which can no longer be undone. */
     STARTED
   }
 
@@ -37,17 +40,17 @@
     this.dependencies = dependencies;
   }
 
-  /** The gated job's id. */
+  /** Id of the gated job. */
   public String jobId() {
     return jobId;
   }
 
-  /** What the job depends on. */
+  /** The dependencies of the gated job. */
   public JobDependencies dependencies() {
     return dependencies;
   }
 
-  /** How far the job is. */
+  /** The current stage of the gate. */
   public State state() {
     return state;
   }
@@ -57,17 +60,17 @@
     return releaseVersion;
   }
 
-  /** The versions of the leagues' records named by the newest release, in order of the leagues. */
+  /** The version of each league's record that the newest release confirms. */
   public Map<String, Long> leagueVersions() {
     return Collections.unmodifiableMap(leagueVersions);
   }
 
-  /** True when a required league was changed after the job started. */
+  /** True when a required league changed after the job's first start. */
   public boolean isSuperseded() {
     return superseded;
   }
 
-  /** The required jobs that were not seen done in this term. */
+  /** The required jobs that are not known to be done in this leader term. */
   public List<String> incompleteJobs() {
     List<String> incomplete = new ArrayList<>();
     for (String job : dependencies.requiredJobs()) {
@@ -78,35 +81,39 @@
     return incomplete;
   }
 
-  /** A required job was seen done. That is final, so it is never asked for again. */
-  public void recordCompletedJob(String requiredJob) {
-    completedJobs.add(requiredJob);
+  /** Records that a required job is done. That is final, so it need not be checked again. */
+  public void recordCompletedJob(String completedJob) {
+    completedJobs.add(completedJob);
   }
 
-  /** Sets what the next release names; the gate stays as it is until the release is recorded. */
-  public void setConfirmedLeagues(Map<String, Long> versions, Map<String, Long> changes) {
-    replace(leagueVersions, versions);
-    replace(leagueClaimCounts, changes);
+  /**
+   * Sets the league versions and claim counts that the next release confirms. The stage of the gate
+   * does not change until the release is recorded.
+   */
+  public void setConfirmedLeagues(
+      Map<String, Long> confirmedVersions, Map<String, Long> confirmedClaimCounts) {
+    replace(leagueVersions, confirmedVersions);
+    replace(leagueClaimCounts, confirmedClaimCounts);
   }
 
-  /** The release is recorded: tasks may start. */
+  /** Opens the gate after the release has been recorded: tasks may start. */
   public void open(long recordVersion) {
     releaseVersion = recordVersion;
     state = State.OPEN;
   }
 
-  /** The first start is recorded under the release. */
+  /** Records that the first start was recorded under the release. */
   public void start(long recordVersion) {
     releaseVersion = recordVersion;
     state = State.STARTED;
   }
 
-  /** The release does not hold any more, or was never recorded. */
+  /** Closes the gate when the release is no longer valid or was never recorded. */
   public void close() {
     state = State.CLOSED;
   }
 
-  /** Takes over a release as it is recorded. */
+  /** Restores the gate from a release that was read from the state service. */
   public void restore(GateRelease release, long recordVersion) {
     replace(leagueVersions, release.leagueVersions());
     replace(leagueClaimCounts, release.leagueClaimCounts());
@@ -115,7 +122,7 @@
     state = release.started() ? State.STARTED : State.OPEN;
   }
 
-  /** There is no release record. */
+  /** Closes the gate because the state service has no release for the job. */
   public void recordMissingRelease(long recordVersion) {
     leagueVersions.clear();
     releaseVersion = recordVersion;
@@ -123,35 +130,38 @@
   }
 
   /**
-   * True when the league's record changed after the release with which the job started, and that
-   * was not noticed before.
+   * True when required games of the league were claimed after the release under which the job
+   * started, unless the release is already marked as superseded.
    */
-  public boolean isOutdatedBy(String league, long changes) {
-    Long confirmed = leagueClaimCounts.get(league);
-    return state == State.STARTED && confirmed != null && changes > confirmed && !superseded;
+  public boolean isOutdatedBy(String league, long claimCount) {
+    Long confirmedClaimCount = leagueClaimCounts.get(league);
+    return state == State.STARTED
+        && confirmedClaimCount != null
+        && claimCount > confirmedClaimCount
+        && !superseded;
   }
 
-  /** The job started with games that were corrected since. */
+  /** Marks the release as superseded: the job started with games that were corrected later. */
   public void markSuperseded() {
     superseded = true;
   }
 
-  /** The superseded release was recorded. */
+  /** Updates the version after the superseded release has been recorded. */
   public void recordRewrittenRelease(long recordVersion) {
     releaseVersion = recordVersion;
   }
 
   /**
-   * The release as it is to be recorded.
+   * Creates the release to be recorded.
    *
-   * @param started true when the record says that a start was recorded under it
+   * @param started true when a start is recorded under the release
    */
   public GateRelease toRelease(boolean started) {
     return new GateRelease(leagueVersions(), leagueClaimCounts, started, superseded);
   }
 
-  private static void replace(Map<String, Long> values, Map<String, Long> by) {
-    values.clear();
-    values.putAll(by);
+  private static void replace(Map<String, Long> target, Map<String, Long> source) {
+    target.clear();
+    target.putAll(source);
   }
 }
--- a/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
+++ b/src/main/java/org/mallowroad/core/dependency/DependencyGates.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 
 /**
- * The gates of all gated jobs of a term, and the queue of those to be evaluated. The end of a job
- * or a change of a league queues the gates that depend on it and no others, so that the cost of a
- * commit does not grow with the number of gates.
+ * The gates of all gated jobs known in a leader term, and the queue of the gates to be evaluated.
+ * The end of a job or a change of a league only queues the gates that depend on it, so that the
+ * cost of a commit does not grow with the number of gates.
  *
- * <p>The queue is evidence only: a gate is opened by a transaction that compares the records
+ * <p>The queue is only a hint: a gate is opened by a transaction that compares the stored records
  * ({@code DependencyGateController}). Confined to the event loop.
  */
 public final class DependencyGates {
@@ -22,16 +22,16 @@
       new Object2ObjectLinkedOpenHashMap<>();
   private final Map<String, Set<DependencyGate>> byRequiredLeague =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final ObjectLinkedOpenHashSet<DependencyGate> toEvaluate =
+  private final ObjectLinkedOpenHashSet<DependencyGate> evaluationQueue =
       new ObjectLinkedOpenHashSet<>();
   private long visitCount;
 
-  /** How many gates were visited so far: the cost of the events, in tests and figures. */
+  /** Number of gates that all calls so far have visited, a measure of their cost for tests. */
   public long visitCount() {
     return visitCount;
   }
 
-  /** A gated job became known; the same gate again when it was known before. */
+  /** Adds a gated job and returns its gate; returns the existing gate when the job is known. */
   public DependencyGate add(String jobId, JobDependencies dependencies) {
     DependencyGate gate = gates.get(jobId);
     if (gate != null) {
@@ -39,13 +39,15 @@
     }
     DependencyGate added = new DependencyGate(jobId, dependencies);
     gates.put(jobId, added);
-    dependencies.requiredJobs().forEach(job -> index(byRequiredJob, job, added));
-    dependencies.requiredGames().forEach(g -> index(byRequiredLeague, g.league(), added));
-    toEvaluate.add(added);
+    dependencies.requiredJobs().forEach(job -> addToIndex(byRequiredJob, job, added));
+    dependencies
+        .requiredGames()
+        .forEach(games -> addToIndex(byRequiredLeague, games.league(), added));
+    evaluationQueue.add(added);
     return added;
   }
 
-  /** The gate of a job; null when the job is not gated or not known. */
+  /** The gate of a job, or null when the job is not gated or not known. */
   public DependencyGate get(String jobId) {
     return gates.get(jobId);
   }
@@ -55,23 +57,25 @@
     return gates.values();
   }
 
-  /** The gated job has ended. */
+  /** Removes the gate of a job that has ended. */
   public void remove(String jobId) {
     DependencyGate gate = gates.remove(jobId);
     if (gate == null) {
       return;
     }
-    toEvaluate.remove(gate);
-    gate.dependencies().requiredJobs().forEach(job -> unindex(byRequiredJob, job, gate));
-    gate.dependencies().requiredGames().forEach(g -> unindex(byRequiredLeague, g.league(), gate));
+    evaluationQueue.remove(gate);
+    gate.dependencies().requiredJobs().forEach(job -> removeFromIndex(byRequiredJob, job, gate));
+    gate.dependencies()
+        .requiredGames()
+        .forEach(games -> removeFromIndex(byRequiredLeague, games.league(), gate));
   }
 
-  private static void index(
+  private static void addToIndex(
       Map<String, Set<DependencyGate>> index, String key, DependencyGate gate) {
     index.computeIfAbsent(key, k -> new ObjectLinkedOpenHashSet<>()).add(gate);
   }
 
-  private static void unindex(
+  private static void removeFromIndex(
       Map<String, Set<DependencyGate>> index, String key, DependencyGate gate) {
     Set<DependencyGate> gatesOfKey = index.get(key);
     if (gatesOfKey == null) {
@@ -84,15 +88,16 @@
   }
 
   /**
-   * Any job ended.
+   * Queues the gates that depend on a job that has ended.
    *
-   * @param done true when it is done, false when it was cancelled
-   * @param foldedLeagues the leagues of which it folded games
+   * @param jobId id of the job, which need not be gated itself
+   * @param succeeded true when the job is done, false when it was cancelled
+   * @param foldedLeagues the leagues of which the job folded games
    */
-  public void recordJobEnded(String jobId, boolean done, Set<String> foldedLeagues) {
+  public void recordJobEnded(String jobId, boolean succeeded, Set<String> foldedLeagues) {
     for (DependencyGate gate : List.copyOf(byRequiredJob.getOrDefault(jobId, Set.of()))) {
       visitCount++;
-      if (done) {
+      if (succeeded) {
         gate.recordCompletedJob(jobId);
       }
       enqueue(gate);
@@ -100,7 +105,7 @@
     foldedLeagues.forEach(this::recordLeagueChanged);
   }
 
-  /** A league's games changed. */
+  /** Queues the gates that require games of a league that has changed. */
   public void recordLeagueChanged(String league) {
     for (DependencyGate gate : byRequiredLeague.getOrDefault(league, Set.of())) {
       visitCount++;
@@ -108,22 +113,22 @@
     }
   }
 
-  /** The leagues with required games. */
+  /** The leagues of which any gated job requires games. */
   public Set<String> requiredLeagues() {
     return byRequiredLeague.keySet();
   }
 
-  /** Queues a gate to be evaluated, behind all others, unless its job has started. */
+  /** Queues a gate for evaluation after all others, unless its job has started. */
   public void enqueue(DependencyGate gate) {
     if (gate.state() != DependencyGate.State.STARTED) {
-      toEvaluate.addAndMoveToLast(gate);
+      evaluationQueue.addAndMoveToLast(gate);
     }
   }
 
-  /** Takes the next closed gate from the queue; null when there is none. */
+  /** Removes the next closed gate from the queue and returns it, or null when there is none. */
   public DependencyGate pollGateToEvaluate() {
-    for (int n = toEvaluate.size(); n > 0; n--) {
-      DependencyGate gate = toEvaluate.removeFirst();
+    for (int remaining = evaluationQueue.size(); remaining > 0; remaining--) {
+      DependencyGate gate = evaluationQueue.removeFirst();
       visitCount++;
       if (gate.state() == DependencyGate.State.CLOSED && gates.get(gate.jobId()) == gate) {
         return gate;
--- a/src/main/java/org/mallowroad/core/dependency/JobDependencies.java
+++ b/src/main/java/org/mallowroad/core/dependency/JobDependencies.java
@@ -8,36 +8,38 @@
 import org.mallowroad.core.fold.Block;
 
 /**
- * A job's edges in the dependency graph: the games that it folds, on which others may depend, and
- * what has to be complete before any of its own tasks starts. Immutable.
+ * A job's edges in the dependency graph: the games that it folds, on which other jobs may depend,
+ * and the jobs and games that must be complete before any of its own tasks starts. Immutable.
  *
- * @param foldedBlocks the numbers of the blocks that hold the games it folds, ascending, by league
- * @param requiredJobs ids of the jobs that must be done
- * @param requiredGames the games that must be folded
+ * @param foldedBlocks the numbers of the blocks with the games that the job folds, in ascending
+ *     order, by league
+ * @param requiredJobs ids of the jobs that must be done before this one starts
+ * @param requiredGames the games that must be folded before this job starts
  */
 public record JobDependencies(
     Map<String, IntList> foldedBlocks,
     List<String> requiredJobs,
     List<RequiredGames> requiredGames) {
-  /** Of a job that neither folds games nor depends on anything, as most jobs. */
+  /** The dependencies of a job that neither folds nor requires anything, like most jobs. */
   public static final JobDependencies NONE = new JobDependencies(Map.of(), List.of(), List.of());
 
   /**
-   * All games of a league from 0 to {@code upTo}.
+   * Requires the games of a league from 0 to {@code lastGame}, inclusive.
    *
-   * @param member only the recorded games of this member; null requires every game, without a gap
+   * @param member restricts the requirement to the recorded games of this member; null requires all
+   *     games, without a gap
    */
   public record RequiredGames(String league, long lastGame, String member) {}
 
-  /** True when the job depends on something: then it starts only through a dependency gate. */
+  /** True when the job requires jobs or games, so that it starts only through a dependency gate. */
   public boolean isGated() {
     return !requiredJobs.isEmpty() || !requiredGames.isEmpty();
   }
 
-  /** The highest required game of each league with required games, leagues in order. */
+  /** The highest required game of each league with required games, ordered by league. */
   public Map<String, Long> highestRequiredGames() {
     Map<String, Long> highest = new TreeMap<>();
-    requiredGames.forEach(g -> highest.merge(g.league(), g.lastGame(), Math::max));
+    requiredGames.forEach(games -> highest.merge(games.league(), games.lastGame(), Math::max));
     return highest;
   }
 
@@ -47,11 +49,12 @@
   }
 
   /**
-   * True when this job folds a game that the other one requires. Blocks are all that is compared,
-   * so the answer may be true where a block holds required and folded games, but none that is both.
+   * True when this job may fold a game that the dependent job requires. The comparison is by
+   * blocks, so the result is also true for a block that contains required games and folded games
+   * but none that is both.
    */
-  boolean foldsGameRequiredBy(JobDependencies other) {
-    for (Map.Entry<String, Long> required : other.highestRequiredGames().entrySet()) {
+  boolean foldsGameRequiredBy(JobDependencies dependent) {
+    for (Map.Entry<String, Long> required : dependent.highestRequiredGames().entrySet()) {
       IntList blocks = foldedBlocks.get(required.getKey());
       if (blocks == null || blocks.isEmpty()) {
         continue;
--- a/src/main/java/org/mallowroad/core/dependency/RequiredGamesCheck.java
+++ b/src/main/java/org/mallowroad/core/dependency/RequiredGamesCheck.java
@@ -11,23 +11,24 @@
 import org.mallowroad.core.fold.JobOutcome;
 
 /**
- * Checks that required games are folded, block by block in ascending order. Without a member every
- * game up to the last must be there; with one only the recorded games of that member count.
+ * Checks that required games are folded, block by block in ascending order. If the requirement
+ * names no member, every game up to the last required one must be recorded and folded. If it names
+ * a member, only the recorded games of that member are checked.
  */
 public final class RequiredGamesCheck {
   private final RequiredGames required;
-  private final UnmetDependencies unmet;
+  private final UnmetDependencies unmetDependencies;
 
-  /** The lowest game that no block so far has reached. */
+  /** The number after the highest game that the blocks checked so far contain. */
   private long nextGame;
 
-  /** Adds what it finds missing to {@code unmet}. */
-  public RequiredGamesCheck(RequiredGames required, UnmetDependencies unmet) {
+  /** Creates a check that adds what it finds missing to {@code unmetDependencies}. */
+  public RequiredGamesCheck(RequiredGames required, UnmetDependencies unmetDependencies) {
     this.required = required;
-    this.unmet = unmet;
+    this.unmetDependencies = unmetDependencies;
   }
 
-  /** The league of the games. */
+  /** The league of the required games. */
   public String league() {
     return required.league();
   }
@@ -37,16 +38,18 @@
     return (int) (required.lastGame() / Block.GAMES_PER_BLOCK);
   }
 
-  /** True when the blocks so far reach beyond the last required game. */
+  /** True when the blocks checked so far include the last required game or a later one. */
   public boolean hasReachedLastGame() {
     return nextGame > required.lastGame();
   }
 
-  /** The jobs of the block's claims whose outcome is needed and not in {@code known}. */
-  public static ArrayDeque<String> jobsWithUnknownOutcome(Block block, Set<String> known) {
+  /**
+   * The jobs that have claims in the block and are not in {@code knownJobs}, without duplicates.
+   */
+  public static ArrayDeque<String> jobsWithUnknownOutcome(Block block, Set<String> knownJobs) {
     ArrayDeque<String> jobs = new ArrayDeque<>();
     for (Fold fold : block.sides().values()) {
-      if (!fold.settled() && !known.contains(fold.job()) && !jobs.contains(fold.job())) {
+      if (!fold.settled() && !knownJobs.contains(fold.job()) && !jobs.contains(fold.job())) {
         jobs.add(fold.job());
       }
     }
@@ -56,9 +59,10 @@
   /**
    * Checks one block.
    *
-   * @param outcomes of each job that {@link #jobsWithUnknownOutcome} names
+   * @param jobOutcomes returns the outcome of each job that has a claim in the block; see {@link
+   *     #jobsWithUnknownOutcome}
    */
-  public void check(BlockKey key, Block block, Function<String, JobOutcome> outcomes) {
+  public void check(BlockKey key, Block block, Function<String, JobOutcome> jobOutcomes) {
     long firstGame = Block.gameNumber(key.index(), 0);
     requireNoGapBefore(firstGame);
     nextGame = Math.max(nextGame, firstGame);
@@ -73,35 +77,36 @@
       }
       requireNoGapBefore(game);
       nextGame = Math.max(nextGame, game + 1);
-      checkSide(game, member, side.getValue(), outcomes);
+      checkSide(game, member, side.getValue(), jobOutcomes);
     }
   }
 
-  /** All blocks there are were checked: what follows them is missing. */
+  /** Must be called after the last stored block: adds the games that follow it as missing. */
   public void finish() {
-    if (required.member() == null && !hasReachedLastGame() && !unmet.isFull()) {
-      unmet.add("game " + nextGame + " of " + league() + " and what follows is nobody's");
+    if (required.member() == null && !hasReachedLastGame() && !unmetDependencies.isFull()) {
+      unmetDependencies.add(
+          "game " + nextGame + " of " + league() + " and what follows is nobody's");
     }
   }
 
   private void requireNoGapBefore(long game) {
     if (required.member() == null && nextGame < game) {
-      unmet.add("game " + nextGame + " of " + league() + " is nobody's");
+      unmetDependencies.add("game " + nextGame + " of " + league() + " is nobody's");
     }
   }
 
   private void checkSide(
-      long number, String member, Fold fold, Function<String, JobOutcome> outcomes) {
-    JobOutcome outcome = fold.settled() ? JobOutcome.DONE : outcomes.apply(fold.job());
-    String game = "game " + number + " of " + league() + " for " + member;
-    if (outcome == JobOutcome.CANCELLED && fold.base() == null) {
-      unmet.add(game + " was released by " + fold.job());
-    } else if (outcome == JobOutcome.OPEN) {
-      unmet.add(game + " is not folded yet by " + fold.job());
-    } else if (outcome == JobOutcome.CLAIMING && fold.base() == null) {
-      // A correction whose claim is not accepted yet leaves what counts as it is; when it is
-      // accepted the league's record changes.
-      unmet.add(game + " is being claimed by " + fold.job());
+      long number, String member, Fold fold, Function<String, JobOutcome> jobOutcomes) {
+    JobOutcome jobOutcome = fold.settled() ? JobOutcome.DONE : jobOutcomes.apply(fold.job());
+    String sideName = "game " + number + " of " + league() + " for " + member;
+    if (jobOutcome == JobOutcome.CANCELLED && fold.base() == null) {
+      unmetDependencies.add(sideName + " was released by " + fold.job());
+    } else if (jobOutcome == JobOutcome.OPEN) {
+      unmetDependencies.add(sideName + " is not folded yet by " + fold.job());
+    } else if (jobOutcome == JobOutcome.CLAIMING && fold.base() == null) {
+      // A correction with a lower settled revision is no obstacle: until the claiming job is
+      // accepted, the lower revision counts, and its acceptance changes the league's record.
+      unmetDependencies.add(sideName + " is being claimed by " + fold.job());
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/dependency/UnmetDependencies.java
+++ b/src/main/java/org/mallowroad/core/dependency/UnmetDependencies.java
@@ -1,38 +1,38 @@
 package org.mallowroad.core.dependency;
 
 /**
- * The dependencies that an evaluation found not to be met, as text for users. The text is bounded
- * and names the first few; the others are counted.
+ * The dependencies that an evaluation found unmet, as text for users. The text is bounded: it
+ * describes the first few dependencies and counts the others.
  */
 public final class UnmetDependencies {
-  private static final int MAX_NAMED = 5;
+  private static final int MAX_DESCRIBED = 5;
 
-  /** In characters: nothing more is named once the text is as long as this. */
-  private static final int MAX_TEXT = 300;
+  /** Length of the text, in characters, from which no further dependency is described. */
+  private static final int MAX_TEXT_LENGTH = 300;
 
   private final StringBuilder text = new StringBuilder();
   private int count;
 
-  /** Adds a dependency that is not met. */
+  /** Adds an unmet dependency. */
   public void add(String description) {
-    if (count++ < MAX_NAMED && text.length() < MAX_TEXT) {
+    if (count++ < MAX_DESCRIBED && text.length() < MAX_TEXT_LENGTH) {
       text.append(text.length() > 0 ? "; " : "").append(description);
     }
   }
 
-  /** True when all that was checked is met. */
+  /** True when no unmet dependency was found. */
   public boolean isEmpty() {
     return count == 0;
   }
 
-  /** True when no further one would be named, so that the check can end early. */
+  /** True when no further dependency would be described, so that the check can end early. */
   public boolean isFull() {
-    return count >= MAX_NAMED;
+    return count >= MAX_DESCRIBED;
   }
 
-  /** All of them in one line. */
+  /** Describes the unmet dependencies in one line. */
   public String describe() {
-    int more = count - MAX_NAMED;
-    return text + (more > 0 ? "; and " + more + " more" : "");
+    int undescribed = count - MAX_DESCRIBED;
+    return text + (undescribed > 0 ? "; and " + undescribed + " more" : "");
   }
 }
--- a/src/main/java/org/mallowroad/core/fold/BlockKey.java
+++ b/src/main/java/org/mallowroad/core/fold/BlockKey.java
@@ -7,8 +7,8 @@
  */
 public record BlockKey(String league, int index) implements Comparable<BlockKey> {
   @Override
-  public int compareTo(BlockKey o) {
-    int c = league.compareTo(o.league);
-    return c != 0 ? c : Integer.compare(index, o.index);
+  public int compareTo(BlockKey other) {
+    int byLeague = league.compareTo(other.league);
+    return byLeague != 0 ? byLeague : Integer.compare(index, other.index);
   }
 }
--- a/src/main/java/org/mallowroad/core/fold/BlockNumberRanges.java
+++ b/src/main/java/org/mallowroad/core/fold/BlockNumberRanges.java
@@ -7,58 +7,62 @@
 import java.util.TreeMap;
 
 /**
- * Encodes sets of block numbers as short text, such as {@code 3-9,12}, since one record may name
+ * Encodes sets of block numbers as short text, such as {@code 3-9,12}, since one record may contain
  * hundreds of them.
  */
 public final class BlockNumberRanges {
   private BlockNumberRanges() {}
 
-  /** Encodes numbers, which must be in ascending order. */
+  /** Encodes block numbers, which must be in ascending order. */
   public static String encode(IntList numbers) {
-    StringBuilder b = new StringBuilder();
-    for (int i = 0; i < numbers.size(); ) {
-      int j = i;
-      while (j + 1 < numbers.size() && numbers.getInt(j + 1) == numbers.getInt(j) + 1) {
-        j++;
+    StringBuilder text = new StringBuilder();
+    for (int first = 0; first < numbers.size(); ) {
+      int last = first;
+      while (last + 1 < numbers.size() && numbers.getInt(last + 1) == numbers.getInt(last) + 1) {
+        last++;
       }
-      b.append(b.length() > 0 ? "," : "").append(numbers.getInt(i));
-      if (j > i) {
-        b.append('-').append(numbers.getInt(j));
+      text.append(text.length() > 0 ? "," : "").append(numbers.getInt(first));
+      if (last > first) {
+        text.append('-').append(numbers.getInt(last));
       }
-      i = j + 1;
+      first = last + 1;
     }
-    return b.toString();
+    return text.toString();
   }
 
   /**
-   * Decodes numbers.
+   * Decodes block numbers.
    *
-   * @param most most numbers that the text may name
+   * @param limit maximum number of block numbers that the text may contain
    * @throws IllegalArgumentException if the text is malformed or names too many numbers
    */
-  public static IntList decode(String text, int most) {
-    IntList out = new IntArrayList();
+  public static IntList decode(String text, int limit) {
+    IntList numbers = new IntArrayList();
     for (String part : text.split(",")) {
       int dash = part.indexOf('-');
       int from = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
       int to = dash < 0 ? from : Integer.parseInt(part.substring(dash + 1));
-      if (from < 0 || to < from || to - from >= most || out.size() + to - from >= most) {
-        throw new IllegalArgumentException("not block numbers: " + text);
+      if (from < 0 || to < from || to - from >= limit || numbers.size() + to - from >= limit) {
+        throw new IllegalArgumentException("invalid block numbers: " + text);
       }
-      for (int i = from; i <= to; i++) {
-        out.add(i);
+      for (int number = from; number <= to; number++) {
+        numbers.add(number);
       }
     }
-    return out;
+    return numbers;
   }
 
-  /** Block numbers by league, in ascending order and without duplicates. */
+  /** Groups block numbers by league, in ascending order and without duplicates. */
   public static Map<String, IntList> blockNumbersByLeague(Collection<BlockKey> keys) {
-    Map<String, IntList> out = new TreeMap<>();
+    Map<String, IntList> blockNumbers = new TreeMap<>();
     keys.stream()
         .sorted()
         .distinct()
-        .forEach(k -> out.computeIfAbsent(k.league(), l -> new IntArrayList()).add(k.index()));
-    return out;
+        .forEach(
+            key ->
+                blockNumbers
+                    .computeIfAbsent(key.league(), league -> new IntArrayList())
+                    .add(key.index()));
+    return blockNumbers;
   }
 }
--- a/src/main/java/org/mallowroad/core/fold/ClaimRules.java
+++ b/src/main/java/org/mallowroad/core/fold/ClaimRules.java
@@ -8,58 +8,64 @@
 import java.util.function.Function;
 
 /**
- * Decides whether a job may claim the games that it wants to fold, by the blocks as read and by the
- * outcomes of the jobs that they name.
+ * Decides whether a job may claim the games that it is to fold, based on the stored blocks of those
+ * games and on the outcomes of the jobs that the blocks name.
  *
- * <p><b>Why a decision holds whatever happens between reading and writing.</b> The blocks are
- * written by compare-and-swap on the versions they were read with, so the decision is about the
- * blocks as they are. A job's outcome enters a decision to grant or to refuse only where it is
- * final (done, cancelled); one that may still change defers the claim. So a decision that is right
- * when it is made stays right.
+ * <p><b>Why a decision is not invalidated by changes between reading and writing.</b> The blocks
+ * are written by compare-and-swap on the versions at which they were read, so a decision only takes
+ * effect on the blocks for which it was made. A job's outcome contributes to granting or refusing a
+ * claim only if it is final (done or cancelled). An outcome that may still change defers the claim.
+ * So a decision that is correct when it is made remains correct.
  */
 public final class ClaimRules {
   /** The decision about a claim. */
   public sealed interface Decision permits Granted, Refused, Deferred, OutcomesNeeded {}
 
-  /** Granted by writing these blocks; none when this job has claimed all of it already. */
+  /**
+   * The claim is granted by writing these blocks. There are none when the job has already claimed
+   * all of the games.
+   */
   public record Granted(Map<BlockKey, Block> blocks) implements Decision {}
 
-  /** Refused for good: another job has folded one of the games. */
+  /** The claim is refused permanently: another job has folded one of the games. */
   public record Refused(String reason) implements Decision {}
 
-  /** Not possible now: another job, which is not over, has claimed one of the games. */
+  /** The claim cannot be granted yet: a job that has not ended has claimed one of the games. */
   public record Deferred(String reason) implements Decision {}
 
-  /** Undecided until the outcomes of these jobs are known. */
+  /** The claim cannot be decided until the outcomes of these jobs are known. */
   public record OutcomesNeeded(Set<String> jobs) implements Decision {}
 
-  private final String job;
-  private final Map<BlockKey, Block> read;
+  private final String claimingJob;
+  private final Map<BlockKey, Block> storedBlocks;
   private final Function<String, JobOutcome> jobOutcomes;
-  private final Map<BlockKey, Block> changed = new TreeMap<>();
+  private final Map<BlockKey, Block> changedBlocks = new TreeMap<>();
   private final Set<String> outcomesNeeded = new TreeSet<>();
-  private String refused;
-  private String deferred;
+  private String refusalReason;
+  private String deferralReason;
 
   private ClaimRules(
-      String job, Map<BlockKey, Block> read, Function<String, JobOutcome> jobOutcomes) {
-    this.job = job;
-    this.read = read;
+      String claimingJob,
+      Map<BlockKey, Block> storedBlocks,
+      Function<String, JobOutcome> jobOutcomes) {
+    this.claimingJob = claimingJob;
+    this.storedBlocks = storedBlocks;
     this.jobOutcomes = jobOutcomes;
   }
 
   /**
    * Decides about a job's claim to games.
    *
-   * @param read the block of each game, as read; an empty one where there is no record
-   * @param jobOutcomes gives the outcome of a job, or null where it has not been looked up
+   * @param claimingJob id of the job
+   * @param storedBlocks the block of each game as it was read; an empty block where none is stored
+   * @param jobOutcomes returns the outcome of a job, or null when it has not been looked up
    */
   public static Decision decide(
-      String job,
+      String claimingJob,
       List<Game> games,
-      Map<BlockKey, Block> read,
+      Map<BlockKey, Block> storedBlocks,
       Function<String, JobOutcome> jobOutcomes) {
-    return new ClaimRules(job, read, jobOutcomes).claimAll(games);
+    return new ClaimRules(claimingJob, storedBlocks, jobOutcomes).claimAll(games);
   }
 
   private Decision claimAll(List<Game> games) {
@@ -68,21 +74,21 @@
         claimSide(game, member);
       }
     }
-    if (refused != null) {
-      return new Refused(refused);
+    if (refusalReason != null) {
+      return new Refused(refusalReason);
     }
     if (!outcomesNeeded.isEmpty()) {
       return new OutcomesNeeded(outcomesNeeded);
     }
-    return deferred != null ? new Deferred(deferred) : new Granted(changed);
+    return deferralReason != null ? new Deferred(deferralReason) : new Granted(changedBlocks);
   }
 
   private void claimSide(Game game, String member) {
     Block.Side side = new Block.Side(Block.gameIndex(game.number()), member);
     BlockKey key = game.blockKey();
-    Fold current = changed.getOrDefault(key, read.get(key)).get(side);
-    if (current != null && current.job().equals(job)) {
-      return; // Claimed by an earlier attempt of the same submission.
+    Fold current = changedBlocks.getOrDefault(key, storedBlocks.get(key)).get(side);
+    if (current != null && current.job().equals(claimingJob)) {
+      return; // An earlier attempt of the same submission has claimed this side.
     }
     if (current != null && !current.settled()) {
       JobOutcome jobOutcome = jobOutcomes.apply(current.job());
@@ -94,42 +100,44 @@
         case DONE -> current = current.asSettled();
         case CANCELLED -> current = current.base();
         default -> {
-          deferred = "folds: " + name(game, member) + " is held by " + current.job();
+          deferralReason = "folds: " + describeSide(game, member) + " is held by " + current.job();
           return;
         }
       }
     }
     if (current != null && current.revision() >= game.revision()) {
-      refused =
+      refusalReason =
           "folds: "
-              + name(game, member)
+              + describeSide(game, member)
               + (current.revision() == game.revision()
                   ? " is folded by "
                   : " is folded in revision " + current.revision() + " by ")
               + current.job();
       return;
     }
-    changed
-        .computeIfAbsent(key, k -> read.get(k).copy())
-        .set(side, new Fold(game.revision(), game.retracted(), job, false, current));
+    changedBlocks
+        .computeIfAbsent(key, k -> storedBlocks.get(k).copy())
+        .set(side, new Fold(game.revision(), game.retracted(), claimingJob, false, current));
   }
 
-  private static String name(Game game, String member) {
+  private static String describeSide(Game game, String member) {
     return "game " + game.number() + " of " + game.league() + " for " + member;
   }
 
   /**
-   * The block without the job's claims, with what they would have replaced restored; the same
-   * object when there are none. Only for a job that can no longer become done.
+   * Returns the block without the job's claims; a claim to a correction is replaced by the revision
+   * that counted before. Returns the same object when the job has no claims in the block. Must only
+   * be called for a job that can no longer become done.
    */
-  public static Block withoutClaimsOf(Block block, String job) {
-    return rewrite(block, fold -> fold.job().equals(job) ? JobOutcome.CANCELLED : null);
+  public static Block withoutClaimsOf(Block block, String jobId) {
+    return rewrite(block, fold -> fold.job().equals(jobId) ? JobOutcome.CANCELLED : null);
   }
 
   /**
-   * The block with all final outcomes recorded: claims of done jobs are folded, those of cancelled
-   * ones are removed; the same object when there are none. This does not change what a side means,
-   * which follows from final outcomes alone: so any node may do it at any time, or never.
+   * Returns the block with all final outcomes recorded: claims of done jobs are marked as settled,
+   * and those of cancelled jobs are removed. Returns the same object when there are none. This does
+   * not change the state of a side, which depends on the final outcomes alone, so any node may do
+   * it at any time, or never.
    */
   public static Block withFinalOutcomes(Block block, Function<String, JobOutcome> jobOutcomes) {
     return rewrite(block, fold -> jobOutcomes.apply(fold.job()));
--- a/src/main/java/org/mallowroad/core/fold/JobOutcome.java
+++ b/src/main/java/org/mallowroad/core/fold/JobOutcome.java
@@ -1,13 +1,13 @@
 package org.mallowroad.core.fold;
 
-/** The outcome of a job that has claimed games, as far as it is known. */
+/** The known outcome of a job that has claimed games. */
 public enum JobOutcome {
-  /** Its submission may still be accepted, or rolled back. */
+  /** The job's submission may still be accepted or rolled back. */
   CLAIMING,
-  /** Accepted and not over. */
+  /** The job has been accepted and has not ended. */
   OPEN,
-  /** Done, which is final: the games that it claimed are folded. */
+  /** The job is done, which is final: the games that it claimed are folded. */
   DONE,
-  /** Cancelled, which is final: its claims are void. */
+  /** The job was cancelled, which is final: its claims are void. */
   CANCELLED
 }
--- a/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
+++ b/src/main/java/org/mallowroad/core/fold/LeagueIndex.java
@@ -7,20 +7,20 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * An in-memory index of the games of one league, built from its blocks: bitmaps by game, so that a
- * hundred thousand games take some kilobytes. It serves reports only and decides nothing; each pass
- * over the blocks updates it.
+ * An in-memory index of the games of one league, built from the league's blocks. It consists of
+ * bitmaps over game numbers, so that a hundred thousand games take a few kilobytes. It is used for
+ * reports only and for no decision; each pass over the blocks updates it.
  */
 public final class LeagueIndex {
   /** The state of a game. */
   public enum GameState {
-    /** No submission has named it. */
+    /** No submission has named the game. */
     MISSING,
-    /** A side of it that was named is released, and none is claimed. */
+    /** At least one named side of the game is released, and none is claimed. */
     RELEASED,
-    /** A side is claimed by a job that is not over. */
+    /** At least one side of the game is claimed by a job that has not ended. */
     CLAIMED,
-    /** All of its named sides are folded. */
+    /** All named sides of the game are folded. */
     FOLDED
   }
 
@@ -28,74 +28,78 @@
   private final RoaringBitmap claimed = new RoaringBitmap();
   private final RoaringBitmap released = new RoaringBitmap();
 
-  /** Replaces the state of a block's games; a game that is not in it any more is released. */
-  public void update(int index, Block block, Function<String, JobOutcome> jobOutcomes) {
-    int from = index * Block.GAMES_PER_BLOCK;
-    RoaringBitmap before = new RoaringBitmap();
-    before.add((long) from, (long) from + Block.GAMES_PER_BLOCK);
-    RoaringBitmap known = RoaringBitmap.or(RoaringBitmap.or(folded, claimed), released);
-    before.and(known);
-    folded.remove((long) from, (long) from + Block.GAMES_PER_BLOCK);
-    claimed.remove((long) from, (long) from + Block.GAMES_PER_BLOCK);
-    released.remove((long) from, (long) from + Block.GAMES_PER_BLOCK);
-    for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
-      int game = from + e.getKey().gameIndex();
-      Fold f = e.getValue();
-      JobOutcome jobOutcome = f.settled() ? JobOutcome.DONE : jobOutcomes.apply(f.job());
+  /**
+   * Updates the state of a block's games. A game that was in the index and is no longer in the
+   * block counts as released.
+   */
+  public void update(int blockIndex, Block block, Function<String, JobOutcome> jobOutcomes) {
+    int firstGame = blockIndex * Block.GAMES_PER_BLOCK;
+    RoaringBitmap unlisted = new RoaringBitmap();
+    unlisted.add((long) firstGame, (long) firstGame + Block.GAMES_PER_BLOCK);
+    RoaringBitmap namedBefore = RoaringBitmap.or(RoaringBitmap.or(folded, claimed), released);
+    unlisted.and(namedBefore);
+    folded.remove((long) firstGame, (long) firstGame + Block.GAMES_PER_BLOCK);
+    claimed.remove((long) firstGame, (long) firstGame + Block.GAMES_PER_BLOCK);
+    released.remove((long) firstGame, (long) firstGame + Block.GAMES_PER_BLOCK);
+    for (Map.Entry<Block.Side, Fold> side : block.sides().entrySet()) {
+      int game = firstGame + side.getKey().gameIndex();
+      Fold fold = side.getValue();
+      JobOutcome jobOutcome = fold.settled() ? JobOutcome.DONE : jobOutcomes.apply(fold.job());
       if (jobOutcome == JobOutcome.DONE) {
         folded.add(game);
       } else if (jobOutcome == JobOutcome.CANCELLED) {
-        (f.base() == null ? released : folded).add(game);
+        (fold.base() == null ? released : folded).add(game);
       } else {
         claimed.add(game);
       }
     }
-    before.andNot(folded);
-    before.andNot(claimed);
-    released.or(before);
-    // One side that is not folded makes the game not folded.
+    unlisted.andNot(folded);
+    unlisted.andNot(claimed);
+    released.or(unlisted);
+    // A game is folded only if all of its sides are.
     folded.andNot(claimed);
     folded.andNot(released);
     released.andNot(claimed);
   }
 
-  /** The highest game that was ever named, or -1. */
+  /** The number of the highest game that was ever named, or -1 when there is none. */
   public long highestGame() {
-    long top = -1;
-    for (RoaringBitmap b : new RoaringBitmap[] {folded, claimed, released}) {
-      top = b.isEmpty() ? top : Math.max(top, b.last());
+    long highest = -1;
+    for (RoaringBitmap games : new RoaringBitmap[] {folded, claimed, released}) {
+      highest = games.isEmpty() ? highest : Math.max(highest, games.last());
     }
-    return top;
+    return highest;
   }
 
   /** The state of a game. */
   public GameState gameState(long game) {
-    int g = (int) game;
-    if (claimed.contains(g)) {
+    int gameNumber = (int) game;
+    if (claimed.contains(gameNumber)) {
       return GameState.CLAIMED;
     }
-    if (released.contains(g)) {
+    if (released.contains(gameNumber)) {
       return GameState.RELEASED;
     }
-    return folded.contains(g) ? GameState.FOLDED : GameState.MISSING;
+    return folded.contains(gameNumber) ? GameState.FOLDED : GameState.MISSING;
   }
 
   /**
-   * The first games, at most {@code most}, below the highest that are neither claimed nor folded.
+   * The lowest games, at most {@code limit}, that are neither claimed nor folded. Only games up to
+   * the highest named one are considered.
    */
-  public LongList unclaimedGames(int most) {
-    LongList out = new LongArrayList();
-    RoaringBitmap held = RoaringBitmap.or(folded, claimed);
-    long top = highestGame();
-    for (long g = held.isEmpty() ? 0 : held.nextAbsentValue(0);
-        g >= 0 && g <= top && out.size() < most;
-        g = held.nextAbsentValue((int) g + 1)) {
-      out.add(g);
+  public LongList unclaimedGames(int limit) {
+    LongList unclaimed = new LongArrayList();
+    RoaringBitmap claimedOrFolded = RoaringBitmap.or(folded, claimed);
+    long highest = highestGame();
+    for (long game = claimedOrFolded.isEmpty() ? 0 : claimedOrFolded.nextAbsentValue(0);
+        game >= 0 && game <= highest && unclaimed.size() < limit;
+        game = claimedOrFolded.nextAbsentValue((int) game + 1)) {
+      unclaimed.add(game);
     }
-    return out;
+    return unclaimed;
   }
 
-  /** The number of games below the highest that are neither claimed nor folded. */
+  /** The number of games up to the highest named one that are neither claimed nor folded. */
   public long unclaimedCount() {
     return highestGame() + 1 - RoaringBitmap.or(folded, claimed).getCardinality();
   }
--- a/src/main/java/org/mallowroad/core/health/FleetHealth.java
+++ b/src/main/java/org/mallowroad/core/health/FleetHealth.java
@@ -4,20 +4,23 @@
 import java.util.List;
 
 /**
- * Evidence about the health of the fleet and of this controller, for one leadership term.
+ * Evidence about the health of the fleet and of this controller, collected during one leader term.
  *
- * <p>The one entry point for the scheduler state, placement and the autoscaler, which report what
- * they see and ask for conclusions. Evidence may be wrong, so nothing here frees an attempt.
+ * <p>This is the only entry point to the detectors of this package. The scheduler state, placement
+ * and the autoscaler report observations here and query the conclusions. Evidence may be wrong, so
+ * nothing here frees an attempt.
  *
  * <p>Times are in milliseconds of the caller's monotonic clock. Not thread-safe: confined to the
  * controller's event loop.
  */
 public final class FleetHealth {
-  /** Changes of suspicion that are kept for the log; further ones are only counted. */
+  /**
+   * Maximum number of suspicion changes that are kept for the log; further ones are only counted.
+   */
   private static final int MAX_PENDING_CHANGES = 64;
 
   /**
-   * A machine became suspect, or is trusted again.
+   * A machine became suspect or is trusted again.
    *
    * @param suspicion the new suspicion, {@link MachineHealth.Suspicion#NONE} when it is trusted
    * @param slowdown see {@link MachineHealth#slowdown}
@@ -29,24 +32,24 @@
   private final FailureDetector failureDetector;
   private final PauseDetector pauseDetector;
   private final StragglerDetector stragglerDetector;
-  private final List<SuspicionChange> changes = new ArrayList<>();
+  private final List<SuspicionChange> pendingChanges = new ArrayList<>();
   private long droppedChangeCount;
   private int fleetSize;
 
   /**
-   * Creates the evidence of a new term.
+   * Creates the detectors for a new leader term, without any evidence yet.
    *
-   * @param zones number of zones
+   * @param zoneCount number of zones
    * @param heartbeatIntervalS the workers' heartbeat interval in seconds
    */
-  public FleetHealth(HealthPolicy policy, int zones, double heartbeatIntervalS, long now) {
+  public FleetHealth(HealthPolicy policy, int zoneCount, double heartbeatIntervalS, long now) {
     this.policy = policy;
-    this.failureDetector = new FailureDetector(zones, heartbeatIntervalS, policy, now);
+    this.failureDetector = new FailureDetector(zoneCount, heartbeatIntervalS, policy, now);
     this.pauseDetector = new PauseDetector(policy.pauseMs(), now);
     this.stragglerDetector = new StragglerDetector(policy);
   }
 
-  /** The operators' thresholds. */
+  /** The thresholds that the operators configured. */
   public HealthPolicy policy() {
     return policy;
   }
@@ -66,16 +69,16 @@
     return stragglerDetector;
   }
 
-  /** Adds a machine that was not learnt of by its heartbeat. */
+  /** Adds a machine to the fleet; see {@link FailureDetector#register}. */
   public void register(MachineHealth machine, long now) {
     failureDetector.register(machine, now);
     fleetSize++;
   }
 
   /**
-   * Records a heartbeat of the machine that is read now.
+   * Records a heartbeat of the machine that this node reads now.
    *
-   * @return the time by which it had certainly arrived; see {@link PauseDetector#latestArrivalMs}
+   * @return the time assumed for the heartbeat's arrival; see {@link PauseDetector#latestArrivalMs}
    */
   public long recordHeartbeat(MachineHealth machine, long now) {
     long arrivedMs = pauseDetector.latestArrivalMs(now);
@@ -93,30 +96,30 @@
     fleetSize--;
   }
 
-  /** Records that a task ended well; see {@link StragglerDetector#recordTaskFinished}. */
+  /** Records that a task succeeded; see {@link StragglerDetector#recordTaskFinished}. */
   public void recordTaskFinished(
       MachineHealth machine,
-      RunTimeBaseline job,
+      RunTimeBaseline jobBaseline,
       int taskClass,
       long ranMs,
       double estimateS,
       long now) {
     if (stragglerDetector.recordTaskFinished(
-        machine, job, taskClass, ranMs, estimateS, fleetSize, now)) {
+        machine, jobBaseline, taskClass, ranMs, estimateS, fleetSize, now)) {
       recordSuspicionChange(machine);
     }
   }
 
   /** Records that a task failed; see {@link StragglerDetector#recordTaskFailed}. */
-  public void recordTaskFailed(MachineHealth machine, int job, boolean jobAtFault, long now) {
-    if (stragglerDetector.recordTaskFailed(machine, job, jobAtFault, fleetSize, now)) {
+  public void recordTaskFailed(MachineHealth machine, int jobId, boolean jobAtFault, long now) {
+    if (stragglerDetector.recordTaskFailed(machine, jobId, jobAtFault, fleetSize, now)) {
       recordSuspicionChange(machine);
     }
   }
 
-  /** Sets how many tasks on the machine have run for several times as long as their peers. */
-  public void setOverdueTasks(MachineHealth machine, int tasks, long now) {
-    if (stragglerDetector.setOverdueTasks(machine, tasks, fleetSize, now)) {
+  /** Sets how many running tasks of the machine are overdue; see {@link StragglerDetector}. */
+  public void setOverdueTasks(MachineHealth machine, int overdueTasks, long now) {
+    if (stragglerDetector.setOverdueTasks(machine, overdueTasks, fleetSize, now)) {
       recordSuspicionChange(machine);
     }
   }
@@ -129,21 +132,21 @@
   }
 
   private void recordSuspicionChange(MachineHealth machine) {
-    if (changes.size() < MAX_PENDING_CHANGES) {
-      changes.add(new SuspicionChange(machine, machine.suspicion(), machine.slowdown()));
+    if (pendingChanges.size() < MAX_PENDING_CHANGES) {
+      pendingChanges.add(new SuspicionChange(machine, machine.suspicion(), machine.slowdown()));
     } else {
       droppedChangeCount++;
     }
   }
 
-  /** Takes the changes since the last call, {@link #MAX_PENDING_CHANGES} at the most. */
+  /** Returns and clears the changes since the last call, at most {@link #MAX_PENDING_CHANGES}. */
   public List<SuspicionChange> takeChanges() {
-    List<SuspicionChange> taken = new ArrayList<>(changes);
-    changes.clear();
+    List<SuspicionChange> taken = new ArrayList<>(pendingChanges);
+    pendingChanges.clear();
     return taken;
   }
 
-  /** Takes the number of changes since the last call that were counted but not kept. */
+  /** Returns and resets the number of changes since the last call that were not kept. */
   public long takeDroppedChangeCount() {
     long taken = droppedChangeCount;
     droppedChangeCount = 0;
--- a/src/main/java/org/mallowroad/core/health/HealthPolicy.java
+++ b/src/main/java/org/mallowroad/core/health/HealthPolicy.java
@@ -1,9 +1,10 @@
 package org.mallowroad.core.health;
 
 /**
- * The operators' thresholds for health evidence (XML, element {@code health}).
+ * The operators' thresholds for health evidence (element {@code health} of the XML settings).
  *
- * @param slowFactor a machine is slow when its tasks take this many times as long as their peers
+ * @param slowFactor a machine is slow when its tasks take more than this many times as long as
+ *     comparable tasks elsewhere
  * @param minSlowSamples minimum number of slow tasks on a machine before it is considered slow
  * @param maxSlowShare maximum share of the fleet that may be suspect at once; when more machines
  *     seem slow, the cause is a general slowdown and not the machines
@@ -39,7 +40,7 @@
     double maxReplacementShare,
     long pauseMs) {
 
-  /** The values without settings; docs/health.md gives the reason for each. */
+  /** The default values; docs/health.md gives the reason for each. */
   public static HealthPolicy defaults() {
     return new HealthPolicy(1.7, 5, 0.1, 90_000, 3, 0.8, 5, 0.5, 0.35, 8, 0.5, 1_500);
   }
--- a/src/main/java/org/mallowroad/core/health/MachineHealth.java
+++ b/src/main/java/org/mallowroad/core/health/MachineHealth.java
@@ -3,22 +3,22 @@
 import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
 
 /**
- * Evidence about one machine, of bounded size. The detectors of this package keep their figures for
- * the machine in its package-private fields, which saves a map from machines to figures.
+ * Evidence about one machine, of bounded size. The detectors of this package keep their per-machine
+ * state in the package-private fields, which saves a map from machines to that state.
  */
 public final class MachineHealth {
-  /** Number of newest run times that are kept. */
+  /** Maximum number of run-time samples that are kept; the newest ones replace the oldest. */
   static final int MAX_SAMPLES = 12;
 
   /** Why a machine is avoided. */
   public enum Suspicion {
     /** The machine is trusted. */
     NONE,
-    /** Its tasks take much longer than their peers. */
+    /** Its tasks take much longer than comparable tasks elsewhere. */
     SLOW,
-    /** Tasks of several jobs failed on it that did not fail elsewhere. */
+    /** Tasks of several jobs failed on it, and those jobs do not fail on other machines. */
     FAULTY,
-    /** An image did not arrive in several times the time that its fetch takes. */
+    /** The fetch of an image did not complete within several times its expected duration. */
     NO_IMAGE
   }
 
@@ -28,39 +28,45 @@
   final int zone;
   private final OutboundReachability outboundReachability = new OutboundReachability();
 
-  // Kept by FailureDetector.
+  // Maintained by FailureDetector.
 
-  /** Arrival of the last heartbeat; later than now for a machine that is given time to report. */
+  /**
+   * Arrival time of the last heartbeat. It lies in the future for a new machine whose worker is
+   * still given time to find the leader.
+   */
   long lastHeartbeatMs;
 
-  boolean overdue;
+  boolean heartbeatOverdue;
 
-  // Kept by StragglerDetector.
+  // Maintained by StragglerDetector.
 
-  /** Ring of the newest run times: logarithm of the run time by what is fair for the task. */
-  final double[] excess = new double[MAX_SAMPLES];
+  /**
+   * Ring buffer of the newest samples: the logarithm of a task's run time divided by the run time
+   * that was expected of it.
+   */
+  final double[] logSlowdowns = new double[MAX_SAMPLES];
 
-  /** Samples taken; the next one goes to this index of the ring, modulo its size. */
-  int samples;
+  /** Number of samples taken; modulo the size of the ring buffer, the index of the next one. */
+  int sampleCount;
 
-  /** Running tasks that have taken several times as long as their peers. */
+  /** Number of running tasks that have already taken much longer than comparable tasks. */
   int overdueTasks;
 
-  /** Jobs whose tasks failed here since the last task that ended well. */
+  /** Jobs whose tasks failed on the machine since the last task that succeeded there. */
   final IntOpenHashSet failedJobs = new IntOpenHashSet(4);
 
   Suspicion suspicion = Suspicion.NONE;
 
-  /** Time of the newest evidence for the suspicion. */
-  long suspectedMs;
+  /** Time of the newest evidence for the current suspicion. */
+  long newestEvidenceMs;
 
-  /** A machine without evidence. */
+  /** Creates the record of a machine about which there is no evidence yet. */
   public MachineHealth(String name, int zone) {
     this.name = name;
     this.zone = zone;
   }
 
-  /** Whether messages of this controller reach the machine. */
+  /** Detects whether this controller's messages reach the machine. */
   public OutboundReachability outboundReachability() {
     return outboundReachability;
   }
@@ -70,14 +76,17 @@
     return suspicion;
   }
 
-  /** True when the machine gets no urgent tasks and no gangs, and other tasks last. */
+  /**
+   * True when the machine is suspect: it gets no urgent tasks and no gangs, and other tasks only
+   * after all trusted machines.
+   */
   public boolean isSuspect() {
     return suspicion != Suspicion.NONE;
   }
 
-  /** True when the machine's heartbeat was overdue at the newest evaluation. */
+  /** True when the machine's heartbeat was overdue at the latest evaluation. */
   public boolean isHeartbeatOverdue() {
-    return overdue;
+    return heartbeatOverdue;
   }
 
   /** Index of the machine's zone. */
@@ -85,9 +94,12 @@
     return zone;
   }
 
-  /** How many times as long as their peers its tasks took: median of the newest samples, or 1. */
+  /**
+   * How many times as long as expected the machine's tasks took: the median of the newest samples,
+   * or 1 without samples.
+   */
   public double slowdown() {
-    int count = Math.min(samples, MAX_SAMPLES);
-    return count == 0 ? 1 : Math.exp(Medians.of(excess, count));
+    int count = Math.min(sampleCount, MAX_SAMPLES);
+    return count == 0 ? 1 : Math.exp(Medians.of(logSlowdowns, count));
   }
 }
--- a/src/main/java/org/mallowroad/core/health/Medians.java
+++ b/src/main/java/org/mallowroad/core/health/Medians.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import org.apache.commons.statistics.descriptive.Median;
 
-/** Medians: averages that a few wrong estimates or cached results cannot shift. */
+/** Computes medians, which a few wrong estimates or cached results hardly shift. */
 final class Medians {
   private Medians() {}
 
--- a/src/main/java/org/mallowroad/core/health/OutboundReachability.java
+++ b/src/main/java/org/mallowroad/core/health/OutboundReachability.java
@@ -4,67 +4,79 @@
  * Detects that messages of this controller do not reach a machine whose heartbeats arrive.
  *
  * <p>With such a one-way link the machine looks alive, although its lease expires, its tasks die
- * with each incarnation and whatever is placed on it never starts. Its own heartbeats show it: they
- * do not have the fencing token of an earlier answer, do not list launches that an answer carried,
- * or begin a new incarnation although the heartbeats of the last one were answered. This is
- * evidence only and frees no attempt.
+ * with each incarnation and new tasks placed on it never start. The machine's own heartbeats reveal
+ * the fault: they lack the fencing token of an earlier answer, do not list launches that an answer
+ * carried, or begin a new incarnation although the heartbeats of the previous one were answered.
+ * This is evidence only and frees no attempt.
  *
  * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class OutboundReachability {
-  /** Consecutive heartbeats that must miss the content of the answers before them. */
+  /**
+   * Number of consecutive heartbeats that must fail to reflect the preceding answers before the
+   * link counts as broken.
+   */
   static final int MIN_UNACKNOWLEDGED = 3;
 
-  /** Least time between the first and the last of them: one answer may be lost by chance. */
-  static final long MIN_UNACKNOWLEDGED_MS = 4_000;
+  /**
+   * Minimum time between the first and the last of these heartbeats, in ms, since a single answer
+   * may be lost by chance.
+   */
+  static final long MIN_UNACKNOWLEDGED_PERIOD_MS = 4_000;
 
   /**
-   * Interval at which a machine with a broken link is offered a higher fencing token; the first
-   * heartbeat that has the token shows that the link works again.
+   * Interval in ms at which a machine with a broken link is offered a higher fencing token. The
+   * first heartbeat with that token shows that the link works again.
    */
   static final long PROBE_INTERVAL_MS = 10_000;
 
-  private int unacknowledged;
+  private int unacknowledgedCount;
   private long unacknowledgedSinceMs;
-  private long probedMs;
+  private long lastProbeMs;
   private boolean broken;
 
-  /** A heartbeat shows something that only a message of this controller can have told. */
+  /** Records a heartbeat with content that the worker can only have from this controller. */
   public void recordAcknowledged() {
-    unacknowledged = 0;
+    unacknowledgedCount = 0;
     broken = false;
   }
 
-  /** A heartbeat does not show what the answer before it said. */
+  /** Records a heartbeat that does not reflect the preceding answer. */
   public void recordUnacknowledged(long now) {
-    if (unacknowledged++ == 0) {
+    if (unacknowledgedCount++ == 0) {
       unacknowledgedSinceMs = now;
     }
-    if (unacknowledged >= MIN_UNACKNOWLEDGED
-        && now - unacknowledgedSinceMs >= MIN_UNACKNOWLEDGED_MS
+    if (unacknowledgedCount >= MIN_UNACKNOWLEDGED
+        && now - unacknowledgedSinceMs >= MIN_UNACKNOWLEDGED_PERIOD_MS
         && !broken) {
       broken = true;
-      probedMs = now;
+      lastProbeMs = now;
     }
   }
 
-  /** The worker's incarnation ended although its heartbeats were answered within its lease. */
+  /**
+   * Records that the worker's incarnation ended although this controller had answered its
+   * heartbeats within the lease, which shows that the answers did not arrive.
+   */
   public void recordIncarnationLost(long now) {
     broken = true;
-    probedMs = now;
+    lastProbeMs = now;
   }
 
-  /** True when no message reaches the machine, as far as its heartbeats show. */
+  /** True when the heartbeats indicate that no message reaches the machine. */
   public boolean isBroken() {
     return broken;
   }
 
-  /** True once in {@link #PROBE_INTERVAL_MS} while the link is broken: a probe is to be sent. */
+  /**
+   * Returns true when the caller must send a probe now, which is once in {@link #PROBE_INTERVAL_MS}
+   * while the link is broken. Starts the next interval in that case.
+   */
   public boolean startProbeIfDue(long now) {
-    if (!broken || now - probedMs < PROBE_INTERVAL_MS) {
+    if (!broken || now - lastProbeMs < PROBE_INTERVAL_MS) {
       return false;
     }
-    probedMs = now;
+    lastProbeMs = now;
     return true;
   }
 }
--- a/src/main/java/org/mallowroad/core/health/PauseDetector.java
+++ b/src/main/java/org/mallowroad/core/health/PauseDetector.java
@@ -1,21 +1,26 @@
 package org.mallowroad.core.health;
 
 /**
- * Detects pauses of this process: a frozen host, a long garbage collection, a starved core.
+ * Detects pauses of this process, caused for example by a frozen host, a long garbage collection or
+ * a lack of CPU time.
  *
- * <p>The clock runs on during a pause, so all other machines seem silent afterwards, and messages
+ * <p>The clock continues during a pause, so all other machines seem silent afterwards, and messages
  * that waited in the sockets look new. A failure detector that checks its own health first (as in
  * Lifeguard, 2017) draws no conclusion from its own pause.
  *
- * <p>Every turn of the event loop and every message is passed to {@link #recordActivity}. A gap
- * that is longer than the limit is a pause. Messages that are read within two ticks after it may
- * have waited through it, so {@link #latestArrivalMs} dates them to its beginning; and silence of
- * others counts from its end at the earliest ({@link #listeningSinceMs}).
+ * <p>Every iteration of the event loop and every message is passed to {@link #recordActivity}. A
+ * gap that is longer than the limit is a pause. Messages that are read within two ticks after the
+ * pause may have been waiting since before it, so {@link #latestArrivalMs} dates them to the
+ * beginning of the pause. The silence of other machines counts from the end of the pause at the
+ * earliest ({@link #listeningSinceMs}).
  *
  * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class PauseDetector {
-  /** Ticks of the event loop after which the messages that waited in the sockets are read. */
+  /**
+   * Number of ticks of the event loop after which the messages that waited in the sockets have been
+   * read.
+   */
   private static final int TICKS_TO_SETTLE = 2;
 
   private final long limitMs;
@@ -27,9 +32,9 @@
   private long longestPauseMs;
 
   /**
-   * Creates a detector whose first activity is now.
+   * Creates a detector, with {@code now} as its first activity.
    *
-   * @param limitMs longest gap between two activities, in ms, that is not a pause
+   * @param limitMs longest gap between two activities, in ms, that does not count as a pause
    */
   public PauseDetector(long limitMs, long now) {
     this.limitMs = limitMs;
@@ -39,9 +44,9 @@
   }
 
   /**
-   * Records a turn of the event loop or a message.
+   * Records an iteration of the event loop or the reading of a message.
    *
-   * @return the length in ms of a pause that ended just now, or 0
+   * @return the length in ms of a pause that this activity ends, or 0
    */
   public long recordActivity(long now) {
     long gapMs = now - lastActivityMs;
@@ -58,7 +63,7 @@
   }
 
   /**
-   * Records a regular tick of the event loop, in addition to {@link #recordActivity}: the sockets
+   * Records a regular tick of the event loop, in addition to {@link #recordActivity}. The sockets
    * are read between two ticks.
    */
   public void recordTick() {
@@ -67,17 +72,20 @@
     }
   }
 
-  /** The time by which a message that is read now had certainly arrived. */
+  /**
+   * The time to assume for the arrival of a message that is read now: {@code now}, or the beginning
+   * of the last pause while the message may have waited through it.
+   */
   public long latestArrivalMs(long now) {
     return isSettled() ? now : pauseBeganMs;
   }
 
-  /** False while messages that are read may have waited through a pause. */
+  /** False while messages that are read now may have waited through a pause. */
   public boolean isSettled() {
     return ticksSincePause >= TICKS_TO_SETTLE;
   }
 
-  /** Since when this process has been listening without a pause. */
+  /** The end of the last pause, since when this process has been listening without interruption. */
   public long listeningSinceMs() {
     return pauseEndedMs;
   }
--- a/src/main/java/org/mallowroad/core/health/StragglerDetector.java
+++ b/src/main/java/org/mallowroad/core/health/StragglerDetector.java
@@ -5,64 +5,76 @@
 import org.mallowroad.core.health.MachineHealth.Suspicion;
 
 /**
- * Detects slow and faulty machines, and tells them from slow tasks, wrong estimates and days on
- * which everything is slow.
+ * Detects slow and faulty machines, and distinguishes them from slow tasks, wrong estimates and
+ * general slowdowns.
  *
- * <p>A finished task is compared with the median of its own job's tasks, or with its class while
- * the job has too few of them. Both are ratios of run time to estimate, so the owner's error and
- * the trend of the day cancel out, and the spread of the peers is allowed for. A running task that
- * has taken several times as long as its peers counts as well; otherwise a machine that hardly
- * makes progress would be detected last.
+ * <p>A finished task is compared with the median of its own job's tasks, or with its task class
+ * while the job has too few finished tasks. All samples are ratios of run time to estimate, so the
+ * owner's estimation error and a general slowdown cancel out. Deviations within the spread of the
+ * comparable tasks are tolerated. A running task that has already taken much longer than the
+ * finished tasks of its job counts as slow as well; otherwise a machine that hardly makes progress
+ * would be detected last.
  *
- * <p>A machine becomes suspect when enough of its newest tasks agree. Only a share of the fleet may
- * be suspect at once, since beyond that the day is slow and not the machines. A suspicion expires,
- * so that a machine that recovered gets tasks again and can show it.
+ * <p>A machine becomes suspect when enough of its newest tasks are slow. Only a limited share of
+ * the fleet may be suspect at once; when more machines seem slow, the cause is a general slowdown.
+ * A suspicion expires without new evidence, so that a recovered machine gets tasks again and can
+ * prove itself.
  *
  * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class StragglerDetector {
-  /** Number of tasks by which a class's baseline is dimensioned; a third must have ended. */
-  private static final int CLASS_TASKS = 60;
+  /** Number of tasks assumed of a class; its baseline is usable once a third of them finished. */
+  private static final int ASSUMED_TASKS_PER_CLASS = 60;
 
-  /** Deviations from the median of up to this many spreads are normal. */
-  private static final double NORMAL_SPREADS = 2;
+  /** Deviations from the median of up to this many standard deviations are normal. */
+  private static final double MAX_NORMAL_SPREADS = 2;
 
-  /** Most classes that are kept: the settings name a handful, but users may make up more. */
-  static final int MAX_CLASSES = 256;
+  /**
+   * Maximum number of task classes with a baseline. The settings name a handful, but users may
+   * submit tasks of any number of others.
+   */
+  static final int MAX_TASK_CLASSES = 256;
 
-  /** A running task counts later than a finished one: it may just be the longest of its job. */
-  private static final double RUNNING_TASK_FACTOR = 1.2;
+  /**
+   * Factor by which the limit for running tasks exceeds the one for finished tasks, since a running
+   * task may simply be the longest of its job.
+   */
+  private static final double RUNNING_TASK_MARGIN_FACTOR = 1.2;
 
-  /** Grace period of a running task, in ms, on top of the limit. */
+  /** Grace period in ms that is added to the limit for running tasks. */
   private static final long RUNNING_TASK_GRACE_MS = 2_000;
 
-  /** In a fleet of fewer machines none may become suspect. */
-  private static final int MIN_FLEET = 4;
+  /** In a smaller fleet, no machine is suspected unless the configured share allows it. */
+  private static final int MIN_FLEET_SIZE = 4;
 
-  /** Share of the newest samples that must agree. */
+  /** Share of a machine's newest tasks that must be slow to raise a suspicion. */
   private static final double MIN_AGREEMENT = 0.7;
 
-  /** Estimates of run time count as this many seconds at the least. */
+  /** Lower bound for estimates of run time, in seconds. */
   private static final double MIN_ESTIMATE_S = 0.1;
 
-  /** An image is overdue after this many times its expected time, plus the grace period. */
+  /**
+   * An image fetch is overdue after this many times its expected duration, plus {@link
+   * #FETCH_GRACE_MS}.
+   */
   private static final double FETCH_FACTOR = 6;
 
   private static final long FETCH_GRACE_MS = 30_000;
 
   private final HealthPolicy policy;
-  private final Int2ObjectOpenHashMap<RunTimeBaseline> classes = new Int2ObjectOpenHashMap<>();
+  private final Int2ObjectOpenHashMap<RunTimeBaseline> baselinesByClass =
+      new Int2ObjectOpenHashMap<>();
 
   /** Logarithm of {@link HealthPolicy#slowFactor}. */
-  private final double slowExcess;
+  private final double logSlowFactor;
 
   private int suspectCount;
   private long refusedSuspicionCount;
 
-  /** Creates a detector with the operators' thresholds. */
+  /** Creates a detector that applies the given thresholds. */
   public StragglerDetector(HealthPolicy policy) {
     this.policy = policy;
-    this.slowExcess = Math.log(policy.slowFactor());
+    this.logSlowFactor = Math.log(policy.slowFactor());
   }
 
   /** Number of machines that are suspect now. */
@@ -71,148 +83,153 @@
   }
 
   /**
-   * Number of judgements so far by which a machine would have become suspect, had not too many
-   * others been: the sign of a slow day.
+   * How often so far a machine was not made suspect because too many others already were. A growing
+   * number indicates a general slowdown.
    */
   public long refusedSuspicionCount() {
     return refusedSuspicionCount;
   }
 
-  /** Number of classes that are kept. */
+  /** Number of task classes with a baseline. */
   public int taskClassCount() {
-    return classes.size();
+    return baselinesByClass.size();
   }
 
-  /** Drops the classes that are not in use; their indices are about to be given to others. */
-  public void retainTaskClasses(BitSet used) {
-    classes.keySet().removeIf((int taskClass) -> !used.get(taskClass));
+  /** Drops the classes that are not in use, since their indices may be reassigned to others. */
+  public void retainTaskClasses(BitSet usedClasses) {
+    baselinesByClass.keySet().removeIf((int taskClass) -> !usedClasses.get(taskClass));
   }
 
   /**
-   * Records that a task ended well.
+   * Records that a task succeeded.
    *
-   * @param job the baseline of the task's job
+   * @param jobBaseline the baseline of the task's job
    * @param taskClass index of the task's class
-   * @param ranMs its run time
-   * @param estimateS the owner's estimate of its run time, in seconds
-   * @param fleetSize number of machines
+   * @param ranMs the task's run time, in ms
+   * @param estimateS the owner's estimate of the run time, in seconds
+   * @param fleetSize number of machines in the fleet
    * @return true when the machine's suspicion changed
    */
   public boolean recordTaskFinished(
       MachineHealth machine,
-      RunTimeBaseline job,
+      RunTimeBaseline jobBaseline,
       int taskClass,
       long ranMs,
       double estimateS,
       int fleetSize,
       long now) {
     double logRatio = Math.log(Math.max(1, ranMs) / 1000.0 / Math.max(MIN_ESTIMATE_S, estimateS));
-    double fair = fairLogRatio(job, taskClass);
-    job.add(logRatio);
+    double expected = expectedLogRatio(jobBaseline, taskClass);
+    jobBaseline.add(logRatio);
     addToClass(taskClass, logRatio);
     machine.failedJobs.clear();
-    if (Double.isNaN(fair)) {
+    if (Double.isNaN(expected)) {
       return false;
     }
-    addSample(machine, logRatio - fair);
-    return judge(machine, fleetSize, now);
+    addSample(machine, logRatio - expected);
+    return updateSuspicion(machine, fleetSize, now);
   }
 
   /**
-   * Logarithm of the ratio of run time to estimate that a task may have without being slow, with
-   * room for the spread of its peers; NaN while there is no baseline. A class is a poor baseline:
-   * each owner errs in another way, so its spread is wide.
+   * Logarithm of the ratio of run time to estimate that is expected of a task; NaN while there is
+   * no baseline. It is the median of the baseline, raised where the spread of the baseline exceeds
+   * the slow factor. That matters for classes, which have a wide spread because each owner's
+   * estimates are wrong in a different way.
    */
-  private double fairLogRatio(RunTimeBaseline job, int taskClass) {
-    RunTimeBaseline baseline = job.isSufficient() ? job : classes.get(taskClass);
+  private double expectedLogRatio(RunTimeBaseline jobBaseline, int taskClass) {
+    RunTimeBaseline baseline =
+        jobBaseline.isSufficient() ? jobBaseline : baselinesByClass.get(taskClass);
     return baseline == null || !baseline.isSufficient()
         ? Double.NaN
-        : baseline.median() + Math.max(0, NORMAL_SPREADS * baseline.spread() - slowExcess);
+        : baseline.median() + Math.max(0, MAX_NORMAL_SPREADS * baseline.spread() - logSlowFactor);
   }
 
   private void addToClass(int taskClass, double logRatio) {
-    RunTimeBaseline baseline = classes.get(taskClass);
-    if (baseline == null && classes.size() < MAX_CLASSES) {
-      baseline = new RunTimeBaseline(CLASS_TASKS);
-      classes.put(taskClass, baseline);
+    RunTimeBaseline baseline = baselinesByClass.get(taskClass);
+    if (baseline == null && baselinesByClass.size() < MAX_TASK_CLASSES) {
+      baseline = new RunTimeBaseline(ASSUMED_TASKS_PER_CLASS);
+      baselinesByClass.put(taskClass, baseline);
     }
     if (baseline != null) {
       baseline.add(logRatio);
     }
   }
 
-  private static void addSample(MachineHealth machine, double excess) {
-    machine.excess[machine.samples++ % MachineHealth.MAX_SAMPLES] = excess;
-    if (machine.samples >= 2 * MachineHealth.MAX_SAMPLES) {
-      // A full ring stays full, so the count is wrapped and never overflows.
-      machine.samples -= MachineHealth.MAX_SAMPLES;
+  private static void addSample(MachineHealth machine, double logSlowdown) {
+    machine.logSlowdowns[machine.sampleCount++ % MachineHealth.MAX_SAMPLES] = logSlowdown;
+    if (machine.sampleCount >= 2 * MachineHealth.MAX_SAMPLES) {
+      // Wrapping the count keeps it from overflowing; a full ring buffer still counts as full.
+      machine.sampleCount -= MachineHealth.MAX_SAMPLES;
     }
   }
 
   /**
-   * Sets how many tasks on the machine have run for several times as long as their peers.
+   * Sets how many running tasks of the machine are overdue; see {@link #isTaskOverdue}.
    *
    * @return true when the machine's suspicion changed
    */
-  public boolean setOverdueTasks(MachineHealth machine, int tasks, int fleetSize, long now) {
-    if (machine.overdueTasks == tasks) {
+  public boolean setOverdueTasks(MachineHealth machine, int overdueTasks, int fleetSize, long now) {
+    if (machine.overdueTasks == overdueTasks) {
       return false;
     }
-    machine.overdueTasks = tasks;
-    return judge(machine, fleetSize, now);
+    machine.overdueTasks = overdueTasks;
+    return updateSuspicion(machine, fleetSize, now);
   }
 
-  /** True when a task that has run for so long is overdue; only its own job can show it. */
-  public boolean isTaskOverdue(RunTimeBaseline job, long ranMs, double estimateS) {
-    return job.isSufficient()
+  /**
+   * True when a running task has taken much longer than the finished tasks of its job. The task's
+   * class is not precise enough for this decision.
+   */
+  public boolean isTaskOverdue(RunTimeBaseline jobBaseline, long ranMs, double estimateS) {
+    return jobBaseline.isSufficient()
         && ranMs
             > RUNNING_TASK_GRACE_MS
                 + 1000
                     * estimateS
-                    * RUNNING_TASK_FACTOR
-                    * Math.exp(slowExcess + fairLogRatio(job, 0));
+                    * RUNNING_TASK_MARGIN_FACTOR
+                    * Math.exp(logSlowFactor + expectedLogRatio(jobBaseline, 0));
   }
 
-  private boolean judge(MachineHealth machine, int fleetSize, long now) {
-    int finished = Math.min(machine.samples, MachineHealth.MAX_SAMPLES);
-    int slow = machine.overdueTasks;
-    for (int i = 0; i < finished; i++) {
-      if (machine.excess[i] > slowExcess) {
-        slow++;
+  private boolean updateSuspicion(MachineHealth machine, int fleetSize, long now) {
+    int finishedTasks = Math.min(machine.sampleCount, MachineHealth.MAX_SAMPLES);
+    int slowTasks = machine.overdueTasks;
+    for (int i = 0; i < finishedTasks; i++) {
+      if (machine.logSlowdowns[i] > logSlowFactor) {
+        slowTasks++;
       }
     }
-    int all = finished + machine.overdueTasks;
+    int totalTasks = finishedTasks + machine.overdueTasks;
     if (machine.suspicion == Suspicion.NONE) {
-      if (slow >= policy.minSlowSamples() && slow >= MIN_AGREEMENT * all) {
-        return suspect(machine, Suspicion.SLOW, fleetSize, now);
+      if (slowTasks >= policy.minSlowSamples() && slowTasks >= MIN_AGREEMENT * totalTasks) {
+        return trySuspect(machine, Suspicion.SLOW, fleetSize, now);
       }
     } else if (machine.suspicion == Suspicion.SLOW) {
-      if (slow < (1 - MIN_AGREEMENT) * all) {
-        clear(machine);
+      if (slowTasks < (1 - MIN_AGREEMENT) * totalTasks) {
+        clearSuspicion(machine);
         return true;
       }
-      machine.suspectedMs = now;
+      machine.newestEvidenceMs = now;
     }
     return false;
   }
 
-  /** Makes the machine suspect unless too many are already; true when it did. */
-  private boolean suspect(MachineHealth machine, Suspicion suspicion, int fleetSize, long now) {
-    // In a tiny fleet no machine may be avoided: urgent tasks might have nowhere else to go.
-    int minAllowed = fleetSize < MIN_FLEET ? 0 : 1;
-    if (suspectCount + 1 > Math.max(minAllowed, policy.maxSlowShare() * fleetSize)) {
+  /** Makes the machine suspect unless too many others are already; returns true on success. */
+  private boolean trySuspect(MachineHealth machine, Suspicion suspicion, int fleetSize, long now) {
+    // In a tiny fleet, urgent tasks might have no other machine to run on.
+    int minAllowedSuspects = fleetSize < MIN_FLEET_SIZE ? 0 : 1;
+    if (suspectCount + 1 > Math.max(minAllowedSuspects, policy.maxSlowShare() * fleetSize)) {
       refusedSuspicionCount++;
       return false;
     }
     machine.suspicion = suspicion;
-    machine.suspectedMs = now;
+    machine.newestEvidenceMs = now;
     suspectCount++;
     return true;
   }
 
-  private void clear(MachineHealth machine) {
+  private void clearSuspicion(MachineHealth machine) {
     machine.suspicion = Suspicion.NONE;
-    machine.samples = 0;
+    machine.sampleCount = 0;
     machine.overdueTasks = 0;
     machine.failedJobs.clear();
     suspectCount--;
@@ -221,49 +238,49 @@
   /**
    * Records that a task failed on the machine.
    *
-   * @param job identifies the task's job
-   * @param jobAtFault true when the job has failed on several machines, which says nothing about
-   *     this one
-   * @param fleetSize number of machines
+   * @param jobId identifies the task's job
+   * @param jobAtFault true when the job has failed on several machines, so that its failure is no
+   *     evidence against this one
+   * @param fleetSize number of machines in the fleet
    * @return true when the machine became suspect
    */
   public boolean recordTaskFailed(
-      MachineHealth machine, int job, boolean jobAtFault, int fleetSize, long now) {
+      MachineHealth machine, int jobId, boolean jobAtFault, int fleetSize, long now) {
     if (jobAtFault) {
-      machine.failedJobs.remove(job);
+      machine.failedJobs.remove(jobId);
       return false;
     }
     if (machine.failedJobs.size() < policy.minFailedJobs()) {
-      machine.failedJobs.add(job);
+      machine.failedJobs.add(jobId);
     }
     return machine.suspicion == Suspicion.NONE
         && machine.failedJobs.size() >= policy.minFailedJobs()
-        && suspect(machine, Suspicion.FAULTY, fleetSize, now);
+        && trySuspect(machine, Suspicion.FAULTY, fleetSize, now);
   }
 
   /**
    * Records how long a task on the machine has been waiting for its image.
    *
-   * @param waitedMs the wait so far
-   * @param expectedMs how long the fetch takes by the machine type's figures
-   * @param fleetSize number of machines
+   * @param waitedMs the wait so far, in ms
+   * @param expectedMs expected duration of the fetch on this machine type, in ms
+   * @param fleetSize number of machines in the fleet
    * @return true when the machine became suspect
    */
   public boolean recordImageWait(
       MachineHealth machine, long waitedMs, double expectedMs, int fleetSize, long now) {
     return machine.suspicion == Suspicion.NONE
         && waitedMs > FETCH_FACTOR * expectedMs + FETCH_GRACE_MS
-        && suspect(machine, Suspicion.NO_IMAGE, fleetSize, now);
+        && trySuspect(machine, Suspicion.NO_IMAGE, fleetSize, now);
   }
 
   /**
    * Ends a suspicion that had no new evidence for {@link HealthPolicy#suspicionExpiryMs}.
    *
-   * @return true when the machine is tried again
+   * @return true when a suspicion expired, so that the machine gets tasks again
    */
   public boolean expireSuspicion(MachineHealth machine, long now) {
-    if (machine.isSuspect() && now - machine.suspectedMs > policy.suspicionExpiryMs()) {
-      clear(machine);
+    if (machine.isSuspect() && now - machine.newestEvidenceMs > policy.suspicionExpiryMs()) {
+      clearSuspicion(machine);
       return true;
     }
     return false;
@@ -272,7 +289,7 @@
   /** Forgets a machine that no longer exists. */
   public void remove(MachineHealth machine) {
     if (machine.isSuspect()) {
-      clear(machine);
+      clearSuspicion(machine);
     }
   }
 }
--- a/src/main/java/org/mallowroad/core/health/TokenBucket.java
+++ b/src/main/java/org/mallowroad/core/health/TokenBucket.java
@@ -1,45 +1,46 @@
 package org.mallowroad.core.health;
 
 /**
- * Limits how many machines are deleted for their silence.
+ * Token bucket that limits how many silent machines are deleted.
  *
- * <p>A machine that is given up too early has to be rented again, and boots for as long as a task
- * runs; that is acceptable for one machine, but not for half a fleet. So a share of the fleet may
- * go at once and the rest at an even rate, by which time machines that hung only for a moment are
- * back. Large schedulers limit evictions in the same way while most of a zone is silent.
+ * <p>A machine that is deleted too early has to be rented again, and its boot takes as long as a
+ * task runs. That is acceptable for one machine, but not for half a fleet. So a share of the fleet
+ * may be deleted at once and the rest at a constant rate, which gives machines that hung only for a
+ * moment the time to report again. Other large schedulers limit evictions in the same way while
+ * most of a zone is silent.
  *
  * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class TokenBucket {
-  private final double share;
+  private final double capacityShare;
   private final double minCapacity;
   private final double refillMs;
-  private double used;
-  private long updatedMs;
+  private double usedTokens;
+  private long lastRefillMs;
 
   /**
    * Creates a full bucket.
    *
-   * @param share capacity as a share of the fleet
-   * @param minCapacity least capacity, in machines
-   * @param refillMs time in which an empty bucket refills, in ms
+   * @param capacityShare capacity as a share of the fleet
+   * @param minCapacity minimum capacity, in machines
+   * @param refillMs time in which an empty bucket refills completely, in ms
    */
-  public TokenBucket(double share, int minCapacity, double refillMs, long now) {
-    this.share = share;
+  public TokenBucket(double capacityShare, int minCapacity, double refillMs, long now) {
+    this.capacityShare = capacityShare;
     this.minCapacity = minCapacity;
     this.refillMs = refillMs;
-    this.updatedMs = now;
+    this.lastRefillMs = now;
   }
 
-  /** Takes a token for one machine of a fleet of this size; false when none is left now. */
+  /** Takes the token for one deletion in a fleet of this size; false when no token is left. */
   public boolean tryTake(int fleetSize, long now) {
-    double capacity = Math.max(minCapacity, share * fleetSize);
-    used = Math.max(0, used - capacity * (now - updatedMs) / refillMs);
-    updatedMs = now;
-    if (used + 1 > capacity) {
+    double capacity = Math.max(minCapacity, capacityShare * fleetSize);
+    usedTokens = Math.max(0, usedTokens - capacity * (now - lastRefillMs) / refillMs);
+    lastRefillMs = now;
+    if (usedTokens + 1 > capacity) {
       return false;
     }
-    used++;
+    usedTokens++;
     return true;
   }
 }
--- a/src/main/java/org/mallowroad/core/image/ImageDistribution.java
+++ b/src/main/java/org/mallowroad/core/image/ImageDistribution.java
@@ -15,123 +15,126 @@
 /**
  * Decides which machine fetches which image, from which image source, and when.
  *
- * <p>A machine is a <i>confirmed holder</i> of an image once it reported a running task of it in
- * its present incarnation; it stays one while the images used since are likely to fit into its
- * cache beside it. Only confirmed holders become image sources, each for a bounded number of
- * fetchers, those of the fetcher's own zone first. So the number of holders doubles with each round
- * of fetches, and two machines are never each other's source: a source holds the image and a
- * fetcher does not.
+ * <p>A machine is a <i>confirmed holder</i> of an image once it has reported a running task with
+ * that image in its current incarnation. It remains one as long as the image probably still fits
+ * into the machine's cache beside the images used since. Only confirmed holders become image
+ * sources, each for a bounded number of fetchers, and those in the fetcher's own zone are
+ * preferred. So the number of holders doubles with each round of fetches. Two machines are never
+ * each other's source, since a source holds the image and a fetcher does not.
  *
- * <p>A start is held back only by a limit that the operators have set: without one all machines
- * fetch at once, each at its own rate, and no waiting start would make another one earlier. Where
- * fetches from the shared source are limited, a start whose worker fetches from another machine
- * does not count there, and is never held back.
+ * <p>A start is held back only by a limit that the operators have set. Without a limit all machines
+ * fetch at once, each at its own rate, and holding one start back would not make another one
+ * earlier. Where fetches from the shared source are limited, a start whose worker fetches from
+ * another machine does not count towards that limit and is not held back by it.
  *
- * <p>The state is soft: it is rebuilt from heartbeats in each leader term. A new leader counts the
- * fetches that it finds under way as fetches from the shared source. Correctness does not depend on
- * it: a source that fails, has evicted the image or never held it costs its fetcher one attempt,
- * since the worker falls back to the shared source by itself.
+ * <p>The state is not persisted: it is rebuilt from heartbeats in each leader term. A new leader
+ * counts the fetches that are already in progress as fetches from the shared source. Correctness
+ * does not depend on this state: a source that fails, has evicted the image or never held it costs
+ * its fetcher one attempt, since the worker then falls back to the shared source by itself.
  *
  * <p>Confined to the thread of its {@code SchedulerState}.
  */
 public final class ImageDistribution {
-  /** Most image sources named in one launch command. */
+  /** Maximum number of image sources in one launch command. */
   static final int MAX_SOURCES_PER_LAUNCH = 3;
 
-  /** Most confirmed holders examined to choose the sources of one fetch. */
+  /** Maximum number of confirmed holders examined when the sources of a fetch are chosen. */
   private static final int MAX_HOLDERS_EXAMINED = 48;
 
-  /** Most confirmed holders remembered of one image; the least recently confirmed one goes. */
+  /** Maximum number of confirmed holders per image; the least recently confirmed is evicted. */
   static final int MAX_HOLDERS_PER_IMAGE = 512;
 
-  /** Share of a cache that the images used since may fill before an image counts as evicted. */
-  private static final double CACHE_FILL_LIMIT = 0.8;
+  /**
+   * Share of a machine's cache that more recently used images may fill before an image counts as
+   * evicted.
+   */
+  private static final double MAX_CACHE_FILL_SHARE = 0.8;
 
-  /** Decides by a machine's health whether it may serve as an image source. */
+  /** Decides whether a machine is healthy enough to serve as an image source. */
   @FunctionalInterface
   public interface SourceEligibility {
-    /** True when the machine is reachable, is not about to leave and is not slow. */
+    /** True when the machine is reachable, is not about to be removed and is not slow. */
     boolean isEligible(Machine machine);
   }
 
-  /** One machine's fetch of one image, whatever the number of tasks that wait for it. */
+  /** One machine's fetch of one image; any number of tasks may wait for it. */
   private static final class ImageFetch {
     private final List<Machine> imageSources;
-    private int tasks;
+    private int waitingTasks;
 
     ImageFetch(List<Machine> imageSources) {
       this.imageSources = imageSources;
     }
   }
 
-  /** The confirmed holders of one image, and the fetches of it under way. */
+  /** The confirmed holders of one image and its fetches in progress. */
   private static final class ImageState {
     private final ReferenceLinkedOpenHashSet<Machine> holders = new ReferenceLinkedOpenHashSet<>();
     private final Reference2ObjectLinkedOpenHashMap<Machine, ImageFetch> fetches =
         new Reference2ObjectLinkedOpenHashMap<>();
 
-    /** By the fetcher's zone: fetches under way from a source in another zone. */
+    /** Fetches in progress from a source in another zone, indexed by the fetcher's zone. */
     private final int[] crossZoneFetches;
 
-    ImageState(int zones) {
-      this.crossZoneFetches = new int[zones];
+    ImageState(int zoneCount) {
+      this.crossZoneFetches = new int[zoneCount];
     }
   }
 
   private final ImageFetchPolicy policy;
-  private final int zones;
+  private final int zoneCount;
   private final Int2ObjectLinkedOpenHashMap<ImageState> imageStates =
       new Int2ObjectLinkedOpenHashMap<>();
 
-  /** Fetches under way by the image source that serves them. */
+  /** Number of fetches in progress, by the image source that serves them. */
   private final Reference2IntOpenHashMap<Machine> fetchesBySource =
       new Reference2IntOpenHashMap<>();
 
-  /** Fetches under way by the machine that fetches. */
+  /** Number of fetches in progress, by the machine that fetches. */
   private final Reference2IntOpenHashMap<Machine> fetchesByMachine =
       new Reference2IntOpenHashMap<>();
 
-  /** Fetches from the shared source under way. */
+  /** Number of fetches in progress from the shared source. */
   private int sharedSourceFetches;
 
-  // Totals of the term, for the log.
-  private long fetchesStarted;
+  // Totals of the leader term, for the log.
+  private long startedFetches;
   private long fetchesFromMachines;
   private long startsHeldBack;
-  private long tasks;
+  private long placedTasks;
   private double fetchedGb;
 
   /**
    * Creates the empty state of a leader term.
    *
-   * @param zones number of zones; a machine's zone is an index below it
+   * @param zoneCount number of zones; a machine's zone is an index below this number
    */
-  public ImageDistribution(ImageFetchPolicy policy, int zones) {
+  public ImageDistribution(ImageFetchPolicy policy, int zoneCount) {
     this.policy = policy;
-    this.zones = zones;
+    this.zoneCount = zoneCount;
   }
 
   /**
-   * True when the operators have limited fetches: then jobs that differ only in their image may
-   * differ in where they can start.
+   * True when the operators have limited fetches. Jobs that differ only in their image may then
+   * differ in the machines on which they can start.
    */
   public boolean hasLimits() {
     return policy.sharedSourceLimit() > 0 || policy.perMachineLimit() > 0;
   }
 
-  /** Images below the policy's minimum size are neither tracked nor limited. */
+  /** True for images below the policy's minimum size, which are neither tracked nor limited. */
   private boolean isBelowMinimum(JobSpec spec) {
     return spec.imageGb() < policy.minimumGb();
   }
 
-  /** Whether a task whose image the machine does not hold may start there now. */
+  /** True when a task whose image the machine does not hold may start there now. */
   public boolean canFetch(JobSpec spec, Machine machine, SourceEligibility eligibility) {
     if (isBelowMinimum(spec)) {
       return true;
     }
     ImageState state = imageStates.get(spec.image());
     if (state != null && (state.fetches.containsKey(machine) || state.holders.contains(machine))) {
-      return true; // All waiting tasks of the machine share one fetch.
+      return true; // All tasks that wait for the image on this machine share one fetch.
     }
     if (policy.perMachineLimit() > 0
         && fetchesByMachine.getInt(machine) >= policy.perMachineLimit()) {
@@ -148,28 +151,28 @@
   }
 
   /**
-   * Records a placed attempt: its machine starts a fetch unless it holds the image or fetches it
-   * already.
+   * Records a placed attempt. Its machine starts a fetch unless it holds the image or is already
+   * fetching it.
    *
-   * @param cached whether the machine is likely to have the image in its cache
+   * @param isLikelyCached true when the machine's cache probably contains the image
    */
-  public void recordPlaced(Attempt attempt, boolean cached, SourceEligibility eligibility) {
+  public void recordPlaced(Attempt attempt, boolean isLikelyCached, SourceEligibility eligibility) {
     JobSpec spec = attempt.job.spec;
-    tasks++;
+    placedTasks++;
     if (isBelowMinimum(spec)) {
       return;
     }
     ImageState state = imageState(spec.image());
     ImageFetch fetch = state.fetches.get(attempt.machine);
     if (fetch == null) {
-      if (state.holders.contains(attempt.machine) || cached) {
+      if (state.holders.contains(attempt.machine) || isLikelyCached) {
         return;
       }
       List<Machine> sources = chooseSources(state, attempt.machine, eligibility);
       fetch = new ImageFetch(sources);
       state.fetches.put(attempt.machine, fetch);
       fetchesByMachine.addTo(attempt.machine, 1);
-      fetchesStarted++;
+      startedFetches++;
       fetchedGb += spec.imageGb();
       if (sources.isEmpty()) {
         sharedSourceFetches++;
@@ -180,12 +183,12 @@
             sources.get(0).zone != attempt.machine.zone ? 1 : 0;
       }
     }
-    fetch.tasks++;
+    fetch.waitingTasks++;
   }
 
   /**
-   * Records a reported fetch that an earlier leader started. Its image source is not known, so it
-   * counts as a fetch from the shared source.
+   * Records a fetch that began under an earlier leader and that a worker now reports. Its image
+   * source is not known, so it counts as a fetch from the shared source.
    */
   public void recordRecoveredFetch(Attempt attempt) {
     JobSpec spec = attempt.job.spec;
@@ -201,22 +204,22 @@
       sharedSourceFetches++;
     }
     if (fetch != null) {
-      fetch.tasks++;
+      fetch.waitingTasks++;
     }
   }
 
   private ImageState imageState(int image) {
     ImageState state = imageStates.get(image);
     if (state == null) {
-      state = new ImageState(zones);
+      state = new ImageState(zoneCount);
       imageStates.put(image, state);
     }
     return state;
   }
 
   /**
-   * The addresses of image sources that the attempt's launch command names, best first: those
-   * chosen when the fetch began that are confirmed holders still.
+   * The addresses of the image sources for the attempt's launch command, best first. These are the
+   * sources that were chosen when the fetch began and are still confirmed holders.
    */
   public List<String> imageSources(Attempt attempt) {
     ImageState state = imageStates.get(attempt.job.spec.image());
@@ -234,50 +237,53 @@
   }
 
   /**
-   * The machines that may serve the image to the given one, best first: those of its own zone, or
-   * else of others, by the number of fetches that they serve.
+   * Chooses the machines that may serve the image to the fetcher, best first. Machines in the
+   * fetcher's zone are preferred to those in other zones, and the ones that serve the fewest
+   * fetches come first.
    */
   private List<Machine> chooseSources(
-      ImageState state, Machine machine, SourceEligibility eligibility) {
+      ImageState state, Machine fetcher, SourceEligibility eligibility) {
     if (state == null
         || policy.perSourceLimit() <= 0
-        || !machine.servesImages
+        || !fetcher.servesImages
         || state.holders.isEmpty()) {
       return List.of();
     }
     List<Machine> sameZone = new ArrayList<>();
     List<Machine> otherZones = new ArrayList<>();
     int examined = 0;
-    boolean ownZoneHolds = false;
+    boolean hasHolderInZone = false;
     for (Machine source : state.holders) {
       if (++examined > MAX_HOLDERS_EXAMINED || sameZone.size() >= MAX_SOURCES_PER_LAUNCH) {
         break;
       }
-      ownZoneHolds |= source.zone == machine.zone;
-      if (source != machine
+      hasHolderInZone |= source.zone == fetcher.zone;
+      if (source != fetcher
           && source.servesImages
           && fetchesBySource.getInt(source) < policy.perSourceLimit()
           && eligibility.isEligible(source)) {
-        (source.zone == machine.zone ? sameZone : otherZones).add(source);
+        (source.zone == fetcher.zone ? sameZone : otherZones).add(source);
       }
     }
     if (!sameZone.isEmpty()) {
       sameZone.sort(
-          (x, y) -> Integer.compare(fetchesBySource.getInt(x), fetchesBySource.getInt(y)));
+          (first, second) ->
+              Integer.compare(fetchesBySource.getInt(first), fetchesBySource.getInt(second)));
       return sameZone;
     }
-    // Only a few copies enter a zone from others; its own holders serve the rest of it.
-    if (ownZoneHolds
-        || state.crossZoneFetches[machine.zone] >= policy.crossZoneLimit()
+    // Only a few copies are fetched across zones; the zone's own holders serve its other machines.
+    if (hasHolderInZone
+        || state.crossZoneFetches[fetcher.zone] >= policy.crossZoneLimit()
         || otherZones.isEmpty()) {
       return List.of();
     }
     otherZones.sort(
-        (x, y) -> Integer.compare(fetchesBySource.getInt(x), fetchesBySource.getInt(y)));
+        (first, second) ->
+            Integer.compare(fetchesBySource.getInt(first), fetchesBySource.getInt(second)));
     return otherZones.subList(0, Math.min(MAX_SOURCES_PER_LAUNCH, otherZones.size()));
   }
 
-  /** Records that an attempt runs, which confirms its machine as a holder of the image. */
+  /** Records that an attempt is running, which confirms its machine as a holder of the image. */
   public void recordRunning(Attempt attempt) {
     JobSpec spec = attempt.job.spec;
     if (isBelowMinimum(spec)) {
@@ -289,25 +295,25 @@
     if (state.holders.size() > MAX_HOLDERS_PER_IMAGE) {
       state.holders.removeLast();
     }
-    // It is no source any more for images that its cache may have evicted since.
+    // The machine is no longer a source of images that its cache may have evicted meanwhile.
     for (int image : imageStates.keySet().toIntArray()) {
-      if (image != spec.image() && !attempt.machine.isLikelyCached(image, CACHE_FILL_LIMIT)) {
+      if (image != spec.image() && !attempt.machine.isLikelyCached(image, MAX_CACHE_FILL_SHARE)) {
         imageStates.get(image).holders.remove(attempt.machine);
       }
     }
   }
 
-  /** Records an attempt's end; a fetch for which no task waits any more ends with it. */
+  /** Records the end of an attempt; a fetch ends when no task waits for it any more. */
   public void recordEnded(Attempt attempt) {
     ImageState state = imageStates.get(attempt.job.spec.image());
     ImageFetch fetch = state == null ? null : state.fetches.get(attempt.machine);
-    if (fetch != null && --fetch.tasks <= 0) {
+    if (fetch != null && --fetch.waitingTasks <= 0) {
       endFetch(state, attempt.machine);
     }
     dropIfUnused(attempt.job.spec.image(), state);
   }
 
-  /** Ends the machine's fetch of the image, if any, and releases the slots that it took. */
+  /** Ends the machine's fetch of the image, if any, and frees its share of the limits. */
   private void endFetch(ImageState state, Machine machine) {
     ImageFetch fetch = state.fetches.remove(machine);
     if (fetch == null) {
@@ -329,7 +335,7 @@
     state.crossZoneFetches[machine.zone] -= source.zone != machine.zone ? 1 : 0;
   }
 
-  /** Forgets a machine that left or began a new incarnation, with its images and fetches. */
+  /** Forgets the images and fetches of a machine that was removed or began a new incarnation. */
   public void removeMachine(Machine machine) {
     for (int image : imageStates.keySet().toIntArray()) {
       ImageState state = imageStates.get(image);
@@ -339,7 +345,7 @@
     }
   }
 
-  /** Stops tracking an image that no machine holds or fetches. */
+  /** Stops tracking an image that no machine holds or fetches any more. */
   private void dropIfUnused(int image, ImageState state) {
     if (state != null && state.holders.isEmpty() && state.fetches.isEmpty()) {
       imageStates.remove(image);
@@ -347,7 +353,8 @@
   }
 
   /**
-   * True while others fetch from the machine: releasing it would send them to the shared source.
+   * True while other machines fetch from this one. Deleting it would send them to the shared
+   * source.
    */
   public boolean isServing(Machine machine) {
     return fetchesBySource.getInt(machine) > 0;
@@ -359,22 +366,22 @@
     return state == null ? 0 : state.holders.size();
   }
 
-  /** The number of fetches from the shared source under way. */
+  /** The number of fetches in progress from the shared source. */
   public int sharedSourceFetchCount() {
     return sharedSourceFetches;
   }
 
-  /** The number of images that are tracked. */
+  /** The number of images with at least one confirmed holder or fetch. */
   public int trackedImageCount() {
     return imageStates.size();
   }
 
-  /** The term's totals as {@code key=value} pairs of a log line. */
+  /** The totals of the leader term as {@code key=value} pairs for a log line. */
   public String logFields() {
     return "tasks="
-        + tasks
+        + placedTasks
         + " fetches="
-        + fetchesStarted
+        + startedFetches
         + " handed_on="
         + fetchesFromMachines
         + " held_back="
@@ -387,7 +394,7 @@
         + imageStates.size();
   }
 
-  /** Sets the bits of the tracked images, so that their numbers are not reused for others. */
+  /** Sets the bits of the tracked images, so that their indices are not reassigned. */
   public void markTrackedImages(BitSet images) {
     Arrays.stream(imageStates.keySet().toIntArray()).forEach(images::set);
   }
--- a/src/main/java/org/mallowroad/core/image/package-info.java
+++ b/src/main/java/org/mallowroad/core/image/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Distribution of large images that many machines need at once: which machines are confirmed
- * holders, how many fetch at a time, and from which source (docs/weights.md). Decisions only; the
- * workers do the I/O.
+ * Distribution of large images that many machines need at once (docs/weights.md). Tracks which
+ * machines hold an image, and decides how many machines fetch at a time and from which source. The
+ * package does no I/O; the workers fetch the images.
  */
 package org.mallowroad.core.image;
--- a/src/main/java/org/mallowroad/core/linkstate/ExternalService.java
+++ b/src/main/java/org/mallowroad/core/linkstate/ExternalService.java
@@ -1,12 +1,12 @@
 package org.mallowroad.core.linkstate;
 
 /**
- * Services outside the controllers that a call can also reach by way of another controller. The
- * names of the constants are part of the protocol between controllers.
+ * External services that a controller can call directly or through another controller. The names of
+ * the constants are part of the protocol between controllers.
  */
 public enum ExternalService {
-  /** The state service. */
+  /** The service that stores the scheduler's records. */
   STATE,
-  /** The cloud. */
+  /** The API of the cloud provider, through which machines are rented and deleted. */
   CLOUD
 }
--- a/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
+++ b/src/main/java/org/mallowroad/core/linkstate/HeartbeatRelay.java
@@ -4,81 +4,92 @@
 import java.util.Arrays;
 
 /**
- * Decides on a node that does not lead whether a worker that sends its heartbeat here is redirected
- * to the leader, or its heartbeat is relayed there.
+ * Decides, on a node that is not the leader, whether a worker that sends its heartbeat to this node
+ * is redirected to the leader or has its heartbeat relayed there.
  *
- * <p>A worker that the leader has served before and that comes here could not reach the leader;
- * neither could one that was redirected a moment ago and is back. Their heartbeats are relayed.
+ * <p>A worker evidently cannot reach the leader when it has been served by the leader before and
+ * now reports to this node, or when it was redirected a moment ago and has returned. The heartbeats
+ * of such workers are relayed.
  *
- * <p>Relayed workers are redirected again as a trial, one of each zone at a time (the canary). Once
- * the leader receives heartbeats of the zone directly the others follow, a bounded number each
- * second. A worker that comes back is relayed for twice as long.
+ * <p>Relayed workers are later redirected as a trial, one per zone at a time (the canary). Once the
+ * leader receives heartbeats from the zone directly, the other workers of the zone are redirected
+ * as well, a bounded number per second. A worker that returns is relayed for twice as long as
+ * before.
  *
  * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class HeartbeatRelay {
-  /** Most workers that are tracked; beyond, the one that reported longest ago is forgotten. */
+  /** Maximum number of tracked workers; the least recently reporting one is evicted. */
   static final int MAX_WORKERS = 4_000;
 
-  /** A worker that comes back later than this after its redirection is treated as a new one. */
+  /**
+   * A worker that returns later than this after its redirection, in ms, is treated like a new one.
+   */
   private static final long RETURN_WINDOW_MS = 20_000;
 
-  /** The relay time is doubled this many times at the most. */
+  /** Maximum number of times that the relay time of a worker is doubled. */
   private static final int MAX_DOUBLINGS = 3;
 
   /**
-   * A canary that has not come back after this time reaches the leader: its heartbeat's time-out of
-   * 4 s, a retry after 1 s, and a margin.
+   * Time in ms after which a canary that has not returned is assumed to reach the leader: the 4 s
+   * timeout of its heartbeat, a retry after 1 s, and a margin.
    */
   private static final long CANARY_SETTLE_MS = 6_000;
 
-  /** Workers of a zone that follow the canary each second, so that they do not come at once. */
-  private static final int MAX_FOLLOWERS_PER_SECOND = 32;
+  /**
+   * Maximum number of workers of a zone that are redirected per second after the canary, so that
+   * the leader does not get the heartbeats of a whole zone at once.
+   */
+  private static final int MAX_FOLLOWERS_PER_WINDOW = 32;
 
-  private static final long SECOND_MS = 1_000;
+  private static final long FOLLOWER_WINDOW_MS = 1_000;
 
   private final LinkPolicy policy;
 
-  /** The tracked workers by machine, the one that reported longest ago first. */
-  private final Object2ObjectLinkedOpenHashMap<String, Worker> workers =
+  /** The tracked workers by machine name, the least recently reporting one first. */
+  private final Object2ObjectLinkedOpenHashMap<String, TrackedWorker> workers =
       new Object2ObjectLinkedOpenHashMap<>();
 
   // The arrays below are indexed by zone.
   private final long[] canarySentMs;
   private final long[] lastReturnMs;
-  private final long[] followerSecondMs;
-  private final int[] followers;
-  private long term = -1;
+  private final long[] followerWindowStartMs;
+  private final int[] followersInWindow;
+  private long currentTerm = -1;
   private long relayedCount;
   private long redirectedCount;
 
-  /** A worker that sends its heartbeats here, relayed or redirected since {@code sinceMs}. */
-  private static final class Worker {
+  /**
+   * A worker that sends its heartbeats to this node. It was last redirected, or has been relayed,
+   * since {@code sinceMs}.
+   */
+  private static final class TrackedWorker {
     private boolean relayed;
     private long sinceMs;
-    private int returns;
+    private int returnCount;
   }
 
-  /** Creates the relay of a node, for that many zones. */
-  public HeartbeatRelay(LinkPolicy policy, int zones) {
+  /** Creates the relay decisions of a node, for the given number of zones. */
+  public HeartbeatRelay(LinkPolicy policy, int zoneCount) {
     this.policy = policy;
-    this.canarySentMs = new long[zones];
-    this.lastReturnMs = new long[zones];
-    this.followerSecondMs = new long[zones];
-    this.followers = new int[zones];
+    this.canarySentMs = new long[zoneCount];
+    this.lastReturnMs = new long[zoneCount];
+    this.followerWindowStartMs = new long[zoneCount];
+    this.followersInWindow = new int[zoneCount];
     Arrays.fill(canarySentMs, Long.MIN_VALUE / 2);
     Arrays.fill(lastReturnMs, Long.MIN_VALUE / 2);
   }
 
   /**
-   * Decides on one heartbeat: true when it is to be relayed, false when its worker is to be
+   * Decides about one heartbeat: true when it must be relayed, false when its worker must be
    * redirected.
    *
+   * @param machine name of the worker's machine
    * @param zone index of the worker's zone, or -1 when it is unknown
-   * @param fencingToken the highest that the worker has seen
-   * @param leaderTerm the term of the leader that it would be sent to
-   * @param leaderContactMs age of the last heartbeat that the leader received directly from this
-   *     zone, by its fresh advertisement; -1 for none or unknown
+   * @param fencingToken the highest fencing token that the worker has seen
+   * @param leaderTerm the term of the leader
+   * @param leaderContactMs age in ms of the last heartbeat that the leader received directly from
+   *     this zone, according to its fresh advertisement; -1 for none or unknown
    */
   public boolean shouldRelay(
       String machine,
@@ -87,23 +98,23 @@
       long leaderTerm,
       long leaderContactMs,
       long now) {
-    if (leaderTerm != term) {
-      // Another leader is reached over another link.
-      term = leaderTerm;
+    if (leaderTerm != currentTerm) {
+      // The route to the previous leader says nothing about the route to the new one.
+      currentTerm = leaderTerm;
       workers.clear();
     }
     boolean servedByLeader = leaderTerm > 0 && fencingToken >= leaderTerm;
-    Worker worker = workers.getAndMoveToLast(machine);
+    TrackedWorker worker = workers.getAndMoveToLast(machine);
     if (worker == null) {
       worker = track(machine, servedByLeader, now);
     } else if (worker.relayed) {
-      long holdMs = policy.relayHoldMs() << worker.returns;
-      if (now - worker.sinceMs >= holdMs && mayTryDirect(zone, leaderContactMs, now)) {
+      long holdMs = policy.relayHoldMs() << worker.returnCount;
+      if (now - worker.sinceMs >= holdMs && canTryDirectPath(zone, leaderContactMs, now)) {
         worker.relayed = false;
         worker.sinceMs = now;
       }
     } else {
-      cameBack(worker, zone, servedByLeader, now);
+      recordReturn(worker, zone, servedByLeader, now);
     }
     if (worker.relayed) {
       relayedCount++;
@@ -113,8 +124,8 @@
     return worker.relayed;
   }
 
-  private Worker track(String machine, boolean relayed, long now) {
-    Worker worker = new Worker();
+  private TrackedWorker track(String machine, boolean relayed, long now) {
+    TrackedWorker worker = new TrackedWorker();
     worker.sinceMs = now;
     worker.relayed = relayed;
     workers.put(machine, worker);
@@ -124,57 +135,60 @@
     return worker;
   }
 
-  /** A worker that was redirected sends its heartbeat here again. */
-  private void cameBack(Worker worker, int zone, boolean servedByLeader, long now) {
-    boolean soon = now - worker.sinceMs < RETURN_WINDOW_MS;
+  /** Handles the heartbeat of a worker that was redirected and reports to this node again. */
+  private void recordReturn(TrackedWorker worker, int zone, boolean servedByLeader, long now) {
+    boolean returnedSoon = now - worker.sinceMs < RETURN_WINDOW_MS;
     worker.sinceMs = now;
-    if (!soon && !servedByLeader) {
+    if (!returnedSoon && !servedByLeader) {
       return;
     }
-    worker.returns = soon ? Math.min(worker.returns + 1, MAX_DOUBLINGS) : 0;
+    worker.returnCount = returnedSoon ? Math.min(worker.returnCount + 1, MAX_DOUBLINGS) : 0;
     worker.relayed = true;
     if (zone >= 0 && zone < lastReturnMs.length) {
       lastReturnMs[zone] = now;
     }
   }
 
-  /** Whether one more worker of the zone may try the direct path now, as canary or follower. */
-  private boolean mayTryDirect(int zone, long leaderContactMs, long now) {
+  /**
+   * Decides whether one more worker of the zone may be redirected to the leader now, either as the
+   * canary or after a successful canary.
+   */
+  private boolean canTryDirectPath(int zone, long leaderContactMs, long now) {
     if (zone < 0 || zone >= canarySentMs.length) {
       return true;
     }
     long canaryAgeMs = now - canarySentMs[zone];
-    boolean canaryReturned = lastReturnMs[zone] >= canarySentMs[zone];
-    boolean canaryDue =
-        canaryReturned
+    boolean hasCanaryReturned = lastReturnMs[zone] >= canarySentMs[zone];
+    boolean isCanaryDue =
+        hasCanaryReturned
             ? canaryAgeMs >= policy.canaryIntervalMs()
             : canaryAgeMs >= 2 * CANARY_SETTLE_MS && leaderContactMs < 0;
-    if (canaryDue) {
+    if (isCanaryDue) {
       canarySentMs[zone] = now;
       return true;
     }
-    boolean leaderHeardCanary = leaderContactMs >= 0 && leaderContactMs <= canaryAgeMs;
-    if (canaryReturned || canaryAgeMs < CANARY_SETTLE_MS || !leaderHeardCanary) {
+    boolean hasLeaderReceivedCanary = leaderContactMs >= 0 && leaderContactMs <= canaryAgeMs;
+    if (hasCanaryReturned || canaryAgeMs < CANARY_SETTLE_MS || !hasLeaderReceivedCanary) {
       return false;
     }
-    if (now - followerSecondMs[zone] >= SECOND_MS) {
-      followerSecondMs[zone] = now;
-      followers[zone] = 0;
+    if (now - followerWindowStartMs[zone] >= FOLLOWER_WINDOW_MS) {
+      followerWindowStartMs[zone] = now;
+      followersInWindow[zone] = 0;
     }
-    return ++followers[zone] <= MAX_FOLLOWERS_PER_SECOND;
+    return ++followersInWindow[zone] <= MAX_FOLLOWERS_PER_WINDOW;
   }
 
-  /** Number of heartbeats that were relayed. */
+  /** Number of heartbeats so far that were relayed. */
   public long relayedCount() {
     return relayedCount;
   }
 
-  /** Number of heartbeats whose workers were redirected. */
+  /** Number of heartbeats so far whose workers were redirected. */
   public long redirectedCount() {
     return redirectedCount;
   }
 
-  /** Number of workers that are tracked. */
+  /** Number of currently tracked workers. */
   public int trackedWorkerCount() {
     return workers.size();
   }
--- a/src/main/java/org/mallowroad/core/linkstate/Link.java
+++ b/src/main/java/org/mallowroad/core/linkstate/Link.java
@@ -1,33 +1,34 @@
 package org.mallowroad.core.linkstate;
 
 /**
- * State of one link of this node, up or down, by the outcomes of the calls over it.
+ * State of one link of this node, up or down, derived from the outcomes of calls over the link.
  *
- * <p>A call counts by the time at which it was sent. When its answer was read says nothing of the
- * time since, because the answer may have waited in a socket.
+ * <p>Each outcome is dated to the time at which the call was sent. The time at which the answer was
+ * read is no evidence of the link's state at that time, because the answer may have waited in a
+ * socket.
  */
 final class Link {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Sending time of the newest call that succeeded. */
-  private long succeededMs = NEVER;
+  /** When the newest successful call was sent. */
+  private long newestSuccessSentMs = NEVER;
 
-  /** Sending time of the newest call that failed. */
-  private long failedMs = NEVER;
+  /** When the newest failed call was sent. */
+  private long newestFailureSentMs = NEVER;
 
   private long changedMs;
   private boolean down;
 
-  /** A link that is up, as of now. */
+  /** Creates a link that counts as up since {@code now}. */
   Link(long now) {
     changedMs = now;
   }
 
-  /** Records the success of a call; true when it brought the link up. */
+  /** Records the success of a call; returns true when this brought the link up. */
   boolean recordSuccess(long sentMs, long now) {
-    succeededMs = Math.max(succeededMs, sentMs);
-    // A success that was sent before the failure does not disprove it.
-    if (!down || succeededMs < failedMs) {
+    newestSuccessSentMs = Math.max(newestSuccessSentMs, sentMs);
+    // The success of a call that was sent before the failed one does not refute the failure.
+    if (!down || newestSuccessSentMs < newestFailureSentMs) {
       return false;
     }
     down = false;
@@ -35,11 +36,11 @@
     return true;
   }
 
-  /** Records the failure of a call; true when it took the link down. */
+  /** Records the failure of a call; returns true when this took the link down. */
   boolean recordFailure(long sentMs, long now) {
-    failedMs = Math.max(failedMs, sentMs);
-    // A call that was sent later has succeeded already: this was a single lost message.
-    if (down || succeededMs > sentMs) {
+    newestFailureSentMs = Math.max(newestFailureSentMs, sentMs);
+    // A call that was sent later has already succeeded, so only a single message was lost.
+    if (down || newestSuccessSentMs > sentMs) {
       return false;
     }
     down = true;
@@ -57,8 +58,8 @@
     return changedMs;
   }
 
-  /** Age of the newest call that succeeded, in ms; -1 while down or before the first one. */
+  /** Age of the newest successful call in ms; -1 while the link is down or before the first one. */
   long ageMs(long now) {
-    return down || succeededMs == NEVER ? -1 : Math.max(0, now - succeededMs);
+    return down || newestSuccessSentMs == NEVER ? -1 : Math.max(0, now - newestSuccessSentMs);
   }
 }
--- a/src/main/java/org/mallowroad/core/linkstate/LinkPolicy.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkPolicy.java
@@ -1,17 +1,19 @@
 package org.mallowroad.core.linkstate;
 
 /**
- * The operators' values for link-state routing (XML, element {@code links}); all in ms.
+ * The operators' settings for link-state routing (element {@code links} of the XML settings), all
+ * in ms.
  *
  * @param advertiseIntervalMs interval at which a node sends its link-state advertisement to the
- *     others
- * @param maxAgeMs older advertisements, and older successes in them, are no evidence
- * @param hedgeDelayMs without an answer for this long, a call that may be repeated is also sent by
- *     way of a peer
- * @param recoveryMs the direct path must work for this long before calls return to it; doubled by
+ *     other controllers
+ * @param maxAgeMs advertisements older than this, and successful calls in them that are older than
+ *     this, are disregarded
+ * @param hedgeDelayMs time without an answer after which an idempotent call is also sent through a
+ *     peer
+ * @param recoveryMs time for which the direct path must work before calls return to it; doubled by
  *     each relapse
- * @param relayHoldMs least time for which a worker's heartbeats are relayed; doubled each time that
- *     the worker comes back
+ * @param relayHoldMs minimum time for which a worker's heartbeats are relayed; doubled each time
+ *     that the worker returns after a redirection
  * @param canaryIntervalMs interval at which one relayed worker of a zone is redirected to the
  *     leader as a trial
  */
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateAdvertisement.java
@@ -27,10 +27,13 @@
     long cloudAgeMs,
     List<String> reachablePeers,
     List<ZoneContact> zoneContacts) {
-  /** Most entries of each list; further ones, which a faulty peer may send, are dropped. */
+  /**
+   * Maximum number of entries of each list. Further entries, which only a faulty peer sends, are
+   * dropped.
+   */
   public static final int MAX_ENTRIES = 256;
 
-  /** Copies the lists and cuts them to {@link #MAX_ENTRIES}. */
+  /** Copies the lists, truncated to {@link #MAX_ENTRIES}. */
   public LinkStateAdvertisement {
     reachablePeers =
         List.copyOf(reachablePeers.subList(0, Math.min(MAX_ENTRIES, reachablePeers.size())));
@@ -41,25 +44,26 @@
    * A node's contact with the workers of a zone.
    *
    * @param zone name of the zone
-   * @param directAgeMs age of the last heartbeat that a worker of the zone sent to the node itself;
-   *     -1 for none
-   * @param relayedAgeMs age of the last one that came by way of another controller; -1 for none
+   * @param directAgeMs age in ms of the last heartbeat that the node received directly from a
+   *     worker of the zone; -1 for none
+   * @param relayedAgeMs age in ms of the last heartbeat from the zone that another controller
+   *     relayed to the node; -1 for none
    */
   public record ZoneContact(String zone, long directAgeMs, long relayedAgeMs) {}
 
-  /** True when this is newer than another advertisement of the same node. */
+  /** True when this advertisement is newer than another one of the same node. */
   boolean isNewerThan(LinkStateAdvertisement other) {
     return processStartedMs != other.processStartedMs
         ? processStartedMs > other.processStartedMs
         : sequence > other.sequence;
   }
 
-  /** Age of the newest successful direct call to a service; -1 when the link is down. */
+  /** Age in ms of the newest successful direct call to a service; -1 when the link is down. */
   long ageMs(ExternalService service) {
     return service == ExternalService.STATE ? stateAgeMs : cloudAgeMs;
   }
 
-  /** The node's contact with a zone, or null when it names none. */
+  /** The node's contact with a zone, or null when the advertisement does not list the zone. */
   public ZoneContact zoneContact(String zone) {
     for (ZoneContact contact : zoneContacts) {
       if (contact.zone().equals(zone)) {
--- a/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
+++ b/src/main/java/org/mallowroad/core/linkstate/LinkStateTable.java
@@ -9,40 +9,40 @@
 import java.util.Locale;
 
 /**
- * The links that a node knows of: its own by the outcomes of its calls, those of its peers by their
- * link-state advertisements.
+ * The link state known to a node: that of its own links, derived from the outcomes of its calls,
+ * and that of its peers' links, from their link-state advertisements.
  *
- * <p>Peers and zones are dense indices here. What an advertisement says about names that this node
- * does not know is ignored. Times are in milliseconds of the caller's monotonic clock. Not
- * thread-safe: confined to the controller's event loop.
+ * <p>Peers and zones are identified by dense indices. Entries of an advertisement for names that
+ * this node does not know are ignored. Times are in milliseconds of the caller's monotonic clock.
+ * Not thread-safe: confined to the controller's event loop.
  */
 public final class LinkStateTable {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Changes that are kept for the log; further ones are only counted. */
+  /** Maximum number of link changes that are kept for the log; further ones are only counted. */
   private static final int MAX_PENDING_CHANGES = 64;
 
   private final LinkPolicy policy;
-  private final String node;
+  private final String nodeName;
   private final List<String> peers;
   private final List<String> zones;
   private long processStartedMs;
 
-  /** Links to the external services, by ordinal. */
-  private final Link[] toService = new Link[ExternalService.values().length];
+  /** Links to the external services, indexed by ordinal. */
+  private final Link[] serviceLinks = new Link[ExternalService.values().length];
 
-  // By peer.
-  private final Link[] toPeer;
+  // The arrays below are indexed by peer.
+  private final Link[] peerLinks;
   private final LinkStateAdvertisement[] advertisements;
-  private final long[] acceptedMs;
+  private final long[] advertisementAcceptedMs;
 
-  // By zone.
+  // The arrays below are indexed by zone.
   private final long[] directHeartbeatMs;
   private final long[] relayedHeartbeatMs;
 
-  private final ArrayDeque<LinkChange> changes = new ArrayDeque<>();
+  private final ArrayDeque<LinkChange> pendingChanges = new ArrayDeque<>();
   private long droppedChangeCount;
-  private long sequence;
+  private long lastSequence;
 
   /**
    * A link went down or came up.
@@ -59,35 +59,35 @@
   /**
    * Creates the table of a node.
    *
-   * @param node name of this node
+   * @param nodeName name of this node
    * @param peers names of the other controllers
    * @param zones names of the zones
-   * @param started when this process began, by the time of day
+   * @param processStartedMs start time of this process in wall-clock time, in ms
    */
   public LinkStateTable(
       LinkPolicy policy,
-      String node,
+      String nodeName,
       List<String> peers,
       List<String> zones,
-      long started,
+      long processStartedMs,
       long now) {
     this.policy = policy;
-    this.node = node;
+    this.nodeName = nodeName;
     this.peers = List.copyOf(peers);
     this.zones = List.copyOf(zones);
-    this.processStartedMs = started;
-    Arrays.setAll(toService, i -> new Link(now));
-    this.toPeer = new Link[peers.size()];
-    Arrays.setAll(toPeer, i -> new Link(now));
+    this.processStartedMs = processStartedMs;
+    Arrays.setAll(serviceLinks, i -> new Link(now));
+    this.peerLinks = new Link[peers.size()];
+    Arrays.setAll(peerLinks, i -> new Link(now));
     this.directHeartbeatMs = new long[zones.size()];
     this.relayedHeartbeatMs = new long[zones.size()];
     Arrays.fill(directHeartbeatMs, NEVER);
     Arrays.fill(relayedHeartbeatMs, NEVER);
     this.advertisements = new LinkStateAdvertisement[peers.size()];
-    this.acceptedMs = new long[peers.size()];
+    this.advertisementAcceptedMs = new long[peers.size()];
   }
 
-  /** The operators' values. */
+  /** The operators' settings for link-state routing. */
   public LinkPolicy policy() {
     return policy;
   }
@@ -114,30 +114,33 @@
 
   /** Records the outcome of a direct call of this node to an external service. */
   public void recordCall(ExternalService service, boolean succeeded, long sentMs, long now) {
-    recordOutcome(toService[service.ordinal()], nameOf(service), succeeded, sentMs, now);
+    recordOutcome(serviceLinks[service.ordinal()], serviceName(service), succeeded, sentMs, now);
   }
 
-  /** Records whether a message to a peer was answered. */
+  /** Records whether the peer answered a message of this node. */
   public void recordPeerCall(int peer, boolean succeeded, long sentMs, long now) {
-    recordOutcome(toPeer[peer], peers.get(peer), succeeded, sentMs, now);
+    recordOutcome(peerLinks[peer], peers.get(peer), succeeded, sentMs, now);
   }
 
-  private void recordOutcome(Link link, String to, boolean succeeded, long sentMs, long now) {
-    long beforeMs = link.changedMs();
+  private void recordOutcome(
+      Link link, String targetName, boolean succeeded, long sentMs, long now) {
+    long previousChangeMs = link.changedMs();
     boolean changed = succeeded ? link.recordSuccess(sentMs, now) : link.recordFailure(sentMs, now);
     if (changed) {
-      keepChange(new LinkChange(node, to, !succeeded, now - beforeMs, node));
+      recordChange(
+          new LinkChange(nodeName, targetName, !succeeded, now - previousChangeMs, nodeName));
     }
   }
 
-  private static String nameOf(ExternalService service) {
+  private static String serviceName(ExternalService service) {
     return service.name().toLowerCase(Locale.ROOT);
   }
 
   /**
-   * Records a heartbeat of a zone's worker; an unknown zone (-1) is ignored.
+   * Records a heartbeat from a worker of the zone; an unknown zone (-1) is ignored.
    *
-   * @param direct true when the worker sent it to this node, false when a peer relayed it
+   * @param direct true when the worker sent the heartbeat to this node, false when a peer relayed
+   *     it
    */
   public void recordHeartbeat(int zone, boolean direct, long now) {
     if (zone >= 0 && zone < directHeartbeatMs.length) {
@@ -146,9 +149,9 @@
   }
 
   /**
-   * Takes in a peer's advertisement.
+   * Accepts a peer's advertisement if it is newer than the known one.
    *
-   * @return false when it is of an unknown node, or not newer than the one that is known
+   * @return false when the advertisement comes from an unknown node or is not newer
    */
   public boolean accept(LinkStateAdvertisement advertisement, long now) {
     int peer = peerIndex(advertisement.node());
@@ -160,70 +163,73 @@
       if (!advertisement.isNewerThan(previous)) {
         return false;
       }
-      keepServiceChanges(previous, advertisement, now - acceptedMs[peer]);
+      recordServiceChanges(previous, advertisement, now - advertisementAcceptedMs[peer]);
     }
     advertisements[peer] = advertisement;
-    acceptedMs[peer] = now;
+    advertisementAcceptedMs[peer] = now;
     return true;
   }
 
-  private void keepServiceChanges(
-      LinkStateAdvertisement previous, LinkStateAdvertisement next, long lastedMs) {
+  private void recordServiceChanges(
+      LinkStateAdvertisement previous, LinkStateAdvertisement next, long previousStateMs) {
     for (ExternalService service : ExternalService.values()) {
       boolean wasUp = previous.ageMs(service) >= 0;
       boolean isUp = next.ageMs(service) >= 0;
       if (wasUp != isUp) {
-        keepChange(new LinkChange(next.node(), nameOf(service), wasUp, lastedMs, next.node()));
+        recordChange(
+            new LinkChange(next.node(), serviceName(service), wasUp, previousStateMs, next.node()));
       }
     }
   }
 
   /**
-   * When the process of a node's newest advertisement began, by its own time of day; 0 without an
-   * advertisement.
+   * Start time of the process that sent a node's newest advertisement, in that node's wall-clock
+   * time in ms; 0 without an advertisement.
    */
-  public long processStartedMs(String nodeName) {
-    int peer = peerIndex(nodeName);
+  public long processStartedMs(String advertisingNode) {
+    int peer = peerIndex(advertisingNode);
     return peer < 0 || advertisements[peer] == null ? 0 : advertisements[peer].processStartedMs();
   }
 
   /**
-   * Makes this process count as the later one. A peer holds an advertisement of this node by an
-   * earlier process that seems to have begun at {@code otherStarted}, after this one: the time of
-   * day was set back by more than the restart took. Without a later start time all advertisements
-   * of this process would be ignored.
+   * Moves the advertised start time of this process past that of an earlier process of this node.
+   *
+   * <p>Called when a peer holds an advertisement of an earlier process that appears to have started
+   * at {@code otherStartedMs}, after this one. That happens when the wall clock was set back by
+   * more than the restart took. Without a later start time, peers would ignore all advertisements
+   * of this process.
    */
-  public void advanceStartTimePast(long otherStarted) {
-    processStartedMs = Math.max(processStartedMs, otherStarted + 1);
+  public void advanceStartTimePast(long otherStartedMs) {
+    processStartedMs = Math.max(processStartedMs, otherStartedMs + 1);
   }
 
-  private void keepChange(LinkChange change) {
-    if (changes.size() < MAX_PENDING_CHANGES) {
-      changes.add(change);
+  private void recordChange(LinkChange change) {
+    if (pendingChanges.size() < MAX_PENDING_CHANGES) {
+      pendingChanges.add(change);
     } else {
       droppedChangeCount++;
     }
   }
 
-  /** Takes the changes since the last call, {@link #MAX_PENDING_CHANGES} at the most. */
+  /** Returns and clears the changes since the last call, at most {@link #MAX_PENDING_CHANGES}. */
   public List<LinkChange> takeChanges() {
-    List<LinkChange> taken = new ArrayList<>(changes);
-    changes.clear();
+    List<LinkChange> taken = new ArrayList<>(pendingChanges);
+    pendingChanges.clear();
     return taken;
   }
 
-  /** Takes the number of changes since the last call that were counted but not kept. */
+  /** Returns and resets the number of changes since the last call that were not kept. */
   public long takeDroppedChangeCount() {
     long taken = droppedChangeCount;
     droppedChangeCount = 0;
     return taken;
   }
 
-  /** Makes this node's next advertisement. */
+  /** Creates this node's next advertisement. */
   public LinkStateAdvertisement advertise(long term, boolean leading, long now) {
     List<String> reachedPeers = new ArrayList<>();
-    for (int peer = 0; peer < toPeer.length; peer++) {
-      if (toPeer[peer].ageMs(now) >= 0) {
+    for (int peer = 0; peer < peerLinks.length; peer++) {
+      if (peerLinks[peer].ageMs(now) >= 0) {
         reachedPeers.add(peers.get(peer));
       }
     }
@@ -236,9 +242,9 @@
               ageMs(relayedHeartbeatMs[zone], now)));
     }
     return new LinkStateAdvertisement(
-        node,
+        nodeName,
         processStartedMs,
-        ++sequence,
+        ++lastSequence,
         term,
         leading,
         ageMs(ExternalService.STATE, now),
@@ -251,32 +257,33 @@
     return atMs == NEVER ? -1 : now - atMs;
   }
 
-  /** True when the newest evidence about this node's own link to the service is a failure. */
+  /** True when this node's own link to the service is down according to its newest evidence. */
   public boolean isDown(ExternalService service) {
-    return toService[service.ordinal()].isDown();
+    return serviceLinks[service.ordinal()].isDown();
   }
 
-  /** When this node's own link to the service came up or went down. */
+  /** When this node's own link to the service last came up or went down. */
   public long changedMs(ExternalService service) {
-    return toService[service.ordinal()].changedMs();
+    return serviceLinks[service.ordinal()].changedMs();
   }
 
   /**
    * Age of this node's newest successful direct call to a service, in ms; -1 while the link is down
-   * or before the first one.
+   * or before the first successful call.
    */
   public long ageMs(ExternalService service, long now) {
-    return toService[service.ordinal()].ageMs(now);
+    return serviceLinks[service.ordinal()].ageMs(now);
   }
 
-  /** True when the newest evidence about the link to a peer is a failure. */
+  /** True when this node's link to the peer is down according to its newest evidence. */
   public boolean isPeerDown(int peer) {
-    return toPeer[peer].isDown();
+    return peerLinks[peer].isDown();
   }
 
-  /** A peer's newest advertisement, or null when there is none that is fresh. */
+  /** A peer's newest advertisement, or null when it is too old or there is none. */
   public LinkStateAdvertisement freshAdvertisement(int peer, long now) {
-    boolean fresh = advertisements[peer] != null && now - acceptedMs[peer] <= policy.maxAgeMs();
+    boolean fresh =
+        advertisements[peer] != null && now - advertisementAcceptedMs[peer] <= policy.maxAgeMs();
     return fresh ? advertisements[peer] : null;
   }
 
@@ -289,7 +296,7 @@
     return count;
   }
 
-  /** Peers by way of which the service can be reached; see {@link #canPeerReach}. */
+  /** The peers that can relay calls to the service; see {@link #canPeerReach}. */
   public IntList peersReaching(ExternalService service, long now) {
     IntList reaching = new IntArrayList();
     for (int peer = 0; peer < advertisements.length; peer++) {
@@ -301,20 +308,20 @@
   }
 
   /**
-   * True when this node reaches the peer, and the peer's fresh advertisement says that it reaches
-   * the service by its own link.
+   * True when this node reaches the peer, and the peer reaches the service directly according to
+   * its fresh advertisement.
    */
   public boolean canPeerReach(int peer, ExternalService service, long now) {
     LinkStateAdvertisement advertisement = freshAdvertisement(peer, now);
     return advertisement != null
-        && !toPeer[peer].isDown()
+        && !peerLinks[peer].isDown()
         && advertisement.ageMs(service) >= 0
         && advertisement.ageMs(service) <= policy.maxAgeMs();
   }
 
   /** Number of this node's own links that are down. */
   public int downLinkCount() {
-    return countDown(toService) + countDown(toPeer);
+    return countDown(serviceLinks) + countDown(peerLinks);
   }
 
   private static int countDown(Link[] links) {
--- a/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
+++ b/src/main/java/org/mallowroad/core/linkstate/RouteSelector.java
@@ -6,25 +6,25 @@
  * Selects the route of calls to one external service: direct, or relayed by a peer that reaches the
  * service.
  *
- * <p>Calls are direct while the newest evidence of the direct path is good. They are direct also
- * when no peer is known to reach the service, since nothing would be gained: an outage of the
- * service looks the same from every node. Calls return to the direct path only after it has worked
- * for a while, which doubles with each relapse within a minute, so that a flapping link does not
- * move the calls back and forth.
+ * <p>Calls are direct while the direct path works according to its newest evidence. They are also
+ * direct when no peer is known to reach the service, since a relay would gain nothing: an outage of
+ * the service looks the same from every node. Calls return to the direct path only after it has
+ * worked for the recovery time. The recovery time doubles with each relapse within a minute, so
+ * that a flapping link does not switch the calls back and forth.
  *
  * <p>Not thread-safe: confined to the controller's event loop.
  */
 public final class RouteSelector {
-  /** The direct path, in place of the index of a peer. */
+  /** Denotes the direct path where otherwise the index of a peer is expected. */
   public static final int DIRECT = -1;
 
-  /** Interval of probes over the direct path while it is down. */
+  /** Interval in ms of probes over the direct path while it is down. */
   private static final long PROBE_INTERVAL_MS = 500;
 
-  /** A failure within this time after the last change of state is a relapse. */
-  private static final long RELAPSE_MS = 60_000;
+  /** A failure within this time in ms after the last change of state counts as a relapse. */
+  private static final long RELAPSE_WINDOW_MS = 60_000;
 
-  /** The recovery time is doubled this many times at the most. */
+  /** Maximum number of times that the recovery time is doubled. */
   private static final int MAX_DOUBLINGS = 4;
 
   private final LinkStateTable links;
@@ -35,15 +35,15 @@
 
   private int relayPeer = DIRECT;
 
-  /** Since when the direct path works again; -1 while it does not. */
-  private long workingSinceMs = -1;
+  /** Since when the direct path has been working again; -1 while it does not work. */
+  private long directPathWorkingSinceMs = -1;
 
-  private long probedMs = Long.MIN_VALUE / 2;
+  private long lastProbeMs = Long.MIN_VALUE / 2;
 
   /** When {@link #directPathDown} last changed. */
-  private long changedMs = Long.MIN_VALUE / 2;
+  private long directPathChangedMs = Long.MIN_VALUE / 2;
 
-  private int relapses;
+  private int relapseCount;
   private long routeChangeCount;
   private long relayedCallCount;
 
@@ -53,13 +53,13 @@
     this.service = service;
   }
 
-  /** The route of a call that is sent now: {@link #DIRECT} or a peer. */
+  /** Chooses the route of a call that is sent now: {@link #DIRECT} or the index of a peer. */
   public int chooseRoute(long now) {
     if (!directPathDown) {
       return DIRECT;
     }
-    boolean keep = relayPeer != DIRECT && links.canPeerReach(relayPeer, service, now);
-    int chosen = keep ? relayPeer : findRelay(relayPeer, now);
+    boolean keepsRelay = relayPeer != DIRECT && links.canPeerReach(relayPeer, service, now);
+    int chosen = keepsRelay ? relayPeer : findRelay(relayPeer, now);
     if (chosen != relayPeer) {
       relayPeer = chosen;
       routeChangeCount++;
@@ -67,20 +67,23 @@
     return chosen;
   }
 
-  /** A peer for a hedged copy of a direct call without an answer; {@link #DIRECT} for none. */
+  /**
+   * Chooses a peer for the hedged copy of a direct call that has no answer yet; {@link #DIRECT} for
+   * none.
+   */
   public int chooseHedgePeer(long now) {
     return directPathDown ? DIRECT : findRelay(DIRECT, now);
   }
 
-  /** A peer that reaches the service, other than {@code current} if there is one. */
-  private int findRelay(int current, long now) {
+  /** Finds a peer that reaches the service, preferably another than {@code currentPeer}. */
+  private int findRelay(int currentPeer, long now) {
     IntList candidates = links.peersReaching(service, now);
     if (candidates.isEmpty()) {
       return DIRECT;
     }
     for (int peer : candidates) {
-      // The next one in turn, so that not all nodes use the same relay.
-      if (peer > current) {
+      // Round robin, so that not all nodes use the same relay.
+      if (peer > currentPeer) {
         return peer;
       }
     }
@@ -91,35 +94,39 @@
   public void recordDirectCall(boolean succeeded, long sentMs, long now) {
     links.recordCall(service, succeeded, sentMs, now);
     if (!succeeded) {
-      workingSinceMs = -1;
+      directPathWorkingSinceMs = -1;
       if (!directPathDown && links.isDown(service)) {
         leaveDirectPath(now);
       }
     } else if (directPathDown && !links.isDown(service)) {
-      if (workingSinceMs < 0) {
-        workingSinceMs = now;
+      if (directPathWorkingSinceMs < 0) {
+        directPathWorkingSinceMs = now;
       }
-      if (relayPeer == DIRECT || now - workingSinceMs >= links.policy().recoveryMs() << relapses) {
+      if (relayPeer == DIRECT
+          || now - directPathWorkingSinceMs >= links.policy().recoveryMs() << relapseCount) {
         returnToDirectPath(now);
       }
     }
   }
 
   private void leaveDirectPath(long now) {
-    relapses = now - changedMs < RELAPSE_MS ? Math.min(relapses + 1, MAX_DOUBLINGS) : 0;
+    relapseCount =
+        now - directPathChangedMs < RELAPSE_WINDOW_MS
+            ? Math.min(relapseCount + 1, MAX_DOUBLINGS)
+            : 0;
     directPathDown = true;
-    changedMs = now;
+    directPathChangedMs = now;
     routeChangeCount++;
   }
 
   private void returnToDirectPath(long now) {
     directPathDown = false;
-    changedMs = now;
+    directPathChangedMs = now;
     relayPeer = DIRECT;
     routeChangeCount++;
   }
 
-  /** Records whether a call that was relayed by a peer was done. */
+  /** Records whether a call that a peer relayed succeeded. */
   public void recordRelayedCall(int peer, boolean succeeded, long now) {
     if (succeeded) {
       relayedCallCount++;
@@ -129,16 +136,19 @@
     }
   }
 
-  /** True when the direct path is to be probed now: no call shows that it works again. */
+  /**
+   * Returns true when the caller must probe the direct path now, and starts the next probe
+   * interval. While calls are relayed, only probes show that the direct path works again.
+   */
   public boolean startProbeIfDue(long now) {
-    if (!directPathDown || now - probedMs < PROBE_INTERVAL_MS) {
+    if (!directPathDown || now - lastProbeMs < PROBE_INTERVAL_MS) {
       return false;
     }
-    probedMs = now;
+    lastProbeMs = now;
     return true;
   }
 
-  /** True while calls are relayed, or would be if a peer reached the service. */
+  /** True while calls are relayed, or would be relayed if a peer reached the service. */
   public boolean isDirectPathDown() {
     return directPathDown;
   }
@@ -148,12 +158,15 @@
     return relayPeer;
   }
 
-  /** Number of route changes so far: calls that still wait on an earlier route are given up. */
+  /**
+   * Number of route changes so far. A changed number tells callers to give up calls that are still
+   * waiting on an earlier route.
+   */
   public long routeChangeCount() {
     return routeChangeCount;
   }
 
-  /** Number of calls that were done by way of a peer. */
+  /** Number of calls so far that succeeded through a peer. */
   public long relayedCallCount() {
     return relayedCallCount;
   }
--- a/src/test/java/org/mallowroad/core/health/FleetHealthTest.java
+++ b/src/test/java/org/mallowroad/core/health/FleetHealthTest.java
@@ -334,7 +334,8 @@
                     w.machines.get(0), new RunTimeBaseline(1), c, 1_000, 1, w.now);
               }
               assertEquals(
-                  StragglerDetector.MAX_CLASSES, w.health.stragglerDetector().taskClassCount());
+                  StragglerDetector.MAX_TASK_CLASSES,
+                  w.health.stragglerDetector().taskClassCount());
               BitSet used = new BitSet();
               used.set(3);
               w.health.stragglerDetector().retainTaskClasses(used);
