--- a/src/main/java/org/mallowroad/core/health/FleetHealth.java
+++ b/src/main/java/org/mallowroad/core/health/FleetHealth.java
@@ -78,10 +78,11 @@
   /**
    * Records a heartbeat of the machine that this node reads now.
    *
-   * @return the time assumed for the heartbeat's arrival; see {@link PauseDetector#latestArrivalMs}
+   * @return the time assumed for the heartbeat's arrival; see {@link
+   *     PauseDetector#assumedArrivalMs}
    */
   public long recordHeartbeat(MachineHealth machine, long now) {
-    long arrivedMs = pauseDetector.latestArrivalMs(now);
+    long arrivedMs = pauseDetector.assumedArrivalMs(now);
     failureDetector.recordHeartbeat(machine, arrivedMs);
     if (stragglerDetector.expireSuspicion(machine, now)) {
       recordSuspicionChange(machine);
--- a/src/main/java/org/mallowroad/core/health/PauseDetector.java
+++ b/src/main/java/org/mallowroad/core/health/PauseDetector.java
@@ -10,7 +10,7 @@
  *
  * <p>Every iteration of the event loop and every message is passed to {@link #recordActivity}. A
  * gap that is longer than the limit is a pause. Messages that are read within two ticks after the
- * pause may have been waiting since before it, so {@link #latestArrivalMs} dates them to the
+ * pause may have been waiting since before it, so {@link #assumedArrivalMs} dates them to the
  * beginning of the pause. The silence of other machines counts from the end of the pause at the
  * earliest ({@link #listeningSinceMs}).
  *
@@ -76,7 +76,7 @@
    * The time to assume for the arrival of a message that is read now: {@code now}, or the beginning
    * of the last pause while the message may have waited through it.
    */
-  public long latestArrivalMs(long now) {
+  public long assumedArrivalMs(long now) {
     return isSettled() ? now : pauseBeganMs;
   }
 
--- a/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
+++ b/src/test/java/org/mallowroad/core/dependency/DependencyGatesTest.java
@@ -16,62 +16,87 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** The search for cycles, and which gates are evaluated after which events. */
+/** Tests the search for dependency cycles, and which events cause which gates to be evaluated. */
 final class DependencyGatesTest {
-  private static JobDependencies on(String... jobs) {
+  private static JobDependencies requiringJobs(String... jobs) {
     return new JobDependencies(Map.of(), List.of(jobs), List.of());
   }
 
-  private static JobDependencies games(long upTo, int... folds) {
-    Map<String, IntList> f = folds.length == 0 ? Map.of() : Map.of("l", IntArrayList.wrap(folds));
+  private static JobDependencies requiringGames(long lastGame, int... foldedBlocks) {
+    Map<String, IntList> foldedByLeague =
+        foldedBlocks.length == 0 ? Map.of() : Map.of("l", IntArrayList.wrap(foldedBlocks));
     return new JobDependencies(
-        f, List.of(), List.of(new JobDependencies.RequiredGames("l", upTo, null)));
+        foldedByLeague, List.of(), List.of(new JobDependencies.RequiredGames("l", lastGame, null)));
   }
 
-  private static JobDependencies folding(int block, String... jobs) {
+  private static JobDependencies foldingBlock(int block, String... jobs) {
     return new JobDependencies(Map.of("l", IntArrayList.of(block)), List.of(jobs), List.of());
   }
 
-  private static DynamicTest row(
-      String name, String through, JobDependencies own, Map<String, JobDependencies> held) {
+  private static DynamicTest testCase(
+      String name,
+      String lastJobOfCycle,
+      JobDependencies dependencies,
+      Map<String, JobDependencies> gatedJobs) {
     return DynamicTest.dynamicTest(
         name,
         () ->
             assertEquals(
-                Optional.ofNullable(through), DependencyCycles.findCycle("job-1", own, held)));
+                Optional.ofNullable(lastJobOfCycle),
+                DependencyCycles.findCycle("job-1", dependencies, gatedJobs)));
   }
 
   @TestFactory
   Stream<DynamicTest> jobThatWouldCloseACycleIsFound() {
     return Stream.of(
-        row("itself", "job-1", on("job-1"), Map.of()),
-        row("games that it folds itself", "job-1", games(40, 1), Map.of()),
-        row("later games of its league", null, games(40, 2), Map.of()),
-        row("one that is not known yet", null, on("job-7"), Map.of()),
-        row("one that waits for it", "job-2", on("job-2"), Map.of("job-2", on("job-1"))),
-        row(
-            "by way of two",
+        testCase(
+            "a job that requires itself closes a cycle", "job-1", requiringJobs("job-1"), Map.of()),
+        testCase(
+            "a job that requires games that it folds itself closes a cycle",
+            "job-1",
+            requiringGames(40, 1),
+            Map.of()),
+        testCase(
+            "a job that folds later games than it requires closes no cycle",
+            null,
+            requiringGames(40, 2),
+            Map.of()),
+        testCase(
+            "a job that requires an unknown job closes no cycle",
+            null,
+            requiringJobs("job-7"),
+            Map.of()),
+        testCase(
+            "two jobs that require each other form a cycle",
+            "job-2",
+            requiringJobs("job-2"),
+            Map.of("job-2", requiringJobs("job-1"))),
+        testCase(
+            "a cycle through two other jobs is found",
             "job-3",
-            on("job-2"),
-            Map.of("job-2", on("job-3"), "job-3", on("job-1"))),
-        row(
-            "by way of games",
+            requiringJobs("job-2"),
+            Map.of("job-2", requiringJobs("job-3"), "job-3", requiringJobs("job-1"))),
+        testCase(
+            "a cycle through required games is found",
             "job-2",
-            games(40),
-            Map.of("job-2", folding(1, "job-1"), "job-4", folding(2, "job-1"))),
-        row(
-            "others fold what waits for it",
+            requiringGames(40),
+            Map.of("job-2", foldingBlock(1, "job-1"), "job-4", foldingBlock(2, "job-1"))),
+        testCase(
+            "a cycle through games that the job folds is found",
             "job-2",
-            folding(0, "job-2"),
-            Map.of("job-2", games(5))),
-        row(
-            "a circle of others is not its own",
+            foldingBlock(0, "job-2"),
+            Map.of("job-2", requiringGames(5))),
+        testCase(
+            "a cycle of other jobs is not closed by the job",
             null,
-            on("job-2"),
-            Map.of("job-2", on("job-3"), "job-3", on("job-2"))));
+            requiringJobs("job-2"),
+            Map.of("job-2", requiringJobs("job-3"), "job-3", requiringJobs("job-2"))));
   }
 
-  /** A thousand gated jobs that require ten thousand: an end visits those that require it. */
+  /**
+   * Guards against a cost per ended job that grows with the number of gates: of a thousand gated
+   * jobs that require ten jobs each, only those that require the ended job are visited.
+   */
   @Test
   void endOfJobVisitsOnlyGatesThatRequireIt() {
     DependencyGates gates = new DependencyGates();
@@ -80,12 +105,12 @@
       for (int j = 0; j < 10; j++) {
         jobs[j] = "job-" + (10 * i + j);
       }
-      gates.add("job-9" + i, on(jobs));
+      gates.add("job-9" + i, requiringJobs(jobs));
     }
     while (gates.pollGateToEvaluate() != null) {
-      // Each is evaluated once when it is added.
+      // Each gate is evaluated once after it is added.
     }
-    long before = gates.visitCount();
+    long visitsBefore = gates.visitCount();
     for (int j = 0; j < 10; j++) {
       gates.recordJobEnded("job-" + (70 + j), true, Set.of());
     }
@@ -93,7 +118,8 @@
     assertEquals("job-97", gate.jobId());
     assertEquals(List.of(), gate.incompleteJobs());
     assertNull(gates.pollGateToEvaluate());
-    assertTrue(gates.visitCount() - before <= 12, "visited " + (gates.visitCount() - before));
+    assertTrue(
+        gates.visitCount() - visitsBefore <= 12, "visited " + (gates.visitCount() - visitsBefore));
     gates.remove("job-97");
     gates.recordJobEnded("job-70", true, Set.of());
     assertNull(gates.pollGateToEvaluate());
@@ -102,18 +128,18 @@
   @Test
   void startedGateIsNotEvaluatedAgainAndClosedOneIs() {
     DependencyGates gates = new DependencyGates();
-    DependencyGate a = gates.add("job-1", games(9));
-    DependencyGate b = gates.add("job-2", games(9));
-    Map<String, Boolean> seen = new HashMap<>();
+    DependencyGate started = gates.add("job-1", requiringGames(9));
+    DependencyGate closed = gates.add("job-2", requiringGames(9));
+    Map<String, Boolean> evaluated = new HashMap<>();
     for (DependencyGate gate = gates.pollGateToEvaluate();
         gate != null;
         gate = gates.pollGateToEvaluate()) {
-      seen.put(gate.jobId(), true);
+      evaluated.put(gate.jobId(), true);
     }
-    assertEquals(2, seen.size());
-    a.start(1);
+    assertEquals(2, evaluated.size());
+    started.start(1);
     gates.recordLeagueChanged("l");
-    assertEquals(b, gates.pollGateToEvaluate());
+    assertEquals(closed, gates.pollGateToEvaluate());
     assertNull(gates.pollGateToEvaluate());
   }
 }
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -29,55 +29,64 @@
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
 
-/** Who fetches, how many at once, and from whom; today's workers see nothing of it. */
+/**
+ * Tests which machines fetch an image, how many at once and from which source, and that workers
+ * that do not serve images are not affected.
+ */
 final class ImageDistributionTest {
   private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t", 1, 0, 64, 40, 0.4, 1, 0.5, 30, new int[] {0, 1});
     final SchedulerState schedulerState;
-    final TaskScheduler placement;
+    final TaskScheduler scheduler;
     final List<Machine> machines = new ArrayList<>();
-    final boolean handsOn;
-    long now = 1_000_000;
+    final boolean servesImages;
+    long nowMs = 1_000_000;
     long sequence;
-    int jobs;
+    int submittedJobs;
 
-    TestCluster(ImageFetchPolicy p, boolean handsOn) {
+    TestCluster(ImageFetchPolicy policy, boolean servesImages) {
       zones.intern("a");
       zones.intern("b");
-      this.handsOn = handsOn;
-      FleetHealth h = new FleetHealth(HealthPolicy.defaults(), 2, 600, now);
+      this.servesImages = servesImages;
+      FleetHealth health = new FleetHealth(HealthPolicy.defaults(), 2, 600, nowMs);
       schedulerState =
-          new SchedulerState(1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, h, p);
-      placement = new TaskScheduler(schedulerState);
+          new SchedulerState(
+              1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, health, policy);
+      scheduler = new TaskScheduler(schedulerState);
     }
 
-    Machine machine(int zone) {
-      Machine m = schedulerState.registerMachine("n-" + machines.size(), type, zone, false, now);
-      machines.add(m);
-      report(m, null);
-      return m;
+    Machine addMachine(int zone) {
+      Machine machine =
+          schedulerState.registerMachine("n-" + machines.size(), type, zone, false, nowMs);
+      machines.add(machine);
+      sendHeartbeat(machine, null);
+      return machine;
     }
 
-    /** A report in which all that was launched is in the state. */
-    List<WorkerCommand> report(Machine m, Heartbeat.State state) {
-      return report(m, state, 1);
+    /** Sends a heartbeat that reports all launched attempts in the given state. */
+    List<WorkerCommand> sendHeartbeat(Machine machine, Heartbeat.State state) {
+      return sendHeartbeat(machine, state, 1);
     }
 
-    List<WorkerCommand> report(Machine m, Heartbeat.State state, long incarnation) {
-      List<Heartbeat.Entry> all = new ArrayList<>();
-      for (Attempt a : m.attempts()) {
-        if (state != null && a.phase != Attempt.Phase.RECORDING && a.incarnation == incarnation) {
-          all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
+    List<WorkerCommand> sendHeartbeat(Machine machine, Heartbeat.State state, long incarnation) {
+      List<Heartbeat.Entry> entries = new ArrayList<>();
+      for (Attempt attempt : machine.attempts()) {
+        if (state != null
+            && attempt.phase != Attempt.Phase.RECORDING
+            && attempt.incarnation == incarnation) {
+          entries.add(
+              new Heartbeat.Entry(
+                  attempt.job.spec.id(), attempt.task, attempt.number, state, null));
         }
       }
-      String zone = zones.name(m.zone);
+      String zone = zones.name(machine.zone);
       return schedulerState.processHeartbeat(
-          m,
+          machine,
           new Heartbeat(
-              m.name,
-              m.name + ":1",
+              machine.name,
+              machine.name + ":1",
               "t",
               zone,
               false,
@@ -85,17 +94,17 @@
               ++sequence,
               1,
               -1,
-              all,
-              handsOn),
+              entries,
+              servesImages),
           true,
-          now);
+          nowMs);
     }
 
-    /** A job with its own image of so many GB, or that of the first one. */
-    Job job(int tasks, int image) {
-      JobSpec s =
+    /** Submits a job whose tasks need the given image of 20 GB. */
+    Job submitJob(int tasks, int image) {
+      JobSpec spec =
           new JobSpec(
-              "job-" + jobs++,
+              "job-" + submittedJobs++,
               0,
               0,
               true,
@@ -118,228 +127,255 @@
               0,
               0,
               org.mallowroad.core.dependency.JobDependencies.NONE);
-      return schedulerState.accept(s, 5, 0, now);
+      return schedulerState.accept(spec, 5, 0, nowMs);
     }
 
     void place() {
-      placement.placeTasks(now);
-      JobSpecs.commit(schedulerState, now);
+      scheduler.placeTasks(nowMs);
+      JobSpecs.commit(schedulerState, nowMs);
     }
 
-    List<String> imageSources(Machine m) {
-      for (WorkerCommand o : report(m, null)) {
-        if (o.kind() == WorkerCommand.Kind.LAUNCH) {
-          return o.imageSources();
+    List<String> launchedImageSources(Machine machine) {
+      for (WorkerCommand command : sendHeartbeat(machine, null)) {
+        if (command.kind() == WorkerCommand.Kind.LAUNCH) {
+          return command.imageSources();
         }
       }
       return List.of("no launch");
     }
   }
 
-  private interface Case {
-    void run(TestCluster w);
+  private interface TestBody {
+    void run(TestCluster cluster);
   }
 
-  private static DynamicTest stage(String name, ImageFetchPolicy p, boolean handsOn, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster(p, handsOn)));
+  private static DynamicTest testCase(
+      String name, ImageFetchPolicy policy, boolean servesImages, TestBody body) {
+    return DynamicTest.dynamicTest(name, () -> body.run(new TestCluster(policy, servesImages)));
   }
 
-  private static final ImageFetchPolicy NONE = ImageFetchPolicy.defaults();
-  private static final ImageFetchPolicy TWO = new ImageFetchPolicy(2, 0, 1, 2, 1);
+  private static final ImageFetchPolicy UNLIMITED = ImageFetchPolicy.defaults();
+  private static final ImageFetchPolicy TWO_FROM_SHARED_SOURCE =
+      new ImageFetchPolicy(2, 0, 1, 2, 1);
 
   @TestFactory
   Stream<DynamicTest> imageDistribution() {
     return Stream.of(
-        stage(
-            "without a limit all fetch at once, whatever their workers can",
-            NONE,
+        testCase(
+            "all machines fetch at once without a limit, even if their workers serve images",
+            UNLIMITED,
             true,
-            w -> {
+            cluster -> {
               for (int i = 0; i < 6; i++) {
-                w.machine(i % 2);
+                cluster.addMachine(i % 2);
               }
-              Job j = w.job(6, 0);
-              w.place();
-              assertEquals(6, j.liveAttemptCount());
-              assertEquals(6, w.schedulerState.imageDistribution().sharedSourceFetchCount());
+              Job job = cluster.submitJob(6, 0);
+              cluster.place();
+              assertEquals(6, job.liveAttemptCount());
+              assertEquals(6, cluster.schedulerState.imageDistribution().sharedSourceFetchCount());
             }),
-        stage(
-            "a limit of the source holds the others back until one holds the image",
-            TWO,
+        testCase(
+            "the limit of the shared source holds starts back until a machine holds the image",
+            TWO_FROM_SHARED_SOURCE,
             true,
-            w -> {
+            cluster -> {
               for (int i = 0; i < 6; i++) {
-                w.machine(0);
+                cluster.addMachine(0);
               }
-              Job j = w.job(6, 0);
-              w.place();
-              assertEquals(2, j.liveAttemptCount());
-              Machine first = busy(w).get(0);
-              assertEquals(List.of(), w.imageSources(first));
-              w.report(first, Heartbeat.State.PULLING);
-              w.place();
-              assertEquals(2, j.liveAttemptCount());
-              w.report(first, Heartbeat.State.RUNNING);
-              w.place();
-              // One more from the source, and one that the holder hands on to.
-              assertEquals(4, j.liveAttemptCount());
-              assertEquals(2, w.schedulerState.imageDistribution().sharedSourceFetchCount());
-              int handed = 0;
-              for (Machine m : busy(w)) {
-                handed += w.imageSources(m).equals(List.of(first.address)) ? 1 : 0;
+              Job job = cluster.submitJob(6, 0);
+              cluster.place();
+              assertEquals(2, job.liveAttemptCount());
+              Machine holder = busyMachines(cluster).get(0);
+              assertEquals(List.of(), cluster.launchedImageSources(holder));
+              cluster.sendHeartbeat(holder, Heartbeat.State.PULLING);
+              cluster.place();
+              assertEquals(2, job.liveAttemptCount());
+              cluster.sendHeartbeat(holder, Heartbeat.State.RUNNING);
+              cluster.place();
+              // One more machine fetches from the shared source, and one from the holder.
+              assertEquals(4, job.liveAttemptCount());
+              assertEquals(2, cluster.schedulerState.imageDistribution().sharedSourceFetchCount());
+              int fetchersFromHolder = 0;
+              for (Machine machine : busyMachines(cluster)) {
+                fetchersFromHolder +=
+                    cluster.launchedImageSources(machine).equals(List.of(holder.address)) ? 1 : 0;
               }
-              assertEquals(1, handed);
-              assertTrue(w.schedulerState.imageDistribution().isServing(first));
+              assertEquals(1, fetchersFromHolder);
+              assertTrue(cluster.schedulerState.imageDistribution().isServing(holder));
             }),
-        stage(
-            "today's workers are told of nobody, and the limit is kept for them as well",
-            TWO,
+        testCase(
+            "workers that do not serve images get no sources, and the limit applies to them",
+            TWO_FROM_SHARED_SOURCE,
             false,
-            w -> {
+            cluster -> {
               for (int i = 0; i < 6; i++) {
-                w.machine(0);
+                cluster.addMachine(0);
               }
-              Job j = w.job(6, 0);
-              w.place();
-              busy(w).forEach(m -> w.report(m, Heartbeat.State.RUNNING));
-              w.place();
-              assertEquals(4, j.liveAttemptCount());
-              for (Machine m : busy(w)) {
-                assertTrue(w.imageSources(m).isEmpty() || w.imageSources(m).contains("no launch"));
+              Job job = cluster.submitJob(6, 0);
+              cluster.place();
+              busyMachines(cluster)
+                  .forEach(machine -> cluster.sendHeartbeat(machine, Heartbeat.State.RUNNING));
+              cluster.place();
+              assertEquals(4, job.liveAttemptCount());
+              for (Machine machine : busyMachines(cluster)) {
+                assertTrue(
+                    cluster.launchedImageSources(machine).isEmpty()
+                        || cluster.launchedImageSources(machine).contains("no launch"));
               }
             }),
-        stage(
-            "who has a half, is slow, noticed or of a session before is no giver",
-            NONE,
+        testCase(
+            "a machine that still fetches, will be interrupted or restarted is no image source",
+            UNLIMITED,
             true,
-            w -> {
-              Machine a = w.machine(0);
-              Job j = w.job(4, 0);
-              w.place();
-              w.report(a, Heartbeat.State.PULLING);
-              Machine b = w.machine(0);
-              w.place();
-              assertEquals(List.of(), w.imageSources(b));
-              w.report(a, Heartbeat.State.RUNNING);
-              a.interruptionMs = w.now + 9_000;
-              Machine c = w.machine(0);
-              w.place();
-              assertEquals(List.of(), w.imageSources(c));
-              a.interruptionMs = 0;
-              w.report(a, null, 2);
-              assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
-              assertEquals(3, j.liveAttemptCount() + j.waitingCount() - 1);
+            cluster -> {
+              Machine first = cluster.addMachine(0);
+              Job job = cluster.submitJob(4, 0);
+              cluster.place();
+              cluster.sendHeartbeat(first, Heartbeat.State.PULLING);
+              Machine second = cluster.addMachine(0);
+              cluster.place();
+              assertEquals(List.of(), cluster.launchedImageSources(second));
+              cluster.sendHeartbeat(first, Heartbeat.State.RUNNING);
+              first.interruptionMs = cluster.nowMs + 9_000;
+              Machine third = cluster.addMachine(0);
+              cluster.place();
+              assertEquals(List.of(), cluster.launchedImageSources(third));
+              first.interruptionMs = 0;
+              cluster.sendHeartbeat(first, null, 2);
+              assertEquals(0, cluster.schedulerState.imageDistribution().holderCount(0));
+              assertEquals(3, job.liveAttemptCount() + job.waitingCount() - 1);
             }),
-        stage(
-            "a copy or two cross a zone's border, then its own holder hands on",
+        testCase(
+            "two copies are fetched from another zone, then the zone's own holder serves it",
             new ImageFetchPolicy(1, 0, 9, 2, 1),
             true,
-            w -> {
-              Machine a = w.machine(0);
-              w.job(9, 0);
-              w.place();
-              w.report(a, Heartbeat.State.RUNNING);
+            cluster -> {
+              Machine first = cluster.addMachine(0);
+              cluster.submitJob(9, 0);
+              cluster.place();
+              cluster.sendHeartbeat(first, Heartbeat.State.RUNNING);
               for (int i = 0; i < 5; i++) {
-                w.machine(1);
+                cluster.addMachine(1);
               }
-              w.place();
-              // Two from the other zone, and one from the source.
-              assertEquals(1 + 2 + 1, busy(w).size());
-              Machine own = null;
-              for (Machine m : busy(w)) {
-                if (m.zone == 1 && w.imageSources(m).contains(a.address)) {
-                  own = m;
+              cluster.place();
+              // Two machines fetch from the other zone, and one from the shared source.
+              assertEquals(1 + 2 + 1, busyMachines(cluster).size());
+              Machine ownZoneHolder = null;
+              for (Machine machine : busyMachines(cluster)) {
+                if (machine.zone == 1
+                    && cluster.launchedImageSources(machine).contains(first.address)) {
+                  ownZoneHolder = machine;
                 }
               }
-              w.report(own, Heartbeat.State.RUNNING);
-              w.place();
-              int from = 0;
-              for (Machine m : busy(w)) {
-                from += w.imageSources(m).equals(List.of(own.address)) ? 1 : 0;
+              cluster.sendHeartbeat(ownZoneHolder, Heartbeat.State.RUNNING);
+              cluster.place();
+              int fetchersInZone = 0;
+              for (Machine machine : busyMachines(cluster)) {
+                fetchersInZone +=
+                    cluster.launchedImageSources(machine).equals(List.of(ownZoneHolder.address))
+                        ? 1
+                        : 0;
               }
-              assertEquals(2, from);
+              assertEquals(2, fetchersInZone);
             }),
-        stage(
-            "a giver that is gone frees its takers' places, and what it held is forgotten",
-            TWO,
+        testCase(
+            "the deletion of an image source and of its fetchers leaves no counts behind",
+            TWO_FROM_SHARED_SOURCE,
             true,
-            w -> {
+            cluster -> {
               for (int i = 0; i < 5; i++) {
-                w.machine(0);
+                cluster.addMachine(0);
               }
-              w.job(5, 0);
-              w.place();
-              Machine first = busy(w).get(0);
-              w.report(first, Heartbeat.State.RUNNING);
-              w.place();
-              w.schedulerState.machineDeleted(first, w.now);
-              assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
-              w.schedulerState
+              cluster.submitJob(5, 0);
+              cluster.place();
+              Machine holder = busyMachines(cluster).get(0);
+              cluster.sendHeartbeat(holder, Heartbeat.State.RUNNING);
+              cluster.place();
+              cluster.schedulerState.machineDeleted(holder, cluster.nowMs);
+              assertEquals(0, cluster.schedulerState.imageDistribution().holderCount(0));
+              cluster
+                  .schedulerState
                   .machines()
-                  .forEach(m -> assertFalse(w.schedulerState.imageDistribution().isServing(m)));
-              for (Machine m : List.copyOf(w.schedulerState.machines())) {
-                w.schedulerState.machineDeleted(m, w.now);
+                  .forEach(
+                      machine ->
+                          assertFalse(
+                              cluster.schedulerState.imageDistribution().isServing(machine)));
+              for (Machine machine : List.copyOf(cluster.schedulerState.machines())) {
+                cluster.schedulerState.machineDeleted(machine, cluster.nowMs);
               }
-              assertEquals(0, w.schedulerState.imageDistribution().sharedSourceFetchCount());
-              assertEquals(0, w.schedulerState.imageDistribution().trackedImageCount());
+              assertEquals(0, cluster.schedulerState.imageDistribution().sharedSourceFetchCount());
+              assertEquals(0, cluster.schedulerState.imageDistribution().trackedImageCount());
             }),
-        stage(
-            "what later images may have pushed out of a cache is told to nobody",
-            NONE,
+        testCase(
+            "a machine is no holder of an image that later images may have evicted",
+            UNLIMITED,
             true,
-            w -> {
-              Machine a = w.machine(0);
-              Job j = w.job(1, 0);
-              w.place();
-              w.report(a, Heartbeat.State.RUNNING);
-              assertEquals(1, w.schedulerState.imageDistribution().holderCount(0));
-              w.schedulerState.cancel(j, w.now);
-              w.schedulerState.resolve(j.liveAttempt(0), AttemptOutcome.STOPPED, w.now);
-              w.job(1, 1);
-              w.place();
-              w.report(a, Heartbeat.State.RUNNING);
-              // 40 GB of cache, 20 and 20 in it: the older one is not counted on.
-              assertEquals(0, w.schedulerState.imageDistribution().holderCount(0));
-              assertEquals(1, w.schedulerState.imageDistribution().holderCount(1));
+            cluster -> {
+              Machine first = cluster.addMachine(0);
+              Job job = cluster.submitJob(1, 0);
+              cluster.place();
+              cluster.sendHeartbeat(first, Heartbeat.State.RUNNING);
+              assertEquals(1, cluster.schedulerState.imageDistribution().holderCount(0));
+              cluster.schedulerState.cancel(job, cluster.nowMs);
+              cluster.schedulerState.resolve(
+                  job.liveAttempt(0), AttemptOutcome.STOPPED, cluster.nowMs);
+              cluster.submitJob(1, 1);
+              cluster.place();
+              cluster.sendHeartbeat(first, Heartbeat.State.RUNNING);
+              // Two images of 20 GB exceed the share of the 40 GB cache that is relied on.
+              assertEquals(0, cluster.schedulerState.imageDistribution().holderCount(0));
+              assertEquals(1, cluster.schedulerState.imageDistribution().holderCount(1));
             }));
   }
 
-  private static List<Machine> busy(TestCluster w) {
-    List<Machine> out = new ArrayList<>();
-    w.machines.forEach(
-        m -> {
-          if (!m.isEmpty()) {
-            out.add(m);
+  private static List<Machine> busyMachines(TestCluster cluster) {
+    List<Machine> busy = new ArrayList<>();
+    cluster.machines.forEach(
+        machine -> {
+          if (!machine.isEmpty()) {
+            busy.add(machine);
           }
         });
-    return out;
+    return busy;
   }
 
   @Test
-  void todaysWorkersGetTodaysMessagesByteForByte() {
-    WorkerCommand plain = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
+  void launchCommandNamesImageSourcesOnlyWhenThereAreSome() {
+    WorkerCommand withoutSources = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
     assertEquals(
         "{\"baton\":3,\"orders\":[{\"order\":\"launch\",\"move\":\"job-1/0\",\"try\":1}]}",
-        Json.text(WorkerCodec.encodeCommands(3, List.of(plain))));
-    WorkerCommand told =
+        Json.text(WorkerCodec.encodeCommands(3, List.of(withoutSources))));
+    WorkerCommand withSources =
         new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
     assertTrue(
-        Json.text(WorkerCodec.encodeCommands(3, List.of(told))).contains("\"givers\":[\"h:1\"]"));
+        Json.text(WorkerCodec.encodeCommands(3, List.of(withSources)))
+            .contains("\"givers\":[\"h:1\"]"));
   }
 
-  /** Virtual time; a source that gives what 16 machines can take. */
+  /**
+   * Simulates in virtual time a wave of starts that need the same image, with a shared source whose
+   * rate suffices for 16 machines. When machines serve images, the last start must come within a
+   * tenth of the theoretical bound, even if holders fail. Without limits and serving, all machines
+   * share the source's rate, so the first start must take more than five times as long.
+   */
   @Test
-  void aWaveWithHandOnIsNearTheBoundWhateverHoldersDie() {
+  void servingMachinesBringWaveNearTheoreticalBoundDespiteFailures() {
     for (boolean failures : new boolean[] {false, true}) {
-      ImageFetchPolicy limit = new ImageFetchPolicy(16, 0, 1, 2, 1);
-      ImageFetchWave.Setting on = new ImageFetchWave.Setting(200, 350, 20, limit, true, failures);
-      ImageFetchWave.Figures f = new ImageFetchWave(on, 1).play();
-      assertTrue(f.lastS() > 0 && f.lastS() <= 1.1 * ImageFetchWave.bound(on), "last " + f.lastS());
-      ImageFetchWave.Setting off =
+      ImageFetchPolicy servingPolicy = new ImageFetchPolicy(16, 0, 1, 2, 1);
+      ImageFetchWave.Setting serving =
+          new ImageFetchWave.Setting(200, 350, 20, servingPolicy, true, failures);
+      ImageFetchWave.Figures servingFigures = new ImageFetchWave(serving, 1).play();
+      assertTrue(
+          servingFigures.lastS() > 0
+              && servingFigures.lastS() <= 1.1 * ImageFetchWave.bound(serving),
+          "last " + servingFigures.lastS());
+      ImageFetchWave.Setting notServing =
           new ImageFetchWave.Setting(
               200, 350, 20, new ImageFetchPolicy(0, 0, 0, 2, 1), false, failures);
-      ImageFetchWave.Figures before = new ImageFetchWave(off, 1).play();
-      assertTrue(before.firstS() > 5 * f.firstS(), "first " + before.firstS());
+      ImageFetchWave.Figures notServingFigures = new ImageFetchWave(notServing, 1).play();
+      assertTrue(
+          notServingFigures.firstS() > 5 * servingFigures.firstS(),
+          "first " + notServingFigures.firstS());
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
+++ b/src/test/java/org/mallowroad/core/linkstate/LinkStateTableTest.java
@@ -14,24 +14,27 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Link state, routes and relayed heartbeats while links are down; no clock, no sockets. */
+/**
+ * Tests link state, route selection and the relaying of heartbeats while links are down, without
+ * clock or sockets.
+ */
 final class LinkStateTableTest {
   private static final LinkPolicy POLICY = LinkPolicy.defaults();
 
-  /** Node n0 with two peers and two zones. */
-  private static final class Fixture {
+  /** The link state, routes and heartbeat relay of node n0, which has two peers and two zones. */
+  private static final class TestNode {
     private long now = 1_000_000;
     private final LinkStateTable links =
         new LinkStateTable(POLICY, "n0", List.of("n1", "n2"), List.of("a", "b"), 1, now);
     private final RouteSelector route = new RouteSelector(links, ExternalService.STATE);
     private final HeartbeatRelay relay = new HeartbeatRelay(POLICY, 2);
     private long sequence;
-    private final Set<String> redirected = new HashSet<>();
+    private final Set<String> redirectedMachines = new HashSet<>();
 
-    private void advertise(String node, long stateMs) {
+    private void advertise(String node, long stateAgeMs) {
       links.accept(
           new LinkStateAdvertisement(
-              node, 1, ++sequence, 1, false, stateMs, -1, List.of(), List.of()),
+              node, 1, ++sequence, 1, false, stateAgeMs, -1, List.of(), List.of()),
           now);
       links.recordPeerCall(links.peerIndex(node), true, now, now);
     }
@@ -45,190 +48,200 @@
     }
   }
 
-  private static DynamicTest testCase(String name, Consumer<Fixture> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new Fixture()));
+  private static DynamicTest testCase(String name, Consumer<TestNode> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new TestNode()));
   }
 
   @TestFactory
   Stream<DynamicTest> linkState() {
     return Stream.of(
         testCase(
-            "a failed call that was sent before a successful one does not take the link down",
-            f -> {
-              f.links.recordCall(ExternalService.STATE, true, f.now - 10, f.now);
-              f.links.recordCall(ExternalService.STATE, false, f.now - 20, f.now);
-              assertFalse(f.links.isDown(ExternalService.STATE));
-              f.links.recordCall(ExternalService.STATE, false, f.now - 5, f.now);
-              assertTrue(f.links.isDown(ExternalService.STATE));
+            "the failure of a call sent before a successful one does not take the link down",
+            testNode -> {
+              testNode.links.recordCall(
+                  ExternalService.STATE, true, testNode.now - 10, testNode.now);
+              testNode.links.recordCall(
+                  ExternalService.STATE, false, testNode.now - 20, testNode.now);
+              assertFalse(testNode.links.isDown(ExternalService.STATE));
+              testNode.links.recordCall(
+                  ExternalService.STATE, false, testNode.now - 5, testNode.now);
+              assertTrue(testNode.links.isDown(ExternalService.STATE));
             }),
         testCase(
-            "a successful call that was sent before the failed one does not bring the link up",
-            f -> {
-              f.links.recordCall(ExternalService.STATE, false, f.now - 5, f.now);
-              f.links.recordCall(ExternalService.STATE, true, f.now - 10, f.now);
-              assertTrue(f.links.isDown(ExternalService.STATE));
+            "the success of a call sent before the failed one does not bring the link up",
+            testNode -> {
+              testNode.links.recordCall(
+                  ExternalService.STATE, false, testNode.now - 5, testNode.now);
+              testNode.links.recordCall(
+                  ExternalService.STATE, true, testNode.now - 10, testNode.now);
+              assertTrue(testNode.links.isDown(ExternalService.STATE));
             }),
         testCase(
-            "advertisements that are older, of an earlier process or of a stranger are ignored",
-            f -> {
-              LinkStateAdvertisement newer =
+            "advertisements that are not newer or come from an unknown node are ignored",
+            testNode -> {
+              LinkStateAdvertisement newest =
                   new LinkStateAdvertisement("n1", 2, 1, 1, false, 10, 10, List.of(), List.of());
-              assertTrue(f.links.accept(newer, f.now));
+              assertTrue(testNode.links.accept(newest, testNode.now));
               assertFalse(
-                  f.links.accept(
+                  testNode.links.accept(
                       new LinkStateAdvertisement(
                           "n1", 1, 9, 1, false, 10, 10, List.of(), List.of()),
-                      f.now));
-              assertFalse(f.links.accept(newer, f.now));
+                      testNode.now));
+              assertFalse(testNode.links.accept(newest, testNode.now));
               assertFalse(
-                  f.links.accept(
+                  testNode.links.accept(
                       new LinkStateAdvertisement(
                           "n9", 9, 1, 1, false, 10, 10, List.of(), List.of()),
-                      f.now));
+                      testNode.now));
             }),
         testCase(
-            "a restarted process whose time of day was set back is not taken for the earlier one",
-            f -> {
+            "a restarted process whose wall clock was set back can supersede the earlier one",
+            testNode -> {
               LinkStateTable restarted =
-                  new LinkStateTable(POLICY, "n1", List.of("n0"), List.of("a", "b"), 90, f.now);
+                  new LinkStateTable(
+                      POLICY, "n1", List.of("n0"), List.of("a", "b"), 90, testNode.now);
               assertTrue(
-                  f.links.accept(
+                  testNode.links.accept(
                       new LinkStateAdvertisement("n1", 100, 7, 1, true, 5, 5, List.of(), List.of()),
-                      f.now));
-              assertFalse(f.links.accept(restarted.advertise(1, false, f.now), f.now));
-              restarted.advanceStartTimePast(f.links.processStartedMs("n1"));
-              assertTrue(f.links.accept(restarted.advertise(1, false, f.now), f.now));
-              // An earlier start time changes nothing.
+                      testNode.now));
+              assertFalse(
+                  testNode.links.accept(restarted.advertise(1, false, testNode.now), testNode.now));
+              restarted.advanceStartTimePast(testNode.links.processStartedMs("n1"));
+              assertTrue(
+                  testNode.links.accept(restarted.advertise(1, false, testNode.now), testNode.now));
+              // An earlier start time has no effect.
               restarted.advanceStartTimePast(50);
-              assertTrue(f.links.accept(restarted.advertise(1, false, f.now), f.now));
-              assertEquals(101, f.links.processStartedMs("n1"));
+              assertTrue(
+                  testNode.links.accept(restarted.advertise(1, false, testNode.now), testNode.now));
+              assertEquals(101, testNode.links.processStartedMs("n1"));
             }),
         testCase(
-            "a peer reaches a service while it and its advertisement and success are fresh",
-            f -> {
-              f.advertise("n1", 10);
-              assertTrue(f.links.canPeerReach(0, ExternalService.STATE, f.now));
-              f.links.recordPeerCall(0, false, f.now, f.now);
-              assertFalse(f.links.canPeerReach(0, ExternalService.STATE, f.now));
-              f.advertise("n2", POLICY.maxAgeMs() + 1);
-              assertFalse(f.links.canPeerReach(1, ExternalService.STATE, f.now));
-              f.advertise("n2", -1);
-              assertFalse(f.links.canPeerReach(1, ExternalService.STATE, f.now));
-              f.advertise("n2", 0);
-              f.now += POLICY.maxAgeMs() + 1;
-              assertFalse(f.links.canPeerReach(1, ExternalService.STATE, f.now));
-              assertNull(f.links.freshAdvertisement(1, f.now));
+            "a peer reaches a service only while its link is up and its evidence is fresh",
+            testNode -> {
+              testNode.advertise("n1", 10);
+              assertTrue(testNode.links.canPeerReach(0, ExternalService.STATE, testNode.now));
+              testNode.links.recordPeerCall(0, false, testNode.now, testNode.now);
+              assertFalse(testNode.links.canPeerReach(0, ExternalService.STATE, testNode.now));
+              testNode.advertise("n2", POLICY.maxAgeMs() + 1);
+              assertFalse(testNode.links.canPeerReach(1, ExternalService.STATE, testNode.now));
+              testNode.advertise("n2", -1);
+              assertFalse(testNode.links.canPeerReach(1, ExternalService.STATE, testNode.now));
+              testNode.advertise("n2", 0);
+              testNode.now += POLICY.maxAgeMs() + 1;
+              assertFalse(testNode.links.canPeerReach(1, ExternalService.STATE, testNode.now));
+              assertNull(testNode.links.freshAdvertisement(1, testNode.now));
             }),
         testCase(
-            "changes are taken once, name their source, and are bounded",
-            f -> {
+            "link changes are returned once, name their source, and are bounded",
+            testNode -> {
               for (int i = 0; i < 200; i++) {
-                f.now += 10;
-                f.links.recordCall(ExternalService.STATE, i % 2 == 1, f.now, f.now);
+                testNode.now += 10;
+                testNode.links.recordCall(
+                    ExternalService.STATE, i % 2 == 1, testNode.now, testNode.now);
               }
-              List<LinkStateTable.LinkChange> changes = f.links.takeChanges();
+              List<LinkStateTable.LinkChange> changes = testNode.links.takeChanges();
               assertEquals(64, changes.size());
-              assertEquals(136, f.links.takeDroppedChangeCount());
+              assertEquals(136, testNode.links.takeDroppedChangeCount());
               assertEquals("n0 state true", text(changes.get(0)));
-              f.advertise("n1", 10);
-              f.advertise("n1", -1);
+              testNode.advertise("n1", 10);
+              testNode.advertise("n1", -1);
               assertEquals(
                   List.of("n1 state true"),
-                  f.links.takeChanges().stream().map(LinkStateTableTest::text).toList());
+                  testNode.links.takeChanges().stream().map(LinkStateTableTest::text).toList());
             }),
         testCase(
             "the lists of an advertisement are bounded",
-            f -> {
-              List<String> many = new ArrayList<>();
+            testNode -> {
+              List<String> nodeNames = new ArrayList<>();
               for (int i = 0; i < 5_000; i++) {
-                many.add("n" + i);
+                nodeNames.add("n" + i);
               }
               assertEquals(
                   LinkStateAdvertisement.MAX_ENTRIES,
-                  new LinkStateAdvertisement("n1", 1, 1, 1, false, 0, 0, many, List.of())
+                  new LinkStateAdvertisement("n1", 1, 1, 1, false, 0, 0, nodeNames, List.of())
                       .reachablePeers()
                       .size());
             }));
   }
 
-  private static String text(LinkStateTable.LinkChange c) {
-    return c.from() + " " + c.to() + " " + c.down();
+  private static String text(LinkStateTable.LinkChange change) {
+    return change.from() + " " + change.to() + " " + change.down();
   }
 
   @TestFactory
   Stream<DynamicTest> routeSelection() {
     return Stream.of(
         testCase(
-            "calls are direct while the link works, and relayed by a peer after one failure",
-            f -> {
-              f.advertise("n2", 10);
-              f.directCall(true);
-              assertEquals(RouteSelector.DIRECT, f.route.chooseRoute(f.now));
-              f.now += 100;
-              f.directCall(false);
-              assertEquals(1, f.route.chooseRoute(f.now));
+            "calls are direct while the link works and are relayed after one failure",
+            testNode -> {
+              testNode.advertise("n2", 10);
+              testNode.directCall(true);
+              assertEquals(RouteSelector.DIRECT, testNode.route.chooseRoute(testNode.now));
+              testNode.now += 100;
+              testNode.directCall(false);
+              assertEquals(1, testNode.route.chooseRoute(testNode.now));
             }),
         testCase(
             "calls are direct when no peer reaches the service",
-            f -> {
-              f.advertise("n1", -1);
-              f.advertise("n2", -1);
-              f.directCall(false);
-              assertEquals(RouteSelector.DIRECT, f.route.chooseRoute(f.now));
+            testNode -> {
+              testNode.advertise("n1", -1);
+              testNode.advertise("n2", -1);
+              testNode.directCall(false);
+              assertEquals(RouteSelector.DIRECT, testNode.route.chooseRoute(testNode.now));
             }),
         testCase(
-            "another peer relays after one fails",
-            f -> {
-              f.advertise("n1", 10);
-              f.advertise("n2", 10);
-              f.directCall(false);
-              int first = f.route.chooseRoute(f.now);
-              long changes = f.route.routeChangeCount();
-              f.route.recordRelayedCall(first, false, f.now);
-              assertEquals(1 - first, f.route.chooseRoute(f.now));
-              assertTrue(f.route.routeChangeCount() > changes);
+            "another peer relays calls after the first relay fails",
+            testNode -> {
+              testNode.advertise("n1", 10);
+              testNode.advertise("n2", 10);
+              testNode.directCall(false);
+              int firstRelay = testNode.route.chooseRoute(testNode.now);
+              long changesBefore = testNode.route.routeChangeCount();
+              testNode.route.recordRelayedCall(firstRelay, false, testNode.now);
+              assertEquals(1 - firstRelay, testNode.route.chooseRoute(testNode.now));
+              assertTrue(testNode.route.routeChangeCount() > changesBefore);
             }),
         testCase(
-            "calls return to the direct path after it has worked, later after each relapse",
-            f -> {
-              long before = 0;
+            "calls return to a recovered direct path, later after each relapse",
+            testNode -> {
+              long previousRecoveryMs = 0;
               for (int relapse = 0; relapse < 4; relapse++) {
-                f.now += 100;
-                f.advertise("n1", 10);
-                f.directCall(false);
-                assertEquals(0, f.route.chooseRoute(f.now));
-                long from = f.now;
-                while (f.route.chooseRoute(f.now) != RouteSelector.DIRECT) {
-                  f.now += 100;
-                  f.advertise("n1", 10);
-                  f.directCall(true);
+                testNode.now += 100;
+                testNode.advertise("n1", 10);
+                testNode.directCall(false);
+                assertEquals(0, testNode.route.chooseRoute(testNode.now));
+                long failedMs = testNode.now;
+                while (testNode.route.chooseRoute(testNode.now) != RouteSelector.DIRECT) {
+                  testNode.now += 100;
+                  testNode.advertise("n1", 10);
+                  testNode.directCall(true);
                 }
-                assertTrue(f.now - from > before, "relapse " + relapse);
-                before = f.now - from;
+                assertTrue(testNode.now - failedMs > previousRecoveryMs, "relapse " + relapse);
+                previousRecoveryMs = testNode.now - failedMs;
               }
-              assertTrue(before <= 16 * POLICY.recoveryMs() + 500);
+              assertTrue(previousRecoveryMs <= 16 * POLICY.recoveryMs() + 500);
             }),
         testCase(
-            "without a relay calls return to the direct path at its first success",
-            f -> {
-              f.directCall(false);
-              f.route.chooseRoute(f.now);
-              f.now += 500;
-              f.directCall(true);
-              assertFalse(f.route.isDirectPathDown());
+            "calls without a relay return to the direct path at its first success",
+            testNode -> {
+              testNode.directCall(false);
+              testNode.route.chooseRoute(testNode.now);
+              testNode.now += 500;
+              testNode.directCall(true);
+              assertFalse(testNode.route.isDirectPathDown());
             }),
         testCase(
             "the direct path is probed while calls are relayed, at most twice a second",
-            f -> {
-              assertFalse(f.route.startProbeIfDue(f.now));
-              f.advertise("n1", 10);
-              f.directCall(false);
-              int tries = 0;
+            testNode -> {
+              assertFalse(testNode.route.startProbeIfDue(testNode.now));
+              testNode.advertise("n1", 10);
+              testNode.directCall(false);
+              int probes = 0;
               for (int i = 0; i < 100; i++) {
-                f.now += 100;
-                tries += f.route.startProbeIfDue(f.now) ? 1 : 0;
+                testNode.now += 100;
+                probes += testNode.route.startProbeIfDue(testNode.now) ? 1 : 0;
               }
-              assertEquals(20, tries);
+              assertEquals(20, probes);
             }));
   }
 
@@ -236,79 +249,83 @@
   Stream<DynamicTest> heartbeatRelay() {
     return Stream.of(
         testCase(
-            "a worker that the leader has not served is redirected; one that it has is relayed",
-            f -> {
-              assertFalse(f.shouldRelay("m1", 2, -1));
-              assertTrue(f.shouldRelay("m2", 3, -1));
+            "a new worker is redirected; one that the leader has served is relayed",
+            testNode -> {
+              assertFalse(testNode.shouldRelay("m1", 2, -1));
+              assertTrue(testNode.shouldRelay("m2", 3, -1));
             }),
         testCase(
-            "a worker that was redirected and is back is relayed",
-            f -> {
-              assertFalse(f.shouldRelay("m1", 2, -1));
-              f.now += 6_000;
-              assertTrue(f.shouldRelay("m1", 2, -1));
+            "a worker that returns soon after its redirection is relayed",
+            testNode -> {
+              assertFalse(testNode.shouldRelay("m1", 2, -1));
+              testNode.now += 6_000;
+              assertTrue(testNode.shouldRelay("m1", 2, -1));
             }),
         testCase(
-            "a redirected worker that is back much later is redirected again",
-            f -> {
-              assertFalse(f.shouldRelay("m1", 2, -1));
-              f.now += 60_000;
-              assertFalse(f.shouldRelay("m1", 2, -1));
+            "a worker that returns long after its redirection is redirected again",
+            testNode -> {
+              assertFalse(testNode.shouldRelay("m1", 2, -1));
+              testNode.now += 60_000;
+              assertFalse(testNode.shouldRelay("m1", 2, -1));
             }),
         testCase(
-            "one worker of a zone is the canary; the others follow once the leader hears it",
-            f -> {
+            "the workers of a zone are redirected once the leader has received its canary",
+            testNode -> {
               for (int i = 0; i < 200; i++) {
-                assertTrue(f.shouldRelay("m" + i, 3, -1));
+                assertTrue(testNode.shouldRelay("m" + i, 3, -1));
               }
-              f.now += POLICY.relayHoldMs();
-              int canaries = redirect(f, -1);
+              testNode.now += POLICY.relayHoldMs();
+              int canaries = reportAll(testNode, -1);
               assertEquals(1, canaries);
-              f.now += 3_000;
-              assertEquals(0, redirect(f, 2_000));
-              f.now += 4_000;
-              // Only the share of one second, so that a zone that is back does not come at once.
-              assertEquals(32, redirect(f, 2_000));
-              f.now += 1_000;
-              assertEquals(32, redirect(f, 2_000));
+              testNode.now += 3_000;
+              assertEquals(0, reportAll(testNode, 2_000));
+              testNode.now += 4_000;
+              // A recovered zone does not send all of its workers to the leader at once: only 32
+              // are redirected per second.
+              assertEquals(32, reportAll(testNode, 2_000));
+              testNode.now += 1_000;
+              assertEquals(32, reportAll(testNode, 2_000));
             }),
         testCase(
-            "a canary that comes back is relayed twice as long, and one is tried at a time",
-            f -> {
+            "a canary that returns is relayed for twice as long, and another one is tried",
+            testNode -> {
               for (int i = 0; i < 20; i++) {
-                assertTrue(f.shouldRelay("m" + i, 3, -1));
+                assertTrue(testNode.shouldRelay("m" + i, 3, -1));
               }
-              f.now += POLICY.relayHoldMs();
-              assertFalse(f.shouldRelay("m0", 3, -1));
-              f.now += 5_500;
-              assertTrue(f.shouldRelay("m0", 3, 100));
-              f.now += POLICY.relayHoldMs();
-              assertTrue(f.shouldRelay("m0", 3, 100), "held twice as long");
-              assertFalse(f.shouldRelay("m1", 3, 100), "another may try");
-              assertTrue(f.shouldRelay("m2", 3, 100), "one at a time");
+              testNode.now += POLICY.relayHoldMs();
+              assertFalse(testNode.shouldRelay("m0", 3, -1));
+              testNode.now += 5_500;
+              assertTrue(testNode.shouldRelay("m0", 3, 100));
+              testNode.now += POLICY.relayHoldMs();
+              assertTrue(
+                  testNode.shouldRelay("m0", 3, 100),
+                  "the canary that returned is relayed for twice as long");
+              assertFalse(testNode.shouldRelay("m1", 3, 100), "another worker becomes the canary");
+              assertTrue(testNode.shouldRelay("m2", 3, 100), "there is only one canary at a time");
             }),
         testCase(
-            "another leader resets the tracked workers, and their number is bounded",
-            f -> {
+            "a new leader resets the tracked workers, and their number is bounded",
+            testNode -> {
               for (int i = 0; i < 10_000; i++) {
-                f.shouldRelay("m" + i, 3, -1);
+                testNode.shouldRelay("m" + i, 3, -1);
               }
-              assertEquals(HeartbeatRelay.MAX_WORKERS, f.relay.trackedWorkerCount());
-              assertFalse(f.relay.shouldRelay("m9999", 0, 3, 4, -1, f.now));
-              assertEquals(1, f.relay.trackedWorkerCount());
+              assertEquals(HeartbeatRelay.MAX_WORKERS, testNode.relay.trackedWorkerCount());
+              assertFalse(testNode.relay.shouldRelay("m9999", 0, 3, 4, -1, testNode.now));
+              assertEquals(1, testNode.relay.trackedWorkerCount());
             }));
   }
 
-  private static int redirect(Fixture f, long leaderContactMs) {
-    int count = 0;
+  private static int reportAll(TestNode testNode, long leaderContactMs) {
+    int newlyRedirected = 0;
     for (int i = 0; i < 200; i++) {
-      // Workers that were redirected do not send their heartbeats here.
-      String m = "m" + i;
-      if (!f.redirected.contains(m) && !f.shouldRelay(m, 3, leaderContactMs)) {
-        f.redirected.add(m);
-        count++;
+      // Workers that were redirected do not send their heartbeats to this node.
+      String machine = "m" + i;
+      if (!testNode.redirectedMachines.contains(machine)
+          && !testNode.shouldRelay(machine, 3, leaderContactMs)) {
+        testNode.redirectedMachines.add(machine);
+        newlyRedirected++;
       }
     }
-    return count;
+    return newlyRedirected;
   }
 }
