--- a/src/main/java/org/mallowroad/core/fold/Game.java
+++ b/src/main/java/org/mallowroad/core/fold/Game.java
@@ -15,7 +15,7 @@
  * @param members the members whose ratings the game counts in, each once
  */
 public record Game(String league, long number, long revision, boolean taken, List<String> members) {
-  /** Copies the list. */
+  /** Copies the list of members. */
   public Game {
     members = List.copyOf(members);
   }
