--- a/src/main/java/org/mallowroad/core/admission/CommitLagMonitor.java
+++ b/src/main/java/org/mallowroad/core/admission/CommitLagMonitor.java
@@ -7,33 +7,34 @@
 import org.mallowroad.core.SchedulerState;
 
 /**
- * Measures how far a leader's commits to the state service lag: the longest time for which the
- * start of an attempt or the end of a job has waited to be committed. Idle-priority jobs wait by
- * design and do not count.
+ * Measures the lag of a leader's commits to the state service, which is the longest time that a
+ * start of an attempt or an end of a job has waited to be committed, and detects overload by it.
+ * Jobs of idle priority are ignored, since their commits are delayed by design.
  *
  * <p>Times are in milliseconds of the caller's monotonic clock. Not thread-safe: confined to the
  * controller's event loop.
  */
 public final class CommitLagMonitor {
-  /** Starts wait for a few seconds in any burst, and longer after a failover. */
+  /** Starts wait for a few seconds in any burst, and longer than that after a failover. */
   static final long MAX_START_WAIT_MS = 12_000;
 
-  /** Ends are reported within 3 s; one that is much later is of no use to the user. */
+  /** The end of a job should be reported within 3 s; a much later report is useless to its user. */
   static final long MAX_END_WAIT_MS = 8_000;
 
-  /** A lag must last this long to be an overload. */
+  /** Waits beyond the limits must last this long to count as an overload. */
   static final long MIN_LAG_MS = 3_000;
 
   /**
-   * Share of all live attempts that must wait for their commits to be an overload. Uncommitted
-   * starts use up their teams' quotas, so that commits and not machines are what jobs wait for.
+   * There is an overload when more than this share of all live attempts wait for their starts to be
+   * committed. Uncommitted starts count towards their teams' quotas, so jobs then wait for commits
+   * rather than for machines.
    */
   static final double COMMITTING_SHARE = 0.25;
 
-  /** Least number of attempts that must wait for their commits. */
+  /** Fewer uncommitted starts than this are no overload, whatever their share is. */
   static final int MIN_COMMITTING = 20;
 
-  /** How long {@link #COMMITTING_SHARE} must last. */
+  /** How long {@link #COMMITTING_SHARE} must be exceeded to count as an overload. */
   static final long MIN_COMMITTING_MS = 10_000;
 
   private static final long NEVER = -1;
@@ -46,34 +47,34 @@
   /**
    * Measures the lag; called about once a second.
    *
-   * @param served whether the state service serves this leader; waits count from the end of an
-   *     outage at the earliest
+   * @param isServed whether the state service answers this leader; time during an outage does not
+   *     count as waiting
    */
-  public void measure(SchedulerState schedulerState, boolean served, long now) {
-    if (!served || servedSinceMs == NEVER) {
+  public void measure(SchedulerState schedulerState, boolean isServed, long now) {
+    if (!isServed || servedSinceMs == NEVER) {
       servedSinceMs = now;
       committingSinceMs = NEVER;
     }
     long servedForMs = now - servedSinceMs;
-    boolean lags =
+    boolean isLagging =
         Math.min(servedForMs, longestStartWaitMs(schedulerState, now)) > MAX_START_WAIT_MS
             || Math.min(servedForMs, longestEndWaitMs(schedulerState, now)) > MAX_END_WAIT_MS;
-    laggingSinceMs = since(lags, laggingSinceMs, now);
-    boolean committing = areManyCommitting(schedulerState);
-    committingSinceMs = since(committing, committingSinceMs, now);
+    laggingSinceMs = conditionSinceMs(isLagging, laggingSinceMs, now);
+    boolean areManyCommitting = areManyCommitting(schedulerState);
+    committingSinceMs = conditionSinceMs(areManyCommitting, committingSinceMs, now);
     overloaded =
-        (lags && now - laggingSinceMs >= MIN_LAG_MS)
-            || (committing && now - committingSinceMs >= MIN_COMMITTING_MS);
+        (isLagging && now - laggingSinceMs >= MIN_LAG_MS)
+            || (areManyCommitting && now - committingSinceMs >= MIN_COMMITTING_MS);
   }
 
-  private static long since(boolean condition, long sinceMs, long now) {
+  private static long conditionSinceMs(boolean condition, long sinceMs, long now) {
     if (!condition) {
       return NEVER;
     }
     return sinceMs == NEVER ? now : sinceMs;
   }
 
-  /** True while there is more to commit than the state service accepts. */
+  /** True while changes are made faster than the state service accepts their commits. */
   public boolean isOverloaded() {
     return overloaded;
   }
@@ -93,33 +94,33 @@
     return committing > COMMITTING_SHARE * live;
   }
 
-  /** How long the oldest uncommitted start has waited, in ms. */
+  /** How long the oldest uncommitted start has waited, in milliseconds. */
   static long longestStartWaitMs(SchedulerState schedulerState, long now) {
     for (AttemptRecord record : schedulerState.urgentRecords()) {
       if (record.job.spec.priority() >= JobSpec.IDLE) {
         continue;
       }
-      // The records are in the order in which their first starts were placed.
-      long oldest = now;
+      // Records are in the order of their first starts, so no later record has an older start.
+      long oldestStartMs = now;
       for (int task = record.firstTask(); task < record.endTask(); task++) {
         Attempt attempt = record.job.liveAttempt(task);
         if (attempt != null && attempt.phase == Attempt.Phase.RECORDING) {
-          oldest = Math.min(oldest, attempt.createdMs);
+          oldestStartMs = Math.min(oldestStartMs, attempt.createdMs);
         }
       }
-      return now - oldest;
+      return now - oldestStartMs;
     }
     return 0;
   }
 
-  /** How long the oldest uncommitted end of a job has waited, in ms. */
+  /** How long the oldest uncommitted end of a job has waited, in milliseconds. */
   static long longestEndWaitMs(SchedulerState schedulerState, long now) {
-    long longest = 0;
+    long longestWaitMs = 0;
     for (Job job : schedulerState.jobsToComplete()) {
       if (job.spec.priority() < JobSpec.IDLE) {
-        longest = Math.max(longest, now - job.allDoneMs());
+        longestWaitMs = Math.max(longestWaitMs, now - job.allDoneMs());
       }
     }
-    return longest;
+    return longestWaitMs;
   }
 }
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -11,17 +11,19 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 
 /**
- * Sizes the fleet. Scale out: requests the cheapest fitting {@link MachineVariant} on low average
- * spare capacity, before machines saturate, and for tasks that would start too late. Scale in:
- * returns the most expensive empty machines as far as the headroom test allows.
+ * Plans the size of the fleet. Scale out: requests machines of the cheapest suitable {@link
+ * MachineVariant} when the average spare capacity is low, before machines saturate, and for tasks
+ * that would start too late. Scale in: returns the most expensive empty machines, as far as the
+ * remaining machines keep enough headroom.
  *
- * <p>Confined to the thread of the event loop, as the state is.
+ * <p>Not thread-safe: confined to the event loop, as is the scheduler state.
  */
 public final class Autoscaler {
   /**
-   * Tasks that are forecast in a cycle, in the order of the queue. More than a fleet of thousands
-   * starts in minutes; what an array of 100,000 has beyond that requests nothing more, and
-   * forecasting it held the loop up for over a second (docs/incidents, huge-array).
+   * Most tasks whose starts are forecast in a cycle, in the order of the queue. This is more than a
+   * fleet of thousands of machines starts within minutes. Forecasting all tasks of a job array of
+   * 100,000 blocked the event loop for over a second, and requested no further machines
+   * (docs/incidents, huge-array).
    */
   public static final int MAX_FORECAST_TASKS = 16_000;
 
@@ -29,71 +31,76 @@
   private final AutoscalerPolicy policy;
   private final ServiceLevelObjectives objectives;
   private final VariantRefusals refusals = new VariantRefusals();
-  private final VariantSelector variants;
+  private final VariantSelector variantSelector;
   private final SpareCapacityTrigger spareCapacityTrigger;
   private final ScaleInPlanner scaleInPlanner;
   private long machinesScanned;
   private long tasksForecast;
 
-  /** An autoscaler for the machines of one leader's term. */
+  /** Creates an autoscaler for the machines of one leader term. */
   public Autoscaler(
       SchedulerState schedulerState, AutoscalerPolicy policy, ServiceLevelObjectives objectives) {
     this.schedulerState = schedulerState;
     this.policy = policy;
     this.objectives = objectives;
-    this.variants = new VariantSelector(schedulerState.health().failureDetector(), refusals);
+    this.variantSelector = new VariantSelector(schedulerState.health().failureDetector(), refusals);
     this.spareCapacityTrigger = new SpareCapacityTrigger(schedulerState, policy);
     this.scaleInPlanner = new ScaleInPlanner(schedulerState, policy);
   }
 
-  /** Tasks forecast so far. */
+  /** Number of tasks forecast so far. */
   public long tasksForecast() {
     return tasksForecast;
   }
 
-  /** Machines scanned so far: the cost of the forecasts. */
+  /** Number of machines scanned so far, as a measure of the cost of forecasts. */
   public long machinesScanned() {
     return machinesScanned;
   }
 
   /**
-   * Records that the cloud provided fewer machines of the variant than were requested, or none:
-   * other variants are tried for a while.
+   * Records that the cloud provided fewer machines of the variant than were requested, or none. The
+   * variant is not requested again until its backoff ends.
    */
   public void recordRefusal(MachineVariant variant, long now) {
     refusals.recordRefusal(variant, now);
   }
 
   /**
-   * Since when the cloud has refused the variant, or provided fewer machines than requested; -1
-   * while it has not.
+   * The time since which the cloud has provided fewer machines of the variant than requested, or
+   * none; -1 if its last request was granted in full.
    */
   public long refusedSinceMs(MachineVariant variant) {
-    return refusals.sinceMs(variant);
+    return refusals.refusedSinceMs(variant);
   }
 
-  /** Records that the cloud provided all that was requested: there may be more. */
+  /** Records that the cloud provided all requested machines of the variant. */
   public void recordGrant(MachineVariant variant) {
     refusals.recordGrant(variant);
   }
 
   /**
-   * The machines to request now, given the queue and the pending machines.
+   * Returns the requests for machines to send now.
    *
-   * <p>Average spare capacity hides bursts, and pieces of capacity too small for large tasks, so
-   * waiting tasks are also counted one by one: each is placed where it would start first, on an
-   * existing or a pending machine. Only when that is later than its job's objective allows, and a
-   * machine requested now would be sooner, is one requested for it. So work that can wait does not
-   * cause expensive machines to be requested.
+   * <p>Average spare capacity shows neither bursts nor fragmentation that leaves no room for large
+   * tasks, so the start of each waiting task is also forecast: the task is placed on the existing
+   * or pending machine on which it would start first. A machine is requested for it only when that
+   * start is later than its job's objective allows and a new machine would start it earlier. So
+   * jobs that can wait do not cause requests for expensive machines.
+   *
+   * @param queue jobs with waiting tasks, in placement order
+   * @param pending machines that were requested and have not booted yet
+   * @param types the machine types that the cloud offers
    */
   public List<ScaleOutRequest> planScaleOut(
       List<Job> queue, List<PendingMachines> pending, List<MachineType> types, long now) {
-    // Gangs request machines by their reservations (core.gang): in the averages and the forecast
-    // their tasks would request one machine after the other, in each zone, without waiting for the
-    // rest of the gang.
-    List<Job> jobs = queue.stream().filter(j -> !j.spec.gang()).toList();
-    List<PendingMachines> shared = pending.stream().filter(p -> p.gangId() == null).toList();
-    Object2IntLinkedOpenHashMap<MachineVariant> requested = forecast(jobs, shared, types, now);
+    // Gangs are excluded, since their machines are requested by their reservations (core.gang). The
+    // average and the forecast would treat each of their tasks on its own, and request machines one
+    // by one and in any zone.
+    List<Job> nonGangJobs = queue.stream().filter(j -> !j.spec.gang()).toList();
+    List<PendingMachines> sharedPending = pending.stream().filter(p -> p.gangId() == null).toList();
+    Object2IntLinkedOpenHashMap<MachineVariant> requested =
+        forecastRequests(nonGangJobs, sharedPending, types, now);
     List<ScaleOutRequest> requests =
         new ArrayList<>(schedulerState.gangReservations().planScaleOut(pending, types, now));
     for (Object2IntMap.Entry<MachineVariant> entry : requested.object2IntEntrySet()) {
@@ -106,17 +113,20 @@
     return requests;
   }
 
-  /** Machines for tasks that would start too late, or else one for low spare capacity. */
-  private Object2IntLinkedOpenHashMap<MachineVariant> forecast(
-      List<Job> jobs, List<PendingMachines> pending, List<MachineType> types, long now) {
+  /**
+   * The machines to request for tasks that would start too late; if there are none, and the spare
+   * capacity is low, one machine.
+   */
+  private Object2IntLinkedOpenHashMap<MachineVariant> forecastRequests(
+      List<Job> nonGangJobs, List<PendingMachines> pending, List<MachineType> types, long now) {
     StartForecast forecast =
-        new StartForecast(schedulerState, policy, objectives, variants, types, now);
-    int waiting = forecast.run(jobs, pending);
+        new StartForecast(schedulerState, policy, objectives, variantSelector, types, now);
+    int waiting = forecast.forecastStarts(nonGangJobs, pending);
     machinesScanned += forecast.machinesScanned();
     tasksForecast += forecast.tasksForecast();
     Object2IntLinkedOpenHashMap<MachineVariant> requested = forecast.requested();
     if (requested.isEmpty() && spareCapacityTrigger.isSpareLow(waiting, pending)) {
-      MachineVariant variant = variants.cheapestForQueue(jobs, types, now);
+      MachineVariant variant = variantSelector.cheapestForQueue(nonGangJobs, types, now);
       if (variant != null) {
         requested.addTo(variant, 1);
       }
@@ -124,7 +134,7 @@
     return requested;
   }
 
-  /** Empty machines to return now, most expensive first, as far as the headroom test allows. */
+  /** Returns the empty machines to return to the cloud now, the most expensive first. */
   public List<Machine> planScaleIn(boolean anyWaiting, long now) {
     return scaleInPlanner.machinesToReturn(anyWaiting, now);
   }
--- a/src/main/java/org/mallowroad/core/autoscaling/ReplacementQuota.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ReplacementQuota.java
@@ -1,25 +1,25 @@
 package org.mallowroad.core.autoscaling;
 
 /**
- * Which machines of partitioned zones are replaced: the stated share, spread evenly. The others are
- * expected back, so work that waits for them rents nothing; otherwise a fleet that is unreachable
- * for a moment would be rented twice.
+ * Selects which unreachable machines of partitioned zones are replaced: a fixed share of them,
+ * spread evenly. The others are expected to return, so no machines are requested for the tasks that
+ * wait for them. Otherwise a short partition would double the fleet.
  */
 final class ReplacementQuota {
   private final double share;
-  private double due;
+  private double accumulatedShare;
 
   ReplacementQuota(double share) {
     this.share = share;
   }
 
-  /** True when the next unreachable machine is one that is replaced. */
-  boolean isReplaced() {
-    due += share;
-    if (due < 1) {
+  /** Counts one more unreachable machine; true when it is to be replaced. */
+  boolean shouldReplaceNext() {
+    accumulatedShare += share;
+    if (accumulatedShare < 1) {
       return false;
     }
-    due--;
+    accumulatedShare--;
     return true;
   }
 }
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
@@ -7,25 +7,31 @@
 import org.mallowroad.core.SchedulerState;
 
 /**
- * Decides which empty machines are returned: those that were idle for long enough, and of a large
- * fleet that runs empty all beyond a reserve; the dearest first, as far as the rest keeps headroom.
+ * Decides which empty machines are returned to the cloud: those that were idle for long enough, and
+ * when much of the fleet is idle, all beyond a reserve. The most expensive machines are returned
+ * first, as long as the remaining ones keep enough headroom.
  */
 final class ScaleInPlanner {
-  /** A machine in excess of the reserve, or a slow or faulty one, is returned after this time. */
+  /**
+   * Idle time after which a machine may be returned if it exceeds the reserve, or is suspected to
+   * be slow or faulty.
+   */
   private static final long SHORT_IDLE_MS = 3_000;
 
-  /** Idle machines beyond this share of the fleet, and beyond the least reserve, are in excess. */
+  /** Reserve of idle machines as a share of the fleet ... */
   private static final double IDLE_RESERVE_SHARE = 0.08;
 
+  /** ... and the least number of machines in the reserve. */
   private static final int MIN_IDLE_RESERVE = 8;
 
-  private static final Comparator<Machine> DEAREST_FIRST =
-      Comparator.comparingDouble((Machine m) -> -m.type.price(m.spot)).thenComparing(m -> m.name);
+  private static final Comparator<Machine> MOST_EXPENSIVE_FIRST =
+      Comparator.comparingDouble((Machine machine) -> -machine.type.price(machine.spot))
+          .thenComparing(machine -> machine.name);
 
   private final SchedulerState schedulerState;
   private final AutoscalerPolicy policy;
 
-  /** What one walk over the fleet found. */
+  /** The usage of the fleet, found by one scan. */
   private static final class FleetUsage {
     private final List<Machine> returnable = new ArrayList<>();
     private int machines;
@@ -39,40 +45,42 @@
     this.policy = policy;
   }
 
-  /** Empty machines to be returned now, dearest first. */
+  /** Empty machines to return now, the most expensive first. */
   List<Machine> machinesToReturn(boolean anyWaiting, long now) {
     FleetUsage usage = measure(now);
     List<Machine> candidates = usage.returnable;
     int limit = candidates.size();
-    // When a large fleet runs empty, those beyond what a burst may want need not wait.
+    // When much of a large fleet is idle, machines beyond the reserve for a burst of new tasks are
+    // returned without waiting for the full idle time.
     int excess = usage.idle - (int) Math.max(MIN_IDLE_RESERVE, IDLE_RESERVE_SHARE * usage.machines);
     if (excess > candidates.size()) {
       candidates = idleMachines(now);
       limit = excess;
     }
-    candidates.sort(DEAREST_FIRST);
+    candidates.sort(MOST_EXPENSIVE_FIRST);
     return withinHeadroom(candidates, limit, usage, anyWaiting);
   }
 
   private FleetUsage measure(long now) {
     double cheapestCpuPrice = cheapestCpuPrice();
     FleetUsage usage = new FleetUsage();
-    for (Machine m : schedulerState.machines()) {
-      // Of a machine whose heartbeat is overdue nothing is known, least of all that it is empty.
-      if (!schedulerState.acceptsNewTasks(m, now)) {
+    for (Machine machine : schedulerState.machines()) {
+      // A machine whose heartbeat is overdue is not known to be empty.
+      if (!schedulerState.acceptsNewTasks(machine, now)) {
         continue;
       }
       usage.machines++;
-      usage.bookedCpus += (m.reservedFor == null ? m.bookedShare() : 1) * m.type.cpus();
-      usage.cpus += m.type.cpus();
-      if (m.reservedFor != null
-          || schedulerState.imageDistribution().isServing(m)
-          || !m.isEmpty()) {
-        continue; // Reserved for a gang, or others fetch an image from it: as good as booked.
+      usage.bookedCpus +=
+          (machine.reservedFor == null ? machine.bookedShare() : 1) * machine.type.cpus();
+      usage.cpus += machine.type.cpus();
+      if (machine.reservedFor != null
+          || schedulerState.imageDistribution().isServing(machine)
+          || !machine.isEmpty()) {
+        continue; // Reserved for a gang, serving an image to other machines, or running tasks.
       }
       usage.idle++;
-      if (now - m.idleSinceMs >= requiredIdleMs(m, cheapestCpuPrice)) {
-        usage.returnable.add(m);
+      if (now - machine.idleSinceMs >= requiredIdleMs(machine, cheapestCpuPrice)) {
+        usage.returnable.add(machine);
       }
     }
     return usage;
@@ -80,52 +88,56 @@
 
   private double cheapestCpuPrice() {
     double cheapest = Double.MAX_VALUE;
-    for (Machine m : schedulerState.machines()) {
-      cheapest = Math.min(cheapest, Math.min(m.type.price(), m.type.spotPrice()) / m.type.cpus());
+    for (Machine machine : schedulerState.machines()) {
+      cheapest =
+          Math.min(
+              cheapest,
+              Math.min(machine.type.price(), machine.type.spotPrice()) / machine.type.cpus());
     }
     return cheapest;
   }
 
   /**
-   * How long a machine has to be idle. The dearer its CPUs, the sooner it goes: it must pay for the
-   * next boot that it saves.
+   * How long a machine must be idle before it is returned, in milliseconds. Keeping an idle machine
+   * pays off only if it saves a boot, so the time is shorter the more expensive its CPUs are.
    */
-  private double requiredIdleMs(Machine m, double cheapestCpuPrice) {
-    if (m.health.isSuspect()) {
+  private double requiredIdleMs(Machine machine, double cheapestCpuPrice) {
+    if (machine.health.isSuspect()) {
       return SHORT_IDLE_MS;
     }
-    double cheapness = cheapestCpuPrice * m.type.cpus() / Math.max(1e-9, m.type.price(m.spot));
-    return policy.idleMs() * Math.min(1, cheapness);
+    double priceRatio =
+        cheapestCpuPrice * machine.type.cpus() / Math.max(1e-9, machine.type.price(machine.spot));
+    return policy.idleMs() * Math.min(1, priceRatio);
   }
 
   private List<Machine> idleMachines(long now) {
     List<Machine> idle = new ArrayList<>();
-    for (Machine m : schedulerState.machines()) {
-      if (schedulerState.acceptsNewTasks(m, now)
-          && m.reservedFor == null
-          && m.isEmpty()
-          && now - m.idleSinceMs >= SHORT_IDLE_MS) {
-        idle.add(m);
+    for (Machine machine : schedulerState.machines()) {
+      if (schedulerState.acceptsNewTasks(machine, now)
+          && machine.reservedFor == null
+          && machine.isEmpty()
+          && now - machine.idleSinceMs >= SHORT_IDLE_MS) {
+        idle.add(machine);
       }
     }
     return idle;
   }
 
-  /** The candidates that can go while the load of the rest stays below the policy's limit. */
+  /** The candidates that can be returned while the remaining machines keep enough headroom. */
   private List<Machine> withinHeadroom(
       List<Machine> candidates, int limit, FleetUsage usage, boolean anyWaiting) {
     List<Machine> returned = new ArrayList<>();
     double cpus = usage.cpus;
     int machines = usage.machines;
-    for (Machine m : candidates) {
+    for (Machine machine : candidates) {
       if (returned.size() >= limit) {
         break;
       }
-      double remaining = cpus - m.type.cpus();
+      double remainingCpus = cpus - machine.type.cpus();
       boolean lastAndUnused = machines == 1 && !anyWaiting;
-      if (lastAndUnused || hasHeadroom(usage.bookedCpus, remaining)) {
-        returned.add(m);
-        cpus = remaining;
+      if (lastAndUnused || hasHeadroom(usage.bookedCpus, remainingCpus)) {
+        returned.add(machine);
+        cpus = remainingCpus;
         machines--;
       }
     }
--- a/src/main/java/org/mallowroad/core/autoscaling/SpareCapacityTrigger.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/SpareCapacityTrigger.java
@@ -5,8 +5,9 @@
 import org.mallowroad.core.SchedulerState;
 
 /**
- * The design's trigger for scale out: the spare capacity averaged over the machines that are not
- * saturated. Pending machines count as empty; reserved and unreachable ones do not count.
+ * Triggers scale out by the spare capacity averaged over the machines that are not saturated, as in
+ * the original design. Pending machines count as empty. Machines that are reserved for gangs or
+ * unreachable are ignored.
  */
 final class SpareCapacityTrigger {
   private final SchedulerState schedulerState;
@@ -17,44 +18,47 @@
     this.policy = policy;
   }
 
-  /** True when the averaged spare is below the policy's limits, or all machines are saturated. */
+  /**
+   * True when the average spare capacity is below the policy's thresholds, or when tasks wait and
+   * all machines are saturated.
+   */
   boolean isSpareLow(int waitingTasks, List<PendingMachines> pending) {
     int machines = 0;
-    for (Machine m : schedulerState.machines()) {
-      if (counts(m)) {
+    for (Machine machine : schedulerState.machines()) {
+      if (isCounted(machine)) {
         machines++;
       }
     }
     int pendingCount = 0;
-    for (PendingMachines p : pending) {
-      pendingCount += p.count();
+    for (PendingMachines pendingMachines : pending) {
+      pendingCount += pendingMachines.count();
     }
     if (machines + pendingCount == 0) {
       return false;
     }
     double waitingPerMachine = (double) waitingTasks / (machines + pendingCount);
-    int unsaturated = 0;
-    double spare = 0;
+    int unsaturatedMachines = 0;
+    double totalSpare = 0;
     if (waitingPerMachine < policy.waitingLimit()) {
-      for (Machine m : schedulerState.machines()) {
-        if (counts(m) && m.bookedShare() < policy.bookedLimit()) {
-          unsaturated++;
-          spare += policy.bookedLimit() - m.bookedShare();
+      for (Machine machine : schedulerState.machines()) {
+        if (isCounted(machine) && machine.bookedShare() < policy.bookedLimit()) {
+          unsaturatedMachines++;
+          totalSpare += policy.bookedLimit() - machine.bookedShare();
         }
       }
-      unsaturated += pendingCount;
-      spare += pendingCount * policy.bookedLimit();
+      unsaturatedMachines += pendingCount;
+      totalSpare += pendingCount * policy.bookedLimit();
     }
-    if (unsaturated == 0) {
+    if (unsaturatedMachines == 0) {
       return waitingTasks > 0;
     }
-    return spare / unsaturated < policy.bookedSpare()
+    return totalSpare / unsaturatedMachines < policy.bookedSpare()
         || policy.waitingLimit() - waitingPerMachine < policy.waitingSpare();
   }
 
-  private boolean counts(Machine m) {
-    return m.isUsable()
-        && m.reservedFor == null
-        && !schedulerState.health().isPartitionedAway(m.health);
+  private boolean isCounted(Machine machine) {
+    return machine.isUsable()
+        && machine.reservedFor == null
+        && !schedulerState.health().isPartitionedAway(machine.health);
   }
 }
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -16,43 +16,50 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 
 /**
- * The forecast of one scaling cycle: places each waiting task where it would start first, on an
- * existing, pending or newly requested machine, and so decides which machines to request.
+ * Forecasts, for one scaling cycle, when the waiting tasks will start, and decides which machines
+ * to request. Each task is placed on the existing, pending or newly requested machine on which it
+ * would start first.
  */
 final class StartForecast {
-  /** A pending machine is taken to need at least this long until its first heartbeat. */
+  /** A pending machine is assumed to need at least this long until its first heartbeat. */
   private static final long MIN_REMAINING_BOOT_MS = 3_000;
 
-  /** Later arrivals may go first, so only a part of the time that is left is planned away. */
+  /**
+   * Share of the time until the latest acceptable start that tasks are planned to wait. The rest is
+   * a margin for jobs that arrive later and are placed first.
+   */
   private static final double PLANNED_WAIT_SHARE = 0.4;
 
-  /** A start later than this is late where machines are cheap. */
+  /** A wait longer than this is late when the machine variant is cheap. */
   private static final long LATE_START_MS = 5_000;
 
-  /** A requested machine must bring a start forward by this much. */
+  /** A machine is requested only if it starts a task earlier by more than this. */
   private static final long MIN_GAIN_MS = 5_000;
 
-  /** When the machine with this index could start the next task. */
-  private record Start(long atMs, int machine) {}
+  /** The earliest time at which a machine could start the next task of a job. */
+  private record EarliestStart(long atMs, int machineIndex) {}
 
   private final SchedulerState schedulerState;
   private final FleetHealth health;
   private final AutoscalerPolicy policy;
   private final ServiceLevelObjectives objectives;
-  private final VariantSelector variants;
+  private final VariantSelector variantSelector;
   private final List<MachineType> types;
   private final long now;
 
-  /** Existing machines, then pending ones, then those requested by this forecast. */
+  /** Existing machines, then pending ones, then those that this forecast requests. */
   private final List<ForecastMachine> machines = new ArrayList<>();
 
-  /** The index of the first pending machine. */
-  private int firstPending;
+  /** Index in {@link #machines} of the first pending machine. */
+  private int firstPendingIndex;
 
   private final Object2IntLinkedOpenHashMap<MachineVariant> requested =
       new Object2IntLinkedOpenHashMap<>();
 
-  /** Machines requested by the index of their type; bounded by the policy's step. */
+  /**
+   * Number of machines requested by machine type index; bounded by {@link
+   * AutoscalerPolicy#maxScaleOutPerType}.
+   */
   private final int[] requestedOfType;
 
   private long machinesScanned;
@@ -69,10 +76,11 @@
     this.health = schedulerState.health();
     this.policy = policy;
     this.objectives = objectives;
-    this.variants = variants;
+    this.variantSelector = variants;
     this.types = types;
     this.now = now;
-    this.requestedOfType = new int[types.stream().mapToInt(t -> t.index() + 1).max().orElse(0)];
+    this.requestedOfType =
+        new int[types.stream().mapToInt(type -> type.index() + 1).max().orElse(0)];
   }
 
   /** The machines to request, in the order in which the forecast first needed their variants. */
@@ -80,26 +88,26 @@
     return requested;
   }
 
-  /** Machines scanned: the cost of the forecast. */
+  /** Number of machines scanned, as a measure of the cost of the forecast. */
   long machinesScanned() {
     return machinesScanned;
   }
 
-  /** Tasks forecast. */
+  /** Number of tasks forecast. */
   long tasksForecast() {
     return tasksForecast;
   }
 
   /**
    * Forecasts the starts of the waiting tasks in the order of the queue. The machines are scanned
-   * once for each job; its tasks then take them in the order of their starts.
+   * once for each job, whose tasks then use them in the order of their earliest starts.
    *
-   * @return how many tasks wait within their teams' limits
+   * @return the number of waiting tasks within their teams' limits
    */
-  int run(List<Job> queue, List<PendingMachines> pending) {
-    int[] counts = tasksWithinTeamLimits(queue);
+  int forecastStarts(List<Job> queue, List<PendingMachines> pending) {
+    int[] taskCounts = tasksWithinTeamLimits(queue);
     int waiting = 0;
-    for (int count : counts) {
+    for (int count : taskCounts) {
       waiting += count;
     }
     if (waiting == 0 || !canRequest()) {
@@ -107,14 +115,14 @@
     }
     addMachines(pending);
     int remaining = Autoscaler.MAX_FORECAST_TASKS;
-    for (int i = 0; i < counts.length && remaining > 0; i++) {
-      if (counts[i] == 0) {
+    for (int i = 0; i < taskCounts.length && remaining > 0; i++) {
+      if (taskCounts[i] == 0) {
         continue;
       }
       if (!canRequest()) {
-        break; // Nothing can be requested for the other jobs, however late they start.
+        break; // No machine can be requested for the remaining jobs, however late they start.
       }
-      int tasks = Math.min(counts[i], remaining);
+      int tasks = Math.min(taskCounts[i], remaining);
       remaining -= tasks;
       tasksForecast += tasks;
       new JobForecast(queue.get(i)).placeTasks(tasks);
@@ -122,31 +130,31 @@
     return waiting;
   }
 
-  /** The waiting tasks of each job; those beyond their team's limit need no machine. */
+  /** The number of waiting tasks of each job; those beyond their team's limit need no machine. */
   private int[] tasksWithinTeamLimits(List<Job> queue) {
-    int[] counts = new int[queue.size()];
+    int[] taskCounts = new int[queue.size()];
     double[] plannedCpus = new double[schedulerState.teams().size()];
-    for (int i = 0; i < counts.length; i++) {
+    for (int i = 0; i < taskCounts.length; i++) {
       JobSpec spec = queue.get(i).spec;
       Team team = schedulerState.team(spec);
       int pendingTasks = queue.get(i).pendingTasks.size();
       if (spec.cpus() <= 0) {
-        counts[i] = pendingTasks;
+        taskCounts[i] = pendingTasks;
       } else {
         double remainingCpus = team.cpusMax() - team.usedCpus() - plannedCpus[spec.team()];
         double limit = (remainingCpus + ResourceVector.EPSILON) / spec.cpus();
-        counts[i] = (int) Math.max(0, Math.min(pendingTasks, limit));
+        taskCounts[i] = (int) Math.max(0, Math.min(pendingTasks, limit));
       }
-      plannedCpus[spec.team()] += counts[i] * spec.cpus();
+      plannedCpus[spec.team()] += taskCounts[i] * spec.cpus();
     }
-    return counts;
+    return taskCounts;
   }
 
-  /** True while a machine of any type may still be requested in this cycle. */
+  /** True while more machines of any type may be requested in this cycle. */
   private boolean canRequest() {
     for (MachineType type : types) {
       if (requestedOfType[type.index()] < policy.maxScaleOutPerType()
-          && variants.isObtainable(type, now)) {
+          && variantSelector.isObtainable(type, now)) {
         return true;
       }
     }
@@ -156,22 +164,24 @@
   private void addMachines(List<PendingMachines> pending) {
     ReplacementQuota replacements = new ReplacementQuota(health.policy().maxReplacementShare());
     for (Machine machine : schedulerState.machines()) {
-      // A slow machine is no room for urgent work, and is returned when it is empty.
+      // Machines suspected to be slow or faulty are excluded: urgent tasks do not use them, and
+      // they
+      // are returned once they are empty.
       if (machine.isUsable()
           && machine.reservedFor == null
           && !machine.health.isSuspect()
-          && !(health.isPartitionedAway(machine.health) && replacements.isReplaced())) {
+          && !(health.isPartitionedAway(machine.health) && replacements.shouldReplaceNext())) {
         machines.add(ForecastMachine.of(machine, now));
       }
     }
-    firstPending = machines.size();
+    firstPendingIndex = machines.size();
     for (PendingMachines request : pending) {
       MachineVariant variant = request.variant();
       long bootedAtMs = request.requestedMs() + variant.plannedBootMs();
       long availableMs = Math.max(now + MIN_REMAINING_BOOT_MS, bootedAtMs);
       for (int i = 0; i < request.count(); i++) {
         boolean partitioned = health.failureDetector().isPartitioned(variant.zone());
-        if (!(partitioned && replacements.isReplaced())) {
+        if (!(partitioned && replacements.shouldReplaceNext())) {
           machines.add(new ForecastMachine(variant, availableMs));
         }
       }
@@ -182,7 +192,7 @@
     return requestedOfType[variant.type().index()] < policy.maxScaleOutPerType();
   }
 
-  /** Requests a machine and adds it to the forecast as the last one. */
+  /** Requests a machine of the variant, and adds it to the end of the forecast's machines. */
   private void request(MachineVariant variant) {
     requestedOfType[variant.type().index()]++;
     requested.addTo(variant, 1);
@@ -192,18 +202,19 @@
   /** The forecast of the tasks of one job. */
   private final class JobForecast {
     private final Job job;
-    private final PriorityQueue<Start> starts =
+    private final PriorityQueue<EarliestStart> starts =
         new PriorityQueue<>(
-            Comparator.comparingLong((Start x) -> x.atMs).thenComparingInt(x -> x.machine));
+            Comparator.comparingLong((EarliestStart start) -> start.atMs)
+                .thenComparingInt(start -> start.machineIndex));
 
-    /** The first pending or requested machine that may have room without waiting. */
-    private int nextNewMachine = firstPending;
+    /** Index of the first pending or requested machine that may still have free resources. */
+    private int nextNewMachineIndex = firstPendingIndex;
 
     JobForecast(Job job) {
       this.job = job;
       machinesScanned += machines.size();
       for (int i = 0; i < machines.size(); i++) {
-        // Room in a zone where the job's other tasks do not allow it to run does not count
+        // Room in zones that are excluded by the zones of the job's live attempts is not counted
         // (docs/incidents, room-in-the-other-zone).
         if (job.allowsZone(machines.get(i).variant().zone())) {
           addStart(i);
@@ -211,73 +222,77 @@
       }
     }
 
-    private void addStart(int machine) {
-      long atMs = machines.get(machine).earliestStartMs(job.spec);
+    private void addStart(int machineIndex) {
+      long atMs = machines.get(machineIndex).earliestStartMs(job.spec);
       if (atMs < Long.MAX_VALUE) {
-        starts.add(new Start(atMs, machine));
+        starts.add(new EarliestStart(atMs, machineIndex));
       }
     }
 
-    /** Places tasks, and requests machines for those that would start too late. */
+    /** Places the job's tasks, and requests machines for those that would start too late. */
     void placeTasks(int count) {
       for (int remaining = count; remaining > 0; remaining--) {
-        Start earliest = earliestStart();
+        EarliestStart earliest = earliestStart();
         if (earliest == null || earliest.atMs > now) {
           long startMs = earliest == null ? Long.MAX_VALUE : earliest.atMs;
-          MachineVariant variant = variants.cheapestFor(job, remaining, types, requested, now);
+          MachineVariant variant =
+              variantSelector.cheapestFor(job, remaining, types, requested, now);
           if (variant != null) {
             if (prefersNewMachine(variant, startMs) && placeOnNewMachine(variant)) {
               continue;
             }
             if (mayRequest(variant) && isWorthRequesting(variant, startMs)) {
               request(variant);
-              starts.add(new Start(now + variant.plannedBootMs(), machines.size() - 1));
+              starts.add(new EarliestStart(now + variant.plannedBootMs(), machines.size() - 1));
             }
           }
         }
-        Start start = starts.poll();
+        EarliestStart start = starts.poll();
         if (start == null) {
           return;
         }
-        machines.get(start.machine).place(job.spec, start.atMs);
-        addStart(start.machine);
+        machines.get(start.machineIndex).place(job.spec, start.atMs);
+        addStart(start.machineIndex);
       }
     }
 
-    /** The earliest start, up to date; null when the job's tasks fit no machine. */
-    private Start earliestStart() {
-      Start earliest = starts.peek();
+    /** The earliest start of the next task; null when no machine has room for it at any time. */
+    private EarliestStart earliestStart() {
+      EarliestStart earliest = starts.peek();
       while (earliest != null
-          && machines.get(earliest.machine).earliestStartMs(job.spec) != earliest.atMs) {
-        // The machine took a task outside the heap, and has less room than this start assumes.
+          && machines.get(earliest.machineIndex).earliestStartMs(job.spec) != earliest.atMs) {
+        // This entry is outdated: a task was placed on the machine by placeOnNewMachine.
         starts.poll();
-        addStart(earliest.machine);
+        addStart(earliest.machineIndex);
         earliest = starts.peek();
       }
       return earliest;
     }
 
     /**
-     * True when a task that would start late goes to a new machine, because machines are cheap.
-     * This leaves the room that running tasks release to later work: otherwise a lasting burst
-     * always seems about to find room, and no machine is requested for it.
+     * True when a task that would start late is placed on a new machine because machines are cheap.
+     * The room that running tasks release is then left to later tasks. Otherwise, in a long burst,
+     * tasks always seem about to get room, and no machine is requested for them.
      */
     private boolean prefersNewMachine(MachineVariant variant, long startMs) {
       return startMs > now + LATE_START_MS && VariantSelector.isCheap(variant, types);
     }
 
-    /** Places a task on a pending or newly requested machine; false when there is none. */
+    /**
+     * Places a task on a pending or newly requested machine; false when none has room and no more
+     * may be requested.
+     */
     private boolean placeOnNewMachine(MachineVariant variant) {
-      while (nextNewMachine < machines.size() && !hasRoom(machines.get(nextNewMachine))) {
-        nextNewMachine++;
+      while (nextNewMachineIndex < machines.size() && !hasRoom(machines.get(nextNewMachineIndex))) {
+        nextNewMachineIndex++;
       }
-      if (nextNewMachine == machines.size()) {
+      if (nextNewMachineIndex == machines.size()) {
         if (!mayRequest(variant)) {
           return false;
         }
         request(variant);
       }
-      ForecastMachine machine = machines.get(nextNewMachine);
+      ForecastMachine machine = machines.get(nextNewMachineIndex);
       machine.place(job.spec, machine.availableMs());
       return true;
     }
@@ -286,14 +301,16 @@
       return job.allowsZone(machine.variant().zone()) && machine.fitsNow(job.spec);
     }
 
-    /** True when a machine requested now would bring a late start forward enough. */
+    /**
+     * True when the start is too late and a machine requested now would be early enough to help.
+     */
     private boolean isWorthRequesting(MachineVariant variant, long startMs) {
       long readyMs = now + variant.plannedBootMs();
       if (startMs <= readyMs + MIN_GAIN_MS) {
         return false;
       }
       if (VariantSelector.isCheap(variant, types)) {
-        return true; // Waiting saves nothing where machines are cheap.
+        return true; // Waiting for a cheaper machine would save almost nothing.
       }
       double fetchS = job.spec.imageGb() / variant.type().fetchGbPerS();
       double readyS = (readyMs - job.eligibleSinceMs()) / 1000.0 + fetchS;
--- a/src/main/java/org/mallowroad/core/autoscaling/VariantSelector.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/VariantSelector.java
@@ -6,12 +6,12 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.health.FailureDetector;
 
-/** Chooses the machine variant to request, by price and by what the cloud refused lately. */
+/** Selects the machine variant to request by price, without variants that the cloud refused. */
 final class VariantSelector {
-  /** A variant is cheap when a CPU costs up to this multiple of the cheapest CPU there is. */
+  /** A variant is cheap when its price per CPU is at most this multiple of the lowest one. */
   private static final double CHEAP_PRICE_FACTOR = 2;
 
-  /** Raises the cost for each requested machine, to spread equal prices over the zones. */
+  /** Relative cost added for each requested machine, to spread equal prices over the zones. */
   private static final double SPREAD_FACTOR = 1e-5;
 
   private final FailureDetector failureDetector;
@@ -22,19 +22,19 @@
     this.refusals = refusals;
   }
 
-  /** True when a machine of the type may be requested in any of its zones. */
+  /** True when a machine of the type may be requested in any of its zones, on-demand or spot. */
   boolean isObtainable(MachineType type, long now) {
     for (int zone : type.zones()) {
       if (!failureDetector.isPartitioned(zone)
-          && (!refusals.isActive(new MachineVariant(type, zone, true), now)
-              || !refusals.isActive(new MachineVariant(type, zone, false), now))) {
+          && (!refusals.isBackingOff(new MachineVariant(type, zone, true), now)
+              || !refusals.isBackingOff(new MachineVariant(type, zone, false), now))) {
         return true;
       }
     }
     return false;
   }
 
-  /** True when a CPU of the variant costs little more than the cheapest one of all types. */
+  /** True when the variant's price per CPU is close to the lowest one of all types. */
   static boolean isCheap(MachineVariant variant, List<MachineType> types) {
     double lowestPrice = Double.MAX_VALUE;
     for (MachineType type : types) {
@@ -44,10 +44,11 @@
   }
 
   /**
-   * The variant on which the job's waiting tasks cost least, as far as they fill a machine; null
-   * when none is available.
+   * The available variant with the lowest cost per task; null when none is available. The cost of a
+   * machine is divided by the number of the job's waiting tasks that fit on it.
    *
-   * @param requested machines requested in this cycle
+   * @param tasks number of waiting tasks of the job
+   * @param requested number of machines already requested in this cycle, by variant
    */
   MachineVariant cheapestFor(
       Job job,
@@ -71,7 +72,7 @@
               || !job.allowsZone(zone)) {
             continue;
           }
-          // Equal prices spread over the zones, so that the loss of one zone costs less.
+          // Equal prices are spread over the zones, so that the failure of one zone costs less.
           double cost = variant.price() / capacity * (1 + SPREAD_FACTOR * count);
           if (cost < lowestCost) {
             lowestCost = cost;
@@ -89,8 +90,8 @@
   }
 
   /**
-   * The cheapest variant that fits any job of the queue; null while it is refused, since low spare
-   * capacity alone is no reason to request a more expensive one.
+   * The cheapest variant that fits any job of the queue; null while that variant backs off, since
+   * low spare capacity alone does not justify requesting a more expensive one.
    */
   MachineVariant cheapestForQueue(List<Job> queue, List<MachineType> types, long now) {
     MachineVariant cheapest = null;
@@ -101,18 +102,18 @@
       }
       for (int zone : type.zones()) {
         if (failureDetector.isPartitioned(zone)) {
-          continue; // Machines there could not reach this leader.
+          continue; // Machines in a partitioned zone could not reach this leader.
         }
         for (int k = 0; k < 2; k++) {
           MachineVariant variant = new MachineVariant(type, zone, k == 0);
           if (variant.price() < lowestPrice
-              || (variant.price() == lowestPrice && refusals.isActive(cheapest, now))) {
+              || (variant.price() == lowestPrice && refusals.isBackingOff(cheapest, now))) {
             lowestPrice = variant.price();
             cheapest = variant;
           }
         }
       }
     }
-    return cheapest == null || refusals.isActive(cheapest, now) ? null : cheapest;
+    return cheapest == null || refusals.isBackingOff(cheapest, now) ? null : cheapest;
   }
 }
--- a/src/main/java/org/mallowroad/core/cancellation/PendingCancellationNotices.java
+++ b/src/main/java/org/mallowroad/core/cancellation/PendingCancellationNotices.java
@@ -8,25 +8,26 @@
 /**
  * Cancellation notices that a node still has to send to its peers.
  *
- * <p>A cancellation is final, so a notice of it is true whenever and however often it arrives. No
- * guarantee depends on its arrival: {@link CancellationView} alone bounds how long cancelled tasks
- * run. Notices are therefore bounded in number and in time.
+ * <p>A cancellation is final, so its notice is valid however late and however often it arrives. No
+ * guarantee depends on its delivery, since {@link CancellationView} alone bounds how long cancelled
+ * tasks run. The number of notices and the time that they are kept are therefore bounded.
  *
- * <p>Peers are dense indices. Not thread-safe: confined to the controller's event loop.
+ * <p>Peers are identified by dense indices. Not thread-safe: confined to the controller's event
+ * loop.
  */
 public final class PendingCancellationNotices {
-  /** Most notices that are kept for a peer; beyond, the oldest are dropped. */
+  /** Most notices that are kept for a peer; when there are more, the oldest are dropped. */
   public static final int MAX_PENDING = 2_000;
 
-  /** Most jobs in one message: at 16 bytes an id far below the size limit of peer messages. */
+  /** Most jobs in one message; with ids of 16 bytes far below the size limit of peer messages. */
   public static final int MAX_BATCH = 500;
 
   private final long expiryMs;
 
-  /** For each peer the jobs to send with the times at which they were added, oldest first. */
+  /** By peer: the ids of the jobs to send, and the times at which they were added; oldest first. */
   private final List<Object2LongLinkedOpenHashMap<String>> pending = new ArrayList<>();
 
-  /** For each peer whether a message is on its way. */
+  /** By peer: whether a message was sent and is not completed yet. */
   private final boolean[] sending;
 
   /**
@@ -43,37 +44,38 @@
     }
   }
 
-  /** Adds a notice of a cancelled job for each peer. */
-  public void add(String job, long now) {
+  /** Adds a notice of a cancelled job for all peers. */
+  public void add(String jobId, long now) {
     for (int peer = 0; peer < pending.size(); peer++) {
-      add(peer, job, now);
+      add(peer, jobId, now);
     }
   }
 
   /** Adds a notice of a cancelled job for one peer. */
-  public void add(int peer, String job, long now) {
-    Object2LongLinkedOpenHashMap<String> jobs = pending.get(peer);
-    jobs.putIfAbsent(job, now);
-    if (jobs.size() > MAX_PENDING) {
-      jobs.removeFirstLong();
+  public void add(int peer, String jobId, long now) {
+    Object2LongLinkedOpenHashMap<String> jobIds = pending.get(peer);
+    jobIds.putIfAbsent(jobId, now);
+    if (jobIds.size() > MAX_PENDING) {
+      jobIds.removeFirstLong();
     }
   }
 
   /**
-   * Takes the jobs of the next message to a peer; empty when there are none, or while an earlier
-   * message is on its way. A batch that is not empty ends with {@link #completeBatch}.
+   * Returns the ids of the jobs of the next message to a peer. The batch is empty when there are no
+   * notices, or while an earlier message to the peer is not completed. The caller must complete
+   * each batch that is not empty by {@link #completeBatch}.
    */
   public List<String> takeBatch(int peer, long now) {
-    Object2LongLinkedOpenHashMap<String> jobs = pending.get(peer);
-    while (!jobs.isEmpty() && now - jobs.getLong(jobs.firstKey()) > expiryMs) {
-      jobs.removeFirstLong();
+    Object2LongLinkedOpenHashMap<String> jobIds = pending.get(peer);
+    while (!jobIds.isEmpty() && now - jobIds.getLong(jobIds.firstKey()) > expiryMs) {
+      jobIds.removeFirstLong();
     }
-    if (sending[peer] || jobs.isEmpty()) {
+    if (sending[peer] || jobIds.isEmpty()) {
       return List.of();
     }
     sending[peer] = true;
     List<String> batch = new ArrayList<>();
-    for (Object2LongMap.Entry<String> entry : jobs.object2LongEntrySet()) {
+    for (Object2LongMap.Entry<String> entry : jobIds.object2LongEntrySet()) {
       if (batch.size() >= MAX_BATCH) {
         break;
       }
@@ -82,15 +84,15 @@
     return batch;
   }
 
-  /** Ends a message to a peer; its jobs are sent again unless they were acknowledged. */
-  public void completeBatch(int peer, List<String> jobs, boolean acknowledged) {
+  /** Completes a message to a peer; its jobs are sent again unless the peer acknowledged them. */
+  public void completeBatch(int peer, List<String> jobIds, boolean acknowledged) {
     sending[peer] = false;
     if (acknowledged) {
-      jobs.forEach(pending.get(peer)::removeLong);
+      jobIds.forEach(pending.get(peer)::removeLong);
     }
   }
 
-  /** Number of notices that are kept for a peer. */
+  /** Number of notices that are still to be sent to a peer, or not acknowledged. */
   public int pendingCount(int peer) {
     return pending.get(peer).size();
   }
--- a/src/main/java/org/mallowroad/core/gang/GangCandidates.java
+++ b/src/main/java/org/mallowroad/core/gang/GangCandidates.java
@@ -10,23 +10,27 @@
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.ResourceVector;
 
-/** Finds the machines on which tasks of a gang have room, now or once running tasks have ended. */
+/**
+ * Finds the machines that have room for tasks of a gang, now or after running tasks have ended.
+ *
+ * <p>A slot is room for one task of the gang. A negative zone means the whole fleet.
+ */
 final class GangCandidates {
-  /** A stopping task is assumed to be gone this long after its time to save progress. */
+  /** A stopping task is assumed to end this long after its time to save progress is over. */
   private static final long STOP_MARGIN_MS = 2_000;
 
-  /** A task that overruns its estimate is assumed to need this share of the estimate more. */
+  /** A task is assumed to need at least this share of its estimate more, even if it overruns. */
   private static final double MIN_REMAINING_SHARE = 0.25;
 
   /**
-   * Room on a machine.
+   * A machine with room for tasks of the gang.
    *
-   * @param places tasks of the gang that have room
-   * @param availableAtMs when all of these places are free
+   * @param slots tasks of the gang that have room
+   * @param availableAtMs when all of these slots are free
    */
-  record Candidate(Machine machine, int places, long availableAtMs) {}
+  record Candidate(Machine machine, int slots, long availableAtMs) {}
 
-  /** The expected end of an attempt, which releases the resources of its job's task. */
+  /** The expected end of an attempt, which releases the resources of one task of its job. */
   private record Release(long atMs, JobSpec spec) {}
 
   private final MachinePool machinePool;
@@ -35,26 +39,26 @@
     this.machinePool = machinePool;
   }
 
-  /** Machines of the zone with room for tasks of the gang until {@code byMs}, soonest first. */
+  /** Machines of the zone that have slots by the time {@code byMs}, earliest available first. */
   List<Candidate> candidates(Job job, int zone, long now, long byMs) {
     List<Candidate> candidates = new ArrayList<>();
     for (Machine machine : machinePool.machines()) {
       if ((zone < 0 || machine.zone == zone) && isEligible(job, machine, now)) {
         Candidate candidate = candidate(job, machine, now, byMs);
-        if (candidate.places > 0) {
+        if (candidate.slots > 0) {
           candidates.add(candidate);
         }
       }
     }
     candidates.sort(
-        Comparator.comparingLong((Candidate c) -> c.availableAtMs)
-            .thenComparingInt(c -> c.machine.isEmpty() ? 0 : 1)
-            .thenComparingInt(c -> c.machine.spot ? 1 : 0)
-            .thenComparing(c -> c.machine.name));
+        Comparator.comparingLong((Candidate candidate) -> candidate.availableAtMs)
+            .thenComparingInt(candidate -> candidate.machine.isEmpty() ? 0 : 1)
+            .thenComparingInt(candidate -> candidate.machine.spot ? 1 : 0)
+            .thenComparing(candidate -> candidate.machine.name));
     return candidates;
   }
 
-  /** True when the machine may be reserved for the gang at all. */
+  /** True when the machine may be reserved for the gang, whether or not it has room now. */
   boolean isEligible(Job job, Machine machine, long now) {
     return (machine.reservedFor == null || machine.reservedFor == job)
         && !machine.health.isSuspect()
@@ -65,8 +69,8 @@
 
   private static Candidate candidate(Job job, Machine machine, long now, long byMs) {
     ResourceVector free = machine.copyFreeResources();
-    int maxPlaces = job.waitingCount();
-    int places = free.capacityFor(job.spec, maxPlaces);
+    int maxSlots = job.waitingCount();
+    int slots = free.capacityFor(job.spec, maxSlots);
     long availableAtMs = now;
     if (byMs > now) {
       for (Release release : releases(machine, now)) {
@@ -74,14 +78,14 @@
           break;
         }
         free.add(release.spec, 1);
-        int morePlaces = free.capacityFor(job.spec, maxPlaces);
-        if (morePlaces > places) {
-          places = morePlaces;
+        int moreSlots = free.capacityFor(job.spec, maxSlots);
+        if (moreSlots > slots) {
+          slots = moreSlots;
           availableAtMs = release.atMs;
         }
       }
     }
-    return new Candidate(machine, places, availableAtMs);
+    return new Candidate(machine, slots, availableAtMs);
   }
 
   private static List<Release> releases(Machine machine, long now) {
@@ -107,31 +111,33 @@
     return now + (long) (remainingS * 1000);
   }
 
-  /** Tasks of the gang that have room on the candidates, within its limit for each zone. */
-  int totalPlaces(Job job, Collection<Candidate> candidates) {
-    int[] placesInZone = new int[machinePool.zones()];
+  /**
+   * Slots on all candidates, at most the gang's limit in each zone and its waiting tasks in all.
+   */
+  int totalSlots(Job job, Collection<Candidate> candidates) {
+    int[] slotsByZone = new int[machinePool.zones()];
     int total = 0;
     for (Candidate candidate : candidates) {
-      int places = Math.max(0, placesWithinZoneLimit(job, candidate, placesInZone));
-      placesInZone[candidate.machine.zone] += places;
-      total += places;
+      int slots = Math.max(0, slotsWithinZoneLimit(job, candidate, slotsByZone));
+      slotsByZone[candidate.machine.zone] += slots;
+      total += slots;
     }
     return Math.min(total, job.waitingCount());
   }
 
   /**
-   * When the existing machines have room for the whole gang.
+   * The time at which the existing machines have room for all waiting tasks of the gang.
    *
-   * @param byMs candidates that have room later are not considered
-   * @return {@code Long.MAX_VALUE} when they have not by then
+   * @param byMs room that becomes available later is not considered
+   * @return {@code Long.MAX_VALUE} when there is not enough room by {@code byMs}
    */
   long completeAtMs(Job job, int zone, long now, long byMs) {
-    int[] placesInZone = new int[machinePool.zones()];
+    int[] slotsByZone = new int[machinePool.zones()];
     int total = 0;
     for (Candidate candidate : candidates(job, zone, now, byMs)) {
-      int places = Math.max(0, placesWithinZoneLimit(job, candidate, placesInZone));
-      placesInZone[candidate.machine.zone] += places;
-      total += places;
+      int slots = Math.max(0, slotsWithinZoneLimit(job, candidate, slotsByZone));
+      slotsByZone[candidate.machine.zone] += slots;
+      total += slots;
       if (total >= job.waitingCount()) {
         return candidate.availableAtMs;
       }
@@ -139,9 +145,13 @@
     return Long.MAX_VALUE;
   }
 
-  /** Places of the candidate that the gang's limit for the zone leaves; may be negative. */
-  static int placesWithinZoneLimit(Job job, Candidate candidate, int[] placesInZone) {
+  /**
+   * Slots of the candidate within the gang's limit for its zone; may be negative.
+   *
+   * @param slotsByZone slots already used in each zone
+   */
+  static int slotsWithinZoneLimit(Job job, Candidate candidate, int[] slotsByZone) {
     return Math.min(
-        candidate.places, job.spec.maxTasksPerZone() - placesInZone[candidate.machine.zone]);
+        candidate.slots, job.spec.maxTasksPerZone() - slotsByZone[candidate.machine.zone]);
   }
 }
--- a/src/main/java/org/mallowroad/core/gang/GangMachineOffers.java
+++ b/src/main/java/org/mallowroad/core/gang/GangMachineOffers.java
@@ -8,15 +8,20 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.autoscaling.MachineVariant;
 
-/** What the cloud can add for a gang: the cheapest variant, its boot time, and how many tasks. */
+/**
+ * The machines that the cloud can provide for a gang: the cheapest variant, its boot time, and how
+ * many tasks fit on the machines that are still available.
+ *
+ * <p>A negative zone means the whole fleet.
+ */
 final class GangMachineOffers {
-  /** No machine of a variant is requested for this long after the cloud refused one. */
-  private static final long REFUSAL_MS = 20_000;
+  /** A variant is not requested for this long after the cloud refused it. */
+  private static final long REFUSAL_BACKOFF_MS = 20_000;
 
-  /** The number of machines of a variant when it was refused is its limit for this long. */
-  private static final long LIMIT_MS = 120_000;
+  /** How long the number of machines at a refusal is used as the variant's limit. */
+  private static final long VARIANT_LIMIT_TTL_MS = 120_000;
 
-  /** The most machines of a variant that the cloud is known to provide, valid until a time. */
+  /** Most machines of a variant that the cloud is assumed to provide, until a time. */
   private record VariantLimit(long untilMs, long machines) {}
 
   private final MachinePool machinePool;
@@ -29,52 +34,56 @@
     this.machinePool = machinePool;
   }
 
-  /** Updates the machine types that the cloud offers. */
+  /** Sets the machine types that the cloud offers. */
   void setTypes(List<MachineType> offered) {
     types = offered;
   }
 
   /** True once the offered machine types are known. */
-  boolean isKnown() {
+  boolean hasTypes() {
     return !types.isEmpty();
   }
 
-  /** Counts spot interruptions since the last call. */
+  /** Updates the rate of spot interruptions. */
   void observeInterruptions(long now) {
     interruptions.observe(machinePool.machines(), now);
   }
 
-  /** Records that the cloud had fewer machines than requested; {@code total} is what there is. */
+  /**
+   * Records that the cloud provided fewer machines than requested.
+   *
+   * @param total number of machines of the variant at that time, including pending ones
+   */
   void recordRefusal(MachineVariant variant, int total, long now) {
-    refusedUntilMs.put(variant.key(), now + REFUSAL_MS);
-    limits.put(variant.key(), new VariantLimit(now + LIMIT_MS, total));
+    refusedUntilMs.put(variant.key(), now + REFUSAL_BACKOFF_MS);
+    limits.put(variant.key(), new VariantLimit(now + VARIANT_LIMIT_TTL_MS, total));
   }
 
-  /** The boot time of a machine requested now for the gang; -1 where none can be requested. */
+  /** Planned boot time of a machine requested now for the gang; -1 when none can be requested. */
   long bootMs(JobSpec spec, int zone, long now) {
     MachineVariant variant = cheapestVariant(spec, zone, now);
     return variant == null ? -1 : variant.plannedBootMs();
   }
 
   /**
-   * The most tasks that machines requested now could have room for. Of a variant that was refused
-   * the cloud has no more than there were then: it may only replace what was lost since.
+   * Upper bound of the tasks that fit on machines requested now. For a variant that was refused the
+   * cloud is assumed to provide only replacements of machines that were lost since the refusal.
    */
-  long attainablePlaces(JobSpec spec, int zone, long now) {
-    long sum = 0;
+  long attainableSlots(JobSpec spec, int zone, long now) {
+    long total = 0;
     for (MachineType type : types) {
       for (int typeZone : type.zones()) {
         if ((zone >= 0 && typeZone != zone) || !type.fits(spec)) {
           continue;
         }
-        sum += attainablePlaces(spec, new MachineVariant(type, typeZone, true), now);
-        sum += attainablePlaces(spec, new MachineVariant(type, typeZone, false), now);
+        total += attainableSlots(spec, new MachineVariant(type, typeZone, true), now);
+        total += attainableSlots(spec, new MachineVariant(type, typeZone, false), now);
       }
     }
-    return sum;
+    return total;
   }
 
-  private long attainablePlaces(JobSpec spec, MachineVariant variant, long now) {
+  private long attainableSlots(JobSpec spec, MachineVariant variant, long now) {
     if (!spec.allows(variant.type().index(), variant.zone(), variant.spot())) {
       return 0;
     }
@@ -99,8 +108,8 @@
   }
 
   /**
-   * The variant on which the gang costs least, restarts after spot interruptions included; null
-   * when none may be requested in the zone.
+   * The variant on which the gang costs least, including expected restarts after spot
+   * interruptions; null when none may be requested in the zone.
    */
   MachineVariant cheapestVariant(JobSpec spec, int zone, long now) {
     MachineVariant cheapest = null;
@@ -110,8 +119,8 @@
         continue;
       }
       int capacity = Math.max(1, Math.min(spec.tasks(), type.capacityFor(spec)));
-      // The interruption of one machine ends the run of all: spot may cost more in the end.
-      double runs =
+      // One spot interruption restarts the whole gang, so spot machines may cost more in total.
+      double expectedRuns =
           interruptions.expectedRuns((spec.tasks() + capacity - 1) / capacity, spec.estimateS());
       for (int typeZone : type.zones()) {
         if ((zone >= 0 && typeZone != zone)
@@ -120,7 +129,7 @@
         }
         for (int k = 0; k < 2; k++) {
           MachineVariant variant = new MachineVariant(type, typeZone, k == 0);
-          double cost = variant.price() * (variant.spot() ? runs : 1) / capacity;
+          double cost = variant.price() * (variant.spot() ? expectedRuns : 1) / capacity;
           if (spec.allows(type.index(), typeZone, variant.spot())
               && refusedUntilMs.get(variant.key()) <= now
               && cost < lowestCost) {
--- a/src/main/java/org/mallowroad/core/gang/GangReservation.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservation.java
@@ -4,14 +4,14 @@
 import org.mallowroad.core.Job;
 import org.mallowroad.core.Machine;
 
-/** The machines reserved for one gang in one place, until all of its tasks can start. */
+/** The machines reserved for one gang, in one zone or the whole fleet, until it can start. */
 final class GangReservation {
-  /** The zone of a reservation that may take machines of the whole fleet. */
+  /** The zone of a reservation whose scope is the whole fleet. */
   static final int ANY_ZONE = -1;
 
   final Job job;
 
-  /** The zone in which machines are reserved, or {@link #ANY_ZONE}. */
+  /** The only zone in which machines may be reserved, or {@link #ANY_ZONE}. */
   final int zone;
 
   final long sinceMs;
@@ -19,13 +19,13 @@
   /** Machines requested from the cloud for this reservation so far. */
   int requestedMachines;
 
-  /** Tasks that have room on the reserved machines. */
-  int places;
+  /** Tasks of the gang that have room on the reserved machines. */
+  int slots;
 
-  /** Tasks that will have room on the pending machines requested for this gang. */
-  int pendingPlaces;
+  /** Tasks of the gang that have room on the pending machines requested for it. */
+  int pendingSlots;
 
-  /** When the machines were last chosen among all candidates. */
+  /** When the machines were last selected among all candidates. */
   long lastSelectionMs = Long.MIN_VALUE / 2;
 
   private final ReferenceLinkedOpenHashSet<Machine> machines = new ReferenceLinkedOpenHashSet<>();
@@ -36,8 +36,8 @@
     this.sinceMs = now;
   }
 
-  /** Tasks of the gang that have not been started. */
-  int neededPlaces() {
+  /** Tasks of the gang that wait to be started. */
+  int neededSlots() {
     return job.waitingCount();
   }
 
@@ -46,19 +46,19 @@
     return zone < 0 || machineZone == zone;
   }
 
-  /** The reserved machines in the order of their reservation; a copy. */
+  /** A copy of the reserved machines, in the order in which they were reserved. */
   Machine[] machines() {
     return machines.toArray(new Machine[0]);
   }
 
-  /** Reserves a machine; other jobs are refused on it from now on. */
+  /** Reserves a machine, which from then on refuses tasks of other jobs. */
   void add(Machine machine) {
     if (machines.add(machine)) {
       machine.reservedFor = job;
     }
   }
 
-  /** Releases a machine; no effect when it is not reserved here. */
+  /** Releases a machine; no effect when this reservation does not contain it. */
   void release(Machine machine) {
     if (machines.remove(machine) && machine.reservedFor == job) {
       machine.reservedFor = null;
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -16,57 +16,72 @@
 /**
  * Reserves machines for gangs until all tasks of a gang can start at once.
  *
- * <p>Average spare capacity hides that it is in pieces too small for a gang, and capacity that is
- * released one machine after the other goes to whatever fits there. So a waiting gang reserves
- * machines: in one zone where its tasks must be together, else in the whole fleet. A reserved
- * machine takes nothing else, and what is lacking is requested from the cloud once, in that place.
- * A reservation only makes {@code SchedulerState.startRefusal} refuse other jobs on the machine;
- * all other placement rules are elsewhere.
+ * <p>Without reservations a gang may starve: the average spare capacity may be large and yet split
+ * into pieces too small for the gang, and each machine that running tasks release is taken by the
+ * next task that fits there. So a waiting gang reserves machines as they become available. The
+ * scope of a reservation is one zone if the gang's tasks must run together, otherwise the whole
+ * fleet. A reserved machine takes no tasks of other jobs, and the machines that are missing are
+ * requested from the cloud once, in the same scope. A reservation only makes {@code
+ * SchedulerState.startRefusal} refuse other jobs on the machine; it affects no other placement
+ * rule.
  *
- * <p><b>No deadlock, and a bounded number of requests.</b> At a time there is one reservation in a
- * zone and one more in the whole fleet; a machine is reserved for one gang. A reservation ends when
- * the gang starts, when the place cannot complete it (the cloud refuses what it lacks and what runs
- * there ends too late), or after {@link #MAX_RESERVATION_MS}; then all its machines are released,
- * and the gang avoids the place for {@link PlaceBackoff#INITIAL_MS}, doubled each time. A
- * reservation requests no more than twice the machines that the gang fills and {@link
- * #EXTRA_REQUESTS} more. So two gangs that together exceed a zone start one after the other, or in
- * two zones, and a gang that cannot be placed requests a bounded number of machines in each of
- * these periods.
+ * <p><b>No deadlock, and a bounded number of requests.</b> There is at most one reservation for
+ * each zone and one for the whole fleet at a time, and a machine is reserved for at most one gang.
+ * A reservation ends when the gang starts, when it cannot be completed in its scope (the cloud
+ * refuses the missing machines and the tasks running there end too late), or after {@link
+ * #MAX_RESERVATION_MS}. Then all its machines are released. After a failure the gang avoids that
+ * scope for {@link ZoneBackoff#INITIAL_MS}, doubled with each further failure. A reservation
+ * requests at most twice the number of machines that the gang fills, plus {@link #EXTRA_REQUESTS}.
+ * Hence two gangs that together exceed the capacity of a zone start one after the other, or in two
+ * zones, and a gang that cannot be placed requests a bounded number of machines per reservation.
  *
- * <p>Reservations last for one term: the next leader begins anew, with the place that has the most
- * capacity; machines that were requested for a gang are known by their records ({@code
- * PendingMachines#gangId}). Confined to the thread of the event loop.
+ * <p>Reservations are not persisted: the next leader makes new ones, beginning with the scope in
+ * which the gang can start first, or if several are equal the one with the most room. Machines that
+ * were requested for a gang are known from their records ({@code PendingMachines#gangId}). Not
+ * thread-safe: confined to the event loop.
  */
 public final class GangReservations {
-  /** A reservation that is not complete after this time is given up. */
+  /** A reservation that is not complete after this time fails. */
   public static final long MAX_RESERVATION_MS = 210_000;
 
-  /** Machines that may be requested beyond twice what is needed, for those that never boot. */
+  /** Machines that may be requested beyond twice the needed number, to replace failed boots. */
   static final int EXTRA_REQUESTS = 4;
 
   /**
-   * How long to wait for running tasks to end where the cloud has no more machines. The longest
-   * tasks that are in the way of a gang run for about as long; with half of it gangs repeatedly
-   * gave up reservations that were nearly complete (docs/incidents, gangs-gave-up).
+   * How long to wait for running tasks to end when the cloud has no more machines. The longest
+   * tasks that block a gang run for about this long. With half of this value gangs repeatedly gave
+   * up reservations that were nearly complete (docs/incidents, gangs-gave-up).
    */
   private static final long RELEASE_HORIZON_MS = 200_000;
 
-  /** From this many machines on, some more are requested for those that never boot. */
+  /** Requests for at least this many machines include spares for failed boots. */
   private static final int MIN_OVERPROVISIONED_MACHINES = 8;
 
-  /** The share of requested machines that is expected never to boot, or late. */
+  /** Share of requested machines that are expected to boot late or never. */
   private static final double EXPECTED_BOOT_FAILURE_SHARE = 0.06;
 
-  /** The shortest time between two selections of a reservation's machines. */
+  /** Shortest time between two selections of a reservation's machines among all candidates. */
   private static final long SELECTION_INTERVAL_MS = 1_000;
 
-  /** The most concurrent reservations; further gangs wait. Also bounds the undrained changes. */
+  /**
+   * Most concurrent reservations; further gangs wait. Also the most changes that are kept until
+   * they are drained.
+   */
   private static final int MAX_RESERVATIONS = 32;
 
-  /** An attempt with a higher number is not preempted again. */
+  /** An attempt with a higher number is not preempted, so that no task is preempted without end. */
   private static final int MAX_PREEMPTIBLE_ATTEMPT = 3;
 
-  /** How a gang's reservation stands, for the explanation of pending tasks. */
+  /**
+   * The progress of a gang's reservation, for the explanation of pending tasks.
+   *
+   * @param zone the zone of the reservation, negative for the whole fleet
+   * @param slots tasks of the gang that have room on the reserved machines
+   * @param neededSlots tasks of the gang that are to be started
+   * @param requestedMachines machines requested from the cloud for this reservation
+   * @param endsAtMs when the reservation fails unless it is complete, or the end of the backoff
+   * @param isBackingOff true while the gang avoids the zone after a failed reservation
+   */
   public record ReservationStatus(
       int zone,
       int slots,
@@ -75,16 +90,21 @@
       long endsAtMs,
       boolean isBackingOff) {}
 
-  /** A state transition of a reservation, for the log. */
+  /**
+   * A state transition of a reservation, for the log.
+   *
+   * @param zone the zone of the reservation, negative for the whole fleet
+   * @param durationMs how long the reservation had existed, in milliseconds
+   */
   public record Change(
       Job job, int zone, Transition transition, int slots, int neededSlots, long durationMs) {
-    /** The transition; its name is part of the log event. */
+    /** The kinds of transitions; their names are part of the names of log events. */
     public enum Transition {
-      /** The reservation begins. */
+      /** The reservation was made. */
       GATHERS,
-      /** All tasks were placed, or the gang may no longer start. */
+      /** The reservation ended: all tasks were placed, or the gang may no longer start. */
       ENDS,
-      /** The place cannot complete the reservation, or it took too long. */
+      /** The reservation failed: it cannot be completed in its scope, or it took too long. */
       GIVES_UP
     }
   }
@@ -94,47 +114,48 @@
   private final GangMachineOffers offers;
   private final Reference2ObjectLinkedOpenHashMap<Job, GangReservation> reservations =
       new Reference2ObjectLinkedOpenHashMap<>();
-  private final Reference2ObjectLinkedOpenHashMap<Job, PlaceBackoff> backoffs =
+  private final Reference2ObjectLinkedOpenHashMap<Job, ZoneBackoff> backoffs =
       new Reference2ObjectLinkedOpenHashMap<>();
   private final List<Change> changes = new ArrayList<>();
 
-  /** Without reservations, over the machines of one term. */
+  /** Creates an empty set of reservations on the machines of one leader term. */
   public GangReservations(MachinePool machinePool) {
     this.machinePool = machinePool;
     this.candidates = new GangCandidates(machinePool);
     this.offers = new GangMachineOffers(machinePool);
   }
 
-  /** The number of current reservations. */
+  /** Number of current reservations. */
   public int size() {
     return reservations.size();
   }
 
-  /** How the job's reservation stands; null when it never had one. */
+  /** The job's current reservation, or else its latest failed one; null when it has neither. */
   public ReservationStatus status(Job job, long now) {
     GangReservation reservation = reservations.get(job);
     if (reservation != null) {
       return new ReservationStatus(
           reservation.zone,
-          reservation.places,
-          reservation.neededPlaces(),
+          reservation.slots,
+          reservation.neededSlots(),
           reservation.requestedMachines,
           reservation.sinceMs + MAX_RESERVATION_MS,
           false);
     }
-    PlaceBackoff backoff = backoffs.get(job);
+    ZoneBackoff backoff = backoffs.get(job);
     if (backoff == null || !backoff.hasFailures()) {
       return null;
     }
-    long until = backoff.untilMs(backoff.latestZone);
-    return new ReservationStatus(backoff.latestZone, 0, job.waitingCount(), 0, until, until > now);
+    long untilMs = backoff.untilMs(backoff.latestZone);
+    return new ReservationStatus(
+        backoff.latestZone, 0, job.waitingCount(), 0, untilMs, untilMs > now);
   }
 
   /**
-   * Updates the reservations; to be called before tasks are placed.
+   * Ends, makes and updates reservations; called before tasks are placed in each placement pass.
    *
-   * @param queue jobs that wait, in the order in which they get capacity
-   * @param mayStart whether a gang may start: neither held back nor beyond its team's limit
+   * @param queue jobs with waiting tasks, in placement order
+   * @param mayStart whether a gang may start: it is not backing off and within its team's limit
    */
   public void updateReservations(List<Job> queue, Predicate<Job> mayStart, long now) {
     offers.observeInterruptions(now);
@@ -142,7 +163,7 @@
       backoffs.clear();
       return;
     }
-    endFinished(mayStart, now);
+    endFinishedReservations(mayStart, now);
     backoffs.keySet().removeIf(j -> !j.hasWaitingTasks());
     for (Job job : queue) {
       if (!job.spec.gang()
@@ -152,33 +173,33 @@
       }
       GangReservation reservation = reservations.get(job);
       if (reservation == null && reservations.size() < MAX_RESERVATIONS) {
-        reservation = begin(job, now);
+        reservation = beginReservation(job, now);
       }
       if (reservation != null) {
-        update(reservation, now);
+        updateReservation(reservation, now);
       }
     }
   }
 
-  private void endFinished(Predicate<Job> mayStart, long now) {
+  private void endFinishedReservations(Predicate<Job> mayStart, long now) {
     for (GangReservation reservation : new ArrayList<>(reservations.values())) {
       if (!reservation.job.hasWaitingTasks() || !mayStart.test(reservation.job)) {
         recordChange(reservation, Change.Transition.ENDS, now);
-        end(reservation);
+        endReservation(reservation);
       }
     }
   }
 
-  /** Reserves in the place where the gang can start first; null where there is none. */
-  private GangReservation begin(Job job, long now) {
-    if (!offers.isKnown()) {
-      return null; // The first scaling cycle tells which machine types are offered.
+  /** Makes a reservation in the scope in which the gang can start first; null if there is none. */
+  private GangReservation beginReservation(Job job, long now) {
+    if (!offers.hasTypes()) {
+      return null; // The offered machine types are known after the first scaling cycle.
     }
-    PlaceBackoff backoff = backoffs.computeIfAbsent(job, j -> new PlaceBackoff());
+    ZoneBackoff backoff = backoffs.computeIfAbsent(job, j -> new ZoneBackoff());
     boolean found = false;
     int bestZone = GangReservation.ANY_ZONE;
     long bestStartMs = Long.MAX_VALUE;
-    int bestPlaces = -1;
+    int bestSlots = -1;
     int firstZone = job.spec.together() ? 0 : GangReservation.ANY_ZONE;
     int endZone = job.spec.together() ? machinePool.zones() : 0;
     for (int zone = firstZone; zone < endZone; zone++) {
@@ -186,18 +207,18 @@
         continue;
       }
       long bootMs = offers.bootMs(job.spec, zone, now);
-      int places = placesBy(job, zone, now, now + Math.max(0, bootMs));
+      int slots = slotsBy(job, zone, now, now + Math.max(0, bootMs));
       long startMs = candidates.completeAtMs(job, zone, now, now + RELEASE_HORIZON_MS);
       if (bootMs >= 0
-          && places + offers.attainablePlaces(job.spec, zone, now) >= job.waitingCount()) {
+          && slots + offers.attainableSlots(job.spec, zone, now) >= job.waitingCount()) {
         startMs = Math.min(startMs, now + bootMs);
       }
       if (startMs < bestStartMs
-          || (startMs == bestStartMs && startMs < Long.MAX_VALUE && places > bestPlaces)) {
+          || (startMs == bestStartMs && startMs < Long.MAX_VALUE && slots > bestSlots)) {
         found = true;
         bestZone = zone;
         bestStartMs = startMs;
-        bestPlaces = places;
+        bestSlots = slots;
       }
     }
     if (!found) {
@@ -210,7 +231,10 @@
     return reservation;
   }
 
-  /** True when no other gang reserves there and the job's zone rules and partitions allow it. */
+  /**
+   * True when no other gang has a reservation with this scope, the job's zone rules allow the zone,
+   * and the zone is not partitioned.
+   */
   private boolean mayReserveIn(Job job, int zone) {
     if (hasReservationIn(zone)) {
       return false;
@@ -233,12 +257,12 @@
     return false;
   }
 
-  private int placesBy(Job job, int zone, long now, long byMs) {
-    return candidates.totalPlaces(job, candidates.candidates(job, zone, now, byMs));
+  private int slotsBy(Job job, int zone, long now, long byMs) {
+    return candidates.totalSlots(job, candidates.candidates(job, zone, now, byMs));
   }
 
-  /** Reserves machines as far as the gang needs them, and releases the others. */
-  private void update(GangReservation reservation, long now) {
+  /** Reserves the machines that the gang needs, and releases those that it no longer needs. */
+  private void updateReservation(GangReservation reservation, long now) {
     for (Machine machine : reservation.machines()) {
       if (machinePool.machine(machine.name) != machine
           || !candidates.isEligible(reservation.job, machine, now)) {
@@ -253,10 +277,10 @@
     }
   }
 
-  /** Adds new and emptied machines: cheap enough for every placement pass. */
+  /** Reserves machines that are empty now. This is cheap enough for every placement pass. */
   private void addEmptyMachines(GangReservation reservation, long now) {
     for (Machine machine : machinePool.machines()) {
-      if (reservation.places >= reservation.neededPlaces() - reservation.pendingPlaces) {
+      if (reservation.slots >= reservation.neededSlots() - reservation.pendingSlots) {
         return;
       }
       if (machine.reservedFor == null
@@ -264,53 +288,54 @@
           && machine.isEmpty()
           && candidates.isEligible(reservation.job, machine, now)) {
         reservation.add(machine);
-        reservation.places += machine.type.capacityFor(reservation.job.spec);
+        reservation.slots += machine.type.capacityFor(reservation.job.spec);
       }
     }
   }
 
-  /** Chooses the reserved machines among all candidates, the soonest available first. */
+  /** Selects the reserved machines among all candidates, the earliest available first. */
   private void selectMachines(GangReservation reservation, long now) {
     Job job = reservation.job;
-    int wantedPlaces = reservation.neededPlaces() - reservation.pendingPlaces;
-    int[] placesInZone = new int[machinePool.zones()];
+    int wantedSlots = reservation.neededSlots() - reservation.pendingSlots;
+    int[] slotsByZone = new int[machinePool.zones()];
     int total = 0;
     for (GangCandidates.Candidate candidate :
         candidates.candidates(job, reservation.zone, now, selectionHorizonMs(reservation, now))) {
       Machine machine = candidate.machine();
-      int places = GangCandidates.placesWithinZoneLimit(job, candidate, placesInZone);
-      if (total >= wantedPlaces || places <= 0) {
+      int slots = GangCandidates.slotsWithinZoneLimit(job, candidate, slotsByZone);
+      if (total >= wantedSlots || slots <= 0) {
         reservation.release(machine);
         continue;
       }
-      placesInZone[machine.zone] += places;
-      total += places;
+      slotsByZone[machine.zone] += slots;
+      total += slots;
       reservation.add(machine);
       if (candidate.availableAtMs() > now) {
         preemptLowerPriority(job, machine, now);
       }
     }
-    reservation.places = Math.min(total, reservation.neededPlaces());
+    reservation.slots = Math.min(total, reservation.neededSlots());
   }
 
   /**
-   * Until when machines must have room to be reserved. While the cloud can add what is lacking,
-   * capacity that is released later than a new machine would boot is left to others. A variant that
-   * was refused a moment ago does not count as available: it is requested again later, and
-   * otherwise nothing that ends later than a boot would ever be reserved.
+   * The time by which a machine must have room to be reserved. While the cloud can provide the
+   * missing machines, capacity that is released later than a new machine would boot is left to
+   * other jobs. A variant that the cloud refused recently does not count as available, although it
+   * will be requested again: otherwise machines whose tasks end later than a boot would never be
+   * reserved.
    */
   private long selectionHorizonMs(GangReservation reservation, long now) {
     Job job = reservation.job;
     long bootMs = offers.bootMs(job.spec, reservation.zone, now);
     boolean cloudCanComplete =
         bootMs >= 0
-            && placesBy(job, reservation.zone, now, now + bootMs)
-                    + offers.attainablePlaces(job.spec, reservation.zone, now)
+            && slotsBy(job, reservation.zone, now, now + bootMs)
+                    + offers.attainableSlots(job.spec, reservation.zone, now)
                 >= job.waitingCount();
     return now + (cloudCanComplete ? bootMs : RELEASE_HORIZON_MS);
   }
 
-  /** Stops attempts of lower priority on a reserved machine; a larger number is lower. */
+  /** Preempts attempts of lower priority, which is a larger number, on a reserved machine. */
   private void preemptLowerPriority(Job job, Machine machine, long now) {
     for (Attempt attempt : machine.attempts()) {
       JobSpec spec = attempt.job.spec;
@@ -324,8 +349,11 @@
   }
 
   /**
-   * The machines to request now for what reservations lack. Reservations that cannot be completed
-   * are given up here, where it is known what the cloud has.
+   * Returns the requests for machines that reservations still need. Also fails the reservations
+   * that cannot be completed, since the pending and offered machines are known here.
+   *
+   * @param pending machines that were requested and have not booted yet
+   * @param offered the machine types that the cloud offers
    */
   public List<ScaleOutRequest> planScaleOut(
       List<PendingMachines> pending, List<MachineType> offered, long now) {
@@ -336,15 +364,15 @@
         giveUp(reservation, now);
         continue;
       }
-      reservation.pendingPlaces = pendingPlaces(reservation, pending);
-      int expectedPlaces = reservation.places + reservation.pendingPlaces;
-      int missingPlaces = reservation.neededPlaces() - expectedPlaces;
-      if (missingPlaces <= 0) {
+      reservation.pendingSlots = pendingSlots(reservation, pending);
+      int expectedSlots = reservation.slots + reservation.pendingSlots;
+      int missingSlots = reservation.neededSlots() - expectedSlots;
+      if (missingSlots <= 0) {
         continue;
       }
       MachineVariant variant = offers.cheapestVariant(reservation.job.spec, reservation.zone, now);
       if (variant != null) {
-        addRequests(reservation, variant, missingPlaces, requests);
+        addRequests(reservation, variant, missingSlots, requests);
       } else if (!canCompleteWithoutRequests(reservation, now)) {
         giveUp(reservation, now);
       }
@@ -352,34 +380,37 @@
     return requests;
   }
 
-  private static int pendingPlaces(GangReservation reservation, List<PendingMachines> pending) {
+  private static int pendingSlots(GangReservation reservation, List<PendingMachines> pending) {
     JobSpec spec = reservation.job.spec;
-    int places = 0;
+    int slots = 0;
     for (PendingMachines machines : pending) {
       MachineVariant variant = machines.variant();
       if (spec.id().equals(machines.gangId()) && reservation.covers(variant.zone())) {
-        places += machines.count() * Math.max(1, variant.type().capacityFor(spec));
+        slots += machines.count() * Math.max(1, variant.type().capacityFor(spec));
       }
     }
-    return places;
+    return slots;
   }
 
-  /** True when released capacity and the pending machines complete the reservation in time. */
+  /**
+   * True when the pending machines and the capacity that running tasks release in time complete the
+   * reservation.
+   */
   private boolean canCompleteWithoutRequests(GangReservation reservation, long now) {
-    int places = placesBy(reservation.job, reservation.zone, now, now + RELEASE_HORIZON_MS);
-    return places + reservation.pendingPlaces >= reservation.neededPlaces();
+    int slots = slotsBy(reservation.job, reservation.zone, now, now + RELEASE_HORIZON_MS);
+    return slots + reservation.pendingSlots >= reservation.neededSlots();
   }
 
   private static void addRequests(
       GangReservation reservation,
       MachineVariant variant,
-      int missingPlaces,
+      int missingSlots,
       List<ScaleOutRequest> requests) {
     JobSpec spec = reservation.job.spec;
     int capacity = Math.max(1, variant.type().capacityFor(spec));
     int maxRequested = 2 * ((spec.tasks() + capacity - 1) / capacity) + EXTRA_REQUESTS;
-    int machines = (missingPlaces + capacity - 1) / capacity;
-    // A machine that never boots delays all others by two boot times: a few more cost less.
+    int machines = (missingSlots + capacity - 1) / capacity;
+    // A failed boot delays the whole gang by two boot times, which costs more than a few spares.
     if (machines >= MIN_OVERPROVISIONED_MACHINES) {
       machines += (int) Math.ceil(machines * EXPECTED_BOOT_FAILURE_SHARE);
     }
@@ -397,7 +428,7 @@
   /**
    * Records that the cloud provided fewer machines of a variant than were requested.
    *
-   * @param total how many machines of the variant there are then, pending ones included
+   * @param total number of machines of the variant at that time, including pending ones
    */
   public void recordRefusal(MachineVariant variant, int total, long now) {
     offers.recordRefusal(variant, total, now);
@@ -405,38 +436,38 @@
 
   private void giveUp(GangReservation reservation, long now) {
     backoffs
-        .computeIfAbsent(reservation.job, j -> new PlaceBackoff())
+        .computeIfAbsent(reservation.job, j -> new ZoneBackoff())
         .recordFailure(reservation.zone, now);
     recordChange(reservation, Change.Transition.GIVES_UP, now);
-    end(reservation);
+    endReservation(reservation);
   }
 
-  private void end(GangReservation reservation) {
+  private void endReservation(GangReservation reservation) {
     reservation.releaseAll();
     reservations.remove(reservation.job);
   }
 
-  private void recordChange(GangReservation reservation, Change.Transition what, long now) {
+  private void recordChange(GangReservation reservation, Change.Transition transition, long now) {
     if (changes.size() < MAX_RESERVATIONS) {
       changes.add(
           new Change(
               reservation.job,
               reservation.zone,
-              what,
-              reservation.places,
-              reservation.neededPlaces(),
+              transition,
+              reservation.slots,
+              reservation.neededSlots(),
               now - reservation.sinceMs));
     }
   }
 
-  /** The changes since the last call, which are removed. */
+  /** Returns and removes the changes since the last call. */
   public List<Change> drainChanges() {
     List<Change> drained = new ArrayList<>(changes);
     changes.clear();
     return drained;
   }
 
-  /** Removes a machine that no longer exists from its reservation. */
+  /** Removes a machine that no longer exists from the reservation that contains it. */
   public void removeMachine(Machine machine) {
     if (machine.reservedFor != null) {
       GangReservation reservation = reservations.get(machine.reservedFor);
--- a/src/main/java/org/mallowroad/core/gang/MachinePool.java
+++ b/src/main/java/org/mallowroad/core/gang/MachinePool.java
@@ -6,29 +6,29 @@
 import org.mallowroad.core.health.FleetHealth;
 
 /**
- * What gang reservations need to know of the cluster, and the one thing they do to it. The
- * scheduler's state implements it; so this package does not depend on the class that owns it.
+ * The operations on the cluster's machines that gang reservations need. The scheduler state
+ * implements this interface, so that this package does not depend on the class that uses it.
  */
 public interface MachinePool {
   /** All machines that are not proven deleted, in the order in which they became known. */
   Collection<Machine> machines();
 
-  /** A machine by name, or null. */
+  /** The machine of this name, or null. */
   Machine machine(String name);
 
-  /** The number of zones; zone indices are below it. */
+  /** The number of zones; zone indices range from 0 to this number less one. */
   int zones();
 
-  /** What is suspected of machines and zones. */
+  /** The evidence about the health of machines and zones. */
   FleetHealth health();
 
-  /** True when new work may be started on the machine at all. */
+  /** True when the machine currently accepts new tasks of any job. */
   boolean acceptsNewTasks(Machine machine, long now);
 
   /**
-   * Asks for a stop of an attempt.
+   * Requests that an attempt be stopped.
    *
-   * @param graceS seconds that it has to save its progress
+   * @param graceS seconds that the attempt has to save its progress
    */
   void requestStop(Attempt attempt, double graceS, long now);
 }
--- a/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
+++ b/src/main/java/org/mallowroad/core/gang/SpotInterruptionRate.java
@@ -4,17 +4,18 @@
 import org.mallowroad.core.Machine;
 
 /**
- * Estimates how often the cloud interrupts a spot machine: interruption notices in this term over
- * machine hours. The tasks of a gang run only together, so the loss of one machine restarts all.
+ * Estimates how often the cloud interrupts a spot machine: the number of interruption notices in
+ * this leader term divided by the spot machine hours. The tasks of a gang run only together, so the
+ * loss of one machine restarts all of them.
  */
 final class SpotInterruptionRate {
-  /** The prior: one interruption in this many machine hours, before anything is observed. */
+  /** The prior of the estimate: one interruption in this many machine hours. */
   private static final double PRIOR_HOURS = 1;
 
-  /** The shortest time between two observations. */
+  /** Shortest time between two observations. */
   private static final long MIN_INTERVAL_MS = 1_000;
 
-  /** Upper bound of {@link #expectedRuns}, since the rate is a rough estimate. */
+  /** Upper bound of {@link #expectedRuns}, since the estimated rate is rough. */
   private static final double MAX_RUNS = 20;
 
   private double machineHours;
@@ -31,7 +32,7 @@
     for (Machine machine : machines) {
       if (machine.spot && !machine.failed) {
         machineHours += elapsedHours;
-        // A notice counts once, in the observation that first sees it.
+        // A notice is counted only once, by the first observation after it arrived.
         interruptions +=
             machine.interruptionNoticeMs > lastObservedMs && machine.interruptionNoticeMs <= now
                 ? 1
@@ -41,12 +42,17 @@
     lastObservedMs = now;
   }
 
-  /** Interruptions of one machine an hour. */
+  /** Estimated interruptions of one machine per hour. */
   double perHour() {
     return (interruptions + 1) / (machineHours + PRIOR_HOURS);
   }
 
-  /** How many times a run on this many spot machines starts, on average, until one completes. */
+  /**
+   * Expected number of times that a gang on this many spot machines is started until one run
+   * completes.
+   *
+   * @param runS the duration of an uninterrupted run, in seconds
+   */
   double expectedRuns(int machines, double runS) {
     return Math.min(MAX_RUNS, Math.exp(machines * perHour() * runS / 3_600));
   }
--- a/src/main/java/org/mallowroad/core/gang/package-info.java
+++ b/src/main/java/org/mallowroad/core/gang/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Gang scheduling: machines are reserved for a gang in one place at a time and for a bounded time
- * until all of its tasks can start. So a gang of any size that a zone can hold starts, and two
- * gangs cannot block each other with partial reservations.
+ * Gang scheduling: machines are reserved for a gang until all of its tasks can start. A gang has
+ * one reservation at a time, in one zone or the whole fleet, and only for a bounded time. So every
+ * gang that fits into a zone eventually starts, and two gangs cannot block each other with partial
+ * reservations.
  */
 package org.mallowroad.core.gang;
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -12,62 +12,62 @@
 import org.mallowroad.core.Team;
 
 /**
- * Measures how far the jobs of a leader term attain their service-level objectives: of the jobs
- * that are due, the share that is done, by class and by team; and of the largest jobs of each
- * class, the share that started within {@link #START_TARGET_MS}. A job has started once as many of
- * its tasks are under way or done as may run at once.
+ * Measures how well the jobs of a leader term attain their service-level objectives: by class and
+ * by team, the share of the due jobs that are done; and by class, the share of the largest jobs
+ * that started within {@link #START_TARGET_MS}. A job has started once as many of its tasks as may
+ * run concurrently are running or done.
  *
- * <p>A job is due at one and a half times its deadline or, without one, after {@link
- * #DEFAULT_DUE_MS}. Jobs that ended under an earlier leader are not counted; jobs that it left open
- * are.
+ * <p>A job is due after one and a half times its deadline or, without a deadline, after {@link
+ * #DEFAULT_DUE_MS}. Jobs that ended under an earlier leader are not counted; jobs that were still
+ * open at the start of this term are.
  *
- * <p>Confined to the thread of its leader.
+ * <p>Not thread-safe: confined to the event loop of the leader.
  */
 public final class ObjectiveAttainment {
-  /** Age in ms at which a job without a deadline is due. */
+  /** Age in milliseconds at which a job without a deadline is due. */
   static final long DEFAULT_DUE_MS = 300_000;
 
-  /** A job with a deadline is due after this multiple of it, in ms for each second. */
+  /** Age in milliseconds at which a job is due, for each second of its deadline. */
   private static final double DUE_MS_PER_DEADLINE_S = 1_500;
 
   /**
-   * Most classes, and most teams, that are counted apart. Users choose class names freely, so the
-   * rest is counted together as {@link #OTHERS}.
+   * Most classes, and most teams, that are counted separately. Users choose class names freely, so
+   * the number of counters must be bounded; all further names are counted together as {@link
+   * #OTHERS}.
    */
   private static final int MAX_NAMES = 64;
 
   private static final String OTHERS = "others";
 
   /**
-   * The attainment of one class or team.
+   * The attainment of one class or team, or of the largest jobs of one class.
    *
    * @param kind {@code class}, {@code team}, or {@code largest} for the largest jobs of a class
-   * @param name the class or team
-   * @param done jobs that are done; of the largest ones, those that started in time
-   * @param overdue open jobs that are overdue; of the largest ones, those that did not start in
-   *     time
-   * @param open jobs that are open; 0 for the largest ones
-   * @param oldestOpenAgeMs age of the oldest open job in ms; 0 for the largest ones
+   * @param name the name of the class or team
+   * @param done jobs that are done; for {@code largest}, jobs that started in time
+   * @param overdue open jobs that are overdue; for {@code largest}, jobs that did not start in time
+   * @param open jobs that are open; 0 for {@code largest}
+   * @param oldestOpenAgeMs age of the oldest open job in milliseconds; 0 for {@code largest}
    */
   public record Summary(
       String kind, String name, int done, int overdue, int open, long oldestOpenAgeMs) {
-    /** The share of the due jobs that is done; 1 where none is due. */
+    /** The share of the due jobs that are done; 1 when none is due. */
     public double doneShare() {
       return done + overdue == 0 ? 1 : (double) done / (done + overdue);
     }
   }
 
-  /** Age in ms by which every job, the largest ones too, is expected to have started. */
+  /** Age in milliseconds by which every job, however large, should have started. */
   static final long START_TARGET_MS = (long) (ServiceLevelObjectives.START_TARGET_S * 1000);
 
-  /** Done jobs remembered of each class, the newest ones, to find the largest among them. */
+  /** Number of the newest done jobs of each class among which the largest ones are selected. */
   private static final int MAX_REMEMBERED_STARTS = 128;
 
-  /** One in this many jobs of a class, and at least one, counts among its largest. */
+  /** One in this many jobs of a class, but at least one, is among its largest. */
   private static final int JOBS_PER_LARGEST = 10;
 
-  /** A job's size, and whether it started in time. */
-  private record JobStart(int tasks, boolean inTime) {}
+  /** The number of a job's tasks, and whether the job started in time. */
+  private record JobStart(int tasks, boolean startedInTime) {}
 
   /** The counts of one class or team. */
   private static final class Counts {
@@ -75,10 +75,10 @@
 
     private int done;
 
-    // Recounted in each call of lines().
-    private int late;
+    // The open jobs are counted again in each call of summarize().
+    private int overdue;
     private int open;
-    private long oldestMs;
+    private long oldestOpenAgeMs;
   }
 
   private final NameIndex classes;
@@ -88,13 +88,13 @@
   private final Object2ObjectLinkedOpenHashMap<String, Counts> byTeam =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** Creates the empty counts of a leader term for the given classes and teams. */
+  /** Creates the counts of a new leader term, all zero. */
   public ObjectiveAttainment(NameIndex classes, List<Team> teams) {
     this.classes = classes;
     this.teams = teams;
   }
 
-  /** The counts of a name, or of {@link #OTHERS} where there are too many names. */
+  /** The counts of a name, or of {@link #OTHERS} when there are too many names. */
   private static Counts countsOf(
       Object2ObjectLinkedOpenHashMap<String, Counts> countsByName, String name) {
     Counts counts = countsByName.get(name);
@@ -105,7 +105,7 @@
     return counts;
   }
 
-  /** Counts a job that is done. Services never are, and are not counted as due either. */
+  /** Counts a job that is done. Services are never done, and never count as due. */
   public void recordDone(Job job) {
     Counts counts = countsOf(byClass, classes.name(job.spec.taskClass()));
     counts.done++;
@@ -118,84 +118,87 @@
     countsOf(byTeam, teams.get(job.spec.team()).name).done++;
   }
 
-  /** The age in ms at which a job is due. */
-  private static long dueMs(JobSpec spec) {
+  /** The age in milliseconds at which a job is due. */
+  private static long dueAgeMs(JobSpec spec) {
     return spec.dueS() > 0 ? (long) (spec.dueS() * DUE_MS_PER_DEADLINE_S) : DEFAULT_DUE_MS;
   }
 
   /**
-   * Returns a line for each class, each team, and the largest jobs of each class. Takes time in
-   * proportion to the open jobs.
+   * Returns a summary for each class, for each team, and for the largest jobs of each class. The
+   * cost is linear in the number of open jobs.
    *
    * @param open the open jobs of all classes
-   * @param now the time in ms
+   * @param now the current time in milliseconds
    */
   public List<Summary> summarize(Collection<Job> open, long now) {
-    byClass.values().forEach(ObjectiveAttainment::resetOpen);
-    byTeam.values().forEach(ObjectiveAttainment::resetOpen);
-    Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsDue =
+    byClass.values().forEach(ObjectiveAttainment::resetOpenCounts);
+    byTeam.values().forEach(ObjectiveAttainment::resetOpenCounts);
+    Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsByClass =
         new Object2ObjectLinkedOpenHashMap<>();
-    byClass.forEach((name, counts) -> startsDue.put(name, new ArrayList<>(counts.starts)));
+    byClass.forEach((name, counts) -> startsByClass.put(name, new ArrayList<>(counts.starts)));
     for (Job job : open) {
       if (job.isCancelled() || job.isHeld()) {
-        continue; // A held job waits for its dependencies, as its user asked.
+        continue; // A held job waits for its dependencies, which is not a delay.
       }
-      addStart(job, startsDue, now);
+      addStart(job, startsByClass, now);
       if (job.spec.service()) {
         continue;
       }
       long ageMs = now - job.eligibleSinceMs();
-      addOpen(countsOf(byClass, classes.name(job.spec.taskClass())), ageMs, dueMs(job.spec));
-      addOpen(countsOf(byTeam, teams.get(job.spec.team()).name), ageMs, dueMs(job.spec));
+      countOpen(countsOf(byClass, classes.name(job.spec.taskClass())), ageMs, dueAgeMs(job.spec));
+      countOpen(countsOf(byTeam, teams.get(job.spec.team()).name), ageMs, dueAgeMs(job.spec));
     }
-    List<Summary> lines = new ArrayList<>();
-    byClass.forEach((name, counts) -> lines.add(line("class", name, counts)));
-    byTeam.forEach((name, counts) -> lines.add(line("team", name, counts)));
-    startsDue.forEach((name, starts) -> addLargest(name, starts, lines));
-    return lines;
+    List<Summary> summaries = new ArrayList<>();
+    byClass.forEach((name, counts) -> summaries.add(summary("class", name, counts)));
+    byTeam.forEach((name, counts) -> summaries.add(summary("team", name, counts)));
+    startsByClass.forEach((name, starts) -> addLargestSummary(name, starts, summaries));
+    return summaries;
   }
 
-  /** Adds an open job to the starts of its class if it has started in time or can no longer. */
+  /** Adds an open job to the starts of its class, unless it may still start in time. */
   private void addStart(
-      Job job, Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsDue, long now) {
-    boolean inTime = job.begunMs() >= 0 && job.begunMs() - job.eligibleSinceMs() <= START_TARGET_MS;
-    if (!inTime && now - job.eligibleSinceMs() <= START_TARGET_MS) {
+      Job job, Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsByClass, long now) {
+    boolean startedInTime =
+        job.begunMs() >= 0 && job.begunMs() - job.eligibleSinceMs() <= START_TARGET_MS;
+    if (!startedInTime && now - job.eligibleSinceMs() <= START_TARGET_MS) {
       return;
     }
     String name = classes.name(job.spec.taskClass());
     String key = byClass.containsKey(name) || byClass.size() < MAX_NAMES ? name : OTHERS;
-    startsDue
+    startsByClass
         .computeIfAbsent(key, k -> new ArrayList<>())
-        .add(new JobStart(job.spec.tasks(), inTime));
+        .add(new JobStart(job.spec.tasks(), startedInTime));
   }
 
-  /** Adds the line of the largest of the given jobs of a class, if there are any. */
-  private static void addLargest(String name, List<JobStart> starts, List<Summary> lines) {
+  /** Adds the summary of the largest of the given jobs of a class, if there are any jobs. */
+  private static void addLargestSummary(
+      String name, List<JobStart> starts, List<Summary> summaries) {
     if (starts.isEmpty()) {
       return;
     }
     starts.sort(Comparator.comparingInt(JobStart::tasks).reversed());
     int largestCount = Math.max(1, starts.size() / JOBS_PER_LARGEST);
-    int inTime = 0;
+    int startedInTime = 0;
     for (JobStart start : starts.subList(0, largestCount)) {
-      inTime += start.inTime ? 1 : 0;
+      startedInTime += start.startedInTime ? 1 : 0;
     }
-    lines.add(new Summary("largest", name, inTime, largestCount - inTime, 0, 0));
+    summaries.add(new Summary("largest", name, startedInTime, largestCount - startedInTime, 0, 0));
   }
 
-  private static void resetOpen(Counts counts) {
-    counts.late = 0;
+  private static void resetOpenCounts(Counts counts) {
+    counts.overdue = 0;
     counts.open = 0;
-    counts.oldestMs = 0;
+    counts.oldestOpenAgeMs = 0;
   }
 
-  private static void addOpen(Counts counts, long ageMs, long dueMs) {
+  private static void countOpen(Counts counts, long ageMs, long dueAgeMs) {
     counts.open++;
-    counts.late += ageMs > dueMs ? 1 : 0;
-    counts.oldestMs = Math.max(counts.oldestMs, ageMs);
+    counts.overdue += ageMs > dueAgeMs ? 1 : 0;
+    counts.oldestOpenAgeMs = Math.max(counts.oldestOpenAgeMs, ageMs);
   }
 
-  private static Summary line(String kind, String name, Counts counts) {
-    return new Summary(kind, name, counts.done, counts.late, counts.open, counts.oldestMs);
+  private static Summary summary(String kind, String name, Counts counts) {
+    return new Summary(
+        kind, name, counts.done, counts.overdue, counts.open, counts.oldestOpenAgeMs);
   }
 }
--- a/src/main/java/org/mallowroad/core/objective/package-info.java
+++ b/src/main/java/org/mallowroad/core/objective/package-info.java
@@ -1,2 +1,2 @@
-/** The service-level objectives of the settings, and how far the jobs of a term attain them. */
+/** The service-level objectives of jobs, and the measurement of how well they are attained. */
 package org.mallowroad.core.objective;
--- a/src/main/java/org/mallowroad/core/scheduling/BinPacker.java
+++ b/src/main/java/org/mallowroad/core/scheduling/BinPacker.java
@@ -12,19 +12,21 @@
 import org.mallowroad.core.StartRefusal;
 
 /**
- * Places tasks of ordinary jobs first-fit on the machines that have room for the smallest waiting
- * task. Those candidates are found once in a pass, so that each job looks at few machines.
+ * Places the tasks of jobs that are not gangs, first-fit. The candidates are the machines with room
+ * for the smallest waiting task. They are found once per placement pass, so that each job scans few
+ * machines.
  */
 final class BinPacker {
   /**
-   * Among machines of one price the fullest come first: what is left stays in one piece, for large
-   * tasks or to be returned. Slow or faulty machines come last of all.
+   * Smallest machine type first, then the cheapest, then the machine with the fewest free CPUs.
+   * This leaves other machines empty, for large tasks or to be returned to the cloud. Machines
+   * suspected to be slow or faulty come last.
    */
   private static final Comparator<Machine> BEST_FIT_FIRST =
-      Comparator.comparing((Machine m) -> m.health.isSuspect())
-          .thenComparingDouble(m -> m.type.cpus())
-          .thenComparingDouble(m -> m.type.price(m.spot))
-          .thenComparingDouble(m -> m.freeResources.cpus);
+      Comparator.comparing((Machine machine) -> machine.health.isSuspect())
+          .thenComparingDouble(machine -> machine.type.cpus())
+          .thenComparingDouble(machine -> machine.type.price(machine.spot))
+          .thenComparingDouble(machine -> machine.freeResources.cpus);
 
   private final SchedulerState schedulerState;
   private final FleetOrder fleetOrder;
@@ -39,18 +41,18 @@
     this.placementRules = placementRules;
   }
 
-  /** Machines looked at so far. */
+  /** Number of machines scanned so far. */
   long machinesScanned() {
     return machinesScanned;
   }
 
-  /** Finds the machines that have room for the smallest of the waiting tasks. */
+  /** Finds the candidates of this placement pass: machines with room for the smallest task. */
   void findCandidates(List<Job> waiting, long now) {
-    double leastCpus = Double.MAX_VALUE;
-    double leastMemGb = Double.MAX_VALUE;
-    for (Job j : waiting) {
-      leastCpus = Math.min(leastCpus, j.spec.cpus());
-      leastMemGb = Math.min(leastMemGb, j.spec.memGb());
+    double minCpus = Double.MAX_VALUE;
+    double minMemGb = Double.MAX_VALUE;
+    for (Job job : waiting) {
+      minCpus = Math.min(minCpus, job.spec.cpus());
+      minMemGb = Math.min(minMemGb, job.spec.memGb());
     }
     Machine[] machines = fleetOrder.machines();
     if (candidates.length != machines.length) {
@@ -58,12 +60,12 @@
     }
     candidateCount = 0;
     machinesScanned += machines.length;
-    for (Machine m : machines) {
-      if (leastCpus <= m.freeResources.cpus + ResourceVector.EPSILON
-          && leastMemGb <= m.freeResources.memGb + ResourceVector.EPSILON
-          && m.reservedFor == null
-          && schedulerState.acceptsNewTasks(m, now)) {
-        candidates[candidateCount++] = m;
+    for (Machine machine : machines) {
+      if (minCpus <= machine.freeResources.cpus + ResourceVector.EPSILON
+          && minMemGb <= machine.freeResources.memGb + ResourceVector.EPSILON
+          && machine.reservedFor == null
+          && schedulerState.acceptsNewTasks(machine, now)) {
+        candidates[candidateCount++] = machine;
       }
     }
     Arrays.sort(candidates, 0, candidateCount, BEST_FIT_FIRST);
@@ -72,34 +74,38 @@
   /**
    * Places waiting tasks of a job on the candidates, first-fit.
    *
-   * @param cached whether to use the machines that have its image, or those that have not
+   * @param imageCached true to use only machines that have the job's image, false to use only
+   *     machines that do not
    * @param started receives the attempts that were started
    */
-  void placeTasks(Job job, boolean cached, List<Attempt> started, long now) {
-    JobSpec s = job.spec;
+  void placeTasks(Job job, boolean imageCached, List<Attempt> started, long now) {
+    JobSpec spec = job.spec;
     for (int i = 0; i < candidateCount && !job.pendingTasks.isEmpty(); i++) {
-      Machine m = candidates[i];
+      Machine machine = candidates[i];
       machinesScanned++;
-      if (m.freeResources.fits(s)
-          && m.hasImage(s.image()) == cached
-          && fillMachine(job, m, started, now) == StartRefusal.QUOTA) {
-        return; // No other machine helps.
+      if (machine.freeResources.fits(spec)
+          && machine.hasImage(spec.image()) == imageCached
+          && fillMachine(job, machine, started, now) == StartRefusal.QUOTA) {
+        return; // The team's limit is reached, whichever machine is tried.
       }
     }
   }
 
-  /** Starts tasks on the machine until one is refused; null when no task is left. */
-  private StartRefusal fillMachine(Job job, Machine m, List<Attempt> started, long now) {
+  /**
+   * Starts tasks of the job on the machine until one is refused; returns the reason of the refusal,
+   * or null when no task is left.
+   */
+  private StartRefusal fillMachine(Job job, Machine machine, List<Attempt> started, long now) {
     while (!job.pendingTasks.isEmpty()) {
-      StartRefusal refusal = placementRules.refusal(job, m, now);
+      StartRefusal refusal = placementRules.placementRefusal(job, machine, now);
       if (refusal == StartRefusal.IMAGE_FETCH_LIMIT) {
         schedulerState.imageDistribution().recordHeldBack();
       }
       if (refusal != null) {
         return refusal;
       }
-      started.add(schedulerState.start(job, job.pendingTasks.dequeueInt(), m, now));
-      m.recordImageUse(job.spec.image(), job.spec.imageGb());
+      started.add(schedulerState.start(job, job.pendingTasks.dequeueInt(), machine, now));
+      machine.recordImageUse(job.spec.image(), job.spec.imageGb());
     }
     return null;
   }
--- a/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
+++ b/src/main/java/org/mallowroad/core/scheduling/ExpectedReleases.java
@@ -11,25 +11,26 @@
 import org.mallowroad.core.autoscaling.MachineVariant;
 
 /**
- * How much capacity running tasks will release by themselves within a few seconds. Preempting a
- * task throws its progress away, and with thousands of them running some end at every moment: for
- * what is released anyway nothing needs to be preempted.
+ * Estimates how much capacity running tasks will release within a few seconds by ending on their
+ * own. Preempting a task discards its progress, and among thousands of running tasks some end all
+ * the time, so nothing is preempted for capacity that is about to be released anyway.
  *
- * <p>Users' estimates are often wrong by half, so no single end is forecast. A task that has run
- * for some share of its estimate is taken to end at an even rate from then on, and only sums over
- * many tasks are used: the error of one job's estimate stays that job's share of the sum.
+ * <p>Users' run time estimates are often wrong by half, so the end of a single task is not
+ * predicted. Once a task has run for {@link #EARLIEST_END_SHARE} of its estimate, it is assumed to
+ * end at a constant rate. Only sums over many tasks are used, so a wrong estimate of one job
+ * affects only that job's share of the sum.
  */
 final class ExpectedReleases {
-  /** Before this share of its estimate hardly any task ends. */
+  /** Hardly any task ends before it has run for this share of its estimate. */
   private static final double EARLIEST_END_SHARE = 0.4;
 
-  /** From then on a task ends within about this share of its estimate. */
+  /** After that, a task is assumed to end within this share of its estimate. */
   private static final double REMAINING_SHARE = 0.8;
 
-  /** More tasks than this are never counted in the capacity that one task releases. */
+  /** Most waiting tasks that are assumed to fit into the capacity that one task releases. */
   private static final int MAX_TASKS_PER_RELEASE = 1_000;
 
-  /** The number of one job's tasks that are expected to end on machines of one variant. */
+  /** The expected number of one job's tasks that end on machines of one variant. */
   private static final class JobReleases {
     private final JobSpec job;
     private final MachineVariant variant;
@@ -46,63 +47,65 @@
   private double claimedCpus;
   private long attemptsScanned;
 
-  /** Counts what ends within the next {@code horizonS} seconds. */
+  /** Creates an estimator of the releases within the next {@code horizonS} seconds. */
   ExpectedReleases(double horizonS) {
     this.horizonS = horizonS;
   }
 
-  /** Attempts looked at so far: the cost of the estimates. */
+  /** Number of attempts scanned so far, as a measure of the cost of the estimates. */
   long attemptsScanned() {
     return attemptsScanned;
   }
 
-  /** Estimates the releases of all running tasks, once for all jobs that ask in a pass. */
+  /**
+   * Estimates the releases of all running tasks. One call serves all jobs that preempt in a pass.
+   */
   void refresh(Iterable<Job> jobs, long now) {
     releases.clear();
     claimedCpus = 0;
     Long2ObjectOpenHashMap<JobReleases> byVariant = new Long2ObjectOpenHashMap<>();
-    for (Job j : jobs) {
-      if (j.liveAttemptCount() > 0 && !j.spec.service()) {
+    for (Job job : jobs) {
+      if (job.liveAttemptCount() > 0 && !job.spec.service()) {
         byVariant.clear();
-        addReleases(j, byVariant, now);
+        addReleases(job, byVariant, now);
       }
     }
   }
 
-  private void addReleases(Job j, Long2ObjectOpenHashMap<JobReleases> byVariant, long now) {
-    for (int task = 0; task < j.spec.tasks(); task++) {
-      Attempt a = j.liveAttempt(task);
-      if (a == null) {
+  private void addReleases(Job job, Long2ObjectOpenHashMap<JobReleases> byVariant, long now) {
+    for (int task = 0; task < job.spec.tasks(); task++) {
+      Attempt attempt = job.liveAttempt(task);
+      if (attempt == null) {
         continue;
       }
       attemptsScanned++;
-      double probability = endProbability(a, now);
-      if (probability > 0 && a.machine.isUsable()) {
-        releasesOn(a.machine, j.spec, byVariant).expectedEnds += probability;
+      double probability = endProbability(attempt, now);
+      if (probability > 0 && attempt.machine.isUsable()) {
+        releasesOfVariant(attempt.machine, job.spec, byVariant).expectedEnds += probability;
       }
     }
   }
 
-  private JobReleases releasesOn(
-      Machine m, JobSpec job, Long2ObjectOpenHashMap<JobReleases> byVariant) {
-    MachineVariant variant = new MachineVariant(m.type, m.zone, m.spot);
-    JobReleases found = byVariant.get(variant.key());
-    if (found == null) {
-      found = new JobReleases(job, variant);
-      byVariant.put(variant.key(), found);
-      releases.add(found);
+  private JobReleases releasesOfVariant(
+      Machine machine, JobSpec job, Long2ObjectOpenHashMap<JobReleases> byVariant) {
+    MachineVariant variant = new MachineVariant(machine.type, machine.zone, machine.spot);
+    JobReleases jobReleases = byVariant.get(variant.key());
+    if (jobReleases == null) {
+      jobReleases = new JobReleases(job, variant);
+      byVariant.put(variant.key(), jobReleases);
+      releases.add(jobReleases);
     }
-    return found;
+    return jobReleases;
   }
 
   /** The probability that a running attempt ends within the horizon. */
-  private double endProbability(Attempt a, long now) {
-    if (a.phase != Attempt.Phase.RUNNING || a.isStopping()) {
-      return 0; // What is stopping is counted on its machine, by Preemptor.
+  private double endProbability(Attempt attempt, long now) {
+    if (attempt.phase != Attempt.Phase.RUNNING || attempt.isStopping()) {
+      return 0; // Preemptor counts a stopping attempt as room on its machine.
     }
-    double estimateS = Math.max(1, a.job.spec.estimateS());
+    double estimateS = Math.max(1, attempt.job.spec.estimateS());
     double pastEarliestEndS =
-        (now - a.runningSinceMs()) / 1000.0 + horizonS - EARLIEST_END_SHARE * estimateS;
+        (now - attempt.runningSinceMs()) / 1000.0 + horizonS - EARLIEST_END_SHARE * estimateS;
     if (pastEarliestEndS <= 0) {
       return 0;
     }
@@ -110,31 +113,34 @@
   }
 
   /**
-   * How many of a job's waiting tasks will find room by themselves, after the jobs ahead of it in
-   * the queue have taken theirs. A task counts only where a single release makes room for it: room
-   * made up of several releases on one machine is left out.
+   * Estimates how many of a job's waiting tasks will get room without preemption, after the jobs
+   * ahead of it in the queue have claimed theirs. A task counts only where the end of a single task
+   * makes room for it; room that needs several tasks on one machine to end is not counted.
    *
    * @param maxTasks upper bound of the result
    */
-  int expectedRoom(JobSpec s, int maxTasks) {
-    double tasks = 0;
-    for (JobReleases r : releases) {
-      MachineVariant v = r.variant;
-      if (s.allows(v.type().index(), v.zone(), v.spot())) {
-        tasks += r.expectedEnds * tasksPerRelease(r.job, s);
+  int expectedTaskSlots(JobSpec spec, int maxTasks) {
+    double taskCount = 0;
+    for (JobReleases jobReleases : releases) {
+      MachineVariant variant = jobReleases.variant;
+      if (spec.allows(variant.type().index(), variant.zone(), variant.spot())) {
+        taskCount += jobReleases.expectedEnds * tasksPerRelease(jobReleases.job, spec);
       }
     }
-    double claimedTasks = s.cpus() > 0 ? claimedCpus / s.cpus() : 0;
-    return (int) Math.max(0, Math.min(maxTasks, tasks - claimedTasks));
+    double claimedTasks = spec.cpus() > 0 ? claimedCpus / spec.cpus() : 0;
+    return (int) Math.max(0, Math.min(maxTasks, taskCount - claimedTasks));
   }
 
-  /** A job ahead in the queue takes released capacity for so many of its tasks. */
-  void claim(JobSpec s, int tasks) {
-    claimedCpus += tasks * s.cpus();
+  /**
+   * Sets released capacity aside for tasks of this job, so that jobs behind it in the queue do not
+   * count it.
+   */
+  void claim(JobSpec spec, int taskCount) {
+    claimedCpus += taskCount * spec.cpus();
   }
 
-  private static int tasksPerRelease(JobSpec ended, JobSpec waiting) {
-    return new ResourceVector(ended.cpus(), ended.cards(), ended.memGb())
-        .capacityFor(waiting, MAX_TASKS_PER_RELEASE);
+  private static int tasksPerRelease(JobSpec endedSpec, JobSpec waitingSpec) {
+    return new ResourceVector(endedSpec.cpus(), endedSpec.cards(), endedSpec.memGb())
+        .capacityFor(waitingSpec, MAX_TASKS_PER_RELEASE);
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/FleetOrder.java
+++ b/src/main/java/org/mallowroad/core/scheduling/FleetOrder.java
@@ -6,11 +6,12 @@
 import org.mallowroad.core.SchedulerState;
 
 /**
- * All machines, the smallest and cheapest first: the large ones stay whole for the tasks that need
- * them. Sorted again only when machines were added or removed.
+ * All machines in placement order: the smallest type first, then the cheapest. This keeps large
+ * machines free for the tasks that need them. The order is recomputed only after machines were
+ * added or removed.
  */
 final class FleetOrder {
-  /** The rate at which fetches of images are planned until a machine is known, in GB a second. */
+  /** The image fetch rate that is assumed while no machine is known, in GB/s. */
   private static final double DEFAULT_FETCH_GB_PER_S = 0.3;
 
   private final SchedulerState schedulerState;
@@ -22,17 +23,17 @@
     this.schedulerState = schedulerState;
   }
 
-  /** The machines as of the last {@link #refresh}; callers do not change the array. */
+  /** The machines as of the last {@link #refresh}; callers must not modify the array. */
   Machine[] machines() {
     return machines;
   }
 
-  /** The fetch rate of the slowest machine type there is, in GB a second. */
+  /** The lowest image fetch rate of all machines' types, in GB/s. */
   double fetchGbPerS() {
     return fetchGbPerS;
   }
 
-  /** Sorts the machines anew if they are others than at the last call. */
+  /** Recomputes the order if machines were added or removed since the last call. */
   void refresh() {
     if (sortedVersion == schedulerState.machinesVersion()) {
       return;
@@ -42,16 +43,16 @@
     fetchGbPerS = slowestFetchGbPerS(machines);
     Arrays.sort(
         machines,
-        Comparator.comparingDouble((Machine m) -> m.type.cpus())
-            .thenComparingDouble(m -> m.type.price(m.spot))
-            .thenComparing(m -> m.name));
+        Comparator.comparingDouble((Machine machine) -> machine.type.cpus())
+            .thenComparingDouble(machine -> machine.type.price(machine.spot))
+            .thenComparing(machine -> machine.name));
   }
 
   private static double slowestFetchGbPerS(Machine[] machines) {
     double slowest = Double.MAX_VALUE;
-    for (Machine m : machines) {
-      if (m.type.fetchGbPerS() > 0) {
-        slowest = Math.min(slowest, m.type.fetchGbPerS());
+    for (Machine machine : machines) {
+      if (machine.type.fetchGbPerS() > 0) {
+        slowest = Math.min(slowest, machine.type.fetchGbPerS());
       }
     }
     return slowest < Double.MAX_VALUE ? slowest : DEFAULT_FETCH_GB_PER_S;
--- a/src/main/java/org/mallowroad/core/scheduling/GangPlacer.java
+++ b/src/main/java/org/mallowroad/core/scheduling/GangPlacer.java
@@ -9,7 +9,7 @@
 import org.mallowroad.core.ResourceVector;
 import org.mallowroad.core.SchedulerState;
 
-/** Places the waiting tasks of a gang all at once, or none of them. */
+/** Places the waiting tasks of a gang: either all of them in one pass, or none. */
 final class GangPlacer {
   private static final int ALL_ZONES = -1;
 
@@ -24,7 +24,8 @@
   }
 
   /**
-   * Starts all waiting tasks of the gang if there is room for all; adds them to {@code started}.
+   * Starts all waiting tasks of the gang if there is room for all of them, and adds their attempts
+   * to {@code started}.
    */
   void placeGang(Job job, List<Attempt> started, long now) {
     if (job.pendingTasks.isEmpty() || placementRules.exceedsTeamLimit(job)) {
@@ -34,51 +35,54 @@
     if (placement.size() < job.pendingTasks.size()) {
       return;
     }
-    for (Machine m : placement) {
-      started.add(schedulerState.start(job, job.pendingTasks.dequeueInt(), m, now));
-      m.recordImageUse(job.spec.image(), job.spec.imageGb());
+    for (Machine machine : placement) {
+      started.add(schedulerState.start(job, job.pendingTasks.dequeueInt(), machine, now));
+      machine.recordImageUse(job.spec.image(), job.spec.imageGb());
     }
   }
 
   /**
-   * A machine for each of the gang's waiting tasks; fewer, when there is no room for all. A gang
-   * whose tasks have to be together gets the machines of the first zone that holds all of it, or of
-   * the zone that holds most.
+   * Finds a machine for each of the gang's waiting tasks; returns fewer machines when there is no
+   * room for all. A gang whose tasks must be in one zone gets machines of the first zone that has
+   * room for all of them, or else of the zone that has room for the most.
    */
   List<Machine> findPlacement(Job job, long now) {
     fleetOrder.refresh();
     if (!job.spec.together()) {
       return schedulerState.zones() == 0 ? List.of() : findPlacement(job, ALL_ZONES, now);
     }
-    int needed = job.pendingTasks.size();
-    List<Machine> largest = List.of();
-    for (int zone = 0; zone < schedulerState.zones() && largest.size() < needed; zone++) {
+    int neededMachines = job.pendingTasks.size();
+    List<Machine> largestPlacement = List.of();
+    for (int zone = 0;
+        zone < schedulerState.zones() && largestPlacement.size() < neededMachines;
+        zone++) {
       List<Machine> placement = findPlacement(job, zone, now);
-      if (placement.size() > largest.size()) {
-        largest = placement;
+      if (placement.size() > largestPlacement.size()) {
+        largestPlacement = placement;
       }
     }
-    return largest;
+    return largestPlacement;
   }
 
   private List<Machine> findPlacement(Job job, int zone, long now) {
-    JobSpec s = job.spec;
-    int needed = job.pendingTasks.size();
+    JobSpec spec = job.spec;
+    int neededMachines = job.pendingTasks.size();
     List<Machine> placement = new ArrayList<>();
     int[] tasksByZone = job.copyLiveAttemptsByZone();
-    for (Machine m : fleetOrder.machines()) {
-      if (zone != ALL_ZONES && m.zone != zone) {
+    for (Machine machine : fleetOrder.machines()) {
+      if (zone != ALL_ZONES && machine.zone != zone) {
         continue;
       }
       ResourceVector room =
-          new ResourceVector(m.freeResources.cpus, m.freeResources.cards, m.freeResources.memGb);
-      while (placement.size() < needed
-          && room.fits(s)
-          && tasksByZone[m.zone] < s.maxTasksPerZone()
-          && placementRules.refusal(job, m, now) == null) {
-        room.add(s, -1);
-        tasksByZone[m.zone]++;
-        placement.add(m);
+          new ResourceVector(
+              machine.freeResources.cpus, machine.freeResources.cards, machine.freeResources.memGb);
+      while (placement.size() < neededMachines
+          && room.fits(spec)
+          && tasksByZone[machine.zone] < spec.maxTasksPerZone()
+          && placementRules.placementRefusal(job, machine, now) == null) {
+        room.add(spec, -1);
+        tasksByZone[machine.zone]++;
+        placement.add(machine);
       }
     }
     return placement;
--- a/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
+++ b/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
@@ -11,43 +11,48 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 
 /**
- * The order in which jobs with waiting tasks get machines: by priority; then jobs within their
- * team's guarantee and jobs that have waited very long; then by due time. Computed anew for each
- * placement pass.
+ * Sorts the jobs with waiting tasks into the order in which they are placed: by priority; within a
+ * priority, jobs within their team's guarantee and jobs that have aged come first; then by due
+ * time. The order is recomputed in each placement pass.
  */
 final class JobQueue {
   /**
-   * A job that has waited so long, less the fetch of its image, goes before guaranteed work of its
-   * priority: a large job array is beyond every guarantee, and behind a flood of small jobs it
-   * would never start.
+   * A job has aged once it has waited this long, less the time to fetch its image. It then ranks
+   * with the guaranteed jobs of its priority. Without aging a large job array, which exceeds any
+   * guarantee, would starve behind a steady stream of small jobs.
    */
-  private static final double AGING_S = 180;
+  private static final double AGING_THRESHOLD_S = 180;
 
-  /** A job without a deadline is due after this multiple of its estimate and a minute. */
-  private static final double DEFAULT_DUE_ESTIMATES = 3;
+  /** A job without a deadline is due after this multiple of its estimated run time ... */
+  private static final double DEFAULT_DUE_ESTIMATE_FACTOR = 3;
 
-  private static final double DEFAULT_DUE_EXTRA_S = 60;
+  /** ... plus this many seconds. */
+  private static final double DEFAULT_DUE_ALLOWANCE_S = 60;
 
-  /** An image is slow to fetch when that takes more than this share of the estimated run. */
+  /** An image fetch is slow when it takes more than this share of the estimated run time. */
   private static final double SLOW_FETCH_SHARE = 0.5;
 
-  /** For this share of its slack a job with a deadline lets others pass that need no fetch. */
+  /** A job with a deadline yields to jobs with cached images for this share of its slack. */
   private static final double DEADLINE_YIELD_SHARE = 0.3;
 
-  /** A job with a slow fetch lets others pass for no more than this share of the start target. */
+  /**
+   * A job with a slow image fetch yields to jobs with cached images for at most this share of the
+   * start target less the fetch time.
+   */
   private static final double SLOW_FETCH_YIELD_SHARE = 0.4;
 
-  /** A waiting job and its due time, by which it is sorted. */
+  /** A job with waiting tasks and its due time. */
   private record QueuedJob(Job job, double dueMs) {}
 
   private static final Comparator<Job> BY_SUBMISSION =
-      Comparator.comparingLong((Job j) -> j.spec.submittedMs()).thenComparing(j -> j.spec.id());
+      Comparator.comparingLong((Job job) -> job.spec.submittedMs())
+          .thenComparing(job -> job.spec.id());
 
   private static final Comparator<QueuedJob> BY_RANK =
-      Comparator.comparingInt((QueuedJob q) -> q.job.spec.priority())
-          .thenComparingInt(q -> q.job.hasPrecedence() ? 0 : 1)
+      Comparator.comparingInt((QueuedJob queuedJob) -> queuedJob.job.spec.priority())
+          .thenComparingInt(queuedJob -> queuedJob.job.hasPrecedence() ? 0 : 1)
           .thenComparingDouble(QueuedJob::dueMs)
-          .thenComparing(q -> q.job.spec.id());
+          .thenComparing(queuedJob -> queuedJob.job.spec.id());
 
   private final SchedulerState schedulerState;
   private final FleetOrder fleetOrder;
@@ -58,10 +63,10 @@
     this.fleetOrder = fleetOrder;
   }
 
-  /** True while any task of any job waits. */
+  /** True while any job has a task that waits to be started. */
   boolean hasWaitingTasks() {
-    for (Job j : schedulerState.jobs()) {
-      if (j.hasWaitingTasks()) {
+    for (Job job : schedulerState.jobs()) {
+      if (job.hasWaitingTasks()) {
         return true;
       }
     }
@@ -69,95 +74,100 @@
   }
 
   /**
-   * The jobs with waiting tasks in their order; also brings {@link Job#guaranteed} and {@link
-   * Job#aged} of all open jobs up to date.
+   * Recomputes the order of the jobs with waiting tasks, and updates {@link Job#guaranteed} and
+   * {@link Job#aged} of all open jobs.
    *
-   * @return a list that the next call overwrites
+   * @return the jobs in placement order; the next call overwrites the list
    */
   List<Job> refresh(long now) {
-    double[] teamCpus = new double[schedulerState.teams().size()];
-    double[] teamCards = new double[schedulerState.teams().size()];
+    double[] openCpusByTeam = new double[schedulerState.teams().size()];
+    double[] openCardsByTeam = new double[schedulerState.teams().size()];
     List<QueuedJob> queued = new ArrayList<>();
-    for (Job j : openJobsBySubmission()) {
-      JobSpec s = j.spec;
-      int remaining = s.tasks() - j.doneCount();
-      teamCpus[s.team()] += remaining * s.cpus();
-      teamCards[s.team()] += remaining * s.cards();
-      Team team = schedulerState.team(s);
-      j.guaranteed =
-          teamCpus[s.team()] <= team.cpus() + ResourceVector.EPSILON
-              && teamCards[s.team()] <= team.cards() + ResourceVector.EPSILON;
-      j.aged = now - j.eligibleSinceMs() > 1000 * Math.max(0, AGING_S - fetchS(s));
-      if (j.hasWaitingTasks()) {
-        queued.add(new QueuedJob(j, j.eligibleSinceMs() + (long) (1000 * dueAfterS(s))));
+    for (Job job : openJobsBySubmission()) {
+      JobSpec spec = job.spec;
+      int remainingTasks = spec.tasks() - job.doneCount();
+      openCpusByTeam[spec.team()] += remainingTasks * spec.cpus();
+      openCardsByTeam[spec.team()] += remainingTasks * spec.cards();
+      Team team = schedulerState.team(spec);
+      job.guaranteed =
+          openCpusByTeam[spec.team()] <= team.cpus() + ResourceVector.EPSILON
+              && openCardsByTeam[spec.team()] <= team.cards() + ResourceVector.EPSILON;
+      job.aged = now - job.eligibleSinceMs() > 1000 * Math.max(0, AGING_THRESHOLD_S - fetchS(spec));
+      if (job.hasWaitingTasks()) {
+        queued.add(new QueuedJob(job, job.eligibleSinceMs() + (long) (1000 * dueAfterS(spec))));
       }
     }
     queued.sort(BY_RANK);
     queue.clear();
-    for (QueuedJob q : queued) {
-      queue.add(q.job);
+    for (QueuedJob queuedJob : queued) {
+      queue.add(queuedJob.job);
     }
     return queue;
   }
 
   private List<Job> openJobsBySubmission() {
     List<Job> open = new ArrayList<>();
-    for (Job j : schedulerState.jobs()) {
-      if (!j.isCancelled() && !j.isEnded() && !j.isHeld()) {
-        open.add(j);
+    for (Job job : schedulerState.jobs()) {
+      if (!job.isCancelled() && !job.isEnded() && !job.isHeld()) {
+        open.add(job);
       }
     }
     open.sort(BY_SUBMISSION);
     return open;
   }
 
-  /** True when two jobs differ in their due time at most: only then one lets the other pass. */
-  static boolean sameRank(Job a, Job b) {
+  /**
+   * True when the two jobs differ in nothing but their due time. A job yields only to jobs of its
+   * own rank.
+   */
+  static boolean haveSameRank(Job a, Job b) {
     return a.spec.priority() == b.spec.priority() && a.hasPrecedence() == b.hasPrecedence();
   }
 
   /**
-   * Seconds after its submission at which a job counts as due. Without a deadline that is the
-   * default due time, and no later than users expect every job to start; the sooner, the longer its
-   * image takes: on a machine that it gets now it starts only after the fetch.
+   * The time from a job's submission to its due time, in seconds. A job without a deadline is due
+   * at the default due time, and no later than the start target. A job with a slow image fetch is
+   * due earlier by half the fetch time, since it starts running only after the fetch.
    */
-  private double dueAfterS(JobSpec s) {
-    if (s.dueS() > 0) {
-      return s.dueS();
+  private double dueAfterS(JobSpec spec) {
+    if (spec.dueS() > 0) {
+      return spec.dueS();
     }
-    double usual =
+    double defaultDueS =
         Math.min(
-            DEFAULT_DUE_ESTIMATES * s.estimateS() + DEFAULT_DUE_EXTRA_S,
+            DEFAULT_DUE_ESTIMATE_FACTOR * spec.estimateS() + DEFAULT_DUE_ALLOWANCE_S,
             ServiceLevelObjectives.START_TARGET_S);
-    return hasSlowFetch(s) ? usual - fetchS(s) / 2 : usual;
+    return hasSlowFetch(spec) ? defaultDueS - fetchS(spec) / 2 : defaultDueS;
   }
 
   /**
-   * True when the fetch of its image takes so long, compared to the run, that a job which lets
-   * others pass may start too late. For the others every fetch that is saved is worth the wait:
-   * with this for all, a calm day of cascade rented 60 machines more (docs/gangs.md).
+   * True when fetching the job's image takes so long compared to its run time that yielding to
+   * other jobs may make it start too late. Jobs with faster fetches keep yielding, since each fetch
+   * that is avoided is worth the wait: when all jobs were treated as slow to fetch, the scheduler
+   * rented 60 more machines on a quiet day of the "cascade" workload (docs/gangs.md).
    */
-  private boolean hasSlowFetch(JobSpec s) {
-    return fetchS(s) > SLOW_FETCH_SHARE * s.estimateS();
+  private boolean hasSlowFetch(JobSpec spec) {
+    return fetchS(spec) > SLOW_FETCH_SHARE * spec.estimateS();
   }
 
-  private double fetchS(JobSpec s) {
-    return s.imageGb() / fleetOrder.fetchGbPerS();
+  private double fetchS(JobSpec spec) {
+    return spec.imageGb() / fleetOrder.fetchGbPerS();
   }
 
   /**
-   * How long a job lets others of its rank pass that need no fetch, in seconds: without a deadline
-   * as long as it has slack.
+   * How long a job yields to jobs of its rank whose images are cached, in seconds. Without a
+   * deadline and without a slow image fetch it yields for all of its slack.
    */
-  double maxYieldS(JobSpec s) {
-    double slackS = dueAfterS(s) - s.estimateS();
-    if (s.dueS() > 0) {
+  double maxYieldS(JobSpec spec) {
+    double slackS = dueAfterS(spec) - spec.estimateS();
+    if (spec.dueS() > 0) {
       return DEADLINE_YIELD_SHARE * slackS;
     }
-    // Without this bound a job whose image no machine holds comes last, again and again, until it
-    // starts too late.
+    // Without this bound a job whose image no machine has cached is placed last in every pass,
+    // until
+    // it starts too late.
     double slowFetchLimitS =
-        SLOW_FETCH_YIELD_SHARE * Math.max(0, ServiceLevelObjectives.START_TARGET_S - fetchS(s));
-    return hasSlowFetch(s) ? Math.min(slackS, slowFetchLimitS) : slackS;
+        SLOW_FETCH_YIELD_SHARE * Math.max(0, ServiceLevelObjectives.START_TARGET_S - fetchS(spec));
+    return hasSlowFetch(spec) ? Math.min(slackS, slowFetchLimitS) : slackS;
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/MachineDrainer.java
+++ b/src/main/java/org/mallowroad/core/scheduling/MachineDrainer.java
@@ -6,9 +6,10 @@
 import org.mallowroad.core.SchedulerState;
 
 /**
- * Drains spot machines that the cloud is about to take back: tasks that can save their progress do
- * so, and tasks that are not expected to finish in time are stopped, so that they start again
- * elsewhere at once.
+ * Drains spot machines that the cloud has announced to interrupt. Tasks that support checkpoints
+ * are stopped with time to save their progress. Other tasks are stopped at once unless they are
+ * expected to finish before the interruption, so that they restart on another machine without
+ * delay.
  */
 final class MachineDrainer {
   private final SchedulerState schedulerState;
@@ -17,33 +18,33 @@
     this.schedulerState = schedulerState;
   }
 
-  /** Stops tasks on all machines for which an interruption notice came. */
+  /** Stops tasks on all machines for which the cloud sent an interruption notice. */
   void drain(long now) {
-    for (Machine m : schedulerState.machines()) {
-      if (m.interruptionMs != 0) {
-        drain(m, (m.interruptionMs - now) / 1000.0, now);
+    for (Machine machine : schedulerState.machines()) {
+      if (machine.interruptionMs != 0) {
+        drain(machine, (machine.interruptionMs - now) / 1000.0, now);
       }
     }
   }
 
-  private void drain(Machine m, double secondsLeft, long now) {
-    for (Attempt a : m.attempts) {
-      if (a.isStopping() || a.phase == Attempt.Phase.RECORDING) {
+  private void drain(Machine machine, double secondsLeft, long now) {
+    for (Attempt attempt : machine.attempts) {
+      if (attempt.isStopping() || attempt.phase == Attempt.Phase.RECORDING) {
         continue;
       }
-      JobSpec s = a.job.spec;
-      if (s.checkpointS() > 0) {
-        schedulerState.requestStop(a, s.saveS(), now);
-      } else if (!endsWithin(a, secondsLeft, now)) {
-        schedulerState.requestStop(a, 0, now);
+      JobSpec spec = attempt.job.spec;
+      if (spec.checkpointS() > 0) {
+        schedulerState.requestStop(attempt, spec.saveS(), now);
+      } else if (!endsWithin(attempt, secondsLeft, now)) {
+        schedulerState.requestStop(attempt, 0, now);
       }
     }
   }
 
-  private static boolean endsWithin(Attempt a, double secondsLeft, long now) {
-    JobSpec s = a.job.spec;
-    return a.phase == Attempt.Phase.RUNNING
-        && !s.service()
-        && s.estimateS() - (now - a.runningSinceMs()) / 1000.0 <= secondsLeft;
+  private static boolean endsWithin(Attempt attempt, double secondsLeft, long now) {
+    JobSpec spec = attempt.job.spec;
+    return attempt.phase == Attempt.Phase.RUNNING
+        && !spec.service()
+        && spec.estimateS() - (now - attempt.runningSinceMs()) / 1000.0 <= secondsLeft;
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
+++ b/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
@@ -12,137 +12,150 @@
 import org.mallowroad.core.Team;
 
 /**
- * Stops less important work for a job that found no room: work of lower priority, or work of the
- * same or lower priority that another team runs beyond its guarantee while this job's team is
- * within its own. The work that loses least for each task is stopped, and no more than the waiting
- * tasks need.
+ * Preempts running tasks for a job that found no room: tasks of lower priority, or tasks of the
+ * same priority that another team runs beyond its guarantee while this job's team is within its
+ * own. The tasks that lose the least progress per waiting task are stopped, and no more of them
+ * than the waiting tasks need.
  *
- * <p>Looking for that work walks the whole fleet, so it is done for a few jobs in a pass, and not
- * in every pass. {@link #beginPass} comes first.
+ * <p>Finding victims scans the whole fleet, so it is done for a bounded number of jobs in a
+ * placement pass, and not in every pass. Each pass begins with {@link #beginPass}.
  */
 final class Preemptor {
-  /** A task that has waited this long may preempt work of lower priority. */
+  /** Tasks of a job that has waited this long may preempt tasks of lower priority. */
   private static final long PREEMPT_AFTER_MS = 1_000;
 
-  /** A task within its team's guarantee that has waited this long may preempt other teams. */
+  /**
+   * Tasks of a job that has waited this long within its team's guarantee may preempt tasks that
+   * other teams run beyond their guarantees.
+   */
   private static final long PREEMPT_FOR_GUARANTEE_AFTER_MS = 4_000;
 
-  /** The least time between two passes with preemption. */
+  /** Shortest time between two passes with preemption. */
   private static final long PREEMPTION_INTERVAL_MS = 400;
 
-  /** Most jobs in a pass for which the fleet is walked. */
+  /** Most jobs in a pass for which the fleet is scanned. */
   private static final int MAX_JOBS_PER_PASS = 16;
 
-  /** The highest priority: critical work. */
+  /** The highest priority. */
   private static final int CRITICAL_PRIORITY = 0;
 
-  /** A task that was started more often is not stopped again, except for critical work. */
+  /** A task that was started more often than this is preempted only by critical jobs. */
   private static final int MAX_STARTS_FOR_PREEMPTION = 3;
 
-  /** Capacity that is released by itself within this time is waited for. */
+  /** Nothing is preempted for capacity that tasks release by ending within this time. */
   private static final double RELEASE_HORIZON_S = 4;
 
-  /** The least number of CPUs that a stopped task's loss is counted with. */
+  /** A task that uses fewer CPUs than this is counted with this many when its loss is estimated. */
   private static final double MIN_LOSS_CPUS = 0.1;
 
-  /** The job that work is stopped for, and whether it claims its team's guarantee. */
-  private record Request(Job job, boolean claimsGuarantee, long now) {
+  /** The job that preempts, and whether it may claim its team's guarantee. */
+  private record PreemptionRequest(Job job, boolean claimsGuarantee, long now) {
     JobSpec spec() {
       return job.spec;
     }
   }
 
-  /** Attempts whose stop makes room on one machine for a number of tasks. */
+  /**
+   * Attempts whose preemption makes room on one machine.
+   *
+   * @param tasks waiting tasks that then have room
+   * @param lossCpuS the work that is lost, in CPU seconds
+   */
   private record MachinePreemption(List<Attempt> victims, int tasks, double lossCpuS) {}
 
   private static final Comparator<MachinePreemption> LEAST_LOSS_PER_TASK_FIRST =
-      Comparator.comparingDouble(p -> p.lossCpuS / p.tasks);
+      Comparator.comparingDouble(preemption -> preemption.lossCpuS / preemption.tasks);
 
   private final SchedulerState schedulerState;
   private final FleetOrder fleetOrder;
   private final ExpectedReleases releases = new ExpectedReleases(RELEASE_HORIZON_S);
-  private long lastPassMs = Long.MIN_VALUE / 2;
-  private boolean active;
-  private boolean releasesFresh;
-  private int jobsInPass;
+  private long lastPreemptingPassMs = Long.MIN_VALUE / 2;
+  private boolean passMayPreempt;
+  private boolean areReleasesFresh;
+  private int preemptingJobsInPass;
   private long machinesScanned;
-  private long preemptions;
+  private long preemptionCount;
 
   Preemptor(SchedulerState schedulerState, FleetOrder fleetOrder) {
     this.schedulerState = schedulerState;
     this.fleetOrder = fleetOrder;
   }
 
-  /** Machines looked at so far. */
+  /** Number of machines scanned so far. */
   long machinesScanned() {
     return machinesScanned;
   }
 
-  /** Attempts looked at so far to estimate what will end soon. */
+  /** Number of attempts scanned so far to estimate which tasks will end soon. */
   long attemptsScanned() {
     return releases.attemptsScanned();
   }
 
-  /** Attempts stopped so far. */
-  long preemptions() {
-    return preemptions;
+  /** Number of attempts preempted so far. */
+  long preemptionCount() {
+    return preemptionCount;
   }
 
-  /** Begins a placement pass; when the last one is too recent, this one preempts nothing. */
+  /**
+   * Begins a placement pass. Nothing is preempted in it when the last pass with preemption was less
+   * than {@link #PREEMPTION_INTERVAL_MS} ago.
+   */
   void beginPass(long now) {
-    active = now - lastPassMs >= PREEMPTION_INTERVAL_MS;
-    releasesFresh = false;
-    jobsInPass = 0;
-    if (active) {
-      lastPassMs = now;
+    passMayPreempt = now - lastPreemptingPassMs >= PREEMPTION_INTERVAL_MS;
+    areReleasesFresh = false;
+    preemptingJobsInPass = 0;
+    if (passMayPreempt) {
+      lastPreemptingPassMs = now;
     }
   }
 
-  /** Preempts for a job's waiting tasks, if this pass may still do so. */
+  /** Makes room for a job's waiting tasks, if this pass may still preempt. */
   void preemptFor(Job job, long now) {
-    if (!active || job.pendingTasks.isEmpty() || jobsInPass >= MAX_JOBS_PER_PASS) {
+    if (!passMayPreempt
+        || job.pendingTasks.isEmpty()
+        || preemptingJobsInPass >= MAX_JOBS_PER_PASS) {
       return;
     }
-    if (!releasesFresh) {
-      releasesFresh = true;
+    if (!areReleasesFresh) {
+      areReleasesFresh = true;
       releases.refresh(schedulerState.jobs(), now);
     }
-    int needed = tasksNeedingRoom(job);
-    if (now - job.waitingSinceMs() >= PREEMPT_AFTER_MS && needed > 0) {
-      jobsInPass++;
-      preempt(new Request(job, mayClaimGuarantee(job, now), now), needed);
+    int neededTasks = tasksNeedingRoom(job);
+    if (now - job.waitingSinceMs() >= PREEMPT_AFTER_MS && neededTasks > 0) {
+      preemptingJobsInPass++;
+      preempt(new PreemptionRequest(job, mayClaimGuarantee(job, now), now), neededTasks);
     }
   }
 
-  /** Waiting tasks within the team's limit that will not find room by themselves. */
+  /** Waiting tasks within the team's limit that will not get room without preemption. */
   private int tasksNeedingRoom(Job job) {
-    int startable = schedulerState.team(job.spec).maxTasks(job.spec, job.pendingTasks.size());
-    int expected = releases.expectedRoom(job.spec, startable);
-    releases.claim(job.spec, startable);
-    return startable - expected;
+    int startableTasks = schedulerState.team(job.spec).maxTasks(job.spec, job.pendingTasks.size());
+    int expectedSlots = releases.expectedTaskSlots(job.spec, startableTasks);
+    releases.claim(job.spec, startableTasks);
+    return startableTasks - expectedSlots;
   }
 
-  private void preempt(Request request, int needed) {
+  private void preempt(PreemptionRequest request, int neededTasks) {
     List<MachinePreemption> options = new ArrayList<>();
     Machine[] machines = fleetOrder.machines();
     machinesScanned += machines.length;
-    int missing = needed;
-    for (Machine m : machines) {
-      if (!isCandidate(m, request.job)) {
+    int missingTasks = neededTasks;
+    for (Machine machine : machines) {
+      if (!isCandidate(machine, request.job)) {
         continue;
       }
-      ResourceVector room = roomAfterStops(m);
-      int alreadyComing = room.capacityFor(request.spec(), missing);
-      missing -= alreadyComing;
-      if (missing == 0) {
+      ResourceVector room = roomAfterStops(machine);
+      int tasksAfterStops = room.capacityFor(request.spec(), missingTasks);
+      missingTasks -= tasksAfterStops;
+      if (missingTasks == 0) {
         return;
       }
-      if (alreadyComing == 0) {
-        addOption(m, room, request, missing, options);
+      if (tasksAfterStops == 0) {
+        addOption(machine, room, request, missingTasks, options);
       }
     }
     options.sort(LEAST_LOSS_PER_TASK_FIRST);
-    stopVictims(request, options, missing);
+    stopVictims(request, options, missingTasks);
   }
 
   private boolean mayClaimGuarantee(Job job, long now) {
@@ -152,127 +165,139 @@
         && team.staysWithinGuarantee(job.spec);
   }
 
-  private static boolean isCandidate(Machine m, Job job) {
-    JobSpec s = job.spec;
-    return !m.isEmpty()
-        && m.isUsable()
-        && m.reservedFor == null
-        && s.allows(m.type.index(), m.zone, m.spot)
-        && m.type.fits(s)
-        && !PlacementRules.avoidsMachine(s, m)
-        && job.allowsZone(m.zone);
+  private static boolean isCandidate(Machine machine, Job job) {
+    JobSpec spec = job.spec;
+    return !machine.isEmpty()
+        && machine.isUsable()
+        && machine.reservedFor == null
+        && spec.allows(machine.type.index(), machine.zone, machine.spot)
+        && machine.type.fits(spec)
+        && !PlacementRules.avoidsMachine(spec, machine)
+        && job.allowsZone(machine.zone);
   }
 
-  /** The room on the machine once what is stopping already has stopped. */
-  private static ResourceVector roomAfterStops(Machine m) {
+  /** The room on the machine once all attempts that are already stopping have stopped. */
+  private static ResourceVector roomAfterStops(Machine machine) {
     ResourceVector room =
-        new ResourceVector(m.freeResources.cpus, m.freeResources.cards, m.freeResources.memGb);
-    for (Attempt a : m.attempts) {
-      if (a.isStopping()) {
-        room.add(a.job.spec, 1);
+        new ResourceVector(
+            machine.freeResources.cpus, machine.freeResources.cards, machine.freeResources.memGb);
+    for (Attempt attempt : machine.attempts) {
+      if (attempt.isStopping()) {
+        room.add(attempt.job.spec, 1);
       }
     }
     return room;
   }
 
-  /** Adds the cheapest way to make room for a task on the machine, if there is one. */
+  /**
+   * Adds the victims on the machine that make room for a task at the least loss, if there are any.
+   */
   private void addOption(
-      Machine m,
+      Machine machine,
       ResourceVector room,
-      Request request,
-      int missing,
+      PreemptionRequest request,
+      int missingTasks,
       List<MachinePreemption> options) {
-    List<Attempt> candidates = preemptable(m, request);
+    List<Attempt> candidates = preemptable(machine, request);
     if (candidates == null) {
       return;
     }
-    candidates.sort(Comparator.comparingDouble(a -> lossCpuS(a, request.now)));
+    candidates.sort(Comparator.comparingDouble(attempt -> lossCpuS(attempt, request.now)));
     List<Attempt> victims = new ArrayList<>();
-    double loss = 0;
-    for (Attempt a : candidates) {
+    double lossCpuS = 0;
+    for (Attempt attempt : candidates) {
       if (room.fits(request.spec())) {
         break;
       }
-      victims.add(a);
-      room.add(a.job.spec, 1);
-      loss += lossCpuS(a, request.now);
+      victims.add(attempt);
+      room.add(attempt.job.spec, 1);
+      lossCpuS += lossCpuS(attempt, request.now);
     }
     if (!victims.isEmpty() && room.fits(request.spec())) {
-      options.add(new MachinePreemption(victims, room.capacityFor(request.spec(), missing), loss));
+      options.add(
+          new MachinePreemption(victims, room.capacityFor(request.spec(), missingTasks), lossCpuS));
     }
   }
 
-  /** The attempts on the machine that may be stopped for the request; null when there are none. */
-  private List<Attempt> preemptable(Machine m, Request request) {
+  /** The attempts on the machine that the request may preempt; null when there are none. */
+  private List<Attempt> preemptable(Machine machine, PreemptionRequest request) {
     List<Attempt> candidates = null;
-    for (Attempt a : m.attempts) {
-      if (!a.isStopping() && isPreemptable(a, request)) {
+    for (Attempt attempt : machine.attempts) {
+      if (!attempt.isStopping() && isPreemptable(attempt, request)) {
         if (candidates == null) {
           candidates = new ArrayList<>();
         }
-        candidates.add(a);
+        candidates.add(attempt);
       }
     }
     return candidates;
   }
 
-  private void stopVictims(Request request, List<MachinePreemption> options, int needed) {
-    int missing = needed;
+  private void stopVictims(
+      PreemptionRequest request, List<MachinePreemption> options, int neededTasks) {
+    int missingTasks = neededTasks;
     for (MachinePreemption option : options) {
-      if (missing <= 0) {
+      if (missingTasks <= 0) {
         return;
       }
       if (areAllPreemptable(option.victims, request)) {
-        preemptions += option.victims.size();
-        for (Attempt a : option.victims) {
-          stop(a, request.now);
+        preemptionCount += option.victims.size();
+        for (Attempt attempt : option.victims) {
+          stop(attempt, request.now);
         }
-        missing -= option.tasks;
+        missingTasks -= option.tasks;
       }
     }
   }
 
-  /** Checked again before the stop: by then their team may have given up enough. */
-  private boolean areAllPreemptable(List<Attempt> victims, Request request) {
-    for (Attempt a : victims) {
-      if (!isPreemptable(a, request)) {
+  /**
+   * Checks the victims again just before they are stopped: earlier stops in this pass may have
+   * brought their team down to its guarantee.
+   */
+  private boolean areAllPreemptable(List<Attempt> victims, PreemptionRequest request) {
+    for (Attempt attempt : victims) {
+      if (!isPreemptable(attempt, request)) {
         return false;
       }
     }
     return true;
   }
 
-  private void stop(Attempt a, long now) {
-    JobSpec s = a.job.spec;
-    schedulerState.requestStop(a, s.checkpointS() > 0 ? s.saveS() : 0, now);
+  private void stop(Attempt attempt, long now) {
+    JobSpec spec = attempt.job.spec;
+    schedulerState.requestStop(attempt, spec.checkpointS() > 0 ? spec.saveS() : 0, now);
   }
 
-  private boolean isPreemptable(Attempt a, Request request) {
-    if (a.phase == Attempt.Phase.RECORDING || a.phase == Attempt.Phase.READY) {
+  private boolean isPreemptable(Attempt attempt, PreemptionRequest request) {
+    if (attempt.phase == Attempt.Phase.RECORDING || attempt.phase == Attempt.Phase.READY) {
       return false;
     }
-    int victimPriority = a.job.spec.priority();
+    int victimPriority = attempt.job.spec.priority();
     int priority = request.spec().priority();
-    if (a.number > MAX_STARTS_FOR_PREEMPTION && priority > CRITICAL_PRIORITY) {
-      return false; // Else a lasting flood of urgent work could stop the same task for ever.
+    if (attempt.number > MAX_STARTS_FOR_PREEMPTION && priority > CRITICAL_PRIORITY) {
+      return false; // Otherwise steady urgent work could preempt the same task without end.
     }
     if (victimPriority > priority) {
       return true;
     }
-    // Only work that stands behind this job in the queue may be stopped at the same priority:
-    // otherwise it would take the room again at once, and the two would stop each other for ever.
+    // At the same priority only tasks of jobs behind this job in the queue may be preempted. A job
+    // ahead of it would get the room back in the next pass, and the two would preempt each other
+    // without end.
     return request.claimsGuarantee
         && victimPriority == priority
-        && !a.job.hasPrecedence()
-        && a.job.spec.team() != request.spec().team()
-        && schedulerState.team(a.job.spec).keepsGuaranteeWithout(a.job.spec);
+        && !attempt.job.hasPrecedence()
+        && attempt.job.spec.team() != request.spec().team()
+        && schedulerState.team(attempt.job.spec).keepsGuaranteeWithout(attempt.job.spec);
   }
 
-  /** CPU seconds of work lost when the attempt is stopped now: all since its last checkpoint. */
-  private static double lossCpuS(Attempt a, long now) {
-    double ranS = (now - a.createdMs) / 1000.0;
-    double checkpointS = a.job.spec.checkpointS();
+  /**
+   * The work lost when the attempt is stopped now, in CPU seconds: at most one checkpoint interval,
+   * or without checkpoints all of the work.
+   */
+  private static double lossCpuS(Attempt attempt, long now) {
+    double ranS = (now - attempt.createdMs) / 1000.0;
+    double checkpointS = attempt.job.spec.checkpointS();
     double lostS = checkpointS > 0 ? Math.min(ranS, checkpointS) : ranS;
-    return lostS * Math.max(MIN_LOSS_CPUS, a.job.spec.cpus());
+    return lostS * Math.max(MIN_LOSS_CPUS, attempt.job.spec.cpus());
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
@@ -11,11 +11,11 @@
 import org.mallowroad.core.StartRefusal;
 
 /**
- * Starts waiting tasks on machines, in passes: first-fit in the order of the {@link JobQueue},
- * gangs all at once, and with preemption where a job finds no room. Each start asks the {@link
- * SchedulerState}; nothing starts that it refuses.
+ * Starts waiting tasks on machines in placement passes: first-fit in the order of the {@link
+ * JobQueue}, gangs all at once, and with preemption for jobs that find no room. Each start is
+ * checked by the {@link SchedulerState}, and none that it refuses is made.
  *
- * <p>Confined to the thread of the event loop, as the state is.
+ * <p>Not thread-safe: confined to the event loop, as is the scheduler state.
  */
 public final class TaskScheduler {
   private final SchedulerState schedulerState;
@@ -27,10 +27,10 @@
   private final Preemptor preemptor;
   private final MachineDrainer machineDrainer;
 
-  /** Teams whose free quota is kept for a gang ahead in the queue during a pass. */
-  private final BitSet teamsKeptForGang = new BitSet();
+  /** Teams whose remaining quota is reserved, in this pass, for a gang ahead in the queue. */
+  private final BitSet teamsReservedForGangs = new BitSet();
 
-  /** A scheduler for the jobs and machines of one leader's term. */
+  /** Creates a scheduler for the jobs and machines of one leader term. */
   public TaskScheduler(SchedulerState schedulerState) {
     this.schedulerState = schedulerState;
     this.fleetOrder = new FleetOrder(schedulerState);
@@ -42,39 +42,40 @@
     this.machineDrainer = new MachineDrainer(schedulerState);
   }
 
-  /** Machines looked at so far: the cost of the passes. */
+  /** Number of machines scanned so far, as a measure of the cost of placement passes. */
   public long machinesScanned() {
     return binPacker.machinesScanned() + preemptor.machinesScanned();
   }
 
-  /** Attempts looked at so far to estimate what will end soon. */
+  /** Number of attempts scanned so far to estimate which tasks will end soon. */
   public long attemptsScanned() {
     return preemptor.attemptsScanned();
   }
 
-  /** Attempts stopped so far so that more important work gets room. */
+  /** Number of attempts preempted so far. */
   public long preemptionCount() {
-    return preemptor.preemptions();
+    return preemptor.preemptionCount();
   }
 
   /**
-   * The jobs with waiting tasks, in the order in which they get room.
+   * Returns the jobs with waiting tasks in placement order.
    *
-   * @return a list that the next call or pass overwrites
+   * @return a list that the next call or placement pass overwrites
    */
   public List<Job> queue(long now) {
     return jobQueue.refresh(now);
   }
 
-  /** True while any task waits. */
+  /** True while any job has a task that waits to be started. */
   public boolean hasWaitingTasks() {
     return jobQueue.hasWaitingTasks();
   }
 
   /**
-   * One placement pass: starts what can be started now, and preempts for what cannot.
+   * Runs one placement pass: starts the tasks that can start now, and preempts less important ones
+   * for those that cannot.
    *
-   * @return the attempts started, all still to be committed
+   * @return the attempts started, whose records are still to be committed
    */
   public List<Attempt> placeTasks(long now) {
     List<Attempt> started = new ArrayList<>();
@@ -88,12 +89,12 @@
         .updateReservations(waiting, j -> !j.isBackingOff(now) && !exceedsTeamLimit(j), now);
     binPacker.findCandidates(waiting, now);
     preemptor.beginPass(now);
-    teamsKeptForGang.clear();
+    teamsReservedForGangs.clear();
     int rankStart = 0;
     for (int i = 0; i < waiting.size(); i++) {
       Job job = waiting.get(i);
-      keepTeamLimitForGang(job, now);
-      if (i == 0 || !JobQueue.sameRank(job, waiting.get(rankStart))) {
+      reserveTeamLimitForGang(job, now);
+      if (i == 0 || !JobQueue.haveSameRank(job, waiting.get(rankStart))) {
         rankStart = i;
         placeOnCachedImages(waiting, rankStart, started, now);
       }
@@ -114,32 +115,34 @@
     preemptor.preemptFor(job, now);
   }
 
-  private void placeOrdinary(Job job, boolean cached, List<Attempt> started, long now) {
-    if (!teamsKeptForGang.get(job.spec.team())) {
-      binPacker.placeTasks(job, cached, started, now);
+  private void placeOrdinary(Job job, boolean imageCached, List<Attempt> started, long now) {
+    if (!teamsReservedForGangs.get(job.spec.team())) {
+      binPacker.placeTasks(job, imageCached, started, now);
     }
   }
 
   /**
-   * A team's limit comes free a task at a time; while one of its gangs that goes first waits for
-   * it, the team's jobs behind that gang take none of it.
+   * Reserves the team's remaining quota for a gang that waits for it and has precedence. A team's
+   * quota is freed one task at a time, so if jobs behind the gang could use it, the gang would
+   * never have enough quota to start.
    */
-  private void keepTeamLimitForGang(Job job, long now) {
+  private void reserveTeamLimitForGang(Job job, long now) {
     if (job.spec.gang() && exceedsTeamLimit(job) && job.hasPrecedence() && !job.isBackingOff(now)) {
-      teamsKeptForGang.set(job.spec.team());
+      teamsReservedForGangs.set(job.spec.team());
     }
   }
 
   /**
-   * Jobs of the same rank first take the machines that hold their images: a fetch keeps a machine's
-   * room from everybody. A job that has waited long lets no others pass any more.
+   * Lets all jobs of one rank first use the machines that have their images cached, since a task
+   * occupies its machine's resources while it fetches its image. Jobs behind one that has waited
+   * longer than {@link JobQueue#maxYieldS} get no such advantage over it.
    */
   private void placeOnCachedImages(
       List<Job> waiting, int rankStart, List<Attempt> started, long now) {
-    Job first = waiting.get(rankStart);
+    Job firstOfRank = waiting.get(rankStart);
     for (int i = rankStart; i < waiting.size(); i++) {
       Job job = waiting.get(i);
-      if (!JobQueue.sameRank(job, first)) {
+      if (!JobQueue.haveSameRank(job, firstOfRank)) {
         return;
       }
       if (job.isBackingOff(now) || job.spec.gang()) {
@@ -154,32 +157,34 @@
   }
 
   /**
-   * Why the job's next waiting task does not go to the machine; null when it may. Placement itself
-   * goes by it, so what is shown to users is what was decided. Where the zone rules, the machine's
-   * health or a failure are named, nothing else stands in the way: the machine has room.
+   * Why the job's next waiting task may not be placed on the machine; null when it may. Placement
+   * uses the same method, so the explanation shown to users is the actual decision. {@code
+   * ZONE_RULES}, {@code SUSPECTED_SLOW_OR_FAULTY} and {@code FAILED_ON_MACHINE} are returned only
+   * for a machine that has room, within the team's limit.
    */
-  public StartRefusal placementRefusal(Job job, Machine m, long now) {
-    return placementRules.refusal(job, m, now);
+  public StartRefusal placementRefusal(Job job, Machine machine, long now) {
+    return placementRules.placementRefusal(job, machine, now);
   }
 
-  /** True for work that may not wait on a slow machine. */
-  public static boolean isUrgent(JobSpec s) {
-    return PlacementRules.isUrgent(s);
+  /** True for jobs whose tasks must not be placed on machines suspected to be slow or faulty. */
+  public static boolean isUrgent(JobSpec spec) {
+    return PlacementRules.isUrgent(spec);
   }
 
-  /**
-   * True when the team's limit alone keeps the job's next task, or a gang's tasks, from a start.
-   */
+  /** True when starting the job's next task, or all tasks of a gang, exceeds the team's limit. */
   public boolean exceedsTeamLimit(Job job) {
     return placementRules.exceedsTeamLimit(job);
   }
 
-  /** Machines for a gang's waiting tasks: one for each task, or as many as any zone has. */
+  /**
+   * Finds a machine for each of a gang's waiting tasks; returns fewer machines when there is no
+   * room for all.
+   */
   public List<Machine> findGangPlacement(Job job, long now) {
     return gangPlacer.findPlacement(job, now);
   }
 
-  /** Stops tasks on machines that the cloud is about to take back, so that they start elsewhere. */
+  /** Stops tasks on spot machines that the cloud will interrupt, so that they restart elsewhere. */
   public void drainInterruptedMachines(long now) {
     machineDrainer.drain(now);
   }
--- a/src/main/java/org/mallowroad/core/scheduling/package-info.java
+++ b/src/main/java/org/mallowroad/core/scheduling/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Decides which waiting task starts on which machine. {@link
- * org.mallowroad.core.scheduling.TaskScheduler} is the entry; behind it stand the order of the
- * queue, first-fit bin packing, the placement of gangs, preemption and the draining of machines.
- * Every start is checked by {@link org.mallowroad.core.SchedulerState}. Decisions only: nothing
- * here does I/O or reads a clock, and all of it runs on the event loop's thread.
+ * Decides which waiting task starts on which machine. The entry point is {@link
+ * org.mallowroad.core.scheduling.TaskScheduler}. The other classes order the queue, place tasks by
+ * first-fit bin packing, place gangs, preempt less important tasks and drain interrupted machines.
+ * Each start is checked by {@link org.mallowroad.core.SchedulerState}.
+ *
+ * <p>The classes do no I/O, have no clock, and are confined to the event loop.
  */
 package org.mallowroad.core.scheduling;
--- a/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
+++ b/src/test/java/org/mallowroad/core/cancellation/CancellationViewTest.java
@@ -71,13 +71,13 @@
               v.beginRead(0).markApplied();
               List<CancellationView.ViewRead> all =
                   Stream.iterate(1L, i -> i + 1)
-                      .limit(3L * CancellationView.MAX_READINGS)
+                      .limit(3L * CancellationView.MAX_PENDING_READS)
                       .map(v::beginRead)
                       .toList();
               all.subList(1, all.size()).forEach(CancellationView.ViewRead::markApplied);
               assertEquals(300, v.ageMs(300));
               all.get(0).markApplied();
-              assertEquals(300 - 3L * CancellationView.MAX_READINGS, v.ageMs(300));
+              assertEquals(300 - 3L * CancellationView.MAX_PENDING_READS, v.ageMs(300));
             }));
   }
 
@@ -93,7 +93,7 @@
       double worker = 1 + (r.nextDouble() - 0.5) * 0.001;
       if (age > 0) {
         // True time: the age is by this node's clock, the lease by the worker's.
-        double gone = age / here + lease / worker + CancellationView.MARGIN_MS / 1000.0;
+        double gone = age / here + lease / worker + CancellationView.TIMER_MARGIN_MS / 1000.0;
         assertTrue(gone <= cancel, lease + " " + cancel + " " + gone);
         assertTrue(gone > cancel * 0.997 - 0.4, "more is given away than clocks can drift");
       }
