--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -19,103 +19,107 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
 
-/** How many jobs are admitted while commits lag, and when they are lagging. */
+/** How many new jobs are admitted during an overload, and when lagging commits are an overload. */
 final class AdmissionTest {
   private static final class Fixture {
     private long now;
-    private final AdmissionRateLimiter admission = new AdmissionRateLimiter(0);
+    private final AdmissionRateLimiter rateLimiter = new AdmissionRateLimiter(0);
 
-    /** Offers that many jobs a second; returns how many were admitted. */
-    private int offer(int seconds, int aSecond, boolean lag, boolean refusals) {
+    /** Offers jobs at a constant rate; returns the number of jobs that were admitted. */
+    private int offerJobs(int seconds, int jobsPerSecond, boolean isLagging, boolean hasRefusals) {
       int admitted = 0;
-      for (int s = 0; s < seconds; s++) {
-        for (int i = 0; i < aSecond; i++) {
-          now += 1_000 / aSecond;
-          admitted += admission.tryAdmit(now) ? 1 : 0;
+      for (int second = 0; second < seconds; second++) {
+        for (int i = 0; i < jobsPerSecond; i++) {
+          now += 1_000 / jobsPerSecond;
+          admitted += rateLimiter.tryAdmit(now) ? 1 : 0;
         }
-        admission.recordStateServiceRefusals(refusals, now);
-        if (lag) {
-          admission.recordOverload(now);
+        rateLimiter.recordStateServiceRefusals(hasRefusals, now);
+        if (isLagging) {
+          rateLimiter.recordOverload(now);
         }
       }
       return admitted;
     }
   }
 
-  private static DynamicTest testCase(String name, Consumer<Fixture> test) {
+  private static DynamicTest admissionCase(String name, Consumer<Fixture> test) {
     return DynamicTest.dynamicTest(name, () -> test.accept(new Fixture()));
   }
 
   @TestFactory
   Stream<DynamicTest> admission() {
     return Stream.of(
-        testCase(
-            "without an overload all jobs are admitted, also with refusals of a few seconds",
-            h -> {
-              assertEquals(300, h.offer(30, 10, false, false));
-              assertEquals(30, h.offer(3, 10, false, true));
-              assertEquals(300, h.offer(30, 10, false, false));
-              assertFalse(h.admission.isLimited());
+        admissionCase(
+            "without an overload all jobs are admitted, even if the state service refuses calls for 3 s",
+            fixture -> {
+              assertEquals(300, fixture.offerJobs(30, 10, false, false));
+              assertEquals(30, fixture.offerJobs(3, 10, false, true));
+              assertEquals(300, fixture.offerJobs(30, 10, false, false));
+              assertFalse(fixture.rateLimiter.isLimited());
             }),
-        testCase(
-            "a lasting overload lowers the rate step by step, and never to zero",
-            h -> {
-              h.offer(20, 10, false, false);
-              int first = h.offer(12, 10, true, false);
-              int later = h.offer(30, 10, true, false);
-              assertTrue(first < 90, "first: " + first);
-              assertTrue(later < 20 && later >= 2, "later: " + later);
+        admissionCase(
+            "a lasting overload decreases the rate step by step, but never to zero",
+            fixture -> {
+              fixture.offerJobs(20, 10, false, false);
+              int firstAdmitted = fixture.offerJobs(12, 10, true, false);
+              int laterAdmitted = fixture.offerJobs(30, 10, true, false);
+              assertTrue(firstAdmitted < 90, "first: " + firstAdmitted);
+              assertTrue(laterAdmitted < 20 && laterAdmitted >= 2, "later: " + laterAdmitted);
             }),
-        testCase(
-            "without the overload the rate rises, and the limit ends",
-            h -> {
-              h.offer(20, 5, false, false);
-              h.offer(10, 5, true, false);
-              int a = h.offer(20, 5, false, false);
-              int b = h.offer(20, 5, false, false);
-              assertTrue(b > a, a + " then " + b);
-              h.offer(120, 5, false, false);
-              assertFalse(h.admission.isLimited());
+        admissionCase(
+            "after an overload the rate increases until the limit is removed",
+            fixture -> {
+              fixture.offerJobs(20, 5, false, false);
+              fixture.offerJobs(10, 5, true, false);
+              int firstAdmitted = fixture.offerJobs(20, 5, false, false);
+              int laterAdmitted = fixture.offerJobs(20, 5, false, false);
+              assertTrue(laterAdmitted > firstAdmitted, firstAdmitted + " then " + laterAdmitted);
+              fixture.offerJobs(120, 5, false, false);
+              assertFalse(fixture.rateLimiter.isLimited());
             }),
-        testCase(
-            "lasting refusals by the state service are an overload",
-            h -> {
-              h.offer(20, 10, false, false);
-              h.offer(14, 10, false, true);
-              assertTrue(h.admission.isLimited());
-              assertTrue(h.admission.refusedCount() > 0);
+        admissionCase(
+            "refusals by the state service for 14 s are an overload",
+            fixture -> {
+              fixture.offerJobs(20, 10, false, false);
+              fixture.offerJobs(14, 10, false, true);
+              assertTrue(fixture.rateLimiter.isLimited());
+              assertTrue(fixture.rateLimiter.refusedCount() > 0);
             }));
   }
 
-  /** A fleet of one large machine, on which that many starts are to be committed. */
-  private static SchedulerState committing(int tasks, int priority, long now) {
+  /** Creates a state with one machine and one job, all of whose starts are uncommitted. */
+  private static SchedulerState stateWithUncommittedStarts(int tasks, int priority, long now) {
     NameIndex zones = new NameIndex();
     zones.intern("a");
     SchedulerState schedulerState =
         new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
     MachineType type =
         new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
-    Machine m = schedulerState.registerMachine("n-1", type, 0, false, now);
+    Machine machine = schedulerState.registerMachine("n-1", type, 0, false, now);
     schedulerState.processHeartbeat(
-        m,
+        machine,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, new ArrayList<>()),
         true,
         now);
     Job job =
         schedulerState.accept(
             JobSpecs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
-    for (int t = 0; t < tasks; t++) {
-      schedulerState.start(job, t, m, now);
+    for (int task = 0; task < tasks; task++) {
+      schedulerState.start(job, task, machine, now);
     }
     return schedulerState;
   }
 
-  private static DynamicTest lag(
+  private static DynamicTest commitLagCase(
       String name, SchedulerState schedulerState, long afterMs, boolean overloaded) {
-    return lag(name, schedulerState, 0, afterMs, overloaded);
+    return commitLagCase(name, schedulerState, 0, afterMs, overloaded);
   }
 
-  private static DynamicTest lag(
+  /**
+   * Measures the lag once a second until {@code afterMs}; the state service does not answer before
+   * {@code servedFromMs}.
+   */
+  private static DynamicTest commitLagCase(
       String name,
       SchedulerState schedulerState,
       long servedFromMs,
@@ -124,44 +128,53 @@
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          CommitLagMonitor lag = new CommitLagMonitor();
+          CommitLagMonitor monitor = new CommitLagMonitor();
           for (long now = 0; now <= afterMs; now += 1_000) {
-            lag.measure(schedulerState, now >= servedFromMs, now);
+            monitor.measure(schedulerState, now >= servedFromMs, now);
           }
-          assertEquals(overloaded, lag.isOverloaded());
+          assertEquals(overloaded, monitor.isOverloaded());
         });
   }
 
   @TestFactory
   Stream<DynamicTest> commitLag() {
     return Stream.of(
-        lag(
-            "a burst that is committed within seconds is no overload",
-            committing(200, 1, 0),
+        commitLagCase(
+            "many uncommitted starts for 9 s are no overload",
+            stateWithUncommittedStarts(200, 1, 0),
             9_000,
             false),
-        lag(
-            "many attempts that wait for their commits are an overload",
-            committing(200, 1, 0),
+        commitLagCase(
+            "many uncommitted starts for 11 s are an overload",
+            stateWithUncommittedStarts(200, 1, 0),
             11_000,
             true),
-        lag(
-            "a few starts that wait longer than in any burst are an overload",
-            committing(5, 1, 0),
+        commitLagCase(
+            "a few uncommitted starts for 16 s are an overload",
+            stateWithUncommittedStarts(5, 1, 0),
             16_000,
             true),
-        lag(
-            "a few starts that wait for seconds are no overload",
-            committing(5, 1, 0),
+        commitLagCase(
+            "a few uncommitted starts for 10 s are no overload",
+            stateWithUncommittedStarts(5, 1, 0),
             10_000,
             false),
-        lag("waits count from the end of an outage", committing(5, 1, 0), 20_000, 30_000, false),
-        lag(
-            "long waits after an outage are an overload",
-            committing(5, 1, 0),
+        commitLagCase(
+            "waits during an outage of the state service are no overload",
+            stateWithUncommittedStarts(5, 1, 0),
+            20_000,
+            30_000,
+            false),
+        commitLagCase(
+            "waits for 16 s after an outage of the state service are an overload",
+            stateWithUncommittedStarts(5, 1, 0),
             20_000,
             36_000,
             true),
-        lag("waits of idle-priority jobs are no overload", committing(200, 3, 0), 60_000, false));
+        commitLagCase(
+            "uncommitted starts of idle-priority jobs are no overload",
+            stateWithUncommittedStarts(200, 3, 0),
+            60_000,
+            false));
   }
 }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -18,7 +18,7 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
-/** Renting and returning as the design says, and its exceptions. */
+/** Scale out by forecast starts and by spare capacity, and scale in of idle machines. */
 final class AutoscalerTest {
   private static final MachineType SMALL =
       new MachineType(0, "small", 4, 0, 16, 100, 1, 1.0, 0.4, 30, new int[] {0, 1});
@@ -29,8 +29,8 @@
   private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final SchedulerState schedulerState;
-    final Autoscaler fleet;
-    final TaskScheduler placement;
+    final Autoscaler autoscaler;
+    final TaskScheduler taskScheduler;
     final ServiceLevelObjectives objectives = new ServiceLevelObjectives();
     long now = 1_000_000;
     long sequence;
@@ -39,172 +39,196 @@
       this(64);
     }
 
-    /** With a limit of the one team. */
+    /** Creates a cluster whose only team has this guarantee and limit in CPUs. */
     TestCluster(double cpus) {
       zones.intern("a");
       zones.intern("b");
       schedulerState =
           new SchedulerState(1, 20, 3, List.of(new Team("team", cpus, 0, cpus, 0)), zones);
-      fleet = new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), objectives);
-      placement = new TaskScheduler(schedulerState);
+      autoscaler = new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), objectives);
+      taskScheduler = new TaskScheduler(schedulerState);
     }
 
-    Machine machine(String name, MachineType type, boolean spot) {
-      Machine m = schedulerState.registerMachine(name, type, 0, spot, now);
-      Heartbeat r =
+    /** Sends a heartbeat without tasks of a machine in zone 0, and registers it if it is new. */
+    Machine reportMachine(String name, MachineType type, boolean spot) {
+      Machine machine = schedulerState.registerMachine(name, type, 0, spot, now);
+      Heartbeat heartbeat =
           new Heartbeat(name, "h:1", type.name(), "a", spot, 1, ++sequence, 1, -1, List.of());
-      schedulerState.processHeartbeat(m, r, true, now);
-      return m;
+      schedulerState.processHeartbeat(machine, heartbeat, true, now);
+      return machine;
     }
 
-    Job job(String id, int tasks, double cpus) {
+    Job submitJob(String id, int tasks, double cpus) {
       return schedulerState.accept(JobSpecs.array(id, tasks, cpus).spot().build(), 5, 0, now);
     }
 
-    List<ScaleOutRequest> rents(List<PendingMachines> coming) {
-      return fleet.planScaleOut(placement.queue(now), coming, TYPES, now);
+    List<ScaleOutRequest> planScaleOut(List<PendingMachines> pending) {
+      return autoscaler.planScaleOut(taskScheduler.queue(now), pending, TYPES, now);
     }
   }
 
-  private interface Case {
-    void run(TestCluster w);
+  private interface TestBody {
+    void run(TestCluster cluster);
   }
 
-  private static DynamicTest policy(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster()));
+  private static DynamicTest testCase(String name, TestBody test) {
+    return DynamicTest.dynamicTest(name, () -> test.run(new TestCluster()));
   }
 
   @TestFactory
-  Stream<DynamicTest> sizes() {
+  Stream<DynamicTest> scaling() {
     return Stream.of(
-        policy(
-            "the cheapest fitting variant is rented",
-            w -> {
-              w.job("job-1", 1, 4);
-              List<ScaleOutRequest> r = w.rents(List.of());
-              assertEquals(1, r.size());
-              assertEquals(new MachineVariant(SMALL, 0, true), r.get(0).variant());
-              assertEquals(1, r.get(0).count());
+        testCase(
+            "the cheapest variant that fits the task is requested",
+            cluster -> {
+              cluster.submitJob("job-1", 1, 4);
+              List<ScaleOutRequest> requests = cluster.planScaleOut(List.of());
+              assertEquals(1, requests.size());
+              assertEquals(new MachineVariant(SMALL, 0, true), requests.get(0).variant());
+              assertEquals(1, requests.get(0).count());
             }),
-        policy(
-            "a task that fits only the large type gets the large type",
-            w -> {
-              w.job("job-1", 1, 16);
-              assertEquals(LARGE, w.rents(List.of()).get(0).variant().type());
+        testCase(
+            "a machine of the large type is requested for a task that fits no other type",
+            cluster -> {
+              cluster.submitJob("job-1", 1, 16);
+              assertEquals(LARGE, cluster.planScaleOut(List.of()).get(0).variant().type());
             }),
-        policy(
-            "a refused variant is left out for a while, its next cheapest is taken",
-            w -> {
-              w.job("job-1", 1, 4);
-              w.fleet.recordRefusal(new MachineVariant(SMALL, 0, true), w.now);
-              w.fleet.recordRefusal(new MachineVariant(SMALL, 1, true), w.now);
+        testCase(
+            "during the backoff of a refused variant the next cheapest one is requested",
+            cluster -> {
+              cluster.submitJob("job-1", 1, 4);
+              cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, 0, true), cluster.now);
+              cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, 1, true), cluster.now);
               assertEquals(
-                  new MachineVariant(SMALL, 0, false), w.rents(List.of()).get(0).variant());
+                  new MachineVariant(SMALL, 0, false),
+                  cluster.planScaleOut(List.of()).get(0).variant());
             }),
-        policy(
-            "machines on their way take waiting tasks, so nothing is rented twice",
-            w -> {
-              w.job("job-1", 1, 4);
+        testCase(
+            "no machine is requested for tasks that fit on pending machines",
+            cluster -> {
+              cluster.submitJob("job-1", 1, 4);
               assertTrue(
-                  w.rents(
+                  cluster
+                      .planScaleOut(
                           List.of(
-                              new PendingMachines(new MachineVariant(SMALL, 0, true), 1, w.now)))
+                              new PendingMachines(
+                                  new MachineVariant(SMALL, 0, true), 1, cluster.now)))
                       .isEmpty());
             }),
-        policy(
-            "work that can wait for room rents nothing, urgent work does",
-            w -> {
-              for (int z = 0; z < 2; z++) {
-                w.fleet.recordRefusal(new MachineVariant(LARGE, z, true), w.now);
+        testCase(
+            "a machine is requested only for a task that cannot wait for room within its objective",
+            cluster -> {
+              for (int zone = 0; zone < 2; zone++) {
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(LARGE, zone, true), cluster.now);
               }
-              Machine busy = w.machine("n-1", LARGE, false);
-              w.schedulerState.start(w.job("job-1", 1, 32), 0, busy, w.now);
-              w.objectives.requireCompletion(0, 400); // Estimated at 60 s, both have time enough.
-              w.job("job-2", 1, 32);
-              assertTrue(w.rents(List.of()).isEmpty());
-              // A machine that boots in 30 s cannot keep that either.
-              w.objectives.requireStart(0, 3);
-              assertTrue(w.rents(List.of()).isEmpty());
-              w.objectives.requireCompletion(0, 100);
-              assertEquals(LARGE, w.rents(List.of()).get(0).variant().type());
+              Machine busyMachine = cluster.reportMachine("n-1", LARGE, false);
+              cluster.schedulerState.start(
+                  cluster.submitJob("job-1", 1, 32), 0, busyMachine, cluster.now);
+              cluster.objectives.requireCompletion(
+                  0, 400); // Both jobs can wait: they are estimated at 60 s.
+              cluster.submitJob("job-2", 1, 32);
+              assertTrue(cluster.planScaleOut(List.of()).isEmpty());
+              // A machine that boots in 30 s cannot meet a start objective of 3 s either.
+              cluster.objectives.requireStart(0, 3);
+              assertTrue(cluster.planScaleOut(List.of()).isEmpty());
+              cluster.objectives.requireCompletion(0, 100);
+              assertEquals(LARGE, cluster.planScaleOut(List.of()).get(0).variant().type());
             }),
-        policy(
-            "where machines are cheap, work that is late gets new ones and leaves freed room alone",
-            w -> {
-              w.machine("n-1", SMALL, true);
-              w.job("job-1", 1, 4);
-              w.placement.placeTasks(w.now);
-              w.now += 40_000; // 20 s of the estimated 60 are left, less than a boot takes.
-              w.machine("n-1", SMALL, true);
-              w.job("job-2", 2, 4);
-              assertEquals(2, w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
-              w.now += 16_000;
-              w.machine("n-1", SMALL, true);
-              w.job("job-3", 1, 4);
-              PendingMachines two =
-                  new PendingMachines(new MachineVariant(SMALL, 0, true), 2, w.now);
+        testCase(
+            "a late task on a cheap variant gets a new machine and leaves released room to later tasks",
+            cluster -> {
+              cluster.reportMachine("n-1", SMALL, true);
+              cluster.submitJob("job-1", 1, 4);
+              cluster.taskScheduler.placeTasks(cluster.now);
+              cluster.now +=
+                  40_000; // 20 s of the estimated 60 s remain, less than the 30 s of a boot.
+              cluster.reportMachine("n-1", SMALL, true);
+              cluster.submitJob("job-2", 2, 4);
               assertEquals(
-                  1, w.rents(List.of(two)).stream().mapToInt(ScaleOutRequest::count).sum());
+                  2,
+                  cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
+              cluster.now += 16_000;
+              cluster.reportMachine("n-1", SMALL, true);
+              cluster.submitJob("job-3", 1, 4);
+              PendingMachines pendingMachines =
+                  new PendingMachines(new MachineVariant(SMALL, 0, true), 2, cluster.now);
+              assertEquals(
+                  1,
+                  cluster.planScaleOut(List.of(pendingMachines)).stream()
+                      .mapToInt(ScaleOutRequest::count)
+                      .sum());
             }),
-        policy(
-            "after a refusal one call shows whether there is room again",
-            narrow -> {
-              TestCluster w = new TestCluster(1_000);
-              MachineVariant v = new MachineVariant(SMALL, 0, true);
-              w.fleet.recordRefusal(v, w.now);
-              w.now += 20_000;
-              for (int z = 0; z < 2; z++) {
-                w.fleet.recordRefusal(new MachineVariant(LARGE, z, true), w.now);
-                w.fleet.recordRefusal(new MachineVariant(LARGE, z, false), w.now);
-                w.fleet.recordRefusal(new MachineVariant(SMALL, z, false), w.now);
+        testCase(
+            "after the backoff of a refused variant a single call is made until it is granted",
+            ignored -> {
+              TestCluster cluster = new TestCluster(1_000);
+              MachineVariant variant = new MachineVariant(SMALL, 0, true);
+              cluster.autoscaler.recordRefusal(variant, cluster.now);
+              cluster.now += 20_000;
+              for (int zone = 0; zone < 2; zone++) {
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(LARGE, zone, true), cluster.now);
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(LARGE, zone, false), cluster.now);
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(SMALL, zone, false), cluster.now);
               }
-              w.fleet.recordRefusal(new MachineVariant(SMALL, 1, true), w.now);
-              w.job("job-1", 200, 4);
-              assertEquals(List.of(new ScaleOutRequest(v, 50)), w.rents(List.of()));
-              w.fleet.recordGrant(v);
-              assertEquals(200, w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
+              cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, 1, true), cluster.now);
+              cluster.submitJob("job-1", 200, 4);
+              assertEquals(
+                  List.of(new ScaleOutRequest(variant, 50)), cluster.planScaleOut(List.of()));
+              cluster.autoscaler.recordGrant(variant);
+              assertEquals(
+                  200,
+                  cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
             }),
-        policy(
-            "a large fleet that runs empty goes back at once, but for what a burst may want",
-            w -> {
+        testCase(
+            "idle machines of a large fleet are returned early, except for a reserve for bursts",
+            cluster -> {
               for (int i = 0; i < 200; i++) {
-                w.machine("n-" + i, SMALL, true);
+                cluster.reportMachine("n-" + i, SMALL, true);
               }
-              w.now += 5_000;
-              assertEquals(200 - 16, w.fleet.planScaleIn(false, w.now).size());
+              cluster.now += 5_000;
+              assertEquals(200 - 16, cluster.autoscaler.planScaleIn(false, cluster.now).size());
             }),
-        policy(
-            "tasks beyond their team's limit rent nothing",
-            w -> {
-              w.job("job-1", 40, 4);
-              int n = w.rents(List.of()).stream().mapToInt(ScaleOutRequest::count).sum();
+        testCase(
+            "no machines are requested for tasks beyond their team's limit",
+            cluster -> {
+              cluster.submitJob("job-1", 40, 4);
+              int machineCount =
+                  cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum();
               assertTrue(
-                  n > 0 && n <= 16, n + " machines"); // The limit lets 16 of the 40 tasks run.
+                  machineCount > 0 && machineCount <= 16,
+                  machineCount + " machines"); // The limit allows 16 of the 40 tasks.
             }),
-        policy(
-            "the dearest empty machine goes back first, if the rest has headroom",
-            w -> {
-              w.machine("n-1", SMALL, true);
-              Machine large = w.machine("n-2", LARGE, false);
-              w.now += 60_000;
-              assertEquals(List.of(), w.fleet.planScaleIn(false, w.now)); // Not heard for too long.
-              w.machine("n-1", SMALL, true);
-              w.machine("n-2", LARGE, false);
-              List<Machine> back = w.fleet.planScaleIn(false, w.now);
-              assertEquals(large, back.get(0));
+        testCase(
+            "the most expensive empty machine is returned first, if the others have headroom",
+            cluster -> {
+              cluster.reportMachine("n-1", SMALL, true);
+              Machine large = cluster.reportMachine("n-2", LARGE, false);
+              cluster.now += 60_000;
+              assertEquals(
+                  List.of(),
+                  cluster.autoscaler.planScaleIn(
+                      false, cluster.now)); // Their heartbeats are overdue.
+              cluster.reportMachine("n-1", SMALL, true);
+              cluster.reportMachine("n-2", LARGE, false);
+              List<Machine> returned = cluster.autoscaler.planScaleIn(false, cluster.now);
+              assertEquals(large, returned.get(0));
             }),
-        policy(
-            "no headroom, no return",
-            w -> {
-              Machine busy = w.machine("n-1", SMALL, true);
-              Machine idle = w.machine("n-2", SMALL, true);
-              Job j = w.job("job-1", 1, 4);
-              w.schedulerState.start(j, 0, busy, w.now);
-              w.now += 60_000;
-              w.machine("n-1", SMALL, true);
-              w.machine("n-2", SMALL, true);
-              assertEquals(List.of(), w.fleet.planScaleIn(false, w.now));
-              assertTrue(idle.isUsable());
+        testCase(
+            "an idle machine is kept if the others would not have enough headroom",
+            cluster -> {
+              Machine busyMachine = cluster.reportMachine("n-1", SMALL, true);
+              Machine idleMachine = cluster.reportMachine("n-2", SMALL, true);
+              Job job = cluster.submitJob("job-1", 1, 4);
+              cluster.schedulerState.start(job, 0, busyMachine, cluster.now);
+              cluster.now += 60_000;
+              cluster.reportMachine("n-1", SMALL, true);
+              cluster.reportMachine("n-2", SMALL, true);
+              assertEquals(List.of(), cluster.autoscaler.planScaleIn(false, cluster.now));
+              assertTrue(idleMachine.isUsable());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -30,332 +30,372 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
-/** Gangs gather: in one place, once, for a bounded time, and never against each other. */
+/**
+ * Gang reservations: each gang reserves and requests machines in one zone at a time, requests each
+ * missing machine once, holds machines for a bounded time, and does not block other gangs. Without
+ * reservations a gang starves, since other tasks take each machine as soon as it is released.
+ */
 final class GangReservationsTest {
-  private static final MachineType BOX =
+  private static final MachineType MACHINE_TYPE =
       new MachineType(0, "box", 32, 0, 256, 100, 0.4, 2.0, 0.9, 30, new int[] {0, 1});
-  private static final List<MachineType> TYPES = List.of(BOX);
+  private static final List<MachineType> TYPES = List.of(MACHINE_TYPE);
 
   private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final SchedulerState schedulerState;
-    final TaskScheduler placement;
-    final Autoscaler fleet;
-    final List<PendingMachines> coming = new ArrayList<>();
+    final TaskScheduler taskScheduler;
+    final Autoscaler autoscaler;
+    final List<PendingMachines> pending = new ArrayList<>();
     long now = 1_000_000;
     long sequence;
-    int names;
+    int machineCount;
 
     TestCluster() {
       zones.intern("a");
       zones.intern("b");
       schedulerState =
           new SchedulerState(1, 60, 600, List.of(new Team("team", 9e9, 0, 9e9, 0)), zones);
-      placement = new TaskScheduler(schedulerState);
-      fleet =
+      taskScheduler = new TaskScheduler(schedulerState);
+      autoscaler =
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
     }
 
-    Machine machine(int zone) {
-      Machine m = schedulerState.registerMachine("n-" + names++, BOX, zone, false, now);
+    Machine addMachine(int zone) {
+      Machine machine =
+          schedulerState.registerMachine("n-" + machineCount++, MACHINE_TYPE, zone, false, now);
       schedulerState
           .heartbeatReconciler()
-          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
-      return m;
+          .reconcile(
+              machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+      return machine;
     }
 
-    Job gang(String id, int tasks) {
+    Job submitGang(String id, int tasks) {
       return schedulerState.accept(
           JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
-    List<ScaleOutRequest> cycle() {
-      placement.placeTasks(now);
-      List<ScaleOutRequest> r = fleet.planScaleOut(placement.queue(now), coming, TYPES, now);
+    List<ScaleOutRequest> runCycle() {
+      taskScheduler.placeTasks(now);
+      List<ScaleOutRequest> requests =
+          autoscaler.planScaleOut(taskScheduler.queue(now), pending, TYPES, now);
       now += 2_000;
-      return r;
+      return requests;
     }
 
-    /** Two cycles: the first tells what is offered. */
-    List<ScaleOutRequest> begin() {
-      cycle();
-      return cycle();
+    /** Runs two cycles, since the offered machine types are known only after the first one. */
+    List<ScaleOutRequest> runTwoCycles() {
+      runCycle();
+      return runCycle();
     }
 
-    /** The cloud answers a rent with some machines, which are up at once; the rest it refuses. */
-    void give(ScaleOutRequest r, int some) {
-      if (some < r.count()) {
-        schedulerState.gangReservations().recordRefusal(r.variant(), some, now);
+    /**
+     * Lets the cloud provide some of the requested machines, already booted, and refuse the rest.
+     */
+    void answerRequest(ScaleOutRequest request, int provided) {
+      if (provided < request.count()) {
+        schedulerState.gangReservations().recordRefusal(request.variant(), provided, now);
       }
-      for (int i = 0; i < some; i++) {
-        machine(r.variant().zone());
+      for (int i = 0; i < provided; i++) {
+        addMachine(request.variant().zone());
       }
     }
 
-    /** The cloud has no more machines than these, all of them ordinary ones in the first zone. */
-    void refuseAll(int there) {
+    /** Lets the cloud refuse all variants; the existing machines are on-demand, in zone 0. */
+    void refuseFurtherMachines(int existing) {
       for (int zone = 0; zone < 2; zone++) {
         for (boolean spot : new boolean[] {false, true}) {
-          int count = zone == 0 && !spot ? there : 0;
+          int count = zone == 0 && !spot ? existing : 0;
           schedulerState
               .gangReservations()
-              .recordRefusal(new MachineVariant(BOX, zone, spot), count, now);
+              .recordRefusal(new MachineVariant(MACHINE_TYPE, zone, spot), count, now);
         }
       }
     }
 
-    /** A report in which the machine's tasks run. */
-    void hear(Machine m) {
+    /** Sends a heartbeat that lists all attempts on the machine as running. */
+    void sendHeartbeat(Machine machine) {
       schedulerState
           .heartbeatReconciler()
-          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(
+              machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
-    int held(Job job) {
-      int n = 0;
-      for (Machine m : schedulerState.machines()) {
-        n += m.reservedFor == job ? 1 : 0;
+    int reservedMachines(Job job) {
+      int count = 0;
+      for (Machine machine : schedulerState.machines()) {
+        count += machine.reservedFor == job ? 1 : 0;
       }
-      return n;
+      return count;
     }
   }
 
-  private interface Case {
-    void run(TestCluster w);
+  private interface TestBody {
+    void run(TestCluster cluster);
   }
 
-  private static DynamicTest gang(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster()));
+  private static DynamicTest testCase(String name, TestBody test) {
+    return DynamicTest.dynamicTest(name, () -> test.run(new TestCluster()));
   }
 
-  private static int sum(List<ScaleOutRequest> rents) {
-    return rents.stream().mapToInt(ScaleOutRequest::count).sum();
+  private static int machineCount(List<ScaleOutRequest> requests) {
+    return requests.stream().mapToInt(ScaleOutRequest::count).sum();
   }
 
   @TestFactory
-  Stream<DynamicTest> gathers() {
+  Stream<DynamicTest> reservations() {
     return Stream.of(
-        gang(
-            "what it lacks is rented once, in one zone, with a few for those that never come",
-            w -> {
-              w.machine(1);
-              w.gang("job-1", 12);
-              List<ScaleOutRequest> rents = w.begin();
-              assertEquals(12, sum(rents)); // 11 lacking and 6% of it
-              assertTrue(rents.stream().allMatch(r -> r.variant().zone() == 1));
-              assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gangId())));
-              rents.forEach(
-                  r ->
-                      w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gangId())));
+        testCase(
+            "missing machines are requested once, in one zone, with spares for failed boots",
+            cluster -> {
+              cluster.addMachine(1);
+              cluster.submitGang("job-1", 12);
+              List<ScaleOutRequest> requests = cluster.runTwoCycles();
+              assertEquals(12, machineCount(requests)); // 11 missing and 6% spares, rounded up.
+              assertTrue(requests.stream().allMatch(request -> request.variant().zone() == 1));
+              assertTrue(requests.stream().allMatch(request -> "job-1".equals(request.gangId())));
+              requests.forEach(
+                  request ->
+                      cluster.pending.add(
+                          new PendingMachines(
+                              request.variant(), request.count(), cluster.now, request.gangId())));
               for (int i = 0; i < 5; i++) {
-                assertEquals(List.of(), w.cycle());
+                assertEquals(List.of(), cluster.runCycle());
               }
             }),
-        gang(
-            "its room goes to nobody else, and is free once it has started",
-            w -> {
-              Job job = w.gang("job-1", 3);
-              w.machine(0);
-              w.begin();
-              Machine m = w.schedulerState.machine("n-0");
-              assertEquals(job, m.reservedFor);
+        testCase(
+            "a reserved machine refuses other jobs and is released once the gang has started",
+            cluster -> {
+              Job job = cluster.submitGang("job-1", 3);
+              cluster.addMachine(0);
+              cluster.runTwoCycles();
+              Machine machine = cluster.schedulerState.machine("n-0");
+              assertEquals(job, machine.reservedFor);
               Job other =
-                  w.schedulerState.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
-              w.cycle();
+                  cluster.schedulerState.accept(
+                      JobSpecs.array("job-2", 9, 1).build(), 5, 0, cluster.now);
+              cluster.runCycle();
               assertEquals(0, other.liveAttemptCount());
               assertEquals(
                   StartRefusal.RESERVED_FOR_GANG,
-                  w.schedulerState.startRefusal(other, 0, m, w.now));
-              w.machine(0);
-              w.machine(0);
-              w.cycle();
+                  cluster.schedulerState.startRefusal(other, 0, machine, cluster.now));
+              cluster.addMachine(0);
+              cluster.addMachine(0);
+              cluster.runCycle();
               assertEquals(3, job.liveAttemptCount());
-              w.cycle();
-              assertNull(m.reservedFor);
+              cluster.runCycle();
+              assertNull(machine.reservedFor);
             }),
-        gang(
-            "without more machines it counts on what ends within minutes, also while the cloud is asked"
-                + " again",
-            w -> {
-              List<Machine> busy = List.of(w.machine(0), w.machine(0), w.machine(0));
+        testCase(
+            "when the cloud has no more machines, machines whose tasks end within minutes stay reserved,"
+                + " also after the refusal backoff",
+            cluster -> {
+              List<Machine> busyMachines =
+                  List.of(cluster.addMachine(0), cluster.addMachine(0), cluster.addMachine(0));
               for (int i = 0; i < 3; i++) {
-                run(
-                    w,
-                    w.schedulerState.accept(JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
-                    busy.get(i));
+                startTask(
+                    cluster,
+                    cluster.schedulerState.accept(
+                        JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, cluster.now),
+                    busyMachines.get(i));
               }
-              Job job = w.gang("job-9", 3);
-              w.cycle();
-              w.refuseAll(3);
-              w.cycle();
-              assertEquals(3, w.held(job));
-              w.now += 24_000; // A refusal is believed for 20 s; the tasks end after 60 s.
-              for (Machine m : busy) {
-                w.hear(m);
+              Job job = cluster.submitGang("job-9", 3);
+              cluster.runCycle();
+              cluster.refuseFurtherMachines(3);
+              cluster.runCycle();
+              assertEquals(3, cluster.reservedMachines(job));
+              cluster.now += 24_000; // The refusal backoff is 20 s; the tasks end after 60 s.
+              for (Machine machine : busyMachines) {
+                cluster.sendHeartbeat(machine);
               }
-              w.cycle();
-              assertEquals(3, w.held(job));
-              assertEquals(3, w.schedulerState.gangReservations().status(job, w.now).slots());
+              cluster.runCycle();
+              assertEquals(3, cluster.reservedMachines(job));
+              assertEquals(
+                  3, cluster.schedulerState.gangReservations().status(job, cluster.now).slots());
             }),
-        gang(
-            "a zone that cannot complete it is given up at once, and another is tried",
-            w -> {
-              Job job = w.gang("job-1", 10);
-              List<ScaleOutRequest> first = w.begin();
-              int zone = first.get(0).variant().zone();
-              w.give(first.get(0), 4);
-              // The ordinary kind of the same zone is asked before it is given up.
-              List<ScaleOutRequest> second = w.cycle();
-              assertEquals(zone, second.get(0).variant().zone());
-              assertNotEquals(first.get(0).variant().spot(), second.get(0).variant().spot());
-              w.give(second.get(0), 0);
-              w.cycle();
-              assertEquals(0, w.held(job));
-              List<ScaleOutRequest> third = w.begin();
-              assertEquals(1 - zone, third.get(0).variant().zone());
+        testCase(
+            "a reservation in a zone that cannot complete it fails at once, and another zone is tried",
+            cluster -> {
+              Job job = cluster.submitGang("job-1", 10);
+              List<ScaleOutRequest> firstRequests = cluster.runTwoCycles();
+              int zone = firstRequests.get(0).variant().zone();
+              cluster.answerRequest(firstRequests.get(0), 4);
+              // The other variant, spot or on-demand, of the same zone is requested first.
+              List<ScaleOutRequest> secondRequests = cluster.runCycle();
+              assertEquals(zone, secondRequests.get(0).variant().zone());
+              assertNotEquals(
+                  firstRequests.get(0).variant().spot(), secondRequests.get(0).variant().spot());
+              cluster.answerRequest(secondRequests.get(0), 0);
+              cluster.runCycle();
+              assertEquals(0, cluster.reservedMachines(job));
+              List<ScaleOutRequest> thirdRequests = cluster.runTwoCycles();
+              assertEquals(1 - zone, thirdRequests.get(0).variant().zone());
             }),
-        gang(
-            "one that no zone holds rents a bounded number of machines, however long it waits",
-            w -> {
-              w.gang("job-1", 40);
-              int rented = 0;
+        testCase(
+            "a gang that fits into no zone requests a bounded number of machines",
+            cluster -> {
+              cluster.submitGang("job-1", 40);
+              int requestedMachines = 0;
               for (int i = 0; i < 300; i++) {
-                for (ScaleOutRequest r : w.cycle()) {
-                  rented += r.count();
-                  w.schedulerState.gangReservations().recordRefusal(r.variant(), 5, w.now);
+                for (ScaleOutRequest request : cluster.runCycle()) {
+                  requestedMachines += request.count();
+                  cluster
+                      .schedulerState
+                      .gangReservations()
+                      .recordRefusal(request.variant(), 5, cluster.now);
                 }
               }
-              // Ten minutes: a gathering asks for 84 at most, and the pause doubles each time.
-              assertTrue(rented <= 12 * 84, "rented " + rented);
-              assertTrue(rented >= 80, "rented " + rented);
+              // In ten minutes: a reservation requests at most 84 machines, and the backoff doubles
+              // after each one.
+              assertTrue(requestedMachines <= 12 * 84, "rented " + requestedMachines);
+              assertTrue(requestedMachines >= 80, "rented " + requestedMachines);
             }),
-        gang(
-            "two that together exceed a zone start one after the other",
-            w -> {
+        testCase(
+            "two gangs that together exceed the capacity of a zone start one after the other",
+            cluster -> {
               for (int i = 0; i < 10; i++) {
-                w.machine(0);
+                cluster.addMachine(0);
               }
-              w.schedulerState
+              cluster
+                  .schedulerState
                   .gangReservations()
-                  .recordRefusal(new MachineVariant(BOX, 0, true), 10, w.now);
-              w.schedulerState
+                  .recordRefusal(new MachineVariant(MACHINE_TYPE, 0, true), 10, cluster.now);
+              cluster
+                  .schedulerState
                   .gangReservations()
-                  .recordRefusal(new MachineVariant(BOX, 0, false), 10, w.now);
-              w.schedulerState
+                  .recordRefusal(new MachineVariant(MACHINE_TYPE, 0, false), 10, cluster.now);
+              cluster
+                  .schedulerState
                   .gangReservations()
-                  .recordRefusal(new MachineVariant(BOX, 1, true), 0, w.now);
-              w.schedulerState
+                  .recordRefusal(new MachineVariant(MACHINE_TYPE, 1, true), 0, cluster.now);
+              cluster
+                  .schedulerState
                   .gangReservations()
-                  .recordRefusal(new MachineVariant(BOX, 1, false), 0, w.now);
-              Job one = w.gang("job-1", 7);
-              Job two = w.gang("job-2", 7);
-              w.begin();
-              assertEquals(7, one.liveAttemptCount());
-              assertEquals(0, two.liveAttemptCount());
-              for (Attempt a : live(one)) {
-                w.schedulerState.resolve(a, AttemptOutcome.COMPLETED, w.now);
+                  .recordRefusal(new MachineVariant(MACHINE_TYPE, 1, false), 0, cluster.now);
+              Job firstGang = cluster.submitGang("job-1", 7);
+              Job secondGang = cluster.submitGang("job-2", 7);
+              cluster.runTwoCycles();
+              assertEquals(7, firstGang.liveAttemptCount());
+              assertEquals(0, secondGang.liveAttemptCount());
+              for (Attempt attempt : liveAttempts(firstGang)) {
+                cluster.schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, cluster.now);
               }
-              w.begin();
-              assertEquals(7, two.liveAttemptCount());
+              cluster.runTwoCycles();
+              assertEquals(7, secondGang.liveAttemptCount());
             }),
-        gang(
-            "tasks that end soon are waited for where the cloud has no more, lower ranks give way",
-            w -> {
-              Machine m = w.machine(0);
-              Machine n = w.machine(0);
-              for (int z = 0; z < 2; z++) {
-                w.schedulerState
+        testCase(
+            "when the cloud has no more machines, a gang waits for tasks that end soon and preempts those of"
+                + " lower priority",
+            cluster -> {
+              Machine machine = cluster.addMachine(0);
+              Machine otherMachine = cluster.addMachine(0);
+              for (int zone = 0; zone < 2; zone++) {
+                cluster
+                    .schedulerState
                     .gangReservations()
-                    .recordRefusal(new MachineVariant(BOX, z, true), 2, w.now);
-                w.schedulerState
+                    .recordRefusal(new MachineVariant(MACHINE_TYPE, zone, true), 2, cluster.now);
+                cluster
+                    .schedulerState
                     .gangReservations()
-                    .recordRefusal(new MachineVariant(BOX, z, false), 2, w.now);
+                    .recordRefusal(new MachineVariant(MACHINE_TYPE, zone, false), 2, cluster.now);
               }
-              Job equal =
-                  w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
-              Job idle =
-                  w.schedulerState.accept(
-                      JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
-              Attempt a = run(w, equal, m);
-              Attempt b = run(w, idle, n);
-              Job job = w.gang("job-3", 2);
-              w.begin();
-              assertEquals(2, w.held(job));
-              assertFalse(a.isStopping());
-              assertTrue(b.isStopping());
-              w.schedulerState.resolve(a, AttemptOutcome.COMPLETED, w.now);
-              w.schedulerState.resolve(b, AttemptOutcome.STOPPED, w.now);
-              w.cycle();
+              Job normalJob =
+                  cluster.schedulerState.accept(
+                      JobSpecs.array("job-1", 1, 8).build(), 5, 0, cluster.now);
+              Job idleJob =
+                  cluster.schedulerState.accept(
+                      JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, cluster.now);
+              Attempt attempt = startTask(cluster, normalJob, machine);
+              Attempt idleAttempt = startTask(cluster, idleJob, otherMachine);
+              Job job = cluster.submitGang("job-3", 2);
+              cluster.runTwoCycles();
+              assertEquals(2, cluster.reservedMachines(job));
+              assertFalse(attempt.isStopping());
+              assertTrue(idleAttempt.isStopping());
+              cluster.schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, cluster.now);
+              cluster.schedulerState.resolve(idleAttempt, AttemptOutcome.STOPPED, cluster.now);
+              cluster.runCycle();
               assertEquals(2, job.liveAttemptCount());
             }),
-        gang(
-            "a withdrawn gang, or one that takes too long, holds nothing",
-            w -> {
-              w.machine(0);
-              Job job = w.gang("job-1", 3);
-              w.begin();
-              assertEquals(1, w.held(job));
-              w.schedulerState.cancel(job, w.now);
-              w.cycle();
-              assertEquals(0, w.held(job));
-              assertEquals(0, w.schedulerState.gangReservations().size());
-              Job again = w.gang("job-2", 3);
-              w.begin();
-              assertEquals(1, w.held(again));
-              w.coming.add(
-                  new PendingMachines(new MachineVariant(BOX, 0, true), 2, w.now, "job-2"));
-              w.now += GangReservations.MAX_RESERVATION_MS + 1_000;
-              w.cycle();
-              assertEquals(0, w.held(again));
-              GangReservations.ReservationStatus s =
-                  w.schedulerState.gangReservations().status(again, w.now);
-              assertTrue(s.isBackingOff() && s.endsAtMs() > w.now);
+        testCase(
+            "reservations of a cancelled gang and of one that takes too long are released",
+            cluster -> {
+              cluster.addMachine(0);
+              Job job = cluster.submitGang("job-1", 3);
+              cluster.runTwoCycles();
+              assertEquals(1, cluster.reservedMachines(job));
+              cluster.schedulerState.cancel(job, cluster.now);
+              cluster.runCycle();
+              assertEquals(0, cluster.reservedMachines(job));
+              assertEquals(0, cluster.schedulerState.gangReservations().size());
+              Job secondGang = cluster.submitGang("job-2", 3);
+              cluster.runTwoCycles();
+              assertEquals(1, cluster.reservedMachines(secondGang));
+              cluster.pending.add(
+                  new PendingMachines(
+                      new MachineVariant(MACHINE_TYPE, 0, true), 2, cluster.now, "job-2"));
+              cluster.now += GangReservations.MAX_RESERVATION_MS + 1_000;
+              cluster.runCycle();
+              assertEquals(0, cluster.reservedMachines(secondGang));
+              GangReservations.ReservationStatus status =
+                  cluster.schedulerState.gangReservations().status(secondGang, cluster.now);
+              assertTrue(status.isBackingOff() && status.endsAtMs() > cluster.now);
             }),
-        gang(
-            "scatter counts no more of a zone than its rules allow",
-            w -> {
+        testCase(
+            "a scattered gang counts no more slots in a zone than its limit for each zone",
+            cluster -> {
               for (int i = 0; i < 4; i++) {
-                w.machine(0);
+                cluster.addMachine(0);
               }
               Job job =
-                  w.schedulerState.accept(
-                      JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
-              List<ScaleOutRequest> rents = w.begin();
+                  cluster.schedulerState.accept(
+                      JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(),
+                      5,
+                      0,
+                      cluster.now);
+              List<ScaleOutRequest> requests = cluster.runTwoCycles();
               assertEquals(0, job.liveAttemptCount());
-              assertTrue(sum(rents) >= 2);
-              w.machine(1);
-              w.machine(1);
-              w.cycle();
+              assertTrue(machineCount(requests) >= 2);
+              cluster.addMachine(1);
+              cluster.addMachine(1);
+              cluster.runCycle();
               assertEquals(4, job.liveAttemptCount());
             }),
-        gang(
-            "a gang is no reason for the averages to rent",
-            w -> {
-              w.machine(0);
-              w.gang("job-1", 30);
-              w.begin();
-              w.coming.add(
-                  new PendingMachines(new MachineVariant(BOX, 0, true), 40, w.now, "job-1"));
-              assertEquals(List.of(), w.cycle());
+        testCase(
+            "waiting gangs and machines for gangs do not trigger scale out by low spare capacity",
+            cluster -> {
+              cluster.addMachine(0);
+              cluster.submitGang("job-1", 30);
+              cluster.runTwoCycles();
+              cluster.pending.add(
+                  new PendingMachines(
+                      new MachineVariant(MACHINE_TYPE, 0, true), 40, cluster.now, "job-1"));
+              assertEquals(List.of(), cluster.runCycle());
             }));
   }
 
-  private static List<Attempt> live(Job job) {
-    List<Attempt> out = new ArrayList<>();
-    for (int t = 0; t < job.spec.tasks(); t++) {
-      if (job.liveAttempt(t) != null) {
-        out.add(job.liveAttempt(t));
+  private static List<Attempt> liveAttempts(Job job) {
+    List<Attempt> attempts = new ArrayList<>();
+    for (int task = 0; task < job.spec.tasks(); task++) {
+      if (job.liveAttempt(task) != null) {
+        attempts.add(job.liveAttempt(task));
       }
     }
-    return out;
+    return attempts;
   }
 
-  private static Attempt run(TestCluster w, Job job, Machine m) {
-    Attempt a = w.schedulerState.start(job, job.pendingTasks.dequeueInt(), m, w.now);
-    JobSpecs.commit(w.schedulerState, w.now);
-    w.schedulerState
+  private static Attempt startTask(TestCluster cluster, Job job, Machine machine) {
+    Attempt attempt =
+        cluster.schedulerState.start(job, job.pendingTasks.dequeueInt(), machine, cluster.now);
+    JobSpecs.commit(cluster.schedulerState, cluster.now);
+    cluster
+        .schedulerState
         .heartbeatReconciler()
-        .reconcile(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
-    return a;
+        .reconcile(
+            machine,
+            JobSpecs.report(machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
+            true,
+            cluster.now);
+    return attempt;
   }
 }
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -12,7 +12,7 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
 
-/** Of what was due, how much is done, by class and team. */
+/** The share of due jobs that are done by class and team, and the number of counted classes. */
 final class ObjectiveAttainmentTest {
   private final NameIndex classes = new NameIndex();
   private final NameIndex zones = new NameIndex();
@@ -24,42 +24,50 @@
   }
 
   @Test
-  void aJobIsDueOnceItShouldBeOverAndCountsUntilItIs() {
+  void jobIsOverdueAfterItsDueAgeUntilItEnds() {
     classes.intern("c");
     SchedulerState schedulerState = schedulerState();
     ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
-    Job done = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
+    Job doneJob = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
     schedulerState.accept(
-        JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest, never begun.
-    attainment.recordDone(done);
-    schedulerState.jobs().remove(done);
+        JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest job; it never starts.
+    attainment.recordDone(doneJob);
+    schedulerState.jobs().remove(doneJob);
     assertEquals(
         List.of("class c 1.0 1", "team red 1.0 1", "largest c 0.0 0"),
-        lines(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS));
+        formattedSummaries(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS));
     assertEquals(
         List.of("class c 0.5 1", "team red 0.5 1", "largest c 0.0 0"),
-        lines(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS + 1));
+        formattedSummaries(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS + 1));
     schedulerState.cancel(schedulerState.job("job-2"), 0);
     assertEquals(
         List.of("class c 1.0 0", "team red 1.0 0", "largest c 1.0 0"),
-        lines(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS + 1));
+        formattedSummaries(attainment, schedulerState, ObjectiveAttainment.DEFAULT_DUE_MS + 1));
   }
 
-  private static List<String> lines(
+  private static List<String> formattedSummaries(
       ObjectiveAttainment attainment, SchedulerState schedulerState, long now) {
     return attainment.summarize(schedulerState.jobs(), now).stream()
-        .map(l -> l.kind() + " " + l.name() + " " + l.doneShare() + " " + l.open())
+        .map(
+            summary ->
+                summary.kind()
+                    + " "
+                    + summary.name()
+                    + " "
+                    + summary.doneShare()
+                    + " "
+                    + summary.open())
         .toList();
   }
 
   @Test
-  void namesThatUsersMakeUpAreCountedAsOneBeyondABound() {
+  void classNamesBeyondTheMaximumAreCountedTogether() {
     ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
     SchedulerState schedulerState = schedulerState();
     for (int i = 0; i < 1_000; i++) {
-      int c = classes.intern("c" + i);
-      JobSpec s = JobSpecs.array("job-" + i, 1, 1).taskClass(c).build();
-      attainment.recordDone(schedulerState.accept(s, 1, 0, 0));
+      int classIndex = classes.intern("c" + i);
+      JobSpec spec = JobSpecs.array("job-" + i, 1, 1).taskClass(classIndex).build();
+      attainment.recordDone(schedulerState.accept(spec, 1, 0, 0));
     }
     assertTrue(attainment.summarize(List.of(), 0).size() <= 131);
   }
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -16,121 +16,124 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
 
-/** Stopping is for room that does not come by itself. */
+/**
+ * Preemption leaves out the capacity that running tasks are expected to release soon. Without this,
+ * tasks lose their progress for room that would have become free within seconds.
+ */
 final class ExpectedReleasesTest {
-  /** A full fleet of 100 machines of 4 CPUs with tasks of 60 s by their estimate. */
+  /** A fleet of 100 machines with 4 CPUs each; jobs have an estimated run time of 60 s. */
   private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
         new MachineType(0, "t4", 4, 0, 64, 100, 1, 1.0, 0.5, 30, new int[] {0});
     final SchedulerState schedulerState;
-    final TaskScheduler placement;
+    final TaskScheduler taskScheduler;
     long sequence;
     long now = 1_000_000;
 
     TestCluster() {
       zones.intern("a");
       schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 1e6, 0, 1e6, 0)), zones);
-      placement = new TaskScheduler(schedulerState);
+      taskScheduler = new TaskScheduler(schedulerState);
       for (int i = 0; i < 100; i++) {
-        report(schedulerState.registerMachine("n-" + i, type, 0, true, now));
+        sendHeartbeat(schedulerState.registerMachine("n-" + i, type, 0, true, now));
       }
     }
 
-    void report(Machine m) {
+    void sendHeartbeat(Machine machine) {
       schedulerState.processHeartbeat(
-          m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
-    /** Normal tasks fill the fleet and have run for so long. */
-    void fill(double cpus, long ranMs) {
-      int n = (int) (400 / cpus);
-      schedulerState.accept(JobSpecs.array("job-1", n, cpus).spot().build(), 5, 0, now);
-      assertEquals(n, placement.placeTasks(now).size());
+    /** Fills the fleet with tasks of normal priority that have run for {@code ranMs}. */
+    void fillFleet(double cpus, long ranMs) {
+      int taskCount = (int) (400 / cpus);
+      schedulerState.accept(JobSpecs.array("job-1", taskCount, cpus).spot().build(), 5, 0, now);
+      assertEquals(taskCount, taskScheduler.placeTasks(now).size());
       JobSpecs.commit(schedulerState, now);
-      for (Machine m : schedulerState.machines()) {
-        report(m);
+      for (Machine machine : schedulerState.machines()) {
+        sendHeartbeat(machine);
       }
       now += ranMs;
-      schedulerState.machines().forEach(this::report);
+      schedulerState.machines().forEach(this::sendHeartbeat);
     }
 
-    /** Urgent tasks wait for two seconds; how many others were stopped for them. */
-    long urgent(int tasks) {
+    /** Submits an urgent job and runs placement for 2.5 s; returns the preemptions so far. */
+    long preemptionsAfterUrgentJob(int tasks) {
       schedulerState.accept(
           JobSpecs.array("job-2" + ++sequence, tasks, 1).priority(1).spot().build(), 5, 0, now);
       for (int i = 0; i < 5; i++) {
         now += 500;
-        schedulerState.machines().forEach(this::report);
-        placement.placeTasks(now);
+        schedulerState.machines().forEach(this::sendHeartbeat);
+        taskScheduler.placeTasks(now);
       }
-      return placement.preemptionCount();
+      return taskScheduler.preemptionCount();
     }
   }
 
-  private interface Case {
-    void run(TestCluster w);
+  private interface TestBody {
+    void run(TestCluster cluster);
   }
 
-  private static DynamicTest full(String name, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster()));
+  private static DynamicTest testCase(String name, TestBody test) {
+    return DynamicTest.dynamicTest(name, () -> test.run(new TestCluster()));
   }
 
   @TestFactory
-  Stream<DynamicTest> stops() {
+  Stream<DynamicTest> preemption() {
     return Stream.of(
-        full(
-            "few urgent tasks wait for the ends that come anyway",
-            w -> {
-              w.fill(1, 40_000);
-              assertEquals(0, w.urgent(20));
+        testCase(
+            "a few urgent tasks preempt nothing when enough running tasks end soon",
+            cluster -> {
+              cluster.fillFleet(1, 40_000);
+              assertEquals(0, cluster.preemptionsAfterUrgentJob(20));
             }),
-        full(
-            "what has just begun does not end soon: room for urgent tasks is made",
-            w -> {
-              w.fill(1, 2_000);
-              assertEquals(20, w.urgent(20));
+        testCase(
+            "urgent tasks preempt tasks that have just started, which do not end soon",
+            cluster -> {
+              cluster.fillFleet(1, 2_000);
+              assertEquals(20, cluster.preemptionsAfterUrgentJob(20));
             }),
-        full(
-            "what comes is left out, what is missing is stopped",
-            w -> {
-              w.fill(1, 40_000);
-              long stops = w.urgent(100);
-              assertTrue(stops >= 40 && stops <= 90, "stopped " + stops);
+        testCase(
+            "urgent tasks preempt only as many tasks as are missing besides those that end soon",
+            cluster -> {
+              cluster.fillFleet(1, 40_000);
+              long preemptions = cluster.preemptionsAfterUrgentJob(100);
+              assertTrue(preemptions >= 40 && preemptions <= 90, "stopped " + preemptions);
             }),
-        full(
-            "what comes goes to the jobs ahead first: it is not counted twice",
-            w -> {
-              w.fill(1, 40_000);
-              w.schedulerState.accept(
-                  JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, w.now);
-              long stops = w.urgent(30);
-              assertTrue(stops >= 25 && stops <= 50, "stopped " + stops);
+        testCase(
+            "capacity that is claimed by a job ahead in the queue is not counted again",
+            cluster -> {
+              cluster.fillFleet(1, 40_000);
+              cluster.schedulerState.accept(
+                  JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, cluster.now);
+              long preemptions = cluster.preemptionsAfterUrgentJob(30);
+              assertTrue(preemptions >= 25 && preemptions <= 50, "stopped " + preemptions);
             }),
-        full(
-            "a task that was started four times is left to end, but for critical work",
-            w -> {
-              Job j =
-                  w.schedulerState.accept(
-                      JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, w.now);
-              for (int t = 0; t < 100; t++) {
-                w.schedulerState.restoreAttempt(
-                    j, t, 4, w.schedulerState.machine("n-" + t), 1, w.now);
+        testCase(
+            "a task that was started four times is preempted only by a critical job",
+            cluster -> {
+              Job job =
+                  cluster.schedulerState.accept(
+                      JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, cluster.now);
+              for (int task = 0; task < 100; task++) {
+                cluster.schedulerState.restoreAttempt(
+                    job, task, 4, cluster.schedulerState.machine("n-" + task), 1, cluster.now);
               }
-              w.schedulerState.finishRestore(j, w.now);
-              w.schedulerState.machines().forEach(w::report);
-              assertEquals(0, w.urgent(20));
-              w.schedulerState.accept(
-                  JobSpecs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, w.now);
-              assertEquals(2, w.urgent(1));
+              cluster.schedulerState.finishRestore(job, cluster.now);
+              cluster.schedulerState.machines().forEach(cluster::sendHeartbeat);
+              assertEquals(0, cluster.preemptionsAfterUrgentJob(20));
+              cluster.schedulerState.accept(
+                  JobSpecs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, cluster.now);
+              assertEquals(2, cluster.preemptionsAfterUrgentJob(1));
             }),
-        full(
-            "small tasks that end here and there make no room for a large one",
-            w -> {
-              w.fill(1, 40_000);
-              w.schedulerState.accept(
-                  JobSpecs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, w.now);
-              assertEquals(4, w.urgent(1));
+        testCase(
+            "expected ends of small tasks on different machines are no room for a large task",
+            cluster -> {
+              cluster.fillFleet(1, 40_000);
+              cluster.schedulerState.accept(
+                  JobSpecs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, cluster.now);
+              assertEquals(4, cluster.preemptionsAfterUrgentJob(1));
             }));
   }
 }
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -18,7 +18,11 @@
 import org.mallowroad.core.Team;
 import org.mallowroad.core.dependency.JobDependencies;
 
-/** The largest jobs, and those with large images, begin within four minutes as the others do. */
+/**
+ * Job order and start times of large jobs and of jobs with large images. Both kinds would otherwise
+ * start later than the start target of four minutes: large jobs exceed their teams' guarantees, and
+ * large images take long to fetch.
+ */
 final class LargestJobsTest {
   private final NameIndex zones = new NameIndex();
   private final MachineType type =
@@ -26,18 +30,18 @@
   private final List<Team> teams =
       List.of(new Team("large", 4, 0, 400, 0), new Team("small", 400, 0, 400, 0));
   private final SchedulerState schedulerState;
-  private final TaskScheduler placement;
+  private final TaskScheduler taskScheduler;
   private long now = 1_000_000;
   private long sequence;
 
   LargestJobsTest() {
     zones.intern("a");
     schedulerState = new SchedulerState(1, 900, 600, teams, zones);
-    placement = new TaskScheduler(schedulerState);
+    taskScheduler = new TaskScheduler(schedulerState);
   }
 
-  private Job job(String id, int team, int tasks, double gb, double estimate) {
-    JobSpec s =
+  private Job submitJob(String id, int team, int tasks, double imageGb, double estimateS) {
+    JobSpec spec =
         new JobSpec(
             id,
             0,
@@ -50,76 +54,77 @@
             0,
             1,
             0,
-            gb,
+            imageGb,
             null,
             -1,
             false,
             false,
             true,
-            estimate,
+            estimateS,
             0,
             0,
             0,
             now,
             JobDependencies.NONE);
-    return schedulerState.accept(s, 5, 0, now);
+    return schedulerState.accept(spec, 5, 0, now);
   }
 
-  private Machine machine(String name) {
-    Machine m = schedulerState.registerMachine(name, type, 0, false, now);
+  private Machine addMachine(String name) {
+    Machine machine = schedulerState.registerMachine(name, type, 0, false, now);
     schedulerState.processHeartbeat(
-        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
-    return m;
+        machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+    return machine;
   }
 
-  private List<String> order() {
-    List<String> out = new ArrayList<>();
-    placement.queue(now).forEach(j -> out.add(j.spec.id()));
-    return out;
+  private List<String> queuedJobIds() {
+    List<String> ids = new ArrayList<>();
+    taskScheduler.queue(now).forEach(job -> ids.add(job.spec.id()));
+    return ids;
   }
 
   @Test
-  void whatHasWaitedLongGoesBeforeGuaranteedWorkOfItsRankAndIsNotStoppedForIt() {
-    Machine m = machine("n-1");
-    Job large = job("job-1", 0, 50, 1, 60);
+  void agedJobIsAheadOfGuaranteedJobAndIsNotPreemptedForIt() {
+    Machine machine = addMachine("n-1");
+    Job large = submitJob("job-1", 0, 50, 1, 60);
     now += 100_000;
-    job("job-2", 1, 1, 1, 60);
-    assertEquals(List.of("job-2", "job-1"), order());
+    submitJob("job-2", 1, 1, 1, 60);
+    assertEquals(List.of("job-2", "job-1"), queuedJobIds());
     now += 90_000;
-    assertEquals(List.of("job-1", "job-2"), order());
-    placement.placeTasks(now);
+    assertEquals(List.of("job-1", "job-2"), queuedJobIds());
+    taskScheduler.placeTasks(now);
     JobSpecs.commit(schedulerState, now);
     schedulerState.processHeartbeat(
-        m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     assertEquals(1, large.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
-      placement.placeTasks(now);
+      taskScheduler.placeTasks(now);
     }
-    // Stopped, it would take the room again at once: the two stopped each other 3,713 times.
+    // Once, the task of the aged job was preempted here and got the room back in the next pass: the
+    // two jobs preempted each other 3,713 times.
     assertFalse(large.liveAttempt(0).isStopping());
-    assertEquals(0, placement.preemptionCount());
+    assertEquals(0, taskScheduler.preemptionCount());
   }
 
   @Test
-  void anImageThatTakesLongBesideItsRunIsDueSooner() {
-    machine("n-1");
-    job("job-1", 0, 50, 1, 60);
+  void jobWithSlowImageFetchIsDueEarlier() {
+    addMachine("n-1");
+    submitJob("job-1", 0, 50, 1, 60);
     now += 50_000;
-    job("job-2", 0, 50, 20, 30);
-    job("job-3", 0, 50, 20, 60);
-    assertEquals(List.of("job-2", "job-1", "job-3"), order());
+    submitJob("job-2", 0, 50, 20, 30);
+    submitJob("job-3", 0, 50, 20, 60);
+    assertEquals(List.of("job-2", "job-1", "job-3"), queuedJobIds());
   }
 
   @Test
-  void aJobHasBegunWhenAsMuchAsItsTeamsLimitAllowsIsUnderWay() {
-    Job j = job("job-1", 1, 150, 1, 60);
+  void jobHasBegunOnceAsManyTasksAsTheTeamLimitAllowsAreStarted() {
+    Job job = submitJob("job-1", 1, 150, 1, 60);
     for (int i = 0; i < 100; i++) {
-      assertEquals(-1, j.begunMs());
-      machine("n-" + i);
-      placement.placeTasks(now);
+      assertEquals(-1, job.begunMs());
+      addMachine("n-" + i);
+      taskScheduler.placeTasks(now);
     }
-    assertEquals(100, j.liveAttemptCount());
-    assertTrue(j.begunMs() == now, "400 CPUs are the limit, 4 each");
+    assertEquals(100, job.liveAttemptCount());
+    assertTrue(job.begunMs() == now, "400 CPUs are the limit, 4 each");
   }
 }
