--- a/src/main/java/org/mallowroad/controller/CancellationPropagation.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -7,31 +7,32 @@
 import org.mallowroad.peer.PeerMessenger;
 
 /**
- * Notifies the other controllers of cancellations that this one learnt of, until they have accepted
- * the message or {@code cancel_s} is over: by then the workers' leases have expired. What a peer
- * reported is passed on to the leader alone, once, since its sender may not reach the leader.
+ * Notifies the other controllers of cancellations that this node has learnt of. Retries until a
+ * peer accepts the message or {@code cancel_s} (in seconds) has elapsed, since by then the workers'
+ * leases have expired. A cancellation that a peer reported is forwarded only to the leader, because
+ * the reporting peer may be unable to reach it.
  *
  * <p>Runs on the event loop only.
  */
 final class CancellationPropagation {
-  /** Cancellations come together; those of a moment share a message. */
+  /** Cancellations often arrive in bursts; those within this delay are sent in one message. */
   private static final long BATCH_DELAY_MS = 20;
 
   private static final long RETRY_DELAY_MS = 500;
 
-  /** Accepts the end of a job as a fact. */
-  interface EndListener {
-    /** The job is over: {@code done}, or cancelled. */
-    void ended(String id, boolean done);
+  /** Called when the end of a job becomes known. */
+  interface JobEndListener {
+    /** The job has ended: completed if {@code done}, otherwise cancelled. */
+    void onJobEnded(String id, boolean done);
   }
 
   private final EventLoop loop;
   private final PeerMessenger peers;
   private final List<String> peerNames;
-  private final PendingCancellationNotices notices;
+  private final PendingCancellationNotices pendingNotices;
 
-  /** Whether a message to the peer is due; by index of the peer. */
-  private final boolean[] isScheduled;
+  /** Whether a message to the peer is scheduled, indexed by peer. */
+  private final boolean[] isSendScheduled;
 
   private boolean isHandlingPeerMessage;
 
@@ -39,54 +40,54 @@
     this.loop = loop;
     this.peers = peers;
     this.peerNames = settings.members().stream().map(Settings.Member::node).toList();
-    this.notices =
+    this.pendingNotices =
         new PendingCancellationNotices(peerNames.size(), (long) (settings.cancelS() * 1000));
-    this.isScheduled = new boolean[peerNames.size()];
+    this.isSendScheduled = new boolean[peerNames.size()];
   }
 
-  /**
-   * This node learnt of a cancellation: notifies all peers or, where a peer reported it, only the
-   * leader.
-   */
-  void learnt(String job, String leader) {
+  /** Notifies all peers of a cancellation or, if a peer reported it, only the leader. */
+  void propagate(String jobId, String leader) {
     for (int peer = 0; peer < peerNames.size(); peer++) {
       if (!isHandlingPeerMessage || peerNames.get(peer).equals(leader)) {
-        notices.add(peer, job, loop.now());
-        schedule(peer, BATCH_DELAY_MS);
+        pendingNotices.add(peer, jobId, loop.now());
+        scheduleSend(peer, BATCH_DELAY_MS);
       }
     }
   }
 
-  /** A peer reported cancellations; {@code listener} may call {@link #learnt} for each. */
-  void received(List<String> jobs, EndListener listener) {
+  /**
+   * Handles cancellations that a peer reported; {@code listener} may call {@link #propagate} for
+   * each of them.
+   */
+  void handlePeerNotification(List<String> jobIds, JobEndListener listener) {
     isHandlingPeerMessage = true;
     try {
-      jobs.forEach(id -> listener.ended(id, false));
+      jobIds.forEach(jobId -> listener.onJobEnded(jobId, false));
     } finally {
       isHandlingPeerMessage = false;
     }
   }
 
-  private void schedule(int peer, long delayMs) {
-    if (!isScheduled[peer]) {
-      isScheduled[peer] = true;
+  private void scheduleSend(int peer, long delayMs) {
+    if (!isSendScheduled[peer]) {
+      isSendScheduled[peer] = true;
       loop.after(delayMs, () -> send(peer));
     }
   }
 
   private void send(int peer) {
-    isScheduled[peer] = false;
-    List<String> jobs = notices.takeBatch(peer, loop.now());
-    if (jobs.isEmpty()) {
+    isSendScheduled[peer] = false;
+    List<String> jobIds = pendingNotices.takeBatch(peer, loop.now());
+    if (jobIds.isEmpty()) {
       return;
     }
     peers.sendCancelled(
         peer,
-        jobs,
+        jobIds,
         isAccepted -> {
-          notices.completeBatch(peer, jobs, isAccepted);
-          if (notices.pendingCount(peer) > 0) {
-            schedule(peer, isAccepted ? BATCH_DELAY_MS : RETRY_DELAY_MS);
+          pendingNotices.completeBatch(peer, jobIds, isAccepted);
+          if (pendingNotices.pendingCount(peer) > 0) {
+            scheduleSend(peer, isAccepted ? BATCH_DELAY_MS : RETRY_DELAY_MS);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -16,58 +16,66 @@
 import org.mallowroad.wire.JobCodec;
 
 /**
- * What a node knows of its cluster: settings, machine types, teams, and names as small indices.
+ * A node's configuration of its cluster: settings, machine types, teams, and the mapping of names
+ * to small indices.
  *
- * <p>Users make up names of images, classes and types. Their number is bounded: {@link
- * #forgetUnusedNames} gives the indices of unused ones to others. Confined to the event loop,
- * except the settings, which do not change.
+ * <p>Users choose the names of images, task classes and machine types freely. {@link
+ * #forgetUnusedNames} bounds their number by reusing the indices of unused names. Confined to the
+ * event loop, except for the settings, which are immutable.
  */
 public final class ClusterConfig implements MachineTypeCatalog, RecordDecodingContext {
-  /** With more names than this, those that nothing uses any more are forgotten. */
+  /** Once there are this many names, unused ones are removed. */
   static final int MAX_NAMES = 2_000;
 
   final Settings settings;
-  final OperatorSettings operator;
+  final OperatorSettings operatorSettings;
   final NameIndex zones = new NameIndex();
-  final NameIndex types = new NameIndex();
+  final NameIndex typeNames = new NameIndex();
   final NameIndex teamNames = new NameIndex();
-  final NameIndex images = new NameIndex();
-  final NameIndex classes = new NameIndex();
+  final NameIndex imageNames = new NameIndex();
+  final NameIndex taskClassNames = new NameIndex();
   final JobCodec codec;
   final ServiceLevelObjectives objectives = new ServiceLevelObjectives();
 
-  /** Classes that the settings name; their indices come first and are never forgotten. */
-  private final int settingsClasses;
+  /**
+   * Number of task classes named in the settings; they have the lowest indices and are never
+   * removed.
+   */
+  private final int configuredClassCount;
 
   private List<MachineType> machineTypes = List.of();
 
-  /** From the settings. */
+  /** Creates the configuration from the node's and the operator's settings. */
   public ClusterConfig(Settings settings, OperatorSettings operator) {
     this.settings = settings;
-    this.operator = operator;
+    this.operatorSettings = operator;
     settings.zones().forEach(zones::intern);
-    settings.teams().forEach(t -> teamNames.intern(t.name()));
-    codec = new JobCodec(teamNames, zones, types, images, classes);
-    for (Settings.Objective o : settings.objectives()) {
-      switch (o.kind()) {
-        case "finished" -> objectives.requireCompletion(classes.intern(o.taskClass()), o.withinS());
-        case "wait" -> objectives.requireStart(classes.intern(o.taskClass()), o.withinS());
-        case "deadline" -> objectives.requireDeadline(classes.intern(o.taskClass()));
-        case "guarantee" -> objectives.requireGuaranteedStart(o.withinS());
-        default -> {} // Kinds that do not concern starting or finishing.
+    settings.teams().forEach(team -> teamNames.intern(team.name()));
+    codec = new JobCodec(teamNames, zones, typeNames, imageNames, taskClassNames);
+    for (Settings.Objective objective : settings.objectives()) {
+      switch (objective.kind()) {
+        case "finished" ->
+            objectives.requireCompletion(
+                taskClassNames.intern(objective.taskClass()), objective.withinS());
+        case "wait" ->
+            objectives.requireStart(
+                taskClassNames.intern(objective.taskClass()), objective.withinS());
+        case "deadline" -> objectives.requireDeadline(taskClassNames.intern(objective.taskClass()));
+        case "guarantee" -> objectives.requireGuaranteedStart(objective.withinS());
+        default -> {} // Other kinds do not concern the start or the completion of jobs.
       }
     }
-    settingsClasses = classes.size();
+    configuredClassCount = taskClassNames.size();
   }
 
-  /** The number of known names of images, classes and types. */
+  /** The number of known names of images, task classes and machine types. */
   int nameCount() {
-    return images.size() + classes.size() + types.size();
+    return imageNames.size() + taskClassNames.size() + typeNames.size();
   }
 
   /**
-   * Forgets the names of images, classes and types that no job and no machine uses any more, nor
-   * the settings, nor the cloud; does nothing while there are few names.
+   * Removes the names of images, task classes and machine types that are no longer used by any job,
+   * machine, setting or machine type of the cloud. Does nothing below {@link #MAX_NAMES} names.
    */
   void forgetUnusedNames(SchedulerState schedulerState) {
     if (nameCount() < MAX_NAMES) {
@@ -76,42 +84,50 @@
     BitSet usedImages = new BitSet();
     BitSet usedClasses = new BitSet();
     BitSet usedTypes = new BitSet();
-    usedClasses.set(0, settingsClasses);
-    machineTypes.forEach(t -> usedTypes.set(t.index()));
+    usedClasses.set(0, configuredClassCount);
+    machineTypes.forEach(machineType -> usedTypes.set(machineType.index()));
     schedulerState.markUsedNames(usedImages, usedClasses, usedTypes);
-    images.retain(usedImages);
-    classes.retain(usedClasses);
+    imageNames.retain(usedImages);
+    taskClassNames.retain(usedClasses);
     schedulerState.health().stragglerDetector().retainTaskClasses(usedClasses);
-    types.retain(usedTypes);
+    typeNames.retain(usedTypes);
   }
 
-  /** Decodes submissions. */
+  /** The codec that decodes submissions. */
   @Override
   public JobCodec codec() {
     return codec;
   }
 
-  /** The zones, as the indices that machines and attempts carry. */
+  /** The index of zone names; machines and attempts refer to zones by these indices. */
   @Override
   public NameIndex zones() {
     return zones;
   }
 
-  /** The settings. */
+  /** The node's settings; safe to use from any thread. */
   public Settings settings() {
     return settings;
   }
 
-  /** The teams of the settings, with nothing used; new objects at each call. */
-  List<Team> newTeams() {
+  /**
+   * Creates the teams of the settings, with no resources in use; returns new objects on each call.
+   */
+  List<Team> createTeams() {
     List<Team> teams = new ArrayList<>();
-    for (Settings.TeamSetting t : settings.teams()) {
-      teams.add(new Team(t.name(), t.cpus(), t.cards(), t.cpusMax(), t.cardsMax()));
+    for (Settings.TeamSetting setting : settings.teams()) {
+      teams.add(
+          new Team(
+              setting.name(),
+              setting.cpus(),
+              setting.cards(),
+              setting.cpusMax(),
+              setting.cardsMax()));
     }
     return teams;
   }
 
-  /** The machine types as last read; empty before the first answer. */
+  /** The most recently read machine types; empty until the first successful read. */
   @Override
   public List<MachineType> machineTypes() {
     return machineTypes;
@@ -124,28 +140,31 @@
 
   @Override
   public MachineType type(String name) {
-    for (MachineType t : machineTypes) {
-      if (t.name().equals(name)) {
-        return t;
+    for (MachineType machineType : machineTypes) {
+      if (machineType.name().equals(name)) {
+        return machineType;
       }
     }
     return null;
   }
 
-  /** Why the job could never run on this cluster, even if it were empty, or null if it could. */
-  public String rejectionReason(JobSpec s) {
-    if (s.team() < 0) {
+  /**
+   * The reason why the job could never run on this cluster, even with all resources free, or null
+   * if it could.
+   */
+  public String rejectionReason(JobSpec spec) {
+    if (spec.team() < 0) {
       return "unknown team";
     }
-    Team team = newTeams().get(s.team());
-    if (!team.couldEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
+    Team team = createTeams().get(spec.team());
+    if (!team.couldEverRun(spec, spec.service() || spec.gang() ? spec.tasks() : 1)) {
       return "more than the team's limit";
     }
-    for (MachineType t : machineTypes) {
-      if (!s.allowsType(t.index()) || !t.fits(s)) {
+    for (MachineType machineType : machineTypes) {
+      if (!spec.allowsType(machineType.index()) || !machineType.fits(spec)) {
         continue;
       }
-      if (s.zone() < 0 ? t.zones().length > 0 : t.isOfferedIn(s.zone())) {
+      if (spec.zone() < 0 ? machineType.zones().length > 0 : machineType.isOfferedIn(spec.zone())) {
         return null;
       }
     }
--- a/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -9,48 +9,58 @@
 import org.mallowroad.worker.HeartbeatResponder;
 
 /**
- * Heartbeats that come before a new leader has read the records. Nothing may be answered to them
- * yet, but a worker waits up to 4 s for its answer, and most takeovers are over by then: so a
- * heartbeat is deferred for a while, and its worker is turned away only when that was not enough.
- * What a deferred heartbeat says is as old as it is, as with any that was long on its way.
+ * Holds heartbeats that arrive before a new leader has read the records of the previous term. The
+ * leader must not answer them yet, but a worker waits up to 4 s for its answer and most takeovers
+ * complete within that time. So each heartbeat is deferred for a while, and its worker is told to
+ * retry only if the takeover takes longer. The contents of a deferred heartbeat are as old as the
+ * heartbeat, as with one that was delayed in the network.
  *
  * <p>Runs on the event loop only.
  */
 final class DeferredHeartbeats {
-  /** Half of a worker's time-out: the rest is for the network, also by way of a peer. */
+  /**
+   * Half of a worker's timeout of 4 s; the rest is left for the network, including relaying through
+   * a peer.
+   */
   private static final long MAX_DEFERRAL_MS = 2_000;
 
-  /** As many workers as one leader can answer; those beyond are turned away at once. */
+  /** The number of workers that one leader can serve; heartbeats beyond it are rejected at once. */
   private static final int MAX_DEFERRED = 4_000;
 
-  /** Heartbeats that are handled in one turn of the loop: renewals and users go between. */
+  /**
+   * Number of heartbeats handled per turn of the event loop, so that lease renewals and user
+   * requests run in between.
+   */
   private static final int HEARTBEATS_PER_TURN = 24;
 
   private record Deferred(
       Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder, long receivedMs) {}
 
-  /** Answers a deferred heartbeat in the end. */
+  /** Handles heartbeats whose deferral has ended. */
   interface Handler {
-    /** Handles the heartbeat as one that came just now. */
+    /** Handles the heartbeat as if it had just arrived. */
     void handle(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder);
   }
 
-  /** By machine, in the order in which they came. */
+  /** Deferred heartbeats by machine name, in order of arrival. */
   private final Object2ObjectLinkedOpenHashMap<String, Deferred> deferred =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** The newest of each machine that was turned away: the machine is known even so. */
+  /**
+   * The latest rejected heartbeat by machine name, kept so that the machine is registered
+   * nevertheless.
+   */
   private final Object2ObjectLinkedOpenHashMap<String, Heartbeat> expired =
       new Object2ObjectLinkedOpenHashMap<>();
 
   /**
-   * Defers a heartbeat. An older one of the same machine is turned away: its worker has given it
-   * up.
+   * Defers a heartbeat. An earlier one from the same machine is rejected, since its worker no
+   * longer waits for the answer.
    */
   void add(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder, long now) {
-    Deferred before = deferred.remove(heartbeat.machine());
-    if (before != null) {
-      before.responder.retryLater();
+    Deferred previous = deferred.remove(heartbeat.machine());
+    if (previous != null) {
+      previous.responder.retryLater();
     }
     if (deferred.size() >= MAX_DEFERRED) {
       responder.retryLater();
@@ -59,7 +69,7 @@
     deferred.put(heartbeat.machine(), new Deferred(heartbeat, relayPeer, responder, now));
   }
 
-  /** Turns away the workers whose heartbeat was deferred for long enough. */
+  /** Rejects the heartbeats that have been deferred for longer than {@link #MAX_DEFERRAL_MS}. */
   void expire(long now) {
     while (!deferred.isEmpty()
         && now - deferred.get(deferred.firstKey()).receivedMs > MAX_DEFERRAL_MS) {
@@ -72,25 +82,25 @@
   }
 
   /**
-   * The records are read: all that is deferred is handled, a few in a turn of the loop.
+   * Handles all deferred heartbeats once the records are read, a few per turn of the event loop.
    *
-   * @param addMachine makes the machine of a heartbeat known that was turned away
+   * @param registerMachine registers the machine of a rejected heartbeat
    */
-  void drain(EventLoop loop, Consumer<Heartbeat> addMachine, Handler handler) {
-    expired.values().forEach(addMachine);
+  void drain(EventLoop loop, Consumer<Heartbeat> registerMachine, Handler handler) {
+    expired.values().forEach(registerMachine);
     expired.clear();
-    Deque<Deferred> all = new ArrayDeque<>(deferred.values());
+    Deque<Deferred> remaining = new ArrayDeque<>(deferred.values());
     deferred.clear();
-    drainSome(loop, all, handler);
+    drainBatch(loop, remaining, handler);
   }
 
-  private static void drainSome(EventLoop loop, Deque<Deferred> all, Handler handler) {
-    for (int i = 0; i < HEARTBEATS_PER_TURN && !all.isEmpty(); i++) {
-      Deferred d = all.poll();
-      handler.handle(d.heartbeat, d.relayPeer, d.responder);
+  private static void drainBatch(EventLoop loop, Deque<Deferred> remaining, Handler handler) {
+    for (int i = 0; i < HEARTBEATS_PER_TURN && !remaining.isEmpty(); i++) {
+      Deferred next = remaining.poll();
+      handler.handle(next.heartbeat, next.relayPeer, next.responder);
     }
-    if (!all.isEmpty()) {
-      loop.soon(() -> drainSome(loop, all, handler));
+    if (!remaining.isEmpty()) {
+      loop.soon(() -> drainBatch(loop, remaining, handler));
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/DirectCommandSender.java
+++ b/src/main/java/org/mallowroad/controller/DirectCommandSender.java
@@ -10,41 +10,43 @@
 import org.mallowroad.worker.WorkerClient;
 
 /**
- * Sends commands straight to workers instead of waiting for their next heartbeat, one message a
- * worker at a time. Runs on the event loop only.
+ * Sends commands directly to workers instead of waiting for their next heartbeat, with at most one
+ * message in flight per worker. Runs on the event loop only.
  */
 final class DirectCommandSender {
   private final LeaderContext context;
   private final SchedulerState schedulerState;
   private final WorkerClient workers;
   private final Predicate<Machine> hasPendingReply;
-  private final Runnable changed;
+  private final Runnable onStateChanged;
 
   /**
-   * For one term.
+   * Creates the sender of one term.
    *
-   * @param hasPendingReply whether a heartbeat of the machine waits for its answer, which carries
-   *     the commands then
-   * @param changed called when a worker's response may allow more to be placed
+   * @param hasPendingReply whether a heartbeat of the machine is waiting for its answer, which will
+   *     include the commands
+   * @param onStateChanged called when a worker's response may allow more tasks to be placed
    */
-  DirectCommandSender(LeaderContext context, Predicate<Machine> hasPendingReply, Runnable changed) {
+  DirectCommandSender(
+      LeaderContext context, Predicate<Machine> hasPendingReply, Runnable onStateChanged) {
     this.context = context;
     this.schedulerState = context.schedulerState();
     this.workers = context.services().workers();
     this.hasPendingReply = hasPendingReply;
-    this.changed = changed;
+    this.onStateChanged = onStateChanged;
   }
 
   /**
-   * Sends the commands that wait for a machine. Without a valid lease only stops are sent: a launch
-   * is allowed to the current leader only, a stop ends nothing but the attempt that it names.
+   * Sends the pending commands of all machines. Without a valid leader lease only stop commands are
+   * sent: only the current leader may launch tasks, whereas a stop command affects nothing but the
+   * attempt that it names.
    */
-  void sendOutbox() {
+  void sendPendingCommands() {
     boolean isLeaseValid = context.lease().isValid();
     long now = context.loop().now();
-    for (Iterator<Machine> it = schedulerState.machinesWithUnsentCommands().iterator();
-        it.hasNext(); ) {
-      Machine machine = it.next();
+    for (Iterator<Machine> iterator = schedulerState.machinesWithUnsentCommands().iterator();
+        iterator.hasNext(); ) {
+      Machine machine = iterator.next();
       if (hasPendingReply.test(machine) || workers.isBusy(machine.address)) {
         continue;
       }
@@ -53,8 +55,8 @@
               ? List.of()
               : schedulerState.heartbeatReconciler().takeDirectCommands(machine, isLeaseValid, now);
       if (isLeaseValid || !commands.isEmpty()) {
-        // What cannot be sent now travels in the answer to the next heartbeat.
-        it.remove();
+        // Commands that cannot be sent now are included in the answer to the next heartbeat.
+        iterator.remove();
       }
       if (!commands.isEmpty()) {
         send(machine, commands);
@@ -63,17 +65,17 @@
   }
 
   private void send(Machine machine, List<WorkerCommand> commands) {
-    context.load().directCommandsSent();
+    context.loadStatistics().recordDirectCommands();
     workers.send(
         machine.address,
         machine.relayPeer,
         machine.fencingToken,
         machine.incarnation,
         commands,
-        (delivery, heartbeat) -> responded(machine, commands, delivery, heartbeat));
+        (delivery, heartbeat) -> handleResponse(machine, commands, delivery, heartbeat));
   }
 
-  private void responded(
+  private void handleResponse(
       Machine machine,
       List<WorkerCommand> commands,
       WorkerClient.Delivery delivery,
@@ -86,7 +88,7 @@
     }
     if (heartbeat != null && heartbeat.machine().equals(machine.name)) {
       schedulerState.processHeartbeat(machine, heartbeat, false, context.loop().now());
-      changed.run();
+      onStateChanged.run();
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/ExternalLink.java
+++ b/src/main/java/org/mallowroad/controller/ExternalLink.java
@@ -8,14 +8,18 @@
  * This node's link to an external service.
  *
  * @param service the service
- * @param direct calls it directly, never by way of a peer
- * @param route chooses between the direct way and a peer
+ * @param directSender sends requests directly to the service, never through a peer
+ * @param routeSelector chooses between the direct connection and a relaying peer
  */
-record ExternalLink(ExternalService service, RequestSender direct, RouteSelector route) {
-  private static final int UNAVAILABLE = 503;
+record ExternalLink(
+    ExternalService service, RequestSender directSender, RouteSelector routeSelector) {
+  private static final int SERVICE_UNAVAILABLE = 503;
 
-  /** True for an answer that says that the service does not work: only the state service's 503. */
-  boolean isRefusal(int status) {
-    return service == ExternalService.STATE && status == UNAVAILABLE;
+  /**
+   * True if the HTTP status means that the service is unavailable; only status 503 of the state
+   * service does.
+   */
+  boolean isServiceUnavailable(int status) {
+    return service == ExternalService.STATE && status == SERVICE_UNAVAILABLE;
   }
 }
--- a/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
@@ -12,15 +12,15 @@
 import org.mallowroad.peer.RelayTransport;
 
 /**
- * Forwards heartbeats to the leader for workers that do not reach it themselves. Runs on the event
- * loop only. {@link LinkMonitor} has the proof that this breaks no rule.
+ * Forwards heartbeats to the leader on behalf of workers that cannot reach it themselves. Runs on
+ * the event loop only. See {@link LinkMonitor} for the proof that forwarding violates no invariant.
  */
 final class HeartbeatForwarder {
-  /** Heartbeats that are being forwarded at once; more are turned away. */
+  /** Maximum number of heartbeats being forwarded at the same time; further ones are rejected. */
   private static final int MAX_IN_FLIGHT = 192;
 
-  private static final int UNAVAILABLE = 503;
-  private static final String LEADER_NOT_REACHED = "the leader is not reached";
+  private static final int SERVICE_UNAVAILABLE = 503;
+  private static final String LEADER_UNREACHABLE = "the leader is not reached";
 
   private final EventLoop loop;
   private final ClusterConfig clusterConfig;
@@ -42,63 +42,64 @@
     this.transport = transport;
   }
 
-  /** Decides which heartbeats are forwarded, and counts them. */
+  /** The policy that decides which heartbeats are forwarded and counts them. */
   HeartbeatRelay relay() {
     return relay;
   }
 
   /**
-   * Forwards a heartbeat where its worker does not reach the leader.
+   * Forwards a heartbeat if its worker cannot reach the leader.
    *
-   * @return false when the worker is to be redirected to the leader instead
+   * @return false if the worker should be redirected to the leader instead
    */
   boolean forward(IncomingRequest request, Heartbeat heartbeat, String leader, long leaderTerm) {
-    int peer = links.peerIndex(leader);
-    if (peer < 0 || !mustForward(heartbeat, peer, leaderTerm)) {
+    int leaderPeer = links.peerIndex(leader);
+    if (leaderPeer < 0 || !shouldForward(heartbeat, leaderPeer, leaderTerm)) {
       return false;
     }
-    if (links.isPeerDown(peer)) {
-      // Neither of us gets there: the next node may, and the worker must not wait to hear it.
-      Reply.retryLater(request, LEADER_NOT_REACHED);
+    if (links.isPeerDown(leaderPeer)) {
+      // Neither the worker nor this node can reach the leader, but another node may. The worker is
+      // told at once so that it does not wait for a timeout.
+      Reply.retryLater(request, LEADER_UNREACHABLE);
     } else if (inFlight >= MAX_IN_FLIGHT) {
       Reply.retryLater(request, "too many reports are carried");
     } else {
-      send(request, peer);
+      send(request, leaderPeer);
     }
     return true;
   }
 
-  private boolean mustForward(Heartbeat heartbeat, int peer, long leaderTerm) {
+  private boolean shouldForward(Heartbeat heartbeat, int leaderPeer, long leaderTerm) {
     long now = loop.now();
-    LinkStateAdvertisement advertised = links.freshAdvertisement(peer, now);
-    LinkStateAdvertisement.ZoneContact zone =
-        advertised == null ? null : advertised.zoneContact(heartbeat.zone());
+    LinkStateAdvertisement advertisement = links.freshAdvertisement(leaderPeer, now);
+    LinkStateAdvertisement.ZoneContact zoneContact =
+        advertisement == null ? null : advertisement.zoneContact(heartbeat.zone());
     return relay.shouldRelay(
         heartbeat.machine(),
         clusterConfig.zones.find(heartbeat.zone()),
         heartbeat.fencingToken(),
         leaderTerm,
-        zone == null ? -1 : zone.directAgeMs(),
+        zoneContact == null ? -1 : zoneContact.directAgeMs(),
         now);
   }
 
-  private void send(IncomingRequest request, int peer) {
+  private void send(IncomingRequest request, int leaderPeer) {
     inFlight++;
     transport.relayHeartbeat(
-        peer,
+        leaderPeer,
         clusterConfig.settings.node(),
         request.body(),
         new RequestSender.ResponseHandler() {
           @Override
           public void answered(int status, byte[] body) {
             inFlight--;
-            request.answer(status, "application/json", body, status == UNAVAILABLE);
+            request.answer(status, "application/json", body, status == SERVICE_UNAVAILABLE);
           }
 
           @Override
           public void failed(boolean sent) {
             inFlight--;
-            Reply.retryLater(request, LEADER_NOT_REACHED);
+            Reply.retryLater(request, LEADER_UNREACHABLE);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -16,15 +16,16 @@
 import org.mallowroad.worker.HeartbeatResponder;
 
 /**
- * Answers the heartbeats of workers in one term. A heartbeat that may be followed by new work waits
- * a moment for its answer, so that the answer includes the launches. Runs on the event loop only.
+ * Answers the heartbeats of workers during one term. If a machine may be assigned tasks soon, the
+ * answer to its heartbeat is delayed briefly so that it can include the launch commands. Runs on
+ * the event loop only.
  */
 final class HeartbeatHandler {
-  /** An answer is delayed by this at most, for the commit of the starts that it is to include. */
+  /** Maximum delay of an answer that waits for the commit of the attempts that it launches. */
   private static final long MAX_REPLY_DELAY_MS = 300;
 
-  /** The parts of the leader that heartbeats concern. */
-  record Parts(
+  /** The components of the leader that are involved in handling heartbeats. */
+  record Collaborators(
       FailureResponder responder,
       MachineProvisioner provisioner,
       WriteBehindCommitter committer,
@@ -34,108 +35,113 @@
   private final LeaderContext context;
   private final EventLoop loop;
   private final SchedulerState schedulerState;
-  private final Parts parts;
+  private final Collaborators collaborators;
   private final DeferredHeartbeats deferred = new DeferredHeartbeats();
   private final ObjectOpenHashSet<String> machinesWithPendingReply = new ObjectOpenHashSet<>();
 
-  HeartbeatHandler(LeaderContext context, Parts parts) {
+  HeartbeatHandler(LeaderContext context, Collaborators collaborators) {
     this.context = context;
     this.loop = context.loop();
     this.schedulerState = context.schedulerState();
-    this.parts = parts;
+    this.collaborators = collaborators;
   }
 
-  /** Call regularly: workers whose heartbeat was deferred for long enough are turned away. */
+  /** Rejects heartbeats that have been deferred for too long; must be called regularly. */
   void expireDeferred(long now) {
     deferred.expire(now);
   }
 
-  /** The records of the term before are read: the deferred heartbeats are answered. */
-  void recovered() {
-    deferred.drain(loop, this::findOrAddMachine, this::handle);
+  /** Handles the deferred heartbeats once the records of the previous term are read. */
+  void onRecovered() {
+    deferred.drain(loop, this::findOrRegisterMachine, this::handle);
   }
 
-  /** The term is over: no deferred heartbeat is answered any more. */
+  /** Ends the term: rejects all deferred heartbeats. */
   void stop() {
     deferred.expire(Long.MAX_VALUE);
   }
 
-  /** True while a heartbeat of the machine waits for its answer. */
+  /** True while a heartbeat of the machine is waiting for its answer. */
   boolean hasPendingReply(Machine machine) {
     return machinesWithPendingReply.contains(machine.name);
   }
 
   /**
-   * Answers a heartbeat, now or in a moment.
+   * Answers a heartbeat, at once or after a short delay.
    *
    * @param relayPeer the peer that relayed it, or -1
    */
   void handle(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder) {
     long now = loop.now();
-    parts.responder.recordActivity(now);
+    collaborators.responder.recordActivity(now);
     if (context.lifecycle().isStopped()) {
-      responder.retryLater(); // Deferred since before the leadership ended.
+      responder.retryLater(); // The heartbeat was deferred and the leadership has ended since.
       return;
     }
     if (context.lifecycle().isRecovering()) {
-      // No controller may answer before the records are read: it would stop no cancelled task.
-      parts.isolation.heartbeatReceived(now);
+      // A leader must not answer before the records are read, because it does not know yet which
+      // cancelled tasks to stop.
+      collaborators.isolation.heartbeatReceived(now);
       deferred.add(heartbeat, relayPeer, responder, now);
       return;
     }
-    if (mustNotAnswer(heartbeat, now)) {
+    if (mustNotRespond(heartbeat, now)) {
       responder.retryLater();
       return;
     }
-    Machine machine = findOrAddMachine(heartbeat);
+    Machine machine = findOrRegisterMachine(heartbeat);
     if (machine == null) {
       responder.respond(context.term().number(), List.of());
       return;
     }
-    context.load().heartbeatReceived();
+    context.loadStatistics().recordHeartbeat();
     List<WorkerCommand> commands =
         schedulerState.processHeartbeat(machine, heartbeat, context.lease().isValid(), now);
     machine.lastResponseMs = now;
     if (commands == null) {
-      // A late copy, or overtaken by a newer one: it shows no worker alive.
+      // The heartbeat is a duplicate or older than one already processed, so it is no evidence that
+      // the worker is alive.
       responder.respond(machine.fencingToken, List.of());
       return;
     }
     recordContact(machine, relayPeer, now);
-    parts.placement.requestPass();
-    if (!mayGetWorkSoon(machine)) {
+    collaborators.placement.requestPass();
+    if (!mayReceiveTasksSoon(machine)) {
       responder.respond(machine.fencingToken, commands);
       return;
     }
     machinesWithPendingReply.add(machine.name);
-    new PendingHeartbeatReply(heartbeat, machine, commands, responder).await();
+    new PendingHeartbeatReply(heartbeat, machine, commands, responder).awaitPlacement();
   }
 
-  /** True while an answer could renew a worker's lease that has to expire. */
-  private boolean mustNotAnswer(Heartbeat heartbeat, long now) {
+  /** True while an answer could renew a worker's lease that must be allowed to expire. */
+  private boolean mustNotRespond(Heartbeat heartbeat, long now) {
     return context.cancellationView().isStale(now)
-        || parts.responder.isLeaseUncertain(context.lease().renewedMs(), now)
-        || (parts.isolation.isCutOffFromStateAndPeers(now)
-            && parts.responder.redirectOnce(heartbeat, now));
+        || collaborators.responder.isLeaseUncertain(context.lease().renewedMs(), now)
+        || (collaborators.isolation.isCutOffFromStateAndPeers(now)
+            && collaborators.responder.redirectOnce(heartbeat, now));
   }
 
   private void recordContact(Machine machine, int relayPeer, long now) {
-    parts.isolation.heartbeatReceived(now);
-    parts.responder.heartbeatArrived(machine.zone, relayPeer < 0, now);
-    parts.provisioner.heartbeatReceived(machine);
+    collaborators.isolation.heartbeatReceived(now);
+    collaborators.responder.heartbeatArrived(machine.zone, relayPeer < 0, now);
+    collaborators.provisioner.heartbeatReceived(machine);
     machine.relayPeer = relayPeer;
-    parts.responder.evaluateTasks(machine, loop.now());
+    collaborators.responder.evaluateTasks(machine, loop.now());
   }
 
-  /** The next placement pass may start tasks there: the answer can then include their launches. */
-  private boolean mayGetWorkSoon(Machine machine) {
+  /**
+   * True if the next placement pass may start tasks on the machine, so that the answer can include
+   * their launch commands.
+   */
+  private boolean mayReceiveTasksSoon(Machine machine) {
     return context.lease().isValid()
         && schedulerState.canReceiveTasks(machine, loop.now())
         && context.taskScheduler().hasWaitingTasks();
   }
 
-  /** The machine that sent the heartbeat, or null where its type or zone is unknown. */
-  private Machine findOrAddMachine(Heartbeat heartbeat) {
+  /** The machine that sent the heartbeat, or null if its type or zone is unknown. */
+  private Machine findOrRegisterMachine(Heartbeat heartbeat) {
     MachineType type = context.clusterConfig().type(heartbeat.type());
     int zone = context.clusterConfig().zones.find(heartbeat.zone());
     if (type == null || zone < 0) {
@@ -145,12 +151,12 @@
         heartbeat.machine(), type, zone, heartbeat.spot(), loop.now());
   }
 
-  /** A heartbeat whose answer is delayed until the starts that it is to include are committed. */
+  /** A heartbeat whose answer is delayed until the attempts that it launches are committed. */
   private final class PendingHeartbeatReply {
     private final Heartbeat heartbeat;
     private final Machine machine;
     private final List<WorkerCommand> commands;
-    private final List<Attempt> uncommitted = new ArrayList<>();
+    private final List<Attempt> uncommittedAttempts = new ArrayList<>();
     private final HeartbeatResponder responder;
     private EventLoop.Timer timeout;
     private boolean isSent;
@@ -166,30 +172,33 @@
       this.responder = responder;
     }
 
-    void await() {
+    void awaitPlacement() {
       timeout = loop.after(MAX_REPLY_DELAY_MS, this::send);
-      parts.placement.afterNextPass(this::placementPassed);
+      collaborators.placement.runAfterNextPass(this::onPlacementPass);
     }
 
-    /** Placement has had its turn: without new work the answer goes out at once. */
-    private void placementPassed() {
-      for (Attempt a : machine.attempts()) {
-        if (a.phase == Attempt.Phase.RECORDING) {
-          uncommitted.add(a);
+    /**
+     * Called after the placement pass; sends the answer at once if no attempt of the machine is
+     * awaiting its commit.
+     */
+    private void onPlacementPass() {
+      for (Attempt attempt : machine.attempts()) {
+        if (attempt.phase == Attempt.Phase.RECORDING) {
+          uncommittedAttempts.add(attempt);
         }
       }
-      if (uncommitted.isEmpty()) {
+      if (uncommittedAttempts.isEmpty()) {
         send();
       } else {
-        parts.committer.runAfterNextTransaction(this::transactionCommitted);
+        collaborators.committer.runAfterNextTransaction(this::onTransactionCommitted);
       }
     }
 
-    /** A transaction before the one with these starts does not count. */
-    private void transactionCommitted() {
-      for (Attempt a : uncommitted) {
-        if (a.phase == Attempt.Phase.RECORDING && !isSent) {
-          parts.committer.runAfterNextTransaction(this::transactionCommitted);
+    /** Keeps waiting if the committed transaction did not include all of these attempts. */
+    private void onTransactionCommitted() {
+      for (Attempt attempt : uncommittedAttempts) {
+        if (attempt.phase == Attempt.Phase.RECORDING && !isSent) {
+          collaborators.committer.runAfterNextTransaction(this::onTransactionCommitted);
           return;
         }
       }
@@ -209,20 +218,20 @@
         responder.retryLater();
         return;
       }
-      addLaunches();
+      addLaunchCommands();
       machine.lastResponseMs = loop.now();
       responder.respond(machine.fencingToken, commands);
     }
 
-    private void addLaunches() {
-      for (Attempt a : uncommitted) {
-        if (a.phase == Attempt.Phase.READY
-            && !a.isStopping()
-            && a.incarnation == heartbeat.incarnation()
+    private void addLaunchCommands() {
+      for (Attempt attempt : uncommittedAttempts) {
+        if (attempt.phase == Attempt.Phase.READY
+            && !attempt.isStopping()
+            && attempt.incarnation == heartbeat.incarnation()
             && context.lease().isValid()) {
-          a.launchSent = true;
-          a.launchInHeartbeatResponse = true;
-          commands.add(schedulerState.heartbeatReconciler().launchCommand(a));
+          attempt.launchSent = true;
+          attempt.launchInHeartbeatResponse = true;
+          commands.add(schedulerState.heartbeatReconciler().launchCommand(attempt));
         }
       }
     }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -26,11 +26,12 @@
 
 /**
  * One term of leadership: reads the records of the previous term, then places tasks, answers
- * workers and sizes the fleet until it is stopped. Connects the parts that do so ({@link
+ * workers and scales the fleet until it is stopped. Connects the components that do so ({@link
  * PlacementLoop}, {@link HeartbeatHandler}, {@link DirectCommandSender}, {@link
- * WriteBehindCommitter}, {@link MachineProvisioner} and others) and drives the term's life cycle.
+ * WriteBehindCommitter}, {@link MachineProvisioner} and others) and drives the life cycle of the
+ * term.
  *
- * <p>Runs on the event loop only, as all of its parts.
+ * <p>Runs on the event loop only, as do all of its components.
  */
 final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -60,19 +61,22 @@
   private final LeaderMonitor monitor;
   private final List<EventLoop.Timer> timers = new ArrayList<>();
 
-  /** Notified of what the node has to do for its leader. */
+  /** Receives the events of a term that the node has to act on. */
   interface Listener {
-    /** The records of the previous term are read, and a lease has passed since. */
-    void recovered();
+    /** Called when a worker lease has elapsed since the records of the previous term were read. */
+    void onRecovered();
 
-    /** There is more to commit than the state service takes; called once a second. */
-    void overloaded();
+    /**
+     * Called once a second while there are more uncommitted records than the state service can
+     * accept.
+     */
+    void onOverloaded();
 
-    /** A job's end as done is committed. */
-    void jobDone(Job job);
+    /** Called when the completion of a job is committed. */
+    void onJobDone(Job job);
   }
 
-  /** Connects the parts of a term; nothing runs before {@link #start()}. */
+  /** Connects the components of a term; nothing runs before {@link #start()}. */
   Leader(LeaderServices services, LeadershipTerm term, Listener listener) {
     this.services = services;
     this.loop = services.loop();
@@ -81,11 +85,12 @@
     this.election = services.election();
     this.term = term;
     this.listener = listener;
-    this.context = LeaderContext.begin(services, term);
+    this.context = LeaderContext.create(services, term);
     this.lifecycle = context.lifecycle();
     this.schedulerState = context.schedulerState();
-    this.writeBudget = WriteBudget.begin(settings, loop.now());
-    this.placement = new PlacementLoop(loop, lifecycle, context.load(), this::placeAndCommit);
+    this.writeBudget = WriteBudget.create(settings, loop.now());
+    this.placement =
+        new PlacementLoop(loop, lifecycle, context.loadStatistics(), this::placeAndCommit);
     this.responder = newFailureResponder();
     this.committer = newCommitter();
     this.dependencyGates = newDependencyGates();
@@ -96,10 +101,11 @@
     this.heartbeats =
         new HeartbeatHandler(
             context,
-            new HeartbeatHandler.Parts(responder, provisioner, committer, isolation, placement));
+            new HeartbeatHandler.Collaborators(
+                responder, provisioner, committer, isolation, placement));
     this.directCommands =
         new DirectCommandSender(context, heartbeats::hasPendingReply, placement::requestPass);
-    this.monitor = new LeaderMonitor(context, committer, listener::overloaded);
+    this.monitor = new LeaderMonitor(context, committer, listener::onOverloaded);
   }
 
   private FailureResponder newFailureResponder() {
@@ -168,7 +174,7 @@
             writeBudget.limiter());
     ProvisioningSettings provisioningSettings =
         new ProvisioningSettings(
-            clusterConfig.operator.fleet(),
+            clusterConfig.operatorSettings.fleet(),
             clusterConfig.objectives,
             writeBudget.maxTransactionWrites(),
             term.number(),
@@ -177,37 +183,40 @@
         provisioningServices, provisioningSettings, responder, new ProvisioningListener());
   }
 
-  /** The first token of this term's block. */
+  /** The number of the term, which is the first fencing token of its block. */
   long term() {
     return term.number();
   }
 
-  /** A job of this term, or null. */
+  /** The open job with this id, or null if it is unknown or the records are not read yet. */
   Job job(String id) {
     return lifecycle.isServing() ? schedulerState.job(id) : null;
   }
 
-  /** Read by metrics and snapshots. */
+  /** The scheduler state, read by metrics and snapshots. */
   SchedulerState schedulerState() {
     return schedulerState;
   }
 
-  /** Read by snapshots. */
+  /** The task scheduler, read by snapshots. */
   TaskScheduler taskScheduler() {
     return context.taskScheduler();
   }
 
-  /** Read by snapshots. */
+  /** The machine provisioner, read by snapshots. */
   MachineProvisioner provisioner() {
     return provisioner;
   }
 
-  /** True once the records of the term before are read. */
+  /** True once the records of the previous term are read and until the term ends. */
   boolean isServing() {
     return lifecycle.isServing();
   }
 
-  /** True once every worker had time to send a heartbeat: machines are rented and returned. */
+  /**
+   * True once every worker has had time to send a heartbeat, so that machines may be rented and
+   * returned.
+   */
   boolean isActive() {
     return lifecycle.isActive();
   }
@@ -217,17 +226,23 @@
     return context.lease().isValid();
   }
 
-  /** How late the event loop ran at worst in the last ten seconds, in milliseconds. */
-  long loopLagMs() {
-    return context.load().worstLoopLagMs();
+  /**
+   * Maximum event loop lag in milliseconds since the beginning of the previous logging interval of
+   * ten seconds.
+   */
+  long worstLoopLagMs() {
+    return context.loadStatistics().worstLoopLagMs();
   }
 
-  /** The age of the view of cancellations, or -1 before there is one: for metrics. */
+  /** Age of the leader's view of cancellations in milliseconds, or -1 before there is one. */
   long cancellationViewAgeMs() {
     return monitor.cancellationViewAgeMs();
   }
 
-  /** Every controller reads shared records of starts: small jobs have them from now on. */
+  /**
+   * Stores the attempts of small jobs in shared records from now on. Every controller must be able
+   * to read shared records.
+   */
   void enableSharedAttemptRecords() {
     int valueBytes = (int) (settings.valueKb() * 1024);
     schedulerState
@@ -236,15 +251,15 @@
             WriteBehindCommitter.maxSharedMembers(writeBudget.maxTransactionWrites()), valueBytes);
   }
 
-  /** Begins to read the records of the term before. */
+  /** Starts reading the records of the previous term. */
   void start() {
     timers.add(loop.every(TICK_INTERVAL_MS, this::detectPauses));
     stateLoader.begin();
   }
 
   /**
-   * Runs from the first moment on, or a takeover that waits for its lists would look like a pause
-   * of the process.
+   * Runs from the beginning of the term; otherwise a takeover that waits for its list calls would
+   * be mistaken for a pause of the process.
    */
   private void detectPauses() {
     responder.recordActivity(loop.now());
@@ -252,7 +267,7 @@
     heartbeats.expireDeferred(loop.now());
   }
 
-  /** Ends the term; nothing is written or answered after. */
+  /** Ends the term; no writes or answers are sent afterwards. */
   void stop() {
     lifecycle.stop();
     timers.forEach(EventLoop.Timer::cancel);
@@ -271,55 +286,60 @@
   }
 
   /**
-   * A peer or a user's request reported a cancellation: never needed for a rule, but it saves work.
+   * Stops a job whose cancellation a peer or a user request reported. No invariant depends on this
+   * notice, but it avoids wasted work.
    */
-  void cancellationReceived(String id) {
-    Job job = job(id);
+  void handleCancellation(String jobId) {
+    Job job = job(jobId);
     if (job != null
         && !job.isCancelled()
         && !job.isEnded()
         && !schedulerState.jobsToComplete().contains(job)) {
-      LOG.info("event=cancellation_received job={} view_age_ms={}", id, cancellationViewAgeMs());
+      LOG.info("event=cancellation_received job={} view_age_ms={}", jobId, cancellationViewAgeMs());
       committer.jobCancelled(job);
       placement.requestPass();
     }
   }
 
-  private void recovered(int records, List<VersionedValue> rentRequests) {
-    lifecycle.recovered();
-    // Delayed by a lease: the writes of the takeover itself go first.
+  private void onRecordsLoaded(int recordCount, List<VersionedValue> rentRequests) {
+    lifecycle.completeRecovery();
+    // Delayed by the duration of a worker lease, since the writes of the takeover itself have
+    // priority.
     loop.after(
         (long) (settings.leaseS() * 1000),
         () -> {
           if (!lifecycle.isStopped()) {
-            listener.recovered();
+            listener.onRecovered();
           }
         });
-    dependencyGates.start();
+    dependencyGates.loadReleases();
     folds.start();
     provisioner.start();
     rentRequests.forEach(
-        i -> provisioner.restore(i.key().substring(RecordKeys.RENTALS.length()), i.value()));
+        request ->
+            provisioner.restore(
+                request.key().substring(RecordKeys.RENTALS.length()), request.value()));
     LOG.info(
         "event=takeover term={} jobs={} records={} rent_requests={} ms={}",
         term.number(),
         schedulerState.jobs().size(),
-        records,
+        recordCount,
         rentRequests.size(),
         loop.now() - context.startedMs());
-    heartbeats.recovered();
-    context.load().ticksBegin(loop.now());
+    heartbeats.onRecovered();
+    context.loadStatistics().startTicks(loop.now());
     timers.add(loop.every(TICK_INTERVAL_MS, this::tick));
     monitor.start();
   }
 
   private void tick() {
     long now = loop.now();
-    writeBudget.share().update(now);
-    context.load().tick(now, TICK_INTERVAL_MS);
+    writeBudget.rateAdapter().update(now);
+    context.loadStatistics().recordTick(now, TICK_INTERVAL_MS);
     if (isolation.isCutOffFromWorkers(now)) {
-      // Nobody else can end this leadership: its lease is renewed, and no worker can carry a higher
-      // term to it. Meanwhile the workers' leases run out at the nodes that send them here.
+      // No other node can end this leadership: its lease is still renewed, and no worker can report
+      // a higher term to it. Meanwhile the workers' leases expire, because the other nodes redirect
+      // them to this one.
       LOG.warn(
           "event=heartbeats_missing term={} silence_ms={}",
           term.number(),
@@ -327,7 +347,7 @@
       election.resign();
       return;
     }
-    if (!lifecycle.isActive() && now - context.startedMs() > firstHeartbeatsMs()) {
+    if (!lifecycle.isActive() && now - context.startedMs() > firstHeartbeatsTimeoutMs()) {
       lifecycle.activate();
       LOG.info(
           "event=leader_active term={} machines={}",
@@ -343,18 +363,21 @@
     placement.requestPass();
   }
 
-  /** By then every worker had time to send a heartbeat to the new leader. */
-  private long firstHeartbeatsMs() {
+  /**
+   * Time after which every worker has had the opportunity to send a heartbeat to the new leader.
+   */
+  private long firstHeartbeatsTimeoutMs() {
     return (long) (settings.heartbeatIntervalS() * 1250) + 500;
   }
 
   private void placeAndCommit() {
-    // Machines that sent a heartbeat in this term may get work; the fleet's size waits for all.
+    // Machines that have sent a heartbeat in this term may be assigned tasks; scaling the fleet
+    // waits until all had the time to.
     if (isLeaseValid()) {
       context.taskScheduler().placeTasks(loop.now());
     }
     committer.commitPending();
-    directCommands.sendOutbox();
+    directCommands.sendPendingCommands();
   }
 
   private final class CommitListener implements WriteBehindCommitter.Listener {
@@ -365,7 +388,7 @@
 
     @Override
     public void committed() {
-      directCommands.sendOutbox();
+      directCommands.sendPendingCommands();
     }
 
     @Override
@@ -387,8 +410,8 @@
     public void jobEnded(Job job, boolean done) {
       dependencyGates.jobEnded(job, done);
       if (done) {
-        monitor.jobDone(job);
-        listener.jobDone(job);
+        monitor.recordJobDone(job);
+        listener.onJobDone(job);
       }
     }
   }
@@ -417,18 +440,18 @@
 
   private final class RecordListener implements StateLoader.Listener {
     @Override
-    public void loaded(int count, List<VersionedValue> rental) {
-      recovered(count, rental);
+    public void loaded(int recordCount, List<VersionedValue> rentRequests) {
+      onRecordsLoaded(recordCount, rentRequests);
     }
 
     @Override
     public void jobAccepted() {
-      writeBudget.share().jobAccepted();
+      writeBudget.rateAdapter().jobAccepted();
     }
 
     @Override
     public void jobCancelled() {
-      writeBudget.share().jobCancelled();
+      writeBudget.rateAdapter().jobCancelled();
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/LeaderContext.java
+++ b/src/main/java/org/mallowroad/controller/LeaderContext.java
@@ -8,17 +8,17 @@
 import org.mallowroad.net.EventLoop;
 
 /**
- * What all parts of a {@link Leader} share for one term.
+ * State and services that all components of a {@link Leader} share during one term.
  *
  * @param services clients and configuration of the node
  * @param term the term
- * @param startedMs when the term began, on the steady clock
+ * @param startedMs when the term began, in milliseconds of the monotonic clock
  * @param lifecycle the state of the term
  * @param lease the leader's lease
  * @param schedulerState jobs, attempts and machines of the term
  * @param taskScheduler decides which task starts on which machine
- * @param cancellationView up to when the leader knows of every cancellation
- * @param load counters for the log and for metrics
+ * @param cancellationView the time up to which the leader knows every cancellation
+ * @param loadStatistics counters for the log and for metrics
  */
 record LeaderContext(
     LeaderServices services,
@@ -29,9 +29,9 @@
     SchedulerState schedulerState,
     TaskScheduler taskScheduler,
     CancellationView cancellationView,
-    LoadStatistics load) {
-  /** The shared parts at the beginning of a term. */
-  static LeaderContext begin(LeaderServices services, LeadershipTerm term) {
+    LoadStatistics loadStatistics) {
+  /** Creates the context at the beginning of a term. */
+  static LeaderContext create(LeaderServices services, LeadershipTerm term) {
     ClusterConfig clusterConfig = services.clusterConfig();
     Settings settings = clusterConfig.settings;
     long startedMs = services.loop().now();
@@ -40,14 +40,14 @@
             term.number(),
             settings.leaseS(),
             settings.heartbeatIntervalS(),
-            clusterConfig.newTeams(),
+            clusterConfig.createTeams(),
             clusterConfig.zones,
             new FleetHealth(
-                clusterConfig.operator.health(),
+                clusterConfig.operatorSettings.health(),
                 clusterConfig.zones.size(),
                 settings.heartbeatIntervalS(),
                 startedMs),
-            clusterConfig.operator.fetches());
+            clusterConfig.operatorSettings.fetches());
     return new LeaderContext(
         services,
         term,
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -5,55 +5,62 @@
 import org.mallowroad.controller.provisioning.FailureResponder;
 
 /**
- * Notices that the leader is cut off: from its workers, or from the state service and its peers.
- * Runs on the event loop only.
+ * Detects that the leader is cut off from its workers, or from both the state service and its
+ * peers. Runs on the event loop only.
  */
 final class LeaderIsolationDetector {
   /**
-   * A lease of 3 s is over at the state service this long after its last renewal was sent, whatever
-   * is still on its way.
+   * Milliseconds after the last renewal was sent by which the leader's lease of 3 s has certainly
+   * expired at the state service, even if messages are still in flight.
    */
-  private static final long LEASE_SURELY_OVER_MS = 4_500;
+  private static final long LEASE_EXPIRED_AFTER_MS = 4_500;
 
   /**
-   * How long a worker takes to reach the leader by way of a peer: a heartbeat without an answer,
-   * the pause, and the same once more.
+   * Time that a worker takes to reach the leader through a peer: an unanswered heartbeat, the pause
+   * before the retry, and both of these once more.
    */
-  private static final long DETOUR_TIMEOUT_MS = 10_000;
+  private static final long RELAY_FALLBACK_MS = 10_000;
 
-  /** Heartbeats come late by network and timers. */
+  /** Allowance for heartbeats that are delayed by the network and by timers. */
   private static final long HEARTBEAT_MARGIN_MS = 2_000;
 
-  /** Heartbeat intervals without any heartbeat, once there were some in this term. */
-  private static final double MISSED_INTERVALS = 1.5;
+  /**
+   * Heartbeat intervals without any heartbeat that are tolerated once one has arrived in this term.
+   */
+  private static final double MAX_MISSED_INTERVALS = 1.5;
 
-  /** The same while there was none yet in this term. */
-  private static final double MISSED_INTERVALS_BEFORE_FIRST = 3;
+  /**
+   * Heartbeat intervals without any heartbeat that are tolerated before the first one of this term.
+   */
+  private static final double MAX_MISSED_INTERVALS_BEFORE_FIRST = 3;
 
-  /** So few machines that never sent a heartbeat may rather all be dead. */
-  private static final int FEW_MACHINES = 8;
+  /**
+   * Up to this number of machines, if none has sent a heartbeat in this term, they are presumed
+   * dead rather than unreachable.
+   */
+  private static final int MAX_MACHINES_PRESUMED_DEAD = 8;
 
   private final LeaderContext context;
   private final Settings settings;
-  private final IntSupplier expectedWorkers;
-  private boolean receivedAny;
+  private final IntSupplier expectedWorkerCount;
+  private boolean hasReceivedHeartbeat;
   private long lastHeartbeatMs;
 
   /**
-   * For one term.
+   * Creates the detector of one term.
    *
-   * @param expectedWorkers how many machines there are whose workers should send heartbeats
+   * @param expectedWorkerCount the number of machines whose workers should send heartbeats
    */
-  LeaderIsolationDetector(LeaderContext context, IntSupplier expectedWorkers) {
+  LeaderIsolationDetector(LeaderContext context, IntSupplier expectedWorkerCount) {
     this.context = context;
     this.settings = context.clusterConfig().settings;
-    this.expectedWorkers = expectedWorkers;
+    this.expectedWorkerCount = expectedWorkerCount;
     this.lastHeartbeatMs = context.startedMs();
   }
 
-  /** A heartbeat came that is neither a late copy nor overtaken by a newer one. */
+  /** Records a heartbeat that is neither a duplicate nor older than one already processed. */
   void heartbeatReceived(long now) {
-    receivedAny = true;
+    hasReceivedHeartbeat = true;
     lastHeartbeatMs = now;
   }
 
@@ -63,36 +70,42 @@
   }
 
   /**
-   * True when there are machines and not one of them has sent a heartbeat for over an interval.
-   * Where none ever did in this term, a handful may rather all be dead: then the leadership is kept
-   * until they are returned, or their tasks would never be proven gone.
+   * True if there are machines but none of them has sent a heartbeat for longer than tolerated. If
+   * none has sent one in this term and there are only a few machines, they may all be dead. The
+   * leader then keeps its leadership until they are returned, since otherwise their tasks would
+   * never be proven to have ended.
    */
   boolean isCutOffFromWorkers(long now) {
-    double missed = receivedAny ? MISSED_INTERVALS : MISSED_INTERVALS_BEFORE_FIRST;
-    // While this process was paused it received nothing: that says nothing of the workers.
+    double maxMissedIntervals =
+        hasReceivedHeartbeat ? MAX_MISSED_INTERVALS : MAX_MISSED_INTERVALS_BEFORE_FIRST;
+    // While this process was paused it received nothing, so that time is no evidence about the
+    // workers.
     long listeningSinceMs =
         Math.max(
             lastHeartbeatMs, context.schedulerState().health().pauseDetector().listeningSinceMs());
-    // With peers at hand workers that lost their way here come by one of them first.
-    long detourMs = context.services().reachablePeers().getAsInt() > 0 ? DETOUR_TIMEOUT_MS : 0;
+    // If peers are reachable, workers that can no longer reach this node get time to send their
+    // heartbeats through a peer.
+    long relayFallbackMs =
+        context.services().reachablePeers().getAsInt() > 0 ? RELAY_FALLBACK_MS : 0;
     return settings.nodes() > 1
         && now - listeningSinceMs
-            > (long) (missed * settings.heartbeatIntervalS() * 1000)
+            > (long) (maxMissedIntervals * settings.heartbeatIntervalS() * 1000)
                 + HEARTBEAT_MARGIN_MS
-                + detourMs
-        && expectedWorkers.getAsInt() > (receivedAny ? 0 : FEW_MACHINES);
+                + relayFallbackMs
+        && expectedWorkerCount.getAsInt() > (hasReceivedHeartbeat ? 0 : MAX_MACHINES_PRESUMED_DEAD);
   }
 
   /**
-   * True when this leader's lease must have expired and no peer is reachable. Either it is cut off
-   * and another node leads, or the state service and the peers are down. This node cannot tell the
-   * two apart, but a worker that asks the other nodes can ({@link FailureResponder#redirectOnce}).
+   * True if this leader's lease must have expired and no peer is reachable. Either this node is cut
+   * off and another node may lead, or the state service and the peers are down. This node cannot
+   * distinguish the two cases, but a worker that contacts the other nodes can ({@link
+   * FailureResponder#redirectOnce}).
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
     return settings.nodes() > 1
         && services.reachablePeers().getAsInt() == 0
         && now - Math.max(context.lease().renewedMs(), services.state().health().lastContactMs())
-            > LEASE_SURELY_OVER_MS;
+            > LEASE_EXPIRED_AFTER_MS;
   }
 }
--- a/src/main/java/org/mallowroad/controller/LeaderLease.java
+++ b/src/main/java/org/mallowroad/controller/LeaderLease.java
@@ -4,14 +4,15 @@
 import org.mallowroad.net.EventLoop;
 
 /**
- * Whether the leader's lease at the state service still holds, by this node's own clock.
+ * Tells whether the leader's lease at the state service is still valid, according to this node's
+ * own clock.
  *
- * <p>The lease lasts 3 s from the moment at which its renewal was <i>sent</i>. Measured from there,
- * and with a margin for clock drift, a valid lease here is one at the state service as well, so
- * nobody else can have been elected.
+ * <p>The lease lasts 3 s from the moment at which its renewal was <i>sent</i>. This node measures
+ * from that moment and subtracts a margin for clock drift. So whenever the lease is valid here, it
+ * is also valid at the state service, and no other node can have been elected.
  */
 final class LeaderLease {
-  /** The lease of 3 s less a margin for drift and for timers that fire late. */
+  /** The lease of 3 s minus a margin for clock drift and for timers that fire late. */
   private static final long VALID_AFTER_RENEWAL_MS = 2_800;
 
   private final EventLoop loop;
@@ -27,7 +28,7 @@
     return loop.now() - election.renewedMs() < VALID_AFTER_RENEWAL_MS;
   }
 
-  /** When the last successful renewal was sent, on the steady clock. */
+  /** When the last successful renewal was sent, in milliseconds of the monotonic clock. */
   long renewedMs() {
     return election.renewedMs();
   }
--- a/src/main/java/org/mallowroad/controller/LeaderLifecycle.java
+++ b/src/main/java/org/mallowroad/controller/LeaderLifecycle.java
@@ -1,49 +1,54 @@
 package org.mallowroad.controller;
 
 /**
- * The state of one term, shared by all parts of a {@link Leader}. Runs on the event loop only.
+ * The state of one term, shared by all components of a {@link Leader}. Runs on the event loop only.
  *
  * <p>A term passes through the states in order and may be stopped in any of them.
  */
 final class LeaderLifecycle {
-  /** What the leader does in the term. */
+  /** The phases of a term. */
   enum State {
-    /** Reads the records of the term before; heartbeats are deferred, nothing is placed. */
+    /** Reads the records of the previous term; heartbeats are deferred and no task is placed. */
     RECOVERING,
 
     /** Places tasks and answers heartbeats; machines are neither rented nor returned yet. */
     SERVING,
 
-    /** Every worker had time to send a heartbeat: machines are rented and returned as well. */
+    /**
+     * Every worker has had time to send a heartbeat, so machines are rented and returned as well.
+     */
     ACTIVE,
 
-    /** The leadership ended; callbacks that are still on their way must do nothing. */
+    /** The leadership has ended; callbacks that are still pending must do nothing. */
     STOPPED
   }
 
   private State state = State.RECOVERING;
 
-  /** The records of the term before are read. */
-  void recovered() {
+  /** Called when the records of the previous term are read. */
+  void completeRecovery() {
     state = State.SERVING;
   }
 
-  /** Every worker had time to send a heartbeat. */
+  /** Called when every worker has had time to send a heartbeat. */
   void activate() {
     state = State.ACTIVE;
   }
 
-  /** The leadership ended. */
+  /** Called when the leadership ends. */
   void stop() {
     state = State.STOPPED;
   }
 
-  /** True until the records of the term before are read. */
+  /** True until the records of the previous term are read. */
   boolean isRecovering() {
     return state == State.RECOVERING;
   }
 
-  /** True while the leader serves, whether or not it rents and returns machines already. */
+  /**
+   * True while the leader places tasks and answers heartbeats, whether or not it already rents and
+   * returns machines.
+   */
   boolean isServing() {
     return state == State.SERVING || state == State.ACTIVE;
   }
@@ -53,7 +58,7 @@
     return state == State.ACTIVE;
   }
 
-  /** True once the leadership ended. */
+  /** True once the leadership has ended. */
   boolean isStopped() {
     return state == State.STOPPED;
   }
--- a/src/main/java/org/mallowroad/controller/LeaderMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LeaderMonitor.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Observes a term at regular intervals: reports a backlog of commits to the node, and logs load,
- * objectives and the age of the view of cancellations. Runs on the event loop only.
+ * Monitors a term periodically: reports a commit backlog to the node, and logs the load, the
+ * attainment of objectives and the age of the view of cancellations. Runs on the event loop only.
  */
 final class LeaderMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderMonitor.class);
@@ -23,51 +23,51 @@
   private final LeaderContext context;
   private final EventLoop loop;
   private final SchedulerState schedulerState;
-  private final Runnable overloaded;
+  private final Runnable onOverloaded;
   private final CommitLag commitLag = new CommitLag();
-  private final ObjectiveLogger objectives;
+  private final ObjectiveLogger objectiveLogger;
   private final LoadLogger loadLogger;
   private final List<EventLoop.Timer> timers = new ArrayList<>();
   private boolean isCancellationViewStale;
 
   /**
-   * For one term.
+   * Creates the monitor of one term.
    *
-   * @param overloaded called once a second while there is more to commit than the state service
-   *     takes
+   * @param onOverloaded called once a second while there are more uncommitted records than the
+   *     state service can accept
    */
-  LeaderMonitor(LeaderContext context, WriteBehindCommitter committer, Runnable overloaded) {
+  LeaderMonitor(LeaderContext context, WriteBehindCommitter committer, Runnable onOverloaded) {
     this.context = context;
     this.loop = context.loop();
     this.schedulerState = context.schedulerState();
-    this.overloaded = overloaded;
-    this.objectives = new ObjectiveLogger(context.clusterConfig());
+    this.onOverloaded = onOverloaded;
+    this.objectiveLogger = new ObjectiveLogger(context.clusterConfig());
     this.loadLogger = new LoadLogger(context, committer);
   }
 
-  /** Begins, once the term serves. */
+  /** Starts the periodic checks; called once the term is serving. */
   void start() {
     timers.add(loop.every(COMMIT_LAG_INTERVAL_MS, this::checkCommitLag));
     timers.add(loop.every(LOAD_LOG_INTERVAL_MS, this::logLoad));
     timers.add(loop.every(OBJECTIVE_LOG_INTERVAL_MS, this::logObjectives));
   }
 
-  /** The term is over. */
+  /** Stops the periodic checks at the end of the term. */
   void stop() {
     timers.forEach(EventLoop.Timer::cancel);
   }
 
-  /** A job's end as done is committed. */
-  void jobDone(Job job) {
-    objectives.jobDone(job, loop.now());
+  /** Called when the completion of a job is committed. */
+  void recordJobDone(Job job) {
+    objectiveLogger.recordJobDone(job, loop.now());
   }
 
-  /** The age of the view of cancellations in milliseconds, or -1 before there is one. */
+  /** Age of the view of cancellations in milliseconds, or -1 before there is one. */
   long cancellationViewAgeMs() {
     return context.lifecycle().isServing() ? context.cancellationView().ageMs(loop.now()) : -1;
   }
 
-  /** Logs when the view of cancellations becomes stale or fresh; call at each tick. */
+  /** Logs when the view of cancellations becomes stale or fresh; must be called on each tick. */
   void checkCancellationView(long now) {
     if (context.cancellationView().isStale(now) != isCancellationViewStale) {
       isCancellationViewStale = !isCancellationViewStale;
@@ -85,7 +85,7 @@
         context.lease().isValid() && !context.services().state().health().isFailing();
     commitLag.measure(schedulerState, isStateServing, loop.now());
     if (commitLag.isOverloaded()) {
-      overloaded.run();
+      onOverloaded.run();
     }
     if (commitLag.isOverloaded() != wasOverloaded) {
       LOG.warn(
@@ -101,6 +101,6 @@
   }
 
   private void logObjectives() {
-    objectives.logAttainment(schedulerState.jobs(), loop.now());
+    objectiveLogger.logAttainment(schedulerState.jobs(), loop.now());
   }
 }
--- a/src/main/java/org/mallowroad/controller/LeaderServices.java
+++ b/src/main/java/org/mallowroad/controller/LeaderServices.java
@@ -9,17 +9,18 @@
 import org.mallowroad.worker.WorkerClient;
 
 /**
- * Clients and configuration of the node that its leaders use. They live as long as the process, not
- * only for one term.
+ * Clients and configuration of the node that its leader terms use. They live as long as the
+ * process, across terms.
  *
- * @param loop the event loop on which everything of the node runs
+ * @param loop the event loop on which all components of the node run
  * @param state client of the state service
  * @param cloud client of the cloud provider
  * @param clusterConfig names, machine types, teams and settings
  * @param election the election that made this node the leader
  * @param workers sends commands directly to workers
- * @param claims the acceptance of jobs that fold games
- * @param reachablePeers how many peers' advertisements are fresh; 0 where links are not monitored
+ * @param claims accepts jobs that fold games and manages their claims
+ * @param reachablePeers the number of peers with a fresh link state advertisement; 0 if link
+ *     monitoring is disabled
  */
 record LeaderServices(
     EventLoop loop,
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -31,42 +31,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a node does about its links: advertises their state to its peers, probes links that nothing
- * else uses, and relays for peers and workers what they cannot deliver themselves. The decisions
- * are those of {@code core.linkstate}. Runs on the event loop only.
+ * Monitors the links of a node: advertises their state to its peers, probes links that carry no
+ * other traffic, and relays requests that peers and workers cannot deliver themselves. The
+ * decisions are made in {@code core.linkstate}. Runs on the event loop only.
  *
- * <p><b>Why a relayed heartbeat breaks no rule.</b> The worker counts its lease from when it
- * <i>sent</i> the heartbeat, and drops an answer after 4 s; the leader counts from when it
- * <i>answered</i> ({@code Machine.lastAnswerMs}), which is later, by whichever way the heartbeat
- * came. So the proof by lease in {@code SchedulerState} holds as it stands. The answer carries the
- * fencing token of the leader that gave it: a deposed one's is dropped by every worker that has
- * seen a later one, and one that has not may stay with it exactly as if it reached it directly,
- * until the leader's view is stale ({@code CancellationView}), or this node hears of the later term
- * (advertisements, announcements, other workers' tokens) and forwards nothing there any more. A
- * node adds nothing to an answer and remembers none. Commands by way of a peer without an answer
- * are {@code UNKNOWN}, kept until they are confirmed and fenced as any.
+ * <p><b>Why relaying a heartbeat violates no invariant.</b> The worker measures its lease from when
+ * it <i>sent</i> the heartbeat, and drops an answer that takes longer than 4 s. The leader measures
+ * from when it <i>answered</i> ({@code Machine.lastResponseMs}), which is later, whichever path the
+ * heartbeat took. So the proof by lease in {@code SchedulerState} applies unchanged. The answer
+ * carries the fencing token of the leader that sent it. Every worker that has seen a later token
+ * drops the answer of a deposed leader. A worker that has not may stay with the deposed leader,
+ * exactly as if it reached that leader directly, until the leader's view of cancellations is stale
+ * ({@code CancellationView}), or until this node learns of the later term (from advertisements,
+ * announcements or the tokens of other workers) and stops forwarding to the deposed leader. A node
+ * adds nothing to an answer and caches none. Commands that are sent through a peer and not answered
+ * have the delivery state {@code UNKNOWN}; they are kept until they are confirmed, and fenced like
+ * any others.
  */
 final class LinkMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LinkMonitor.class);
   private static final long CHECK_INTERVAL_MS = 250;
   private static final long PROBE_TIMEOUT_MS = 1_000;
 
-  /** A link that was not used for this long is probed. */
+  /** A link that has been idle for this long, in milliseconds, is probed. */
   private static final long IDLE_LINK_MS = 1_500;
 
-  /** Just after a start the processor is needed for other work. */
+  /**
+   * Delay of the first advertisement, since the processor is needed for other work just after the
+   * start.
+   */
   private static final long FIRST_ADVERTISEMENT_DELAY_MS = 2_000;
 
-  /** A failure that is shorter may be a brief interruption, and the node is not isolated yet. */
+  /**
+   * A node counts as isolated only after this time, since a shorter failure may be a brief
+   * interruption.
+   */
   private static final long ISOLATION_DELAY_MS = 3_000;
 
-  /** A node with broken links lets the others campaign first: this long for each kind of link. */
-  private static final long ELECTION_HANDICAP_MS = 300;
+  /**
+   * Delay of a node's candidacy for each kind of broken link, so that nodes with working links
+   * campaign first.
+   */
+  private static final long ELECTION_DELAY_PER_LINK_MS = 300;
 
-  /** How long heartbeats that were only relayed count as a broken link to the workers. */
-  private static final long WORKER_CONTACT_MEMORY_MS = 30_000;
+  /**
+   * Time for which a relayed heartbeat without a later direct one counts as a broken link to the
+   * workers.
+   */
+  private static final long RELAYED_HEARTBEAT_WINDOW_MS = 30_000;
 
-  /** Lines about links in each {@link #LOG_PERIOD_MS}. */
+  /** Maximum number of log lines about links in each {@link #LOG_PERIOD_MS}. */
   private static final int MAX_LOG_LINES = 20;
 
   private static final long LOG_PERIOD_MS = 10_000;
@@ -89,7 +103,7 @@
   private long lastDirectHeartbeatMs = NEVER;
   private long lastRelayedHeartbeatMs = NEVER;
 
-  /** The node that has these links. */
+  /** Callbacks to the node that owns these links. */
   interface Listener {
     /** True while this node leads. */
     boolean isLeading();
@@ -98,14 +112,14 @@
     void handleHeartbeat(Heartbeat heartbeat, int relayPeer, HeartbeatResponder responder);
   }
 
-  /** Over the direct ways to the external services. */
+  /** Creates the monitor, given direct connections to the external services. */
   LinkMonitor(
-      NodeEnvironment host,
+      NodeEnvironment environment,
       ClusterConfig clusterConfig,
       LinkPolicy policy,
       RequestSender stateDirect,
       RequestSender cloudDirect) {
-    this.loop = host.loop();
+    this.loop = environment.loop();
     this.clusterConfig = clusterConfig;
     this.settings = clusterConfig.settings();
     this.policy = policy;
@@ -120,7 +134,7 @@
             loop.now());
     this.state = newLink(ExternalService.STATE, stateDirect);
     this.cloud = newLink(ExternalService.CLOUD, cloudDirect);
-    this.transport = new RelayTransport(host, members, links, new PeerRequests());
+    this.transport = new RelayTransport(environment, members, links, new PeerRequestHandler());
     this.forwarder = new HeartbeatForwarder(loop, clusterConfig, policy, links, transport);
   }
 
@@ -128,44 +142,52 @@
     return new ExternalLink(service, direct, new RouteSelector(links, service));
   }
 
-  /** A caller of the state service that goes round a broken link, over one that does not. */
+  /**
+   * A sender to the state service that relays through a peer when the link of {@code direct} is
+   * broken.
+   */
   RequestSender state(RequestSender direct) {
     return new RelayedCaller(
-        loop, direct, ExternalService.STATE, state.route(), transport, policy.hedgeDelayMs());
+        loop,
+        direct,
+        ExternalService.STATE,
+        state.routeSelector(),
+        transport,
+        policy.hedgeDelayMs());
   }
 
-  /** A caller of the cloud that goes round a broken link. */
+  /** A sender to the cloud that relays through a peer when the direct link is broken. */
   RequestSender cloud() {
     return new RelayedCaller(
         loop,
-        cloud.direct(),
+        cloud.directSender(),
         ExternalService.CLOUD,
-        cloud.route(),
+        cloud.routeSelector(),
         transport,
         policy.hedgeDelayMs());
   }
 
-  /** Carries relayed requests between this node and its peers. */
+  /** The transport of relayed requests between this node and its peers. */
   RelayTransport transport() {
     return transport;
   }
 
-  /** What is known of all links. */
+  /** The known state of all links of all nodes. */
   LinkStateTable links() {
     return links;
   }
 
-  /** Decides which heartbeats are forwarded, and counts them. */
+  /** The policy that decides which heartbeats are forwarded and counts them. */
   HeartbeatRelay heartbeatRelay() {
     return forwarder.relay();
   }
 
-  /** The way to the state service. */
+  /** The selector of the route to the state service. */
   RouteSelector stateRoute() {
-    return state.route();
+    return state.routeSelector();
   }
 
-  /** Begins to probe and to advertise. */
+  /** Starts probing and advertising. */
   void start(LeaderElection election, WorkerClient workers, Listener listener) {
     this.election = election;
     this.workers = workers;
@@ -176,32 +198,35 @@
         () -> loop.every(policy.advertiseIntervalMs(), this::advertise));
   }
 
-  /** Calls of this node that were made by way of a peer. */
-  long detours() {
-    return state.route().relayedCalls() + cloud.route().relayedCalls();
+  /** Number of calls of this node that were relayed by a peer. */
+  long relayedCallCount() {
+    return state.routeSelector().relayedCalls() + cloud.routeSelector().relayedCalls();
   }
 
   /**
-   * True when this node reaches neither the state service nor any peer: users are better served by
-   * other nodes. While peers are reachable it relays users' requests to them.
+   * True if this node can reach neither the state service nor any peer, so that users are better
+   * served by other nodes. While peers are reachable, the node relays user requests to them.
    */
   boolean isIsolated() {
     long now = loop.now();
-    return state.route().isDirectPathDown()
+    return state.routeSelector().isDirectPathDown()
         && links.freshAdvertisementCount(now) == 0
         && now - links.changedMs(ExternalService.STATE) > ISOLATION_DELAY_MS;
   }
 
-  /** How long this node lets others campaign first when there is no leader, in milliseconds. */
-  long electionHandicapMs() {
-    boolean lacksWorkers =
+  /**
+   * Delay of this node's candidacy in milliseconds, which lets other nodes campaign first when
+   * there is no leader.
+   */
+  long electionDelayMs() {
+    boolean hasOnlyRelayedHeartbeats =
         lastRelayedHeartbeatMs - lastDirectHeartbeatMs > IDLE_LINK_MS
-            && loop.now() - lastRelayedHeartbeatMs < WORKER_CONTACT_MEMORY_MS;
-    return (state.route().isDirectPathDown() ? ELECTION_HANDICAP_MS : 0)
-        + (lacksWorkers ? ELECTION_HANDICAP_MS : 0);
+            && loop.now() - lastRelayedHeartbeatMs < RELAYED_HEARTBEAT_WINDOW_MS;
+    return (state.routeSelector().isDirectPathDown() ? ELECTION_DELAY_PER_LINK_MS : 0)
+        + (hasOnlyRelayedHeartbeats ? ELECTION_DELAY_PER_LINK_MS : 0);
   }
 
-  /** A heartbeat came to this node, which leads. */
+  /** Records a heartbeat that arrived at this node while it leads. */
   void heartbeatReceived(Heartbeat heartbeat, boolean isDirect) {
     if (isDirect) {
       lastDirectHeartbeatMs = loop.now();
@@ -212,8 +237,8 @@
   }
 
   /**
-   * Forwards a heartbeat to the leader where its worker does not get there; false: the worker is
-   * redirected.
+   * Forwards a heartbeat to the leader if its worker cannot reach it; returns false if the worker
+   * should be redirected instead.
    */
   boolean forwardHeartbeat(IncomingRequest request, Heartbeat heartbeat, String leader) {
     return forwarder.forward(request, heartbeat, leader, election.leaderTerm());
@@ -221,7 +246,8 @@
 
   private void advertise() {
     boolean isLeading = listener.isLeading();
-    // A leader's own term, not the tokens within it that single workers have.
+    // A leader advertises the number of its term, not the tokens within the term that individual
+    // workers hold.
     long term = isLeading ? election.leaderTerm() : election.highestSeenToken();
     transport.broadcastLinkState(links.advertise(term, isLeading, loop.now()));
   }
@@ -229,36 +255,37 @@
   private void check() {
     long now = loop.now();
     long ageMs = links.ageMs(ExternalService.STATE, now);
-    boolean isIdle = !state.route().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
-    if (!isProbingState && (state.route().takeProbe(now) || isIdle)) {
+    boolean isIdle =
+        !state.routeSelector().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
+    if (!isProbingState && (state.routeSelector().takeProbe(now) || isIdle)) {
       isProbingState = true;
       probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
     }
     // Only the leader uses the cloud; other nodes need no route to it.
-    if (cloud.route().takeProbe(now) && listener.isLeading()) {
+    if (cloud.routeSelector().takeProbe(now) && listener.isLeading()) {
       probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
     logChanges(now);
   }
 
   private void logChanges(long now) {
-    for (LinkStateTable.LinkChange c : links.takeChanges()) {
+    for (LinkStateTable.LinkChange change : links.takeChanges()) {
       if (logLimiter.tryAcquire(now)) {
         LOG.warn(
             "event={} from={} to={} lasted_ms={} reported_by={} suppressed={}",
-            c.down() ? "link_down" : "link_up",
-            c.from(),
-            c.to(),
-            c.lastedMs(),
-            c.by(),
+            change.down() ? "link_down" : "link_up",
+            change.from(),
+            change.to(),
+            change.lastedMs(),
+            change.by(),
             logLimiter.suppressed() + links.takeUnkeptChanges());
       }
     }
   }
 
-  private void probe(ExternalLink link, String path, Runnable ended) {
+  private void probe(ExternalLink link, String path, Runnable onEnded) {
     long sentMs = loop.now();
-    link.direct()
+    link.directSender()
         .call(
             "GET",
             path,
@@ -267,7 +294,7 @@
             new RequestSender.ResponseHandler() {
               @Override
               public void answered(int status, byte[] body) {
-                ended(!link.isRefusal(status));
+                ended(!link.isServiceUnavailable(status));
               }
 
               @Override
@@ -275,26 +302,28 @@
                 ended(false);
               }
 
-              private void ended(boolean worked) {
-                ended.run();
-                link.route().recordDirectCall(worked, sentMs, loop.now());
+              private void ended(boolean succeeded) {
+                onEnded.run();
+                link.routeSelector().recordDirectCall(succeeded, sentMs, loop.now());
               }
             });
   }
 
-  /** Serves what peers relay by way of this node. */
-  private final class PeerRequests implements RelayTransport.Listener {
+  /** Serves the requests that peers relay through this node. */
+  private final class PeerRequestHandler implements RelayTransport.Listener {
     @Override
-    public OptionalLong onLinkState(LinkStateAdvertisement advertised) {
-      if (!links.accept(advertised, loop.now())) {
-        long began = links.startedMs(advertised.node());
-        return began > advertised.started() ? OptionalLong.of(began) : OptionalLong.empty();
+    public OptionalLong onLinkState(LinkStateAdvertisement advertisement) {
+      if (!links.accept(advertisement, loop.now())) {
+        long knownStartMs = links.startedMs(advertisement.node());
+        return knownStartMs > advertisement.started()
+            ? OptionalLong.of(knownStartMs)
+            : OptionalLong.empty();
       }
       if (election != null) {
-        if (advertised.leading()) {
-          election.leaderAnnounced(advertised.node(), advertised.term());
+        if (advertisement.leading()) {
+          election.leaderAnnounced(advertisement.node(), advertisement.term());
         } else {
-          election.tokenSeen(advertised.term());
+          election.tokenSeen(advertisement.term());
         }
       }
       return OptionalLong.empty();
@@ -302,37 +331,40 @@
 
     @Override
     public void onCall(
-        ExternalService to,
+        ExternalService service,
         String method,
         String path,
         byte[] body,
         long timeoutMs,
-        RequestSender.ResponseHandler answer) {
-      ExternalLink link = to == ExternalService.STATE ? state : cloud;
-      if (links.isDown(to)) {
-        answer.failed(false);
+        RequestSender.ResponseHandler responseHandler) {
+      ExternalLink link = service == ExternalService.STATE ? state : cloud;
+      if (links.isDown(service)) {
+        responseHandler.failed(false);
         return;
       }
-      link.direct().call(method, path, body, timeoutMs, new ForwardedAnswer(link, answer));
+      link.directSender()
+          .call(
+              method, path, body, timeoutMs, new RelayedCallResponseHandler(link, responseHandler));
     }
 
     @Override
-    public void onCommands(String address, byte[] body, RequestSender.ResponseHandler answer) {
-      workers.sendRelayed(address, body, answer);
+    public void onCommands(
+        String address, byte[] body, RequestSender.ResponseHandler responseHandler) {
+      workers.sendRelayed(address, body, responseHandler);
     }
 
     @Override
-    public void onHeartbeat(int peer, byte[] report, RequestSender.ResponseHandler answer) {
+    public void onHeartbeat(int peer, byte[] body, RequestSender.ResponseHandler responseHandler) {
       Heartbeat heartbeat;
       try {
-        heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(report));
+        heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
       } catch (InvalidMessageException e) {
-        answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
+        responseHandler.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
       if (!listener.isLeading() || peer < 0) {
-        redirect(answer);
+        redirect(responseHandler);
         return;
       }
       heartbeatReceived(heartbeat, false);
@@ -342,52 +374,57 @@
           new HeartbeatResponder() {
             @Override
             public void respond(long fencingToken, List<WorkerCommand> commands) {
-              answer.answered(200, Json.bytes(WorkerCodec.encodeCommands(fencingToken, commands)));
+              responseHandler.answered(
+                  200, Json.bytes(WorkerCodec.encodeCommands(fencingToken, commands)));
             }
 
             @Override
             public void retryLater() {
-              answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
+              responseHandler.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
             }
           });
     }
 
-    private void redirect(RequestSender.ResponseHandler answer) {
+    private void redirect(RequestSender.ResponseHandler responseHandler) {
       String leader = election.leader();
       if (leader == null || leader.equals(settings.node())) {
-        answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
+        responseHandler.answered(
+            503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
       } else {
-        answer.answered(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
+        responseHandler.answered(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
       }
     }
   }
 
-  /** The answer to a peer's call, which also shows the state of this node's own link. */
-  private final class ForwardedAnswer implements RequestSender.ResponseHandler {
+  /**
+   * Passes the answer to a relayed call back to the peer and records whether this node's own link
+   * works.
+   */
+  private final class RelayedCallResponseHandler implements RequestSender.ResponseHandler {
     private final ExternalLink link;
-    private final RequestSender.ResponseHandler answer;
+    private final RequestSender.ResponseHandler responseHandler;
     private final long sentMs = loop.now();
 
-    ForwardedAnswer(ExternalLink link, RequestSender.ResponseHandler answer) {
+    RelayedCallResponseHandler(ExternalLink link, RequestSender.ResponseHandler responseHandler) {
       this.link = link;
-      this.answer = answer;
+      this.responseHandler = responseHandler;
     }
 
     @Override
     public void answered(int status, byte[] body) {
-      boolean isRefusal = link.isRefusal(status);
-      link.route().recordDirectCall(!isRefusal, sentMs, loop.now());
-      if (isRefusal) {
-        answer.failed(false);
+      boolean isUnavailable = link.isServiceUnavailable(status);
+      link.routeSelector().recordDirectCall(!isUnavailable, sentMs, loop.now());
+      if (isUnavailable) {
+        responseHandler.failed(false);
       } else {
-        answer.answered(status, body);
+        responseHandler.answered(status, body);
       }
     }
 
     @Override
     public void failed(boolean sent) {
-      link.route().recordDirectCall(false, sentMs, loop.now());
-      answer.failed(sent);
+      link.routeSelector().recordDirectCall(false, sentMs, loop.now());
+      responseHandler.failed(sent);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs at regular intervals how busy the leader is and what its machines cost. */
+/** Periodically logs the load of the leader and the costs of its machines. */
 final class LoadLogger {
   private static final Logger LOG = LoggerFactory.getLogger(LoadLogger.class);
 
@@ -21,24 +21,24 @@
     this.committer = committer;
   }
 
-  /** Logs the interval that ends now and begins the next one. */
+  /** Logs the interval that ends now and starts the next one. */
   void log() {
     logLoad();
     if (schedulerState.attemptsStarted() > 0) {
       LOG.info("event=image_fetches {}", schedulerState.imageDistribution().logFields());
     }
     logCosts();
-    context.load().beginInterval();
+    context.loadStatistics().startInterval();
   }
 
   private void logLoad() {
     int waiting = 0;
     int live = 0;
-    for (Job j : schedulerState.jobs()) {
-      waiting += j.waitingCount();
-      live += j.liveAttemptCount();
+    for (Job job : schedulerState.jobs()) {
+      waiting += job.waitingCount();
+      live += job.liveAttemptCount();
     }
-    LoadStatistics load = context.load();
+    LoadStatistics load = context.loadStatistics();
     LOG.info(
         "event=load loop_lag_ms={} heartbeats={} direct_commands={} placement_passes={}"
             + " placement_ms={} preemptions={} commits={} writes={} uncommitted={} urgent={} jobs={} waiting={} live={} machines={} heap_mb={} memory_mb={}",
@@ -61,18 +61,18 @@
   }
 
   private void logCosts() {
-    for (CostAccounting.Line l :
+    for (CostAccounting.Line line :
         schedulerState.costAccounting().lines(schedulerState.machines(), context.loop().now())) {
       LOG.info(
           "event=machine_cost type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
-          l.type(),
-          l.spot(),
-          l.machinesGone(),
-          toThousandths(l.boot()),
-          toThousandths(l.idle()),
-          toThousandths(l.starting()),
-          toThousandths(l.useful()),
-          toThousandths(l.lost()));
+          line.type(),
+          line.spot(),
+          line.machinesGone(),
+          toThousandths(line.boot()),
+          toThousandths(line.idle()),
+          toThousandths(line.starting()),
+          toThousandths(line.useful()),
+          toThousandths(line.lost()));
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/LoadStatistics.java
+++ b/src/main/java/org/mallowroad/controller/LoadStatistics.java
@@ -1,8 +1,8 @@
 package org.mallowroad.controller;
 
 /**
- * Counters of the leader's work in a logging interval: how near the machine is to its limit. Runs
- * on the event loop only.
+ * Counts the work of the leader in a logging interval, which shows how close the node is to its
+ * capacity. Runs on the event loop only.
  */
 final class LoadStatistics {
   private long lastTickMs;
@@ -13,36 +13,39 @@
   private long placementPasses;
   private long placementNanos;
 
-  /** Regular ticks begin; the first one is measured from now. */
-  void ticksBegin(long now) {
+  /** Called when periodic ticks start; the lag of the first tick is measured from now. */
+  void startTicks(long now) {
     lastTickMs = now;
   }
 
-  /** A regular tick, due {@code intervalMs} after the one before. */
-  void tick(long now, long intervalMs) {
+  /** Records a periodic tick, which was due {@code intervalMs} after the previous one. */
+  void recordTick(long now, long intervalMs) {
     loopLagMs = Math.max(loopLagMs, now - lastTickMs - intervalMs);
     lastTickMs = now;
   }
 
-  /** A heartbeat of a known machine came. */
-  void heartbeatReceived() {
+  /** Counts a heartbeat of a known machine. */
+  void recordHeartbeat() {
     heartbeats++;
   }
 
-  /** Commands were sent to a worker without waiting for its heartbeat. */
-  void directCommandsSent() {
+  /**
+   * Counts a message with commands that was sent directly to a worker, without waiting for its
+   * heartbeat.
+   */
+  void recordDirectCommands() {
     directCommands++;
   }
 
-  /** A placement pass ended after so many nanoseconds. */
-  void placementPassEnded(long nanos) {
+  /** Counts a placement pass with its duration in nanoseconds. */
+  void recordPlacementPass(long durationNanos) {
     placementPasses++;
-    placementNanos += nanos;
+    placementNanos += durationNanos;
   }
 
   /**
-   * How late the loop ran at worst since the interval before this one began, in milliseconds: the
-   * first sign of too much work.
+   * Maximum event loop lag, in milliseconds, since the beginning of the previous interval. Event
+   * loop lag is the first sign of overload.
    */
   long worstLoopLagMs() {
     return Math.max(previousLoopLagMs, loopLagMs);
@@ -68,8 +71,8 @@
     return placementNanos / 1_000_000;
   }
 
-  /** The interval's figures are logged: a new interval begins. */
-  void beginInterval() {
+  /** Resets the counters for a new interval, once those of the last one are logged. */
+  void startInterval() {
     previousLoopLagMs = loopLagMs;
     loopLagMs = 0;
     heartbeats = 0;
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -8,11 +8,14 @@
 import org.mallowroad.peer.PeerMessenger;
 
 /**
- * The leadership of this node: begins a {@link Leader} when the election grants a term and stops it
- * when the term is over. Runs on the event loop only.
+ * Manages the leadership of this node: starts a {@link Leader} when the election grants a term and
+ * stops it when the term ends. Runs on the event loop only.
  */
 final class LocalLeadership implements LeaderElection.Listener {
-  /** After the takeover's first reads are under way: they matter more. */
+  /**
+   * Delays the announcement until the first reads of the takeover are in flight, since these are
+   * more urgent.
+   */
   private static final long ANNOUNCEMENT_DELAY_MS = 100;
 
   private final LeaderServices services;
@@ -22,7 +25,7 @@
   private final MachineTypeCache machineTypes;
   private final SharedRecordRollout sharedRecords;
 
-  /** Null while this node does not lead. */
+  /** The current term's leader; null while this node does not lead. */
   private Leader leader;
 
   LocalLeadership(
@@ -50,14 +53,14 @@
   }
 
   @Override
-  public void elected(long term, long version) {
+  public void elected(long term, long leaderKeyVersion) {
     EventLoop loop = services.loop();
-    LeadershipTerm granted = new LeadershipTerm(term, version);
-    Leader elected = new Leader(services, granted, new LeaderListener(granted));
-    leader = elected;
-    elected.start();
-    if (services.clusterConfig().operator.records().shareStarts()) {
-      sharedRecords.enable(elected, () -> leader == elected);
+    LeadershipTerm grantedTerm = new LeadershipTerm(term, leaderKeyVersion);
+    Leader newLeader = new Leader(services, grantedTerm, new LeaderListener(grantedTerm));
+    leader = newLeader;
+    newLeader.start();
+    if (services.clusterConfig().operatorSettings.records().shareStarts()) {
+      sharedRecords.enableWhenSupported(newLeader, () -> leader == newLeader);
     }
     loop.after(
         ANNOUNCEMENT_DELAY_MS,
@@ -72,17 +75,17 @@
     }
   }
 
-  /** Stops the leader, if there is one, when the process ends. */
+  /** Stops the leader, if any, when the process ends. */
   void stop() {
     if (leader != null) {
       leader.stop();
     }
   }
 
-  /** A job is known to be cancelled: its tasks go at once if this node leads. */
-  void cancellationReceived(String job) {
+  /** Stops the tasks of a cancelled job at once if this node leads. */
+  void handleCancellation(String jobId) {
     if (leader != null) {
-      leader.cancellationReceived(job);
+      leader.handleCancellation(jobId);
     }
   }
 
@@ -94,18 +97,18 @@
     }
 
     @Override
-    public void recovered() {
+    public void onRecovered() {
       machineTypes.save(term.leaderKeyVersion());
     }
 
     @Override
-    public void overloaded() {
+    public void onOverloaded() {
       admission.recordOverload(services.loop().now());
       peers.sendOverloaded(term.number());
     }
 
     @Override
-    public void jobDone(Job job) {
+    public void onJobDone(Job job) {
       users.ended(job.spec.id(), true);
     }
   }
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -17,18 +17,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the machine types up to date from the cloud, and a copy of them in the state service.
+ * Refreshes the machine types from the cloud and saves a copy of them in the state service.
  *
- * <p>The copy outlives the processes that learnt the types. A node that starts while the cloud is
- * unavailable would otherwise know none: it could judge no submission, and as leader read no
- * attempt and stop no cancelled task (docs/incidents, leader-without-types). Prices in the copy are
- * as old as it is; the cloud's own answer replaces them.
+ * <p>The copy survives restarts of the nodes. Without it, a node that starts while the cloud is
+ * unavailable would know no machine types: it could not validate submissions and, as the leader,
+ * could neither read attempts nor stop cancelled tasks (docs/incidents, leader-without-types). The
+ * prices in the copy may be outdated; the next answer of the cloud replaces them.
  *
  * <p>Runs on the event loop only.
  */
 final class MachineTypeCache {
   /** Key of the copy in the state service. */
-  static final String KEY = "types";
+  static final String STATE_KEY = "types";
 
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCache.class);
 
@@ -36,8 +36,8 @@
   private static final long CLOUD_RETRY_MS = 500;
 
   /**
-   * How long the cloud may take to answer before the copy is read, and the interval of reading it
-   * until types are known.
+   * Time that the cloud has to answer before the copy is read, and the interval at which reading is
+   * retried until types are known.
    */
   private static final long RESTORE_INTERVAL_MS = 1_000;
 
@@ -55,7 +55,7 @@
     this.clusterConfig = clusterConfig;
   }
 
-  /** Begins: the cloud is asked regularly and, until types are known, the copy is read as well. */
+  /** Starts polling the cloud and, until types are known, also reading the saved copy. */
   void start() {
     refresh();
     loop.after(RESTORE_INTERVAL_MS, this::restore);
@@ -79,50 +79,51 @@
     }
     isRestoring = true;
     state.get(
-        KEY,
-        (result, item) -> {
+        STATE_KEY,
+        (result, savedRecord) -> {
           isRestoring = false;
-          if (result == CallResult.OK && item.value() != null) {
-            adopt(item);
+          if (result == CallResult.OK && savedRecord.value() != null) {
+            useSavedTypes(savedRecord);
           }
           loop.after(RESTORE_INTERVAL_MS, this::restore);
         });
   }
 
-  private void adopt(VersionedValue item) {
+  private void useSavedTypes(VersionedValue savedRecord) {
     if (!clusterConfig.machineTypes().isEmpty()) {
       return;
     }
     try {
-      List<MachineType> types = decode(item);
+      List<MachineType> types = decode(savedRecord);
       if (!types.isEmpty()) {
         LOG.info("event=machine_types_restored types={}", types.size());
         clusterConfig.replaceMachineTypes(types);
       }
     } catch (InvalidMessageException e) {
-      LOG.error("event=record_unreadable key={} reason=\"{}\"", KEY, e.getMessage());
+      LOG.error("event=record_unreadable key={} reason=\"{}\"", STATE_KEY, e.getMessage());
     }
   }
 
-  private List<MachineType> decode(VersionedValue item) throws InvalidMessageException {
-    if (!item.value().isObject()) {
+  private List<MachineType> decode(VersionedValue savedRecord) throws InvalidMessageException {
+    if (!savedRecord.value().isObject()) {
       throw new InvalidMessageException("not an object");
     }
     return MachineTypeCodec.decode(
-        (ObjectNode) item.value(), clusterConfig.types, clusterConfig.zones);
+        (ObjectNode) savedRecord.value(), clusterConfig.typeNames, clusterConfig.zones);
   }
 
   /**
-   * Writes the known types where the copy differs; prices do not count. Only for a leader.
+   * Saves the known types if the saved copy differs in more than prices. Only the leader may call
+   * this.
    *
    * @param leaderKeyVersion version of the key {@code leader} in the leader's term
    */
   void save(long leaderKeyVersion) {
     List<MachineType> types = clusterConfig.machineTypes();
     state.get(
-        KEY,
-        (result, item) -> {
-          if (result != CallResult.OK || isSame(item, types)) {
+        STATE_KEY,
+        (result, savedRecord) -> {
+          if (result != CallResult.OK || hasSameTypes(savedRecord, types)) {
             return;
           }
           ObjectNode value = MachineTypeCodec.encode(types, clusterConfig.zones);
@@ -130,22 +131,22 @@
             LOG.warn("event=machine_types_not_saved reason=\"too large\"");
             return;
           }
-          // No retry: a write that is lost is made by the next term.
+          // Not retried: if this write is lost, the next term saves the types.
           Transaction transaction =
               new Transaction()
                   .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
-                  .requireVersion(KEY, item.version())
-                  .put(KEY, value);
-          state.compareAndSwap(transaction, (r, revision, failed) -> {});
+                  .requireVersion(STATE_KEY, savedRecord.version())
+                  .put(STATE_KEY, value);
+          state.compareAndSwap(transaction, (writeResult, revision, failed) -> {});
         });
   }
 
-  private boolean isSame(VersionedValue item, List<MachineType> types) {
-    if (item.value() == null) {
+  private boolean hasSameTypes(VersionedValue savedRecord, List<MachineType> types) {
+    if (savedRecord.value() == null) {
       return false;
     }
     try {
-      return encodeWithoutPrices(decode(item)).equals(encodeWithoutPrices(types));
+      return encodeWithoutPrices(decode(savedRecord)).equals(encodeWithoutPrices(types));
     } catch (InvalidMessageException e) {
       return false;
     }
@@ -155,19 +156,19 @@
     return MachineTypeCodec.encode(
             types.stream()
                 .map(
-                    t ->
+                    type ->
                         new MachineType(
-                            t.index(),
-                            t.name(),
-                            t.cpus(),
-                            t.cards(),
-                            t.memGb(),
-                            t.cacheGb(),
-                            t.fetchGbPerS(),
+                            type.index(),
+                            type.name(),
+                            type.cpus(),
+                            type.cards(),
+                            type.memGb(),
+                            type.cacheGb(),
+                            type.fetchGbPerS(),
                             0,
                             0,
-                            t.bootS(),
-                            t.zones()))
+                            type.bootS(),
+                            type.zones()))
                 .toList(),
             clusterConfig.zones)
         .toString();
--- a/src/main/java/org/mallowroad/controller/MemoryMetrics.java
+++ b/src/main/java/org/mallowroad/controller/MemoryMetrics.java
@@ -6,18 +6,23 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The memory of this process and what garbage collection costs it, for metrics and the log. */
+/**
+ * Measures the memory of this process and the cost of garbage collection, for metrics and the log.
+ */
 final class MemoryMetrics {
   private static final Path PROCESS_STATUS = Path.of("/proc/self/status");
-  private static final String RESIDENT_KB = "VmRSS:";
+  private static final String RESIDENT_SIZE_FIELD = "VmRSS:";
 
   private MemoryMetrics() {}
 
-  /** Resident bytes, the heap and everything else; 0 where the system does not tell. */
+  /**
+   * Resident memory of the process in bytes, including the heap; 0 if the operating system does not
+   * report it.
+   */
   static long processBytes() {
     try {
       for (String line : Files.readAllLines(PROCESS_STATUS)) {
-        if (line.startsWith(RESIDENT_KB)) {
+        if (line.startsWith(RESIDENT_SIZE_FIELD)) {
           return Long.parseLong(line.replaceAll("[^0-9]", "")) << 10;
         }
       }
@@ -27,18 +32,18 @@
     return 0;
   }
 
-  /** Bytes of the heap in use, garbage included. */
+  /** Heap in use in bytes, including garbage that is not collected yet. */
   static long heapBytes() {
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
   /**
-   * The part of the time since the start that the garbage collector has taken, from 0 to 1. Only
-   * metrics may ask: the first call loads the management classes, which a leader's event loop
-   * should not wait for.
+   * Fraction of the process's uptime spent in garbage collection, from 0 to 1. Only for metrics
+   * requests: the first call loads the management classes, which would delay the event loop of a
+   * leader.
    */
-  static double collectorShare() {
+  static double garbageCollectionShare() {
     long collectionMs = 0;
     for (GarbageCollectorMXBean collector : ManagementFactory.getGarbageCollectorMXBeans()) {
       collectionMs += Math.max(0, collector.getCollectionTime());
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -18,42 +18,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller: listens, takes part in the election and, while elected, leads. This class starts
- * and stops it; {@link NodeComponents} builds its parts.
+ * One controller of the cluster: serves requests, takes part in the leader election and, while
+ * elected, leads. This class starts and stops the node; {@link NodeComponents} builds its
+ * components.
  *
- * <p>Everything runs on the node's event loop. The public methods may be called from any thread,
- * except {@link #startOnEventLoop()}, which is for callers that run the loop themselves.
+ * <p>All work runs on the node's event loop. The public methods may be called from any thread,
+ * except {@link #startOnEventLoop()}, which is for callers that already run on the loop.
  */
 public final class Node {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
 
   /**
-   * With a shorter limit than this the view of cancellations is stale after any brief interruption.
+   * Below this maximum age, the view of cancellations becomes stale after any brief interruption.
    */
-  private static final long SHORT_CANCELLATION_VIEW_MS = 5_000;
+  private static final long MIN_CANCELLATION_VIEW_AGE_MS = 5_000;
 
   private static final long ADMISSION_INTERVAL_MS = 1_000;
 
   private final NodeComponents components;
   private final ClusterConfig clusterConfig;
-  private final NodeEnvironment host;
+  private final NodeEnvironment environment;
   private final EventLoop loop;
   private final LocalLeadership leadership;
   private final HttpRouter router;
 
-  /** Null where the operator has the console off. */
+  /** Null if the operator has disabled the console. */
   private final ConsoleServer console;
 
-  /** A node on this machine. */
+  /** Creates a node that uses the sockets of this machine. */
   public Node(ClusterConfig clusterConfig) throws IOException {
     this(clusterConfig, new XnioEnvironment(clusterConfig.settings()));
   }
 
-  /** Connects the parts of a node; nothing runs before {@link #start()}. */
-  public Node(ClusterConfig clusterConfig, NodeEnvironment host) throws IOException {
-    this.components = new NodeComponents(clusterConfig, host);
+  /** Connects the components of a node; nothing runs before {@link #start()}. */
+  public Node(ClusterConfig clusterConfig, NodeEnvironment environment) throws IOException {
+    this.components = new NodeComponents(clusterConfig, environment);
     this.clusterConfig = clusterConfig;
-    this.host = host;
+    this.environment = environment;
     this.loop = components.loop;
     this.leadership = components.leadership;
     this.console = newConsole();
@@ -65,9 +66,9 @@
             new NodeMetrics(components)::scrape);
   }
 
-  /** Not even the console's classes are loaded where it is off. */
+  /** Creates the console; if it is disabled, not even its classes are loaded. */
   private ConsoleServer newConsole() throws IOException {
-    if (clusterConfig.operator.console().isEmpty()) {
+    if (clusterConfig.operatorSettings.console().isEmpty()) {
       return null;
     }
     SnapshotPublisher publisher =
@@ -78,18 +79,18 @@
             components.election,
             components.leadership::leader);
     return new ConsoleServer(
-        clusterConfig.operator.console().get(),
-        new NodeSnapshotSource(host, clusterConfig.settings.node(), publisher));
+        clusterConfig.operatorSettings.console().get(),
+        new NodeSnapshotSource(environment, clusterConfig.settings.node(), publisher));
   }
 
   /**
-   * Begins to serve.
+   * Starts the node.
    *
-   * @throws IOException when the node cannot listen
+   * @throws IOException if the node cannot listen on its addresses
    */
   public void start() throws IOException {
-    // All of it on the loop, while the calling thread only waits: one thread at a time reads files
-    // and sockets, also while the process starts.
+    // All steps run on the event loop while the calling thread waits, so that only one thread at a
+    // time accesses files and sockets, even during startup.
     CompletableFuture<Void> started = new CompletableFuture<>();
     loop.soon(
         () -> {
@@ -97,7 +98,7 @@
             startOnEventLoop();
             started.complete(null);
           } catch (RuntimeException e) {
-            // Whatever it is, the thread that waits has to hear of it.
+            // Any exception must reach the waiting thread.
             started.completeExceptionally(e);
           }
         });
@@ -111,10 +112,10 @@
     LOG.info("event=started node={} listen={}", settings.node(), settings.listen());
   }
 
-  /** As {@link #start()}, for a caller that runs on the loop itself. */
+  /** Starts the node like {@link #start()}, for a caller that runs on the event loop. */
   public void startOnEventLoop() {
-    host.listen(new Requests());
-    warnOfShortCancellationView();
+    environment.listen(new RequestDispatcher());
+    warnIfCancellationViewAgeTooShort();
     startConsole();
     components.machineTypes.start();
     if (components.links != null) {
@@ -124,7 +125,7 @@
     loop.every(ADMISSION_INTERVAL_MS, this::updateAdmission);
   }
 
-  /** Ends all duties and connections. */
+  /** Stops all work and closes all connections. */
   public void stop() {
     loop.soon(
         () -> {
@@ -134,39 +135,40 @@
     if (console != null) {
       console.stop();
     }
-    host.stop();
+    environment.stop();
   }
 
-  /** On which everything of this node runs. */
+  /** The event loop on which all components of this node run. */
   EventLoop loop() {
     return loop;
   }
 
-  /** Where users and workers reach this node once it has started. */
+  /** The address for users and workers, known once the node has started. */
   public String address() {
-    return host.boundAddress(0);
+    return environment.boundAddress(0);
   }
 
-  /** Where the other controllers reach this node once it has started. */
+  /** The address for the other controllers, known once the node has started. */
   public String peerAddress() {
-    return host.boundAddress(1);
+    return environment.boundAddress(1);
   }
 
-  /** Where the console listens once it has started; empty while it is off. */
+  /** The address of the console, known once it has started; empty if it is disabled. */
   public String consoleAddress() {
     return console == null ? "" : console.address();
   }
 
-  private void warnOfShortCancellationView() {
+  private void warnIfCancellationViewAgeTooShort() {
     Settings settings = clusterConfig.settings;
     long maxAgeMs = CancellationView.maxAgeMs(settings.leaseS(), settings.cancelS());
-    if (maxAgeMs < SHORT_CANCELLATION_VIEW_MS) {
-      // Kept even so; but a moment without the state service costs the fleet its leases.
+    if (maxAgeMs < MIN_CANCELLATION_VIEW_AGE_MS) {
+      // The setting is applied nevertheless, but a brief outage of the state service will make the
+      // workers' leases expire.
       LOG.warn("event=cancel_s_too_short max_view_age_ms={}", maxAgeMs);
     }
   }
 
-  /** A console that cannot listen keeps no controller from its work. */
+  /** Starts the console; the node runs without it if it cannot listen. */
   private void startConsole() {
     if (console == null) {
       return;
@@ -174,10 +176,10 @@
     try {
       console.start();
     } catch (RuntimeException e) {
-      // Whatever the HTTP server throws, the controller goes on without it.
+      // Any exception of the HTTP server: the controller runs without the console.
       LOG.error(
           "event=console_not_started listen={} reason=\"{}\"",
-          clusterConfig.operator.console().get().listen(),
+          clusterConfig.operatorSettings.console().get().listen(),
           e.getMessage());
     }
   }
@@ -189,13 +191,16 @@
         now - components.state.health().lastThrottledMs() < ADMISSION_INTERVAL_MS, now);
   }
 
-  /** A node that is cut off from the state service and from all who have it sends users away. */
+  /**
+   * False while no machine types are known, or while the node can reach neither the state service
+   * nor any peer, so that users turn to other nodes.
+   */
   private boolean isHealthy() {
     return !clusterConfig.machineTypes().isEmpty()
         && (components.links == null || !components.links.isIsolated());
   }
 
-  private final class Requests implements NodeEnvironment.RequestHandler {
+  private final class RequestDispatcher implements NodeEnvironment.RequestHandler {
     @Override
     public void request(IncomingRequest request) {
       router.request(request);
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -26,58 +26,72 @@
 import org.mallowroad.worker.WorkerClient;
 
 /**
- * The parts of one node, built and connected with each other. Building them starts nothing: {@link
- * Node} drives their life cycle. All of them run on the event loop only.
+ * Builds and connects the components of one node. Building starts nothing: {@link Node} drives
+ * their life cycle. All components run on the event loop only.
  */
 final class NodeComponents {
   private static final String JSON = "application/json";
 
   /**
-   * Connections to the state service: while many answers are lost each keeps one until its call is
-   * given up, and renewals and commits have to find a free one even then.
+   * Connections to the state service. While many answers are lost, each lost answer occupies a
+   * connection until its call times out, and lease renewals and commits must find a free connection
+   * even then.
    */
   private static final int STATE_CONNECTIONS = 128;
 
-  /** Connections for watches, and those to the cloud. */
-  private static final int FEW_CONNECTIONS = 8;
+  /** Connections for watches of the state service, and connections to the cloud. */
+  private static final int SMALL_POOL_CONNECTIONS = 8;
 
-  /** The largest answer of an external service, as a part of the memory. */
-  private static final int MEMORY_PER_ANSWER = 8;
+  /**
+   * The memory limit divided by this number is the size of the largest accepted answer of an
+   * external service.
+   */
+  private static final int MEMORY_TO_ANSWER_RATIO = 8;
 
-  /** Retries of late transactions, as a part of the state service's calls, for all nodes. */
+  /**
+   * Share of the state service's call rate that all nodes together use to retry late transactions.
+   */
   private static final double STATE_RETRY_SHARE = 0.3;
 
   private static final double MIN_STATE_RETRIES_PER_S = 4;
 
-  /** The part of the cloud's rate limit that is used steadily; the rest is left to bursts. */
+  /**
+   * Share of the cloud's rate limit that is used as the sustained rate; the rest is reserved for
+   * bursts.
+   */
   private static final double CLOUD_RATE_SHARE = 0.8;
 
   private static final int MIN_WORKER_CONNECTIONS = 16;
   private static final int SOCKETS_PER_WORKER_CONNECTION = 8;
 
   /**
-   * The part of the state service's calls that all nodes make for users. The rest is for accepts,
-   * commits, lease renewals and watches: beyond the limit the service refuses any call, and a
-   * leader that cannot renew its lease loses it.
+   * Share of the state service's call rate that all nodes together use for user requests. The rest
+   * is reserved for accepting jobs, commits, lease renewals and watches: beyond the limit the
+   * service rejects any call, and a leader that cannot renew its lease loses it.
    */
   private static final double USER_READ_SHARE = 0.6;
 
   private static final double MIN_USER_READS_PER_S = 4;
 
-  /** The part of the state service's writes that users may take, and their burst. */
+  /** Share of the state service's write rate that user requests may use. */
   private static final double USER_WRITE_SHARE = 0.45;
 
+  /** Burst of the writes for user requests, as a share of the write rate per second. */
   private static final double USER_WRITE_BURST_SHARE = 0.6;
-  private static final double USER_FAIR_WRITE_BURST = 4;
 
-  /** A transaction may have four times as many conditions as writes (PROTOCOL). */
+  private static final double USER_WRITE_BURST_PER_NODE = 4;
+
+  /** A transaction may have four times as many conditions as writes (see PROTOCOL). */
   private static final int CONDITIONS_PER_WRITE = 4;
 
-  /** Ended jobs remembered for each MB of memory: at about 120 bytes each, a twentieth of it. */
+  /**
+   * Ended jobs remembered per MB of memory: at about 120 bytes each they take a twentieth of the
+   * memory.
+   */
   private static final int ENDED_JOBS_PER_MB = 400;
 
   final ClusterConfig clusterConfig;
-  final NodeEnvironment host;
+  final NodeEnvironment environment;
   final EventLoop loop;
   final CloudClient cloud;
   final KeyValueStore state;
@@ -91,27 +105,33 @@
   final CancellationPropagation cancellations;
   final Admission admission;
 
-  /** Monitors links and relays round broken ones; null where the operator has it off. */
+  /**
+   * Monitors links and relays requests around broken ones; null if the operator has disabled it.
+   */
   final LinkMonitor links;
 
-  NodeComponents(ClusterConfig clusterConfig, NodeEnvironment host) {
+  NodeComponents(ClusterConfig clusterConfig, NodeEnvironment environment) {
     this.clusterConfig = clusterConfig;
-    this.host = host;
-    this.loop = host.loop();
+    this.environment = environment;
+    this.loop = environment.loop();
     Settings settings = clusterConfig.settings();
-    int maxAnswerBytes = (int) (settings.ramMb() * 1024 * 1024) / MEMORY_PER_ANSWER;
+    int maxAnswerBytes = (int) (settings.ramMb() * 1024 * 1024) / MEMORY_TO_ANSWER_RATIO;
     RequestSender stateCalls =
-        host.requestSender(settings.state(), JSON, STATE_CONNECTIONS, maxAnswerBytes);
+        environment.requestSender(settings.state(), JSON, STATE_CONNECTIONS, maxAnswerBytes);
     RequestSender cloudCalls =
-        host.requestSender(settings.cloud(), JSON, FEW_CONNECTIONS, maxAnswerBytes);
+        environment.requestSender(settings.cloud(), JSON, SMALL_POOL_CONNECTIONS, maxAnswerBytes);
     RequestSender stateWatches =
-        host.requestSender(settings.state(), JSON, FEW_CONNECTIONS, maxAnswerBytes);
-    boolean monitorsLinks =
-        clusterConfig.operator.links().isPresent() && !settings.members().isEmpty();
+        environment.requestSender(settings.state(), JSON, SMALL_POOL_CONNECTIONS, maxAnswerBytes);
+    boolean isLinkMonitoringEnabled =
+        clusterConfig.operatorSettings.links().isPresent() && !settings.members().isEmpty();
     this.links =
-        monitorsLinks
+        isLinkMonitoringEnabled
             ? new LinkMonitor(
-                host, clusterConfig, clusterConfig.operator.links().get(), stateCalls, cloudCalls)
+                environment,
+                clusterConfig,
+                clusterConfig.operatorSettings.links().get(),
+                stateCalls,
+                cloudCalls)
             : null;
     this.state = newStateClient(settings, stateCalls, stateWatches);
     this.admission = new Admission(loop.now());
@@ -119,7 +139,7 @@
     this.machineTypes = new MachineTypeCache(loop, state, cloud, clusterConfig);
     this.workers =
         new WorkerClient(
-            host,
+            environment,
             Math.max(
                 MIN_WORKER_CONNECTIONS, settings.maxSockets() / SOCKETS_PER_WORKER_CONNECTION));
     this.users = newUserApi(settings);
@@ -129,14 +149,14 @@
             state,
             settings.node(),
             settings.node().hashCode(),
-            () -> links == null ? 0 : links.electionHandicapMs(),
+            () -> links == null ? 0 : links.electionDelayMs(),
             new ElectionListener());
     this.heartbeatApi = new HeartbeatApi(loop, new HeartbeatListener());
-    this.peers = new PeerMessenger(host, settings.members(), new PeerListener());
+    this.peers = new PeerMessenger(environment, settings.members(), new PeerListener());
     this.cancellations = new CancellationPropagation(loop, settings, peers);
     this.leadership =
         new LocalLeadership(newLeaderServices(), peers, users, admission, machineTypes);
-    users.onCancelled(this::cancellationLearnt);
+    users.onCancelled(this::handleCancellation);
     if (links != null) {
       peers.setRelayTransport(links.transport());
       workers.setRelay(links.transport()::relayCommands);
@@ -160,7 +180,7 @@
         loop,
         links == null ? calls : links.cloud(),
         new RateLimiter(settings.cloudRps() * CLOUD_RATE_SHARE, settings.cloudRps(), loop.now()),
-        clusterConfig.types,
+        clusterConfig.typeNames,
         clusterConfig.zones);
   }
 
@@ -176,7 +196,7 @@
             new RateLimiter(readRps, readRps, now),
             readRps,
             new RateLimiter(writeRps, settings.stateWriteRps() * USER_WRITE_BURST_SHARE, now),
-            new RateLimiter(writeRps / settings.nodes(), USER_FAIR_WRITE_BURST, now),
+            new RateLimiter(writeRps / settings.nodes(), USER_WRITE_BURST_PER_NODE, now),
             settings.valueKb(),
             CONDITIONS_PER_WRITE * settings.txnOps(),
             (int) (settings.ramMb() * ENDED_JOBS_PER_MB)),
@@ -196,15 +216,18 @@
   }
 
   /**
-   * A cancellation is certain, from the state service or from a peer: the leader stops its tasks at
-   * once, and the other controllers are notified.
+   * Handles a confirmed cancellation that was read from the state service or reported by a peer:
+   * the leader stops the job's tasks at once, and the other controllers are notified.
    */
-  private void cancellationLearnt(String job) {
-    leadership.cancellationReceived(job);
-    cancellations.learnt(job, election.leader());
+  private void handleCancellation(String jobId) {
+    leadership.handleCancellation(jobId);
+    cancellations.propagate(jobId, election.leader());
   }
 
-  /** The leadership needs the election, so the election reaches it by this. */
+  /**
+   * Passes the election's events to the leadership. The leadership is built after the election
+   * because it needs it.
+   */
   private final class ElectionListener implements LeaderElection.Listener {
     @Override
     public void elected(long term, long version) {
@@ -217,7 +240,7 @@
     }
   }
 
-  /** What the node knows of jobs besides their records. */
+  /** Answers the user API's questions about jobs that their records alone do not answer. */
   private final class JobChecks implements UserApi.Jobs {
     @Override
     public boolean tryAdmit() {
@@ -249,7 +272,7 @@
   private final class PeerListener implements PeerMessenger.Listener {
     @Override
     public void cancelled(List<String> jobs) {
-      cancellations.received(jobs, users::ended);
+      cancellations.handlePeerNotification(jobs, users::ended);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -8,13 +8,13 @@
 import org.mallowroad.core.linkstate.ExternalService;
 
 /**
- * The metrics of a node in Prometheus text format. What only a leader knows is 0 on other nodes.
- * Runs on the event loop only.
+ * The metrics of a node in Prometheus text format. Metrics that only a leader can provide are 0 on
+ * other nodes. Runs on the event loop only.
  */
 final class NodeMetrics {
   private final NodeComponents node;
 
-  /** Made on the first request: a start must not pay for it. */
+  /** Created on the first request so that it does not slow down the start of the node. */
   private PrometheusMeterRegistry registry;
 
   NodeMetrics(NodeComponents node) {
@@ -40,35 +40,41 @@
   private void registerLeadership() {
     gauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
     gauge("mallowroad.term", m -> m.node.election.highestSeenToken());
-    gauge("mallowroad.jobs.open", m -> m.ofLeader(l -> l.schedulerState().jobs().size()));
-    gauge("mallowroad.machines", m -> m.ofLeader(l -> l.schedulerState().machines().size()));
+    gauge("mallowroad.jobs.open", m -> m.leaderValue(l -> l.schedulerState().jobs().size()));
+    gauge("mallowroad.machines", m -> m.leaderValue(l -> l.schedulerState().machines().size()));
     gauge(
         "mallowroad.records.uncommitted",
-        m -> m.ofLeader(l -> l.schedulerState().dirtyRecords().size()));
+        m -> m.leaderValue(l -> l.schedulerState().dirtyRecords().size()));
     gauge(
         "mallowroad.records.urgent",
-        m -> m.ofLeader(l -> l.schedulerState().urgentRecords().size()));
+        m -> m.leaderValue(l -> l.schedulerState().urgentRecords().size()));
     gauge(
-        "mallowroad.tasks.completed", m -> m.ofLeader(l -> l.schedulerState().attemptsCompleted()));
+        "mallowroad.tasks.completed",
+        m -> m.leaderValue(l -> l.schedulerState().attemptsCompleted()));
   }
 
   private void registerHealth() {
-    gauge("mallowroad.machines.late", m -> m.ofHealth(h -> h.failureDetector().overdueCount()));
     gauge(
-        "mallowroad.machines.doubted", m -> m.ofHealth(h -> h.stragglerDetector().suspectCount()));
+        "mallowroad.machines.late",
+        m -> m.fleetHealthValue(h -> h.failureDetector().overdueCount()));
+    gauge(
+        "mallowroad.machines.doubted",
+        m -> m.fleetHealthValue(h -> h.stragglerDetector().suspectCount()));
     gauge(
         "mallowroad.machines.slow.refused",
-        m -> m.ofHealth(h -> h.stragglerDetector().refusedSuspicions()));
-    gauge("mallowroad.zones.cut", m -> m.ofHealth(h -> h.failureDetector().partitionedZoneCount()));
-    gauge("mallowroad.stood.still", m -> m.ofHealth(h -> h.pauseDetector().pauseCount()));
+        m -> m.fleetHealthValue(h -> h.stragglerDetector().refusedSuspicions()));
+    gauge(
+        "mallowroad.zones.cut",
+        m -> m.fleetHealthValue(h -> h.failureDetector().partitionedZoneCount()));
+    gauge("mallowroad.stood.still", m -> m.fleetHealthValue(h -> h.pauseDetector().pauseCount()));
     gauge(
         "mallowroad.stood.still.longest.ms",
-        m -> m.ofHealth(h -> h.pauseDetector().longestPauseMs()));
+        m -> m.fleetHealthValue(h -> h.pauseDetector().longestPauseMs()));
   }
 
   private void registerOverload() {
-    gauge("mallowroad.loop.lag.ms", m -> m.ofLeader(Leader::loopLagMs));
-    gauge("mallowroad.cancellations.view.ms", m -> m.ofLeader(Leader::cancellationViewAgeMs));
+    gauge("mallowroad.loop.lag.ms", m -> m.leaderValue(Leader::worstLoopLagMs));
+    gauge("mallowroad.cancellations.view.ms", m -> m.leaderValue(Leader::cancellationViewAgeMs));
     gauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
     gauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
     gauge(
@@ -83,7 +89,7 @@
     gauge(
         "mallowroad.links.state.age.ms",
         m -> links.links().ageMs(ExternalService.STATE, m.node.loop.now()));
-    gauge("mallowroad.detours", m -> links.detours());
+    gauge("mallowroad.detours", m -> links.relayedCallCount());
     gauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
     gauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
     gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkers());
@@ -96,28 +102,31 @@
     gauge("mallowroad.garbled.workers", m -> m.node.heartbeatApi.invalidMessages());
   }
 
-  /** The process's memory as the system counts it, and which of it are the heap and the buffers. */
+  /**
+   * Registers the memory of the process as the operating system counts it, and the parts of it that
+   * the heap and the buffers use.
+   */
   private void registerMemory() {
     gauge(
         "mallowroad.memory.limit.bytes",
         m -> m.node.clusterConfig.settings().ramMb() * 1024 * 1024);
     gauge("mallowroad.memory.process.bytes", m -> MemoryMetrics.processBytes());
     gauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
-    gauge("mallowroad.collector.share", m -> MemoryMetrics.collectorShare());
-    gauge("mallowroad.bodies.bytes", m -> m.node.host.bufferedBodyBytes());
+    gauge("mallowroad.collector.share", m -> MemoryMetrics.garbageCollectionShare());
+    gauge("mallowroad.bodies.bytes", m -> m.node.environment.bufferedBodyBytes());
     gauge("mallowroad.kept.ends", m -> m.node.users.rememberedEnds());
     gauge("mallowroad.kept.opens", m -> m.node.users.rememberedOpenJobs());
     gauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
     gauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
   }
 
-  private double ofLeader(ToDoubleFunction<Leader> value) {
+  private double leaderValue(ToDoubleFunction<Leader> value) {
     Leader leader = node.leadership.leader();
     return leader == null ? 0 : value.applyAsDouble(leader);
   }
 
-  private double ofHealth(ToDoubleFunction<FleetHealth> value) {
-    return ofLeader(l -> value.applyAsDouble(l.schedulerState().health()));
+  private double fleetHealthValue(ToDoubleFunction<FleetHealth> value) {
+    return leaderValue(l -> value.applyAsDouble(l.schedulerState().health()));
   }
 
   private void gauge(String name, ToDoubleFunction<NodeMetrics> value) {
--- a/src/main/java/org/mallowroad/controller/NodeSnapshotSource.java
+++ b/src/main/java/org/mallowroad/controller/NodeSnapshotSource.java
@@ -7,16 +7,16 @@
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.NodeEnvironment;
 
-/** This node as its console sees it: hands the console's questions to the event loop. */
+/** Gives the console access to this node: runs the console's requests on the event loop. */
 final class NodeSnapshotSource implements SnapshotSource {
-  private final NodeEnvironment host;
+  private final NodeEnvironment environment;
   private final EventLoop loop;
   private final String node;
   private final SnapshotPublisher publisher;
 
-  NodeSnapshotSource(NodeEnvironment host, String node, SnapshotPublisher publisher) {
-    this.host = host;
-    this.loop = host.loop();
+  NodeSnapshotSource(NodeEnvironment environment, String node, SnapshotPublisher publisher) {
+    this.environment = environment;
+    this.loop = environment.loop();
     this.node = node;
     this.publisher = publisher;
   }
@@ -35,7 +35,8 @@
   public void job(String id, Consumer<JobSnapshot> done) {
     loop.soon(
         () -> {
-          // The console is answered in any case: it counts the questions that are out.
+          // Answers even if building the snapshot fails, because the console counts its unanswered
+          // requests.
           JobSnapshot snapshot = SnapshotPublisher.unknownJob(id);
           try {
             snapshot = publisher.job(id);
@@ -52,6 +53,6 @@
 
   @Override
   public Thread thread() {
-    return host.thread();
+    return environment.thread();
   }
 }
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs each job that is done and, at regular intervals, how far the service-level objectives of
- * classes and teams are attained in this term.
+ * Logs each completed job and, when called periodically, the attainment of the service-level
+ * objectives of task classes and teams in this term.
  */
 final class ObjectiveLogger {
   private static final Logger LOG = LoggerFactory.getLogger(ObjectiveLogger.class);
@@ -16,11 +16,12 @@
   private final ObjectiveAttainment attainment;
 
   ObjectiveLogger(ClusterConfig clusterConfig) {
-    this.attainment = new ObjectiveAttainment(clusterConfig.classes, clusterConfig.newTeams());
+    this.attainment =
+        new ObjectiveAttainment(clusterConfig.taskClassNames, clusterConfig.createTeams());
   }
 
-  /** The job's end as done is recorded. */
-  void jobDone(Job job, long now) {
+  /** Logs a job whose completion is committed and includes it in the attainment. */
+  void recordJobDone(Job job, long now) {
     LOG.info(
         "event=job_done job={} priority={} tasks={} age_s={} deadline_s={}"
             + " last_start_s={} attempts={} cpus={} estimate_s={}",
@@ -36,18 +37,18 @@
     attainment.recordDone(job);
   }
 
-  /** Logs a line for each class and team. */
+  /** Logs one line for each task class and team. */
   void logAttainment(Collection<Job> openJobs, long now) {
-    for (ObjectiveAttainment.Line l : attainment.lines(openJobs, now)) {
+    for (ObjectiveAttainment.Line line : attainment.lines(openJobs, now)) {
       LOG.info(
           "event=objective_attainment {}={} share={} done={} late={} open={} oldest_s={}",
-          l.kind(),
-          l.name(),
-          Math.round(l.share() * 1000) / 1000.0,
-          l.done(),
-          l.late(),
-          l.open(),
-          l.oldestMs() / 1000);
+          line.kind(),
+          line.name(),
+          Math.round(line.share() * 1000) / 1000.0,
+          line.done(),
+          line.late(),
+          line.open(),
+          line.oldestMs() / 1000);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/PlacementLoop.java
+++ b/src/main/java/org/mallowroad/controller/PlacementLoop.java
@@ -5,36 +5,38 @@
 import org.mallowroad.net.EventLoop;
 
 /**
- * Paces the placement passes of a leader: a request for one runs it soon, and requests that come
- * meanwhile share it. Runs on the event loop only.
+ * Paces the placement passes of a leader: a pass runs soon after it is requested, and requests that
+ * arrive before it runs share that pass. Runs on the event loop only.
  */
 final class PlacementLoop {
   /**
-   * Passes are at least this far apart, and {@link #PAUSE_PER_PASS} times as far as the last one
-   * took: their number must not grow with the number of heartbeats.
+   * Minimum pause in milliseconds from the end of a pass to the start of the next one. The pause is
+   * also at least {@link #PAUSE_TO_PASS_RATIO} times the duration of the last pass. Both bound the
+   * number of passes, which must not grow with the number of heartbeats.
    */
   private static final long MIN_PASS_INTERVAL_MS = 40;
 
-  private static final long PAUSE_PER_PASS = 2;
+  private static final long PAUSE_TO_PASS_RATIO = 2;
 
   private final EventLoop loop;
   private final LeaderLifecycle lifecycle;
   private final LoadStatistics load;
-  private final Runnable pass;
-  private final List<Runnable> afterNextPass = new ArrayList<>();
+  private final Runnable runPlacement;
+  private final List<Runnable> runAfterNextPass = new ArrayList<>();
   private boolean isPassScheduled;
   private long lastPassEndNanos;
   private long lastPassNanos;
 
-  /** Runs {@code pass} as often as requested and allowed. */
-  PlacementLoop(EventLoop loop, LeaderLifecycle lifecycle, LoadStatistics load, Runnable pass) {
+  /** Creates a loop that calls {@code runPlacement} for each pass. */
+  PlacementLoop(
+      EventLoop loop, LeaderLifecycle lifecycle, LoadStatistics load, Runnable runPlacement) {
     this.loop = loop;
     this.lifecycle = lifecycle;
     this.load = load;
-    this.pass = pass;
+    this.runPlacement = runPlacement;
   }
 
-  /** Something may be placed or has to be committed: a pass runs soon. */
+  /** Requests a pass, since tasks may be placed or records have to be committed. */
   void requestPass() {
     if (isPassScheduled || !lifecycle.isServing()) {
       return;
@@ -42,7 +44,8 @@
     isPassScheduled = true;
     long sinceLastMs = (loop.nanos() - lastPassEndNanos) / 1_000_000;
     long waitMs =
-        Math.max(MIN_PASS_INTERVAL_MS, PAUSE_PER_PASS * lastPassNanos / 1_000_000) - sinceLastMs;
+        Math.max(MIN_PASS_INTERVAL_MS, PAUSE_TO_PASS_RATIO * lastPassNanos / 1_000_000)
+            - sinceLastMs;
     if (waitMs <= 0) {
       loop.soon(this::runPass);
     } else {
@@ -51,8 +54,8 @@
   }
 
   /** Runs a task once, after the next pass. */
-  void afterNextPass(Runnable task) {
-    afterNextPass.add(task);
+  void runAfterNextPass(Runnable task) {
+    runAfterNextPass.add(task);
   }
 
   private void runPass() {
@@ -60,13 +63,13 @@
     if (lifecycle.isStopped()) {
       return;
     }
-    long beganNanos = loop.nanos();
-    pass.run();
+    long startNanos = loop.nanos();
+    runPlacement.run();
     lastPassEndNanos = loop.nanos();
-    lastPassNanos = lastPassEndNanos - beganNanos;
-    load.placementPassEnded(lastPassNanos);
-    List<Runnable> tasks = new ArrayList<>(afterNextPass);
-    afterNextPass.clear();
+    lastPassNanos = lastPassEndNanos - startNanos;
+    load.recordPlacementPass(lastPassNanos);
+    List<Runnable> tasks = new ArrayList<>(runAfterNextPass);
+    runAfterNextPass.clear();
     tasks.forEach(Runnable::run);
   }
 }
--- a/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
+++ b/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
@@ -5,11 +5,12 @@
 import org.mallowroad.peer.PeerMessenger;
 
 /**
- * Enables shared records of starts once every controller reads them.
+ * Enables shared attempt records once every controller can read them.
  *
- * <p>A leader of an earlier build would start again tasks whose attempts are in shared records
- * only. So they are written only once every other controller has said that its build reads them,
- * also while a deployment is rolled out. Runs on the event loop only.
+ * <p>A leader of an earlier build cannot read shared records, so it would start tasks again whose
+ * attempts are stored only there. Therefore shared records are written only after every other
+ * controller has confirmed that its build reads them. This also holds during a rolling deployment.
+ * Runs on the event loop only.
  */
 final class SharedRecordRollout {
   private static final long RETRY_INTERVAL_MS = 1_000;
@@ -17,7 +18,7 @@
   private final EventLoop loop;
   private final PeerMessenger peers;
 
-  /** Which peers have said that their build reads shared records; by index of the peer. */
+  /** Whether a peer has confirmed that its build reads shared records, indexed by peer. */
   private final boolean[] isSupportedByPeer;
 
   SharedRecordRollout(EventLoop loop, PeerMessenger peers) {
@@ -26,23 +27,26 @@
     this.isSupportedByPeer = new boolean[peers.peerCount()];
   }
 
-  /** Asks the peers until all support shared records, then enables them, while the term lasts. */
-  void enable(Leader leader, BooleanSupplier isCurrentTerm) {
+  /**
+   * Asks the peers repeatedly until all support shared records, then enables them; stops when the
+   * term ends.
+   */
+  void enableWhenSupported(Leader leader, BooleanSupplier isCurrentTerm) {
     if (!isCurrentTerm.getAsBoolean()) {
       return;
     }
     boolean isSupportedByAll = true;
-    for (int p = 0; p < isSupportedByPeer.length; p++) {
-      if (!isSupportedByPeer[p]) {
+    for (int i = 0; i < isSupportedByPeer.length; i++) {
+      if (!isSupportedByPeer[i]) {
         isSupportedByAll = false;
-        int peer = p;
-        peers.readsSharedStarts(peer, yes -> isSupportedByPeer[peer] |= yes);
+        int peer = i;
+        peers.readsSharedStarts(peer, isSupported -> isSupportedByPeer[peer] |= isSupported);
       }
     }
     if (isSupportedByAll) {
       leader.enableSharedAttemptRecords();
     } else {
-      loop.after(RETRY_INTERVAL_MS, () -> enable(leader, isCurrentTerm));
+      loop.after(RETRY_INTERVAL_MS, () -> enableWhenSupported(leader, isCurrentTerm));
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -21,32 +21,34 @@
 import org.mallowroad.state.KeyValueStore;
 
 /**
- * Makes snapshots of this node for its console, in several turns of the event loop: with a thousand
- * machines and hundreds of jobs the explanations take longer than a worker's answer should wait.
- * Runs on the event loop only.
+ * Builds snapshots of this node for its console over several turns of the event loop. With a
+ * thousand machines and hundreds of jobs, building the explanations in one turn would delay the
+ * answers to workers too long. Runs on the event loop only.
  */
 final class SnapshotPublisher {
-  /** Questions to the scheduler in one turn: about a millisecond of a whole core. */
-  private static final int QUESTIONS_PER_TURN = 10_000;
+  /** Number of scheduler evaluations per turn, which take about one millisecond of CPU time. */
+  private static final int EVALUATIONS_PER_TURN = 10_000;
 
   private final EventLoop loop;
   private final ClusterConfig clusterConfig;
   private final KeyValueStore state;
   private final LeaderElection election;
   private final Supplier<Leader> localLeader;
-  private final List<Consumer<NodeSnapshot>> waiting = new ArrayList<>();
+  private final List<Consumer<NodeSnapshot>> pendingCallbacks = new ArrayList<>();
 
-  /** What is being built, with the term that it is built from; null between two snapshots. */
+  /** The snapshot being built; null while none is. */
   private SnapshotBuilder builder;
 
+  /** The term that {@link #builder} reads; null while no snapshot is being built. */
   private Leader builderLeader;
+
   private boolean isBuilding;
-  private long spentNanos;
+  private long buildNanos;
 
   /**
-   * For one node.
+   * Creates the publisher of one node.
    *
-   * @param localLeader the leader on this node, or null while it does not lead
+   * @param localLeader supplies the leader on this node, or null while it does not lead
    */
   SnapshotPublisher(
       EventLoop loop,
@@ -61,16 +63,18 @@
     this.localLeader = localLeader;
   }
 
-  /** Makes a snapshot, or joins those who wait for the one that is being made. */
-  void snapshot(Consumer<NodeSnapshot> done) {
-    waiting.add(done);
+  /** Builds a snapshot, or waits for the one that is already being built. */
+  void snapshot(Consumer<NodeSnapshot> callback) {
+    pendingCallbacks.add(callback);
     if (!isBuilding) {
       isBuilding = true;
       continueBuilding(true);
     }
   }
 
-  /** One job as it is now; with a null line when this node does not lead or does not know it. */
+  /**
+   * A snapshot of one job, with a null line if this node does not lead or does not know the job.
+   */
   JobSnapshot job(String id) {
     Leader leader = localLeader.get();
     return leader == null || !leader.isServing()
@@ -85,49 +89,49 @@
 
   private void continueBuilding(boolean isFirstTurn) {
     Leader leader = localLeader.get();
-    long beganNanos = loop.nanos();
+    long startNanos = loop.nanos();
     if (leader == null || !leader.isServing()) {
-      spentNanos = 0;
-      publish(withoutDetails(leader, beganNanos));
+      buildNanos = 0;
+      publish(withoutDetails(leader, startNanos));
       return;
     }
     NodeSnapshot finished;
     try {
-      finished = buildSome(leader, isFirstTurn, beganNanos);
+      finished = buildNextPart(leader, isFirstTurn, startNanos);
     } catch (RuntimeException e) {
-      // The outermost net: those who wait get a snapshot without explanations, since a console that
-      // waits for an answer sends no more requests.
+      // Catches any failure so that the pending callbacks get a snapshot without details, since a
+      // console that waits for an answer sends no more requests.
       builder = null;
-      publish(withoutDetails(leader, beganNanos));
+      publish(withoutDetails(leader, startNanos));
       throw e;
     }
     if (finished == null) {
-      spentNanos += loop.nanos() - beganNanos;
+      buildNanos += loop.nanos() - startNanos;
       loop.soon(() -> continueBuilding(false));
     } else {
       publish(finished);
     }
   }
 
-  /** One turn's questions; the snapshot when they were the last ones, else null. */
-  private NodeSnapshot buildSome(Leader leader, boolean isFirstTurn, long beganNanos) {
-    // A term that began meanwhile has other jobs.
+  /** Runs the evaluations of one turn; returns the snapshot once it is complete, otherwise null. */
+  private NodeSnapshot buildNextPart(Leader leader, boolean isFirstTurn, long startNanos) {
+    // Starts over if a new term has begun in between, since its jobs differ.
     if (isFirstTurn || leader != builderLeader) {
       builderLeader = leader;
-      spentNanos = 0;
+      buildNanos = 0;
       builder = newBuilder(leader);
       builder.begin(loop.now());
     }
-    return builder.step(QUESTIONS_PER_TURN) ? withDetails(leader, beganNanos) : null;
+    return builder.step(EVALUATIONS_PER_TURN) ? withDetails(leader, startNanos) : null;
   }
 
   private void publish(NodeSnapshot snapshot) {
     isBuilding = false;
     builder = null;
     builderLeader = null;
-    List<Consumer<NodeSnapshot>> all = List.copyOf(waiting);
-    waiting.clear();
-    all.forEach(c -> c.accept(snapshot));
+    List<Consumer<NodeSnapshot>> callbacks = List.copyOf(pendingCallbacks);
+    pendingCallbacks.clear();
+    callbacks.forEach(callback -> callback.accept(snapshot));
   }
 
   private SnapshotBuilder newBuilder(Leader leader) {
@@ -141,47 +145,47 @@
             leader.taskScheduler(),
             autoscaler,
             clusterConfig.zones,
-            clusterConfig.classes));
+            clusterConfig.taskClassNames));
   }
 
-  private NodeSnapshot withDetails(Leader leader, long beganNanos) {
+  private NodeSnapshot withDetails(Leader leader, long startNanos) {
     List<TeamLine> teams = builder.teams();
     List<MachineLine> machines = builder.machines();
     Totals totals = builder.totals(teams, machines);
     Phase phase = leader.isActive() ? Phase.LEADING : Phase.TAKING_OVER;
-    return newSnapshot(phase, leader, beganNanos, totals, teams, machines);
+    return newSnapshot(phase, leader, startNanos, totals, teams, machines);
   }
 
-  private NodeSnapshot withoutDetails(Leader leader, long beganNanos) {
+  private NodeSnapshot withoutDetails(Leader leader, long startNanos) {
     Phase phase =
         leader != null
             ? Phase.TAKING_OVER
             : election.leader() == null ? Phase.NO_LEADER : Phase.FOLLOWING;
-    Totals none = new Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
-    return newSnapshot(phase, leader, beganNanos, none, List.of(), List.of());
+    Totals noTotals = new Totals(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+    return newSnapshot(phase, leader, startNanos, noTotals, List.of(), List.of());
   }
 
   private NodeSnapshot newSnapshot(
       Phase phase,
       Leader leader,
-      long beganNanos,
+      long startNanos,
       Totals totals,
       List<TeamLine> teams,
       List<MachineLine> machines) {
     boolean hasDetails = builder != null;
     String node = clusterConfig.settings.node();
-    String remoteLeader = election.leader() == null ? "" : election.leader();
-    long silentMs = loop.now() - state.health().lastContactMs();
+    String electedLeader = election.leader() == null ? "" : election.leader();
+    long sinceLastContactMs = loop.now() - state.health().lastContactMs();
     return new NodeSnapshot(
         NodeSnapshot.FORMAT,
         node,
         phase,
         leader != null ? leader.term() : election.highestSeenToken(),
-        leader != null ? node : remoteLeader,
+        leader != null ? node : electedLeader,
         loop.wallMs(),
-        (spentNanos + loop.nanos() - beganNanos) / 1000,
-        leader == null ? 0 : leader.loopLagMs(),
-        state.health().lastContactMs() < 0 ? -1 : silentMs / 1000.0,
+        (buildNanos + loop.nanos() - startNanos) / 1000,
+        leader == null ? 0 : leader.worstLoopLagMs(),
+        state.health().lastContactMs() < 0 ? -1 : sinceLastContactMs / 1000.0,
         leader != null && leader.isLeaseValid(),
         totals,
         teams,
@@ -192,7 +196,7 @@
         hasDetails ? builder.reasons() : List.of());
   }
 
-  /** What explanations ask of the leader's autoscaling. */
+  /** The state of the leader's autoscaling that explanations need. */
   private final class LeaderAutoscalerView implements AutoscalerView {
     private final Leader leader;
 
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -10,12 +10,12 @@
 import org.mallowroad.state.KeyValueStore;
 
 /**
- * Serves a user's request on this node or, while it does not reach the state service, through a
- * peer that does. Runs on the event loop only.
+ * Serves user requests on this node or, while it cannot reach the state service, through a peer
+ * that can. Runs on the event loop only.
  */
 final class UserRequestRouter implements HttpRouter.UserRequestHandler {
-  private static final int UNAVAILABLE = 503;
-  private static final String STATE_NOT_REACHED = "state service not reached";
+  private static final int SERVICE_UNAVAILABLE = 503;
+  private static final String STATE_SERVICE_UNREACHABLE = "state service not reached";
 
   private final EventLoop loop;
   private final KeyValueStore state;
@@ -23,7 +23,7 @@
   private final PeerMessenger peers;
   private final boolean hasPeers;
 
-  /** Null where links are not monitored. */
+  /** Null if link monitoring is disabled. */
   private final LinkMonitor links;
 
   UserRequestRouter(NodeComponents node) {
@@ -40,21 +40,24 @@
     if (!hasPeers) {
       users.serve(method, path, body, responder);
     } else if (links != null && links.stateRoute().isDirectPathDown()) {
-      relayByLinkState(method, path, body, responder);
+      relayToReachablePeer(method, path, body, responder);
     } else if (state.health().isFailing()) {
-      peers.relayToAnyPeer(method, path, body, responder, () -> refuse(responder));
+      peers.relayToAnyPeer(method, path, body, responder, () -> respondUnavailable(responder));
     } else {
       serveOrRelay(method, path, body, responder);
     }
   }
 
-  /** One hop to a peer that reaches the state service; without one the request fails at once. */
-  private void relayByLinkState(String method, String path, byte[] body, Responder responder) {
+  /**
+   * Relays the request over one hop to a peer that can reach the state service; fails at once if
+   * there is none.
+   */
+  private void relayToReachablePeer(String method, String path, byte[] body, Responder responder) {
     int peer = links.stateRoute().choose(loop.now());
     if (peer == RouteSelector.DIRECT) {
-      refuse(responder);
+      respondUnavailable(responder);
     } else {
-      peers.relayToPeer(peer, method, path, body, responder, () -> refuse(responder));
+      peers.relayToPeer(peer, method, path, body, responder, () -> respondUnavailable(responder));
     }
   }
 
@@ -63,17 +66,17 @@
         method,
         path,
         body,
-        (status, answer, later) -> {
-          if (status == UNAVAILABLE) {
+        (status, answer, retryLater) -> {
+          if (status == SERVICE_UNAVAILABLE) {
             peers.relayToAnyPeer(
-                method, path, body, responder, () -> responder.answer(status, answer, later));
+                method, path, body, responder, () -> responder.answer(status, answer, retryLater));
           } else {
-            responder.answer(status, answer, later);
+            responder.answer(status, answer, retryLater);
           }
         });
   }
 
-  private static void refuse(Responder responder) {
-    responder.answer(UNAVAILABLE, Reply.reason(STATE_NOT_REACHED), true);
+  private static void respondUnavailable(Responder responder) {
+    responder.answer(SERVICE_UNAVAILABLE, Reply.reason(STATE_SERVICE_UNREACHABLE), true);
   }
 }
--- a/src/main/java/org/mallowroad/controller/WriteBudget.java
+++ b/src/main/java/org/mallowroad/controller/WriteBudget.java
@@ -5,28 +5,29 @@
 import org.mallowroad.net.RateLimiter;
 
 /**
- * The leader's share of the state service's writes, for one term.
+ * The leader's share of the state service's write rate during one term.
  *
- * @param limiter spends the share; all writes of the leader go by it
- * @param share adapts the rate of {@code limiter} to what users' requests leave
- * @param maxTransactionWrites writes of the largest transaction
+ * @param limiter enforces the share; all writes of the leader acquire permits from it
+ * @param rateAdapter adapts the rate of {@code limiter} to the writes that user requests leave
+ * @param maxTransactionWrites maximum number of writes in one transaction
  */
-record WriteBudget(RateLimiter limiter, WriteRateLimiter share, int maxTransactionWrites) {
-  /** The share of the writes per second that the leader begins with. */
+record WriteBudget(RateLimiter limiter, WriteRateLimiter rateAdapter, int maxTransactionWrites) {
+  /** Initial share of the write rate per second. */
   private static final double INITIAL_SHARE = 0.75;
 
-  /** What the leader may write at once, as a share of the writes per second. */
+  /** Burst of the leader's writes, as a share of the write rate per second. */
   private static final double BURST_SHARE = 0.7;
 
-  /** The largest transaction, as a share of the writes per second. */
+  /** Maximum number of writes in one transaction, as a share of the write rate per second. */
   private static final double MAX_TRANSACTION_SHARE = 0.8;
 
   private static final int MIN_TRANSACTION_WRITES = 4;
 
-  /** The budget at the beginning of a term. */
-  static WriteBudget begin(Settings settings, long now) {
+  /** Creates the budget at the beginning of a term. */
+  static WriteBudget create(Settings settings, long now) {
     double writeRps = settings.stateWriteRps();
-    // A transaction larger than the bucket would wait for ever, so the one bounds the other.
+    // A transaction with more writes than the limiter's burst would wait forever, so the burst is
+    // at least as large as the largest transaction.
     int maxTransactionWrites =
         (int)
             Math.max(
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -19,85 +19,87 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Opens the gates of jobs with dependencies: evaluates them from the state service, and records a
- * release on condition that nothing changed that may still change (docs/holds.md has the proof).
+ * Opens the gates of jobs with dependencies. It evaluates a gate by reading the state service, then
+ * records a release in a transaction that requires everything that can still change to be unchanged
+ * (docs/holds.md has the proof).
  *
- * <p>Ends of jobs never change, so those that were read or committed as done need no condition.
- * What may change is which games are claimed: each acceptance that claims a game up to the highest
- * required one changes the league's record in the same transaction. So the version of that record,
- * read before the blocks and compared by the release, says that nothing was claimed in between; and
- * compared once more by the first start, that nothing was claimed since.
+ * <p>The end of a job never changes, so a job that was read or committed as done needs no
+ * condition. What can change is which games are claimed: accepting a job that claims a game up to
+ * the highest required one changes the league's record in the same transaction. The version of that
+ * record is read before the blocks. The release requires that version, which proves that no such
+ * game was claimed between the two. The first start requires it once more, which proves that none
+ * was claimed since the release.
  *
- * <p>One gate is evaluated at a time, and only when something that it depends on has changed.
+ * <p>Gates are evaluated one at a time, and only when something that they depend on has changed.
  * Confined to the event loop.
  */
 public final class DependencyGateController {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyGateController.class);
   private static final long RETRY_MS = 400;
 
-  /** No record ever has this version, so that a transaction under it cannot succeed. */
+  /** A version that no record ever has, so a transaction that requires it cannot succeed. */
   private static final long IMPOSSIBLE_VERSION = Long.MAX_VALUE;
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final SchedulerState schedulerState;
   private final ClaimService claims;
-  private final long leaderVersion;
-  private final Runnable gateOpened;
-  private final Runnable deposed;
+  private final long leaderKeyVersion;
+  private final Runnable onGateOpened;
+  private final Runnable onDeposed;
   private final DependencyGates gates = new DependencyGates();
   private final LeagueWatch leagueWatch;
-  private boolean evaluating;
-  private boolean releasesRead;
-  private boolean stopped;
+  private boolean isEvaluating;
+  private boolean areReleasesLoaded;
+  private boolean isStopped;
 
   /**
-   * For one term of leadership.
+   * Creates the controller of one leadership term.
    *
-   * @param leaderVersion the version of the leader's record: a condition of all writes
-   * @param gateOpened tasks may have become startable
-   * @param deposed a write failed since another node leads
+   * @param leaderKeyVersion version of the leader key, which every write requires
+   * @param onGateOpened called when tasks may have become startable
+   * @param onDeposed called when a write failed because another node leads
    */
   public DependencyGateController(
       EventLoop loop,
       KeyValueStore store,
       SchedulerState schedulerState,
       ClaimService claims,
-      long leaderVersion,
-      Runnable gateOpened,
-      Runnable deposed) {
+      long leaderKeyVersion,
+      Runnable onGateOpened,
+      Runnable onDeposed) {
     this.loop = loop;
     this.store = store;
     this.schedulerState = schedulerState;
     this.claims = claims;
-    this.leaderVersion = leaderVersion;
-    this.gateOpened = gateOpened;
-    this.deposed = deposed;
+    this.leaderKeyVersion = leaderKeyVersion;
+    this.onGateOpened = onGateOpened;
+    this.onDeposed = onDeposed;
     this.leagueWatch =
         new LeagueWatch(
             loop,
             store,
             () -> !gates.requiredLeagues().isEmpty(),
-            this::leagueChanged,
+            this::handleLeagueRecord,
             this::evaluateNext);
   }
 
-  /** Ends the term's duties; answers that come later are ignored. */
+  /** Stops at the end of the term; answers that arrive later are ignored. */
   public void stop() {
-    stopped = true;
+    isStopped = true;
     leagueWatch.stop();
   }
 
-  /** All open jobs are known: reads the releases that earlier leaders recorded. */
-  public void start() {
+  /** Reads the releases that earlier leaders recorded; called once all open jobs are known. */
+  public void loadReleases() {
     store.list(
         RecordKeys.RELEASES,
         (result, records, revision) -> {
-          if (stopped) {
+          if (isStopped) {
             return;
           }
           if (result != CallResult.OK) {
-            loop.after(RETRY_MS, this::start);
+            loop.after(RETRY_MS, this::loadReleases);
             return;
           }
           for (VersionedValue record : records) {
@@ -106,26 +108,26 @@
               restore(gate, record.value(), record.version());
             }
           }
-          releasesRead = true;
+          areReleasesLoaded = true;
           evaluateNext();
-          gateOpened.run();
+          onGateOpened.run();
         });
   }
 
-  /** An accepted job became known; a gated one waits until its release is known. */
+  /** Handles an accepted job; a gated one waits until its release is known. */
   public void jobAccepted(Job job) {
     if (job.spec.dependencies().isGated()) {
       gates.add(job.spec.id(), job.spec.dependencies());
-      if (releasesRead) {
+      if (areReleasesLoaded) {
         evaluateNext();
       }
     }
   }
 
   /**
-   * A job's end was committed or found in the state service.
+   * Handles the end of a job, which was committed or found in the state service.
    *
-   * @param done false when it was cancelled
+   * @param done false if the job was cancelled
    */
   public void jobEnded(Job job, boolean done) {
     gates.remove(job.spec.id());
@@ -133,11 +135,14 @@
     evaluateNext();
   }
 
-  /** Adds to the transaction of a start the conditions under which the gate is still open. */
+  /**
+   * Adds to the transaction that starts a task the conditions under which the gate is still open.
+   */
   public void addStartConditions(Job job, Transaction transaction) {
     DependencyGate gate = gates.get(job.spec.id());
     if (gate == null || gate.state() == State.CLOSED) {
-      // No task of such a job is placed. A condition that cannot be true makes sure of it.
+      // No task of a job with a closed gate is placed; a condition that cannot be met makes sure of
+      // it.
       transaction.requireVersion(RecordKeys.release(job.spec.id()), IMPOSSIBLE_VERSION);
       return;
     }
@@ -148,7 +153,7 @@
     }
   }
 
-  /** A start is recorded under the release: from now on that cannot be undone. */
+  /** Handles the recording of a start under the release; from then on the release is final. */
   public void startRecorded(Job job, long revision) {
     DependencyGate gate = gates.get(job.spec.id());
     if (gate != null && gate.state() == State.OPEN) {
@@ -158,8 +163,8 @@
   }
 
   /**
-   * A start failed that had the release as its condition: the release is read again, and the gate
-   * closed and evaluated anew unless the job has started before.
+   * Handles the failure of a start that required the release. Reads the release again and, unless
+   * the job has already started, closes the gate and evaluates it again.
    *
    * @param next called once the release is known
    */
@@ -173,7 +178,7 @@
     store.get(
         RecordKeys.release(gate.jobId()),
         (result, record) -> {
-          if (stopped) {
+          if (isStopped) {
             return;
           }
           if (result != CallResult.OK) {
@@ -192,7 +197,7 @@
         });
   }
 
-  /** Takes over a release record, or its absence. */
+  /** Restores the gate's state from its release record, or from the absence of one. */
   private void restore(DependencyGate gate, JsonNode record, long version) {
     if (record == null) {
       gate.releaseMissing(version);
@@ -206,7 +211,7 @@
   }
 
   private void evaluateNext() {
-    if (evaluating || stopped || !releasesRead) {
+    if (isEvaluating || isStopped || !areReleasesLoaded) {
       return;
     }
     DependencyGate gate = gates.pollToEvaluate();
@@ -214,22 +219,28 @@
       leagueWatch.start();
       return;
     }
-    evaluating = true;
-    new GateEvaluation(store, schedulerState, claims, () -> stopped, gate, o -> evaluated(gate, o))
-        .begin();
+    isEvaluating = true;
+    new GateEvaluation(
+            store,
+            schedulerState,
+            claims,
+            () -> isStopped,
+            gate,
+            outcome -> handleOutcome(gate, outcome))
+        .start();
   }
 
-  private void evaluated(DependencyGate gate, GateEvaluation.Outcome outcome) {
+  private void handleOutcome(DependencyGate gate, GateEvaluation.Outcome outcome) {
     if (outcome instanceof GateEvaluation.Incomplete) {
       evaluateLater(gate);
       return;
     }
     Job job = schedulerState.job(gate.jobId());
-    if (job == null || stopped) {
-      evaluationEnded();
+    if (job == null || isStopped) {
+      endEvaluation();
     } else if (outcome instanceof GateEvaluation.Unmet unmet) {
       job.holdReason = unmet.dependencies().describe();
-      evaluationEnded();
+      endEvaluation();
     } else if (outcome instanceof GateEvaluation.Met met) {
       gate.confirm(met.leagueVersions(), met.leagueChanges());
       recordRelease(gate, job);
@@ -238,18 +249,18 @@
 
   private void evaluateLater(DependencyGate gate) {
     gates.queue(gate);
-    loop.after(RETRY_MS, this::evaluationEnded);
+    loop.after(RETRY_MS, this::endEvaluation);
   }
 
-  private void evaluationEnded() {
-    evaluating = false;
+  private void endEvaluation() {
+    isEvaluating = false;
     evaluateNext();
   }
 
   private void recordRelease(DependencyGate gate, Job job) {
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderVersion)
+            .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
             .requireVersion(RecordKeys.openJob(gate.jobId()), job.version)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     addLeagueConditions(gate, transaction);
@@ -257,7 +268,7 @@
     store.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
-          if (stopped) {
+          if (isStopped) {
             return;
           }
           if (result == CallResult.OK) {
@@ -267,22 +278,23 @@
                 "event=dependency_gate_opened job={} version={}",
                 gate.jobId(),
                 gate.leagueVersions());
-            evaluationEnded();
-            gateOpened.run();
+            endEvaluation();
+            onGateOpened.run();
           } else {
-            releaseNotRecorded(gate, job, result, failed);
+            handleReleaseFailure(gate, job, result, failed);
           }
         });
   }
 
-  private void releaseNotRecorded(
+  private void handleReleaseFailure(
       DependencyGate gate, Job job, CallResult result, List<String> failed) {
-    boolean conflict = result == CallResult.CONDITION_FAILED;
-    if (conflict && failed.contains(LeaderElection.LEADER)) {
-      deposed.run();
-    } else if (conflict && failed.contains(RecordKeys.release(gate.jobId()))) {
-      // An earlier write of this leader that had no answer was applied: taken as it is recorded.
-      revalidate(job, this::evaluationEnded);
+    boolean isConflict = result == CallResult.CONDITION_FAILED;
+    if (isConflict && failed.contains(LeaderElection.LEADER)) {
+      onDeposed.run();
+    } else if (isConflict && failed.contains(RecordKeys.release(gate.jobId()))) {
+      // An earlier write of this leader whose answer was lost has been applied, so the recorded
+      // release is used.
+      revalidate(job, this::endEvaluation);
     } else {
       evaluateLater(gate);
     }
@@ -294,17 +306,17 @@
             (league, version) -> transaction.requireVersion(RecordKeys.league(league), version));
   }
 
-  private static void putRelease(DependencyGate gate, boolean started, Transaction transaction) {
+  private static void putRelease(DependencyGate gate, boolean isStarted, Transaction transaction) {
     transaction.put(
-        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.release(started)));
+        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.release(isStarted)));
   }
 
   /**
-   * A league's record as it is now: jobs that started before the newest claim in it are superseded.
-   * The claim may be of a game that only another gate requires, since the record counts the claims
-   * up to the highest game that any gate requires.
+   * Handles the current record of a league: marks jobs that started before its latest claim as
+   * superseded. That claim may concern a game that only another gate requires, since the record
+   * counts claims up to the highest game that any gate requires.
    */
-  private void leagueChanged(VersionedValue record) {
+  private void handleLeagueRecord(VersionedValue record) {
     String league = record.key().substring(RecordKeys.LEAGUES.length());
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
     for (DependencyGate gate : List.copyOf(gates.all())) {
@@ -316,7 +328,7 @@
     evaluateNext();
   }
 
-  /** The job started with games that have a newer version: logged once, and recorded. */
+  /** Logs once, and records, that the job started with games that have a newer version now. */
   private void supersede(DependencyGate gate, String league) {
     gate.supersede();
     LOG.warn(
@@ -326,7 +338,7 @@
         gate.leagueVersions());
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderVersion)
+            .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     putRelease(gate, true, transaction);
     store.compareAndSwap(
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -32,10 +32,10 @@
 /**
  * The leader's background maintenance of the claim records. It abandons claims that no node
  * continues, records final job outcomes in the blocks so that they need not be looked up again, and
- * logs which games are unclaimed. No request waits for any of it.
+ * logs which games are unclaimed. No request waits for this work.
  *
- * <p>It passes over the blocks a page at a time, writes with the permits that the write budget has
- * to spare, and pauses between passes. A new leader begins a new pass.
+ * <p>It reads the blocks page by page in repeated passes, writes only when the write budget has
+ * spare permits, and pauses between passes. A new leader starts a new pass.
  *
  * <p>Confined to the event loop.
  */
@@ -43,12 +43,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(FoldMaintenance.class);
 
   /**
-   * Age in ms at which a claim counts as abandoned: users repeat a submission for at most 60 s, and
-   * the rest allows for differences between clocks.
+   * Age in ms at which a claim counts as abandoned: users retry a submission for at most 60 s, and
+   * the remaining 30 s allow for clock differences.
    */
   static final long ABANDONED_AFTER_MS = 90_000;
 
-  /** Interval between checks for abandoned claims, and age at which a rollback is repeated. */
+  /**
+   * Interval between checks for abandoned claims, and age at which an unfinished rollback is
+   * retried.
+   */
   private static final long ABANDON_INTERVAL_MS = 10_000;
 
   /** Interval between pages of a pass. */
@@ -57,58 +60,61 @@
   /** Pause between passes, or after a page that could not be read. */
   private static final long PASS_INTERVAL_MS = 30_000;
 
-  /** Most records read at once. */
+  /** Maximum number of records read in one call. */
   private static final int PAGE_SIZE = 50;
 
-  /** Most jobs looked up for one page; the others are looked up in the next pass. */
+  /** Maximum number of jobs looked up per page; the others are looked up in the next pass. */
   private static final int MAX_LOOKUPS_PER_PAGE = 24;
 
-  /** Write permits left to others: final outcomes may be recorded at any time, or never. */
+  /**
+   * Write permits reserved for other writes, since recording final outcomes is never urgent or even
+   * necessary.
+   */
   private static final double RESERVED_WRITE_PERMITS = 8;
 
-  /** Most log lines about unclaimed games after a pass. */
+  /** Maximum number of log lines about unclaimed games after a pass. */
   private static final int MAX_LOG_LINES = 20;
 
-  /** Most games named in one log line. */
+  /** Maximum number of games listed in one log line. */
   private static final int MAX_GAMES_PER_LINE = 12;
 
-  /** Most leagues whose index is kept; beyond, the least recently updated one goes. */
+  /** Maximum number of leagues whose index is kept; the least recently updated index is evicted. */
   static final int MAX_LEAGUES = 256;
 
   private final EventLoop loop;
   private final KeyValueStore state;
   private final ClaimService claims;
-  private final RateLimiter writes;
+  private final RateLimiter writeLimiter;
   private final int maxTransactionWrites;
   private final long leaderKeyVersion;
-  private final Object2ObjectLinkedOpenHashMap<String, LeagueIndex> leagues =
+  private final Object2ObjectLinkedOpenHashMap<String, LeagueIndex> leagueIndexes =
       new Object2ObjectLinkedOpenHashMap<>();
 
   /** The key after which the next page begins; null at the start of a pass. */
   private String lastKey;
 
-  private boolean abandoning;
-  private boolean stopped;
+  private boolean isAbandoning;
+  private boolean isStopped;
 
   /**
    * Creates the maintenance of one leader term.
    *
-   * @param writes the leader's write budget
-   * @param maxTransactionWrites most writes of one transaction that the state service accepts
-   * @param leaderKeyVersion version of the leader key, which each write requires: a deposed leader
-   *     writes nothing
+   * @param writeLimiter the limiter of the leader's write budget
+   * @param maxTransactionWrites maximum number of writes in one transaction
+   * @param leaderKeyVersion version of the leader key, which each write requires, so that the
+   *     writes of a deposed leader fail
    */
   public FoldMaintenance(
       EventLoop loop,
       KeyValueStore state,
       ClaimService claims,
-      RateLimiter writes,
+      RateLimiter writeLimiter,
       int maxTransactionWrites,
       long leaderKeyVersion) {
     this.loop = loop;
     this.state = state;
     this.claims = claims;
-    this.writes = writes;
+    this.writeLimiter = writeLimiter;
     this.maxTransactionWrites = maxTransactionWrites;
     this.leaderKeyVersion = leaderKeyVersion;
   }
@@ -116,26 +122,26 @@
   /** Starts both periodic tasks. */
   public void start() {
     loop.after(ABANDON_INTERVAL_MS, this::abandonClaims);
-    loop.after(PAGE_INTERVAL_MS, this::readNextPage);
+    loop.after(PAGE_INTERVAL_MS, this::readNextBlockPage);
   }
 
-  /** Stops at the end of the term; calls under way have no further effect. */
+  /** Stops at the end of the term; calls in flight have no further effect. */
   public void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** The index of a league as of the newest pass, or null where none is kept. */
+  /** The index of a league as of the latest pass, or null if none is kept. */
   LeagueIndex league(String name) {
-    return leagues.get(name);
+    return leagueIndexes.get(name);
   }
 
-  /** Abandons the first abandoned claim found; one at a time. */
+  /** Abandons the first abandoned claim found; at most one abandonment runs at a time. */
   private void abandonClaims() {
-    if (stopped) {
+    if (isStopped) {
       return;
     }
     loop.after(ABANDON_INTERVAL_MS, this::abandonClaims);
-    if (abandoning) {
+    if (isAbandoning) {
       return;
     }
     state.listPage(
@@ -143,8 +149,11 @@
         null,
         PAGE_SIZE,
         (result, items, revision) -> {
-          if (!stopped && result == CallResult.OK) {
-            items.stream().filter(i -> isAbandoned(i.value())).findFirst().ifPresent(this::abandon);
+          if (!isStopped && result == CallResult.OK) {
+            items.stream()
+                .filter(item -> isAbandoned(item.value()))
+                .findFirst()
+                .ifPresent(this::abandon);
           }
         });
   }
@@ -154,27 +163,27 @@
     return ageMs > (intent.has("undo") ? ABANDON_INTERVAL_MS : ABANDONED_AFTER_MS);
   }
 
-  private void abandon(VersionedValue i) {
-    String job = i.key().substring(RecordKeys.FOLD_INTENTS.length());
+  private void abandon(VersionedValue intent) {
+    String jobId = intent.key().substring(RecordKeys.FOLD_INTENTS.length());
     try {
-      abandoning = true;
+      isAbandoning = true;
       claims.abandon(
-          job,
-          i.version(),
-          ClaimService.blockKeysOfIntent(i.value()),
-          ok -> {
-            abandoning = false;
-            LOG.info("event=claim_abandoned job={} complete={}", job, ok);
+          jobId,
+          intent.version(),
+          ClaimService.blockKeysOfIntent(intent.value()),
+          isComplete -> {
+            isAbandoning = false;
+            LOG.info("event=claim_abandoned job={} complete={}", jobId, isComplete);
           });
     } catch (InvalidMessageException e) {
-      abandoning = false;
-      LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
+      isAbandoning = false;
+      LOG.error("event=record_unreadable key={} reason=\"{}\"", intent.key(), e.getMessage());
     }
   }
 
   /** Reads the next page of blocks. */
-  private void readNextPage() {
-    if (stopped) {
+  private void readNextBlockPage() {
+    if (isStopped) {
       return;
     }
     state.listPage(
@@ -182,7 +191,7 @@
         lastKey,
         PAGE_SIZE,
         (result, items, revision) -> {
-          if (stopped) {
+          if (isStopped) {
             return;
           }
           if (result != CallResult.OK || items.isEmpty()) {
@@ -190,7 +199,7 @@
               lastKey = null;
               logUnclaimedGames();
             }
-            loop.after(PASS_INTERVAL_MS, this::readNextPage);
+            loop.after(PASS_INTERVAL_MS, this::readNextBlockPage);
             return;
           }
           lastKey = items.get(items.size() - 1).key();
@@ -198,44 +207,44 @@
         });
   }
 
-  /** Looks up the jobs that a page's blocks name, then processes the blocks. */
+  /** Looks up the outcomes of the jobs that a page's blocks refer to, then processes the blocks. */
   private void resolveOutcomes(List<VersionedValue> items) {
     Map<BlockKey, Block> blocks = new LinkedHashMap<>();
     Map<BlockKey, Long> versions = new HashMap<>();
     ArrayDeque<String> jobs = new ArrayDeque<>();
-    for (VersionedValue i : items) {
+    for (VersionedValue item : items) {
       try {
-        BlockKey key = RecordKeys.blockOfKey(i.key());
-        Block block = FoldCodec.decodeBlock(i.value());
+        BlockKey key = RecordKeys.blockOfKey(item.key());
+        Block block = FoldCodec.decodeBlock(item.value());
         blocks.put(key, block);
-        versions.put(key, i.version());
-        for (Fold f : block.sides().values()) {
-          if (!f.settled() && jobs.size() < MAX_LOOKUPS_PER_PAGE && !jobs.contains(f.job())) {
-            jobs.add(f.job());
+        versions.put(key, item.version());
+        for (Fold fold : block.sides().values()) {
+          if (!fold.settled() && jobs.size() < MAX_LOOKUPS_PER_PAGE && !jobs.contains(fold.job())) {
+            jobs.add(fold.job());
           }
         }
       } catch (InvalidMessageException | NumberFormatException e) {
-        LOG.error("event=record_unreadable key={} reason=\"{}\"", i.key(), e.getMessage());
+        LOG.error("event=record_unreadable key={} reason=\"{}\"", item.key(), e.getMessage());
       }
     }
     lookUpOutcomes(
         jobs, new HashMap<>(), jobOutcomes -> processBlocks(blocks, versions, jobOutcomes));
   }
 
-  /** Looks up the outcomes of jobs one after another; those that cannot be read are left out. */
+  /** Looks up the outcomes of jobs one after another; outcomes that cannot be read are omitted. */
   private void lookUpOutcomes(
       ArrayDeque<String> jobs,
       Map<String, JobOutcome> jobOutcomes,
       Consumer<Map<String, JobOutcome>> onResolved) {
-    String job = jobs.poll();
-    if (job == null || stopped) {
+    String jobId = jobs.poll();
+    if (jobId == null || isStopped) {
       onResolved.accept(jobOutcomes);
       return;
     }
     claims.jobOutcome(
-        job,
+        jobId,
         jobOutcome -> {
-          jobOutcome.ifPresent(outcome -> jobOutcomes.put(job, outcome));
+          jobOutcome.ifPresent(outcome -> jobOutcomes.put(jobId, outcome));
           lookUpOutcomes(jobs, jobOutcomes, onResolved);
         });
   }
@@ -245,60 +254,60 @@
       Map<BlockKey, Block> blocks,
       Map<BlockKey, Long> versions,
       Map<String, JobOutcome> jobOutcomes) {
-    if (stopped) {
+    if (isStopped) {
       return;
     }
     Transaction transaction =
         new Transaction().requireVersion(LeaderElection.LEADER, leaderKeyVersion);
     blocks.forEach(
-        (k, b) -> {
-          leagueIndex(k.league()).update(k.index(), b, jobOutcomes::get);
-          Block settled = Claims.settled(b, jobOutcomes::get);
-          if (settled != b
+        (key, block) -> {
+          leagueIndex(key.league()).update(key.index(), block, jobOutcomes::get);
+          Block settledBlock = Claims.settled(block, jobOutcomes::get);
+          if (settledBlock != block
               && transaction.writes() < maxTransactionWrites / 2
-              && writes.availablePermits(loop.now()) - transaction.writes()
+              && writeLimiter.availablePermits(loop.now()) - transaction.writes()
                   >= RESERVED_WRITE_PERMITS) {
-            transaction.requireVersion(RecordKeys.foldBlock(k), versions.get(k));
-            if (settled.sides().isEmpty()) {
-              transaction.delete(RecordKeys.foldBlock(k));
+            transaction.requireVersion(RecordKeys.foldBlock(key), versions.get(key));
+            if (settledBlock.sides().isEmpty()) {
+              transaction.delete(RecordKeys.foldBlock(key));
             } else {
-              transaction.put(RecordKeys.foldBlock(k), FoldCodec.encodeBlock(settled));
+              transaction.put(RecordKeys.foldBlock(key), FoldCodec.encodeBlock(settledBlock));
             }
           }
         });
-    loop.after(PAGE_INTERVAL_MS, this::readNextPage);
+    loop.after(PAGE_INTERVAL_MS, this::readNextBlockPage);
     if (transaction.writes() > 0) {
-      writes.forceAcquire(transaction.writes(), loop.now());
-      // The result does not matter: the next pass finds what is left.
+      writeLimiter.forceAcquire(transaction.writes(), loop.now());
+      // The result is ignored: the next pass retries what failed.
       state.compareAndSwap(transaction, (result, revision, failed) -> {});
     }
   }
 
-  /** The league's index, created where there is none. */
+  /** The league's index, created if there is none. */
   private LeagueIndex leagueIndex(String league) {
-    LeagueIndex i = leagues.getAndMoveToLast(league);
-    if (i == null) {
-      i = new LeagueIndex();
-      leagues.putAndMoveToLast(league, i);
-      if (leagues.size() > MAX_LEAGUES) {
-        leagues.removeFirst();
+    LeagueIndex index = leagueIndexes.getAndMoveToLast(league);
+    if (index == null) {
+      index = new LeagueIndex();
+      leagueIndexes.putAndMoveToLast(league, index);
+      if (leagueIndexes.size() > MAX_LEAGUES) {
+        leagueIndexes.removeFirst();
       }
     }
-    return i;
+    return index;
   }
 
   /** Logs the unclaimed games, one line for each league. */
   private void logUnclaimedGames() {
     int lines = 0;
-    for (Map.Entry<String, LeagueIndex> e : leagues.entrySet()) {
-      long unclaimed = e.getValue().unclaimedCount();
+    for (Map.Entry<String, LeagueIndex> entry : leagueIndexes.entrySet()) {
+      long unclaimed = entry.getValue().unclaimedCount();
       if (unclaimed > 0 && lines++ < MAX_LOG_LINES) {
-        LongList firstGames = e.getValue().unclaimedGames(MAX_GAMES_PER_LINE);
+        LongList firstGames = entry.getValue().unclaimedGames(MAX_GAMES_PER_LINE);
         LOG.info(
             "event=games_unclaimed league={} games={} highest={} first={}",
-            e.getKey(),
+            entry.getKey(),
             unclaimed,
-            e.getValue().highestGame(),
+            entry.getValue().highestGame(),
             firstGames);
       }
     }
