--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -26,35 +26,35 @@
 import org.mallowroad.wire.InvalidMessageException;
 
 /**
- * One evaluation of a gate: reads from the state service whether the required jobs are done and the
- * required games folded, in that order, one call at a time.
+ * One evaluation of a gate: reads from the state service whether the required jobs are done and
+ * then whether the required games are folded, one call at a time.
  *
- * <p>The leagues' records are read before the blocks: whatever is claimed while the blocks are read
- * changes one of these records, so a transaction under their versions fails then. Games are not
- * read while a required job is missing.
+ * <p>The leagues' records are read before the blocks. A claim that is made while the blocks are
+ * read changes one of these records, so a transaction that requires the versions read here fails.
+ * Games are not read while a required job is not done.
  *
- * <p>After {@code isStopped} became true the result may never be reported.
+ * <p>Once {@code isStopped} is true, the outcome may never be reported.
  */
 final class GateEvaluation {
-  /** Blocks read in one call: some 70 KB. */
-  private static final int PAGE_BLOCKS = 50;
+  /** Number of blocks read in one call, about 70 KB. */
+  private static final int BLOCKS_PER_PAGE = 50;
 
-  /** What an evaluation found. */
+  /** The outcome of an evaluation. */
   sealed interface Outcome permits Met, Unmet, Incomplete {}
 
   /**
-   * All dependencies are met as long as the leagues' records have these versions.
+   * All dependencies are met as long as the leagues' records still have these versions.
    *
-   * @param leagueVersions versions of the required leagues' records
-   * @param leagueChanges how often required games of these leagues had been claimed
+   * @param leagueVersions versions of the required leagues' records, by league
+   * @param leagueChanges number of claims of required games in these leagues, by league
    */
   record Met(Map<String, Long> leagueVersions, Map<String, Long> leagueChanges)
       implements Outcome {}
 
-  /** Something is missing. */
+  /** Some dependencies are not met. */
   record Unmet(UnmetDependencies dependencies) implements Outcome {}
 
-  /** The state service did not answer: to be evaluated again. */
+  /** The state service did not answer, so the gate must be evaluated again. */
   record Incomplete() implements Outcome {}
 
   private final KeyValueStore store;
@@ -62,7 +62,7 @@
   private final ClaimService claims;
   private final BooleanSupplier isStopped;
   private final DependencyGate gate;
-  private final Consumer<Outcome> result;
+  private final Consumer<Outcome> onResult;
   private final Map<String, Long> leagueVersions = new LinkedHashMap<>();
   private final Map<String, Long> leagueChanges = new LinkedHashMap<>();
   private final Map<String, JobOutcome> jobOutcomes = new HashMap<>();
@@ -71,7 +71,7 @@
   /**
    * Prepares the evaluation.
    *
-   * @param result called once, on the event loop
+   * @param onResult called with the outcome, at most once, on the event loop
    */
   GateEvaluation(
       KeyValueStore store,
@@ -79,47 +79,47 @@
       ClaimService claims,
       BooleanSupplier isStopped,
       DependencyGate gate,
-      Consumer<Outcome> result) {
+      Consumer<Outcome> onResult) {
     this.store = store;
     this.schedulerState = schedulerState;
     this.claims = claims;
     this.isStopped = isStopped;
     this.gate = gate;
-    this.result = result;
+    this.onResult = onResult;
   }
 
-  void begin() {
-    checkJobs(new ArrayDeque<>(gate.incompleteJobs()));
+  void start() {
+    checkRequiredJobs(new ArrayDeque<>(gate.incompleteJobs()));
   }
 
-  private void incomplete() {
-    result.accept(new Incomplete());
+  private void reportIncomplete() {
+    onResult.accept(new Incomplete());
   }
 
-  private void checkJobs(ArrayDeque<String> remaining) {
+  private void checkRequiredJobs(ArrayDeque<String> remaining) {
     if (isStopped.getAsBoolean()) {
       return;
     }
     String jobId = remaining.poll();
     if (jobId == null) {
-      readLeagues(new ArrayDeque<>(gate.dependencies().highestRequiredGames().keySet()));
+      readLeagueRecords(new ArrayDeque<>(gate.dependencies().highestRequiredGames().keySet()));
       return;
     }
     Job job = schedulerState.job(jobId);
     if (job != null && !job.isEnded() && !job.isCancelled()) {
       unmet.add(jobId + (job.isHeld() ? " is held itself" : " is not done"));
-      checkJobs(remaining);
+      checkRequiredJobs(remaining);
       return;
     }
     store.get(
         RecordKeys.endedJob(jobId),
         (status, end) -> {
           if (status != CallResult.OK) {
-            incomplete();
+            reportIncomplete();
             return;
           }
           checkEnd(jobId, end);
-          checkJobs(remaining);
+          checkRequiredJobs(remaining);
         });
   }
 
@@ -133,50 +133,50 @@
     }
   }
 
-  private void readLeagues(ArrayDeque<String> remaining) {
+  private void readLeagueRecords(ArrayDeque<String> remaining) {
     if (isStopped.getAsBoolean()) {
       return;
     }
     String league = remaining.poll();
     if (league == null) {
-      checkGames(new ArrayDeque<>(gate.dependencies().requiredGames()));
+      checkRequiredGames(new ArrayDeque<>(gate.dependencies().requiredGames()));
       return;
     }
     store.get(
         RecordKeys.league(league),
         (status, record) -> {
           if (status != CallResult.OK) {
-            incomplete();
+            reportIncomplete();
             return;
           }
           leagueVersions.put(league, record.version());
           leagueChanges.put(league, ReleaseRecordCodec.leagueChanges(record.value()));
-          readLeagues(remaining);
+          readLeagueRecords(remaining);
         });
   }
 
-  private void checkGames(ArrayDeque<RequiredGames> remaining) {
+  private void checkRequiredGames(ArrayDeque<RequiredGames> remaining) {
     RequiredGames required = unmet.isEmpty() ? remaining.poll() : null;
     if (required == null) {
-      result.accept(unmet.isEmpty() ? new Met(leagueVersions, leagueChanges) : new Unmet(unmet));
+      onResult.accept(unmet.isEmpty() ? new Met(leagueVersions, leagueChanges) : new Unmet(unmet));
       return;
     }
     RequiredGamesCheck check = new RequiredGamesCheck(required, unmet);
-    readPage(check, null, () -> checkGames(remaining));
+    readBlockPage(check, null, () -> checkRequiredGames(remaining));
   }
 
-  /** Reads blocks of a league in order, up to the one with the last required game. */
-  private void readPage(RequiredGamesCheck check, String after, Runnable next) {
+  /** Reads a page of a league's blocks in order, up to the block with the last required game. */
+  private void readBlockPage(RequiredGamesCheck check, String after, Runnable next) {
     store.listPage(
         RecordKeys.FOLD_BLOCKS + check.league() + "/",
         after,
-        PAGE_BLOCKS,
+        BLOCKS_PER_PAGE,
         (status, blocks, revision) -> {
           if (isStopped.getAsBoolean()) {
             return;
           }
           if (status != CallResult.OK) {
-            incomplete();
+            reportIncomplete();
             return;
           }
           checkBlocks(check, blocks, 0, next);
@@ -186,9 +186,9 @@
   private void checkBlocks(
       RequiredGamesCheck check, List<VersionedValue> blocks, int index, Runnable next) {
     if (index == blocks.size() || unmet.isFull()) {
-      boolean hasMore = index > 0 && blocks.size() == PAGE_BLOCKS;
+      boolean hasMore = index > 0 && blocks.size() == BLOCKS_PER_PAGE;
       if (hasMore && !check.isReached() && unmet.isEmpty()) {
-        readPage(check, blocks.get(blocks.size() - 1).key(), next);
+        readBlockPage(check, blocks.get(blocks.size() - 1).key(), next);
         return;
       }
       check.finish();
@@ -209,7 +209,7 @@
       next.run();
       return;
     }
-    readOutcomes(
+    readJobOutcomes(
         RequiredGamesCheck.unknownJobs(block, jobOutcomes.keySet()),
         () -> {
           check.check(key, block, jobOutcomes::get);
@@ -217,7 +217,7 @@
         });
   }
 
-  private void readOutcomes(ArrayDeque<String> remaining, Runnable next) {
+  private void readJobOutcomes(ArrayDeque<String> remaining, Runnable next) {
     String jobId = remaining.poll();
     if (jobId == null) {
       next.run();
@@ -227,11 +227,11 @@
         jobId,
         outcome -> {
           if (outcome.isEmpty()) {
-            incomplete();
+            reportIncomplete();
             return;
           }
           jobOutcomes.put(jobId, outcome.get());
-          readOutcomes(remaining, next);
+          readJobOutcomes(remaining, next);
         });
   }
 }
--- a/src/main/java/org/mallowroad/controller/dependency/LeagueWatch.java
+++ b/src/main/java/org/mallowroad/controller/dependency/LeagueWatch.java
@@ -9,89 +9,89 @@
 import org.mallowroad.state.VersionedValue;
 
 /**
- * Watches the records of leagues while a gate requires games: lists them once, then follows their
- * changes. After a failed call it pauses, and begins with the list when it is started again.
+ * Watches the records of leagues while any gate requires games: lists them once, then watches for
+ * changes. After a failed call it pauses and, when started again, begins with the list.
  */
 final class LeagueWatch {
   private static final long RETRY_MS = 400;
 
-  /** How long the state service holds a call without changes. */
-  private static final long WATCH_MS = 10_000;
+  /** How long the state service holds a watch call open without changes, in milliseconds. */
+  private static final long WATCH_TIMEOUT_MS = 10_000;
 
   private final EventLoop loop;
   private final KeyValueStore store;
   private final BooleanSupplier isNeeded;
-  private final Consumer<VersionedValue> changed;
-  private final Runnable paused;
-  private boolean running;
-  private boolean stopped;
+  private final Consumer<VersionedValue> onRecord;
+  private final Runnable onPauseEnded;
+  private boolean isRunning;
+  private boolean isStopped;
 
   /**
    * Prepares the watch.
    *
-   * @param isNeeded false while no gate requires games: then the watch ends
-   * @param changed called with each league's record, listed or changed
-   * @param paused called some time after a failure; may start the watch again
+   * @param isNeeded returns false while no gate requires games, which ends the watch
+   * @param onRecord called with each league's record, whether listed or changed
+   * @param onPauseEnded called after the pause that follows a failure; may start the watch again
    */
   LeagueWatch(
       EventLoop loop,
       KeyValueStore store,
       BooleanSupplier isNeeded,
-      Consumer<VersionedValue> changed,
-      Runnable paused) {
+      Consumer<VersionedValue> onRecord,
+      Runnable onPauseEnded) {
     this.loop = loop;
     this.store = store;
     this.isNeeded = isNeeded;
-    this.changed = changed;
-    this.paused = paused;
+    this.onRecord = onRecord;
+    this.onPauseEnded = onPauseEnded;
   }
 
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
   /** Starts the watch, if it is needed and not running. */
   void start() {
-    if (running || !isNeeded.getAsBoolean()) {
+    if (isRunning || !isNeeded.getAsBoolean()) {
       return;
     }
-    running = true;
+    isRunning = true;
     store.list(
         RecordKeys.LEAGUES,
         (result, records, revision) -> {
           if (result == CallResult.OK) {
-            records.forEach(changed);
-            follow(revision);
+            records.forEach(onRecord);
+            watchChanges(revision);
           } else {
-            loop.after(RETRY_MS, this::pause);
+            loop.after(RETRY_MS, this::endPause);
           }
         });
   }
 
-  private void pause() {
-    running = false;
-    paused.run();
+  private void endPause() {
+    isRunning = false;
+    onPauseEnded.run();
   }
 
-  private void follow(long fromRevision) {
-    if (stopped || !isNeeded.getAsBoolean()) {
-      running = false;
+  private void watchChanges(long fromRevision) {
+    if (isStopped || !isNeeded.getAsBoolean()) {
+      isRunning = false;
       return;
     }
     store.watch(
         RecordKeys.LEAGUES,
         fromRevision,
-        WATCH_MS,
+        WATCH_TIMEOUT_MS,
         (result, changes, revision) -> {
-          if (stopped) {
+          if (isStopped) {
             return;
           }
           if (result != CallResult.OK) {
-            loop.after(RETRY_MS, this::pause);
+            loop.after(RETRY_MS, this::endPause);
             return;
           }
-          changes.forEach(changed);
-          follow(revision);
+          changes.forEach(onRecord);
+          watchChanges(revision);
         });
   }
 }
--- a/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
+++ b/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
@@ -8,7 +8,10 @@
 import org.mallowroad.state.LeagueRecordCodec;
 import org.mallowroad.wire.Json;
 
-/** The JSON form of a release record; docs/holds.md has the transactions that write it. */
+/**
+ * Encodes and decodes the JSON form of release records; docs/holds.md describes the transactions
+ * that write them.
+ */
 final class ReleaseRecordCodec {
   private static final String LEAGUE_VERSIONS = "leagues";
   private static final String LEAGUE_CHANGES = "changes";
@@ -34,18 +37,21 @@
 
   static GateRelease decode(JsonNode record) {
     return new GateRelease(
-        numbers(record.path(LEAGUE_VERSIONS)),
-        numbers(record.path(LEAGUE_CHANGES)),
+        decodeNumbers(record.path(LEAGUE_VERSIONS)),
+        decodeNumbers(record.path(LEAGUE_CHANGES)),
         record.path(STARTED).asBoolean(),
         record.path(SUPERSEDED).asBoolean());
   }
 
-  /** How often required games of a league were claimed, by the league's record or its absence. */
+  /**
+   * Number of claims of required games in a league, from the league's record; 0 if there is no
+   * record.
+   */
   static long leagueChanges(JsonNode leagueRecord) {
     return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGES).asLong();
   }
 
-  private static Map<String, Long> numbers(JsonNode object) {
+  private static Map<String, Long> decodeNumbers(JsonNode object) {
     Map<String, Long> numbers = new Object2ObjectLinkedOpenHashMap<>();
     object.properties().forEach(field -> numbers.put(field.getKey(), field.getValue().asLong()));
     return numbers;
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -37,11 +37,11 @@
 import org.mallowroad.fake.LoopbackSettings;
 
 /**
- * What the console says while the service is in trouble, over loopback: within five seconds the
- * report names the jobs that are stalled and why.
+ * Checks the console over loopback sockets while parts of the service fail: within five seconds the
+ * report must name the stalled jobs and the reason.
  */
 final class ConsoleTest {
-  private static final long WITHIN_NS = 5_000_000_000L;
+  private static final long REPORT_DEADLINE_NANOS = 5_000_000_000L;
 
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -49,8 +49,8 @@
   private final List<String> controllers = new CopyOnWriteArrayList<>();
   private FakeStateService state;
   private FakeCloud cloud;
-  private ClusterQuery asker;
-  private LoopbackSettings clusterConfig;
+  private ClusterQuery clusterQuery;
+  private LoopbackSettings loopbackSettings;
 
   @BeforeEach
   void start() throws Exception {
@@ -60,7 +60,7 @@
             controllers,
             List.of(new FakeCloud.Type("small", 4, 16, 1, 1, List.of("north", "south"))));
     cloud.taskMs = 600_000;
-    clusterConfig =
+    loopbackSettings =
         new LoopbackSettings(
             List.of("north", "south"),
             List.of(new TeamSetting("team", 8, 0, 64, 0), new TeamSetting("idle", 0, 0, 4, 0)),
@@ -68,35 +68,37 @@
             state,
             0.3,
             20);
-    OperatorSettings d = OperatorSettings.defaults();
-    ConsoleSettings c = new ConsoleSettings(new Endpoint("127.0.0.1", 0), 1_000, 100, 10);
+    OperatorSettings defaults = OperatorSettings.defaults();
+    ConsoleSettings consoleSettings =
+        new ConsoleSettings(new Endpoint("127.0.0.1", 0), 1_000, 100, 10);
     List<String> consoles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Node n = new Node(new ClusterConfig(clusterConfig.node(i, 3), d.with(c)));
-      n.start();
-      nodes.put("n" + i, n);
-      controllers.add(n.address());
-      consoles.add(n.consoleAddress());
+      Node node =
+          new Node(new ClusterConfig(loopbackSettings.node(i, 3), defaults.with(consoleSettings)));
+      node.start();
+      nodes.put("n" + i, node);
+      controllers.add(node.address());
+      consoles.add(node.consoleAddress());
     }
-    asker = new ClusterQuery(consoles, "127.0.0.1:" + state.port());
-    await("a leader", 40_000_000_000L, o -> o.obstacle().isEmpty());
-    // Six machines in each zone, and a job that its team's limit holds.
+    clusterQuery = new ClusterQuery(consoles, "127.0.0.1:" + state.port());
+    await("a leader", 40_000_000_000L, overview -> overview.obstacle().isEmpty());
+    // Six machines with one task each in both zones, and a job whose team's limit allows one task.
     submit("job-000001", "team", "north", 6, 4);
     submit("job-000002", "team", "south", 6, 4);
     submit("job-000003", "idle", null, 3, 4);
     await(
-        "tasks that run",
+        "running tasks",
         40_000_000_000L,
-        o -> {
-          return o.picture() != null
-              && o.picture().totals().running() == 13
-              && reason(o, "job-000003").equals(PendingCause.TEAM_LIMIT.name());
+        overview -> {
+          return overview.picture() != null
+              && overview.picture().totals().running() == 13
+              && reason(overview, "job-000003").equals(PendingCause.TEAM_LIMIT.name());
         });
   }
 
   @AfterEach
   void stop() {
-    asker.close();
+    clusterQuery.close();
     nodes.values().forEach(Node::stop);
     cloud.close();
     state.close();
@@ -121,43 +123,45 @@
             .statusCode());
   }
 
-  private Overview await(String what, long ns, Predicate<Overview> until)
+  private Overview await(String description, long timeoutNanos, Predicate<Overview> condition)
       throws InterruptedException {
-    long end = System.nanoTime() + ns;
-    Overview o = asker.look();
-    while (!until.test(o)) {
-      assertTrue(System.nanoTime() < end, "no " + what + " in time: " + o.first());
+    long deadlineNanos = System.nanoTime() + timeoutNanos;
+    Overview overview = clusterQuery.look();
+    while (!condition.test(overview)) {
+      assertTrue(
+          System.nanoTime() < deadlineNanos,
+          "timed out waiting for " + description + ": " + overview.first());
       Thread.sleep(50);
-      o = asker.look();
+      overview = clusterQuery.look();
     }
-    return o;
+    return overview;
   }
 
-  private static JobLine line(Overview o, String id) {
-    return o.jobs().stream().filter(j -> j.id().equals(id)).findFirst().orElse(null);
+  private static JobLine line(Overview overview, String id) {
+    return overview.jobs().stream().filter(j -> j.id().equals(id)).findFirst().orElse(null);
   }
 
-  private static String reason(Overview o, String id) {
-    JobLine j = line(o, id);
+  private static String reason(Overview overview, String id) {
+    JobLine j = line(overview, id);
     return j == null ? "" : j.reason();
   }
 
-  private Standing standing(Overview o, String node) {
-    return o.nodes().stream()
+  private Standing standing(Overview overview, String node) {
+    return overview.nodes().stream()
         .filter(n -> n.name().equals(node))
         .map(NodeView::standing)
         .findFirst()
         .orElse(null);
   }
 
-  private void blockLeader(CountDownLatch over) {
+  private void blockLeader(CountDownLatch release) {
     nodes
         .get(state.leader())
         .loop()
         .soon(
             () -> {
               try {
-                over.await(30, TimeUnit.SECONDS);
+                release.await(30, TimeUnit.SECONDS);
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -165,139 +169,162 @@
   }
 
   @Test
-  void aZoneThatStallsIsNamedWithItsJobs() throws Exception {
+  void aStalledZoneIsReportedWithItsJobs() throws Exception {
     cloud.stalled.add("north");
-    Overview o =
+    Overview overview =
         await(
-            "stalled zone",
-            WITHIN_NS,
-            x ->
-                x.first().stream()
+            "a stalled zone",
+            REPORT_DEADLINE_NANOS,
+            candidate ->
+                candidate.first().stream()
                         .anyMatch(f -> f.contains("Zone north") && f.contains("job-000001"))
-                    && line(x, "job-000001").silent() == 6);
-    JobLine j = line(o, "job-000001");
+                    && line(candidate, "job-000001").silent() == 6);
+    JobLine jobLine = line(overview, "job-000001");
     assertTrue(
-        j.reason().equals(PendingCause.ZONE_CUT.name())
-            || j.reason().equals(PendingCause.NOT_PROVEN_GONE.name()),
-        j.toString());
-    assertEquals("north", j.zone());
-    assertEquals("", reason(o, "job-000002"));
-    String page = Report.page(o, asker.history());
+        jobLine.reason().equals(PendingCause.ZONE_CUT.name())
+            || jobLine.reason().equals(PendingCause.NOT_PROVEN_GONE.name()),
+        jobLine.toString());
+    assertEquals("north", jobLine.zone());
+    assertEquals("", reason(overview, "job-000002"));
+    String page = Report.page(overview, clusterQuery.history());
     assertTrue(page.contains("Zone north") && page.contains("job-000001"), page);
-    JobSnapshot p = asker.job("job-000001");
-    // All six were silent a moment ago; on a busy machine some are proven gone by now.
-    assertTrue(p.tasks().stream().anyMatch(t -> t.silent()));
-    assertTrue(p.tasks().stream().allMatch(t -> !t.silent() || t.zone().equals("north")));
-    assertFalse(p.remedy().isEmpty());
+    JobSnapshot snapshot = clusterQuery.job("job-000001");
+    // All six were silent a moment ago; on a busy machine some may have been proven gone since.
+    assertTrue(snapshot.tasks().stream().anyMatch(t -> t.silent()));
+    assertTrue(snapshot.tasks().stream().allMatch(t -> !t.silent() || t.zone().equals("north")));
+    assertFalse(snapshot.remedy().isEmpty());
   }
 
   @Test
-  void aStuckLeaderIsNamedWithItsStackTrace() throws Exception {
-    CountDownLatch over = new CountDownLatch(1);
+  void aBlockedLeaderLoopIsReportedWithItsStackTrace() throws Exception {
+    CountDownLatch release = new CountDownLatch(1);
     String leader = state.leader();
-    blockLeader(over);
-    Overview o =
-        await("stuck loop", WITHIN_NS, x -> x.obstacle().equals(PendingCause.LOOP_STUCK.name()));
-    assertEquals(Standing.STANDING_STILL, standing(o, leader));
-    assertEquals(PendingCause.LOOP_STUCK.name(), reason(o, "job-000003"));
-    assertTrue(line(o, "job-000003").detail().contains("its team is at its limit"));
-    String stack = o.nodes().stream().flatMap(n -> n.sight().stack().stream()).toList().toString();
+    blockLeader(release);
+    Overview overview =
+        await(
+            "a blocked event loop",
+            REPORT_DEADLINE_NANOS,
+            candidate -> candidate.obstacle().equals(PendingCause.LOOP_STUCK.name()));
+    assertEquals(Standing.STANDING_STILL, standing(overview, leader));
+    assertEquals(PendingCause.LOOP_STUCK.name(), reason(overview, "job-000003"));
+    assertTrue(line(overview, "job-000003").detail().contains("its team is at its limit"));
+    String stack =
+        overview.nodes().stream().flatMap(n -> n.sight().stack().stream()).toList().toString();
     assertTrue(stack.contains("ConsoleTest"), stack);
-    // Another takes over, and the paused one is still shown.
-    o =
+    // Another node takes over, and the blocked one is still reported.
+    overview =
         await(
             "another leader",
             20_000_000_000L,
-            x -> x.obstacle().isEmpty() && !reason(x, "job-000003").isEmpty());
-    assertEquals(Standing.STANDING_STILL, standing(o, leader));
-    assertTrue(o.first().toString().contains("Node " + leader + " is standing still"));
-    over.countDown();
+            candidate ->
+                candidate.obstacle().isEmpty() && !reason(candidate, "job-000003").isEmpty());
+    assertEquals(Standing.STANDING_STILL, standing(overview, leader));
+    assertTrue(overview.first().toString().contains("Node " + leader + " is standing still"));
+    release.countDown();
   }
 
   @Test
-  void withoutControllersOpenJobsAreReadFromTheRecords() throws Exception {
+  void openJobsAreReadFromTheRecordsWhenNoControllerRuns() throws Exception {
     nodes.values().forEach(Node::stop);
-    Overview o =
+    Overview overview =
         await(
-            "no controller",
-            WITHIN_NS,
-            x ->
-                x.obstacle().equals(PendingCause.NO_LEADER.name())
-                    && x.nodes().stream().allMatch(n -> n.standing() == Standing.REFUSING));
-    assertTrue(o.source().startsWith("records"), o.source());
-    assertEquals(3, o.jobs().size());
-    assertEquals(PendingCause.NO_LEADER.name(), reason(o, "job-000003"));
-    assertEquals(2, line(o, "job-000003").waiting());
-    assertTrue(Report.page(o, List.of()).contains("no controller answers"));
+            "the report that no controller runs",
+            REPORT_DEADLINE_NANOS,
+            candidate ->
+                candidate.obstacle().equals(PendingCause.NO_LEADER.name())
+                    && candidate.nodes().stream().allMatch(n -> n.standing() == Standing.REFUSING));
+    assertTrue(overview.source().startsWith("records"), overview.source());
+    assertEquals(3, overview.jobs().size());
+    assertEquals(PendingCause.NO_LEADER.name(), reason(overview, "job-000003"));
+    assertEquals(2, line(overview, "job-000003").waiting());
+    assertTrue(Report.page(overview, List.of()).contains("no controller answers"));
   }
 
   @Test
-  void aStateServiceOutageIsNamedAsTheReason() throws Exception {
+  void aStateServiceOutageIsReportedAsTheReason() throws Exception {
     state.down = true;
-    Overview o =
-        await("state outage", WITHIN_NS, x -> x.obstacle().equals(PendingCause.STATE_AWAY.name()));
-    assertEquals(PendingCause.STATE_AWAY.name(), reason(o, "job-000003"));
-    assertTrue(o.first().get(0).contains("state service"), o.first().toString());
+    Overview overview =
+        await(
+            "a state service outage",
+            REPORT_DEADLINE_NANOS,
+            candidate -> candidate.obstacle().equals(PendingCause.STATE_AWAY.name()));
+    assertEquals(PendingCause.STATE_AWAY.name(), reason(overview, "job-000003"));
+    assertTrue(overview.first().get(0).contains("state service"), overview.first().toString());
     state.down = false;
-    await("service again", 20_000_000_000L, x -> x.obstacle().isEmpty());
+    await("recovery from the outage", 20_000_000_000L, candidate -> candidate.obstacle().isEmpty());
   }
 
   @Test
-  void aTakeoverIsNamedWithItsTerm() throws Exception {
+  void aTakeoverIsReportedWithItsTerm() throws Exception {
     state.endLeases();
-    Overview o =
-        await("takeover", WITHIN_NS, x -> x.obstacle().equals(PendingCause.TAKING_OVER.name()));
+    Overview overview =
+        await(
+            "a takeover",
+            REPORT_DEADLINE_NANOS,
+            candidate -> candidate.obstacle().equals(PendingCause.TAKING_OVER.name()));
     assertTrue(
-        o.first().get(0).contains("takes over in term " + (1 + FencingTokens.TOKENS_PER_TERM)),
-        o.first().toString());
-    o = await("its end", 20_000_000_000L, x -> x.obstacle().isEmpty());
-    assertEquals(13, o.picture().totals().running());
-    assertEquals(PendingCause.TEAM_LIMIT.name(), reason(o, "job-000003"));
+        overview
+            .first()
+            .get(0)
+            .contains("takes over in term " + (1 + FencingTokens.TOKENS_PER_TERM)),
+        overview.first().toString());
+    overview =
+        await(
+            "the end of the takeover",
+            20_000_000_000L,
+            candidate -> candidate.obstacle().isEmpty());
+    assertEquals(13, overview.picture().totals().running());
+    assertEquals(PendingCause.TEAM_LIMIT.name(), reason(overview, "job-000003"));
   }
 
   @Test
   void aNodeServesAlthoughItsConsoleCannotListen() throws Exception {
-    Endpoint taken = Endpoint.of(nodes.get("n0").consoleAddress());
-    OperatorSettings d = OperatorSettings.defaults();
-    ConsoleSettings c = new ConsoleSettings(taken, 1_000, 100, 10);
-    Node n = new Node(new ClusterConfig(clusterConfig.node(3, 3), d.with(c)));
+    Endpoint usedEndpoint = Endpoint.of(nodes.get("n0").consoleAddress());
+    OperatorSettings defaults = OperatorSettings.defaults();
+    ConsoleSettings consoleSettings = new ConsoleSettings(usedEndpoint, 1_000, 100, 10);
+    Node node =
+        new Node(new ClusterConfig(loopbackSettings.node(3, 3), defaults.with(consoleSettings)));
     try {
-      n.start();
-      HttpResponse<String> r =
+      node.start();
+      HttpResponse<String> response =
           http.send(
-              HttpRequest.newBuilder(URI.create("http://" + n.address() + "/metrics")).build(),
+              HttpRequest.newBuilder(URI.create("http://" + node.address() + "/metrics")).build(),
               HttpResponse.BodyHandlers.ofString());
-      assertEquals(200, r.statusCode());
+      assertEquals(200, response.statusCode());
     } finally {
-      n.stop();
+      node.stop();
     }
   }
 
   /**
-   * A client that asks for jobs as fast as it can costs the loop a few answers a second at most.
+   * A client that requests jobs as fast as it can must not load the event loop with more than a few
+   * answers per second; the other requests are rejected with 429.
    */
   @Test
   void jobRequestsAreRateLimited() throws Exception {
-    String at = "http://" + nodes.get(state.leader()).consoleAddress() + "/console/v1/";
-    Map<Integer, Integer> answers = new LinkedHashMap<>();
-    long began = System.nanoTime();
+    String baseUrl = "http://" + nodes.get(state.leader()).consoleAddress() + "/console/v1/";
+    Map<Integer, Integer> countsByStatus = new LinkedHashMap<>();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < 60; i++) {
-      HttpResponse<String> r =
+      HttpResponse<String> response =
           http.send(
-              HttpRequest.newBuilder(URI.create(at + "jobs/job-000001")).build(),
+              HttpRequest.newBuilder(URI.create(baseUrl + "jobs/job-000001")).build(),
               HttpResponse.BodyHandlers.ofString());
-      answers.merge(r.statusCode(), 1, Integer::sum);
-      assertEquals(r.statusCode() == 429, r.headers().firstValue("Retry-After").isPresent());
+      countsByStatus.merge(response.statusCode(), 1, Integer::sum);
+      assertEquals(
+          response.statusCode() == 429, response.headers().firstValue("Retry-After").isPresent());
     }
-    double seconds = (System.nanoTime() - began) / 1e9;
-    assertTrue(answers.getOrDefault(429, 0) > 0, answers.toString());
-    assertTrue(answers.getOrDefault(200, 0) <= 10 + 5 * seconds + 1, answers + " in " + seconds);
-    assertTrue(asker.look().nodes().stream().allMatch(n -> n.standing().fine()));
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
+    assertTrue(countsByStatus.getOrDefault(429, 0) > 0, countsByStatus.toString());
+    assertTrue(
+        countsByStatus.getOrDefault(200, 0) <= 10 + 5 * seconds + 1,
+        countsByStatus + " in " + seconds);
+    assertTrue(clusterQuery.look().nodes().stream().allMatch(n -> n.standing().fine()));
   }
 
   @Test
   void unknownPathsAndMethodsAreRefused() throws Exception {
-    String at = "http://" + nodes.get("n0").consoleAddress() + "/console/v1/";
+    String baseUrl = "http://" + nodes.get("n0").consoleAddress() + "/console/v1/";
     Object[][] table = {
       {"GET", "picture", 200},
       {"GET", "history", 200},
@@ -308,13 +335,13 @@
       {"DELETE", "jobs/job-000001", 405},
     };
     for (Object[] row : table) {
-      HttpResponse<String> r =
+      HttpResponse<String> response =
           http.send(
-              HttpRequest.newBuilder(URI.create(at + row[1]))
+              HttpRequest.newBuilder(URI.create(baseUrl + row[1]))
                   .method((String) row[0], HttpRequest.BodyPublishers.noBody())
                   .build(),
               HttpResponse.BodyHandlers.ofString());
-      assertEquals(row[2], r.statusCode(), row[0] + " " + row[1]);
+      assertEquals(row[2], response.statusCode(), row[0] + " " + row[1]);
     }
   }
 }
--- a/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/mallowroad/controller/DeferredHeartbeatsTest.java
@@ -12,13 +12,16 @@
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.worker.HeartbeatResponder;
 
-/** What becomes of heartbeats that come before a leader has read the records. */
+/**
+ * Checks that heartbeats that arrive before a leader has read the records are deferred, then either
+ * handled exactly once or rejected.
+ */
 final class DeferredHeartbeatsTest {
   private final SteppedClock clock = new SteppedClock();
   private final SteppedClock.Process process = clock.new Process();
   private final DeferredHeartbeats deferred = new DeferredHeartbeats();
-  private final List<String> turnedAway = new ArrayList<>();
-  private final List<String> added = new ArrayList<>();
+  private final List<String> rejected = new ArrayList<>();
+  private final List<String> registered = new ArrayList<>();
   private final List<String> handled = new ArrayList<>();
 
   private void receive(String machine, long sequence, long now) {
@@ -28,12 +31,12 @@
         new HeartbeatResponder() {
           @Override
           public void respond(long fencingToken, List<WorkerCommand> commands) {
-            fail("answered before the records are read");
+            fail("a deferred heartbeat must not be answered before the records are read");
           }
 
           @Override
           public void retryLater() {
-            turnedAway.add(machine + " " + sequence);
+            rejected.add(machine + " " + sequence);
           }
         };
     deferred.add(heartbeat, -1, responder, now);
@@ -42,38 +45,38 @@
   private void drain() {
     deferred.drain(
         process,
-        heartbeat -> added.add(heartbeat.machine()),
+        heartbeat -> registered.add(heartbeat.machine()),
         (heartbeat, via, reply) -> handled.add(heartbeat.machine() + " " + heartbeat.sequence()));
   }
 
   @Test
-  void turnsAHeartbeatAwayAfterTheDeferralAndAddsItsMachine() {
+  void rejectsAHeartbeatAfterTheDeferralAndRegistersItsMachine() {
     receive("a", 1, 0);
     receive("b", 1, 1_500);
     deferred.expire(2_000);
-    assertEquals(List.of(), turnedAway);
+    assertEquals(List.of(), rejected);
     deferred.expire(2_001);
-    assertEquals(List.of("a 1"), turnedAway);
+    assertEquals(List.of("a 1"), rejected);
     drain();
-    assertEquals(List.of("a"), added);
+    assertEquals(List.of("a"), registered);
     assertEquals(List.of("b 1"), handled);
     drain();
-    assertEquals(List.of("b 1"), handled, "each once");
+    assertEquals(List.of("b 1"), handled, "each heartbeat is handled exactly once");
   }
 
   @Test
   void replacesADeferredHeartbeatByANewerOneOfTheSameMachine() {
     receive("a", 1, 0);
     receive("a", 2, 100);
-    assertEquals(List.of("a 1"), turnedAway);
+    assertEquals(List.of("a 1"), rejected);
     drain();
     assertEquals(List.of("a 2"), handled);
   }
 
   @Test
-  void drainsAFewHeartbeatsPerTurnAndTurnsAwayThoseBeyondTheBound() {
+  void drainsInBatchesAndRejectsHeartbeatsBeyondTheLimit() {
     IntStream.range(0, 4_010).forEach(i -> receive("m" + i, 1, 0));
-    assertEquals(10, turnedAway.size());
+    assertEquals(10, rejected.size());
     drain();
     assertEquals(24, handled.size());
     clock.run(1_000);
--- a/src/test/java/org/mallowroad/controller/LoopbackClient.java
+++ b/src/test/java/org/mallowroad/controller/LoopbackClient.java
@@ -9,7 +9,7 @@
 import java.net.http.HttpResponse;
 import java.util.function.BooleanSupplier;
 
-/** Sends users' requests to nodes over loopback sockets and waits for what they lead to. */
+/** Sends user requests to nodes over loopback sockets and waits for their effects. */
 final class LoopbackClient {
   private static final long AWAIT_NANOS = 40_000_000_000L;
   private static final long POLL_MS = 50;
@@ -17,7 +17,7 @@
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-  /** The response, or null when the node does not answer. */
+  /** Sends a request; returns the response, or null if the node does not answer. */
   HttpResponse<String> send(String address, String method, String path, String body) {
     try {
       return http.send(
@@ -33,16 +33,16 @@
     }
   }
 
-  /** Waits for a condition; fails when it does not hold in time. */
+  /** Waits for a condition; fails if it does not hold within 40 s. */
   static void await(String what, BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + AWAIT_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "no " + what + " in time");
+      assertTrue(System.nanoTime() < end, "timed out waiting for " + what);
       Thread.sleep(POLL_MS);
     }
   }
 
-  /** A submission of short tasks of team {@code t}. */
+  /** Builds a submission of a job of team {@code t} whose tasks last one second. */
   static String submission(String id, int tasks, double cpus) {
     return """
         {"name_id":"%s","docket":"c","crew":"t","form":"sweep","rank":"normal","moves":%d,"cpus":%s,
--- a/src/test/java/org/mallowroad/controller/PlacementLoopTest.java
+++ b/src/test/java/org/mallowroad/controller/PlacementLoopTest.java
@@ -7,69 +7,72 @@
 import org.junit.jupiter.api.Test;
 import org.mallowroad.SteppedClock;
 
-/** When placement passes run. */
+/**
+ * Checks when placement passes run, so that their number does not grow with the number of requests
+ * and none runs outside a serving term.
+ */
 final class PlacementLoopTest {
   private final SteppedClock clock = new SteppedClock();
   private final LeaderLifecycle lifecycle = new LeaderLifecycle();
   private final LoadStatistics load = new LoadStatistics();
-  private final List<Long> passesMs = new ArrayList<>();
-  private long passTakesMs;
+  private final List<Long> passStartsMs = new ArrayList<>();
+  private long passDurationMs;
   private final PlacementLoop placement =
-      new PlacementLoop(clock.new Process(), lifecycle, load, this::pass);
+      new PlacementLoop(clock.new Process(), lifecycle, load, this::runPlacement);
 
-  private void pass() {
-    passesMs.add(clock.now);
-    clock.now += passTakesMs;
+  private void runPlacement() {
+    passStartsMs.add(clock.now);
+    clock.now += passDurationMs;
   }
 
   @Test
-  void runsOnlyWhileTheTermIsServing() {
+  void passesRunOnlyWhileTheTermIsServing() {
     placement.requestPass();
     clock.run(1_000);
-    assertEquals(List.of(), passesMs, "recovering");
-    lifecycle.recovered();
+    assertEquals(List.of(), passStartsMs, "no pass runs while the term is recovering");
+    lifecycle.completeRecovery();
     placement.requestPass();
     lifecycle.stop();
     clock.run(1_000);
     placement.requestPass();
     clock.run(1_000);
-    assertEquals(List.of(), passesMs, "stopped");
+    assertEquals(List.of(), passStartsMs, "no pass runs after the term has stopped");
   }
 
   @Test
   void requestsShareAPassAndPassesAreSpaced() {
-    lifecycle.recovered();
+    lifecycle.completeRecovery();
     for (int i = 0; i < 100; i++) {
       placement.requestPass();
       placement.requestPass();
       clock.run(1);
     }
     clock.run(100);
-    assertEquals(List.of(1_000L, 1_040L, 1_080L, 1_120L), passesMs);
+    assertEquals(List.of(1_000L, 1_040L, 1_080L, 1_120L), passStartsMs);
     assertEquals(4, load.placementPasses());
   }
 
   @Test
   void theNextPassWaitsTwiceAsLongAsTheLastOneTook() {
-    lifecycle.recovered();
-    passTakesMs = 100;
+    lifecycle.completeRecovery();
+    passDurationMs = 100;
     placement.requestPass();
     clock.run(150);
     placement.requestPass();
     clock.run(1_000);
-    assertEquals(List.of(1_000L, 1_300L), passesMs);
+    assertEquals(List.of(1_000L, 1_300L), passStartsMs);
     assertEquals(200, load.placementMs());
   }
 
   @Test
   void tasksRunOnceAfterTheNextPass() {
-    lifecycle.recovered();
-    List<Integer> passesBefore = new ArrayList<>();
-    placement.afterNextPass(() -> passesBefore.add(passesMs.size()));
+    lifecycle.completeRecovery();
+    List<Integer> passCounts = new ArrayList<>();
+    placement.runAfterNextPass(() -> passCounts.add(passStartsMs.size()));
     placement.requestPass();
     clock.run(100);
     placement.requestPass();
     clock.run(100);
-    assertEquals(List.of(1), passesBefore);
+    assertEquals(List.of(1), passCounts);
   }
 }
--- a/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
+++ b/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
@@ -19,14 +19,18 @@
 import org.mallowroad.fake.FakeCloud;
 import org.mallowroad.fake.FakeStateService;
 
-/** Relaying round broken links over real sockets: two nodes, each cut off from something else. */
+/**
+ * Checks over real sockets that two nodes relay requests around broken links when one of them is
+ * cut off from the state service or from the workers.
+ */
 final class RelayedTrafficTest {
-  private static final LinkPolicy QUICK = new LinkPolicy(200, 1_500, 100, 500, 2_000, 1_000);
+  private static final LinkPolicy FAST_LINK_POLICY =
+      new LinkPolicy(200, 1_500, 100, 500, 2_000, 1_000);
 
   private static final String JOB = LoopbackClient.submission("job-000001", 4, 1);
 
   private final LoopbackClient client = new LoopbackClient();
-  private final List<String> listen = new ArrayList<>();
+  private final List<String> addresses = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
   private FakeStateService state;
   private FakeCloud cloud;
@@ -38,37 +42,42 @@
     state.close();
   }
 
-  /** Two nodes; the state service of node {@code cut} refuses it, as a closed port does. */
-  private void start(int cut) throws IOException {
+  /**
+   * Starts two nodes. Node {@code disconnectedNode} gets a closed port as the address of the state
+   * service; with -1 both nodes can reach it.
+   */
+  private void start(int disconnectedNode) throws IOException {
     state = new FakeStateService();
-    cloud = new FakeCloud(listen);
+    cloud = new FakeCloud(addresses);
     int[] ports = new int[2];
-    try (ServerSocket a = new ServerSocket(0);
-        ServerSocket b = new ServerSocket(0)) {
-      ports[0] = a.getLocalPort();
-      ports[1] = b.getLocalPort();
+    try (ServerSocket first = new ServerSocket(0);
+        ServerSocket second = new ServerSocket(0)) {
+      ports[0] = first.getLocalPort();
+      ports[1] = second.getLocalPort();
     }
     for (int i = 0; i < 2; i++) {
-      Endpoint to = new Endpoint("127.0.0.1", i == cut ? 1 : state.port());
-      Node n =
+      Endpoint stateEndpoint = new Endpoint("127.0.0.1", i == disconnectedNode ? 1 : state.port());
+      Node node =
           new Node(
-              new ClusterConfig(settings(i, ports, to), OperatorSettings.defaults().with(QUICK)));
-      n.start();
-      nodes.add(n);
-      listen.add(n.address());
+              new ClusterConfig(
+                  settings(i, ports, stateEndpoint),
+                  OperatorSettings.defaults().with(FAST_LINK_POLICY)));
+      node.start();
+      nodes.add(node);
+      addresses.add(node.address());
     }
   }
 
-  private Settings settings(int i, int[] ports, Endpoint to) {
-    Endpoint peer = new Endpoint("127.0.0.1", ports[1 - i]);
+  private Settings settings(int nodeIndex, int[] ports, Endpoint stateEndpoint) {
+    Endpoint peer = new Endpoint("127.0.0.1", ports[1 - nodeIndex]);
     return new Settings(
-        "n" + i,
+        "n" + nodeIndex,
         "a",
         new Endpoint("127.0.0.1", 0),
-        new Endpoint("127.0.0.1", ports[i]),
-        List.of(new Member("n" + (1 - i), "b", peer)),
+        new Endpoint("127.0.0.1", ports[nodeIndex]),
+        List.of(new Member("n" + (1 - nodeIndex), "b", peer)),
         new Endpoint("127.0.0.1", cloud.port()),
-        to,
+        stateEndpoint,
         List.of("a", "b"),
         List.of(new TeamSetting("t", 8, 0, 16, 0)),
         List.of(),
@@ -87,41 +96,48 @@
   }
 
   private HttpResponse<String> send(int node, String method, String path, String body) {
-    return client.send(listen.get(node), method, path, body);
+    return client.send(addresses.get(node), method, path, body);
   }
 
-  private boolean says(int node, String method, String path, String body, String text) {
-    HttpResponse<String> r = send(node, method, path, body);
-    return r != null && r.statusCode() < 300 && r.body().contains(text);
+  private boolean respondsWith(int node, String method, String path, String body, String text) {
+    HttpResponse<String> response = send(node, method, path, body);
+    return response != null && response.statusCode() < 300 && response.body().contains(text);
   }
 
   @Test
-  void aNodeWithoutTheStateServiceServesUsersThroughItsPeer() throws Exception {
+  void aNodeCutOffFromTheStateServiceServesUsersThroughItsPeer() throws Exception {
     start(1);
     await("a leader", () -> "n0".equals(state.leader()));
-    await("a submission", () -> says(1, "POST", "/v1/jobs", JOB, "queued"));
-    await("an end", () -> says(1, "GET", "/v1/jobs/job-000001", "", "\"done\""));
-    await("a detour", () -> says(1, "GET", "/metrics", "", "mallowroad_links_state_via 0.0"));
+    await("acceptance of the job", () -> respondsWith(1, "POST", "/v1/jobs", JOB, "queued"));
+    await(
+        "completion of the job",
+        () -> respondsWith(1, "GET", "/v1/jobs/job-000001", "", "\"done\""));
+    await(
+        "a relayed call to the state service",
+        () -> respondsWith(1, "GET", "/metrics", "", "mallowroad_links_state_via 0.0"));
     assertEquals(200, send(1, "GET", "/healthz", "").statusCode());
   }
 
   @Test
-  void heartbeatsAreRelayedToALeaderThatWorkersDoNotReachAndItsTermLasts() throws Exception {
+  void heartbeatsAreRelayedToALeaderThatWorkersCannotReachAndItsTermContinues() throws Exception {
     start(-1);
     await("a leader", () -> state.leader() != null);
     int leader = "n0".equals(state.leader()) ? 0 : 1;
     long term = state.term();
     cloud.cutFrom = leader;
     cloud.taskMs = 1_500;
-    await("a submission", () -> says(leader, "POST", "/v1/jobs", JOB, "queued"));
-    await("an end", () -> says(leader, "GET", "/v1/jobs/job-000001", "", "\"done\""));
+    await("acceptance of the job", () -> respondsWith(leader, "POST", "/v1/jobs", JOB, "queued"));
+    await(
+        "completion of the job",
+        () -> respondsWith(leader, "GET", "/v1/jobs/job-000001", "", "\"done\""));
     assertEquals(term, state.term());
     assertEquals(0, cloud.ranTwice());
     await(
-        "a count of what was carried",
+        "a count of relayed heartbeats",
         () -> {
-          HttpResponse<String> r = send(1 - leader, "GET", "/metrics", "");
-          return r != null && r.body().matches("(?s).*mallowroad_reports_carried [1-9].*");
+          HttpResponse<String> response = send(1 - leader, "GET", "/metrics", "");
+          return response != null
+              && response.body().matches("(?s).*mallowroad_reports_carried [1-9].*");
         });
   }
 }
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -33,22 +33,23 @@
 import org.mallowroad.worker.WorkerClient;
 
 /**
- * Many days of jobs, machines and connections in virtual time: what a process keeps must depend on
- * what there is now, not on how long it has run.
+ * Guards against memory leaks: simulates many days of jobs, machines and connections in virtual
+ * time. The state that a process retains must depend on the current load, not on how long it has
+ * run.
  */
 final class RetentionBoundsTest {
   private static final long DAY_MS = 86_400_000;
   private static final int DAYS = 40;
-  private static final int A_DAY = 600;
+  private static final int JOBS_PER_DAY = 600;
 
-  @TempDir Path dir;
+  @TempDir Path directory;
   private ClusterConfig clusterConfig;
 
   @BeforeEach
   void settings() throws Exception {
-    Path f = dir.resolve("n.toml");
+    Path file = directory.resolve("n.toml");
     Files.writeString(
-        f,
+        file,
         """
         node_name = "n"
         site = "a"
@@ -79,11 +80,11 @@
         [params.cloud]
         rps = 8.0
         """);
-    clusterConfig = new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults());
+    clusterConfig = new ClusterConfig(Settings.load(file.toString()), OperatorSettings.defaults());
     clusterConfig.replaceMachineTypes(
         List.of(
             new MachineType(
-                clusterConfig.types.intern("t32"),
+                clusterConfig.typeNames.intern("t32"),
                 "t32",
                 32,
                 0,
@@ -96,32 +97,47 @@
                 new int[] {0})));
   }
 
-  private ObjectNode submission(int n) {
-    ObjectNode o = Json.object();
-    o.put("name_id", "job-" + n).put("docket", "class-" + n).put("crew", "t").put("form", "sweep");
-    o.put("rank", "normal").put("moves", 4).put("cpus", 8.0).put("cards", 0.0).put("mem_gb", 1.0);
-    o.put("kit", "image-" + n).put("size_gb", 4.0).put("together", false).put("scatter", false);
-    o.put("driftwood", true).put("reckon_s", 60.0).put("cairn_s", 0.0).put("stow_s", 0.0);
-    o.putArray("builds").add("t32").add("type-" + n);
-    return o;
+  private ObjectNode submission(int jobNumber) {
+    ObjectNode submission = Json.object();
+    submission
+        .put("name_id", "job-" + jobNumber)
+        .put("docket", "class-" + jobNumber)
+        .put("crew", "t")
+        .put("form", "sweep");
+    submission
+        .put("rank", "normal")
+        .put("moves", 4)
+        .put("cpus", 8.0)
+        .put("cards", 0.0)
+        .put("mem_gb", 1.0);
+    submission
+        .put("kit", "image-" + jobNumber)
+        .put("size_gb", 4.0)
+        .put("together", false)
+        .put("scatter", false);
+    submission.put("driftwood", true).put("reckon_s", 60.0).put("cairn_s", 0.0).put("stow_s", 0.0);
+    submission.putArray("builds").add("t32").add("type-" + jobNumber);
+    return submission;
   }
 
-  /** Runs a job to its end; every other one fails once and is cancelled. */
-  private void runJob(SchedulerState schedulerState, TaskScheduler placement, int n, long now)
+  /** Runs a job to its end; every second job has a failed attempt and is cancelled. */
+  private void runJob(
+      SchedulerState schedulerState, TaskScheduler placement, int jobNumber, long now)
       throws InvalidMessageException {
-    Job job = schedulerState.accept(clusterConfig.codec.decode(submission(n), now), 5, 0, now);
+    Job job =
+        schedulerState.accept(clusterConfig.codec.decode(submission(jobNumber), now), 5, 0, now);
     placement.placeTasks(now);
     JobSpecs.commit(schedulerState, now);
-    if (n % 2 == 0) {
+    if (jobNumber % 2 == 0) {
       schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
       schedulerState.cancel(job, now);
     }
-    for (int t = 0; t < 4; t++) {
-      if (job.liveAttempt(t) != null) {
-        schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, now);
+    for (int task = 0; task < 4; task++) {
+      if (job.liveAttempt(task) != null) {
+        schedulerState.resolve(job.liveAttempt(task), AttemptOutcome.COMPLETED, now);
       }
     }
-    if (n % 2 == 1) {
+    if (jobNumber % 2 == 1) {
       assertTrue(job.areAllTasksDone());
       schedulerState.markEnded(job, now);
     }
@@ -131,31 +147,34 @@
     schedulerState.machinesWithUnsentCommands().clear();
   }
 
-  /** Every job has names of its own, errors and an end; every machine serves a few and goes. */
+  /**
+   * Every job uses names of its own, and every second one fails and is cancelled. Every machine
+   * runs a few jobs and is deleted. Nothing of these may be retained except the bounded tables.
+   */
   @Test
-  void endedJobsAndDeletedMachinesLeaveNothingBehind() throws Exception {
+  void endedJobsAndDeletedMachinesAreNotRetained() throws Exception {
     SchedulerState schedulerState =
-        new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
+        new SchedulerState(1, 26, 4, clusterConfig.createTeams(), clusterConfig.zones);
     TaskScheduler placement = new TaskScheduler(schedulerState);
     MachineType type = clusterConfig.type("t32");
-    int n = 0;
+    int jobNumber = 0;
     long now = 0;
-    Machine m = null;
+    Machine machine = null;
     for (int day = 0; day < DAYS; day++) {
-      for (int i = 0; i < A_DAY; i++) {
-        now = day * DAY_MS + i * (DAY_MS / A_DAY);
-        n++;
-        if (m != null && n % 2 == 0) {
-          schedulerState.machineDeleted(m, now);
+      for (int i = 0; i < JOBS_PER_DAY; i++) {
+        now = day * DAY_MS + i * (DAY_MS / JOBS_PER_DAY);
+        jobNumber++;
+        if (machine != null && jobNumber % 2 == 0) {
+          schedulerState.machineDeleted(machine, now);
         }
-        String name = "n-" + n / 2;
-        m = schedulerState.registerMachine(name, type, 0, true, now);
+        String name = "n-" + jobNumber / 2;
+        machine = schedulerState.registerMachine(name, type, 0, true, now);
         schedulerState.processHeartbeat(
-            m,
-            new Heartbeat(name, "h:1", "t32", "a", true, 1, 2L * n, 1, -1, List.of()),
+            machine,
+            new Heartbeat(name, "h:1", "t32", "a", true, 1, 2L * jobNumber, 1, -1, List.of()),
             true,
             now);
-        runJob(schedulerState, placement, n, now);
+        runJob(schedulerState, placement, jobNumber, now);
       }
       clusterConfig.forgetUnusedNames(schedulerState);
     }
@@ -169,17 +188,18 @@
     expected.put("gone", 10_000);
     expected.put("watched", 1);
     assertEquals(expected, tables);
-    // Classes that users make up do not pile up as measures of speed either.
-    assertTrue(classes <= 256, classes + " classes");
-    // 72,000 names were made up; a day's worth is there at the most between two looks.
+    // The speed statistics of user-defined classes are bounded as well.
+    assertTrue(classes <= 256, classes + " task classes retained");
+    // 72,000 names were used; between two cleanups at most one day's worth of names is added.
     assertTrue(
-        clusterConfig.nameCount() < ClusterConfig.MAX_NAMES, clusterConfig.nameCount() + " names");
-    assertTrue(clusterConfig.classes.find("named-in-settings") == 0);
-    assertEquals(type.index(), clusterConfig.types.find("t32"));
+        clusterConfig.nameCount() < ClusterConfig.MAX_NAMES,
+        clusterConfig.nameCount() + " names retained");
+    assertTrue(clusterConfig.taskClassNames.find("named-in-settings") == 0);
+    assertEquals(type.index(), clusterConfig.typeNames.find("t32"));
   }
 
   @Test
-  void checkedSubmissionsLeaveNoNames() throws Exception {
+  void validatingSubmissionsRetainsNoNames() throws Exception {
     int before = clusterConfig.nameCount();
     for (int n = 0; n < 1_000; n++) {
       clusterConfig.codec.check(submission(n));
@@ -190,19 +210,19 @@
   @Test
   void usedNamesKeepTheirIndexAndUnusedIndicesAreReused() throws Exception {
     SchedulerState schedulerState =
-        new SchedulerState(1, 26, 4, clusterConfig.newTeams(), clusterConfig.zones);
+        new SchedulerState(1, 26, 4, clusterConfig.createTeams(), clusterConfig.zones);
     Job kept = schedulerState.accept(clusterConfig.codec.decode(submission(7), 0), 5, 0, 0);
     for (int n = 100; n < 3_000; n++) {
       clusterConfig.codec.decode(submission(n), 0);
     }
     clusterConfig.forgetUnusedNames(schedulerState);
-    assertEquals(kept.spec.image(), clusterConfig.images.find("image-7"));
-    assertEquals(kept.spec.taskClass(), clusterConfig.classes.find("class-7"));
-    assertTrue(kept.spec.types().get(clusterConfig.types.find("type-7")));
-    assertEquals(-1, clusterConfig.images.find("image-200"));
-    int fresh = clusterConfig.images.intern("image-new");
+    assertEquals(kept.spec.image(), clusterConfig.imageNames.find("image-7"));
+    assertEquals(kept.spec.taskClass(), clusterConfig.taskClassNames.find("class-7"));
+    assertTrue(kept.spec.types().get(clusterConfig.typeNames.find("type-7")));
+    assertEquals(-1, clusterConfig.imageNames.find("image-200"));
+    int fresh = clusterConfig.imageNames.intern("image-new");
     assertTrue(fresh != kept.spec.image() && fresh < 3_000);
-    assertEquals("image-new", clusterConfig.images.name(fresh));
+    assertEquals("image-new", clusterConfig.imageNames.name(fresh));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -29,9 +29,12 @@
 import org.mallowroad.fake.FakeCloud;
 import org.mallowroad.fake.FakeStateService;
 
-/** The whole service over loopback sockets, with stand-ins for state, cloud and workers. */
+/**
+ * Tests the whole service over loopback sockets, with fakes of the state service, the cloud and the
+ * workers.
+ */
 final class ServiceTest {
-  @TempDir Path dir;
+  @TempDir Path directory;
   private final LoopbackClient client = new LoopbackClient();
   private FakeStateService state;
   private FakeCloud cloud;
@@ -45,7 +48,8 @@
     cloud = new FakeCloud(listen);
     for (int i = 0; i < 3; i++) {
       String address = startNode(i, "127.0.0.1:0");
-      // Any port that is free when the node listens: one that is picked before may be lost again.
+      // Each node listens on a port that the system assigns, because a port that is chosen in
+      // advance may be taken before the node listens on it.
       listen.add(address);
     }
     await(
@@ -53,11 +57,11 @@
         () -> state.leader() != null && status("GET", "/healthz", "") == 200);
   }
 
-  /** Starts a node that listens there; returns the address at which it does. */
-  private String startNode(int i, String listen) throws Exception {
-    Path f = dir.resolve("n" + i + ".toml");
+  /** Starts a node that listens on the given address; returns the actual address. */
+  private String startNode(int index, String listen) throws Exception {
+    Path file = directory.resolve("n" + index + ".toml");
     Files.writeString(
-        f,
+        file,
         """
         node_name = "n%d"
         site = "a"
@@ -90,12 +94,13 @@
         [params.resources]
         ram_mb = 32.0
         """
-            .formatted(i, listen, cloud.port(), state.port()));
-    Node n = new Node(new ClusterConfig(Settings.load(f.toString()), OperatorSettings.defaults()));
-    n.start();
-    nodes.put("n" + i, n);
-    addresses.put("n" + i, n.address());
-    return n.address();
+            .formatted(index, listen, cloud.port(), state.port()));
+    Node node =
+        new Node(new ClusterConfig(Settings.load(file.toString()), OperatorSettings.defaults()));
+    node.start();
+    nodes.put("n" + index, node);
+    addresses.put("n" + index, node.address());
+    return node.address();
   }
 
   @AfterEach
@@ -111,20 +116,20 @@
   }
 
   private int status(String method, String path, String body) {
-    HttpResponse<String> r = send(method, path, body);
-    return r == null ? 0 : r.statusCode();
+    HttpResponse<String> response = send(method, path, body);
+    return response == null ? 0 : response.statusCode();
   }
 
-  private boolean is(String id, String standing) {
-    HttpResponse<String> r = send("GET", "/v1/jobs/" + id, "");
-    return r != null && r.body().contains("\"standing\":\"" + standing + "\"");
+  private boolean hasStanding(String id, String standing) {
+    HttpResponse<String> response = send("GET", "/v1/jobs/" + id, "");
+    return response != null && response.body().contains("\"standing\":\"" + standing + "\"");
   }
 
   @Test
-  void aJobGoesFromSubmissionToDoneAndItsEndIsKept() throws Exception {
+  void anAcceptedJobCompletesAndItsEndIsRecorded() throws Exception {
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     assertEquals(200, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
-    await("end of the job", () -> is("job-000001", "done"));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertTrue(state.has("end/job-000001"));
     assertEquals(200, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     assertTrue(send("POST", "/v1/jobs/job-000001/withdraw", "").body().contains("\"done\""));
@@ -133,12 +138,12 @@
   }
 
   @Test
-  void aKilledLeaderAndLostResponsesLoseNothing() throws Exception {
+  void jobsSurviveAKilledLeaderAndLostResponses() throws Exception {
     state.loseEvery = 5;
     cloud.taskMs = 1500;
     for (int i = 1; i <= 4; i++) {
-      String j = submission("job-00000" + i, 5, 1);
-      await("acceptance", () -> status("POST", "/v1/jobs", j) / 100 == 2);
+      String submission = submission("job-00000" + i, 5, 1);
+      await("acceptance", () -> status("POST", "/v1/jobs", submission) / 100 == 2);
     }
     await("running tasks", () -> !cloud.running.isEmpty());
     String leader = state.leader();
@@ -148,34 +153,41 @@
     await("another leader", () -> state.leader() != null && !state.leader().equals(leader));
     for (int i = 1; i <= 4; i++) {
       String id = "job-00000" + i;
-      await("end of " + id, () -> is(id, "done"));
+      await("end of " + id, () -> hasStanding(id, "done"));
     }
     assertEquals(0, cloud.ranTwice());
   }
 
-  /** The same port, a fraction of a second later, again and again, while connections linger. */
+  /**
+   * Guards against a restarted leader that has to wait until its own old lease expires. The leader
+   * is restarted three times on the same port, a fraction of a second after it stopped and while
+   * old connections are still open.
+   */
   @Test
   void aRestartedLeaderIsReplacedWithoutWaitingForItsLease() throws Exception {
     cloud.taskMs = 700;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 40, 1)));
-    for (int again = 0; again < 3; again++) {
+    for (int restart = 0; restart < 3; restart++) {
       await("running tasks", () -> !cloud.running.isEmpty());
       String first = state.leader();
       long term = state.term();
       String address = addresses.get(first);
       nodes.remove(first).stop();
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       assertEquals(address, startNode(Integer.parseInt(first.substring(1)), address));
       await("another term", () -> state.term() > term && state.leader() != null);
-      // Its lease would have lasted up to 3 s.
-      long ms = (System.nanoTime() - from) / 1_000_000;
-      assertTrue(ms < 2_000, "waited " + ms + " ms for the lease");
+      // The old lease would have lasted up to 3 s.
+      long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+      assertTrue(elapsedMs < 2_000, "waited " + elapsedMs + " ms for the lease");
     }
-    await("end of the job", () -> is("job-000001", "done"));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
-  /** A submission of a job that folds games of league {@code l}, from one number on. */
+  /**
+   * Builds a submission of a job that folds the games of league {@code l} from number {@code
+   * firstGame} on.
+   */
   private static String ratingSubmission(String id, int tasks, int firstGame, int games) {
     StringBuilder folds = new StringBuilder();
     for (int g = firstGame; g < firstGame + games; g++) {
@@ -195,7 +207,8 @@
   }
 
   /**
-   * Leaders restart again and again while rating jobs are accepted, one too large for a
+   * Guards against games that are folded twice or too late for dependent jobs. The leader is
+   * restarted repeatedly while rating jobs are accepted, one of which is too large for a single
    * transaction.
    */
   @Test
@@ -211,46 +224,53 @@
       }
       await("acceptance of " + id, () -> status("POST", "/v1/jobs", body) / 100 == 2);
       if (i == 0) {
-        String print =
+        String dependentJob =
             submission("job-000009", 1, 1)
                 .replace(
                     "\"stow_s\"",
                     "\"holds\":{\"jobs\":[\"job-000003\",\"job-000005\"],"
                         + "\"games\":[{\"league\":\"l\",\"up_to\":149}]},\"stow_s\"");
-        await("acceptance of the print", () -> status("POST", "/v1/jobs", print) / 100 == 2);
+        await(
+            "acceptance of the dependent job",
+            () -> status("POST", "/v1/jobs", dependentJob) / 100 == 2);
       }
     }
     await(
-        "the print",
+        "completion of the dependent job",
         () -> {
           boolean all = ids.stream().allMatch(id -> state.has("end/" + id));
-          assertTrue(all || !state.has("run/job-000009/0"), "printed before all is folded");
-          return is("job-000009", "done");
+          assertTrue(
+              all || !state.has("run/job-000009/0"),
+              "the dependent job started before all games were folded");
+          return hasStanding("job-000009", "done");
         });
     for (String id : ids) {
-      await("end of " + id, () -> is(id, "done"));
+      await("end of " + id, () -> hasStanding(id, "done"));
     }
-    // Another job may not fold them again; the same ones are known for ever.
-    HttpResponse<String> r = send("POST", "/v1/jobs", ratingSubmission("job-000010", 1, 7, 1));
-    assertEquals(422, r.statusCode());
-    assertTrue(r.body().contains("game 7 of l for m is folded by job-000000"), r.body());
+    // Another job must not fold the games again, and a repeated submission of the same job is still
+    // recognised.
+    HttpResponse<String> response =
+        send("POST", "/v1/jobs", ratingSubmission("job-000010", 1, 7, 1));
+    assertEquals(422, response.statusCode());
+    assertTrue(
+        response.body().contains("game 7 of l for m is folded by job-000000"), response.body());
     assertEquals(200, status("POST", "/v1/jobs", ratingSubmission("job-000000", 1, 7, 1)));
-    try (ClusterQuery asker = new ClusterQuery(List.of(), "127.0.0.1:" + state.port())) {
-      assertEquals(List.of("m: revision 1 folded by job-000000"), asker.game("l", 7));
-      assertTrue(asker.game("l", 700).get(0).startsWith("nobody has claimed it"));
+    try (ClusterQuery clusterQuery = new ClusterQuery(List.of(), "127.0.0.1:" + state.port())) {
+      assertEquals(List.of("m: revision 1 folded by job-000000"), clusterQuery.game("l", 7));
+      assertTrue(clusterQuery.game("l", 700).get(0).startsWith("nobody has claimed it"));
     }
     assertEquals(0, cloud.ranTwice());
   }
 
   @Test
-  void aDeposedLeaderLosesNothingAndTheTermRises() throws Exception {
+  void jobsSurviveADeposedLeaderAndTheTermIncreases() throws Exception {
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
     long term = state.term();
     state.endLeases();
     await("a higher term", () -> state.term() > term && state.leader() != null);
-    await("end of the job", () -> is("job-000001", "done"));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
@@ -262,7 +282,7 @@
     String first = state.leader();
     cloud.cutFrom = Integer.parseInt(first.substring(1));
     await("another leader", () -> state.leader() != null && !state.leader().equals(first));
-    await("end of the job", () -> is("job-000001", "done"));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
@@ -273,18 +293,19 @@
     await("running tasks", () -> !cloud.running.isEmpty());
     String first = state.leader();
     long term = state.term();
-    // As a frozen host: the clocks run on, and what came meanwhile waits in the sockets.
-    CountDownLatch over = new CountDownLatch(1);
-    nodes.get(first).loop().soon(() -> pause(6_000, over));
+    // Simulates a frozen host: the clocks continue, and messages that arrive meanwhile wait in the
+    // sockets.
+    CountDownLatch resumed = new CountDownLatch(1);
+    nodes.get(first).loop().soon(() -> pause(6_000, resumed));
     addresses.remove(first);
     await("another leader", () -> state.term() > term && state.leader() != null);
-    assertTrue(over.getCount() == 1, "replaced before it went on");
-    assertTrue(over.await(20, TimeUnit.SECONDS));
-    await("end of the job", () -> is("job-000001", "done"));
+    assertTrue(resumed.getCount() == 1, "the paused leader must be replaced before it resumes");
+    assertTrue(resumed.await(20, TimeUnit.SECONDS));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
     assertTrue(
         state.term() == term + FencingTokens.TOKENS_PER_TERM,
-        "the one that stood still did not campaign");
+        "the paused leader must not have campaigned");
   }
 
   @Test
@@ -293,29 +314,30 @@
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 8, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
     long term = state.term();
-    CountDownLatch over = new CountDownLatch(nodes.size());
+    CountDownLatch resumed = new CountDownLatch(nodes.size());
     state.endLeases();
-    // Some have asked for a lease or sent their election by then, and read of it too late.
+    // By then some nodes have requested a lease or sent their election, and they read the result
+    // too late.
     Thread.sleep(30);
-    nodes.values().forEach(n -> n.loop().soon(() -> pause(4_000, over)));
-    assertTrue(over.await(20, TimeUnit.SECONDS));
+    nodes.values().forEach(n -> n.loop().soon(() -> pause(4_000, resumed)));
+    assertTrue(resumed.await(20, TimeUnit.SECONDS));
     await("a higher term", () -> state.term() > term && state.leader() != null);
-    await("end of the job", () -> is("job-000001", "done"));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
-  private static void pause(long ms, CountDownLatch over) {
+  private static void pause(long ms, CountDownLatch resumed) {
     try {
-      Thread.sleep(ms); // Not parkNanos, which any left-over permit ends at once.
+      Thread.sleep(ms); // Not parkNanos, which returns at once if a permit is left over.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new AssertionError("interrupted", e);
     }
-    over.countDown();
+    resumed.countDown();
   }
 
   @Test
-  void malformedResponsesAreSurvived() throws Exception {
+  void serviceRecoversFromMalformedResponses() throws Exception {
     state.garbled = true;
     cloud.garbled = true;
     assertEquals(503, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
@@ -324,7 +346,7 @@
     cloud.garbled = false;
     await(
         "acceptance", () -> status("POST", "/v1/jobs", submission("job-000001", 2, 1)) / 100 == 2);
-    await("end of the job", () -> is("job-000001", "done"));
+    await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
 
@@ -334,27 +356,30 @@
     for (int i = 1; i <= 6; i++) {
       String id = "job-00000" + i;
       assertEquals(201, status("POST", "/v1/jobs", submission(id, 1, 1)));
-      int taken = i;
-      // Some are cancelled before they start, some about when they end, some afterwards.
-      await("a moment", () -> taken < 3 || cloud.running.containsKey(id + "/0") || is(id, "done"));
+      int jobNumber = i;
+      // Some jobs are cancelled before they start, some at about the time they end, some
+      // afterwards.
+      await(
+          "the moment to cancel " + id,
+          () -> jobNumber < 3 || cloud.running.containsKey(id + "/0") || hasStanding(id, "done"));
       Thread.sleep(60L * i);
-      String told = send("POST", "/v1/jobs/" + id + "/withdraw", "").body();
-      String end = told.contains("done") ? "done" : "withdrawn";
-      assertTrue(is(id, end), told);
+      String response = send("POST", "/v1/jobs/" + id + "/withdraw", "").body();
+      String standing = response.contains("done") ? "done" : "withdrawn";
+      assertTrue(hasStanding(id, standing), response);
       Thread.sleep(300);
-      assertTrue(is(id, end), told);
-      assertTrue(send("POST", "/v1/jobs/" + id + "/withdraw", "").body().contains(end));
+      assertTrue(hasStanding(id, standing), response);
+      assertTrue(send("POST", "/v1/jobs/" + id + "/withdraw", "").body().contains(standing));
     }
   }
 
   @Test
-  void aCancelledJobIsGoneEverywhereAndStaysCancelled() throws Exception {
+  void aCancelledJobIsStoppedEverywhereAndStaysCancelled() throws Exception {
     cloud.taskMs = 60_000;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
     await("running tasks", () -> cloud.running.size() == 2);
     assertTrue(send("POST", "/v1/jobs/job-000001/withdraw", "").body().contains("\"withdrawn\""));
     await("tasks gone", () -> cloud.running.isEmpty());
-    assertTrue(is("job-000001", "withdrawn"));
+    assertTrue(hasStanding("job-000001", "withdrawn"));
     await("run records deleted", () -> !state.has("run/job-000001/0"));
   }
 
@@ -381,30 +406,33 @@
           row[3], status((String) row[0], (String) row[1], (String) row[2]), row[0] + " " + row[1]);
     }
     state.down = true;
-    HttpResponse<String> r = send("POST", "/v1/jobs", good);
-    assertEquals(503, r.statusCode());
-    assertEquals("1", r.headers().firstValue("Retry-After").orElse(""));
+    HttpResponse<String> response = send("POST", "/v1/jobs", good);
+    assertEquals(503, response.statusCode());
+    assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
     state.down = false;
     await("acceptance after the outage", () -> status("POST", "/v1/jobs", good) == 201);
   }
 
-  /** Slow bodies on all sockets that the limits admit: small requests go on being answered. */
+  /**
+   * Guards against slow request bodies that exhaust the memory: slow bodies occupy as many sockets
+   * as the limits allow, and small requests must still be answered.
+   */
   @Test
-  void slowRequestBodiesAreBoundedTogether() throws Exception {
-    String[] at = addresses.values().iterator().next().split(":");
+  void slowRequestBodiesShareOneMemoryLimit() throws Exception {
+    String[] hostAndPort = addresses.values().iterator().next().split(":");
     List<Socket> slow = new ArrayList<>();
     int refused = 0;
     try {
       for (int i = 0; i < 120; i++) {
-        Socket s = new Socket(at[0], Integer.parseInt(at[1]));
-        slow.add(s);
-        s.setSoTimeout(2_000);
+        Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
+        slow.add(socket);
+        socket.setSoTimeout(2_000);
         String path = i % 2 == 0 ? "/v1/jobs" : "/v1/jobs/job-000001";
-        beginBody(s, path, 65536);
+        beginBody(socket, path, 65536);
       }
-      // 32 MB of memory bound the bodies to 2 MB: 32 of 64 KiB are read, the other 28 are told at
-      // once to come back.
-      await("bodies in hand", () -> metric("mallowroad_bodies_bytes") == 32 * 65536);
+      // With 32 MB of memory, bodies are limited to 2 MB in total: 32 bodies of 64 KiB are read,
+      // the other 28 are rejected at once with Retry-After.
+      await("buffered bodies", () -> metric("mallowroad_bodies_bytes") == 32 * 65536);
       for (int i = 64; i < 120; i += 2) {
         byte[] answer = new byte[400];
         String text =
@@ -415,22 +443,22 @@
       }
       assertEquals(28, refused);
       assertEquals(503, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
-      // Workers and those who only ask are not held up by users' bodies.
+      // Heartbeats and read requests are not delayed by the bodies of user requests.
       assertEquals(400, status("POST", "/v1/report", "{}"));
       assertEquals(404, status("GET", "/v1/jobs/job-000001", ""));
       assertEquals(200, status("GET", "/healthz", ""));
     } finally {
-      for (Socket s : slow) {
-        s.close();
+      for (Socket socket : slow) {
+        socket.close();
       }
     }
-    await("room again", () -> metric("mallowroad_bodies_bytes") == 0);
-    try (Socket s = new Socket(at[0], Integer.parseInt(at[1]))) {
-      // One that never ends is given up, and its bytes with it.
-      s.setSoTimeout(20_000);
-      beginBody(s, "/v1/jobs", 9);
-      await("a body in hand", () -> metric("mallowroad_bodies_bytes") == 9);
-      assertEquals(-1, s.getInputStream().read());
+    await("release of the buffered bodies", () -> metric("mallowroad_bodies_bytes") == 0);
+    try (Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]))) {
+      // A body that never completes is dropped, and its memory is released.
+      socket.setSoTimeout(20_000);
+      beginBody(socket, "/v1/jobs", 9);
+      await("a buffered body", () -> metric("mallowroad_bodies_bytes") == 9);
+      assertEquals(-1, socket.getInputStream().read());
       assertEquals(0, metric("mallowroad_bodies_bytes"));
     }
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -32,167 +32,183 @@
 import org.mallowroad.wire.Json;
 
 /**
- * A gated job, a correction of a required game at any moment, a leader and its successor: explores
- * each order of the calls, with lost answers and transactions that are late or applied twice. The
- * first start is never recorded while an accepted claim is not folded.
+ * Guards against a gated job that starts although a correction of a required game has been accepted
+ * but not folded yet. Explores every order of the calls of a leader, its successor and the
+ * correction, with lost answers and with transactions that are applied late or twice.
  */
 final class DependencyGateControllerTest {
-  private static final String RUN = "run/job-9/0";
+  private static final String RUN_KEY = "run/job-9/0";
 
-  private static final class GatedStart implements StateSpaceExplorer.Scene {
-    private final boolean successor;
-    private int started;
-    private int corrected;
+  private static final class GatedStartScene implements StateSpaceExplorer.Scene {
+    private final boolean hasSuccessor;
+    private int startedCount;
+    private int correctedCount;
 
-    GatedStart(boolean successor) {
-      this.successor = successor;
+    GatedStartScene(boolean hasSuccessor) {
+      this.hasSuccessor = hasSuccessor;
     }
 
-    private static long put(StateSpaceExplorer.Stage s, String key, JsonNode v) {
-      ObjectNode t = Json.object();
-      t.putArray("writes").addObject().put("put", key).set("v", v);
+    private static long put(StateSpaceExplorer.Stage stage, String key, JsonNode value) {
+      ObjectNode transaction = Json.object();
+      transaction.putArray("writes").addObject().put("put", key).set("v", value);
       try {
-        s.store.serve("POST", "/multi", Json.bytes(t), 0);
+        stage.store.serve("POST", "/multi", Json.bytes(transaction), 0);
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
-      return s.store.version(key);
+      return stage.store.version(key);
     }
 
-    private static ClaimService folding(StateSpaceExplorer.Process p) {
+    private static ClaimService newClaimService(StateSpaceExplorer.Process process) {
       return new ClaimService(
-          p, new KeyValueStore(p, p, p), new RateLimiter(1e6, 1e6, p.now()), 16, 8, j -> null);
+          process,
+          new KeyValueStore(process, process, process),
+          new RateLimiter(1e6, 1e6, process.now()),
+          16,
+          8,
+          j -> null);
     }
 
     @Override
-    public void begin(StateSpaceExplorer.Stage s) {
+    public void begin(StateSpaceExplorer.Stage stage) {
       JobDependencies dependencies =
           new JobDependencies(
               Map.of(), List.of(), List.of(new JobDependencies.RequiredGames("l", 0, null)));
-      Block b = new Block();
-      b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
-      put(s, RecordKeys.foldBlock(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
-      put(s, RecordKeys.league("l"), LeagueRecordCodec.encode(0, 0));
+      Block block = new Block();
+      block.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", true, null));
+      put(stage, RecordKeys.foldBlock(new BlockKey("l", 0)), FoldCodec.encodeBlock(block));
+      put(stage, RecordKeys.league("l"), LeagueRecordCodec.encode(0, 0));
       ObjectNode open = Json.object();
       open.put("at", 1)
           .putObject("job")
           .set(
               DependencyCodec.DEPENDENCIES,
               DependencyCodec.encodeRecord(dependencies).get("holds"));
-      long version = put(s, RecordKeys.openJob("job-9"), open);
-      leader(s, "one", dependencies, version);
-      // In one transaction, as FoldingTest explores it.
-      if (successor) {
-        s.inOrder = true;
-        s.until(RUN); // The release of the one that is deposed is on record, its start on its way.
+      long version = put(stage, RecordKeys.openJob("job-9"), open);
+      startLeader(stage, "one", dependencies, version);
+      // The correction is applied in one step, as one transaction; FoldingTest explores how claims
+      // are accepted.
+      if (hasSuccessor) {
+        stage.inOrder = true;
+        // Continues until the release of the leader that will be deposed is recorded and its start
+        // is in
+        // flight.
+        stage.until(RUN_KEY);
       }
-      s.event("correction", () -> correct(s));
-      if (successor) {
-        s.event("successor", () -> leader(s, "two", dependencies, version));
+      stage.event("correction", () -> correct(stage));
+      if (hasSuccessor) {
+        stage.event("successor", () -> startLeader(stage, "two", dependencies, version));
       }
     }
 
-    private static void correct(StateSpaceExplorer.Stage s) {
+    private static void correct(StateSpaceExplorer.Stage stage) {
       Fold base = new Fold(1, false, "job-1", true, null);
-      Block b = new Block();
-      b.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
+      Block block = new Block();
+      block.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
       ObjectNode open = Json.object();
       open.put("at", 1).putObject("job");
-      put(s, RecordKeys.openJob("job-2"), open);
-      put(s, RecordKeys.foldBlock(new BlockKey("l", 0)), FoldCodec.encodeBlock(b));
-      put(s, RecordKeys.league("l"), LeagueRecordCodec.encode(0, 1));
+      put(stage, RecordKeys.openJob("job-2"), open);
+      put(stage, RecordKeys.foldBlock(new BlockKey("l", 0)), FoldCodec.encodeBlock(block));
+      put(stage, RecordKeys.league("l"), LeagueRecordCodec.encode(0, 1));
     }
 
-    private static void leader(
-        StateSpaceExplorer.Stage s, String name, JobDependencies dependencies, long open) {
-      long version = put(s, LeaderElection.LEADER, Json.object().put("node", name));
-      StateSpaceExplorer.Process p = s.process(name);
-      KeyValueStore state = new KeyValueStore(p, p, p);
+    private static void startLeader(
+        StateSpaceExplorer.Stage stage,
+        String name,
+        JobDependencies dependencies,
+        long openJobVersion) {
+      long version = put(stage, LeaderElection.LEADER, Json.object().put("node", name));
+      StateSpaceExplorer.Process process = stage.process(name);
+      KeyValueStore state = new KeyValueStore(process, process, process);
       NameIndex zones = new NameIndex();
       zones.intern("a");
       SchedulerState schedulerState =
           new SchedulerState(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
       JobSpec spec = JobSpecs.array("job-9", 1, 1).dependencies(dependencies).build();
-      Job job = schedulerState.accept(spec, open, 0, p.now());
+      Job job = schedulerState.accept(spec, openJobVersion, 0, process.now());
       DependencyGateController[] gates = new DependencyGateController[1];
-      boolean[] busy = new boolean[1];
+      boolean[] isStarting = new boolean[1];
       Runnable start =
           () -> {
-            if (!job.isHeld() && !busy[0] && s.store.value(RUN) == null) {
-              busy[0] = true;
-              start(s, state, gates[0], job, version, busy);
+            if (!job.isHeld() && !isStarting[0] && stage.store.value(RUN_KEY) == null) {
+              isStarting[0] = true;
+              start(stage, state, gates[0], job, version, isStarting);
             }
           };
       gates[0] =
           new DependencyGateController(
-              p, state, schedulerState, folding(p), version, start, () -> {});
+              process, state, schedulerState, newClaimService(process), version, start, () -> {});
       gates[0].jobAccepted(job);
-      gates[0].start();
+      gates[0].loadReleases();
     }
 
     /**
-     * Starts the job as {@code WriteBehindCommitter} does: under the start conditions, which are
+     * Starts the job like {@code WriteBehindCommitter}: with the start conditions, which are
      * validated again after a conflict.
      */
     private static void start(
-        StateSpaceExplorer.Stage s,
+        StateSpaceExplorer.Stage stage,
         KeyValueStore state,
         DependencyGateController gates,
         Job job,
         long version,
-        boolean[] busy) {
+        boolean[] isStarting) {
       Transaction transaction =
           new Transaction()
               .requireVersion(LeaderElection.LEADER, version)
               .requireVersion(RecordKeys.openJob("job-9"), job.version);
       gates.addStartConditions(job, transaction);
-      transaction.requireVersion(RUN, 0).put(RUN, Json.object().put("by", version));
+      transaction.requireVersion(RUN_KEY, 0).put(RUN_KEY, Json.object().put("by", version));
       state.compareAndSwap(
           transaction,
           (result, revision, failed) -> {
             if (result == CallResult.OK) {
               gates.startRecorded(job, revision);
-            } else if (result == CallResult.UNKNOWN && s.store.value(RUN) == null) {
-              start(s, state, gates, job, version, busy);
+            } else if (result == CallResult.UNKNOWN && stage.store.value(RUN_KEY) == null) {
+              start(stage, state, gates, job, version, isStarting);
             } else if (!failed.contains(LeaderElection.LEADER)) {
-              gates.revalidate(job, () -> busy[0] = false);
+              gates.revalidate(job, () -> isStarting[0] = false);
             }
           });
     }
 
     @Override
-    public void applied(StateSpaceExplorer.Stage s) {
-      if (s.store.value(RUN) == null || s.notes.contains("started")) {
+    public void applied(StateSpaceExplorer.Stage stage) {
+      if (stage.store.value(RUN_KEY) == null || stage.notes.contains("started")) {
         return;
       }
-      s.notes.add("started");
-      s.check(
-          s.store.value(RecordKeys.openJob("job-2")) == null, "started while a correction is open");
+      stage.notes.add("started");
+      stage.check(
+          stage.store.value(RecordKeys.openJob("job-2")) == null,
+          "the gated job started while a correction was accepted but not folded");
     }
 
     @Override
-    public void end(StateSpaceExplorer.Stage s) {
-      started += s.notes.contains("started") ? 1 : 0;
-      corrected += s.store.value(RecordKeys.openJob("job-2")) != null ? 1 : 0;
+    public void end(StateSpaceExplorer.Stage stage) {
+      startedCount += stage.notes.contains("started") ? 1 : 0;
+      correctedCount += stage.store.value(RecordKeys.openJob("job-2")) != null ? 1 : 0;
     }
   }
 
   @Test
   void startIsNotRecordedBetweenCorrectionAndItsFold() {
-    explore(new GatedStart(false), Integer.getInteger("explore.troubles", 1));
+    explore(new GatedStartScene(false), Integer.getInteger("explore.troubles", 1));
   }
 
   @Test
   void startIsNotRecordedByDeposedLeaderAfterCorrection() {
-    explore(new GatedStart(true), Integer.getInteger("explore.troubles", 1) - 1);
+    explore(new GatedStartScene(true), Integer.getInteger("explore.troubles", 1) - 1);
   }
 
-  private static void explore(GatedStart scene, int troubles) {
-    StateSpaceExplorer e = new StateSpaceExplorer(scene, troubles, 400_000);
-    e.explore(s -> {});
-    System.out.println("gated starts: " + e.states() + " states, " + e.histories() + " histories");
-    assertTrue(scene.started > 50, "started " + scene.started);
-    assertTrue(scene.corrected > 50, "corrected " + scene.corrected);
-    assertTrue(scene.started < e.histories(), "in some the correction comes first");
+  private static void explore(GatedStartScene scene, int troubles) {
+    StateSpaceExplorer explorer = new StateSpaceExplorer(scene, troubles, 400_000);
+    explorer.explore(s -> {});
+    System.out.println(
+        "gated starts: " + explorer.states() + " states, " + explorer.histories() + " histories");
+    assertTrue(scene.startedCount > 50, "started " + scene.startedCount);
+    assertTrue(scene.correctedCount > 50, "corrected " + scene.correctedCount);
+    assertTrue(
+        scene.startedCount < explorer.histories(),
+        "the correction must come first in some histories");
   }
 }
