--- a/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -47,10 +47,10 @@
       new Object2ObjectLinkedOpenHashMap<>();
 
   /**
-   * The latest rejected heartbeat by machine name, kept so that the machine is registered
-   * nevertheless.
+   * By machine name, the latest heartbeat whose deferral expired; kept so that the machine is
+   * registered nevertheless.
    */
-  private final Object2ObjectLinkedOpenHashMap<String, Heartbeat> expired =
+  private final Object2ObjectLinkedOpenHashMap<String, Heartbeat> expiredHeartbeats =
       new Object2ObjectLinkedOpenHashMap<>();
 
   /**
@@ -74,8 +74,8 @@
     while (!deferred.isEmpty()
         && now - deferred.get(deferred.firstKey()).receivedMs > MAX_DEFERRAL_MS) {
       Deferred oldest = deferred.removeFirst();
-      if (expired.size() < MAX_DEFERRED) {
-        expired.put(oldest.heartbeat.machine(), oldest.heartbeat);
+      if (expiredHeartbeats.size() < MAX_DEFERRED) {
+        expiredHeartbeats.put(oldest.heartbeat.machine(), oldest.heartbeat);
       }
       oldest.responder.retryLater();
     }
@@ -84,11 +84,11 @@
   /**
    * Handles all deferred heartbeats once the records are read, a few per turn of the event loop.
    *
-   * @param registerMachine registers the machine of a rejected heartbeat
+   * @param registerMachine registers the machine of a heartbeat whose deferral expired
    */
   void drain(EventLoop loop, Consumer<Heartbeat> registerMachine, Handler handler) {
-    expired.values().forEach(registerMachine);
-    expired.clear();
+    expiredHeartbeats.values().forEach(registerMachine);
+    expiredHeartbeats.clear();
     Deque<Deferred> remaining = new ArrayDeque<>(deferred.values());
     deferred.clear();
     drainBatch(loop, remaining, handler);
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -54,7 +54,7 @@
   private static final long PROBE_TIMEOUT_MS = 1_000;
 
   /** A link that has been idle for this long, in milliseconds, is probed. */
-  private static final long IDLE_LINK_MS = 1_500;
+  private static final long IDLE_LINK_TIMEOUT_MS = 1_500;
 
   /**
    * Delay of the first advertisement, since the processor is needed for other work just after the
@@ -143,8 +143,8 @@
   }
 
   /**
-   * A sender to the state service that relays through a peer when the link of {@code direct} is
-   * broken.
+   * Wraps a direct sender to the state service so that calls go through a peer while the direct
+   * link is broken.
    */
   RequestSender state(RequestSender direct) {
     return new RelayedCaller(
@@ -192,7 +192,7 @@
     this.election = election;
     this.workers = workers;
     this.listener = listener;
-    loop.every(CHECK_INTERVAL_MS, this::check);
+    loop.every(CHECK_INTERVAL_MS, this::checkLinks);
     loop.after(
         FIRST_ADVERTISEMENT_DELAY_MS,
         () -> loop.every(policy.advertiseIntervalMs(), this::advertise));
@@ -220,7 +220,7 @@
    */
   long electionDelayMs() {
     boolean hasOnlyRelayedHeartbeats =
-        lastRelayedHeartbeatMs - lastDirectHeartbeatMs > IDLE_LINK_MS
+        lastRelayedHeartbeatMs - lastDirectHeartbeatMs > IDLE_LINK_TIMEOUT_MS
             && loop.now() - lastRelayedHeartbeatMs < RELAYED_HEARTBEAT_WINDOW_MS;
     return (state.routeSelector().isDirectPathDown() ? ELECTION_DELAY_PER_LINK_MS : 0)
         + (hasOnlyRelayedHeartbeats ? ELECTION_DELAY_PER_LINK_MS : 0);
@@ -252,11 +252,11 @@
     transport.broadcastLinkState(links.advertise(term, isLeading, loop.now()));
   }
 
-  private void check() {
+  private void checkLinks() {
     long now = loop.now();
     long ageMs = links.ageMs(ExternalService.STATE, now);
     boolean isIdle =
-        !state.routeSelector().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_MS);
+        !state.routeSelector().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_TIMEOUT_MS);
     if (!isProbingState && (state.routeSelector().takeProbe(now) || isIdle)) {
       isProbingState = true;
       probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
@@ -265,10 +265,10 @@
     if (cloud.routeSelector().takeProbe(now) && listener.isLeading()) {
       probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
-    logChanges(now);
+    logLinkChanges(now);
   }
 
-  private void logChanges(long now) {
+  private void logLinkChanges(long now) {
     for (LinkStateTable.LinkChange change : links.takeChanges()) {
       if (logLimiter.tryAcquire(now)) {
         LOG.warn(
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -38,68 +38,73 @@
   }
 
   private void registerLeadership() {
-    gauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
-    gauge("mallowroad.term", m -> m.node.election.highestSeenToken());
-    gauge("mallowroad.jobs.open", m -> m.leaderValue(l -> l.schedulerState().jobs().size()));
-    gauge("mallowroad.machines", m -> m.leaderValue(l -> l.schedulerState().machines().size()));
-    gauge(
+    registerGauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
+    registerGauge("mallowroad.term", m -> m.node.election.highestSeenToken());
+    registerGauge(
+        "mallowroad.jobs.open", m -> m.leaderValue(l -> l.schedulerState().jobs().size()));
+    registerGauge(
+        "mallowroad.machines", m -> m.leaderValue(l -> l.schedulerState().machines().size()));
+    registerGauge(
         "mallowroad.records.uncommitted",
         m -> m.leaderValue(l -> l.schedulerState().dirtyRecords().size()));
-    gauge(
+    registerGauge(
         "mallowroad.records.urgent",
         m -> m.leaderValue(l -> l.schedulerState().urgentRecords().size()));
-    gauge(
+    registerGauge(
         "mallowroad.tasks.completed",
         m -> m.leaderValue(l -> l.schedulerState().attemptsCompleted()));
   }
 
   private void registerHealth() {
-    gauge(
+    registerGauge(
         "mallowroad.machines.late",
         m -> m.fleetHealthValue(h -> h.failureDetector().overdueCount()));
-    gauge(
+    registerGauge(
         "mallowroad.machines.doubted",
         m -> m.fleetHealthValue(h -> h.stragglerDetector().suspectCount()));
-    gauge(
+    registerGauge(
         "mallowroad.machines.slow.refused",
         m -> m.fleetHealthValue(h -> h.stragglerDetector().refusedSuspicions()));
-    gauge(
+    registerGauge(
         "mallowroad.zones.cut",
         m -> m.fleetHealthValue(h -> h.failureDetector().partitionedZoneCount()));
-    gauge("mallowroad.stood.still", m -> m.fleetHealthValue(h -> h.pauseDetector().pauseCount()));
-    gauge(
+    registerGauge(
+        "mallowroad.stood.still", m -> m.fleetHealthValue(h -> h.pauseDetector().pauseCount()));
+    registerGauge(
         "mallowroad.stood.still.longest.ms",
         m -> m.fleetHealthValue(h -> h.pauseDetector().longestPauseMs()));
   }
 
   private void registerOverload() {
-    gauge("mallowroad.loop.lag.ms", m -> m.leaderValue(Leader::worstLoopLagMs));
-    gauge("mallowroad.cancellations.view.ms", m -> m.leaderValue(Leader::cancellationViewAgeMs));
-    gauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
-    gauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
-    gauge(
+    registerGauge("mallowroad.loop.lag.ms", m -> m.leaderValue(Leader::worstLoopLagMs));
+    registerGauge(
+        "mallowroad.cancellations.view.ms", m -> m.leaderValue(Leader::cancellationViewAgeMs));
+    registerGauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
+    registerGauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
+    registerGauge(
         "mallowroad.state.silence.ms",
         m -> m.node.loop.now() - m.node.state.health().lastContactMs());
   }
 
   private void registerLinks(LinkMonitor links) {
-    gauge("mallowroad.links.down", m -> links.links().downLinkCount());
-    gauge("mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
-    gauge("mallowroad.links.state.via", m -> links.stateRoute().relay());
-    gauge(
+    registerGauge("mallowroad.links.down", m -> links.links().downLinkCount());
+    registerGauge(
+        "mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
+    registerGauge("mallowroad.links.state.via", m -> links.stateRoute().relay());
+    registerGauge(
         "mallowroad.links.state.age.ms",
         m -> links.links().ageMs(ExternalService.STATE, m.node.loop.now()));
-    gauge("mallowroad.detours", m -> links.relayedCallCount());
-    gauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
-    gauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
-    gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkers());
+    registerGauge("mallowroad.detours", m -> links.relayedCallCount());
+    registerGauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
+    registerGauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
+    registerGauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkers());
   }
 
   private void registerInvalidMessages() {
-    gauge("mallowroad.garbled.state", m -> m.node.state.health().malformedResponses());
-    gauge("mallowroad.garbled.cloud", m -> m.node.cloud.invalidResponses());
-    gauge("mallowroad.garbled.peers", m -> m.node.peers.invalidMessages());
-    gauge("mallowroad.garbled.workers", m -> m.node.heartbeatApi.invalidMessages());
+    registerGauge("mallowroad.garbled.state", m -> m.node.state.health().malformedResponses());
+    registerGauge("mallowroad.garbled.cloud", m -> m.node.cloud.invalidResponses());
+    registerGauge("mallowroad.garbled.peers", m -> m.node.peers.invalidMessages());
+    registerGauge("mallowroad.garbled.workers", m -> m.node.heartbeatApi.invalidMessages());
   }
 
   /**
@@ -107,17 +112,17 @@
    * the heap and the buffers use.
    */
   private void registerMemory() {
-    gauge(
+    registerGauge(
         "mallowroad.memory.limit.bytes",
         m -> m.node.clusterConfig.settings().ramMb() * 1024 * 1024);
-    gauge("mallowroad.memory.process.bytes", m -> MemoryMetrics.processBytes());
-    gauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
-    gauge("mallowroad.collector.share", m -> MemoryMetrics.garbageCollectionShare());
-    gauge("mallowroad.bodies.bytes", m -> m.node.environment.bufferedBodyBytes());
-    gauge("mallowroad.kept.ends", m -> m.node.users.rememberedEnds());
-    gauge("mallowroad.kept.opens", m -> m.node.users.rememberedOpenJobs());
-    gauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
-    gauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
+    registerGauge("mallowroad.memory.process.bytes", m -> MemoryMetrics.processBytes());
+    registerGauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
+    registerGauge("mallowroad.collector.share", m -> MemoryMetrics.garbageCollectionShare());
+    registerGauge("mallowroad.bodies.bytes", m -> m.node.environment.bufferedBodyBytes());
+    registerGauge("mallowroad.kept.ends", m -> m.node.users.rememberedEnds());
+    registerGauge("mallowroad.kept.opens", m -> m.node.users.rememberedOpenJobs());
+    registerGauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
+    registerGauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
   }
 
   private double leaderValue(ToDoubleFunction<Leader> value) {
@@ -129,7 +134,7 @@
     return leaderValue(l -> value.applyAsDouble(l.schedulerState().health()));
   }
 
-  private void gauge(String name, ToDoubleFunction<NodeMetrics> value) {
+  private void registerGauge(String name, ToDoubleFunction<NodeMetrics> value) {
     Gauge.builder(name, this, value).register(registry);
   }
 }
--- a/src/main/java/org/mallowroad/controller/PlacementLoop.java
+++ b/src/main/java/org/mallowroad/controller/PlacementLoop.java
@@ -25,7 +25,7 @@
   private final List<Runnable> runAfterNextPass = new ArrayList<>();
   private boolean isPassScheduled;
   private long lastPassEndNanos;
-  private long lastPassNanos;
+  private long lastPassDurationNanos;
 
   /** Creates a loop that calls {@code runPlacement} for each pass. */
   PlacementLoop(
@@ -44,7 +44,7 @@
     isPassScheduled = true;
     long sinceLastMs = (loop.nanos() - lastPassEndNanos) / 1_000_000;
     long waitMs =
-        Math.max(MIN_PASS_INTERVAL_MS, PAUSE_TO_PASS_RATIO * lastPassNanos / 1_000_000)
+        Math.max(MIN_PASS_INTERVAL_MS, PAUSE_TO_PASS_RATIO * lastPassDurationNanos / 1_000_000)
             - sinceLastMs;
     if (waitMs <= 0) {
       loop.soon(this::runPass);
@@ -66,8 +66,8 @@
     long startNanos = loop.nanos();
     runPlacement.run();
     lastPassEndNanos = loop.nanos();
-    lastPassNanos = lastPassEndNanos - startNanos;
-    load.recordPlacementPass(lastPassNanos);
+    lastPassDurationNanos = lastPassEndNanos - startNanos;
+    load.recordPlacementPass(lastPassDurationNanos);
     List<Runnable> tasks = new ArrayList<>(runAfterNextPass);
     runAfterNextPass.clear();
     tasks.forEach(Runnable::run);
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -321,7 +321,7 @@
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
     for (DependencyGate gate : List.copyOf(gates.all())) {
       if (gate.isOutdatedBy(league, changes)) {
-        supersede(gate, league);
+        markSuperseded(gate, league);
       }
     }
     gates.leagueChanged(league);
@@ -329,7 +329,7 @@
   }
 
   /** Logs once, and records, that the job started with games that have a newer version now. */
-  private void supersede(DependencyGate gate, String league) {
+  private void markSuperseded(DependencyGate gate, String league) {
     gate.supersede();
     LOG.warn(
         "event=dependency_superseded job={} league={} version={}",
--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -118,12 +118,12 @@
             reportIncomplete();
             return;
           }
-          checkEnd(jobId, end);
+          checkJobEnd(jobId, end);
           checkRequiredJobs(remaining);
         });
   }
 
-  private void checkEnd(String jobId, VersionedValue end) {
+  private void checkJobEnd(String jobId, VersionedValue end) {
     if (end.value() == null) {
       unmet.add(jobId + " is not accepted yet, as far as is known");
     } else if (end.value().path("end").asText().equals(Fields.DONE)) {
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -142,8 +142,8 @@
   }
 
   private static String reason(Overview overview, String id) {
-    JobLine j = line(overview, id);
-    return j == null ? "" : j.reason();
+    JobLine jobLine = line(overview, id);
+    return jobLine == null ? "" : jobLine.reason();
   }
 
   private Standing standing(Overview overview, String node) {
@@ -325,7 +325,7 @@
   @Test
   void unknownPathsAndMethodsAreRefused() throws Exception {
     String baseUrl = "http://" + nodes.get("n0").consoleAddress() + "/console/v1/";
-    Object[][] table = {
+    Object[][] cases = {
       {"GET", "picture", 200},
       {"GET", "history", 200},
       {"GET", "jobs/job-999", 404},
@@ -334,14 +334,14 @@
       {"POST", "picture", 405},
       {"DELETE", "jobs/job-000001", 405},
     };
-    for (Object[] row : table) {
+    for (Object[] testCase : cases) {
       HttpResponse<String> response =
           http.send(
-              HttpRequest.newBuilder(URI.create(baseUrl + row[1]))
-                  .method((String) row[0], HttpRequest.BodyPublishers.noBody())
+              HttpRequest.newBuilder(URI.create(baseUrl + testCase[1]))
+                  .method((String) testCase[0], HttpRequest.BodyPublishers.noBody())
                   .build(),
               HttpResponse.BodyHandlers.ofString());
-      assertEquals(row[2], response.statusCode(), row[0] + " " + row[1]);
+      assertEquals(testCase[2], response.statusCode(), testCase[0] + " " + testCase[1]);
     }
   }
 }
--- a/src/test/java/org/mallowroad/controller/LoopbackClient.java
+++ b/src/test/java/org/mallowroad/controller/LoopbackClient.java
@@ -11,8 +11,8 @@
 
 /** Sends user requests to nodes over loopback sockets and waits for their effects. */
 final class LoopbackClient {
-  private static final long AWAIT_NANOS = 40_000_000_000L;
-  private static final long POLL_MS = 50;
+  private static final long AWAIT_TIMEOUT_NANOS = 40_000_000_000L;
+  private static final long POLL_INTERVAL_MS = 50;
 
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -34,11 +34,11 @@
   }
 
   /** Waits for a condition; fails if it does not hold within 40 s. */
-  static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + AWAIT_NANOS;
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "timed out waiting for " + what);
-      Thread.sleep(POLL_MS);
+      assertTrue(System.nanoTime() < deadlineNanos, "timed out waiting for " + description);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -201,8 +201,8 @@
   @Test
   void validatingSubmissionsRetainsNoNames() throws Exception {
     int before = clusterConfig.nameCount();
-    for (int n = 0; n < 1_000; n++) {
-      clusterConfig.codec.check(submission(n));
+    for (int jobNumber = 0; jobNumber < 1_000; jobNumber++) {
+      clusterConfig.codec.check(submission(jobNumber));
     }
     assertEquals(before, clusterConfig.nameCount());
   }
@@ -211,46 +211,46 @@
   void usedNamesKeepTheirIndexAndUnusedIndicesAreReused() throws Exception {
     SchedulerState schedulerState =
         new SchedulerState(1, 26, 4, clusterConfig.createTeams(), clusterConfig.zones);
-    Job kept = schedulerState.accept(clusterConfig.codec.decode(submission(7), 0), 5, 0, 0);
-    for (int n = 100; n < 3_000; n++) {
-      clusterConfig.codec.decode(submission(n), 0);
+    Job retainedJob = schedulerState.accept(clusterConfig.codec.decode(submission(7), 0), 5, 0, 0);
+    for (int jobNumber = 100; jobNumber < 3_000; jobNumber++) {
+      clusterConfig.codec.decode(submission(jobNumber), 0);
     }
     clusterConfig.forgetUnusedNames(schedulerState);
-    assertEquals(kept.spec.image(), clusterConfig.imageNames.find("image-7"));
-    assertEquals(kept.spec.taskClass(), clusterConfig.taskClassNames.find("class-7"));
-    assertTrue(kept.spec.types().get(clusterConfig.typeNames.find("type-7")));
+    assertEquals(retainedJob.spec.image(), clusterConfig.imageNames.find("image-7"));
+    assertEquals(retainedJob.spec.taskClass(), clusterConfig.taskClassNames.find("class-7"));
+    assertTrue(retainedJob.spec.types().get(clusterConfig.typeNames.find("type-7")));
     assertEquals(-1, clusterConfig.imageNames.find("image-200"));
-    int fresh = clusterConfig.imageNames.intern("image-new");
-    assertTrue(fresh != kept.spec.image() && fresh < 3_000);
-    assertEquals("image-new", clusterConfig.imageNames.name(fresh));
+    int newIndex = clusterConfig.imageNames.intern("image-new");
+    assertTrue(newIndex != retainedJob.spec.image() && newIndex < 3_000);
+    assertEquals("image-new", clusterConfig.imageNames.name(newIndex));
   }
 
   @Test
-  void endedJobsAreRememberedUpToABound() {
+  void numberOfRememberedEndedJobsIsLimited() {
     EventLoop loop = new SteppedClock().new Process();
     UserApi users =
         new UserApi(loop, null, new UserApi.Limits(null, 1, null, null, 8, 64, 5_000), null);
-    for (int n = 0; n < 100_000; n++) {
-      users.ended("job-" + n, true);
+    for (int jobNumber = 0; jobNumber < 100_000; jobNumber++) {
+      users.ended("job-" + jobNumber, true);
     }
     assertEquals(5_000, users.rememberedEnds());
   }
 
   @Test
-  void connectionsToWorkersAreBounded() throws Exception {
+  void numberOfConnectionsToWorkersIsLimited() throws Exception {
     XnioEnvironment host = new XnioEnvironment(clusterConfig.settings());
     try {
       WorkerClient client = new WorkerClient(host, 50);
-      CompletableFuture<Integer> kept = new CompletableFuture<>();
+      CompletableFuture<Integer> connectionCount = new CompletableFuture<>();
       host.loop()
           .soon(
               () -> {
                 for (int port = 1; port <= 1_000; port++) {
                   client.send("127.0.0.1:" + port, -1, 1, 1, List.of(), (result, report) -> {});
                 }
-                kept.complete(client.connectedWorkers());
+                connectionCount.complete(client.connectedWorkers());
               });
-      assertEquals(50, kept.get(20, TimeUnit.SECONDS));
+      assertEquals(50, connectionCount.get(20, TimeUnit.SECONDS));
     } finally {
       host.stop();
     }
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -169,12 +169,12 @@
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 40, 1)));
     for (int restart = 0; restart < 3; restart++) {
       await("running tasks", () -> !cloud.running.isEmpty());
-      String first = state.leader();
+      String firstLeader = state.leader();
       long term = state.term();
-      String address = addresses.get(first);
-      nodes.remove(first).stop();
+      String address = addresses.get(firstLeader);
+      nodes.remove(firstLeader).stop();
       long startNanos = System.nanoTime();
-      assertEquals(address, startNode(Integer.parseInt(first.substring(1)), address));
+      assertEquals(address, startNode(Integer.parseInt(firstLeader.substring(1)), address));
       await("another term", () -> state.term() > term && state.leader() != null);
       // The old lease would have lasted up to 3 s.
       long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
@@ -190,9 +190,9 @@
    */
   private static String ratingSubmission(String id, int tasks, int firstGame, int games) {
     StringBuilder folds = new StringBuilder();
-    for (int g = firstGame; g < firstGame + games; g++) {
+    for (int game = firstGame; game < firstGame + games; game++) {
       folds.append(folds.length() > 0 ? "," : "");
-      folds.append("{\"league\":\"l\",\"game\":" + g + ",\"revision\":1,\"members\":[\"m\"]}");
+      folds.append("{\"league\":\"l\",\"game\":" + game + ",\"revision\":1,\"members\":[\"m\"]}");
     }
     return submission(id, tasks, 1).replace("\"stow_s\"", "\"folds\":[" + folds + "],\"stow_s\"");
   }
@@ -279,9 +279,9 @@
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
-    String first = state.leader();
-    cloud.cutFrom = Integer.parseInt(first.substring(1));
-    await("another leader", () -> state.leader() != null && !state.leader().equals(first));
+    String firstLeader = state.leader();
+    cloud.cutFrom = Integer.parseInt(firstLeader.substring(1));
+    await("another leader", () -> state.leader() != null && !state.leader().equals(firstLeader));
     await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.ranTwice());
   }
@@ -291,13 +291,13 @@
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 12, 1)));
     await("running tasks", () -> !cloud.running.isEmpty());
-    String first = state.leader();
+    String firstLeader = state.leader();
     long term = state.term();
     // Simulates a frozen host: the clocks continue, and messages that arrive meanwhile wait in the
     // sockets.
     CountDownLatch resumed = new CountDownLatch(1);
-    nodes.get(first).loop().soon(() -> pause(6_000, resumed));
-    addresses.remove(first);
+    nodes.get(firstLeader).loop().soon(() -> pause(6_000, resumed));
+    addresses.remove(firstLeader);
     await("another leader", () -> state.term() > term && state.leader() != null);
     assertTrue(resumed.getCount() == 1, "the paused leader must be replaced before it resumes");
     assertTrue(resumed.await(20, TimeUnit.SECONDS));
@@ -385,13 +385,13 @@
 
   @Test
   void invalidRequestsAreRefusedAtOnce() throws Exception {
-    String good = submission("job-000009", 2, 1);
-    Object[][] table = {
+    String validSubmission = submission("job-000009", 2, 1);
+    Object[][] cases = {
       {"POST", "/v1/jobs", "", 400},
       {"POST", "/v1/jobs", "[1]", 400},
-      {"POST", "/v1/jobs", good.replace("\"moves\":2", "\"moves\":-2"), 400},
-      {"POST", "/v1/jobs", good.replace("\"t\"", "\"nobody\""), 422},
-      {"POST", "/v1/jobs", good.replace("\"cpus\":1.0", "\"cpus\":5.0"), 422},
+      {"POST", "/v1/jobs", validSubmission.replace("\"moves\":2", "\"moves\":-2"), 400},
+      {"POST", "/v1/jobs", validSubmission.replace("\"t\"", "\"nobody\""), 422},
+      {"POST", "/v1/jobs", validSubmission.replace("\"cpus\":1.0", "\"cpus\":5.0"), 422},
       {"POST", "/v1/jobs", "x".repeat(70_000), 413},
       {"GET", "/v1/jobs/job-000009", "", 404},
       {"GET", "/v1/jobs/what", "", 404},
@@ -401,16 +401,18 @@
       {"POST", "/v1/report", "{}", 400},
       {"GET", "/metrics", "", 200},
     };
-    for (Object[] row : table) {
+    for (Object[] testCase : cases) {
       assertEquals(
-          row[3], status((String) row[0], (String) row[1], (String) row[2]), row[0] + " " + row[1]);
+          testCase[3],
+          status((String) testCase[0], (String) testCase[1], (String) testCase[2]),
+          testCase[0] + " " + testCase[1]);
     }
     state.down = true;
-    HttpResponse<String> response = send("POST", "/v1/jobs", good);
+    HttpResponse<String> response = send("POST", "/v1/jobs", validSubmission);
     assertEquals(503, response.statusCode());
     assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
     state.down = false;
-    await("acceptance after the outage", () -> status("POST", "/v1/jobs", good) == 201);
+    await("acceptance after the outage", () -> status("POST", "/v1/jobs", validSubmission) == 201);
   }
 
   /**
@@ -420,12 +422,12 @@
   @Test
   void slowRequestBodiesShareOneMemoryLimit() throws Exception {
     String[] hostAndPort = addresses.values().iterator().next().split(":");
-    List<Socket> slow = new ArrayList<>();
+    List<Socket> slowSockets = new ArrayList<>();
     int refused = 0;
     try {
       for (int i = 0; i < 120; i++) {
         Socket socket = new Socket(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
-        slow.add(socket);
+        slowSockets.add(socket);
         socket.setSoTimeout(2_000);
         String path = i % 2 == 0 ? "/v1/jobs" : "/v1/jobs/job-000001";
         beginBody(socket, path, 65536);
@@ -437,7 +439,10 @@
         byte[] answer = new byte[400];
         String text =
             new String(
-                answer, 0, slow.get(i).getInputStream().read(answer), StandardCharsets.US_ASCII);
+                answer,
+                0,
+                slowSockets.get(i).getInputStream().read(answer),
+                StandardCharsets.US_ASCII);
         assertTrue(text.startsWith("HTTP/1.1 503") && text.contains("Retry-After: 1"), text);
         refused++;
       }
@@ -448,7 +453,7 @@
       assertEquals(404, status("GET", "/v1/jobs/job-000001", ""));
       assertEquals(200, status("GET", "/healthz", ""));
     } finally {
-      for (Socket socket : slow) {
+      for (Socket socket : slowSockets) {
         socket.close();
       }
     }
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -86,22 +86,19 @@
               DependencyCodec.encodeRecord(dependencies).get("holds"));
       long version = put(stage, RecordKeys.openJob("job-9"), open);
       startLeader(stage, "one", dependencies, version);
-      // The correction is applied in one step, as one transaction; FoldingTest explores how claims
-      // are accepted.
+      // The correction is applied in one step, like an acceptance in a single transaction.
       if (hasSuccessor) {
         stage.inOrder = true;
-        // Continues until the release of the leader that will be deposed is recorded and its start
-        // is in
-        // flight.
+        // Runs until the release of the first leader is recorded and its start is in flight.
         stage.until(RUN_KEY);
       }
-      stage.event("correction", () -> correct(stage));
+      stage.event("correction", () -> acceptCorrection(stage));
       if (hasSuccessor) {
         stage.event("successor", () -> startLeader(stage, "two", dependencies, version));
       }
     }
 
-    private static void correct(StateSpaceExplorer.Stage stage) {
+    private static void acceptCorrection(StateSpaceExplorer.Stage stage) {
       Fold base = new Fold(1, false, "job-1", true, null);
       Block block = new Block();
       block.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
@@ -200,8 +197,8 @@
     explore(new GatedStartScene(true), Integer.getInteger("explore.troubles", 1) - 1);
   }
 
-  private static void explore(GatedStartScene scene, int troubles) {
-    StateSpaceExplorer explorer = new StateSpaceExplorer(scene, troubles, 400_000);
+  private static void explore(GatedStartScene scene, int maxFaults) {
+    StateSpaceExplorer explorer = new StateSpaceExplorer(scene, maxFaults, 400_000);
     explorer.explore(s -> {});
     System.out.println(
         "gated starts: " + explorer.states() + " states, " + explorer.histories() + " histories");
