--- a/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
+++ b/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
@@ -18,9 +18,9 @@
 /**
  * Checks that a job with dependencies would not wait for itself.
  *
- * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER_KEY} with its
- * acceptance, whose version is a condition of the acceptance. So of two jobs that together would
- * close a cycle, the second is checked again and sees the first.
+ * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER_KEY} with
+ * its acceptance, whose version is a condition of the acceptance. So of two jobs that together
+ * would close a cycle, the second is checked again and sees the first.
  */
 final class DependencyCycleCheck {
   /** The result of a check; one method is called, once. */
--- a/src/main/java/org/mallowroad/controller/persistence/CommitApplier.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitApplier.java
@@ -6,7 +6,7 @@
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.net.EventLoop;
 
-/** Brings into the scheduler state what is known to be committed. Confined to the event loop. */
+/** Applies committed changes to the scheduler state. Confined to the event loop. */
 final class CommitApplier {
   private final EventLoop loop;
   private final SchedulerState schedulerState;
@@ -19,7 +19,7 @@
     this.listener = listener;
   }
 
-  /** A transaction was committed, or had nothing to write. */
+  /** Applies a transaction that was committed or had nothing to write. */
   void apply(CommitTransactionBuilder commit, long revision) {
     for (WrittenRecord written : commit.writtenRecords()) {
       recordCommitted(written, written.isDeleted() ? 0 : revision);
@@ -31,47 +31,52 @@
     for (Job job : commit.endedJobs()) {
       schedulerState.markEnded(job, loop.now());
       listener.jobEnded(job, true);
-      forgetIfNothingLeft(job);
+      removeJobIfRecordsDeleted(job);
     }
-    commit.writtenRecords().forEach(written -> forgetIfNothingLeft(written.record().job));
+    commit.writtenRecords().forEach(written -> removeJobIfRecordsDeleted(written.record().job));
     for (WrittenSharedRecord written : commit.writtenSharedRecords()) {
-      written.members().forEach(member -> forgetIfNothingLeft(member.record().job));
+      written.members().forEach(member -> removeJobIfRecordsDeleted(member.record().job));
     }
   }
 
-  /** A record that is a job's own was committed. */
+  /** Applies a committed attempt record of a single job. */
   void recordCommitted(WrittenRecord written, long version) {
     schedulerState.recordCommitted(
         written.record(), version, written.changeCount(), written.starts(), loop.now());
   }
 
-  /** A shared record was committed. */
+  /** Applies a committed shared attempt record. */
   void sharedRecordCommitted(WrittenSharedRecord written, long version) {
-    // A member has no record of its own, and so no version.
+    // Members of a shared record have no record of their own, so their version is 0.
     written.members().forEach(member -> recordCommitted(member, 0));
     schedulerState
         .sharedAttemptRecords()
         .markWritten(written.record(), written.value() == null ? 0 : version);
   }
 
-  /** The record of a job's end as done was found; the job's end may have been told before. */
+  /**
+   * Applies an end record that says that the job completed; its end may have been reported before.
+   */
   void jobFoundDone(Job job) {
     if (!job.isEnded()) {
       schedulerState.markEnded(job, loop.now());
       listener.jobEnded(job, true);
     }
-    forgetIfNothingLeft(job);
+    removeJobIfRecordsDeleted(job);
   }
 
-  /** A job is known to be cancelled; may be told more than once. */
+  /** Applies the cancellation of a job; may be called more than once per job. */
   void jobCancelled(Job job) {
     schedulerState.cancel(job, loop.now());
     listener.jobEnded(job, false);
-    forgetIfNothingLeft(job);
+    removeJobIfRecordsDeleted(job);
   }
 
-  /** Forgets a finished job once it has no records; those that remain are deleted first. */
-  private void forgetIfNothingLeft(Job job) {
+  /**
+   * Removes a finished job from the scheduler state once it has no attempt records; otherwise marks
+   * the remaining records so that they are deleted first.
+   */
+  private void removeJobIfRecordsDeleted(Job job) {
     if (!job.isFinished()) {
       return;
     }
--- a/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
@@ -18,11 +18,11 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Reads again what the failed conditions of a commit are about, one key after another, so that the
- * next transaction is built on the versions that are there.
+ * Reads the keys whose conditions failed in a commit, one after another, so that the next
+ * transaction is based on the stored versions.
  *
- * <p>Only this term's transactions write attempt records. So a value that equals the one that was
- * to be written is that of an earlier copy of the transaction, and counts as committed.
+ * <p>Only transactions of this term write attempt records. A stored value that equals the one to be
+ * written was therefore written by an earlier copy of the same transaction and counts as committed.
  *
  * <p>Confined to the event loop.
  */
@@ -46,18 +46,18 @@
     this.listener = listener;
   }
 
-  /** Reads nothing more; what waits for a read is not told. */
+  /** Stops all reads; pending callbacks are not called. */
   void stop() {
     isStopped = true;
   }
 
   /**
-   * Reads what has changed.
+   * Reads the records whose conditions may have failed and applies what has changed.
    *
-   * @param failedKeys keys whose conditions failed; none: any of them may have
-   * @param done run when all is read
+   * @param failedKeys keys whose conditions failed; if empty, any condition may have failed
+   * @param onResolved run when all of them are read
    */
-  void resolve(CommitTransactionBuilder commit, List<String> failedKeys, Runnable done) {
+  void resolve(CommitTransactionBuilder commit, List<String> failedKeys, Runnable onResolved) {
     Predicate<String> mayHaveFailed = key -> failedKeys.isEmpty() || failedKeys.contains(key);
     List<Consumer<Runnable>> steps = new ArrayList<>();
     List<Job> jobs = new ArrayList<>(commit.endedJobs());
@@ -65,13 +65,13 @@
       if (mayHaveFailed.test(RecordKeys.attemptRecord(written.record()))) {
         steps.add(next -> readRecord(written, next));
       }
-      addOnce(jobs, written.record().job);
+      addIfAbsent(jobs, written.record().job);
     }
     for (WrittenSharedRecord written : commit.writtenSharedRecords()) {
       if (mayHaveFailed.test(RecordKeys.sharedAttemptRecord(written.record()))) {
         steps.add(next -> readSharedRecord(written, next));
       }
-      written.members().forEach(member -> addOnce(jobs, member.record().job));
+      written.members().forEach(member -> addIfAbsent(jobs, member.record().job));
     }
     for (Job job : jobs) {
       String id = job.spec.id();
@@ -86,23 +86,23 @@
         steps.add(next -> listener.reloadStartConditions(job, next));
       }
     }
-    run(steps, 0, done);
+    runSteps(steps, 0, onResolved);
   }
 
-  private static void addOnce(List<Job> jobs, Job job) {
+  private static void addIfAbsent(List<Job> jobs, Job job) {
     if (!jobs.contains(job)) {
       jobs.add(job);
     }
   }
 
-  private void run(List<Consumer<Runnable>> steps, int index, Runnable done) {
+  private void runSteps(List<Consumer<Runnable>> steps, int index, Runnable onResolved) {
     if (isStopped) {
       return;
     }
     if (index == steps.size()) {
-      done.run();
+      onResolved.run();
     } else {
-      steps.get(index).accept(() -> run(steps, index + 1, done));
+      steps.get(index).accept(() -> runSteps(steps, index + 1, onResolved));
     }
   }
 
@@ -110,7 +110,7 @@
     read(
         RecordKeys.attemptRecord(written.record()),
         item -> {
-          if (isSame(written.value(), item.value())) {
+          if (equalsStored(written.value(), item.value())) {
             applier.recordCommitted(written, item.version());
           } else {
             written.record().version = item.version();
@@ -123,7 +123,7 @@
     read(
         RecordKeys.sharedAttemptRecord(written.record()),
         item -> {
-          if (isSame(written.value(), item.value())) {
+          if (equalsStored(written.value(), item.value())) {
             applier.sharedRecordCommitted(written, item.version());
           } else {
             written.record().version = item.version();
@@ -132,7 +132,7 @@
         });
   }
 
-  /** Reads how a job ended, if it did, and applies it; then runs {@code next}. */
+  /** Reads the job's end record, applies it if it exists, and then runs {@code next}. */
   void readJobEnd(Job job, Runnable next) {
     read(
         RecordKeys.endedJob(job.spec.id()),
@@ -148,7 +148,7 @@
         });
   }
 
-  private void read(String key, Consumer<VersionedValue> then) {
+  private void read(String key, Consumer<VersionedValue> onRead) {
     store.get(
         key,
         (result, item) -> {
@@ -156,22 +156,23 @@
             return;
           }
           if (result == CallResult.OK) {
-            then.accept(item);
+            onRead.accept(item);
           } else {
-            loop.after(READ_RETRY_MS, () -> read(key, then));
+            loop.after(READ_RETRY_MS, () -> read(key, onRead));
           }
         });
   }
 
-  private static boolean isSame(JsonNode written, JsonNode found) {
+  private static boolean equalsStored(JsonNode written, JsonNode found) {
     if (written == null || found == null) {
       return false;
     }
     try {
-      // Through text, as the stored value went: numbers may differ in type otherwise.
+      // Serializes and parses the value, as the store did: the JSON number types may differ
+      // otherwise.
       return Json.parseObject(Json.bytes(written)).equals(found);
     } catch (InvalidMessageException e) {
-      return false; // Not possible for a value that was built here.
+      return false; // Cannot happen for a value that this process encoded.
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -24,45 +24,54 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Builds one transaction of a leader from what the scheduler state has to record. It never holds
- * more writes, conditions or bytes than its limits.
+ * Builds one transaction of a leader from the unrecorded changes of the scheduler state. The
+ * transaction never exceeds its limits on writes, conditions and bytes.
  *
- * <p>Confined to the event loop; for one transaction.
+ * <p>Confined to the event loop. Each instance builds one transaction.
  */
 final class CommitTransactionBuilder {
-  /** Estimated size from which on nothing is added; the state service takes 64 KiB. */
-  private static final int MAX_BYTES = 48 * 1024;
+  /**
+   * Estimated size in bytes above which nothing more is added. The state service accepts 64 KiB.
+   */
+  private static final int MAX_ESTIMATED_BYTES = 48 * 1024;
 
-  /** Ends of idle jobs give way to starts for this long: hundreds may come within a minute. */
+  /**
+   * How long the ends of idle jobs yield to starts, in milliseconds, because hundreds of them may
+   * come within a minute.
+   */
   private static final long IDLE_END_DELAY_MS = 12_000;
 
-  /** Estimated bytes of a key with its condition. */
-  private static final int KEY_BYTES = 200;
+  /** Estimated size of a key and its condition, in bytes. */
+  private static final int ESTIMATED_KEY_BYTES = 200;
 
-  /** Estimated bytes of an end record with its keys. */
-  private static final int END_BYTES = 400;
+  /** Estimated size of an end record with its keys, in bytes. */
+  private static final int ESTIMATED_END_BYTES = 400;
 
-  /** Writes of a job's end: the end record, the open record, and what a gated job has besides. */
+  /** Number of writes of a job's end: the end record and the deletion of the open record. */
   private static final int END_WRITES = 2;
 
+  /** Number of writes of a gated job's end, which also deletes its dependencies and its release. */
   private static final int GATED_END_WRITES = 4;
+
   private static final int END_CONDITIONS = 2;
 
-  /** Conditions of an attempt record: its own version and the job's open record. */
+  /** Number of conditions of an attempt record: its own version and the job's open record. */
   private static final int RECORD_CONDITIONS = 2;
 
-  /** Conditions that the start of a gated job may add besides those of its record. */
+  /**
+   * Maximum number of conditions that the start of a gated job adds to those of its attempt record.
+   */
   private static final int MAX_START_CONDITIONS = 8;
 
-  /** Part of the writes that is left to starts of idle jobs: one in this many. */
-  private static final int IDLE_START_FRACTION = 4;
+  /** One in this many writes is reserved for starts of idle jobs. */
+  private static final int IDLE_START_WRITE_DIVISOR = 4;
 
   /**
-   * An attempt record as the transaction has it.
+   * An attempt record in the transaction.
    *
-   * @param changeCount the record's count of changes when it was encoded
-   * @param starts the attempts whose starts it records first
-   * @param value null when the record is deleted, or is part of a shared one
+   * @param changeCount the record's change count at the time of encoding
+   * @param starts the attempts whose starts this transaction records for the first time
+   * @param value the encoded record; null if the record is deleted or is part of a shared record
    */
   record WrittenRecord(
       AttemptRecord record,
@@ -72,16 +81,16 @@
       JsonNode value) {}
 
   /**
-   * A shared record as the transaction has it.
+   * A shared attempt record in the transaction.
    *
-   * @param value null when it is deleted
+   * @param value the encoded record; null if it is deleted
    */
   record WrittenSharedRecord(
       SharedAttemptRecord record, JsonNode value, List<WrittenRecord> members) {}
 
-  /** Adds to the transaction what the start of a gated job requires. */
+  /** Adds the conditions for the start of a gated job to the transaction. */
   interface StartConditions {
-    /** Adds conditions, and at most one write. */
+    /** Adds conditions and at most one write. */
     void addTo(Job job, Transaction transaction);
   }
 
@@ -97,7 +106,7 @@
   private final ObjectLinkedOpenHashSet<SharedAttemptRecord> includedSharedRecords =
       new ObjectLinkedOpenHashSet<>();
   private final List<WrittenRecord> sharedMembers = new ArrayList<>();
-  private final ObjectOpenHashSet<AttemptRecord> included = new ObjectOpenHashSet<>();
+  private final ObjectOpenHashSet<AttemptRecord> includedRecords = new ObjectOpenHashSet<>();
   private final List<Job> endedJobs = new ArrayList<>();
   private final List<String> deletedKeys = new ArrayList<>();
   private final ObjectOpenHashSet<Job> jobsWithStartConditions = new ObjectOpenHashSet<>();
@@ -121,43 +130,43 @@
         new Transaction().requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion);
   }
 
-  /** The transaction, once {@link #finish} was called. */
+  /** Returns the transaction; complete only after {@link #encodeSharedRecords}. */
   Transaction transaction() {
     return transaction;
   }
 
-  /** Records that are a job's own. */
+  /** Returns the attempt records of single jobs in the transaction. */
   List<WrittenRecord> writtenRecords() {
     return writtenRecords;
   }
 
-  /** Shared records. */
+  /** Returns the shared attempt records in the transaction. */
   List<WrittenSharedRecord> writtenSharedRecords() {
     return writtenSharedRecords;
   }
 
-  /** Jobs whose ends are recorded. */
+  /** Returns the jobs whose ends the transaction records. */
   List<Job> endedJobs() {
     return endedJobs;
   }
 
-  /** Keys of obsolete records that are deleted. */
+  /** Returns the keys of the obsolete records that the transaction deletes. */
   List<String> deletedKeys() {
     return deletedKeys;
   }
 
-  /** Gated jobs whose starts are recorded on their conditions. */
+  /** Returns the gated jobs whose starts, with their conditions, are in the transaction. */
   ObjectOpenHashSet<Job> jobsWithStartConditions() {
     return jobsWithStartConditions;
   }
 
-  /** Number of puts and deletes. */
-  int writes() {
+  /** Returns the number of puts and deletes, including those of shared records not encoded yet. */
+  int writeCount() {
     return transaction.writeCount()
         + (writtenSharedRecords.isEmpty() ? includedSharedRecords.size() : 0);
   }
 
-  /** True when there is nothing to record. */
+  /** Returns whether there is nothing to record. */
   boolean isEmpty() {
     return writtenRecords.isEmpty()
         && sharedMembers.isEmpty()
@@ -166,23 +175,28 @@
         && deletedKeys.isEmpty();
   }
 
-  private boolean isFull(int moreWrites) {
-    return writes() + moreWrites > maxWrites || estimatedBytes > MAX_BYTES;
+  private boolean isFull(int additionalWrites) {
+    return writeCount() + additionalWrites > maxWrites || estimatedBytes > MAX_ESTIMATED_BYTES;
   }
 
-  private boolean hasRoomForConditions(int more) {
-    return transaction.conditionCount() + includedSharedRecords.size() + more <= maxConditions;
+  private boolean hasRoomForConditions(int additionalConditions) {
+    return transaction.conditionCount() + includedSharedRecords.size() + additionalConditions
+        <= maxConditions;
   }
 
-  /** Adds the ends of jobs whose tasks are all done for at least {@code ms}. */
-  void addEnds(long ms) {
+  /**
+   * Adds the ends of jobs whose tasks completed at least {@code minAgeMs} ago; those of idle jobs
+   * yield to starts for longer.
+   */
+  void addEnds(long minAgeMs) {
     for (Job job : schedulerState.jobsToComplete()) {
       if (isFull(job.spec.dependencies().isGated() ? GATED_END_WRITES : END_WRITES)
           || !hasRoomForConditions(END_CONDITIONS)) {
         return;
       }
-      long least = ms > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_DELAY_MS : ms;
-      if (!endedJobs.contains(job) && now - job.allDoneMs() >= least) {
+      long jobMinAgeMs =
+          minAgeMs > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_DELAY_MS : minAgeMs;
+      if (!endedJobs.contains(job) && now - job.allDoneMs() >= jobMinAgeMs) {
         addEnd(job);
       }
     }
@@ -199,194 +213,222 @@
       transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
     endedJobs.add(job);
-    estimatedBytes += END_BYTES;
+    estimatedBytes += ESTIMATED_END_BYTES;
     for (int i = 0; i < job.attemptRecordCount() && !isFull(1) && hasRoomForConditions(1); i++) {
-      AttemptRecord c = job.attemptRecord(i);
-      if (c.version > 0 && included.add(c)) {
-        delete(c);
+      AttemptRecord attemptRecord = job.attemptRecord(i);
+      if (attemptRecord.version > 0 && includedRecords.add(attemptRecord)) {
+        deleteRecord(attemptRecord);
       }
     }
   }
 
-  private void delete(AttemptRecord c) {
+  private void deleteRecord(AttemptRecord attemptRecord) {
     transaction
-        .requireVersion(RecordKeys.attemptRecord(c), c.version)
-        .delete(RecordKeys.attemptRecord(c));
-    writtenRecords.add(new WrittenRecord(c, c.changeCount, true, List.of(), null));
-    estimatedBytes += KEY_BYTES;
+        .requireVersion(RecordKeys.attemptRecord(attemptRecord), attemptRecord.version)
+        .delete(RecordKeys.attemptRecord(attemptRecord));
+    writtenRecords.add(
+        new WrittenRecord(attemptRecord, attemptRecord.changeCount, true, List.of(), null));
+    estimatedBytes += ESTIMATED_KEY_BYTES;
   }
 
   /**
-   * Adds starts, for which somebody waits. Those of idle jobs come after the others: hundreds of
-   * them may be placed in a second, and in one queue with them urgent work waited for its records
-   * for 8 s. A quarter of the writes is theirs even so, or they would starve while there is other
-   * work.
+   * Adds starts of tasks, whose launches wait for the commit. Starts of idle jobs follow the
+   * others: hundreds of them may be placed within a second, and when all starts shared one queue,
+   * urgent tasks waited 8 s for their records. A quarter of the writes is still reserved for idle
+   * jobs, which would otherwise starve while there is other work.
    */
   void addStarts() {
-    int idle = 0;
-    for (AttemptRecord c : schedulerState.urgentRecords()) {
-      idle += isIdle(c) ? 1 : 0;
+    int idleStarts = 0;
+    for (AttemptRecord attemptRecord : schedulerState.urgentRecords()) {
+      idleStarts += isIdle(attemptRecord) ? 1 : 0;
     }
-    addStarts(false, Math.min(idle, maxWrites / IDLE_START_FRACTION));
+    addStarts(false, Math.min(idleStarts, maxWrites / IDLE_START_WRITE_DIVISOR));
     addStarts(true, 0);
     addStarts(false, 0);
   }
 
-  private void addStarts(boolean idle, int reservedWrites) {
-    for (AttemptRecord c : schedulerState.urgentRecords()) {
+  private void addStarts(boolean ofIdleJobs, int reservedWrites) {
+    for (AttemptRecord attemptRecord : schedulerState.urgentRecords()) {
       if (isFull(1 + reservedWrites)) {
         return;
       }
-      if (isIdle(c) == idle) {
-        add(c);
+      if (isIdle(attemptRecord) == ofIdleJobs) {
+        addRecord(attemptRecord);
       }
     }
   }
 
-  private static boolean isIdle(AttemptRecord c) {
-    return c.job.spec.priority() >= JobSpec.IDLE;
+  private static boolean isIdle(AttemptRecord attemptRecord) {
+    return attemptRecord.job.spec.priority() >= JobSpec.IDLE;
   }
 
   /**
-   * Adds what changed at least {@code ms} ago, and deletions of obsolete records.
+   * Adds attempt records that changed at least {@code minAgeMs} ago, shared records that need a
+   * write, and deletions of obsolete records.
    *
-   * @param spare writes that it may take
+   * @param spareWrites maximum number of writes to add
    */
-  void addDeferred(long ms, int spare, Object2LongLinkedOpenHashMap<String> obsoleteRecords) {
-    int most = writes() + spare;
-    for (AttemptRecord c : schedulerState.dirtyRecords()) {
-      if (isFull(1) || writes() >= most) {
+  void addDeferred(
+      long minAgeMs, int spareWrites, Object2LongLinkedOpenHashMap<String> obsoleteRecords) {
+    int maxWriteCount = writeCount() + spareWrites;
+    for (AttemptRecord attemptRecord : schedulerState.dirtyRecords()) {
+      if (isFull(1) || writeCount() >= maxWriteCount) {
         return;
       }
-      if (now - c.dirtySinceMs >= ms || (c.job.isFinished() && c.version == 0)) {
-        add(c);
+      if (now - attemptRecord.dirtySinceMs >= minAgeMs
+          || (attemptRecord.job.isFinished() && attemptRecord.version == 0)) {
+        addRecord(attemptRecord);
       }
     }
-    for (SharedAttemptRecord r : schedulerState.sharedAttemptRecords().records()) {
-      if (isFull(1) || writes() >= most) {
+    for (SharedAttemptRecord sharedRecord : schedulerState.sharedAttemptRecords().records()) {
+      if (isFull(1) || writeCount() >= maxWriteCount) {
         return;
       }
-      if (r.needsWrite()) {
-        addShared(r);
+      if (sharedRecord.needsWrite()) {
+        addSharedRecord(sharedRecord);
       }
     }
-    for (Object2LongMap.Entry<String> e : obsoleteRecords.object2LongEntrySet()) {
-      if (isFull(1) || writes() >= most || !hasRoomForConditions(1)) {
+    for (Object2LongMap.Entry<String> obsoleteRecord : obsoleteRecords.object2LongEntrySet()) {
+      if (isFull(1) || writeCount() >= maxWriteCount || !hasRoomForConditions(1)) {
         return;
       }
-      transaction.requireVersion(e.getKey(), e.getLongValue()).delete(e.getKey());
-      deletedKeys.add(e.getKey());
-      estimatedBytes += KEY_BYTES;
+      transaction
+          .requireVersion(obsoleteRecord.getKey(), obsoleteRecord.getLongValue())
+          .delete(obsoleteRecord.getKey());
+      deletedKeys.add(obsoleteRecord.getKey());
+      estimatedBytes += ESTIMATED_KEY_BYTES;
     }
   }
 
-  private void add(AttemptRecord c) {
-    if (schedulerState.jobsToComplete().contains(c.job) || included.contains(c)) {
+  private void addRecord(AttemptRecord attemptRecord) {
+    if (schedulerState.jobsToComplete().contains(attemptRecord.job)
+        || includedRecords.contains(attemptRecord)) {
       return;
     }
-    if (c.isFinished()) {
-      addFinished(c);
-    } else if (schedulerState.sharedAttemptRecords().assignRecord(c)) {
-      addShared(c.sharedRecord);
+    if (attemptRecord.isFinished()) {
+      addFinishedRecord(attemptRecord);
+    } else if (schedulerState.sharedAttemptRecords().assignRecord(attemptRecord)) {
+      addSharedRecord(attemptRecord.sharedRecord);
     } else if (hasRoomForConditions(RECORD_CONDITIONS + MAX_START_CONDITIONS)) {
-      addOwn(c);
+      addOwnRecord(attemptRecord);
     }
   }
 
-  private void addFinished(AttemptRecord c) {
+  private void addFinishedRecord(AttemptRecord attemptRecord) {
     if (!hasRoomForConditions(1)) {
       return;
     }
-    included.add(c);
-    if (c.version > 0) {
-      delete(c);
+    includedRecords.add(attemptRecord);
+    if (attemptRecord.version > 0) {
+      deleteRecord(attemptRecord);
     } else {
-      writtenRecords.add(new WrittenRecord(c, c.changeCount, true, List.of(), null));
+      writtenRecords.add(
+          new WrittenRecord(attemptRecord, attemptRecord.changeCount, true, List.of(), null));
     }
   }
 
-  private void addOwn(AttemptRecord c) {
-    List<Attempt> starts = uncommittedStarts(c);
+  private void addOwnRecord(AttemptRecord attemptRecord) {
+    List<Attempt> starts = uncommittedStarts(attemptRecord);
     if (!starts.isEmpty()
-        && c.job.spec.dependencies().isGated()
-        && !jobsWithStartConditions.contains(c.job)) {
+        && attemptRecord.job.spec.dependencies().isGated()
+        && !jobsWithStartConditions.contains(attemptRecord.job)) {
       if (isFull(2)) {
-        return; // Its release changes with the first start: the next transaction has room.
+        return; // The first start also writes the job's release record; the next transaction has
+        // room for both.
       }
-      startConditions.addTo(c.job, transaction);
-      jobsWithStartConditions.add(c.job);
+      startConditions.addTo(attemptRecord.job, transaction);
+      jobsWithStartConditions.add(attemptRecord.job);
     }
-    included.add(c);
-    c.mayHaveOwnRecord = true;
-    if (!c.job.isCancelled() && !c.job.isEnded()) {
+    includedRecords.add(attemptRecord);
+    attemptRecord.mayHaveOwnRecord = true;
+    if (!attemptRecord.job.isCancelled() && !attemptRecord.job.isEnded()) {
       // The job must still be open when a start is recorded.
-      transaction.requireVersion(RecordKeys.openJob(c.job.spec.id()), c.job.version);
+      transaction.requireVersion(
+          RecordKeys.openJob(attemptRecord.job.spec.id()), attemptRecord.job.version);
     }
-    ObjectNode value = AttemptRecordCodec.encode(c, zones);
+    ObjectNode value = AttemptRecordCodec.encode(attemptRecord, zones);
     transaction
-        .requireVersion(RecordKeys.attemptRecord(c), c.version)
-        .put(RecordKeys.attemptRecord(c), value);
-    writtenRecords.add(new WrittenRecord(c, c.changeCount, false, starts, value));
-    estimatedBytes += Json.text(value).length() + KEY_BYTES;
+        .requireVersion(RecordKeys.attemptRecord(attemptRecord), attemptRecord.version)
+        .put(RecordKeys.attemptRecord(attemptRecord), value);
+    writtenRecords.add(
+        new WrittenRecord(attemptRecord, attemptRecord.changeCount, false, starts, value));
+    estimatedBytes += Json.text(value).length() + ESTIMATED_KEY_BYTES;
   }
 
-  private static List<Attempt> uncommittedStarts(AttemptRecord c) {
+  private static List<Attempt> uncommittedStarts(AttemptRecord attemptRecord) {
     List<Attempt> starts = new ArrayList<>();
-    for (int t = c.firstTask(); t < c.endTask(); t++) {
-      Attempt a = c.job.liveAttempt(t);
-      if (a != null && a.phase == Attempt.Phase.RECORDING) {
-        starts.add(a);
+    for (int task = attemptRecord.firstTask(); task < attemptRecord.endTask(); task++) {
+      Attempt attempt = attemptRecord.job.liveAttempt(task);
+      if (attempt != null && attempt.phase == Attempt.Phase.RECORDING) {
+        starts.add(attempt);
       }
     }
     return starts;
   }
 
   /**
-   * The record is written as a whole, so each of its members is: one whose start is to be recorded
-   * with its job's open record as a condition.
+   * Adds a shared record, which is always written with all of its members. Each member whose start
+   * is not recorded yet adds its job's open record as a condition.
    */
-  private void addShared(SharedAttemptRecord r) {
+  private void addSharedRecord(SharedAttemptRecord sharedRecord) {
     int conditions = 1;
-    for (AttemptRecord c : r.members()) {
-      conditions += !included.contains(c) && c.uncommittedStarts() > 0 ? 1 : 0;
+    for (AttemptRecord attemptRecord : sharedRecord.members()) {
+      conditions +=
+          !includedRecords.contains(attemptRecord) && attemptRecord.uncommittedStarts() > 0 ? 1 : 0;
     }
-    if (!hasRoomForConditions(conditions) || (!includedSharedRecords.contains(r) && isFull(1))) {
+    if (!hasRoomForConditions(conditions)
+        || (!includedSharedRecords.contains(sharedRecord) && isFull(1))) {
       return;
     }
-    includedSharedRecords.add(r);
-    for (AttemptRecord c : r.members()) {
-      if (!included.add(c)) {
+    includedSharedRecords.add(sharedRecord);
+    for (AttemptRecord attemptRecord : sharedRecord.members()) {
+      if (!includedRecords.add(attemptRecord)) {
         continue;
       }
-      List<Attempt> starts = uncommittedStarts(c);
+      List<Attempt> starts = uncommittedStarts(attemptRecord);
       if (!starts.isEmpty()) {
-        transaction.requireVersion(RecordKeys.openJob(c.job.spec.id()), c.job.version);
+        transaction.requireVersion(
+            RecordKeys.openJob(attemptRecord.job.spec.id()), attemptRecord.job.version);
       }
-      estimatedBytes += KEY_BYTES + SharedAttemptRecords.reservedBytes(c);
-      if (!schedulerState.jobsToComplete().contains(c.job)) {
-        sharedMembers.add(new WrittenRecord(c, c.changeCount, c.isFinished(), starts, null));
+      estimatedBytes += ESTIMATED_KEY_BYTES + SharedAttemptRecords.reservedBytes(attemptRecord);
+      if (!schedulerState.jobsToComplete().contains(attemptRecord.job)) {
+        sharedMembers.add(
+            new WrittenRecord(
+                attemptRecord,
+                attemptRecord.changeCount,
+                attemptRecord.isFinished(),
+                starts,
+                null));
       }
     }
   }
 
-  /** Encodes the shared records: nothing can be added from then on. */
-  void finish() {
-    for (SharedAttemptRecord r : includedSharedRecords) {
-      // One that joined when there was no room for its conditions is written with the next one.
+  /** Encodes the shared records. Nothing can be added to the transaction afterwards. */
+  void encodeSharedRecords() {
+    for (SharedAttemptRecord sharedRecord : includedSharedRecords) {
+      // A member that joined when there was no room for its condition is written by the next
+      // transaction.
       List<AttemptRecord> remaining =
-          r.members().stream().filter(c -> included.contains(c) && !c.isFinished()).toList();
+          sharedRecord.members().stream()
+              .filter(
+                  attemptRecord ->
+                      includedRecords.contains(attemptRecord) && !attemptRecord.isFinished())
+              .toList();
       List<WrittenRecord> written =
-          sharedMembers.stream().filter(w -> w.record().sharedRecord == r).toList();
-      transaction.requireVersion(RecordKeys.sharedAttemptRecord(r), r.version);
+          sharedMembers.stream()
+              .filter(member -> member.record().sharedRecord == sharedRecord)
+              .toList();
+      transaction.requireVersion(
+          RecordKeys.sharedAttemptRecord(sharedRecord), sharedRecord.version);
       if (!remaining.isEmpty()) {
         JsonNode value = AttemptRecordCodec.encodeShared(remaining, zones);
-        transaction.put(RecordKeys.sharedAttemptRecord(r), value);
-        writtenSharedRecords.add(new WrittenSharedRecord(r, value, written));
+        transaction.put(RecordKeys.sharedAttemptRecord(sharedRecord), value);
+        writtenSharedRecords.add(new WrittenSharedRecord(sharedRecord, value, written));
       } else {
-        if (r.version > 0) {
-          transaction.delete(RecordKeys.sharedAttemptRecord(r));
+        if (sharedRecord.version > 0) {
+          transaction.delete(RecordKeys.sharedAttemptRecord(sharedRecord));
         }
-        writtenSharedRecords.add(new WrittenSharedRecord(r, null, written));
+        writtenSharedRecords.add(new WrittenSharedRecord(sharedRecord, null, written));
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/persistence/JobEndReader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/JobEndReader.java
@@ -14,11 +14,11 @@
 import org.mallowroad.state.VersionedValue;
 
 /**
- * Reads how jobs ended that are over but still have attempt records, a few at a time. Confined to
+ * Reads the end records of ended jobs that still have attempt records, a few at a time. Confined to
  * the event loop.
  */
 final class JobEndReader {
-  /** End records that are read at once: a few, beside the leader's other calls. */
+  /** Maximum number of concurrent reads, kept small to leave room for the leader's other calls. */
   private static final int MAX_CONCURRENT_READS = 4;
 
   private static final long READ_RETRY_MS = 200;
@@ -27,40 +27,40 @@
   private final KeyValueStore store;
   private final RecordRestorer restorer;
   private final BooleanSupplier isStopped;
-  private final ArrayDeque<String> jobs;
+  private final ArrayDeque<String> unreadJobs;
   private final ObjectOpenHashSet<String> doneJobs = new ObjectOpenHashSet<>();
-  private final Consumer<Set<String>> done;
-  private int readsUnderWay;
+  private final Consumer<Set<String>> onComplete;
+  private int activeReads;
 
   /**
-   * Prepares the reading.
+   * Creates a reader; {@link #start} begins the reads.
    *
-   * @param jobs the jobs to read of
-   * @param done told the jobs that are done, as opposed to cancelled, once all are read
+   * @param unreadJobs IDs of the jobs whose end records are read
+   * @param onComplete receives the completed (not cancelled) jobs once all end records are read
    */
   JobEndReader(
       EventLoop loop,
       KeyValueStore store,
       RecordRestorer restorer,
       BooleanSupplier isStopped,
-      Collection<String> jobs,
-      Consumer<Set<String>> done) {
+      Collection<String> unreadJobs,
+      Consumer<Set<String>> onComplete) {
     this.loop = loop;
     this.store = store;
     this.restorer = restorer;
     this.isStopped = isStopped;
-    this.jobs = new ArrayDeque<>(jobs);
-    this.done = done;
+    this.unreadJobs = new ArrayDeque<>(unreadJobs);
+    this.onComplete = onComplete;
   }
 
-  /** Reads all; jobs that were cancelled are restored. */
+  /** Reads all end records and restores the cancelled jobs. */
   void start() {
-    if (jobs.isEmpty()) {
-      done.accept(doneJobs);
+    if (unreadJobs.isEmpty()) {
+      onComplete.accept(doneJobs);
     }
-    for (int i = 0; i < MAX_CONCURRENT_READS && !jobs.isEmpty(); i++) {
-      readsUnderWay++;
-      read(jobs.poll());
+    for (int i = 0; i < MAX_CONCURRENT_READS && !unreadJobs.isEmpty(); i++) {
+      activeReads++;
+      read(unreadJobs.poll());
     }
   }
 
@@ -75,16 +75,16 @@
             loop.after(READ_RETRY_MS, () -> read(job));
             return;
           }
-          apply(job, item);
-          if (!jobs.isEmpty()) {
-            read(jobs.poll());
-          } else if (--readsUnderWay == 0) {
-            done.accept(doneJobs);
+          applyEndRecord(job, item);
+          if (!unreadJobs.isEmpty()) {
+            read(unreadJobs.poll());
+          } else if (--activeReads == 0) {
+            onComplete.accept(doneJobs);
           }
         });
   }
 
-  private void apply(String job, VersionedValue item) {
+  private void applyEndRecord(String job, VersionedValue item) {
     if (item.value() == null) {
       return;
     }
--- a/src/main/java/org/mallowroad/controller/persistence/LeaderWriteRateAdjuster.java
+++ b/src/main/java/org/mallowroad/controller/persistence/LeaderWriteRateAdjuster.java
@@ -3,11 +3,11 @@
 import org.mallowroad.net.RateLimiter;
 
 /**
- * Sets the leader's share of the state service's write rate. Users' submissions and cancellations
- * come first: one that is refused comes back a second later at the earliest, and what the leader
- * writes can wait for a moment. So the leader keeps to what those of the last seconds leave, at
- * least half and at most three quarters, and loses no more than that to a burst it could not
- * foresee.
+ * Adjusts the leader's share of the state service's write rate. Users' submissions and
+ * cancellations take precedence: a refused one is retried after a second at the earliest, whereas
+ * the leader's writes can wait briefly. The leader therefore uses the rate that user writes of the
+ * last seconds leave, but at least half and at most three quarters of the total. The upper bound
+ * leaves room for an unexpected burst of user writes.
  *
  * <p>Confined to the event loop.
  */
@@ -15,60 +15,70 @@
   private static final double MAX_SHARE = 0.75;
   private static final double MIN_SHARE = 0.5;
 
-  /** Part of the rate that is left free: the service and this node count by their own clocks. */
-  private static final double MARGIN = 0.08;
+  /**
+   * Share of the rate that remains unused, because the service and this node measure rates by
+   * different clocks.
+   */
+  private static final double UNUSED_SHARE = 0.08;
 
-  /** Weight of the newest second in the average. */
-  private static final double GAIN = 0.3;
+  /** Weight of the latest measurement in the moving average. */
+  private static final double SMOOTHING_FACTOR = 0.3;
 
   private static final long UPDATE_INTERVAL_MS = 1_000;
   private static final double MS_PER_SECOND = 1000;
 
-  /** Writes of a submission: the open record. */
+  /** Number of writes of a submission: the open record. */
   private static final int SUBMISSION_WRITES = 1;
 
-  /** Writes of a cancellation: the end record and the open record. */
+  /** Number of writes of a cancellation: the end record and the open record. */
   private static final int CANCELLATION_WRITES = 2;
 
   private final double writesPerSecond;
-  private final RateLimiter leaderWrites;
+  private final RateLimiter leaderRateLimiter;
   private int userWrites;
   private double userWritesPerSecond;
   private long updatedMs;
 
   /**
-   * Prepares the sharing.
+   * Creates an adjuster for the leader's rate limiter.
    *
-   * @param writesPerSecond writes that the service takes
-   * @param leaderWrites the leader's limiter, whose rate is set
+   * @param writesPerSecond the write rate limit of the service
+   * @param leaderRateLimiter the rate limiter of the leader's writes, which this class adjusts
    */
-  public LeaderWriteRateAdjuster(double writesPerSecond, RateLimiter leaderWrites, long now) {
+  public LeaderWriteRateAdjuster(double writesPerSecond, RateLimiter leaderRateLimiter, long now) {
     this.writesPerSecond = writesPerSecond;
-    this.leaderWrites = leaderWrites;
+    this.leaderRateLimiter = leaderRateLimiter;
     this.updatedMs = now;
   }
 
-  /** A job was accepted by any node. */
+  /** Counts the writes of a job that any node accepted. */
   public void jobAccepted() {
     userWrites += SUBMISSION_WRITES;
   }
 
-  /** A job was cancelled by any node. */
+  /** Counts the writes of a job that any node cancelled. */
   public void jobCancelled() {
     userWrites += CANCELLATION_WRITES;
   }
 
-  /** Sets the leader's rate once a second; to be called more often than that. */
+  /**
+   * Updates the leader's rate if at least one second has passed since the last update. Must be
+   * called more often than once a second.
+   */
   public void update(long now) {
-    long ms = now - updatedMs;
-    if (ms < UPDATE_INTERVAL_MS) {
+    long elapsedMs = now - updatedMs;
+    if (elapsedMs < UPDATE_INTERVAL_MS) {
       return;
     }
-    userWritesPerSecond += GAIN * (userWrites * MS_PER_SECOND / ms - userWritesPerSecond);
+    userWritesPerSecond +=
+        SMOOTHING_FACTOR * (userWrites * MS_PER_SECOND / elapsedMs - userWritesPerSecond);
     userWrites = 0;
     updatedMs = now;
-    double left = writesPerSecond * (1 - MARGIN) - userWritesPerSecond;
-    leaderWrites.setRate(
-        Math.max(writesPerSecond * MIN_SHARE, Math.min(writesPerSecond * MAX_SHARE, left)), now);
+    double remainingWritesPerSecond = writesPerSecond * (1 - UNUSED_SHARE) - userWritesPerSecond;
+    leaderRateLimiter.setRate(
+        Math.max(
+            writesPerSecond * MIN_SHARE,
+            Math.min(writesPerSecond * MAX_SHARE, remainingWritesPerSecond)),
+        now);
   }
 }
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -13,21 +13,22 @@
 import org.mallowroad.state.VersionedValue;
 
 /**
- * Watches the open records, which any controller may add (a job was accepted) or delete (it was
- * cancelled). Confined to the event loop; for one term.
+ * Watches the open records. Any controller may add one when it accepts a job, or delete one when it
+ * cancels a job. Confined to the event loop. Each instance serves one term.
  */
 final class OpenJobWatcher {
   /**
-   * How long a watch waits for a change. The view of cancellations is as old as its newest watch
-   * that was answered ({@link CancellationView}), so this much of an outage is lost to the workers.
-   * A call each second and a half is one in a hundred of the smallest deployment's.
+   * How long a watch waits for a change, in milliseconds. The cancellation view is as old as the
+   * latest watch that received a response ({@link CancellationView}), so this interval shortens the
+   * outage of the state service that workers can bridge. One call every 1.5 s is about one percent
+   * of the calls of the smallest deployment.
    */
   private static final long WATCH_WAIT_MS = 1_500;
 
-  /** Delay of a list after a watch that failed. */
+  /** Delay before the open records are listed after a failed watch. */
   private static final long LIST_DELAY_MS = 200;
 
-  /** Delay of another list after one that failed. */
+  /** Delay before a failed list is retried. */
   private static final long LIST_RETRY_MS = 300;
 
   private final EventLoop loop;
@@ -35,7 +36,7 @@
   private final SchedulerState schedulerState;
   private final RecordRestorer restorer;
   private final WriteBehindCommitter committer;
-  private final CancellationView view;
+  private final CancellationView cancellationView;
   private final StateLoader.Listener listener;
   private boolean isStopped;
 
@@ -45,31 +46,31 @@
       SchedulerState schedulerState,
       RecordRestorer restorer,
       WriteBehindCommitter committer,
-      CancellationView view,
+      CancellationView cancellationView,
       StateLoader.Listener listener) {
     this.loop = loop;
     this.store = store;
     this.schedulerState = schedulerState;
     this.restorer = restorer;
     this.committer = committer;
-    this.view = view;
+    this.cancellationView = cancellationView;
     this.listener = listener;
   }
 
-  /** Watches nothing more. */
+  /** Stops watching; later responses are ignored. */
   void stop() {
     isStopped = true;
   }
 
-  /** Restores an open job and tells of it. */
-  void openRecordFound(VersionedValue item) {
+  /** Restores an open job and notifies the listener. */
+  void restoreOpenJob(VersionedValue item) {
     Job job = restorer.restoreOpenJob(item);
     if (job != null) {
       listener.openJobRestored(job);
     }
   }
 
-  /** Watches the changes after a revision, from now on. */
+  /** Watches changes after a revision until {@link #stop} is called. */
   void watch(long afterRevision) {
     if (isStopped) {
       return;
@@ -84,22 +85,22 @@
             return;
           }
           if (result != CallResult.OK) {
-            loop.after(LIST_DELAY_MS, this::list);
+            loop.after(LIST_DELAY_MS, this::listOpenJobs);
             return;
           }
-          apply(events, sentMs);
+          applyEvents(events, sentMs);
           watch(revision);
         });
   }
 
-  private void apply(List<VersionedValue> events, long sentMs) {
-    CancellationView.Reading reading = view.beginReading(sentMs);
+  private void applyEvents(List<VersionedValue> events, long sentMs) {
+    CancellationView.Reading reading = cancellationView.beginReading(sentMs);
     for (VersionedValue event : events) {
       if (event.value() != null) {
         listener.jobAccepted();
-        openRecordFound(event);
+        restoreOpenJob(event);
       } else {
-        openRecordDeleted(RecordKeys.jobOfOpenJobKey(event.key()), reading);
+        handleDeletedOpenRecord(RecordKeys.jobOfOpenJobKey(event.key()), reading);
       }
     }
     reading.markApplied();
@@ -108,8 +109,12 @@
     }
   }
 
-  /** The view is no newer than how the job ended: until that is read, nothing of it is stopped. */
-  private void openRecordDeleted(String id, CancellationView.Reading reading) {
+  /**
+   * Reads how a job whose open record was deleted has ended. The reading of the cancellation view
+   * is complete only once the end record is read, because the deletion alone does not show whether
+   * the job was cancelled.
+   */
+  private void handleDeletedOpenRecord(String id, CancellationView.Reading reading) {
     Job job = schedulerState.job(id);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.jobCancelled();
@@ -123,8 +128,8 @@
     }
   }
 
-  /** Reads all open records, since it is not known what has changed. */
-  private void list() {
+  /** Lists all open records, because the changes since the last successful watch are unknown. */
+  private void listOpenJobs() {
     if (isStopped) {
       return;
     }
@@ -136,27 +141,28 @@
             return;
           }
           if (result != CallResult.OK) {
-            loop.after(LIST_RETRY_MS, this::list);
+            loop.after(LIST_RETRY_MS, this::listOpenJobs);
             return;
           }
-          compare(openRecords, sentMs);
+          reconcile(openRecords, sentMs);
           watch(revision);
         });
   }
 
-  private void compare(List<VersionedValue> openRecords, long sentMs) {
-    CancellationView.Reading reading = view.beginReading(sentMs);
-    ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
+  private void reconcile(List<VersionedValue> openRecords, long sentMs) {
+    CancellationView.Reading reading = cancellationView.beginReading(sentMs);
+    ObjectOpenHashSet<String> listedIds = new ObjectOpenHashSet<>();
     for (VersionedValue item : openRecords) {
       String id = RecordKeys.jobOfOpenJobKey(item.key());
-      ids.add(id);
+      listedIds.add(id);
       if (schedulerState.job(id) == null) {
-        openRecordFound(item); // Open records never change: the others need not be read again.
+        restoreOpenJob(
+            item); // Open records never change, so known jobs need not be restored again.
       }
     }
     for (Job job : new ArrayList<>(schedulerState.jobs())) {
-      if (!ids.contains(job.spec.id())) {
-        openRecordDeleted(job.spec.id(), reading);
+      if (!listedIds.contains(job.spec.id())) {
+        handleDeletedOpenRecord(job.spec.id(), reading);
       }
     }
     reading.markApplied();
--- a/src/main/java/org/mallowroad/controller/persistence/RecordDecodingContext.java
+++ b/src/main/java/org/mallowroad/controller/persistence/RecordDecodingContext.java
@@ -5,17 +5,20 @@
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.wire.JobCodec;
 
-/** The name indices and machine types that records are decoded with. Used on the event loop. */
+/**
+ * Provides the name index, machine types and job codec for decoding records. Used on the event
+ * loop.
+ */
 public interface RecordDecodingContext {
-  /** All machine types; empty before the first answer of the cloud. */
+  /** Returns all machine types; empty until the first response of the cloud. */
   List<MachineType> machineTypes();
 
-  /** The machine type of this name, or null when the cloud does not offer it. */
+  /** Returns the machine type with this name, or null if the cloud does not offer it. */
   MachineType machineType(String name);
 
-  /** The index of zone names. */
+  /** Returns the index of zone names. */
   NameIndex zones();
 
-  /** Decodes submissions into job specifications. */
+  /** Returns the codec that decodes submissions into job specifications. */
   JobCodec jobCodec();
 }
--- a/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
+++ b/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings records into the scheduler state. One that cannot be read is logged and left out: the
- * others count. Confined to the event loop.
+ * Restores records into the scheduler state. An unreadable record is logged and skipped without
+ * affecting the others. Confined to the event loop.
  */
 final class RecordRestorer {
   private static final Logger LOG = LoggerFactory.getLogger(RecordRestorer.class);
@@ -37,7 +37,7 @@
     this.schedulerState = schedulerState;
   }
 
-  /** Restores a job from its open record; null when the record cannot be used. */
+  /** Restores a job from its open record; returns null if the record cannot be used. */
   Job restoreOpenJob(VersionedValue item) {
     try {
       JobSpec spec = JobRecordCodec.decodeOpen(item.value(), decodingContext.jobCodec());
@@ -48,14 +48,14 @@
       long ageMs = loop.wallMs() - spec.submittedMs();
       return schedulerState.accept(spec, item.version(), ageMs, loop.now());
     } catch (InvalidMessageException e) {
-      unreadable(item, e);
+      logUnreadable(item, e);
       return null;
     }
   }
 
   /**
-   * Restores a job that was cancelled from the open record that its end record keeps: its attempts
-   * may still be on machines.
+   * Restores a cancelled job from the open record stored in its end record, because attempts of the
+   * job may still be on machines.
    */
   void restoreCancelledJob(VersionedValue endRecord) {
     try {
@@ -65,15 +65,17 @@
         schedulerState.cancel(schedulerState.accept(spec, 0, 0, loop.now()), loop.now());
       }
     } catch (InvalidMessageException e) {
-      unreadable(endRecord, e);
+      logUnreadable(endRecord, e);
     }
   }
 
-  private static void unreadable(VersionedValue item, InvalidMessageException e) {
+  private static void logUnreadable(VersionedValue item, InvalidMessageException e) {
     LOG.error("event=record_unreadable key={} reason=\"{}\"", item.key(), e.getMessage());
   }
 
-  /** Restores an attempt record that is a job's own; one of an unknown job is left out. */
+  /**
+   * Restores an attempt record that belongs to a single job; a record of an unknown job is skipped.
+   */
   void restoreAttempts(VersionedValue item) {
     Job job = schedulerState.job(RecordKeys.jobOfAttemptRecordKey(item.key()));
     if (job == null) {
@@ -81,13 +83,13 @@
     }
     int index = RecordKeys.indexOfAttemptRecordKey(item.key());
     if (index < job.attemptRecordCount()) {
-      restore(job.attemptRecord(index), item.version(), item.value(), item.key());
+      restoreAttemptRecord(job.attemptRecord(index), item.version(), item.value(), item.key());
     }
   }
 
   /**
-   * Restores a shared record. Jobs that are done stay listed in it until it is written again: they
-   * are left out.
+   * Restores a shared attempt record. Completed jobs remain listed in it until it is next written;
+   * they are skipped.
    */
   void restoreSharedAttempts(VersionedValue item) {
     SharedAttemptRecord shared =
@@ -98,12 +100,13 @@
       Job job = schedulerState.job(member.getKey());
       if (job != null && job.attemptRecordCount() == 1) {
         schedulerState.sharedAttemptRecords().restoreMember(shared, job.attemptRecord(0));
-        restore(job.attemptRecord(0), 0, member.getValue(), item.key());
+        restoreAttemptRecord(job.attemptRecord(0), 0, member.getValue(), item.key());
       }
     }
   }
 
-  private void restore(AttemptRecord record, long version, JsonNode value, String key) {
+  private void restoreAttemptRecord(
+      AttemptRecord record, long version, JsonNode value, String key) {
     Job job = record.job;
     schedulerState.restoreRecord(
         record,
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -16,22 +16,22 @@
 import org.mallowroad.state.VersionedValue;
 
 /**
- * Reads the records that a term begins with into its scheduler state, a few in a turn of the event
- * loop, and from then on watches the open jobs ({@link OpenJobWatcher}).
+ * Loads the records that exist at the beginning of a term into the scheduler state, a few per turn
+ * of the event loop, and then watches the open jobs ({@link OpenJobWatcher}).
  *
- * <p>Confined to the event loop; for one term.
+ * <p>Confined to the event loop. Each instance serves one term.
  */
 public final class StateLoader {
-  /** Delay until the machine types are asked for again; without them no record can be read. */
+  /** Delay before the machine types are checked again; records cannot be restored without them. */
   private static final long MACHINE_TYPES_RETRY_MS = 100;
 
-  /** Delay until all is read again after a list that failed. */
+  /** Delay before all lists are read again after one has failed. */
   private static final long LIST_RETRY_MS = 200;
 
-  /** Lists that a failover reads: open jobs, attempts, shared attempts and rentals. */
-  private static final int LISTS = 4;
+  /** Number of lists that a failover reads: open jobs, attempts, shared attempts and rentals. */
+  private static final int LIST_COUNT = 4;
 
-  /** Records that are restored in one turn of the event loop. */
+  /** Maximum number of records restored per turn of the event loop. */
   private static final int RECORDS_PER_TURN = 24;
 
   private final EventLoop loop;
@@ -39,63 +39,67 @@
   private final RecordDecodingContext decodingContext;
   private final SchedulerState schedulerState;
   private final WriteBehindCommitter committer;
-  private final CancellationView view;
+  private final CancellationView cancellationView;
   private final Listener listener;
   private final RecordRestorer restorer;
   private final OpenJobWatcher watcher;
   private boolean isStopped;
 
-  /** Told what is read. */
+  /** Receives the progress of loading and the changes of open jobs. */
   public interface Listener {
     /**
-     * All records are read.
+     * All records are loaded.
      *
-     * @param attemptRecords number of attempt records, shared ones included
+     * @param attemptRecords number of attempt records, including shared ones
      * @param rentals the records of rental requests
      */
     void loaded(int attemptRecords, List<VersionedValue> rentals);
 
-    /** An open job is in the scheduler state; may be told more than once. */
+    /** An open job was restored into the scheduler state; may be called more than once per job. */
     void openJobRestored(Job job);
 
     /** A job was accepted by any node. */
     void jobAccepted();
 
-    /** A job that was not about to end is over: it was cancelled by any node. */
+    /**
+     * A job was cancelled by any node: its open record was deleted although it was not about to
+     * complete.
+     */
     void jobCancelled();
 
-    /** There may be something to place or to stop. */
+    /** The state changed: there may be tasks to place or attempts to stop. */
     void stateChanged();
   }
 
-  /** A loader of one term. */
+  /** Creates a loader for one term; {@link #load} starts it. */
   public StateLoader(
       EventLoop loop,
       KeyValueStore store,
       RecordDecodingContext decodingContext,
       SchedulerState schedulerState,
       WriteBehindCommitter committer,
-      CancellationView view,
+      CancellationView cancellationView,
       Listener listener) {
     this.loop = loop;
     this.store = store;
     this.decodingContext = decodingContext;
     this.schedulerState = schedulerState;
     this.committer = committer;
-    this.view = view;
+    this.cancellationView = cancellationView;
     this.listener = listener;
     this.restorer = new RecordRestorer(loop, decodingContext, schedulerState);
     this.watcher =
-        new OpenJobWatcher(loop, store, schedulerState, restorer, committer, view, listener);
+        new OpenJobWatcher(
+            loop, store, schedulerState, restorer, committer, cancellationView, listener);
   }
 
-  /** Reads and watches nothing more. */
+  /** Stops loading and watching; later responses are ignored. */
   public void stop() {
     isStopped = true;
     watcher.stop();
   }
 
-  /** Reads all records, again and again until every list is read. */
+  /** Loads all records, and retries until every list has been read successfully. */
   public void load() {
     if (isStopped) {
       return;
@@ -104,11 +108,11 @@
       loop.after(MACHINE_TYPES_RETRY_MS, this::load);
       return;
     }
-    new Loading().start();
+    new LoadAttempt().start();
   }
 
-  /** One reading of all records. */
-  private final class Loading {
+  /** One attempt to load all records. */
+  private final class LoadAttempt {
     private final long sentMs = loop.now();
     private List<VersionedValue> openJobs;
     private List<VersionedValue> attempts;
@@ -116,11 +120,11 @@
     private List<VersionedValue> rentals;
     private long openJobsRevision;
     private int listsRead;
-    private boolean hasFailed;
+    private boolean hasFailedList;
 
     /**
-     * All lists at once: only this term writes attempts and rentals, and what changes in open jobs
-     * is watched from the revision of their list.
+     * Reads all lists concurrently. This is consistent because only this term writes attempts and
+     * rentals, and changes of open jobs are watched from the revision of their list.
      */
     void start() {
       store.list(
@@ -128,42 +132,43 @@
           (result, items, revision) -> {
             openJobs = items;
             openJobsRevision = revision;
-            listRead(result);
+            handleListResult(result);
           });
       store.list(
           RecordKeys.ATTEMPT_RECORDS_PREFIX,
           (result, items, revision) -> {
             attempts = items;
-            listRead(result);
+            handleListResult(result);
           });
       store.list(
           RecordKeys.SHARED_ATTEMPT_RECORDS_PREFIX,
           (result, items, revision) -> {
             sharedAttempts = items;
-            listRead(result);
+            handleListResult(result);
           });
       store.list(
           RecordKeys.RENTALS_PREFIX,
           (result, items, revision) -> {
             rentals = items;
-            listRead(result);
+            handleListResult(result);
           });
     }
 
-    private void listRead(CallResult result) {
-      hasFailed |= result != CallResult.OK;
-      if (++listsRead < LISTS || isStopped) {
+    private void handleListResult(CallResult result) {
+      hasFailedList |= result != CallResult.OK;
+      if (++listsRead < LIST_COUNT || isStopped) {
         return;
       }
-      if (hasFailed) {
+      if (hasFailedList) {
         loop.after(LIST_RETRY_MS, StateLoader.this::load);
       } else {
-        restoreInTurns(openJobs, 0, watcher::openRecordFound, this::readJobEnds);
+        restoreInTurns(openJobs, 0, watcher::restoreOpenJob, this::readJobEnds);
       }
     }
 
     /**
-     * Restores a few records a turn: lease renewals and responses to workers and users go first.
+     * Restores a few records per turn of the event loop, so that lease renewals and responses to
+     * workers and users are not delayed.
      */
     private void restoreInTurns(
         List<VersionedValue> items, int from, Consumer<VersionedValue> restore, Runnable next) {
@@ -180,23 +185,24 @@
     }
 
     /**
-     * Reads how those jobs ended that have attempt records and no open record. Attempts of
-     * cancelled jobs still count: their specifications are in the end records.
+     * Reads the end records of jobs that have attempt records but no open record. Attempts of
+     * cancelled jobs must still be restored; their job specifications are in the end records.
      */
     private void readJobEnds() {
-      ObjectOpenHashSet<String> open = new ObjectOpenHashSet<>();
-      openJobs.forEach(item -> open.add(RecordKeys.jobOfOpenJobKey(item.key())));
-      ObjectLinkedOpenHashSet<String> ended = new ObjectLinkedOpenHashSet<>();
-      attempts.forEach(item -> ended.add(RecordKeys.jobOfAttemptRecordKey(item.key())));
+      ObjectOpenHashSet<String> openIds = new ObjectOpenHashSet<>();
+      openJobs.forEach(item -> openIds.add(RecordKeys.jobOfOpenJobKey(item.key())));
+      ObjectLinkedOpenHashSet<String> endedIds = new ObjectLinkedOpenHashSet<>();
+      attempts.forEach(item -> endedIds.add(RecordKeys.jobOfAttemptRecordKey(item.key())));
       sharedAttempts.forEach(
           item ->
               AttemptRecordCodec.membersOfShared(item.value())
-                  .forEach(member -> ended.add(member.getKey())));
-      ended.removeAll(open);
-      new JobEndReader(loop, store, restorer, () -> isStopped, ended, this::jobEndsRead).start();
+                  .forEach(member -> endedIds.add(member.getKey())));
+      endedIds.removeAll(openIds);
+      new JobEndReader(loop, store, restorer, () -> isStopped, endedIds, this::handleJobEnds)
+          .start();
     }
 
-    private void jobEndsRead(Set<String> doneJobs) {
+    private void handleJobEnds(Set<String> doneJobs) {
       for (VersionedValue item : attempts) {
         if (doneJobs.contains(RecordKeys.jobOfAttemptRecordKey(item.key()))) {
           committer.deleteObsoleteRecord(item.key(), item.version());
@@ -213,8 +219,8 @@
       for (Job job : schedulerState.jobs()) {
         schedulerState.finishRestore(job, loop.now());
       }
-      // Of jobs that are over as well: readJobEnds has read how each of them ended.
-      view.beginReading(sentMs).markApplied();
+      // The reading covers ended jobs as well, because readJobEnds has read how each of them ended.
+      cancellationView.beginReading(sentMs).markApplied();
       listener.loaded(attempts.size() + sharedAttempts.size(), rentals);
       watcher.watch(openJobsRevision);
     }
--- a/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
+++ b/src/main/java/org/mallowroad/controller/persistence/WriteBehindCommitter.java
@@ -16,43 +16,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes what changes in the scheduler state to the state service, behind the decisions: one
- * transaction at a time, with the version of the key {@code leader} and of every key that is
- * written as conditions. What changes while one is under way goes into the next.
+ * Writes changes of the scheduler state to the state service asynchronously, after the decisions
+ * that caused them. One transaction is sent at a time; its conditions include the versions of the
+ * key {@code leader} and of every key that it writes. Changes made while a transaction is in
+ * progress are part of the next one.
  *
- * <p><b>Why no outcome stays unknown.</b> After a transaction without a response the next one has
- * the same versions among its conditions, so whichever is executed first makes the other fail, and
- * a failed condition is resolved by reading the versions again ({@link CommitConflictResolver}).
+ * <p><b>Why no outcome remains unknown.</b> The transaction after one without a response has the
+ * same versions among its conditions. Whichever of the two is executed first therefore makes the
+ * other fail, and a failed condition is resolved by reading the stored versions ({@link
+ * CommitConflictResolver}).
  *
- * <p>Confined to the event loop; for one term of leadership.
+ * <p>Confined to the event loop. Each instance serves one term.
  */
 public final class WriteBehindCommitter {
   private static final Logger LOG = LoggerFactory.getLogger(WriteBehindCommitter.class);
 
-  /** The end of a job is due within 3 s, so it may give way to starts for this long. */
+  /**
+   * How long the end of a job may yield to starts, in milliseconds. The end must be recorded within
+   * 3 s.
+   */
   private static final long END_DELAY_MS = 800;
 
-  /** Conditions that a transaction may have for each write; a limit of the state service. */
+  /**
+   * Maximum number of conditions of a transaction per allowed write; a limit of the state service.
+   */
   private static final int CONDITIONS_PER_WRITE = 4;
 
-  /** Delay of the next transaction after one that was certainly not executed. */
+  /** Delay before the next transaction after one that was certainly not executed. */
   private static final long RETRY_DELAY_MS = 300;
 
-  /** The same after one that may have been executed. */
+  /** Delay before the next transaction after one that may have been executed. */
   private static final long UNKNOWN_RETRY_DELAY_MS = 50;
 
-  /** Exits of tasks wait at least this long, so that several share a transaction. */
+  /** Minimum delay before task exits are written, so that several of them share a transaction. */
   private static final long MIN_DEFERRAL_MS = 400;
 
   private static final long MAX_DEFERRAL_MS = 6_000;
 
   /**
-   * Where many records have exits they wait for longer, so that they take no more than this part of
-   * the writes.
+   * Maximum share of the write rate for task exits: when many records have exits, the exits are
+   * deferred longer so that they do not exceed this share.
    */
-  private static final double DEFERRED_SHARE = 0.2;
+  private static final double DEFERRED_WRITE_SHARE = 0.2;
 
-  /** A transaction waits until the rate limit allows this many writes rather than go out small. */
+  /**
+   * A transaction waits until the rate limit allows this many writes, to avoid very small
+   * transactions.
+   */
   private static final int MIN_WRITES = 4;
 
   private static final double MS_PER_SECOND = 1000;
@@ -66,9 +76,9 @@
   private final Listener listener;
   private final CommitApplier applier;
   private final CommitConflictResolver conflictResolver;
-  private final List<Runnable> afterNextTransaction = new ArrayList<>();
+  private final List<Runnable> transactionCallbacks = new ArrayList<>();
 
-  /** Keys of records that are only to be deleted, with their versions. */
+  /** Keys and versions of obsolete records, which only need to be deleted. */
   private final Object2LongLinkedOpenHashMap<String> obsoleteRecords =
       new Object2LongLinkedOpenHashMap<>();
 
@@ -76,13 +86,13 @@
   private long writeCount;
   private boolean isBusy;
   private boolean isStopped;
-  private EventLoop.Timer deferral;
+  private EventLoop.Timer deferralTimer;
 
   /**
-   * What a committer writes with.
+   * Settings of a committer.
    *
    * @param leaderKeyVersion version of the key {@code leader} in this term
-   * @param maxWrites puts and deletes of a transaction, at most
+   * @param maxWrites maximum number of puts and deletes per transaction
    */
   public record Options(long leaderKeyVersion, int maxWrites) {
     private int maxConditions() {
@@ -90,36 +100,37 @@
     }
   }
 
-  /** Told what became of the commits, and asked what the starts of gated jobs depend on. */
+  /** Receives the outcomes of commits and provides the conditions for the starts of gated jobs. */
   public interface Listener {
     /** The condition on the key {@code leader} failed: another node leads. */
     void deposed();
 
-    /** A transaction was committed: starts that it recorded may be launched. */
+    /** A transaction was committed, so the starts that it recorded may be launched. */
     void committed();
 
-    /** Adds what the start of a gated job requires: conditions, and at most one write. */
+    /** Adds the conditions that the start of a gated job requires, and at most one write. */
     void addStartConditions(Job job, Transaction transaction);
 
-    /** What {@link #addStartConditions} added is committed. */
+    /** The conditions and the write that {@link #addStartConditions} added are committed. */
     void gatedStartCommitted(Job job, long revision);
 
     /**
-     * A condition that {@link #addStartConditions} added may have failed: reads it again.
+     * Reads the records behind the conditions of {@link #addStartConditions} again, because one of
+     * the conditions may have failed.
      *
-     * @param next run when that is done
+     * @param next run when the records are read
      */
     void reloadStartConditions(Job job, Runnable next);
 
     /**
-     * A job's end is committed, or was found to be.
+     * The end of a job is committed, or an existing end record was found.
      *
-     * @param isDone false if the job was cancelled; that may be told more than once
+     * @param isDone false if the job was cancelled, which may be reported more than once
      */
     void jobEnded(Job job, boolean isDone);
   }
 
-  /** A committer of one term. */
+  /** Creates a committer for one term. */
   public WriteBehindCommitter(
       EventLoop loop,
       KeyValueStore store,
@@ -140,60 +151,69 @@
   }
 
   /**
-   * Members of a shared record at most: half of a transaction's conditions are left to other
-   * writes.
+   * Returns the maximum number of members of a shared record. The limit leaves half of a
+   * transaction's conditions to other writes.
    */
   public static int maxSharedMembers(int maxWrites) {
     return CONDITIONS_PER_WRITE * maxWrites / 2;
   }
 
-  /** Sends nothing more; what waits for a transaction is run. */
+  /** Stops sending transactions and runs the callbacks that wait for the next one. */
   public void stop() {
     isStopped = true;
     conflictResolver.stop();
-    if (deferral != null) {
-      deferral.cancel();
+    if (deferralTimer != null) {
+      deferralTimer.cancel();
     }
-    runWaiting();
+    runTransactionCallbacks();
   }
 
-  /** Number of transactions of this term. */
+  /** Returns the number of transactions sent in this term. */
   public long commitCount() {
     return commitCount;
   }
 
-  /** Number of puts and deletes of this term, retries included. */
+  /** Returns the number of puts and deletes sent in this term, including retries. */
   public long writeCount() {
     return writeCount;
   }
 
-  /** Runs something once after the next transaction, whatever its outcome. */
-  public void runAfterNextTransaction(Runnable waiting) {
-    afterNextTransaction.add(waiting);
+  /**
+   * Runs a callback once, after the next transaction is committed or fails on a condition, or when
+   * this committer stops.
+   */
+  public void runAfterNextTransaction(Runnable callback) {
+    transactionCallbacks.add(callback);
   }
 
-  private void runWaiting() {
-    List<Runnable> all = new ArrayList<>(afterNextTransaction);
-    afterNextTransaction.clear();
-    all.forEach(Runnable::run);
+  private void runTransactionCallbacks() {
+    List<Runnable> callbacks = new ArrayList<>(transactionCallbacks);
+    transactionCallbacks.clear();
+    callbacks.forEach(Runnable::run);
   }
 
-  /** Deletes a record of a job that is over, which an earlier leader had no time to delete. */
+  /**
+   * Schedules the deletion of a record of an ended job that an earlier leader did not delete in
+   * time.
+   */
   void deleteObsoleteRecord(String key, long version) {
     obsoleteRecords.put(key, version);
   }
 
-  /** Reads how a job ended, if it did, and applies it; then runs {@code next}. */
+  /** Reads the job's end record, applies it if it exists, and then runs {@code next}. */
   void readJobEnd(Job job, Runnable next) {
     conflictResolver.readJobEnd(job, next);
   }
 
-  /** A job is known to be cancelled, by whoever says so; may be told more than once. */
+  /**
+   * Applies the cancellation of a job, whichever component learned of it; may be called more than
+   * once per job.
+   */
   public void jobCancelled(Job job) {
     applier.jobCancelled(job);
   }
 
-  /** Commits starts and ends of jobs now; exits of tasks alone are deferred. */
+  /** Commits pending task starts and job ends immediately. Task exits alone are deferred. */
   public void commitPending() {
     if (isBusy || isStopped) {
       return;
@@ -201,7 +221,7 @@
     if (hasUrgentWrites()) {
       send();
     } else if (hasDeferredWrites()) {
-      defer();
+      scheduleDeferredCommit();
     }
   }
 
@@ -215,13 +235,13 @@
         || schedulerState.sharedAttemptRecords().anyNeedsWrite();
   }
 
-  private void defer() {
-    if (deferral == null && !isStopped) {
-      deferral =
+  private void scheduleDeferredCommit() {
+    if (deferralTimer == null && !isStopped) {
+      deferralTimer =
           loop.after(
               MIN_DEFERRAL_MS,
               () -> {
-                deferral = null;
+                deferralTimer = null;
                 send();
               });
     }
@@ -235,14 +255,14 @@
     CommitTransactionBuilder commit = buildTransaction(now);
     if (commit.isEmpty()) {
       if (hasDeferredWrites()) {
-        defer();
+        scheduleDeferredCommit();
       }
       return;
     }
-    commit.finish();
+    commit.encodeSharedRecords();
     int size = commit.transaction().writeCount();
     if (size == 0) {
-      applied(commit, 0);
+      applyCommitted(commit, 0);
       commitPending();
       return;
     }
@@ -279,8 +299,8 @@
   }
 
   /**
-   * Builds a transaction as large as the rate limit allows now: writes that had to wait for it
-   * would hold up those that need not.
+   * Builds a transaction no larger than the rate limit allows now. Writes beyond the limit would
+   * delay the whole transaction.
    */
   private CommitTransactionBuilder buildTransaction(long now) {
     double available = writeRateLimiter.availablePermits(now);
@@ -298,20 +318,22 @@
     commit.addEnds(END_DELAY_MS);
     commit.addStarts();
     commit.addEnds(0);
-    // Exits leave half of the permits to the starts to come.
-    int half = (int) (available - options.maxWrites() / 2.0);
-    int spareWrites = hasUrgentWrites() ? half : Math.max(minWrites, half);
-    commit.addDeferred(deferralMs(), Math.max(0, spareWrites - commit.writes()), obsoleteRecords);
+    // Exits leave half of the permits to upcoming starts.
+    int halfOfPermits = (int) (available - options.maxWrites() / 2.0);
+    int spareWrites = hasUrgentWrites() ? halfOfPermits : Math.max(minWrites, halfOfPermits);
+    commit.addDeferred(
+        deferralMs(), Math.max(0, spareWrites - commit.writeCount()), obsoleteRecords);
     return commit;
   }
 
   /**
-   * How long an exit waits to be recorded. Nobody waits for it: the job's end is recorded apart,
-   * and the next leader learns of it from the worker. Each record that has one is written once in
-   * that time, whatever number of tasks end in it meanwhile.
+   * Returns how long task exits wait before they are written, in milliseconds. The delay is
+   * harmless: the job's end is recorded separately, and a new leader learns of the exit from the
+   * worker. Each record with exits is written once in that time, however many of its tasks end
+   * meanwhile.
    */
   private long deferralMs() {
-    double perSecond = DEFERRED_SHARE * writeRateLimiter.permitsPerSecond();
+    double perSecond = DEFERRED_WRITE_SHARE * writeRateLimiter.permitsPerSecond();
     long ms = (long) (MS_PER_SECOND * schedulerState.dirtyRecords().size() / perSecond);
     return Math.max(MIN_DEFERRAL_MS, Math.min(MAX_DEFERRAL_MS, ms));
   }
@@ -324,8 +346,8 @@
     switch (result) {
       case OK -> {
         isBusy = false;
-        applied(commit, revision);
-        runWaiting();
+        applyCommitted(commit, revision);
+        runTransactionCallbacks();
         listener.committed();
         commitPending();
       }
@@ -342,7 +364,7 @@
     }
   }
 
-  private void applied(CommitTransactionBuilder commit, long revision) {
+  private void applyCommitted(CommitTransactionBuilder commit, long revision) {
     commit.deletedKeys().forEach(obsoleteRecords::removeLong);
     applier.apply(commit, revision);
   }
@@ -354,14 +376,15 @@
       return;
     }
     LOG.info("event=commit_conflict keys={}", failedKeys);
-    // Someone else deleted or changed them: what is left is deleted after the next failover.
+    // Another process deleted or changed the obsolete records; any that remain are deleted after
+    // the next failover.
     commit.deletedKeys().forEach(obsoleteRecords::removeLong);
     conflictResolver.resolve(
         commit,
         failedKeys,
         () -> {
           isBusy = false;
-          runWaiting();
+          runTransactionCallbacks();
           send();
         });
   }
--- a/src/main/java/org/mallowroad/controller/provisioning/BootingMachines.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/BootingMachines.java
@@ -9,29 +9,35 @@
 import org.mallowroad.core.autoscaling.PendingMachines;
 
 /**
- * Machines that were rented or listed by the cloud and have not sent a heartbeat in this term.
- * Confined to the event loop.
+ * Tracks machines that were rented or are listed by the cloud but have not sent a heartbeat in this
+ * term. Confined to the event loop.
  */
 final class BootingMachines {
-  /** A machine counts as pending for this time for each second of its type's boot time. */
+  /** A machine counts as pending for this many milliseconds per second of its type's boot time. */
   private static final double PENDING_MS_PER_BOOT_S = 1800;
 
   private static final long PENDING_EXTRA_MS = 4_000;
 
-  /** A machine is given up after this time for each second of its type's boot time. */
+  /**
+   * The boot of a machine times out after this many milliseconds per second of its type's boot
+   * time.
+   */
   private static final double TIMEOUT_MS_PER_BOOT_S = 2500;
 
   private static final long TIMEOUT_EXTRA_MS = 10_000;
 
-  /** A leader gives no machine up before it knew it for this time, however old it is. */
+  /**
+   * Minimum time for which a leader must have known a machine before its boot times out, regardless
+   * of the machine's age.
+   */
   private static final long MIN_KNOWN_MS = 25_000;
 
   /**
-   * One of the machines.
+   * A machine that is booting.
    *
-   * @param requestedMs when it was requested
-   * @param knownSinceMs when this leader learned of it
-   * @param gang id of the gang that it is reserved for, or null
+   * @param requestedMs when the machine was requested
+   * @param knownSinceMs when this leader learned of the machine
+   * @param gang ID of the gang for which the machine is reserved, or null
    */
   record BootingMachine(
       String name, MachineVariant variant, long requestedMs, long knownSinceMs, String gang) {}
@@ -40,19 +46,19 @@
       new Object2ObjectLinkedOpenHashMap<>();
 
   /**
-   * A rental request brought the machine: replaces what the cloud's list said, which does not name
-   * the gang.
+   * Adds a machine that a rental request returned. Replaces an entry from the cloud's list, which
+   * does not name the gang.
    */
   void addRented(BootingMachine machine) {
     machines.put(machine.name(), machine);
   }
 
-  /** The cloud lists the machine. */
+  /** Adds a machine from the cloud's list, unless it is already known. */
   void addListed(BootingMachine machine) {
     machines.putIfAbsent(machine.name(), machine);
   }
 
-  /** Removes the machine; null when it is not among them. */
+  /** Removes the machine and returns it, or null if it is not booting. */
   BootingMachine remove(String name) {
     return machines.remove(name);
   }
@@ -61,19 +67,22 @@
     return machines.containsKey(name);
   }
 
-  /** How many of a variant are among them that the scheduler does not know. */
-  int countUnknown(MachineVariant variant, SchedulerState schedulerState) {
+  /**
+   * Returns the number of booting machines of a variant that are not registered in the scheduler
+   * state.
+   */
+  int countUnregistered(MachineVariant variant, SchedulerState schedulerState) {
     int count = 0;
     for (BootingMachine machine : machines.values()) {
-      boolean same = machine.variant().key() == variant.key();
-      count += same && schedulerState.machine(machine.name()) == null ? 1 : 0;
+      boolean isSameVariant = machine.variant().key() == variant.key();
+      count += isSameVariant && schedulerState.machine(machine.name()) == null ? 1 : 0;
     }
     return count;
   }
 
   /**
-   * Adds those to {@code pending} that should send a heartbeat soon. One that is long overdue may
-   * never do so: it no longer holds back a replacement.
+   * Adds the machines that should send a heartbeat soon to {@code pending}. A machine that is long
+   * overdue may never send one, so it is left out and no longer prevents a replacement.
    */
   void addPending(List<PendingMachines> pending, long now) {
     for (BootingMachine machine : machines.values()) {
@@ -87,12 +96,12 @@
   }
 
   /**
-   * Removes those whose boot timed out and marks them for deletion, except in zones that are
+   * Removes the machines whose boot timed out and marks them for deletion, except in zones that are
    * partitioned from this leader.
    *
-   * @return their names
+   * @return the names of the removed machines
    */
-  List<String> expire(SchedulerState schedulerState, long now) {
+  List<String> expireOverdue(SchedulerState schedulerState, long now) {
     List<String> expired = new ArrayList<>();
     for (BootingMachine booting : machines.values().toArray(new BootingMachine[0])) {
       MachineVariant variant = booting.variant();
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -18,93 +18,103 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Acts on what {@link FleetHealth} suspects: which silent or faulty machines are deleted, and when.
- * The deletion is the proof that frees their tasks; suspicion alone frees nothing.
+ * Responds to the suspicions of {@link FleetHealth}: decides which silent or faulty machines are
+ * deleted, and when. The deletion is the proof that frees their tasks; a suspicion alone frees
+ * nothing.
  *
- * <p><b>Why a leader of term N that was paused does no harm once term N+1 began</b>, for each thing
- * that leaves this process. A freeze can fall between any check and the write after it, so no check
- * of the clock alone is a proof; what holds is at the other side.
+ * <p><b>Why a paused leader of term N does no harm once term N+1 has begun</b>, for each kind of
+ * message that this process sends. A pause can occur between any check and the write after it, so
+ * checking the clock cannot prove safety. The receiving side enforces it instead.
  *
  * <ul>
- *   <li><i>Commits:</i> each compares the version of the key {@code leader}, which N+1 changed:
- *       refused with 409.
+ *   <li><i>Commits:</i> each has the version of the key {@code leader} as a condition. N+1 changed
+ *       that version, so the service refuses the commit with 409.
  *   <li><i>Launches and stops, sent directly:</i> carry token N. A worker that has seen N+1 refuses
- *       them. One that has not may still start the attempt, but that was recorded before it was
- *       sent, so N+1 read it on takeover and counts it until a report of a worker that has seen N+1
- *       does not list it; from then on the worker refuses N.
- *   <li><i>Answers to reports:</i> a worker gives an answer up after 4 s and drops lower tokens.
- *       The lease that an answer with N renews is one that N+1 has no proof against: it counts from
- *       the last report that it answered itself.
- *   <li><i>Clearing an exited attempt:</i> sent only for what is committed (see {@code
- *       SchedulerState.orphan}), so N+1 knows the result without the worker.
- *   <li><i>Rental requests:</i> recorded under their name before the call; N+1 repeats every
- *       recorded name, and a repeated name rents nothing more.
- *   <li><i>Deletions:</i> decided only while the lease holds; a late one takes a machine, never a
- *       rule: N+1 finds it gone by the cloud's answer, its list or the worker's lease.
- *   <li><i>Answers to users:</i> come from a read or a transaction made for them; only final states
- *       are remembered, and those do not change.
+ *       them. A worker that has not may still start the attempt. The attempt was recorded before
+ *       the launch was sent, so N+1 read it on takeover and counts it until a heartbeat of a worker
+ *       that has seen N+1 does not list it; from then on that worker refuses N.
+ *   <li><i>Responses to heartbeats:</i> a worker stops waiting for a response after 4 s and ignores
+ *       lower tokens. If a response with token N renews a worker's lease, N+1 does not rely on that
+ *       lease having expired: it measures worker leases from the last heartbeat that it answered
+ *       itself.
+ *   <li><i>Clearing an exited attempt:</i> sent only for committed results (see {@code
+ *       HeartbeatReconciler}), so N+1 knows the result without asking the worker.
+ *   <li><i>Rental requests:</i> recorded under a name before the call. N+1 repeats every recorded
+ *       request, and repeating a name rents no additional machines.
+ *   <li><i>Deletions:</i> decided only while the lease is valid. A late deletion can remove a
+ *       machine but cannot violate an invariant: N+1 learns that the machine is gone from the
+ *       cloud's response, the cloud's list or the expiry of the worker's lease.
+ *   <li><i>Responses to users:</i> come from a read or a transaction made for the request. Only
+ *       final states are cached, and those do not change.
  * </ul>
  *
- * Besides, so that it does not even try: {@code LeaderLease.isValid} measures from the sending of
- * the last renewal that succeeded, on a clock that runs on through the pause, so the first check
- * after one finds it false; workers are answered only once the lease has been asked for again; and
- * silence counts anew, for this side did not listen.
+ * In addition, a paused leader avoids such messages in the first place. {@code LeaderLease.isValid}
+ * measures from the time at which the last successful renewal was sent, on a clock that continues
+ * during the pause, so the first check after a pause returns false. Workers receive responses only
+ * after the lease has been renewed. The silence of machines is measured anew from the end of the
+ * pause, because this process received nothing meanwhile.
  */
 public final class FailureResponder {
   private static final Logger LOG = LoggerFactory.getLogger(FailureResponder.class);
 
-  /** A machine is silent when its heartbeat is overdue by half an interval and this. */
+  /** A machine is silent when its heartbeat is overdue by half an interval plus this margin. */
   private static final long SILENCE_MARGIN_MS = 2_000;
 
   /**
-   * Additional time for a worker whose heartbeats are relayed, which may be trying the direct link:
-   * a heartbeat without an answer, a pause of a second, and the way back, up to half a second each.
+   * Additional time before a worker with relayed heartbeats counts as silent. The worker may be
+   * probing the direct link, which takes a heartbeat without a response, a wait of one second and
+   * the return to the relay, up to half a second each.
    */
   private static final long RELAY_MARGIN_MS = 6_000;
 
   /**
-   * Without a direct heartbeat for this time, a zone's workers are taken to reach this leader only
-   * through a peer.
+   * If a zone sends no direct heartbeat for this long, its workers are assumed to reach this leader
+   * only through a peer.
    */
-  private static final long REROUTED_AFTER_MS = 1_500;
+  private static final long REROUTE_DETECTION_MS = 1_500;
 
-  /** After a pause workers are turned away no longer than this while the lease is not renewed. */
+  /**
+   * Maximum time after a pause for which workers get no response because the lease is not renewed.
+   */
   private static final long MAX_LEASE_UNCERTAINTY_MS = 1_500;
 
-  /** In how many leases the share of a partitioned zone that may be deleted is refilled. */
+  /**
+   * Number of worker lease durations after which the deletion budget of a partitioned zone is fully
+   * refilled.
+   */
   private static final double ZONE_REFILL_LEASES = 2;
 
-  /** For how many leases an idle machine of a partitioned zone is kept. */
-  private static final double IDLE_KEPT_LEASES = 3;
+  /** Number of worker lease durations for which an idle machine of a partitioned zone is kept. */
+  private static final double MAX_IDLE_PARTITIONED_LEASES = 3;
 
-  /** Redirected workers that are remembered; more than any fleet that one leader can answer. */
+  /** Maximum number of redirected workers that are tracked; more than one leader can serve. */
   private static final int MAX_REDIRECTED = 4_000;
 
-  /** Log lines about single machines in one evaluation. */
+  /** Maximum number of log lines about individual machines per evaluation. */
   private static final int MAX_MACHINE_LINES = 20;
 
   private final SchedulerState schedulerState;
   private final FleetHealth health;
   private final NameIndex zones;
   private final long term;
-  private final long silentMs;
+  private final long silenceTimeoutMs;
   private final long leaseMs;
-  private final TokenBucket deletions;
-  private final TokenBucket[] zoneDeletions;
-  private final long[] lastDirectMs;
-  private final boolean[] rerouted;
-  private final int[] unreachableInZone;
-  private final Object2LongOpenHashMap<String> redirectedMs = new Object2LongOpenHashMap<>();
-  private int machineLines;
+  private final TokenBucket deletionBudget;
+  private final TokenBucket[] zoneDeletionBudgets;
+  private final long[] lastDirectHeartbeatMs;
+  private final boolean[] isZoneRerouted;
+  private final int[] unreachableCountByZone;
+  private final Object2LongOpenHashMap<String> lastRedirectMs = new Object2LongOpenHashMap<>();
+  private int loggedMachineLines;
   private long suppressedLines;
 
   /**
-   * For one term.
+   * Creates a responder for one term.
    *
    * @param heartbeatIntervalS the interval of the workers' heartbeats, in seconds
    * @param leaseS the duration of the workers' leases, in seconds
    * @param term the first fencing token of the term
-   * @param now on the steady clock, in milliseconds, as everywhere in this class
+   * @param now the time on the monotonic clock in milliseconds, like all times in this class
    */
   public FailureResponder(
       SchedulerState schedulerState,
@@ -117,26 +127,27 @@
     this.health = schedulerState.health();
     this.zones = zones;
     this.term = term;
-    // Heartbeats come up to a quarter late. A machine that has missed one is hung, partitioned or
-    // dead: the sooner it is deleted, the sooner its tasks run elsewhere.
-    this.silentMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
+    // Heartbeats arrive up to a quarter of the interval late. A machine that has missed one is
+    // hung, partitioned or dead: the sooner it is deleted, the sooner its tasks run elsewhere.
+    this.silenceTimeoutMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy policy = health.policy();
-    this.deletions = new TokenBucket(policy.returnShare(), policy.minReturns(), leaseMs, now);
-    this.zoneDeletions = new TokenBucket[zones.size()];
-    this.lastDirectMs = new long[zones.size()];
-    this.rerouted = new boolean[zones.size()];
-    this.unreachableInZone = new int[zones.size()];
-    Arrays.fill(lastDirectMs, now);
-    for (int z = 0; z < zoneDeletions.length; z++) {
-      zoneDeletions[z] =
+    this.deletionBudget = new TokenBucket(policy.returnShare(), policy.minReturns(), leaseMs, now);
+    this.zoneDeletionBudgets = new TokenBucket[zones.size()];
+    this.lastDirectHeartbeatMs = new long[zones.size()];
+    this.isZoneRerouted = new boolean[zones.size()];
+    this.unreachableCountByZone = new int[zones.size()];
+    Arrays.fill(lastDirectHeartbeatMs, now);
+    for (int zone = 0; zone < zoneDeletionBudgets.length; zone++) {
+      zoneDeletionBudgets[zone] =
           new TokenBucket(policy.partitionReturnShare(), 1, ZONE_REFILL_LEASES * leaseMs, now);
     }
   }
 
   /**
-   * Detects pauses of this process: to be called by the leader's tick and before each heartbeat is
-   * handled. After a pause silence counts anew, since this side did not listen.
+   * Detects pauses of this process. Must be called by the leader's tick and before each heartbeat
+   * is handled. After a pause, the silence of machines is measured anew, because this process
+   * received nothing meanwhile.
    */
   public void recordActivity(long now) {
     long pausedMs = health.pauseDetector().recordActivity(now);
@@ -146,17 +157,21 @@
     }
   }
 
-  /** To be called by each of the leader's regular ticks, after {@link #recordActivity}. */
+  /**
+   * Records a regular tick of the leader. Must be called by each tick, after {@link
+   * #recordActivity}.
+   */
   public void recordTick() {
     health.pauseDetector().recordTick();
   }
 
   /**
-   * True shortly after a pause of this process, until the lease is renewed: another node may lead,
-   * and an answer would keep workers here that it waits for. Bounded, since in an outage of the
-   * state service nobody else can lead and the answers keep the workers' leases alive.
+   * Returns true after a pause of this process until the lease is renewed, for at most 1.5 s.
+   * Another node may be the leader by then, and a response would keep workers here whose heartbeats
+   * the new leader waits for. The time is bounded because in an outage of the state service no
+   * other node can become the leader, and responses keep the workers' leases alive.
    *
-   * @param renewedMs when the last renewal that succeeded was sent
+   * @param renewedMs when the last successful renewal of the lease was sent
    */
   public boolean isLeaseUncertain(long renewedMs, long now) {
     PauseDetector pauseDetector = health.pauseDetector();
@@ -166,45 +181,53 @@
   }
 
   /**
-   * True once for each worker, and again after a lease: it is not answered, so that it asks the
-   * other nodes. If another node leads it is answered there with a higher token, and its tasks live
-   * on; otherwise it would stay with a deposed leader, and the new one would take it for silent and
-   * delete it. If no other node leads it is back after it asked each node once, well within its
-   * lease, and is answered. No answer is given that was not given before, so no proof changes.
+   * Returns true if the heartbeat shall get no response, so that its worker contacts the other
+   * nodes. This happens once per worker and worker lease duration. If another node is the leader,
+   * it responds with a higher token and the worker's tasks survive; otherwise the worker would stay
+   * with a deposed leader, and the new leader would consider it silent and delete it. If no other
+   * node is the leader, the worker returns after it has contacted each node once, well within its
+   * lease, and gets a response. Redirecting only withholds responses and sends no additional ones,
+   * so it does not affect the safety argument above.
    */
   public boolean tryRedirect(Heartbeat heartbeat, long now) {
-    long last = redirectedMs.getOrDefault(heartbeat.machine(), Long.MIN_VALUE / 2);
-    if (now - last < leaseMs) {
+    long previousRedirectMs = lastRedirectMs.getOrDefault(heartbeat.machine(), Long.MIN_VALUE / 2);
+    if (now - previousRedirectMs < leaseMs) {
       return false;
     }
-    if (redirectedMs.size() >= MAX_REDIRECTED) {
-      redirectedMs.clear(); // Each is redirected once more than necessary, no worse.
+    if (lastRedirectMs.size() >= MAX_REDIRECTED) {
+      lastRedirectMs
+          .clear(); // The only effect is that each worker may be redirected once more than
+      // necessary.
     }
-    redirectedMs.put(heartbeat.machine(), now);
+    lastRedirectMs.put(heartbeat.machine(), now);
     return true;
   }
 
   /**
-   * A heartbeat arrived from a zone. The first relayed one after the direct ones ended means that
-   * the zone was rerouted: its other machines get time to find the way through a peer.
+   * Records whether a heartbeat from a zone arrived directly or through a peer. The first relayed
+   * heartbeat after the direct ones have ceased means that the zone was rerouted. The silence of
+   * its machines is then measured anew, which gives the others time to find the route through a
+   * peer.
    *
    * @param direct false when a peer relayed it
    */
   public void recordHeartbeatRoute(int zone, boolean direct, long now) {
     if (direct) {
-      lastDirectMs[zone] = now;
-      rerouted[zone] = false;
-    } else if (!rerouted[zone] && now - lastDirectMs[zone] > REROUTED_AFTER_MS) {
-      rerouted[zone] = true;
+      lastDirectHeartbeatMs[zone] = now;
+      isZoneRerouted[zone] = false;
+    } else if (!isZoneRerouted[zone] && now - lastDirectHeartbeatMs[zone] > REROUTE_DETECTION_MS) {
+      isZoneRerouted[zone] = true;
       health.failureDetector().restartZone(zone, now);
       LOG.warn(
-          "event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - lastDirectMs[zone]);
+          "event=zone_rerouted zone={} direct_ms={}",
+          zones.name(zone),
+          now - lastDirectHeartbeatMs[zone]);
     }
   }
 
   /**
-   * Takes from the state of the machine's tasks, after its heartbeat, what it says of the machine's
-   * health. The cost is proportional to the tasks of this machine.
+   * Updates the machine's health from the state of its tasks, after its heartbeat. The cost is
+   * proportional to the number of tasks on this machine.
    */
   public void evaluateTaskHealth(Machine machine, long now) {
     int overdue = 0;
@@ -216,19 +239,21 @@
           && attempt.isOverdue(health.stragglerDetector(), now)) {
         overdue++;
       } else if (attempt.phase == Attempt.Phase.PULLING) {
-        double needS = attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
-        health.imageFetchWaiting(machine.health, now - attempt.createdMs, needS * 1000, now);
+        double expectedFetchS =
+            attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
+        health.imageFetchWaiting(
+            machine.health, now - attempt.createdMs, expectedFetchS * 1000, now);
       }
     }
     health.tasksOverdue(machine.health, overdue, now);
   }
 
   /**
-   * Evaluates zones and machines, and marks the machines that are to be deleted. To be called only
-   * while the lease holds.
+   * Evaluates zones and machines, and marks the machines to be deleted. Must be called only while
+   * the leader's lease is valid.
    */
   void evaluate(long now) {
-    machineLines = 0;
+    loggedMachineLines = 0;
     FailureDetector failureDetector = health.failureDetector();
     for (FailureDetector.ZoneVerdict verdict : failureDetector.evaluate(now)) {
       LOG.warn(
@@ -242,13 +267,14 @@
     for (FleetHealth.SuspicionChange change : health.takeChanges()) {
       logMachine(
           change.machine().name,
-          event(change.suspicion()),
+          eventName(change.suspicion()),
           Math.round(change.slowdown() * 100) / 100.0);
     }
     suppressedLines += health.takeUnkeptChanges();
-    Arrays.fill(unreachableInZone, 0);
+    Arrays.fill(unreachableCountByZone, 0);
     for (Machine machine : schedulerState.machines()) {
-      unreachableInZone[machine.zone] += machine.health.outboundReachability().isBroken() ? 1 : 0;
+      unreachableCountByZone[machine.zone] +=
+          machine.health.outboundReachability().isBroken() ? 1 : 0;
     }
     for (Machine machine : schedulerState.machines()) {
       if (!machine.deleting) {
@@ -261,8 +287,8 @@
     }
   }
 
-  private static String event(Suspicion d) {
-    return switch (d) {
+  private static String eventName(Suspicion suspicion) {
+    return switch (suspicion) {
       case SLOW -> "machine_slow";
       case FAULTY -> "machine_faulty";
       case NO_IMAGE -> "machine_without_image";
@@ -275,9 +301,9 @@
       machine.deleting = true;
       logMachine(machine.name, "machine_deleted_to_fence", 0);
     } else if (machine.health.outboundReachability().isBroken()) {
-      deleteUnreachable(machine, now);
+      handleUnreachable(machine, now);
     } else if (failureDetector.silentMs(machine.health, now)
-        > silentMs + (machine.relayPeer >= 0 ? RELAY_MARGIN_MS : 0)) {
+        > silenceTimeoutMs + (machine.relayPeer >= 0 ? RELAY_MARGIN_MS : 0)) {
       if (mayDelete(machine, failureDetector, now)) {
         machine.deleting = true;
         logMachine(
@@ -287,7 +313,7 @@
       }
     } else if (machine.draining && machine.interruptionMs == 0 && machine.isEmpty()) {
       machine.deleting = true;
-    } else if (!machine.draining && isWorthDraining(machine)) {
+    } else if (!machine.draining && shouldDrain(machine)) {
       machine.draining = true;
       stopImageFetches(machine, now);
       logMachine(
@@ -296,23 +322,24 @@
   }
 
   /**
-   * The machine sends heartbeats but receives no answer. Its tasks end with its lease, so it is
-   * deleted; but of one zone no more than of a partitioned one, since what keeps answers from a
-   * whole zone passes. Attempts that were launched there and never confirmed are stopped: the next
-   * heartbeat that does not list one proves that it is gone.
+   * Handles a machine that sends heartbeats but receives no responses. Its tasks end when its lease
+   * expires, so it is deleted. If many machines of a zone are affected, deletions are limited as in
+   * a partitioned zone, because a fault that keeps responses from a whole zone is temporary.
+   * Attempts that were launched on the machine but never confirmed are stopped: a later heartbeat
+   * that does not list such an attempt proves that it is gone.
    */
-  private void deleteUnreachable(Machine machine, long now) {
+  private void handleUnreachable(Machine machine, long now) {
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase == Attempt.Phase.READY && !attempt.isStopping()) {
         schedulerState.requestStop(attempt, 0, now);
       }
     }
     int known = health.failureDetector().knownMachines(machine.zone);
-    boolean may =
-        unreachableInZone[machine.zone] >= health.policy().minPartitionMachines()
-            ? zoneDeletions[machine.zone].tryTake(known, now)
-            : deletions.tryTake(schedulerState.machines().size(), now);
-    if (may) {
+    boolean isAllowed =
+        unreachableCountByZone[machine.zone] >= health.policy().minPartitionMachines()
+            ? zoneDeletionBudgets[machine.zone].tryTake(known, now)
+            : deletionBudget.tryTake(schedulerState.machines().size(), now);
+    if (isAllowed) {
       machine.deleting = true;
       logMachine(machine.name, "machine_unreachable", machine.incarnation);
     }
@@ -322,31 +349,31 @@
     long silentForMs = failureDetector.silentMs(machine.health, now);
     int zone = machine.zone;
     if (failureDetector.isPartitioned(zone)) {
-      // A partitioned zone's machines are needed when it is back, so they are not all deleted at
-      // once. Of those with tasks a share is, since the tasks run elsewhere sooner; the tasks of
-      // the rest are free once their leases expired. No lease proves that of machines that have not
-      // seen this term: only a deletion frees their tasks, so those are deleted as fast as silent
-      // machines of any zone.
+      // The machines of a partitioned zone are needed once the partition ends, so they are not all
+      // deleted at once. A share of the machines with tasks is deleted, so that their tasks run
+      // elsewhere sooner; the tasks of the others are freed once the workers' leases expire. Lease
+      // expiry proves nothing for machines that have not seen this term: only a deletion frees
+      // their tasks, so they are deleted as fast as silent machines of any zone.
       if (!machine.isEmpty() && machine.highestTokenSeen < term) {
-        return deletions.tryTake(schedulerState.machines().size(), now);
+        return deletionBudget.tryTake(schedulerState.machines().size(), now);
       }
-      // An idle one delays nothing, but it may be gone for good: kept for ever it would keep the
-      // zone partitioned, and nothing would be rented there any more.
-      return (!machine.isEmpty() || silentForMs > IDLE_KEPT_LEASES * leaseMs)
-          && zoneDeletions[zone].tryTake(failureDetector.knownMachines(zone), now);
+      // An idle machine delays no task, but it may be gone permanently. If it were kept forever,
+      // the zone would stay partitioned and no machines would be rented there any more.
+      return (!machine.isEmpty() || silentForMs > MAX_IDLE_PARTITIONED_LEASES * leaseMs)
+          && zoneDeletionBudgets[zone].tryTake(failureDetector.knownMachines(zone), now);
     }
     if (failureDetector.isLikelyIsolated(now) && silentForMs <= leaseMs) {
-      return false; // When most are silent the fault is more likely on this side.
+      return false; // When most machines are silent, the fault is more likely on the leader's side.
     }
-    return deletions.tryTake(schedulerState.machines().size(), now);
+    return deletionBudget.tryTake(schedulerState.machines().size(), now);
   }
 
   /**
-   * True for a faulty machine, and for a slow one that wastes more than a new one costs: with a
-   * slowdown f it wastes (f-1)/f of its price for as long as the suspicion lasts, and a new one
-   * costs one and a half boot times.
+   * Returns true for a faulty machine and for a slow one that wastes more than its replacement
+   * costs. With slowdown f, a machine wastes (f-1)/f of its price for as long as the suspicion
+   * lasts; a replacement costs one and a half boot times.
    */
-  private boolean isWorthDraining(Machine machine) {
+  private boolean shouldDrain(Machine machine) {
     MachineHealth machineHealth = machine.health;
     if (machineHealth.suspicion() == Suspicion.FAULTY
         || machineHealth.suspicion() == Suspicion.NO_IMAGE) {
@@ -359,7 +386,10 @@
             > 1000 * machine.type.bootS() * 1.5;
   }
 
-  /** An image fetch that never ends would keep the machine from being idle for ever. */
+  /**
+   * Stops the image fetches on a draining machine, because a fetch that never ends would keep the
+   * machine from becoming idle.
+   */
   private void stopImageFetches(Machine machine, long now) {
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase == Attempt.Phase.PULLING) {
@@ -369,7 +399,7 @@
   }
 
   private void logMachine(String machine, String event, Object figure) {
-    if (machineLines++ < MAX_MACHINE_LINES) {
+    if (loggedMachineLines++ < MAX_MACHINE_LINES) {
       LOG.info("event={} machine={} figure={}", event, machine, figure);
     } else {
       suppressedLines++;
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineDeleter.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineDeleter.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Deletes the machines that are marked for it, one call at a time. The cloud's answer proves that
- * nothing runs on them any more, which frees their tasks. Confined to the event loop.
+ * Deletes the machines that are marked for deletion, one call at a time. The cloud's response
+ * proves that nothing runs on them any more, so their tasks are freed. Confined to the event loop.
  */
 final class MachineDeleter {
   private static final Logger LOG = LoggerFactory.getLogger(MachineDeleter.class);
@@ -17,28 +17,28 @@
 
   private final ProvisioningServices services;
   private final BootingMachines booting;
-  private final Runnable attemptsFreed;
-  private boolean deleting;
-  private boolean stopped;
+  private final Runnable onAttemptsFreed;
+  private boolean isDeleting;
+  private boolean isStopped;
 
   /**
-   * Prepares the deletions.
+   * Creates a deleter; {@link #deleteMarked} sends the calls.
    *
-   * @param attemptsFreed called when machines are gone
+   * @param onAttemptsFreed run when machines have been deleted
    */
-  MachineDeleter(ProvisioningServices services, BootingMachines booting, Runnable attemptsFreed) {
+  MachineDeleter(ProvisioningServices services, BootingMachines booting, Runnable onAttemptsFreed) {
     this.services = services;
     this.booting = booting;
-    this.attemptsFreed = attemptsFreed;
+    this.onAttemptsFreed = onAttemptsFreed;
   }
 
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** Deletes what is marked, unless a call is under way. */
+  /** Deletes marked machines, unless a call is in progress. */
   void deleteMarked() {
-    if (deleting) {
+    if (isDeleting) {
       return;
     }
     List<String> names = new ArrayList<>();
@@ -50,20 +50,20 @@
     if (names.isEmpty()) {
       return;
     }
-    deleting = true;
+    isDeleting = true;
     services
         .cloud()
         .delete(
             names,
             ok -> {
-              deleting = false;
-              if (ok && !stopped) {
-                deleted(names);
+              isDeleting = false;
+              if (ok && !isStopped) {
+                handleDeleted(names);
               }
             });
   }
 
-  private void deleted(List<String> names) {
+  private void handleDeleted(List<String> names) {
     LOG.info("event=machines_deleted machines={}", names);
     SchedulerState schedulerState = services.schedulerState();
     for (String name : names) {
@@ -73,6 +73,6 @@
       }
       booting.remove(name);
     }
-    attemptsFreed.run();
+    onAttemptsFreed.run();
   }
 }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineListReconciler.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineListReconciler.java
@@ -10,46 +10,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the cloud's list of machines with those that the leader knows: finds machines that
- * failed, and machines that are running but have not sent a heartbeat. Confined to the event loop.
+ * Reconciles the cloud's list of machines with those that the leader knows. Detects machines that
+ * failed and machines that the cloud lists but that have not sent a heartbeat in this term.
+ * Confined to the event loop.
  */
 final class MachineListReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(MachineListReconciler.class);
 
   private final ProvisioningServices services;
   private final BootingMachines booting;
-  private final Runnable attemptsFreed;
-  private boolean listing;
-  private boolean stopped;
+  private final Runnable onAttemptsFreed;
+  private boolean isListing;
+  private boolean isStopped;
 
   /**
-   * Prepares the reconciliation.
+   * Creates a reconciler; {@link #reconcile} reads the list.
    *
-   * @param attemptsFreed called when a machine's failure freed its tasks
+   * @param onAttemptsFreed run when the failure of a machine has freed its tasks
    */
   MachineListReconciler(
-      ProvisioningServices services, BootingMachines booting, Runnable attemptsFreed) {
+      ProvisioningServices services, BootingMachines booting, Runnable onAttemptsFreed) {
     this.services = services;
     this.booting = booting;
-    this.attemptsFreed = attemptsFreed;
+    this.onAttemptsFreed = onAttemptsFreed;
   }
 
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** Reads the list, unless it is being read. */
+  /** Reads the cloud's list and reconciles it, unless a read is in progress. */
   void reconcile() {
-    if (listing || stopped) {
+    if (isListing || isStopped) {
       return;
     }
-    listing = true;
+    isListing = true;
     services
         .cloud()
         .listMachines(
             machines -> {
-              listing = false;
-              if (machines.isPresent() && !stopped) {
+              isListing = false;
+              if (machines.isPresent() && !isStopped) {
                 machines.get().forEach(this::reconcileMachine);
               }
             });
@@ -64,8 +65,8 @@
     }
     MachineVariant variant = new MachineVariant(type, zone, listed.spot());
     if (listed.state().equals(Fields.FAILED)) {
-      failed(listed.name(), variant);
-    } else if (isAwaited(listed.name(), schedulerState)) {
+      handleFailedMachine(listed.name(), variant);
+    } else if (awaitsFirstHeartbeat(listed.name(), schedulerState)) {
       long now = services.loop().now();
       long requestedMs = now - (long) (listed.ageS() * 1000);
       booting.addListed(
@@ -73,7 +74,7 @@
     }
   }
 
-  private void failed(String name, MachineVariant variant) {
+  private void handleFailedMachine(String name, MachineVariant variant) {
     SchedulerState schedulerState = services.schedulerState();
     long now = services.loop().now();
     Machine machine = schedulerState.machine(name);
@@ -88,11 +89,11 @@
     schedulerState.machineFailed(machine, now);
     machine.deleting = true;
     booting.remove(name);
-    attemptsFreed.run();
+    onAttemptsFreed.run();
   }
 
-  /** True while the machine may still send its first heartbeat of this term. */
-  static boolean isAwaited(String name, SchedulerState schedulerState) {
+  /** Returns whether the machine may still send its first heartbeat of this term. */
+  static boolean awaitsFirstHeartbeat(String name, SchedulerState schedulerState) {
     Machine machine = schedulerState.machine(name);
     return (machine == null || machine.lastHeartbeatMs < 0) && !schedulerState.isDeleted(name);
   }
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sizes the fleet as {@link Autoscaler} decides, during one term: scales out by recorded rental
- * requests ({@link RentalRecords}), scales in and replaces unhealthy machines ({@link
- * FailureResponder}) by deletions ({@link MachineDeleter}), and reconciles the cloud's list of
- * machines ({@link MachineListReconciler}). Confined to the event loop.
+ * Adjusts the fleet as {@link Autoscaler} decides during one term. It scales out with recorded
+ * rental requests ({@link RentalRecords}), scales in and replaces unhealthy machines ({@link
+ * FailureResponder}) by deleting machines ({@link MachineDeleter}), and reconciles the cloud's list
+ * of machines ({@link MachineListReconciler}). Confined to the event loop.
  */
 public final class MachineProvisioner {
   private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
@@ -32,68 +32,71 @@
   private final ProvisioningServices services;
   private final ProvisioningSettings settings;
   private final SchedulerState schedulerState;
-  private final FailureResponder responder;
+  private final FailureResponder failureResponder;
   private final Listener listener;
   private final Autoscaler autoscaler;
   private final BootingMachines booting = new BootingMachines();
   private final RentalRecords rentals;
-  private final MachineListReconciler machineList;
+  private final MachineListReconciler machineListReconciler;
   private final MachineDeleter deleter;
   private final List<EventLoop.Timer> timers = new ArrayList<>();
-  private boolean stopped;
+  private boolean isStopped;
 
-  /** What provisioning needs of the leader. */
+  /** Gives provisioning access to the leader and notifies the leader of events. */
   public interface Listener {
-    /** True while the leader's lease holds, so that it may act. */
+    /** Returns whether the leader's lease is valid, so that it may act. */
     boolean isLeaseValid();
 
-    /** Jobs with waiting tasks, in the order in which they are placed. */
+    /** Returns the jobs with waiting tasks, in the order in which they are placed. */
     List<Job> waitingJobs();
 
-    /** Attempts were freed: there may be something to place. */
+    /** Attempts were freed, so there may be tasks to place. */
     void attemptsFreed();
 
-    /** A write failed since another node leads. */
+    /** A write failed because another node is the leader. */
     void deposed();
   }
 
-  /** For one term; nothing runs before {@link #start()}. */
+  /** Creates a provisioner for one term; nothing runs before {@link #start()}. */
   public MachineProvisioner(
       ProvisioningServices services,
       ProvisioningSettings settings,
-      FailureResponder responder,
+      FailureResponder failureResponder,
       Listener listener) {
     this.loop = services.loop();
     this.services = services;
     this.settings = settings;
     this.schedulerState = services.schedulerState();
-    this.responder = responder;
+    this.failureResponder = failureResponder;
     this.listener = listener;
     this.autoscaler = new Autoscaler(schedulerState, settings.policy(), settings.objectives());
     this.rentals = new RentalRecords(services, settings, booting, new RentalListener());
-    this.machineList = new MachineListReconciler(services, booting, listener::attemptsFreed);
+    this.machineListReconciler =
+        new MachineListReconciler(services, booting, listener::attemptsFreed);
     this.deleter = new MachineDeleter(services, booting, listener::attemptsFreed);
   }
 
-  /** Starts to follow the cloud's lists; the fleet is not changed before {@link #activate()}. */
+  /** Starts to poll the cloud's lists. The fleet is not changed before {@link #activate()}. */
   public void start() {
-    timers.add(loop.every(MACHINE_LIST_INTERVAL_MS, machineList::reconcile));
+    timers.add(loop.every(MACHINE_LIST_INTERVAL_MS, machineListReconciler::reconcile));
     timers.add(loop.every(MACHINE_TYPES_INTERVAL_MS, this::readMachineTypes));
-    machineList.reconcile();
+    machineListReconciler.reconcile();
   }
 
-  /** All workers had time to send a heartbeat: from now on machines are rented and deleted. */
+  /**
+   * Starts to rent and delete machines. Called once all workers have had time to send a heartbeat.
+   */
   public void activate() {
-    timers.add(loop.every(settings.policy().cycleMs(), this::scale));
+    timers.add(loop.every(settings.policy().cycleMs(), this::runAutoscaler));
     timers.add(loop.every(HEALTH_INTERVAL_MS, this::replaceUnhealthy));
-    scale();
+    runAutoscaler();
   }
 
-  /** Ends the term's duties; answers that come later are ignored. */
+  /** Stops provisioning; responses that arrive later are ignored. */
   public void stop() {
-    stopped = true;
+    isStopped = true;
     rentals.stop();
-    machineList.stop();
+    machineListReconciler.stop();
     deleter.stop();
     timers.forEach(EventLoop.Timer::cancel);
   }
@@ -103,7 +106,7 @@
     rentals.restore(name, record);
   }
 
-  /** The number of machines whose workers should send heartbeats. */
+  /** Returns the number of machines whose workers should send heartbeats. */
   public int runningMachineCount() {
     int count = 0;
     for (Machine machine : schedulerState.machines()) {
@@ -114,7 +117,7 @@
     return count;
   }
 
-  /** The machine sent a heartbeat: it is not booting any more. */
+  /** Handles a heartbeat of the machine: it is no longer booting. */
   public void heartbeatReceived(Machine machine) {
     BootingMachines.BootingMachine booted = booting.remove(machine.name);
     if (booted != null) {
@@ -122,12 +125,12 @@
     }
   }
 
-  /** Since when the cloud has had no capacity for the variant; -1 while it has. */
+  /** Returns since when the cloud has had no capacity for the variant; -1 if it has capacity. */
   public long refusedSinceMs(MachineVariant variant) {
     return autoscaler.refusedSinceMs(variant);
   }
 
-  /** Machines that are requested or booting, without those that are long overdue. */
+  /** Returns the machines that are requested or booting, except those that are long overdue. */
   public List<PendingMachines> pendingMachines(long now) {
     List<PendingMachines> pending = new ArrayList<>();
     rentals.addPending(pending);
@@ -140,14 +143,14 @@
         .cloud()
         .listMachineTypes(
             types -> {
-              if (!stopped) {
+              if (!isStopped) {
                 types.ifPresent(services.machineTypes()::replaceMachineTypes);
               }
             });
   }
 
-  private void scale() {
-    if (stopped || !listener.isLeaseValid()) {
+  private void runAutoscaler() {
+    if (isStopped || !listener.isLeaseValid()) {
       return;
     }
     long now = loop.now();
@@ -179,27 +182,30 @@
   }
 
   private void replaceUnhealthy() {
-    if (stopped || !listener.isLeaseValid()) {
+    if (isStopped || !listener.isLeaseValid()) {
       return;
     }
-    responder.evaluate(loop.now());
-    for (String name : booting.expire(schedulerState, loop.now())) {
+    failureResponder.evaluate(loop.now());
+    for (String name : booting.expireOverdue(schedulerState, loop.now())) {
       LOG.info("event=machine_boot_timeout machine={}", name);
     }
     deleter.deleteMarked();
   }
 
-  /** The machines of a variant that the cloud has rented out: known ones and those that boot. */
+  /**
+   * Returns the number of rented machines of a variant: registered machines that have not failed,
+   * and booting machines that are not registered.
+   */
   private int rentedMachines(MachineVariant variant) {
     int count = 0;
     for (Machine machine : schedulerState.machines()) {
-      boolean same =
+      boolean isSameVariant =
           machine.type.index() == variant.type().index()
               && machine.zone == variant.zone()
               && machine.spot == variant.spot();
-      count += same && !machine.failed ? 1 : 0;
+      count += isSameVariant && !machine.failed ? 1 : 0;
     }
-    return count + booting.countUnknown(variant, schedulerState);
+    return count + booting.countUnregistered(variant, schedulerState);
   }
 
   private final class RentalListener implements RentalRecords.Listener {
@@ -209,8 +215,8 @@
     }
 
     @Override
-    public void answered(MachineVariant variant, int machines, boolean isShort) {
-      if (!isShort) {
+    public void answered(MachineVariant variant, int machines, boolean isIncomplete) {
+      if (!isIncomplete) {
         autoscaler.recordGrant(variant);
         return;
       }
--- a/src/main/java/org/mallowroad/controller/provisioning/ProvisioningServices.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/ProvisioningServices.java
@@ -8,15 +8,15 @@
 import org.mallowroad.state.KeyValueStore;
 
 /**
- * What the classes of this package work with during one term.
+ * The services and state that the classes of this package share during one term.
  *
- * @param loop the thread on which all of them run
- * @param store the state service, which has the rental requests
+ * @param loop the event loop to which all of them are confined
+ * @param store the state service, which stores the rental requests
  * @param cloud rents, lists and deletes machines
  * @param machineTypes the machine types that the cloud offers
  * @param zones the names of the zones
  * @param schedulerState the machines and tasks of the term
- * @param writes the leader's share of the state service's writes
+ * @param writes the rate limiter of the leader's writes to the state service
  */
 public record ProvisioningServices(
     EventLoop loop,
--- a/src/main/java/org/mallowroad/controller/provisioning/ProvisioningSettings.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/ProvisioningSettings.java
@@ -4,13 +4,13 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 
 /**
- * What provisioning goes by during one term.
+ * The settings of provisioning during one term.
  *
  * @param policy the operators' settings of the autoscaler
  * @param objectives the service-level objectives that the fleet is sized for
- * @param maxTransactionWrites puts and deletes in one transaction
- * @param term the term's number: part of the names of its rental requests
- * @param leaderKeyVersion the version of the leader's key: a condition of all writes
+ * @param maxTransactionWrites maximum number of puts and deletes per transaction
+ * @param term the term number, which is part of the names of its rental requests
+ * @param leaderKeyVersion the version of the leader key, a condition of all writes
  */
 public record ProvisioningSettings(
     AutoscalerPolicy policy,
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -20,10 +20,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rental requests, each recorded in the state service before it is sent to the cloud. A request is
- * idempotent by its name: it is repeated until its outcome is known, also by the next leader, and
- * rents nothing more. Its record is deleted once each of its machines sent a heartbeat or is gone.
- * Confined to the event loop.
+ * Records rental requests in the state service and sends them to the cloud. Each request is
+ * recorded before it is sent and is idempotent by its name: this leader or the next one repeats it
+ * until its outcome is known, and a repetition rents no additional machines. The record is deleted
+ * once each of the request's machines has sent a heartbeat or is gone. Confined to the event loop.
  */
 final class RentalRecords {
   private static final Logger LOG = LoggerFactory.getLogger(RentalRecords.class);
@@ -42,33 +42,35 @@
   private final Object2ObjectLinkedOpenHashMap<String, Rental> rentals =
       new Object2ObjectLinkedOpenHashMap<>();
   private int nextNumber;
-  private boolean recording;
-  private boolean deleting;
-  private boolean stopped;
+  private boolean isRecording;
+  private boolean isDeleting;
+  private boolean isStopped;
 
-  /** What becomes of the requests. */
+  /** Receives the outcomes of requests. */
   interface Listener {
-    /** True while this node's lease holds; without it nothing is sent. */
+    /** Returns whether this node's lease is valid; nothing is resent without it. */
     boolean isLeaseValid();
 
     /**
-     * The cloud answered a request, before its machines are added to those that boot.
+     * The cloud answered a request. Called before the request's machines are added to the booting
+     * machines.
      *
-     * @param machines how many it rented
-     * @param isShort true when these are fewer than requested
+     * @param machines the number of machines rented
+     * @param isIncomplete true if the request was refused for lack of capacity or rented fewer
+     *     machines than requested
      */
-    void answered(MachineVariant variant, int machines, boolean isShort);
+    void answered(MachineVariant variant, int machines, boolean isIncomplete);
 
-    /** Another node leads. */
+    /** A write failed because another node is the leader. */
     void deposed();
   }
 
-  /** A recorded request. */
+  /** A request that is recorded or being recorded. */
   private static final class Rental {
     final String name;
     final ScaleOutRequest request;
     final long requestedMs;
-    boolean isSent;
+    boolean isInFlight;
     boolean isAnswered;
     List<String> machines = List.of();
 
@@ -91,10 +93,10 @@
   }
 
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** Takes over a recorded request; repeating it tells which machines it brought. */
+  /** Takes over a recorded request and repeats it to learn which machines it rented. */
   void restore(String name, JsonNode record) {
     MachineType type = services.machineTypes().machineType(record.path(TYPE).asText());
     int zone = services.zones().find(record.path(ZONE).asText());
@@ -109,67 +111,71 @@
     send(rental);
   }
 
-  /** Adds the machines of all requests that were not answered yet. */
+  /** Adds the machines of all requests that have not been answered to {@code pending}. */
   void addPending(List<PendingMachines> pending) {
     for (Rental rental : rentals.values()) {
       if (!rental.isAnswered) {
-        ScaleOutRequest r = rental.request;
-        pending.add(new PendingMachines(r.variant(), r.count(), rental.requestedMs, r.gang()));
+        ScaleOutRequest request = rental.request;
+        pending.add(
+            new PendingMachines(
+                request.variant(), request.count(), rental.requestedMs, request.gang()));
       }
     }
   }
 
-  /** Sends again what was not answered and is not being sent. */
+  /** Resends the requests that are neither answered nor in flight. */
   void repeatUnanswered() {
     for (Rental rental : rentals.values()) {
-      if (!rental.isAnswered && !rental.isSent) {
+      if (!rental.isAnswered && !rental.isInFlight) {
         send(rental);
       }
     }
   }
 
   /**
-   * Records as many requests as one transaction holds and sends them once that is done. Does
-   * nothing while an earlier transaction is under way: the autoscaler asks again in its next cycle.
+   * Records as many requests as fit into one transaction and sends them once they are recorded.
+   * Does nothing while an earlier transaction is in progress, because the autoscaler submits its
+   * requests again in the next cycle.
    */
   void submit(List<ScaleOutRequest> requests, long now) {
-    if (requests.isEmpty() || recording) {
+    if (requests.isEmpty() || isRecording) {
       return;
     }
-    int count = Math.min(requests.size(), settings.maxTransactionWrites());
+    int batchSize = Math.min(requests.size(), settings.maxTransactionWrites());
     List<Rental> batch = new ArrayList<>();
     Transaction transaction = leaderTransaction();
-    for (ScaleOutRequest request : requests.subList(0, count)) {
+    for (ScaleOutRequest request : requests.subList(0, batchSize)) {
       Rental rental = new Rental("r-" + settings.term() + "-" + nextNumber++, request, now);
-      rental.isSent = true;
+      rental.isInFlight = true;
       rentals.put(rental.name, rental);
       batch.add(rental);
       String key = RecordKeys.rental(rental.name);
       transaction.requireVersion(key, 0).put(key, encode(request));
     }
     services.writes().forceAcquire(transaction.writeCount(), now);
-    recording = true;
+    isRecording = true;
     services
         .store()
         .compareAndSwap(
             transaction,
-            (result, revision, failed) -> {
-              recording = false;
-              recorded(batch, result, failed);
+            (result, revision, failedKeys) -> {
+              isRecording = false;
+              handleRecorded(batch, result, failedKeys);
             });
   }
 
-  private void recorded(List<Rental> batch, CallResult result, List<String> failed) {
-    if (stopped) {
+  private void handleRecorded(List<Rental> batch, CallResult result, List<String> failedKeys) {
+    if (isStopped) {
       return;
     }
     if (result == CallResult.OK) {
       batch.forEach(this::send);
     } else if (result == CallResult.CONDITION_FAILED
-        && failed.contains(LeaderElection.LEADER_KEY)) {
+        && failedKeys.contains(LeaderElection.LEADER_KEY)) {
       listener.deposed();
     } else {
-      // Not known to be recorded, so never sent. The names are not used again.
+      // These requests are not known to be recorded, so they are never sent. Their names are not
+      // reused.
       batch.forEach(rental -> rentals.remove(rental.name));
     }
   }
@@ -185,15 +191,16 @@
     record.put(SPOT, request.variant().spot());
     record.put(COUNT, request.count());
     if (request.gang() != null) {
-      record.put(GANG, request.gang()); // The next leader keeps its machines reserved for the gang.
+      record.put(
+          GANG, request.gang()); // Lets the next leader keep the machines reserved for the gang.
     }
     return record;
   }
 
   private void send(Rental rental) {
-    rental.isSent = true;
+    rental.isInFlight = true;
     MachineVariant variant = rental.request.variant();
-    RentalRequest call =
+    RentalRequest rentalRequest =
         new RentalRequest(
             rental.name,
             variant.type().name(),
@@ -202,42 +209,42 @@
             rental.request.count());
     LOG.info(
         "event=scale_out_requested request={} type={} zone={} spot={} count={}",
-        call.name(),
-        call.type(),
-        call.zone(),
-        call.spot(),
-        call.count());
-    services.cloud().rent(call, result -> sent(rental, result));
+        rentalRequest.name(),
+        rentalRequest.type(),
+        rentalRequest.zone(),
+        rentalRequest.spot(),
+        rentalRequest.count());
+    services.cloud().rent(rentalRequest, result -> handleResult(rental, result));
   }
 
-  private void sent(Rental rental, RentalResult result) {
-    if (stopped) {
+  private void handleResult(Rental rental, RentalResult result) {
+    if (isStopped) {
       return;
     }
-    rental.isSent = false;
+    rental.isInFlight = false;
     if (result instanceof RentalResult.Unknown) {
-      // Unknown, or beyond the cloud's rate limit: the same request is repeated.
+      // The outcome is unknown or the cloud's rate limit was exceeded: repeat the same request.
       services.loop().after(RETRY_MS, () -> resend(rental));
       return;
     }
     rental.isAnswered = true;
     rental.machines = result instanceof RentalResult.Rented rented ? rented.machines() : List.of();
     int count = rental.machines.size();
-    boolean isShort =
+    boolean isIncomplete =
         result instanceof RentalResult.OutOfCapacity || count < rental.request.count();
-    if (isShort) {
+    if (isIncomplete) {
       LOG.info(
           "event=scale_out_short request={} got={} of={}",
           rental.name,
           count,
           rental.request.count());
     }
-    listener.answered(rental.request.variant(), count, isShort);
+    listener.answered(rental.request.variant(), count, isIncomplete);
     addBooting(rental);
   }
 
   private void resend(Rental rental) {
-    if (!stopped && !rental.isSent && listener.isLeaseValid()) {
+    if (!isStopped && !rental.isInFlight && listener.isLeaseValid()) {
       send(rental);
     }
   }
@@ -246,7 +253,7 @@
     ScaleOutRequest request = rental.request;
     long now = services.loop().now();
     for (String name : rental.machines) {
-      if (MachineListReconciler.isAwaited(name, services.schedulerState())) {
+      if (MachineListReconciler.awaitsFirstHeartbeat(name, services.schedulerState())) {
         booting.addRented(
             new BootingMachines.BootingMachine(
                 name, request.variant(), rental.requestedMs, now, request.gang()));
@@ -255,43 +262,43 @@
   }
 
   /**
-   * Deletes the records of requests none of whose machines is booting any more. Nothing waits for
-   * this, so it leaves the writes to the starts of tasks; but since a takeover repeats each
-   * recorded request, it does not wait once half a transaction has come together.
+   * Deletes the records of requests whose machines have all stopped booting. Nothing waits for
+   * these deletions, so they yield the write rate to task starts. Once they fill half a transaction
+   * they are sent regardless, because a new leader repeats every recorded request.
    */
   void deleteCompleted() {
-    if (deleting) {
+    if (isDeleting) {
       return;
     }
-    int max = settings.maxTransactionWrites() / 2;
-    List<Rental> completed = completed(max);
+    int maxCount = settings.maxTransactionWrites() / 2;
+    List<Rental> completed = completedRentals(maxCount);
     long now = services.loop().now();
     if (completed.isEmpty()
-        || (completed.size() < max
+        || (completed.size() < maxCount
             && services.writes().availablePermits(now) < completed.size() + 2)) {
       return;
     }
     Transaction transaction = leaderTransaction();
     completed.forEach(rental -> transaction.delete(RecordKeys.rental(rental.name)));
     services.writes().forceAcquire(transaction.writeCount(), now);
-    deleting = true;
+    isDeleting = true;
     services
         .store()
         .compareAndSwap(
             transaction,
-            (result, revision, failed) -> {
-              deleting = false;
+            (result, revision, failedKeys) -> {
+              isDeleting = false;
               if (result == CallResult.OK) {
                 completed.forEach(rental -> rentals.remove(rental.name));
               }
             });
   }
 
-  private List<Rental> completed(int max) {
+  private List<Rental> completedRentals(int maxCount) {
     List<Rental> completed = new ArrayList<>();
     for (Rental rental : rentals.values()) {
       if (rental.isAnswered
-          && completed.size() < max
+          && completed.size() < maxCount
           && rental.machines.stream().noneMatch(booting::contains)) {
         completed.add(rental);
       }
--- a/src/main/java/org/mallowroad/controller/provisioning/package-info.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The leader's side of the cloud: machines are requested and deleted as the autoscaler decides,
- * listed machines are reconciled with those that send heartbeats, and unhealthy ones are replaced.
+ * Machine provisioning by the leader: rents and deletes machines as the autoscaler decides,
+ * reconciles the cloud's machine list with the machines that send heartbeats, and replaces
+ * unhealthy machines.
  */
 package org.mallowroad.controller.provisioning;
--- a/src/main/java/org/mallowroad/election/Candidacy.java
+++ b/src/main/java/org/mallowroad/election/Candidacy.java
@@ -8,20 +8,24 @@
 import org.mallowroad.state.Transaction;
 
 /**
- * One attempt of a node to be elected: a lease, the term, the transaction that writes both, and
- * whatever it takes to learn its outcome. Exactly one of {@link Listener#elected}, {@link
- * Listener#abandoned} and {@link Listener#notElected} is told, once.
+ * One attempt of a node to be elected. It obtains a lease, reads the term, sends the transaction
+ * that writes the leader key with the lease and increases the term, and determines the outcome of
+ * that transaction. It calls exactly one of {@link Listener#elected}, {@link Listener#abandoned}
+ * and {@link Listener#notElected}, once.
  *
  * <p>Confined to the event loop.
  */
 final class Candidacy {
-  /** Delay of another attempt to learn how one's own election ended. */
+  /** Delay before the outcome of this node's election is checked again. */
   private static final long OUTCOME_RETRY_MS = 200;
 
-  /** An election whose outcome cannot be read for this long is given up. */
+  /** A candidacy whose outcome cannot be read for this long is given up. */
   private static final long OUTCOME_TIMEOUT_MS = 2 * LeaderElection.LEASE_DURATION_MS;
 
-  /** A lease that cannot be renewed before leading begins is given up after this time. */
+  /**
+   * An election whose lease cannot be renewed before the leadership begins is given up after this
+   * time.
+   */
   private static final long CONFIRMATION_TIMEOUT_MS = 10 * LeaderElection.LEASE_DURATION_MS;
 
   private final EventLoop loop;
@@ -31,33 +35,39 @@
   private final Listener listener;
 
   /**
-   * An election under way, or won.
+   * The state of an election in progress or won.
    *
-   * @param leaseSentMs when the newest call was sent that the lease was granted or renewed by
-   * @param leaderKeyVersion version of {@link LeaderElection#LEADER_KEY}; 0 while it is not known
+   * @param leaseSentMs when the call that last granted or renewed the lease was sent
+   * @param leaderKeyVersion version of {@link LeaderElection#LEADER_KEY}; 0 while unknown
    */
   record Election(long lease, long term, long leaseSentMs, long leaderKeyVersion) {
-    private Election at(long version) {
-      return new Election(lease, term, leaseSentMs, version);
+    private Election withLeaderKeyVersion(long newLeaderKeyVersion) {
+      return new Election(lease, term, leaseSentMs, newLeaderKeyVersion);
     }
 
-    private Election renewedAt(long sentMs) {
-      return new Election(lease, term, sentMs, leaderKeyVersion);
+    private Election withLeaseSentMs(long newLeaseSentMs) {
+      return new Election(lease, term, newLeaseSentMs, leaderKeyVersion);
     }
   }
 
-  /** Told what becomes of the candidacy. */
+  /** Receives the outcome of the candidacy. */
   interface Listener {
-    /** From now on the key {@link LeaderElection#LEADER_KEY} may be written with this lease. */
+    /**
+     * The transaction was sent, so from now on it may write {@link LeaderElection#LEADER_KEY} with
+     * this lease.
+     */
     void transactionSent(long lease);
 
-    /** The node is elected, and its lease held a moment ago. */
+    /** The node was elected, and its lease was valid when last confirmed. */
     void elected(Election election);
 
-    /** The candidacy ended before its transaction: nothing was written. */
+    /** The candidacy ended before its transaction was sent, so nothing was written. */
     void abandoned();
 
-    /** The transaction failed, or its leadership is over already. */
+    /**
+     * The transaction failed, its outcome could not be determined in time, or the leadership has
+     * already ended.
+     */
     void notElected();
   }
 
@@ -74,7 +84,7 @@
     this.listener = listener;
   }
 
-  /** Asks for a lease, and tries to be elected with it. */
+  /** Requests a lease and tries to be elected with it. */
   void start() {
     long sentMs = loop.now();
     store.grantLease(
@@ -98,11 +108,11 @@
           }
           long term =
               Math.max(LeaderRecord.decodeTerm(item.value()), highestSeenToken.getAsLong()) + 1;
-          elect(new Election(grantedLease, term, sentMs, 0), item.version());
+          sendTransaction(new Election(grantedLease, term, sentMs, 0), item.version());
         });
   }
 
-  private void elect(Election election, long termVersion) {
+  private void sendTransaction(Election election, long termVersion) {
     LeaderRecord record = new LeaderRecord(node, election.term(), election.lease());
     listener.transactionSent(election.lease());
     Transaction transaction =
@@ -110,7 +120,7 @@
             .requireVersion(LeaderElection.LEADER_KEY, 0)
             .requireVersion(LeaderElection.TERM_KEY, termVersion)
             .put(LeaderElection.LEADER_KEY, record.encode(), election.lease())
-            // The last token of the term's block: the next term is above all of them.
+            // The last token of the term's block, so that the next term exceeds all of the block.
             .put(
                 LeaderElection.TERM_KEY,
                 LeaderRecord.encodeTerm(FencingTokens.last(election.term())));
@@ -118,24 +128,24 @@
         transaction,
         (result, revision, failedKeys) -> {
           switch (result) {
-            case OK -> confirm(election.at(revision));
+            case OK -> confirm(election.withLeaderKeyVersion(revision));
             case UNKNOWN -> readOutcome(election);
             default -> listener.notElected();
           }
         });
   }
 
-  /** An election whose outcome is unknown is settled by reading who leads. */
+  /** Determines an unknown outcome of the transaction by reading the leader key. */
   private void readOutcome(Election election) {
     store.get(
         LeaderElection.LEADER_KEY,
         (result, item) -> {
           if (result == CallResult.OK) {
-            // The lease tells the elections apart: one of the previous process that is executed
-            // late has the same name and may have the same term.
+            // The lease distinguishes this election from one of the previous process that is
+            // executed late, which has the same name and may have the same term.
             if (LeaderRecord.decode(item.value())
                 .equals(new LeaderRecord(node, election.term(), election.lease()))) {
-              confirm(election.at(item.version()));
+              confirm(election.withLeaderKeyVersion(item.version()));
             } else {
               listener.notElected();
             }
@@ -148,9 +158,10 @@
   }
 
   /**
-   * A node that was paused while it was elected learns of it late: its lease may be over and
-   * another elected since. Then the lease is renewed first, and a leadership that is over is never
-   * begun.
+   * Reports the election once the lease is known to be valid. A node that was paused during its
+   * election learns of the outcome late, when its lease may have expired and another node may have
+   * been elected. The lease is then renewed first, so that a leadership that has already ended
+   * never begins.
    */
   private void confirm(Election election) {
     if (loop.now() - election.leaseSentMs() < LeaderElection.LEASE_DURATION_MS) {
@@ -163,7 +174,7 @@
         LeaderElection.RENEWAL_TIMEOUT_MS,
         (result, renewedLease) -> {
           if (result == CallResult.OK) {
-            confirm(election.renewedAt(sentMs));
+            confirm(election.withLeaseSentMs(sentMs));
           } else if (result == CallResult.LEASE_EXPIRED
               || loop.now() - election.leaseSentMs() > CONFIRMATION_TIMEOUT_MS) {
             listener.notElected();
--- a/src/main/java/org/mallowroad/election/LeaderElection.java
+++ b/src/main/java/org/mallowroad/election/LeaderElection.java
@@ -13,26 +13,29 @@
 /**
  * Elects one leader among the controllers that share a state service.
  *
- * <p>The key {@link #LEADER_KEY} names the leader and lives on its lease; the key {@link #TERM_KEY}
- * holds the highest fencing token given out and is never deleted. A candidate writes both in one
- * transaction, on the condition that nobody leads and that the term is still the one it read.
+ * <p>The key {@link #LEADER_KEY} names the leader and is attached to the leader's lease; the key
+ * {@link #TERM_KEY} holds the highest fencing token issued and is never deleted. A candidate writes
+ * both keys in one transaction, on the conditions that there is no leader and that the term has not
+ * changed since the candidate read it.
  *
  * <p><b>Why at most one leader can write.</b> Every write of a leader requires the version of
- * {@link #LEADER_KEY} that its election wrote. When its lease ends the key is deleted, and when
- * another is elected it gets a new version: either way the condition of the deposed leader's writes
- * fails, whatever that leader believes and however late they arrive.
+ * {@link #LEADER_KEY} that its election wrote. When the leader's lease ends, the key is deleted;
+ * when another node is elected, the key gets a new version. In both cases the condition fails for
+ * all writes of the deposed leader, even if that leader still considers itself the leader and
+ * however late the writes arrive.
  *
- * <p><b>Why terms rise.</b> The term is raised in the same transaction as the leader is named, from
- * a version of {@link #TERM_KEY} that is among the conditions, so no two leaders have the same
- * term. Workers refuse commands of a lower fencing token than they have seen.
+ * <p><b>Why terms increase.</b> The transaction that writes the leader's name also increases the
+ * term, and its conditions include the version of {@link #TERM_KEY} that the new term is computed
+ * from, so no two leaders have the same term. Workers reject commands whose fencing token is lower
+ * than the highest one they have seen.
  *
  * <p>Confined to the event loop.
  */
 public final class LeaderElection {
-  /** The key that names the leader. */
+  /** The key whose value names the leader. */
   public static final String LEADER_KEY = "leader";
 
-  /** The key of the highest fencing token given out. */
+  /** The key whose value is the highest fencing token issued. */
   public static final String TERM_KEY = "term";
 
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
@@ -41,37 +44,45 @@
   static final long RENEWAL_TIMEOUT_MS = 1_000;
   private static final long WATCH_WAIT_MS = 10_000;
 
-  /** Delay of another read of the leader after a read or a watch that failed. */
+  /** Delay before the leader key is read again after a failed read. */
   private static final long READ_RETRY_MS = 300;
 
   private static final long WATCH_RETRY_MS = 200;
 
-  /** Bounds of the random delay after which a candidate reads who was elected. */
+  /**
+   * Upper bound of the random jitter added to the delay after which a candidate reads who was
+   * elected.
+   */
   private static final int CANDIDATE_JITTER_MS = 200;
 
-  private static final long CANDIDATE_READ_MS = 400;
-  private static final long CANDIDATE_READ_AFTER_DELETION_MS = 100;
+  private static final long CANDIDATE_READ_DELAY_MS = 400;
+  private static final long POST_DELETION_READ_DELAY_MS = 100;
 
-  /** After resigning a node is no candidate for this long, so that another is elected. */
+  /**
+   * How long a node does not become a candidate after resigning, so that another node is elected.
+   */
   private static final long RESIGNATION_BACKOFF_MS = 6_000;
 
   /**
-   * The delay of a candidacy of a node whose previous process ended as leader. This process has
-   * loaded nothing yet and its code is cold, and what ended the previous one may end this one there
-   * as well.
+   * Additional candidacy delay of a node whose previous process ended while it was the leader. The
+   * new process has not loaded any state and its code is not yet JIT-compiled, and whatever ended
+   * the previous process may also end this one once it leads.
    */
   private static final long RESTART_DELAY_MS = 400;
 
-  /** Two processes of one name, by mistake, must not depose each other for ever. */
+  /**
+   * Maximum number of predecessor leases that a process releases. The limit keeps two processes
+   * that are misconfigured with the same name from deposing each other forever.
+   */
   private static final int MAX_PREDECESSOR_RELEASES = 8;
 
-  /** Where this node stands. */
+  /** The role of this node in the election. */
   private enum State {
-    /** Another node leads, or nobody is known to. */
+    /** Another node leads, or no leader is known. */
     FOLLOWER,
-    /** An election of this node is under way. */
+    /** A candidacy of this node is in progress. */
     CANDIDATE,
-    /** This node leads as far as it knows. */
+    /** This node is the leader, as far as it knows. */
     LEADER
   }
 
@@ -87,7 +98,10 @@
   private long leaderTerm;
   private long highestSeenToken;
 
-  /** This node's newest term of leadership, and the leader key's version and lease in it. */
+  /**
+   * The latest term that this node was elected for; the next two fields are the version and the
+   * lease of the leader key in that term.
+   */
   private long ownTerm;
 
   private long leaderKeyVersion;
@@ -96,33 +110,36 @@
   private boolean isRenewing;
   private EventLoop.Timer renewalTimer;
 
-  /** The lease of the newest candidacy that may still have been elected; 0: none. */
+  /**
+   * The lease of the latest candidacy that may still turn out to be elected; 0 if there is none.
+   */
   private long candidacyLease;
 
   private long noCandidacyUntilMs = Long.MIN_VALUE;
   private long delayedCandidacyUntilMs = Long.MIN_VALUE;
   private int predecessorReleases;
 
-  /** Told of this node's own leadership. */
+  /** Receives changes of this node's own leadership. */
   public interface Listener {
     /**
-     * This node leads from now on.
+     * This node was elected leader.
      *
      * @param term the first fencing token of its term
-     * @param version the version of {@link #LEADER_KEY}, a condition of each of its writes
+     * @param leaderKeyVersion the version of {@link #LEADER_KEY}, which all writes of this leader
+     *     must have as a condition
      */
-    void elected(long term, long version);
+    void elected(long term, long leaderKeyVersion);
 
-    /** This node no longer leads. */
+    /** This node is no longer the leader. */
     void deposed();
   }
 
   /**
-   * Prepares an election; {@link #start} takes part in it.
+   * Creates this node's participant in the election; {@link #start} begins to participate.
    *
    * @param node this node's name
-   * @param candidacyDelayMs how long this node lets others be elected first, since they would serve
-   *     better; asked at the beginning of each candidacy
+   * @param candidacyDelayMs delay before this node's candidacy, in milliseconds, so that
+   *     better-suited nodes are elected first; evaluated at the beginning of each candidacy
    */
   public LeaderElection(
       EventLoop loop,
@@ -139,32 +156,32 @@
     this.listener = listener;
   }
 
-  /** Takes part from now on. */
+  /** Begins to participate in the election. */
   public void start() {
     readLeader();
   }
 
-  /** Name of the leader as last seen, or null. */
+  /** Returns the name of the last known leader, or null if there is none. */
   public String leader() {
     return leader;
   }
 
-  /** The term of the leader as last seen; 0 before the first. */
+  /** Returns the term of the last known leader; 0 before the first leader is known. */
   public long leaderTerm() {
     return leaderTerm;
   }
 
-  /** The highest fencing token seen anywhere. */
+  /** Returns the highest fencing token that this node has seen or been elected with. */
   public long highestSeenToken() {
     return Math.max(highestSeenToken, ownTerm);
   }
 
-  /** True while this node leads as far as it knows. */
+  /** Returns whether this node is the leader, as far as it knows. */
   public boolean isLeading() {
     return state == State.LEADER;
   }
 
-  /** When the newest renewal of the lease was sent that succeeded, on the steady clock. */
+  /** Returns when the latest successful lease grant or renewal was sent, on the monotonic clock. */
   public long lastRenewalSentMs() {
     return lastRenewalSentMs;
   }
@@ -177,18 +194,18 @@
             loop.after(READ_RETRY_MS, this::readLeader);
             return;
           }
-          leaderKeyRead(item);
+          applyLeaderKey(item);
           if (item.version() > 0) {
             watchLeader(item.version());
           } else {
             becomeCandidate();
-            readLeaderAfter(CANDIDATE_READ_MS);
+            readLeaderAfter(CANDIDATE_READ_DELAY_MS);
           }
         });
   }
 
-  private void readLeaderAfter(long ms) {
-    loop.after(ms + random.nextInt(CANDIDATE_JITTER_MS), this::readLeader);
+  private void readLeaderAfter(long delayMs) {
+    loop.after(delayMs + random.nextInt(CANDIDATE_JITTER_MS), this::readLeader);
   }
 
   private void watchLeader(long afterRevision) {
@@ -204,21 +221,22 @@
           boolean isAbsent = false;
           for (VersionedValue event : events) {
             if (event.key().equals(LEADER_KEY)) {
-              leaderKeyRead(event);
+              applyLeaderKey(event);
               isAbsent = event.value() == null;
             }
           }
           if (isAbsent) {
-            // The others try at the same moment; one transaction wins, the others read its result.
+            // All followers become candidates at the same time; one transaction succeeds, and the
+            // others read its result.
             becomeCandidate();
-            readLeaderAfter(CANDIDATE_READ_AFTER_DELETION_MS);
+            readLeaderAfter(POST_DELETION_READ_DELAY_MS);
           } else {
             watchLeader(revision);
           }
         });
   }
 
-  private void leaderKeyRead(VersionedValue item) {
+  private void applyLeaderKey(VersionedValue item) {
     if (item.value() == null) {
       leader = null;
       if (isLeading()) {
@@ -240,10 +258,11 @@
   }
 
   /**
-   * The leadership is held under this node's name and not by this process: by one before it, or by
-   * a candidacy of its own that was given up. Nobody acts in it, so its lease is ended and need not
-   * be waited for. Ending a lease can only depose; and what the previous process has still on its
-   * way fails from then on, since the key that its conditions name is gone.
+   * Releases the lease of a leadership that is held under this node's name but not by this process.
+   * It belongs to a previous process or to an abandoned candidacy of this one. No process acts as
+   * that leader, so there is no need to wait until the lease expires. This is safe: releasing a
+   * lease can only depose a leader, and writes of the previous process that are still in transit
+   * fail from then on because the leader key in their conditions no longer exists.
    */
   private void releasePredecessor(long predecessorLease) {
     if (predecessorLease > 0
@@ -266,14 +285,15 @@
     Candidacy candidacy =
         new Candidacy(loop, store, node, () -> highestSeenToken, new CandidacyListener());
     if (delayMs > 0) {
-      // By then another leads, and the conditions of this node's transaction fail; or nobody does.
+      // If another node is elected during the delay, the conditions of this node's transaction
+      // fail.
       loop.after(delayMs, candidacy::start);
     } else {
       candidacy.start();
     }
   }
 
-  /** What becomes of this node's candidacy. */
+  /** Handles the outcome of this node's candidacy. */
   private final class CandidacyListener implements Candidacy.Listener {
     @Override
     public void transactionSent(long sentLease) {
@@ -282,7 +302,7 @@
 
     @Override
     public void elected(Candidacy.Election election) {
-      lead(election);
+      beginLeadership(election);
     }
 
     @Override
@@ -297,7 +317,7 @@
     }
   }
 
-  private void lead(Candidacy.Election election) {
+  private void beginLeadership(Candidacy.Election election) {
     state = State.LEADER;
     leader = node;
     leaderTerm = election.term();
@@ -334,7 +354,7 @@
         });
   }
 
-  /** Gives the leadership up although its lease holds: another node may serve better. */
+  /** Gives up the leadership although its lease is valid, because another node may serve better. */
   public void resign() {
     if (!isLeading()) {
       return;
@@ -346,8 +366,8 @@
   }
 
   /**
-   * Gives the leadership up: a write failed on the version of {@link #LEADER_KEY}, or a higher term
-   * was seen.
+   * Gives up the leadership after a write failed because of the version of {@link #LEADER_KEY}, or
+   * after a higher term was seen.
    */
   public void stepDown() {
     if (!isLeading()) {
@@ -361,11 +381,12 @@
   }
 
   /**
-   * Another node announced its term; a node that is cut off from the state service learns of it
-   * here first.
+   * Handles another node's announcement of its term. A node that is partitioned from the state
+   * service learns of a new leader through such announcements first.
    */
   public void leaderAnnounced(String otherNode, long otherTerm) {
-    // Tokens of the same term may have been seen; those of a later one say that it is over.
+    // Tokens of the announced term may have been seen already; a token of a later term shows that
+    // the announced term has ended.
     if (FencingTokens.last(otherTerm) >= highestSeenToken()) {
       tokenSeen(otherTerm);
       if (!isLeading()) {
@@ -375,7 +396,10 @@
     }
   }
 
-  /** A message had this fencing token: one beyond this node's own term ends its leadership. */
+  /**
+   * Records a fencing token from a message. A token higher than those of this node's own term ends
+   * its leadership.
+   */
   public void tokenSeen(long fencingToken) {
     highestSeenToken = Math.max(highestSeenToken, fencingToken);
     if (isLeading() && fencingToken > FencingTokens.last(ownTerm)) {
--- a/src/main/java/org/mallowroad/election/LeaderRecord.java
+++ b/src/main/java/org/mallowroad/election/LeaderRecord.java
@@ -9,8 +9,8 @@
  *
  * @param node the leader's name
  * @param term the first fencing token of its term
- * @param lease the lease that the key lives on, which tells this process from an earlier one of the
- *     same name; 0 in records of builds that did not write it
+ * @param lease the lease attached to the key, which distinguishes this process from an earlier one
+ *     of the same name; 0 in records of older versions, which did not store it
  */
 record LeaderRecord(String node, long term, long lease) {
   private static final String NODE = "node";
@@ -18,7 +18,10 @@
   private static final String LEASE = "lease";
   private static final String HIGHEST_TOKEN = "n";
 
-  /** Decodes a value; a key that does not exist names the empty node, which no node is. */
+  /**
+   * Decodes a value. If the key does not exist, the result has an empty node name, which matches no
+   * node.
+   */
   static LeaderRecord decode(JsonNode value) {
     if (value == null) {
       return new LeaderRecord("", 0, 0);
@@ -31,12 +34,15 @@
     return Json.object().put(NODE, node).put(TERM, term).put(LEASE, lease);
   }
 
-  /** The highest fencing token of the key {@link LeaderElection#TERM_KEY}; 0 when there is none. */
+  /**
+   * Decodes the highest fencing token from the value of the key {@link LeaderElection#TERM_KEY}; 0
+   * if the key does not exist.
+   */
   static long decodeTerm(JsonNode value) {
     return value == null ? 0 : value.path(HIGHEST_TOKEN).asLong();
   }
 
-  /** The value of the key {@link LeaderElection#TERM_KEY}. */
+  /** Encodes the value of the key {@link LeaderElection#TERM_KEY}. */
   static ObjectNode encodeTerm(long highestToken) {
     return Json.object().put(HIGHEST_TOKEN, highestToken);
   }
--- a/src/main/java/org/mallowroad/election/package-info.java
+++ b/src/main/java/org/mallowroad/election/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Leader election among the controllers: a leased key in the state service, and a term that rises
- * with each election ({@link org.mallowroad.election.LeaderElection} has the proof).
+ * Leader election among the controllers, based on a leased key in the state service and a term that
+ * increases with each election ({@link org.mallowroad.election.LeaderElection} has the proof).
  */
 package org.mallowroad.election;
--- a/src/main/java/org/mallowroad/state/AttemptRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/AttemptRecordCodec.java
@@ -17,12 +17,14 @@
 import org.mallowroad.wire.Json;
 
 /**
- * The records of attempts: a job's own, and those that small jobs share.
+ * Encodes and decodes attempt records, both those of a single job and those that several small jobs
+ * share.
  *
- * <p>A record is written with every start, so each byte is paid for often. Unresolved attempts are
- * grouped by machine and worker session, {@code live: [[machine, incarnation, kind, task, number,
- * task, number, ...], ...]}, and what machines have in common is written once, {@code kinds:
- * [[type, zone, spot], ...]}. Tasks that are done are a bit set in hexadecimal, {@code done}.
+ * <p>Every task start writes a record, so the encoding is compact. Unresolved attempts are grouped
+ * by machine and worker session, {@code live: [[machine, incarnation, kind, task, number, task,
+ * number, ...], ...]}, and the properties that machines share are stored once, {@code kinds:
+ * [[type, zone, spot], ...]}. The field {@code done} holds the completed tasks as a bit set in
+ * hexadecimal.
  */
 public final class AttemptRecordCodec {
   private static final String DONE = "done";
@@ -45,12 +47,12 @@
 
   private AttemptRecordCodec() {}
 
-  /** Encodes the record of a part of a job's tasks. */
+  /** Encodes the attempt record of one range of a job's tasks. */
   public static ObjectNode encode(AttemptRecord record, NameIndex zones) {
-    ObjectNode o = Json.object();
+    ObjectNode recordNode = Json.object();
     BitSet done = new BitSet();
     int highestNumber = 0;
-    Groups groups = new Groups(zones);
+    AttemptGroups groups = new AttemptGroups(zones);
     for (int task = record.firstTask(); task < record.endTask(); task++) {
       if (record.job.isDone(task)) {
         done.set(task - record.firstTask());
@@ -62,73 +64,76 @@
       }
     }
     if (!done.isEmpty()) {
-      o.put(DONE, HexFormat.of().formatHex(done.toByteArray()));
+      recordNode.put(DONE, HexFormat.of().formatHex(done.toByteArray()));
     }
-    o.put(HIGHEST_NUMBER, highestNumber);
+    recordNode.put(HIGHEST_NUMBER, highestNumber);
     if (!groups.live.isEmpty()) {
-      o.set(KINDS, groups.kinds);
-      o.set(LIVE, groups.live);
+      recordNode.set(KINDS, groups.kinds);
+      recordNode.set(LIVE, groups.live);
     }
-    return o;
+    return recordNode;
   }
 
   /** Unresolved attempts, grouped by machine and worker session. */
-  private static final class Groups {
+  private static final class AttemptGroups {
     private final NameIndex zones;
     private final ArrayNode kinds = Json.array();
     private final ArrayNode live = Json.array();
-    private final Object2ObjectLinkedOpenHashMap<String, ArrayNode> byMachine =
+    private final Object2ObjectLinkedOpenHashMap<String, ArrayNode> groupsBySession =
         new Object2ObjectLinkedOpenHashMap<>();
-    private final Object2IntOpenHashMap<String> kindIndex = new Object2IntOpenHashMap<>();
+    private final Object2IntOpenHashMap<String> kindIndices = new Object2IntOpenHashMap<>();
 
-    Groups(NameIndex zones) {
+    AttemptGroups(NameIndex zones) {
       this.zones = zones;
     }
 
     void add(int task, Attempt attempt) {
       String key = attempt.machine.name + " " + attempt.incarnation;
-      ArrayNode group = byMachine.get(key);
+      ArrayNode group = groupsBySession.get(key);
       if (group == null) {
-        int kind = kind(attempt.machine);
+        int kind = indexOfKind(attempt.machine);
         group = live.addArray().add(attempt.machine.name).add(attempt.incarnation).add(kind);
-        byMachine.put(key, group);
+        groupsBySession.put(key, group);
       }
       group.add(task).add(attempt.number);
     }
 
-    private int kind(Machine machine) {
+    private int indexOfKind(Machine machine) {
       String key = machine.type.name() + " " + machine.zone + " " + machine.spot;
-      int index = kindIndex.getOrDefault(key, -1);
+      int index = kindIndices.getOrDefault(key, -1);
       if (index < 0) {
-        index = kindIndex.size();
-        kindIndex.put(key, index);
+        index = kindIndices.size();
+        kindIndices.put(key, index);
         kinds.addArray().add(machine.type.name()).add(zones.name(machine.zone)).add(machine.spot);
       }
       return index;
     }
   }
 
-  /** Encodes a record that small jobs share: by job, what a record of its own would have. */
+  /**
+   * Encodes a record that several small jobs share. Each member is a field named by the job ID,
+   * whose value has the form of a single-job record.
+   */
   public static ObjectNode encodeShared(Iterable<AttemptRecord> members, NameIndex zones) {
-    ObjectNode o = Json.object();
+    ObjectNode recordNode = Json.object();
     for (AttemptRecord member : members) {
-      o.set(member.job.spec.id(), encode(member, zones));
+      recordNode.set(member.job.spec.id(), encode(member, zones));
     }
-    return o;
+    return recordNode;
   }
 
-  /** What a shared record has of each of its jobs, in the form of a record of its own. */
+  /** Returns the members of a shared record by job ID, each in the form of a single-job record. */
   public static List<Map.Entry<String, JsonNode>> membersOfShared(JsonNode sharedRecord) {
     return new ArrayList<>(sharedRecord.properties());
   }
 
-  /** The unresolved attempts of a record. */
+  /** Returns the unresolved attempts of a record. */
   public static List<RecordedAttempt> unresolvedAttempts(JsonNode attemptRecord) {
-    List<RecordedAttempt> out = new ArrayList<>();
+    List<RecordedAttempt> attempts = new ArrayList<>();
     for (JsonNode group : attemptRecord.path(LIVE)) {
       JsonNode kind = attemptRecord.path(KINDS).path(group.path(GROUP_KIND).asInt(-1));
       for (int i = GROUP_ATTEMPTS; i + 1 < group.size(); i += 2) {
-        out.add(
+        attempts.add(
             new RecordedAttempt(
                 group.get(i).asInt(),
                 group.get(i + 1).asInt(),
@@ -139,16 +144,16 @@
                 kind.path(KIND_SPOT).asBoolean()));
       }
     }
-    return out;
+    return attempts;
   }
 
-  /** The tasks of a record that are done, counted from the first task of the record. */
+  /** Returns the completed tasks of a record as indices relative to the record's first task. */
   public static BitSet doneTasks(JsonNode attemptRecord) {
     JsonNode done = attemptRecord.get(DONE);
     return done == null ? new BitSet() : BitSet.valueOf(HexFormat.of().parseHex(done.asText()));
   }
 
-  /** The highest attempt number of any task of a record. */
+  /** Returns the highest attempt number of all tasks of a record. */
   public static int highestAttemptNumber(JsonNode attemptRecord) {
     return attemptRecord.path(HIGHEST_NUMBER).asInt();
   }
--- a/src/main/java/org/mallowroad/state/CallHandler.java
+++ b/src/main/java/org/mallowroad/state/CallHandler.java
@@ -6,8 +6,9 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Parses the response to one call and reports it to the {@link ServiceHealth}. A response that
- * cannot be understood counts as none; exactly one of the two abstract methods has the last word.
+ * Parses the response to one call and reports the outcome to {@link ServiceHealth}. A malformed
+ * response is handled as a missing one. The last of the abstract methods to be called determines
+ * the result of the call.
  */
 abstract class CallHandler implements RequestSender.ResponseHandler {
 
@@ -20,29 +21,32 @@
   }
 
   /**
-   * A response came.
+   * Handles a response.
    *
-   * @param body empty when the response has none, or none that matters
-   * @throws InvalidMessageException when the body is not what the protocol says: then {@link
-   *     #onNoResponse} is called as well
+   * @param body empty when the response has no body or its body is not relevant
+   * @throws InvalidMessageException when the body violates the protocol; {@link #onNoResponse} is
+   *     then called as well
    */
   abstract void onResponse(int status, ObjectNode body) throws InvalidMessageException;
 
   /**
-   * No usable response came.
+   * Handles the absence of a usable response.
    *
-   * @param sent false when the service certainly did not get the request
+   * @param sent false when the service certainly did not receive the request
    */
   abstract void onNoResponse(boolean sent);
 
-  /** False for calls that wait for something to happen. */
+  /**
+   * Returns whether the response time is a latency sample; false for calls that wait for an event,
+   * such as watches.
+   */
   boolean countsForLatency() {
     return true;
   }
 
   @Override
   public final void answered(int status, byte[] body) {
-    health.responded(status, sentMs, countsForLatency());
+    health.recordResponse(status, sentMs, countsForLatency());
     ObjectNode parsed = Json.object();
     if (status < HttpStatus.FIRST_SERVER_ERROR
         && status != HttpStatus.TOO_MANY_REQUESTS
@@ -51,27 +55,27 @@
         parsed = Json.parseObject(body);
       } catch (InvalidMessageException e) {
         if (status == HttpStatus.OK || status == HttpStatus.CONFLICT) {
-          malformed(e);
+          handleMalformed(e);
           return;
         }
-        // The status says it all: the body of other responses is for the log only.
+        // For other statuses the body serves only the log, so the status is sufficient.
       }
     }
     try {
       onResponse(status, parsed);
     } catch (InvalidMessageException e) {
-      malformed(e);
+      handleMalformed(e);
     }
   }
 
-  private void malformed(InvalidMessageException e) {
-    health.malformed(e);
+  private void handleMalformed(InvalidMessageException e) {
+    health.recordMalformedResponse(e);
     onNoResponse(true);
   }
 
   @Override
   public final void failed(boolean sent) {
-    health.failed();
+    health.recordFailure();
     onNoResponse(sent);
   }
 }
--- a/src/main/java/org/mallowroad/state/CallResult.java
+++ b/src/main/java/org/mallowroad/state/CallResult.java
@@ -1,25 +1,28 @@
 package org.mallowroad.state;
 
-/** How a call to the state service ended. */
+/** The outcome of a call to the state service. */
 public enum CallResult {
-  /** Executed; a read of a key that does not exist is this as well. */
+  /** The call was executed. A read of a key that does not exist also has this result. */
   OK,
 
-  /** A transaction was not executed, since at least one of its conditions did not hold. */
+  /** The transaction was not executed because at least one of its conditions did not hold. */
   CONDITION_FAILED,
 
-  /** The lease does not exist any more, so it cannot be renewed. */
+  /** The lease no longer exists, so it cannot be renewed. */
   LEASE_EXPIRED,
 
   /**
-   * The revision to watch from is older than what the service remembers: the keys must be read
-   * again.
+   * The requested start revision of a watch is older than the service's change history, so the keys
+   * must be listed again.
    */
   REVISION_COMPACTED,
 
-  /** Certainly not executed. A read without a usable response is this as well. */
+  /** The call was certainly not executed. A read without a usable response also has this result. */
   NOT_EXECUTED,
 
-  /** A write or a lease call without a response: it may have been executed, or still may be. */
+  /**
+   * A write or a lease call received no usable response: it may have been executed, or may be
+   * executed later.
+   */
   UNKNOWN
 }
--- a/src/main/java/org/mallowroad/state/JobRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/JobRecordCodec.java
@@ -9,8 +9,8 @@
 import org.mallowroad.wire.Json;
 
 /**
- * The open record of a job, written when it is accepted, and its end record, which replaces the
- * open one. Neither is ever changed.
+ * Encodes and decodes a job's open record, written when the job is accepted, and its end record,
+ * which replaces the open record. Neither record is modified once written.
  */
 public final class JobRecordCodec {
   private static final String SUBMITTED_AT = "at";
@@ -27,51 +27,51 @@
    * @param nowMs wall-clock time of the submission
    */
   public static ObjectNode encodeOpen(ObjectNode submission, long nowMs) {
-    ObjectNode o = Json.object();
-    o.put(SUBMITTED_AT, nowMs);
-    o.set(JOB, JobCodec.record(submission));
-    return o;
+    ObjectNode recordNode = Json.object();
+    recordNode.put(SUBMITTED_AT, nowMs);
+    recordNode.set(JOB, JobCodec.record(submission));
+    return recordNode;
   }
 
   /**
    * Decodes the job of an open record.
    *
-   * @throws InvalidMessageException if the record holds no job, or one that is malformed
+   * @throws InvalidMessageException if the job is missing or malformed
    */
   public static JobSpec decodeOpen(JsonNode openRecord, JobCodec codec)
       throws InvalidMessageException {
     JsonNode job = openRecord == null ? null : openRecord.get(JOB);
     if (job == null || !job.isObject()) {
-      throw new InvalidMessageException("job: a job is needed");
+      throw new InvalidMessageException("job: an object is required");
     }
     return codec.decode(job, openRecord.path(SUBMITTED_AT).asLong());
   }
 
-  /** Encodes the end record of a job all of whose tasks are done. */
+  /** Encodes the end record of a job whose tasks have all completed. */
   public static ObjectNode encodeDone(int tasks) {
-    ObjectNode o = Json.object();
-    o.put(END, Fields.DONE);
-    o.put(TASKS, tasks);
-    return o;
+    ObjectNode recordNode = Json.object();
+    recordNode.put(END, Fields.DONE);
+    recordNode.put(TASKS, tasks);
+    return recordNode;
   }
 
   /**
-   * Encodes the end record of a job that was cancelled. It keeps the open record, since tasks may
-   * still be on machines.
+   * Encodes the end record of a cancelled job. It includes the open record, because tasks may still
+   * be running on machines.
    */
   public static ObjectNode encodeCancelled(JsonNode openRecord) {
-    ObjectNode o = Json.object();
-    o.put(END, Fields.CANCELLED);
-    o.set(OPEN_RECORD, openRecord);
-    return o;
+    ObjectNode recordNode = Json.object();
+    recordNode.put(END, Fields.CANCELLED);
+    recordNode.set(OPEN_RECORD, openRecord);
+    return recordNode;
   }
 
-  /** True if the job of an end record is done, false if it was cancelled. */
+  /** Returns true if the job of an end record completed, false if it was cancelled. */
   public static boolean isDone(JsonNode endRecord) {
     return endRecord.path(END).asText().equals(Fields.DONE);
   }
 
-  /** The open record that the end record of a cancelled job keeps; null for a job that is done. */
+  /** Returns the open record in the end record of a cancelled job; null for a completed job. */
   public static JsonNode openRecordOf(JsonNode endRecord) {
     return endRecord.get(OPEN_RECORD);
   }
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -12,106 +12,111 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The client of the state service. Each call has exactly one outcome, which its listener is told on
- * the event loop; none throws.
+ * The client of the state service. Each call reports exactly one outcome to its listener, on the
+ * event loop, and never throws.
  *
  * <p>Confined to the event loop.
  */
 public final class KeyValueStore {
   private static final Logger LOG = LoggerFactory.getLogger(KeyValueStore.class);
 
-  /** Without a response in this time a call has failed. */
+  /** Time-out of a call. */
   private static final long TIMEOUT_MS = 1500;
 
-  /** A list is read a page at a time: the response may be half a megabyte. */
+  /** Time-out of each page of a list, longer because a response may be half a megabyte. */
   private static final long LIST_TIMEOUT_MS = 2 * TIMEOUT_MS;
 
-  /** Items of a page, at most; a limit of the service. */
+  /** Maximum number of items per page; a limit of the service. */
   private static final int PAGE_ITEMS = 1_000;
 
-  /** How often a page is asked for again after a failure. */
+  /** Maximum number of retries per page of a list. */
   private static final int MAX_PAGE_RETRIES = 3;
 
   private static final long PAGE_RETRY_DELAY_MS = 200;
 
-  /** After a refusal for the service's rate limit no transaction is sent again for this long. */
+  /**
+   * How long no transaction is retried after the service refused a call because of its rate limit.
+   */
   private static final long THROTTLED_BACKOFF_MS = 1_000;
 
-  /** Retries of transactions a second where nothing else is set. */
+  /** Default limit of transaction retries per second. */
   private static final double DEFAULT_RETRIES_PER_S = 6;
 
-  /** Retries that may be sent at once, as seconds of their rate. */
+  /** Burst size of the retry limiter, in seconds of its rate. */
   private static final double RETRY_BURST_S = 2;
 
   private final EventLoop loop;
   private final RequestSender sender;
   private final RequestSender watchSender;
   private final ServiceHealth health;
-  private RateLimiter retries;
+  private RateLimiter retryLimiter;
 
-  /** Told the outcome of a read. */
+  /** Receives the outcome of a read. */
   public interface ReadListener {
     /**
      * Called once.
      *
      * @param result {@link CallResult#OK} or {@link CallResult#NOT_EXECUTED}
-     * @param item with {@code OK} the item (version 0 when absent), else null
+     * @param item the item (version 0 when the key does not exist) if the result is {@code OK},
+     *     otherwise null
      */
     void onRead(CallResult result, VersionedValue item);
   }
 
-  /** Told the outcome of a transaction. */
+  /** Receives the outcome of a transaction. */
   public interface TransactionListener {
     /**
      * Called once.
      *
      * @param result {@link CallResult#OK}, {@link CallResult#CONDITION_FAILED}, {@link
      *     CallResult#NOT_EXECUTED} or {@link CallResult#UNKNOWN}
-     * @param revision with {@code OK} the version of all keys that were written
-     * @param failedKeys with {@code CONDITION_FAILED} keys whose conditions did not hold; a service
-     *     may name the first alone, or none
+     * @param revision the new version of all written keys if the result is {@code OK}
+     * @param failedKeys keys whose conditions did not hold if the result is {@code
+     *     CONDITION_FAILED}; the service may name only the first one, or none
      */
     void onOutcome(CallResult result, long revision, List<String> failedKeys);
   }
 
-  /** Told the outcome of a list. */
+  /** Receives the outcome of a list. */
   public interface ListListener {
     /**
      * Called once.
      *
      * @param result {@link CallResult#OK} or {@link CallResult#NOT_EXECUTED}
-     * @param items with {@code OK} the items, in the order of their keys
-     * @param revision with {@code OK} the service's revision when it answered for the first page
+     * @param items the items in key order if the result is {@code OK}
+     * @param revision the service's revision at the time of the first page if the result is {@code
+     *     OK}
      */
     void onList(CallResult result, List<VersionedValue> items, long revision);
   }
 
-  /** Told the outcome of a lease call. */
+  /** Receives the outcome of a lease call. */
   public interface LeaseListener {
     /**
      * Called once.
      *
      * @param result {@link CallResult#OK}, {@link CallResult#LEASE_EXPIRED}, {@link
      *     CallResult#NOT_EXECUTED} or {@link CallResult#UNKNOWN}
-     * @param lease with {@code OK} the lease
+     * @param lease the lease if the result is {@code OK}
      */
     void onLease(CallResult result, long lease);
   }
 
-  /** Told the outcome of a watch. */
+  /** Receives the outcome of a watch. */
   public interface WatchListener {
     /**
      * Called once.
      *
      * @param result {@link CallResult#OK}, {@link CallResult#REVISION_COMPACTED} or {@link
      *     CallResult#NOT_EXECUTED}
-     * @param events with {@code OK} the changes, oldest first; none when the time ran out
-     * @param revision with {@code OK} where the next watch begins
+     * @param events the changes, oldest first, if the result is {@code OK}; empty if the wait time
+     *     passed without a change
+     * @param revision the revision from which to continue watching if the result is {@code OK}
      */
     void onEvents(CallResult result, List<VersionedValue> events, long revision);
   }
 
-  /** A page of a list. */
+  /** Receives the outcome of a request for one page of a list. */
   private interface PageListener {
     void onPage(ObjectNode body) throws InvalidMessageException;
 
@@ -119,10 +124,10 @@
   }
 
   /**
-   * A client of one state service.
+   * Creates a client of one state service.
    *
    * @param sender for ordinary calls
-   * @param watchSender for watches, so that they never hold up other calls
+   * @param watchSender for watches, so that they never delay other calls
    */
   public KeyValueStore(EventLoop loop, RequestSender sender, RequestSender watchSender) {
     this.loop = loop;
@@ -132,12 +137,12 @@
     setRetriesPerSecond(DEFAULT_RETRIES_PER_S);
   }
 
-  /** Bounds how many transactions are sent again since their responses are late. */
+  /** Sets the rate limit for retries of transactions whose responses are late. */
   public void setRetriesPerSecond(double perSecond) {
-    retries = new RateLimiter(perSecond, RETRY_BURST_S * perSecond, loop.now());
+    retryLimiter = new RateLimiter(perSecond, RETRY_BURST_S * perSecond, loop.now());
   }
 
-  /** What the calls show of the service. */
+  /** Returns the health of the service, as observed through the calls of this client. */
   public ServiceHealth health() {
     return health;
   }
@@ -168,14 +173,14 @@
   }
 
   /**
-   * Lists all keys with a prefix, page by page. The pages are not of one moment: changes after the
-   * revision of the first page may show in later ones.
+   * Lists all keys with a prefix, page by page. The pages are not a consistent snapshot: later
+   * pages may contain changes made after the revision of the first page.
    */
   public void list(String prefix, ListListener listener) {
     new ListCall(prefix, listener).requestPage(null, 0);
   }
 
-  /** A list under way. */
+  /** A list call in progress. */
   private final class ListCall {
     private final String prefix;
     private final ListListener listener;
@@ -188,14 +193,14 @@
     }
 
     private void requestPage(String after, int retriesSoFar) {
-      page(
+      requestListPage(
           prefix,
           after,
           PAGE_ITEMS,
           new PageListener() {
             @Override
             public void onPage(ObjectNode body) throws InvalidMessageException {
-              add(body);
+              addPage(body);
             }
 
             @Override
@@ -209,7 +214,7 @@
           });
     }
 
-    private void add(ObjectNode body) throws InvalidMessageException {
+    private void addPage(ObjectNode body) throws InvalidMessageException {
       List<VersionedValue> page = StateServiceCodec.items(body);
       if (revision < 0) {
         revision = StateServiceCodec.revision(body);
@@ -224,13 +229,13 @@
   }
 
   /**
-   * Lists one page of the keys with a prefix, in order.
+   * Lists one page of the keys with a prefix, in key order.
    *
-   * @param after the key before the first one, or null for the beginning
-   * @param limit items at most
+   * @param after the last key of the previous page, or null for the first page
+   * @param limit maximum number of items
    */
   public void listPage(String prefix, String after, int limit, ListListener listener) {
-    page(
+    requestListPage(
         prefix,
         after,
         limit,
@@ -248,7 +253,7 @@
         });
   }
 
-  private void page(String prefix, String after, int limit, PageListener listener) {
+  private void requestListPage(String prefix, String after, int limit, PageListener listener) {
     sender.call(
         "GET",
         StateServiceCodec.listPath(prefix, after, limit),
@@ -272,12 +277,12 @@
   }
 
   /**
-   * Executes a transaction whose conditions make it safe to be executed twice, and sends it again
-   * while its response is late ({@link TransactionRetry}). {@link CallResult#CONDITION_FAILED} may
-   * then mean that an earlier copy was executed: the caller compares what it finds with what it
-   * wrote.
+   * Executes a transaction and resends it while its response is late ({@link TransactionRetry}).
+   * The conditions of the transaction must ensure that at most one copy takes effect. {@link
+   * CallResult#CONDITION_FAILED} may mean that an earlier copy was executed, so the caller must
+   * compare the stored values with those it wrote.
    *
-   * @param onRetry run for each further copy, which counts against the service's limits as well
+   * @param onRetry run for each additional copy, which also counts against the service's rate limit
    */
   public void compareAndSwapWithRetry(
       Transaction transaction, Runnable onRetry, TransactionListener listener) {
@@ -286,7 +291,7 @@
             outcome -> compareAndSwap(transaction, outcome),
             this::mayRetry,
             () -> {
-              health.retried();
+              health.recordRetry();
               onRetry.run();
             },
             health.latency(),
@@ -294,15 +299,18 @@
         .send();
   }
 
-  /** Retries are a small part of the calls, and none is sent while calls are refused. */
+  /**
+   * Returns whether a retry may be sent: retries have a low rate limit, and none is sent while the
+   * service throttles or fails calls.
+   */
   private boolean mayRetry() {
     long now = loop.now();
     return now - health.lastThrottledMs() > THROTTLED_BACKOFF_MS
         && !health.isFailing()
-        && retries.tryAcquire(1, now);
+        && retryLimiter.tryAcquire(1, now);
   }
 
-  /** Executes a transaction. */
+  /** Executes a transaction once, without retries. */
   public void compareAndSwap(Transaction transaction, TransactionListener listener) {
     sender.call(
         "POST",
@@ -327,28 +335,29 @@
 
           @Override
           void onNoResponse(boolean sent) {
-            listener.onOutcome(withoutResponse(sent), 0, List.of());
+            listener.onOutcome(resultWithoutResponse(sent), 0, List.of());
           }
         });
   }
 
-  /** Asks for a lease that ends unless it is renewed in time. */
+  /** Requests a lease that expires unless it is renewed in time. */
   public void grantLease(long durationMs, LeaseListener listener) {
-    leaseCall("POST", "/leases", StateServiceCodec.grantLease(durationMs), TIMEOUT_MS, listener);
+    sendLeaseCall(
+        "POST", "/leases", StateServiceCodec.grantLeaseBody(durationMs), TIMEOUT_MS, listener);
   }
 
   /** Renews a lease for its full duration. */
   public void renewLease(long lease, long timeoutMs, LeaseListener listener) {
     byte[] emptyObject = {'{', '}'};
-    leaseCall("POST", "/leases/" + lease + "/extend", emptyObject, timeoutMs, listener);
+    sendLeaseCall("POST", "/leases/" + lease + "/extend", emptyObject, timeoutMs, listener);
   }
 
-  /** Ends a lease at once; if the call fails the lease runs out by itself. */
+  /** Ends a lease immediately; if the call fails, the lease expires on its own. */
   public void releaseLease(long lease) {
-    leaseCall("DELETE", "/leases/" + lease, null, TIMEOUT_MS, (result, id) -> {});
+    sendLeaseCall("DELETE", "/leases/" + lease, null, TIMEOUT_MS, (result, id) -> {});
   }
 
-  private void leaseCall(
+  private void sendLeaseCall(
       String method, String path, byte[] body, long timeoutMs, LeaseListener listener) {
     sender.call(
         method,
@@ -368,20 +377,20 @@
 
           @Override
           void onNoResponse(boolean sent) {
-            listener.onLease(withoutResponse(sent), 0);
+            listener.onLease(resultWithoutResponse(sent), 0);
           }
         });
   }
 
-  private static CallResult withoutResponse(boolean sent) {
+  private static CallResult resultWithoutResponse(boolean sent) {
     return sent ? CallResult.UNKNOWN : CallResult.NOT_EXECUTED;
   }
 
   /**
-   * Waits for changes of keys with a prefix.
+   * Waits for changes to keys with a prefix.
    *
-   * @param afterRevision the last revision whose changes are known
-   * @param waitMs how long the service waits for a change
+   * @param afterRevision the last revision whose changes are already known
+   * @param waitMs maximum time that the service waits for a change, in milliseconds
    */
   public void watch(String prefix, long afterRevision, long waitMs, WatchListener listener) {
     watchSender.call(
--- a/src/main/java/org/mallowroad/state/LatencyEstimator.java
+++ b/src/main/java/org/mallowroad/state/LatencyEstimator.java
@@ -1,32 +1,35 @@
 package org.mallowroad.state;
 
 /**
- * A smoothed response time and its variation, as TCP estimates its retransmission time (RFC 6298).
+ * Estimates the response time and its variation in the way TCP computes its retransmission time-out
+ * (RFC 6298).
  */
 final class LatencyEstimator {
-  /** Weight of a new sample in the smoothed time (RFC 6298: alpha). */
-  private static final double GAIN = 0.125;
+  /** Weight of a new sample in the smoothed response time (alpha in RFC 6298). */
+  private static final double SMOOTHING_GAIN = 0.125;
 
-  /** Weight of a new sample in the variation (RFC 6298: beta). */
+  /** Weight of a new sample in the variation (beta in RFC 6298). */
   private static final double VARIATION_GAIN = 0.25;
 
-  /** Variations above the smoothed time from which on a response is late (RFC 6298: K). */
-  private static final double VARIATIONS = 4;
+  /**
+   * A response is late when it exceeds the smoothed time by this many variations (K in RFC 6298).
+   */
+  private static final double VARIATION_FACTOR = 4;
 
-  /** The estimate before the first sample. */
+  /** The estimate before the first sample, in milliseconds. */
   private static final double INITIAL_MS = 50;
 
   private double smoothedMs = INITIAL_MS;
   private double variationMs = INITIAL_MS / 2;
 
-  /** Adds the time that a response took. */
-  void sample(long ms) {
+  /** Adds a measured response time, in milliseconds. */
+  void addSample(long ms) {
     variationMs += VARIATION_GAIN * (Math.abs(ms - smoothedMs) - variationMs);
-    smoothedMs += GAIN * (ms - smoothedMs);
+    smoothedMs += SMOOTHING_GAIN * (ms - smoothedMs);
   }
 
-  /** A response that takes longer than this is probably lost. */
+  /** Time after which a response is probably lost, in milliseconds. */
   long retransmissionTimeoutMs() {
-    return Math.round(smoothedMs + VARIATIONS * variationMs);
+    return Math.round(smoothedMs + VARIATION_FACTOR * variationMs);
   }
 }
--- a/src/main/java/org/mallowroad/state/LeagueRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/LeagueRecordCodec.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.mallowroad.wire.Json;
 
-/** The record of a league on whose games dependencies are declared. */
+/** Encodes the record of a league whose games are named by job dependencies. */
 public final class LeagueRecordCodec {
-  /** Field: the highest game that a dependency names. */
+  /** Field with the highest game number that a dependency names. */
   public static final String HIGHEST_GAME = "up_to";
 
-  /** Field: how often games up to that one were claimed since. */
+  /** Field that counts the claims of games up to that number since a dependency first named one. */
   public static final String CHANGE_COUNT = "changes";
 
   private LeagueRecordCodec() {}
--- a/src/main/java/org/mallowroad/state/RecordedAttempt.java
+++ b/src/main/java/org/mallowroad/state/RecordedAttempt.java
@@ -1,10 +1,10 @@
 package org.mallowroad.state;
 
 /**
- * An unresolved attempt as an attempt record has it.
+ * An unresolved attempt, as decoded from an attempt record.
  *
  * @param task the task's index in its job
- * @param number counts the task's attempts from 1
+ * @param number the attempt number within the task, starting at 1
  * @param machine the machine's name
  * @param incarnation the worker session that the attempt was started in
  * @param type name of the machine's type
