--- a/src/main/java/org/mallowroad/state/ServiceHealth.java
+++ b/src/main/java/org/mallowroad/state/ServiceHealth.java
@@ -7,25 +7,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The health of the state service, as far as the calls of this node show it. Times are on the event
- * loop's steady clock, in milliseconds.
+ * Tracks the health of the state service, as observed through the calls of this node. Times are in
+ * milliseconds on the event loop's monotonic clock.
  */
 public final class ServiceHealth {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceHealth.class);
 
-  /** A failure counts for this long unless the service has answered since. */
+  /** How long a failure counts, unless a later response shows that the service works. */
   private static final long FAILURE_MEMORY_MS = 3_000;
 
-  /** After a retry of a transaction responses count as late for this long. */
+  /** How long responses count as late after a transaction was retried. */
   private static final long LATE_MEMORY_MS = 3_000;
 
   private static final long NEVER_MS = Long.MIN_VALUE / 2;
 
   private final EventLoop loop;
   private final LatencyEstimator latency = new LatencyEstimator();
-  private final LogLimiter malformedLog = LogLimiter.usual();
+  private final LogLimiter malformedLogLimiter = LogLimiter.usual();
   private long lastExecutedCallSentMs = NEVER_MS;
-  private long lastServedMs = NEVER_MS;
+  private long lastServedResponseMs = NEVER_MS;
   private long lastFailureMs = NEVER_MS;
   private long lastThrottledMs = NEVER_MS;
   private long lastRetryMs = NEVER_MS;
@@ -36,53 +36,55 @@
   }
 
   /**
-   * When the newest call was sent that the service has executed. Not when its response was read:
-   * that may have waited in a socket while this process was paused, and says nothing of the time
-   * since.
+   * Returns when the newest call that the service has executed was sent. The time at which its
+   * response was read would be misleading: the response may have waited in a socket buffer while
+   * this process was paused, and then says nothing about the time since.
    */
   public long lastExecutedCallSentMs() {
     return lastExecutedCallSentMs;
   }
 
-  /** True when the newest sign of the service is a failure within the last seconds. */
+  /** Returns true when the most recent outcome is a failure within the last 3 s. */
   public boolean isFailing() {
-    return lastFailureMs > lastServedMs && loop.now() - lastFailureMs < FAILURE_MEMORY_MS;
+    return lastFailureMs > lastServedResponseMs && loop.now() - lastFailureMs < FAILURE_MEMORY_MS;
   }
 
-  /** When the service last refused a call of this node for its rate limit. */
+  /** Returns when the service last refused a call of this node because of its rate limit. */
   public long lastThrottledMs() {
     return lastThrottledMs;
   }
 
-  /** True while responses to transactions are late: one was sent again within the last seconds. */
+  /**
+   * Returns true when a transaction was resent within the last 3 s because its response was late.
+   */
   public boolean hasLateResponses() {
     return loop.now() - lastRetryMs < LATE_MEMORY_MS;
   }
 
-  /** Number of responses that were not what the protocol says. */
+  /** Returns the number of responses that violated the protocol. */
   public long malformedResponses() {
     return malformedResponses;
   }
 
-  /** How long calls take that do not wait for something to happen. */
+  /** Returns the latency estimate of calls that do not wait for an event. */
   LatencyEstimator latency() {
     return latency;
   }
 
   /**
-   * A response came.
+   * Records a response.
    *
-   * @param countsForLatency false for calls that wait for something to happen
+   * @param countsForLatency false for calls that wait for an event, such as watches
    */
-  void responded(int status, long sentMs, boolean countsForLatency) {
+  void recordResponse(int status, long sentMs, boolean countsForLatency) {
     if (status == HttpStatus.OK
         || status == HttpStatus.NOT_FOUND
         || status == HttpStatus.CONFLICT
         || status == HttpStatus.GONE) {
       lastExecutedCallSentMs = Math.max(lastExecutedCallSentMs, sentMs);
-      lastServedMs = loop.now();
+      lastServedResponseMs = loop.now();
       if (countsForLatency) {
-        latency.sample(lastServedMs - sentMs);
+        latency.addSample(lastServedResponseMs - sentMs);
       }
     } else if (status == HttpStatus.UNAVAILABLE) {
       lastFailureMs = loop.now();
@@ -91,24 +93,24 @@
     }
   }
 
-  /** A call ended without a response. */
-  void failed() {
+  /** Records a call without a response. */
+  void recordFailure() {
     lastFailureMs = loop.now();
   }
 
-  /** A transaction was sent again, since its response is late. */
-  void retried() {
+  /** Records that a transaction was resent because its response was late. */
+  void recordRetry() {
     lastRetryMs = loop.now();
   }
 
-  /** A response was not what the protocol says. */
-  void malformed(InvalidMessageException reason) {
+  /** Records and logs a response that violated the protocol. */
+  void recordMalformedResponse(InvalidMessageException reason) {
     malformedResponses++;
-    if (malformedLog.tryAcquire(loop.now())) {
+    if (malformedLogLimiter.tryAcquire(loop.now())) {
       LOG.warn(
           "event=state_response_malformed reason=\"{}\" suppressed={}",
           reason.getMessage(),
-          malformedLog.suppressed());
+          malformedLogLimiter.suppressed());
     }
   }
 }
--- a/src/main/java/org/mallowroad/state/StateServiceCodec.java
+++ b/src/main/java/org/mallowroad/state/StateServiceCodec.java
@@ -10,98 +10,99 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
-/** Paths of the state service's requests, and the contents of its responses. */
+/** Builds the paths of requests to the state service and decodes its responses. */
 final class StateServiceCodec {
-  /** Longest key that is accepted in a response, in characters. */
+  /** Maximum length of a key in a response, in characters. */
   private static final int MAX_KEY_CHARS = 400;
 
-  /** Field of a 409 response: the keys whose conditions did not hold. */
+  /** Field of a 409 response that lists the keys whose conditions did not hold. */
   private static final String FAILED_KEYS = "failed";
 
   private StateServiceCodec() {}
 
-  /** Path of a read of one key; slashes in keys stay unescaped. */
+  /** Returns the path for reading a key; slashes in the key are not escaped. */
   static String keyPath(String key) {
     return "/kv/" + key;
   }
 
   /**
-   * Path of a read of keys in order.
+   * Returns the path for listing a page of keys in order.
    *
-   * @param after the key before the first one, or null for the beginning
+   * @param after the last key of the previous page, or null for the first page
    */
   static String listPath(String prefix, String after, int limit) {
-    String from = after == null ? "" : "&from=" + encode(after);
-    return "/kv?under=" + encode(prefix) + from + "&limit=" + limit;
+    String fromParameter = after == null ? "" : "&from=" + encode(after);
+    return "/kv?under=" + encode(prefix) + fromParameter + "&limit=" + limit;
   }
 
-  /** Path of a watch of the changes after a revision. */
+  /** Returns the path for watching the changes after a revision. */
   static String watchPath(String prefix, long afterRevision, long waitMs) {
     return "/follow?under=" + encode(prefix) + "&from=" + afterRevision + "&block_ms=" + waitMs;
   }
 
-  private static String encode(String s) {
-    return URLEncoder.encode(s, StandardCharsets.UTF_8).replace("%2F", "/");
+  private static String encode(String text) {
+    return URLEncoder.encode(text, StandardCharsets.UTF_8).replace("%2F", "/");
   }
 
-  /** One item: the response to a read, or an element of a list. */
-  static VersionedValue item(JsonNode o) throws InvalidMessageException {
+  /** Decodes an item: the response to a read, or an element of a list. */
+  static VersionedValue item(JsonNode node) throws InvalidMessageException {
     return new VersionedValue(
-        Json.string(o, Fields.KEY, MAX_KEY_CHARS), o.get(Fields.VALUE), version(o));
+        Json.string(node, Fields.KEY, MAX_KEY_CHARS), node.get(Fields.VALUE), version(node));
   }
 
-  /** The items of a list. */
+  /** Decodes the items of a list response. */
   static List<VersionedValue> items(ObjectNode body) throws InvalidMessageException {
     List<VersionedValue> items = new ArrayList<>();
-    for (JsonNode n : Json.list(body, Fields.ITEMS)) {
-      items.add(item(n));
+    for (JsonNode node : Json.list(body, Fields.ITEMS)) {
+      items.add(item(node));
     }
     return items;
   }
 
-  /** True when a list goes on after its last item. */
+  /** Returns whether more items follow this page of a list. */
   static boolean isTruncated(ObjectNode body) {
     JsonNode truncated = body.get(Fields.TRUNCATED);
     return truncated != null && truncated.asBoolean();
   }
 
-  /** The changes of a watch; those that deleted a key have no value. */
+  /** Decodes the events of a watch response; an event that deleted a key has no value. */
   static List<VersionedValue> events(ObjectNode body) throws InvalidMessageException {
     List<VersionedValue> events = new ArrayList<>();
-    for (JsonNode e : Json.list(body, Fields.EVENTS)) {
-      JsonNode deleted = e.get(Fields.DELETE);
-      String key = deleted != null ? deleted.asText() : Json.string(e, Fields.PUT, MAX_KEY_CHARS);
-      JsonNode value = deleted != null ? null : e.get(Fields.VALUE);
-      events.add(new VersionedValue(key, value, version(e)));
+    for (JsonNode event : Json.list(body, Fields.EVENTS)) {
+      JsonNode deleted = event.get(Fields.DELETE);
+      String key =
+          deleted != null ? deleted.asText() : Json.string(event, Fields.PUT, MAX_KEY_CHARS);
+      JsonNode value = deleted != null ? null : event.get(Fields.VALUE);
+      events.add(new VersionedValue(key, value, version(event)));
     }
     return events;
   }
 
-  private static long version(JsonNode o) throws InvalidMessageException {
-    return Json.integer(o, Fields.VERSION, 0, Long.MAX_VALUE);
+  private static long version(JsonNode node) throws InvalidMessageException {
+    return Json.integer(node, Fields.VERSION, 0, Long.MAX_VALUE);
   }
 
-  /** The service's revision when it answered. */
+  /** Returns the service's revision at the time of the response. */
   static long revision(ObjectNode body) throws InvalidMessageException {
     return Json.integer(body, Fields.REVISION, 0, Long.MAX_VALUE);
   }
 
-  /** The keys whose conditions did not hold; the service may name the first alone. */
+  /** Returns the keys whose conditions did not hold; the service may name only the first one. */
   static List<String> failedKeys(ObjectNode body) {
     List<String> failedKeys = new ArrayList<>();
-    for (JsonNode n : body.path(FAILED_KEYS)) {
-      failedKeys.add(n.asText());
+    for (JsonNode node : body.path(FAILED_KEYS)) {
+      failedKeys.add(node.asText());
     }
     return failedKeys;
   }
 
-  /** The lease of a response to a lease call. */
+  /** Returns the lease in the response to a lease call. */
   static long lease(ObjectNode body) {
     return body.path(Fields.LEASE).asLong();
   }
 
-  /** Body of a request for a lease. */
-  static byte[] grantLease(long durationMs) {
+  /** Returns the body of a request that grants a lease. */
+  static byte[] grantLeaseBody(long durationMs) {
     return Json.bytes(Json.object().put(Fields.LEASE_DURATION_MS, durationMs));
   }
 }
--- a/src/main/java/org/mallowroad/state/Transaction.java
+++ b/src/main/java/org/mallowroad/state/Transaction.java
@@ -7,9 +7,9 @@
 import org.mallowroad.wire.Json;
 
 /**
- * A compare-and-swap of several keys under construction: conditions on versions, and writes that
- * are all applied if every condition holds and not at all otherwise. One without writes compares
- * only.
+ * Builds a compare-and-swap of several keys: conditions on key versions, and writes that are
+ * applied atomically if all conditions hold. A transaction without writes only checks its
+ * conditions.
  */
 public final class Transaction {
   private final ObjectNode request = Json.object();
@@ -17,9 +17,9 @@
   private final ArrayNode writeArray = request.putArray(Fields.WRITES);
 
   /**
-   * Adds a condition: the key has this version when the transaction is executed.
+   * Adds the condition that the key has this version when the transaction is executed.
    *
-   * @param version 0: the key does not exist
+   * @param version the required version; 0 requires that the key does not exist
    */
   public Transaction requireVersion(String key, long version) {
     ObjectNode condition = conditionArray.addObject();
@@ -28,15 +28,15 @@
     return this;
   }
 
-  /** Writes a key. */
+  /** Adds a write of a key. */
   public Transaction put(String key, JsonNode value) {
     return put(key, value, 0);
   }
 
   /**
-   * Writes a key that is deleted when a lease ends.
+   * Adds a write of a key that the service deletes when a lease ends.
    *
-   * @param lease 0: none
+   * @param lease the lease; 0 for a key without a lease
    */
   public Transaction put(String key, JsonNode value, long lease) {
     ObjectNode write = writeArray.addObject();
@@ -48,7 +48,7 @@
     return this;
   }
 
-  /** Deletes a key. */
+  /** Adds the deletion of a key. */
   public Transaction delete(String key) {
     writeArray.addObject().put(Fields.DELETE, key);
     return this;
--- a/src/main/java/org/mallowroad/state/TransactionRetry.java
+++ b/src/main/java/org/mallowroad/state/TransactionRetry.java
@@ -7,74 +7,75 @@
 import org.mallowroad.state.KeyValueStore.TransactionListener;
 
 /**
- * Sends a transaction again while its response is late, and reports the first outcome that is
- * certain.
+ * Resends a transaction while its response is late and reports the first certain outcome.
  *
- * <p><b>Why copies do no harm.</b> They carry the same conditions: the versions of all keys that
- * are written. Whichever is executed first changes those versions, and the others fail, however
- * late they arrive. A record of a job that is over is never written again: a copy that would create
- * such a record has the job's open record among its conditions.
+ * <p><b>Why sending copies is safe.</b> All copies have the same conditions, which include the
+ * versions of all keys that the transaction writes. The copy that is executed first changes those
+ * versions, so the conditions of the other copies fail, however late they arrive. A late copy also
+ * cannot recreate a record of an ended job: a copy that would create one requires that the job's
+ * open record still exists.
  *
- * <p>Confined to the event loop; for one transaction.
+ * <p>Confined to the event loop. Each instance handles one transaction.
  */
 final class TransactionRetry implements TransactionListener {
-  /** The first copy and its retries. */
+  /** Maximum number of copies sent, including the first one. */
   private static final int MAX_COPIES = 3;
 
-  /** Bounds of the time after which the first response counts as late. */
+  /** Bounds of the time-out for the response to the first copy. */
   private static final long MIN_TIMEOUT_MS = 90;
 
   private static final long MAX_TIMEOUT_MS = 600;
 
   private final EventLoop loop;
   private final Consumer<TransactionListener> sendCopy;
-  private final BooleanSupplier mayRetry;
+  private final BooleanSupplier isRetryAllowed;
   private final Runnable onRetry;
   private final LatencyEstimator latency;
   private final TransactionListener listener;
-  private int copies;
-  private int outstanding;
-  private boolean anyUnknown;
-  private boolean reported;
-  private EventLoop.Timer timer;
+  private int sentCopies;
+  private int outstandingCopies;
+  private boolean hasUnknownOutcome;
+  private boolean isReported;
+  private EventLoop.Timer retryTimer;
 
   /**
-   * Prepares a transaction.
+   * Creates the retry state of a transaction; {@link #send} sends the first copy.
    *
    * @param sendCopy sends one copy and reports its outcome
-   * @param mayRetry asked before each retry; when it says no, no more are sent
+   * @param isRetryAllowed checked before each retry; once it returns false, no further copies are
+   *     sent
    * @param onRetry run before each retry
-   * @param listener told the outcome once
+   * @param listener receives the outcome, exactly once
    */
   TransactionRetry(
       EventLoop loop,
       Consumer<TransactionListener> sendCopy,
-      BooleanSupplier mayRetry,
+      BooleanSupplier isRetryAllowed,
       Runnable onRetry,
       LatencyEstimator latency,
       TransactionListener listener) {
     this.loop = loop;
     this.sendCopy = sendCopy;
-    this.mayRetry = mayRetry;
+    this.isRetryAllowed = isRetryAllowed;
     this.onRetry = onRetry;
     this.latency = latency;
     this.listener = listener;
   }
 
-  /** Sends the next copy. The time-out doubles with each. */
+  /** Sends the next copy. The time-out doubles with each copy. */
   void send() {
-    copies++;
-    outstanding++;
-    if (copies < MAX_COPIES) {
+    sentCopies++;
+    outstandingCopies++;
+    if (sentCopies < MAX_COPIES) {
       long timeoutMs =
           Math.max(MIN_TIMEOUT_MS, Math.min(MAX_TIMEOUT_MS, latency.retransmissionTimeoutMs()));
-      timer = loop.after(timeoutMs << (copies - 1), this::retry);
+      retryTimer = loop.after(timeoutMs << (sentCopies - 1), this::retry);
     }
     sendCopy.accept(this);
   }
 
   private void retry() {
-    if (!reported && mayRetry.getAsBoolean()) {
+    if (!isReported && isRetryAllowed.getAsBoolean()) {
       onRetry.run();
       send();
     }
@@ -82,20 +83,20 @@
 
   @Override
   public void onOutcome(CallResult result, long revision, List<String> failedKeys) {
-    outstanding--;
-    if (reported) {
+    outstandingCopies--;
+    if (isReported) {
       return;
     }
-    anyUnknown |= result == CallResult.UNKNOWN;
-    boolean certain = result == CallResult.OK || result == CallResult.CONDITION_FAILED;
-    if (!certain && outstanding > 0) {
+    hasUnknownOutcome |= result == CallResult.UNKNOWN;
+    boolean isCertain = result == CallResult.OK || result == CallResult.CONDITION_FAILED;
+    if (!isCertain && outstandingCopies > 0) {
       return; // Another copy may still bring a certain outcome.
     }
-    reported = true;
-    if (timer != null) {
-      timer.cancel();
+    isReported = true;
+    if (retryTimer != null) {
+      retryTimer.cancel();
     }
-    CallResult uncertain = anyUnknown ? CallResult.UNKNOWN : CallResult.NOT_EXECUTED;
-    listener.onOutcome(certain ? result : uncertain, revision, failedKeys);
+    CallResult uncertainResult = hasUnknownOutcome ? CallResult.UNKNOWN : CallResult.NOT_EXECUTED;
+    listener.onOutcome(isCertain ? result : uncertainResult, revision, failedKeys);
   }
 }
