--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -54,8 +54,12 @@
     codec = new JobCodec(teamNames, zones, typeNames, imageNames, taskClassNames);
     for (Settings.Objective objective : settings.objectives()) {
       switch (objective.kind()) {
-        case "finished" -> objectives.requireCompletion(taskClassNames.intern(objective.taskClass()), objective.withinS());
-        case "wait" -> objectives.requireStart(taskClassNames.intern(objective.taskClass()), objective.withinS());
+        case "finished" ->
+            objectives.requireCompletion(
+                taskClassNames.intern(objective.taskClass()), objective.withinS());
+        case "wait" ->
+            objectives.requireStart(
+                taskClassNames.intern(objective.taskClass()), objective.withinS());
         case "deadline" -> objectives.requireDeadline(taskClassNames.intern(objective.taskClass()));
         case "guarantee" -> objectives.requireGuaranteedStart(objective.withinS());
         default -> {} // Other kinds do not concern the start or the completion of jobs.
@@ -112,7 +116,13 @@
   List<Team> createTeams() {
     List<Team> teams = new ArrayList<>();
     for (Settings.TeamSetting setting : settings.teams()) {
-      teams.add(new Team(setting.name(), setting.cpus(), setting.cards(), setting.cpusMax(), setting.cardsMax()));
+      teams.add(
+          new Team(
+              setting.name(),
+              setting.cpus(),
+              setting.cards(),
+              setting.cpusMax(),
+              setting.cardsMax()));
     }
     return teams;
   }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -89,7 +89,8 @@
     this.lifecycle = context.lifecycle();
     this.schedulerState = context.schedulerState();
     this.writeBudget = WriteBudget.create(settings, loop.now());
-    this.placement = new PlacementLoop(loop, lifecycle, context.loadStatistics(), this::placeAndCommit);
+    this.placement =
+        new PlacementLoop(loop, lifecycle, context.loadStatistics(), this::placeAndCommit);
     this.responder = newFailureResponder();
     this.committer = newCommitter();
     this.dependencyGates = newDependencyGates();
@@ -100,7 +101,8 @@
     this.heartbeats =
         new HeartbeatHandler(
             context,
-            new HeartbeatHandler.Collaborators(responder, provisioner, committer, isolation, placement));
+            new HeartbeatHandler.Collaborators(
+                responder, provisioner, committer, isolation, placement));
     this.directCommands =
         new DirectCommandSender(context, heartbeats::hasPendingReply, placement::requestPass);
     this.monitor = new LeaderMonitor(context, committer, listener::onOverloaded);
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -76,7 +76,8 @@
    * never be proven to have ended.
    */
   boolean isCutOffFromWorkers(long now) {
-    double maxMissedIntervals = hasReceivedHeartbeat ? MAX_MISSED_INTERVALS : MAX_MISSED_INTERVALS_BEFORE_FIRST;
+    double maxMissedIntervals =
+        hasReceivedHeartbeat ? MAX_MISSED_INTERVALS : MAX_MISSED_INTERVALS_BEFORE_FIRST;
     // While this process was paused it received nothing, so that time is no evidence about the
     // workers.
     long listeningSinceMs =
@@ -84,7 +85,8 @@
             lastHeartbeatMs, context.schedulerState().health().pauseDetector().listeningSinceMs());
     // If peers are reachable, workers that can no longer reach this node get time to send their
     // heartbeats through a peer.
-    long relayFallbackMs = context.services().reachablePeers().getAsInt() > 0 ? RELAY_FALLBACK_MS : 0;
+    long relayFallbackMs =
+        context.services().reachablePeers().getAsInt() > 0 ? RELAY_FALLBACK_MS : 0;
     return settings.nodes() > 1
         && now - listeningSinceMs
             > (long) (maxMissedIntervals * settings.heartbeatIntervalS() * 1000)
@@ -97,7 +99,7 @@
    * True if this leader's lease must have expired and no peer is reachable. Either this node is cut
    * off and another node may lead, or the state service and the peers are down. This node cannot
    * distinguish the two cases, but a worker that contacts the other nodes can ({@link
-   * FailureResponder#redirectOnce}).
+   * FailureResponder#tryRedirect}).
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -16,7 +16,8 @@
   private final ObjectiveAttainment attainment;
 
   ObjectiveLogger(ClusterConfig clusterConfig) {
-    this.attainment = new ObjectiveAttainment(clusterConfig.taskClassNames, clusterConfig.createTeams());
+    this.attainment =
+        new ObjectiveAttainment(clusterConfig.taskClassNames, clusterConfig.createTeams());
   }
 
   /** Logs a job whose completion is committed and includes it in the attainment. */
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -9,11 +9,11 @@
 import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.JobSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
 import org.mallowroad.core.explain.NodeSnapshot.Phase;
 import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 import org.mallowroad.core.explain.NodeSnapshot.Totals;
-import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.PendingReasonExplainer;
 import org.mallowroad.core.explain.SnapshotBuilder;
 import org.mallowroad.election.LeaderElection;
@@ -41,6 +41,7 @@
 
   /** The term that {@link #builder} reads; null while no snapshot is being built. */
   private Leader builderLeader;
+
   private boolean isBuilding;
   private long buildNanos;
 
--- a/src/main/java/org/mallowroad/controller/WriteBudget.java
+++ b/src/main/java/org/mallowroad/controller/WriteBudget.java
@@ -11,7 +11,8 @@
  * @param rateAdapter adapts the rate of {@code limiter} to the writes that user requests leave
  * @param maxTransactionWrites maximum number of writes in one transaction
  */
-record WriteBudget(RateLimiter limiter, LeaderWriteRateAdjuster rateAdapter, int maxTransactionWrites) {
+record WriteBudget(
+    RateLimiter limiter, LeaderWriteRateAdjuster rateAdapter, int maxTransactionWrites) {
   /** Initial share of the write rate per second. */
   private static final double INITIAL_SHARE = 0.75;
 
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -5,8 +5,8 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.dependency.DependencyGate.State;
 import org.mallowroad.core.dependency.DependencyGate;
+import org.mallowroad.core.dependency.DependencyGate.State;
 import org.mallowroad.core.dependency.DependencyGates;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -221,7 +221,13 @@
       return;
     }
     isEvaluating = true;
-    new GateEvaluation(store, schedulerState, claims, () -> isStopped, gate, outcome -> handleOutcome(gate, outcome))
+    new GateEvaluation(
+            store,
+            schedulerState,
+            claims,
+            () -> isStopped,
+            gate,
+            outcome -> handleOutcome(gate, outcome))
         .start();
   }
 
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -156,7 +156,8 @@
       String id = RecordKeys.jobOfOpenJobKey(item.key());
       listedIds.add(id);
       if (schedulerState.job(id) == null) {
-        restoreOpenJob(item); // Open records never change, so known jobs need not be restored again.
+        restoreOpenJob(
+            item); // Open records never change, so known jobs need not be restored again.
       }
     }
     for (Job job : new ArrayList<>(schedulerState.jobs())) {
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -89,7 +89,8 @@
     this.listener = listener;
     this.restorer = new RecordRestorer(loop, decodingContext, schedulerState);
     this.watcher =
-        new OpenJobWatcher(loop, store, schedulerState, restorer, committer, cancellationView, listener);
+        new OpenJobWatcher(
+            loop, store, schedulerState, restorer, committer, cancellationView, listener);
   }
 
   /** Stops loading and watching; later responses are ignored. */
@@ -197,7 +198,8 @@
               AttemptRecordCodec.membersOfShared(item.value())
                   .forEach(member -> endedIds.add(member.getKey())));
       endedIds.removeAll(openIds);
-      new JobEndReader(loop, store, restorer, () -> isStopped, endedIds, this::handleJobEnds).start();
+      new JobEndReader(loop, store, restorer, () -> isStopped, endedIds, this::handleJobEnds)
+          .start();
     }
 
     private void handleJobEnds(Set<String> doneJobs) {
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -10,8 +10,8 @@
 import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.MachineHealth;
+import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.PauseDetector;
 import org.mallowroad.core.health.TokenBucket;
 import org.slf4j.Logger;
@@ -196,7 +196,8 @@
       return false;
     }
     if (lastRedirectMs.size() >= MAX_REDIRECTED) {
-      lastRedirectMs.clear(); // The only effect is that each worker may be redirected once more than
+      lastRedirectMs
+          .clear(); // The only effect is that each worker may be redirected once more than
       // necessary.
     }
     lastRedirectMs.put(heartbeat.machine(), now);
@@ -219,7 +220,9 @@
       isZoneRerouted[zone] = true;
       health.failureDetector().resetZoneSilence(zone, now);
       LOG.warn(
-          "event=zone_rerouted zone={} direct_ms={}", zones.name(zone), now - lastDirectHeartbeatMs[zone]);
+          "event=zone_rerouted zone={} direct_ms={}",
+          zones.name(zone),
+          now - lastDirectHeartbeatMs[zone]);
     }
   }
 
@@ -237,7 +240,8 @@
           && attempt.isOverdue(health.stragglerDetector(), now)) {
         overdue++;
       } else if (attempt.phase == Attempt.Phase.PULLING) {
-        double expectedFetchS = attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
+        double expectedFetchS =
+            attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
         health.recordImageWait(machine.health, now - attempt.createdMs, expectedFetchS * 1000, now);
       }
     }
@@ -269,7 +273,8 @@
     suppressedLines += health.takeDroppedChangeCount();
     Arrays.fill(unreachableCountByZone, 0);
     for (Machine machine : schedulerState.machines()) {
-      unreachableCountByZone[machine.zone] += machine.health.outboundReachability().isBroken() ? 1 : 0;
+      unreachableCountByZone[machine.zone] +=
+          machine.health.outboundReachability().isBroken() ? 1 : 0;
     }
     for (Machine machine : schedulerState.machines()) {
       if (!machine.deleting) {
--- a/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/MachineProvisioner.java
@@ -71,7 +71,8 @@
     this.listener = listener;
     this.autoscaler = new Autoscaler(schedulerState, settings.policy(), settings.objectives());
     this.rentals = new RentalRecords(services, settings, booting, new RentalListener());
-    this.machineListReconciler = new MachineListReconciler(services, booting, listener::attemptsFreed);
+    this.machineListReconciler =
+        new MachineListReconciler(services, booting, listener::attemptsFreed);
     this.deleter = new MachineDeleter(services, booting, listener::attemptsFreed);
   }
 
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -116,7 +116,9 @@
     for (Rental rental : rentals.values()) {
       if (!rental.isAnswered) {
         ScaleOutRequest request = rental.request;
-        pending.add(new PendingMachines(request.variant(), request.count(), rental.requestedMs, request.gangId()));
+        pending.add(
+            new PendingMachines(
+                request.variant(), request.count(), rental.requestedMs, request.gangId()));
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
+++ b/src/main/java/org/mallowroad/core/HeartbeatReconciler.java
@@ -71,7 +71,8 @@
     raiseFencingToken(machine, heartbeat, now);
     List<WorkerCommand> commands = new ArrayList<>();
     ObjectOpenHashSet<Attempt> listedAttempts = applyEntries(machine, heartbeat, now, commands);
-    boolean launchUnacknowledged = applyUnlisted(machine, heartbeat, listedAttempts, mayLaunch, now, commands);
+    boolean launchUnacknowledged =
+        applyUnlisted(machine, heartbeat, listedAttempts, mayLaunch, now, commands);
     // Several heartbeats that answer direct commands may arrive while one heartbeat response is
     // still in transit, so they are no evidence that the response was lost.
     if (launchUnacknowledged && mayLaunch) {
--- a/src/main/java/org/mallowroad/core/autoscaling/ForecastMachine.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ForecastMachine.java
@@ -40,7 +40,8 @@
 
   /** Creates a model of an existing machine and the attempts on it. */
   static ForecastMachine of(Machine machine, long now) {
-    ForecastMachine forecast = new ForecastMachine(new MachineVariant(machine.type, machine.zone, machine.spot), now);
+    ForecastMachine forecast =
+        new ForecastMachine(new MachineVariant(machine.type, machine.zone, machine.spot), now);
     for (Attempt attempt : machine.attempts) {
       forecast.room.add(attempt.job.spec, -1);
       forecast.addRelease(now + (long) (remainingS(attempt, now) * 1000), attempt.job.spec);
@@ -52,7 +53,8 @@
     if (attempt.isStopping()) {
       return attempt.job.spec.checkpointDurationS();
     }
-    double estimateS = attempt.job.spec.service() ? SERVICE_ESTIMATE_S : attempt.job.spec.estimateS();
+    double estimateS =
+        attempt.job.spec.service() ? SERVICE_ESTIMATE_S : attempt.job.spec.estimateS();
     return Math.max(estimateS - (now - attempt.createdMs) / 1000.0, estimateS / OVERRUN_DIVISOR);
   }
 
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
@@ -25,7 +25,8 @@
   private static final int MIN_IDLE_RESERVE = 8;
 
   private static final Comparator<Machine> MOST_EXPENSIVE_FIRST =
-      Comparator.comparingDouble((Machine machine) -> -machine.type.price(machine.spot)).thenComparing(machine -> machine.name);
+      Comparator.comparingDouble((Machine machine) -> -machine.type.price(machine.spot))
+          .thenComparing(machine -> machine.name);
 
   private final SchedulerState schedulerState;
   private final AutoscalerPolicy policy;
@@ -69,7 +70,8 @@
         continue;
       }
       usage.machines++;
-      usage.bookedCpus += (machine.reservedFor == null ? machine.allocatedShare() : 1) * machine.type.cpus();
+      usage.bookedCpus +=
+          (machine.reservedFor == null ? machine.allocatedShare() : 1) * machine.type.cpus();
       usage.cpus += machine.type.cpus();
       if (machine.reservedFor != null
           || schedulerState.imageDistribution().isServing(machine)
@@ -87,7 +89,10 @@
   private double cheapestCpuPrice() {
     double cheapest = Double.MAX_VALUE;
     for (Machine machine : schedulerState.machines()) {
-      cheapest = Math.min(cheapest, Math.min(machine.type.price(), machine.type.spotPrice()) / machine.type.cpus());
+      cheapest =
+          Math.min(
+              cheapest,
+              Math.min(machine.type.price(), machine.type.spotPrice()) / machine.type.cpus());
     }
     return cheapest;
   }
@@ -100,7 +105,8 @@
     if (machine.health.isSuspect()) {
       return SHORT_IDLE_MS;
     }
-    double priceRatio = cheapestCpuPrice * machine.type.cpus() / Math.max(1e-9, machine.type.price(machine.spot));
+    double priceRatio =
+        cheapestCpuPrice * machine.type.cpus() / Math.max(1e-9, machine.type.price(machine.spot));
     return policy.idleMs() * Math.min(1, priceRatio);
   }
 
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -79,7 +79,8 @@
     this.variantSelector = variants;
     this.types = types;
     this.now = now;
-    this.requestedOfType = new int[types.stream().mapToInt(type -> type.index() + 1).max().orElse(0)];
+    this.requestedOfType =
+        new int[types.stream().mapToInt(type -> type.index() + 1).max().orElse(0)];
   }
 
   /** The machines to request, in the order in which the forecast first needed their variants. */
@@ -203,7 +204,8 @@
     private final Job job;
     private final PriorityQueue<EarliestStart> starts =
         new PriorityQueue<>(
-            Comparator.comparingLong((EarliestStart start) -> start.atMs).thenComparingInt(start -> start.machineIndex));
+            Comparator.comparingLong((EarliestStart start) -> start.atMs)
+                .thenComparingInt(start -> start.machineIndex));
 
     /** Index of the first pending or requested machine that may still have free resources. */
     private int nextNewMachineIndex = firstPendingIndex;
@@ -233,7 +235,8 @@
         EarliestStart earliest = earliestStart();
         if (earliest == null || earliest.atMs > now) {
           long startMs = earliest == null ? Long.MAX_VALUE : earliest.atMs;
-          MachineVariant variant = variantSelector.cheapestFor(job, remaining, types, requested, now);
+          MachineVariant variant =
+              variantSelector.cheapestFor(job, remaining, types, requested, now);
           if (variant != null) {
             if (prefersNewMachine(variant, startMs) && placeOnNewMachine(variant)) {
               continue;
--- a/src/main/java/org/mallowroad/core/fold/ClaimRules.java
+++ b/src/main/java/org/mallowroad/core/fold/ClaimRules.java
@@ -45,7 +45,9 @@
   private String deferralReason;
 
   private ClaimRules(
-      String claimingJob, Map<BlockKey, Block> storedBlocks, Function<String, JobOutcome> jobOutcomes) {
+      String claimingJob,
+      Map<BlockKey, Block> storedBlocks,
+      Function<String, JobOutcome> jobOutcomes) {
     this.claimingJob = claimingJob;
     this.storedBlocks = storedBlocks;
     this.jobOutcomes = jobOutcomes;
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -173,7 +173,8 @@
   }
 
   /** Adds the summary of the largest of the given jobs of a class, if there are any jobs. */
-  private static void addLargestSummary(String name, List<JobStart> starts, List<Summary> summaries) {
+  private static void addLargestSummary(
+      String name, List<JobStart> starts, List<Summary> summaries) {
     if (starts.isEmpty()) {
       return;
     }
@@ -199,6 +200,7 @@
   }
 
   private static Summary summary(String kind, String name, Counts counts) {
-    return new Summary(kind, name, counts.done, counts.overdue, counts.open, counts.oldestOpenAgeMs);
+    return new Summary(
+        kind, name, counts.done, counts.overdue, counts.open, counts.oldestOpenAgeMs);
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
+++ b/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
@@ -45,7 +45,8 @@
   private record QueuedJob(Job job, double dueMs) {}
 
   private static final Comparator<Job> BY_SUBMISSION =
-      Comparator.comparingLong((Job job) -> job.spec.submittedMs()).thenComparing(job -> job.spec.id());
+      Comparator.comparingLong((Job job) -> job.spec.submittedMs())
+          .thenComparing(job -> job.spec.id());
 
   private static final Comparator<QueuedJob> BY_RANK =
       Comparator.comparingInt((QueuedJob queuedJob) -> queuedJob.job.spec.priority())
--- a/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
+++ b/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
@@ -29,11 +29,14 @@
 
   /** Why the job's next waiting task may not be placed on the machine; null when it may. */
   StartRefusal placementRefusal(Job job, Machine machine, long now) {
-    StartRefusal refusal = schedulerState.startRefusal(job, job.pendingTasks.firstInt(), machine, now);
+    StartRefusal refusal =
+        schedulerState.startRefusal(job, job.pendingTasks.firstInt(), machine, now);
     if (refusal != null) {
       return refusal;
     }
-    if (!job.spec.gang() && !machine.hasImage(job.spec.image()) && !mayFetchImage(job.spec, machine, now)) {
+    if (!job.spec.gang()
+        && !machine.hasImage(job.spec.image())
+        && !mayFetchImage(job.spec, machine, now)) {
       return StartRefusal.IMAGE_FETCH_LIMIT;
     }
     if (avoidsMachine(job.spec, machine)) {
--- a/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
+++ b/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
@@ -111,7 +111,9 @@
 
   /** Makes room for a job's waiting tasks, if this pass may still preempt. */
   void preemptFor(Job job, long now) {
-    if (!passMayPreempt || job.pendingTasks.isEmpty() || preemptingJobsInPass >= MAX_JOBS_PER_PASS) {
+    if (!passMayPreempt
+        || job.pendingTasks.isEmpty()
+        || preemptingJobsInPass >= MAX_JOBS_PER_PASS) {
       return;
     }
     if (!areReleasesFresh) {
@@ -178,7 +180,8 @@
   /** The room on the machine once all attempts that are already stopping have stopped. */
   private static ResourceVector roomAfterStops(Machine machine) {
     ResourceVector room =
-        new ResourceVector(machine.freeResources.cpus, machine.freeResources.cards, machine.freeResources.memGb);
+        new ResourceVector(
+            machine.freeResources.cpus, machine.freeResources.cards, machine.freeResources.memGb);
     for (Attempt attempt : machine.attempts) {
       if (attempt.isStopping()) {
         room.add(attempt.job.spec, 1);
@@ -212,7 +215,8 @@
       lossCpuS += lossCpuS(attempt, request.now);
     }
     if (!victims.isEmpty() && room.fits(request.spec())) {
-      options.add(new MachinePreemption(victims, room.capacityFor(request.spec(), missingTasks), lossCpuS));
+      options.add(
+          new MachinePreemption(victims, room.capacityFor(request.spec(), missingTasks), lossCpuS));
     }
   }
 
@@ -230,7 +234,8 @@
     return candidates;
   }
 
-  private void stopVictims(PreemptionRequest request, List<MachinePreemption> options, int neededTasks) {
+  private void stopVictims(
+      PreemptionRequest request, List<MachinePreemption> options, int neededTasks) {
     int missingTasks = neededTasks;
     for (MachinePreemption option : options) {
       if (missingTasks <= 0) {
@@ -261,7 +266,8 @@
 
   private void stop(Attempt attempt, long now) {
     JobSpec spec = attempt.job.spec;
-    schedulerState.requestStop(attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
+    schedulerState.requestStop(
+        attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
   }
 
   private boolean isPreemptable(Attempt attempt, PreemptionRequest request) {
--- a/src/test/java/org/mallowroad/core/PreemptionTest.java
+++ b/src/test/java/org/mallowroad/core/PreemptionTest.java
@@ -30,8 +30,10 @@
               Job plainJob = cluster.job("job-2", 1, 1);
               Attempt attempt = cluster.startCommitted(checkpointingJob, 0, machine);
               Attempt otherAttempt = cluster.startCommitted(plainJob, 0, machine);
-              Heartbeat.Entry entry = SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null);
-              Heartbeat.Entry otherEntry = SchedulerFixture.entry(otherAttempt, Heartbeat.State.RUNNING, null);
+              Heartbeat.Entry entry =
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null);
+              Heartbeat.Entry otherEntry =
+                  SchedulerFixture.entry(otherAttempt, Heartbeat.State.RUNNING, null);
               cluster.heartbeat(machine, 1, SchedulerFixture.TERM, entry, otherEntry);
               cluster.schedulerState.processHeartbeat(
                   machine,
@@ -64,7 +66,8 @@
             cluster -> {
               Machine machine = cluster.machine("n-1", 0);
               Attempt attempt = cluster.startCommitted(cluster.job("job-1", 1, 1), 0, machine);
-              Heartbeat.Entry entry = SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null);
+              Heartbeat.Entry entry =
+                  SchedulerFixture.entry(attempt, Heartbeat.State.RUNNING, null);
               cluster.heartbeat(machine, 1, SchedulerFixture.TERM, entry);
               machine.interruptionMs = cluster.now + 90_000; // The estimated run time is 60 s.
               cluster.taskScheduler.drainInterruptedMachines(cluster.now);
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -159,13 +159,22 @@
             stateWithUncommittedStarts(5, 1, 0),
             10_000,
             false),
-        commitLagCase("waits during an outage of the state service are no overload", stateWithUncommittedStarts(5, 1, 0), 20_000, 30_000, false),
+        commitLagCase(
+            "waits during an outage of the state service are no overload",
+            stateWithUncommittedStarts(5, 1, 0),
+            20_000,
+            30_000,
+            false),
         commitLagCase(
             "waits for 16 s after an outage of the state service are an overload",
             stateWithUncommittedStarts(5, 1, 0),
             20_000,
             36_000,
             true),
-        commitLagCase("uncommitted starts of idle-priority jobs are no overload", stateWithUncommittedStarts(200, 3, 0), 60_000, false));
+        commitLagCase(
+            "uncommitted starts of idle-priority jobs are no overload",
+            stateWithUncommittedStarts(200, 3, 0),
+            60_000,
+            false));
   }
 }
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -100,27 +100,33 @@
               cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, 0, true), cluster.now);
               cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, 1, true), cluster.now);
               assertEquals(
-                  new MachineVariant(SMALL, 0, false), cluster.planScaleOut(List.of()).get(0).variant());
+                  new MachineVariant(SMALL, 0, false),
+                  cluster.planScaleOut(List.of()).get(0).variant());
             }),
         testCase(
             "no machine is requested for tasks that fit on pending machines",
             cluster -> {
               cluster.submitJob("job-1", 1, 4);
               assertTrue(
-                  cluster.planScaleOut(
+                  cluster
+                      .planScaleOut(
                           List.of(
-                              new PendingMachines(new MachineVariant(SMALL, 0, true), 1, cluster.now)))
+                              new PendingMachines(
+                                  new MachineVariant(SMALL, 0, true), 1, cluster.now)))
                       .isEmpty());
             }),
         testCase(
             "a machine is requested only for a task that cannot wait for room within its objective",
             cluster -> {
               for (int zone = 0; zone < 2; zone++) {
-                cluster.autoscaler.recordRefusal(new MachineVariant(LARGE, zone, true), cluster.now);
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(LARGE, zone, true), cluster.now);
               }
               Machine busyMachine = cluster.reportMachine("n-1", LARGE, false);
-              cluster.schedulerState.start(cluster.submitJob("job-1", 1, 32), 0, busyMachine, cluster.now);
-              cluster.objectives.requireCompletion(0, 400); // Both jobs can wait: they are estimated at 60 s.
+              cluster.schedulerState.start(
+                  cluster.submitJob("job-1", 1, 32), 0, busyMachine, cluster.now);
+              cluster.objectives.requireCompletion(
+                  0, 400); // Both jobs can wait: they are estimated at 60 s.
               cluster.submitJob("job-2", 1, 32);
               assertTrue(cluster.planScaleOut(List.of()).isEmpty());
               // A machine that boots in 30 s cannot meet a start objective of 3 s either.
@@ -135,17 +141,23 @@
               cluster.reportMachine("n-1", SMALL, true);
               cluster.submitJob("job-1", 1, 4);
               cluster.taskScheduler.placeTasks(cluster.now);
-              cluster.now += 40_000; // 20 s of the estimated 60 s remain, less than the 30 s of a boot.
+              cluster.now +=
+                  40_000; // 20 s of the estimated 60 s remain, less than the 30 s of a boot.
               cluster.reportMachine("n-1", SMALL, true);
               cluster.submitJob("job-2", 2, 4);
-              assertEquals(2, cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
+              assertEquals(
+                  2,
+                  cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
               cluster.now += 16_000;
               cluster.reportMachine("n-1", SMALL, true);
               cluster.submitJob("job-3", 1, 4);
               PendingMachines pendingMachines =
                   new PendingMachines(new MachineVariant(SMALL, 0, true), 2, cluster.now);
               assertEquals(
-                  1, cluster.planScaleOut(List.of(pendingMachines)).stream().mapToInt(ScaleOutRequest::count).sum());
+                  1,
+                  cluster.planScaleOut(List.of(pendingMachines)).stream()
+                      .mapToInt(ScaleOutRequest::count)
+                      .sum());
             }),
         testCase(
             "after the backoff of a refused variant a single call is made until it is granted",
@@ -155,15 +167,21 @@
               cluster.autoscaler.recordRefusal(variant, cluster.now);
               cluster.now += 20_000;
               for (int zone = 0; zone < 2; zone++) {
-                cluster.autoscaler.recordRefusal(new MachineVariant(LARGE, zone, true), cluster.now);
-                cluster.autoscaler.recordRefusal(new MachineVariant(LARGE, zone, false), cluster.now);
-                cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, zone, false), cluster.now);
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(LARGE, zone, true), cluster.now);
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(LARGE, zone, false), cluster.now);
+                cluster.autoscaler.recordRefusal(
+                    new MachineVariant(SMALL, zone, false), cluster.now);
               }
               cluster.autoscaler.recordRefusal(new MachineVariant(SMALL, 1, true), cluster.now);
               cluster.submitJob("job-1", 200, 4);
-              assertEquals(List.of(new ScaleOutRequest(variant, 50)), cluster.planScaleOut(List.of()));
+              assertEquals(
+                  List.of(new ScaleOutRequest(variant, 50)), cluster.planScaleOut(List.of()));
               cluster.autoscaler.recordGrant(variant);
-              assertEquals(200, cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
+              assertEquals(
+                  200,
+                  cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum());
             }),
         testCase(
             "idle machines of a large fleet are returned early, except for a reserve for bursts",
@@ -178,9 +196,11 @@
             "no machines are requested for tasks beyond their team's limit",
             cluster -> {
               cluster.submitJob("job-1", 40, 4);
-              int machineCount = cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum();
+              int machineCount =
+                  cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum();
               assertTrue(
-                  machineCount > 0 && machineCount <= 16, machineCount + " machines"); // The limit allows 16 of the 40 tasks.
+                  machineCount > 0 && machineCount <= 16,
+                  machineCount + " machines"); // The limit allows 16 of the 40 tasks.
             }),
         testCase(
             "the most expensive empty machine is returned first, if the others have headroom",
@@ -188,7 +208,10 @@
               cluster.reportMachine("n-1", SMALL, true);
               Machine large = cluster.reportMachine("n-2", LARGE, false);
               cluster.now += 60_000;
-              assertEquals(List.of(), cluster.autoscaler.planScaleIn(false, cluster.now)); // Their heartbeats are overdue.
+              assertEquals(
+                  List.of(),
+                  cluster.autoscaler.planScaleIn(
+                      false, cluster.now)); // Their heartbeats are overdue.
               cluster.reportMachine("n-1", SMALL, true);
               cluster.reportMachine("n-2", LARGE, false);
               List<Machine> returned = cluster.autoscaler.planScaleIn(false, cluster.now);
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -61,12 +61,14 @@
     }
 
     Machine addMachine(int zone) {
-      Machine machine = schedulerState.registerMachine("n-" + machineCount++, MACHINE_TYPE, zone, false, now);
+      Machine machine =
+          schedulerState.registerMachine("n-" + machineCount++, MACHINE_TYPE, zone, false, now);
       schedulerState
           .heartbeatReconciler()
           .reconcile(
               machine,
-              JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING),
+              JobSpecBuilder.heartbeatListingAttempts(
+                  machine, ++sequence, 1, Heartbeat.State.RUNNING),
               true,
               now);
       return machine;
@@ -79,7 +81,8 @@
 
     List<ScaleOutRequest> runCycle() {
       taskScheduler.placeTasks(now);
-      List<ScaleOutRequest> requests = autoscaler.planScaleOut(taskScheduler.queue(now), pending, TYPES, now);
+      List<ScaleOutRequest> requests =
+          autoscaler.planScaleOut(taskScheduler.queue(now), pending, TYPES, now);
       now += 2_000;
       return requests;
     }
@@ -120,7 +123,8 @@
           .heartbeatReconciler()
           .reconcile(
               machine,
-              JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING),
+              JobSpecBuilder.heartbeatListingAttempts(
+                  machine, ++sequence, 1, Heartbeat.State.RUNNING),
               true,
               now);
     }
@@ -160,7 +164,9 @@
               assertTrue(requests.stream().allMatch(request -> "job-1".equals(request.gangId())));
               requests.forEach(
                   request ->
-                      cluster.pending.add(new PendingMachines(request.variant(), request.count(), cluster.now, request.gangId())));
+                      cluster.pending.add(
+                          new PendingMachines(
+                              request.variant(), request.count(), cluster.now, request.gangId())));
               for (int i = 0; i < 5; i++) {
                 assertEquals(List.of(), cluster.runCycle());
               }
@@ -174,7 +180,8 @@
               Machine machine = cluster.schedulerState.machine("n-0");
               assertEquals(job, machine.reservedFor);
               Job other =
-                  cluster.schedulerState.accept(JobSpecBuilder.job("job-2", 9, 1).build(), 5, 0, cluster.now);
+                  cluster.schedulerState.accept(
+                      JobSpecBuilder.job("job-2", 9, 1).build(), 5, 0, cluster.now);
               cluster.runCycle();
               assertEquals(0, other.liveAttemptCount());
               assertEquals(
@@ -191,7 +198,8 @@
             "when the cloud has no more machines, machines whose tasks end within minutes stay reserved,"
                 + " also after the refusal backoff",
             cluster -> {
-              List<Machine> busyMachines = List.of(cluster.addMachine(0), cluster.addMachine(0), cluster.addMachine(0));
+              List<Machine> busyMachines =
+                  List.of(cluster.addMachine(0), cluster.addMachine(0), cluster.addMachine(0));
               for (int i = 0; i < 3; i++) {
                 startTask(
                     cluster,
@@ -210,7 +218,8 @@
               }
               cluster.runCycle();
               assertEquals(3, cluster.reservedMachines(job));
-              assertEquals(3, cluster.schedulerState.gangReservations().status(job, cluster.now).slots());
+              assertEquals(
+                  3, cluster.schedulerState.gangReservations().status(job, cluster.now).slots());
             }),
         testCase(
             "a reservation in a zone that cannot complete it fails at once, and another zone is tried",
@@ -222,7 +231,8 @@
               // The other variant, spot or on-demand, of the same zone is requested first.
               List<ScaleOutRequest> secondRequests = cluster.runCycle();
               assertEquals(zone, secondRequests.get(0).variant().zone());
-              assertNotEquals(firstRequests.get(0).variant().spot(), secondRequests.get(0).variant().spot());
+              assertNotEquals(
+                  firstRequests.get(0).variant().spot(), secondRequests.get(0).variant().spot());
               cluster.answerRequest(secondRequests.get(0), 0);
               cluster.runCycle();
               assertEquals(0, cluster.reservedMachines(job));
@@ -237,7 +247,10 @@
               for (int i = 0; i < 300; i++) {
                 for (ScaleOutRequest request : cluster.runCycle()) {
                   requestedMachines += request.count();
-                  cluster.schedulerState.gangReservations().recordRefusal(request.variant(), 5, cluster.now);
+                  cluster
+                      .schedulerState
+                      .gangReservations()
+                      .recordRefusal(request.variant(), 5, cluster.now);
                 }
               }
               // In ten minutes: a reservation requests at most 84 machines, and the backoff doubles
@@ -251,16 +264,20 @@
               for (int i = 0; i < 10; i++) {
                 cluster.addMachine(0);
               }
-              cluster.schedulerState
+              cluster
+                  .schedulerState
                   .gangReservations()
                   .recordRefusal(new MachineVariant(MACHINE_TYPE, 0, true), 10, cluster.now);
-              cluster.schedulerState
+              cluster
+                  .schedulerState
                   .gangReservations()
                   .recordRefusal(new MachineVariant(MACHINE_TYPE, 0, false), 10, cluster.now);
-              cluster.schedulerState
+              cluster
+                  .schedulerState
                   .gangReservations()
                   .recordRefusal(new MachineVariant(MACHINE_TYPE, 1, true), 0, cluster.now);
-              cluster.schedulerState
+              cluster
+                  .schedulerState
                   .gangReservations()
                   .recordRefusal(new MachineVariant(MACHINE_TYPE, 1, false), 0, cluster.now);
               Job firstGang = cluster.submitGang("job-1", 7);
@@ -281,15 +298,18 @@
               Machine machine = cluster.addMachine(0);
               Machine otherMachine = cluster.addMachine(0);
               for (int zone = 0; zone < 2; zone++) {
-                cluster.schedulerState
+                cluster
+                    .schedulerState
                     .gangReservations()
                     .recordRefusal(new MachineVariant(MACHINE_TYPE, zone, true), 2, cluster.now);
-                cluster.schedulerState
+                cluster
+                    .schedulerState
                     .gangReservations()
                     .recordRefusal(new MachineVariant(MACHINE_TYPE, zone, false), 2, cluster.now);
               }
               Job normalJob =
-                  cluster.schedulerState.accept(JobSpecBuilder.job("job-1", 1, 8).build(), 5, 0, cluster.now);
+                  cluster.schedulerState.accept(
+                      JobSpecBuilder.job("job-1", 1, 8).build(), 5, 0, cluster.now);
               Job idleJob =
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-2", 1, 8).priority(3).build(), 5, 0, cluster.now);
@@ -320,7 +340,8 @@
               cluster.runTwoCycles();
               assertEquals(1, cluster.reservedMachines(secondGang));
               cluster.pending.add(
-                  new PendingMachines(new MachineVariant(MACHINE_TYPE, 0, true), 2, cluster.now, "job-2"));
+                  new PendingMachines(
+                      new MachineVariant(MACHINE_TYPE, 0, true), 2, cluster.now, "job-2"));
               cluster.now += GangReservations.MAX_RESERVATION_MS + 1_000;
               cluster.runCycle();
               assertEquals(0, cluster.reservedMachines(secondGang));
@@ -355,7 +376,8 @@
               cluster.submitGang("job-1", 30);
               cluster.runTwoCycles();
               cluster.pending.add(
-                  new PendingMachines(new MachineVariant(MACHINE_TYPE, 0, true), 40, cluster.now, "job-1"));
+                  new PendingMachines(
+                      new MachineVariant(MACHINE_TYPE, 0, true), 40, cluster.now, "job-1"));
               assertEquals(List.of(), cluster.runCycle());
             }));
   }
@@ -371,13 +393,16 @@
   }
 
   private static Attempt startTask(TestCluster cluster, Job job, Machine machine) {
-    Attempt attempt = cluster.schedulerState.start(job, job.pendingTasks.dequeueInt(), machine, cluster.now);
+    Attempt attempt =
+        cluster.schedulerState.start(job, job.pendingTasks.dequeueInt(), machine, cluster.now);
     JobSpecBuilder.commitDirtyRecords(cluster.schedulerState, cluster.now);
-    cluster.schedulerState
+    cluster
+        .schedulerState
         .heartbeatReconciler()
         .reconcile(
             machine,
-            JobSpecBuilder.heartbeatListingAttempts(machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
+            JobSpecBuilder.heartbeatListingAttempts(
+                machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
             true,
             cluster.now);
     return attempt;
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -48,7 +48,15 @@
   private static List<String> formattedSummaries(
       ObjectiveAttainment attainment, SchedulerState schedulerState, long now) {
     return attainment.summarize(schedulerState.jobs(), now).stream()
-        .map(summary -> summary.kind() + " " + summary.name() + " " + summary.doneShare() + " " + summary.open())
+        .map(
+            summary ->
+                summary.kind()
+                    + " "
+                    + summary.name()
+                    + " "
+                    + summary.doneShare()
+                    + " "
+                    + summary.open())
         .toList();
   }
 
