--- a/src/main/java/org/mallowroad/core/admission/CommitLagMonitor.java
+++ b/src/main/java/org/mallowroad/core/admission/CommitLagMonitor.java
@@ -80,18 +80,19 @@
   }
 
   private static boolean areManyCommitting(SchedulerState schedulerState) {
-    int committing = 0;
+    int uncommittedStarts = 0;
     for (AttemptRecord record : schedulerState.urgentRecords()) {
-      committing += record.job.spec.priority() < JobSpec.IDLE ? record.uncommittedStarts() : 0;
+      uncommittedStarts +=
+          record.job.spec.priority() < JobSpec.IDLE ? record.uncommittedStarts() : 0;
     }
-    if (committing < MIN_COMMITTING) {
+    if (uncommittedStarts < MIN_COMMITTING) {
       return false;
     }
-    int live = 0;
+    int liveAttempts = 0;
     for (Job job : schedulerState.jobs()) {
-      live += job.liveAttemptCount();
+      liveAttempts += job.liveAttemptCount();
     }
-    return committing > COMMITTING_SHARE * live;
+    return uncommittedStarts > COMMITTING_SHARE * liveAttempts;
   }
 
   /** How long the oldest uncommitted start has waited, in milliseconds. */
--- a/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/Autoscaler.java
@@ -121,11 +121,11 @@
       List<Job> nonGangJobs, List<PendingMachines> pending, List<MachineType> types, long now) {
     StartForecast forecast =
         new StartForecast(schedulerState, policy, objectives, variantSelector, types, now);
-    int waiting = forecast.forecastStarts(nonGangJobs, pending);
+    int waitingTasks = forecast.forecastStarts(nonGangJobs, pending);
     machinesScanned += forecast.machinesScanned();
     tasksForecast += forecast.tasksForecast();
     Object2IntLinkedOpenHashMap<MachineVariant> requested = forecast.requested();
-    if (requested.isEmpty() && spareCapacityTrigger.isSpareLow(waiting, pending)) {
+    if (requested.isEmpty() && spareCapacityTrigger.isSpareLow(waitingTasks, pending)) {
       MachineVariant variant = variantSelector.cheapestForQueue(nonGangJobs, types, now);
       if (variant != null) {
         requested.addTo(variant, 1);
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
@@ -52,10 +52,11 @@
     int limit = candidates.size();
     // When much of a large fleet is idle, machines beyond the reserve for a burst of new tasks are
     // returned without waiting for the full idle time.
-    int excess = usage.idle - (int) Math.max(MIN_IDLE_RESERVE, IDLE_RESERVE_SHARE * usage.machines);
-    if (excess > candidates.size()) {
+    int excessMachines =
+        usage.idle - (int) Math.max(MIN_IDLE_RESERVE, IDLE_RESERVE_SHARE * usage.machines);
+    if (excessMachines > candidates.size()) {
       candidates = idleMachines(now);
-      limit = excess;
+      limit = excessMachines;
     }
     candidates.sort(MOST_EXPENSIVE_FIRST);
     return withinHeadroom(candidates, limit, usage, anyWaiting);
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -106,28 +106,28 @@
    */
   int forecastStarts(List<Job> queue, List<PendingMachines> pending) {
     int[] taskCounts = tasksWithinTeamLimits(queue);
-    int waiting = 0;
+    int waitingTasks = 0;
     for (int count : taskCounts) {
-      waiting += count;
+      waitingTasks += count;
     }
-    if (waiting == 0 || !canRequest()) {
-      return waiting;
+    if (waitingTasks == 0 || !canRequest()) {
+      return waitingTasks;
     }
     addMachines(pending);
-    int remaining = Autoscaler.MAX_FORECAST_TASKS;
-    for (int i = 0; i < taskCounts.length && remaining > 0; i++) {
+    int remainingTasks = Autoscaler.MAX_FORECAST_TASKS;
+    for (int i = 0; i < taskCounts.length && remainingTasks > 0; i++) {
       if (taskCounts[i] == 0) {
         continue;
       }
       if (!canRequest()) {
         break; // No machine can be requested for the remaining jobs, however late they start.
       }
-      int tasks = Math.min(taskCounts[i], remaining);
-      remaining -= tasks;
-      tasksForecast += tasks;
-      new JobForecast(queue.get(i)).placeTasks(tasks);
+      int jobTasks = Math.min(taskCounts[i], remainingTasks);
+      remainingTasks -= jobTasks;
+      tasksForecast += jobTasks;
+      new JobForecast(queue.get(i)).placeTasks(jobTasks);
     }
-    return waiting;
+    return waitingTasks;
   }
 
   /** The number of waiting tasks of each job; those beyond their team's limit need no machine. */
@@ -165,8 +165,7 @@
     ReplacementQuota replacements = new ReplacementQuota(health.policy().maxReplacementShare());
     for (Machine machine : schedulerState.machines()) {
       // Machines suspected to be slow or faulty are excluded: urgent tasks do not use them, and
-      // they
-      // are returned once they are empty.
+      // they are returned once they are empty.
       if (machine.isUsable()
           && machine.reservedFor == null
           && !machine.health.isSuspect()
--- a/src/main/java/org/mallowroad/core/gang/GangMachineOffers.java
+++ b/src/main/java/org/mallowroad/core/gang/GangMachineOffers.java
@@ -98,11 +98,11 @@
   private int machineCount(MachineVariant variant) {
     int count = 0;
     for (Machine machine : machinePool.machines()) {
-      boolean matches =
+      boolean isSameVariant =
           machine.type.index() == variant.type().index()
               && machine.zone == variant.zone()
               && machine.spot == variant.spot();
-      count += matches && !machine.failed && !machine.deleting ? 1 : 0;
+      count += isSameVariant && !machine.failed && !machine.deleting ? 1 : 0;
     }
     return count;
   }
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -33,7 +33,8 @@
  * scope for {@link ZoneBackoff#INITIAL_MS}, doubled with each further failure. A reservation
  * requests at most twice the number of machines that the gang fills, plus {@link #EXTRA_REQUESTS}.
  * Hence two gangs that together exceed the capacity of a zone start one after the other, or in two
- * zones, and a gang that cannot be placed requests a bounded number of machines per reservation.
+ * zones, and a gang that cannot be placed requests a bounded number of machines per reservation,
+ * with a backoff between its reservations.
  *
  * <p>Reservations are not persisted: the next leader makes new ones, beginning with the scope in
  * which the gang can start first, or if several are equal the one with the most room. Machines that
--- a/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
+++ b/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
@@ -164,8 +164,7 @@
       return DEADLINE_YIELD_SHARE * slackS;
     }
     // Without this bound a job whose image no machine has cached is placed last in every pass,
-    // until
-    // it starts too late.
+    // until it starts too late.
     double slowFetchLimitS =
         SLOW_FETCH_YIELD_SHARE * Math.max(0, ServiceLevelObjectives.START_TARGET_S - fetchS(spec));
     return hasSlowFetch(spec) ? Math.min(slackS, slowFetchLimitS) : slackS;
--- a/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/mallowroad/core/scheduling/TaskScheduler.java
@@ -110,12 +110,12 @@
       gangPlacer.placeGang(job, started, now);
       return;
     }
-    placeOrdinary(job, true, started, now);
-    placeOrdinary(job, false, started, now);
+    placeNonGangTasks(job, true, started, now);
+    placeNonGangTasks(job, false, started, now);
     preemptor.preemptFor(job, now);
   }
 
-  private void placeOrdinary(Job job, boolean imageCached, List<Attempt> started, long now) {
+  private void placeNonGangTasks(Job job, boolean imageCached, List<Attempt> started, long now) {
     if (!teamsReservedForGangs.get(job.spec.team())) {
       binPacker.placeTasks(job, imageCached, started, now);
     }
@@ -148,7 +148,7 @@
       if (job.isBackingOff(now) || job.spec.gang()) {
         continue;
       }
-      placeOrdinary(job, true, started, now);
+      placeNonGangTasks(job, true, started, now);
       boolean stillWaits = !job.pendingTasks.isEmpty();
       if (stillWaits && now - job.eligibleSinceMs() > 1000 * jobQueue.maxYieldS(job.spec)) {
         return;
--- a/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/mallowroad/core/autoscaling/AutoscalerTest.java
@@ -125,8 +125,8 @@
               Machine busyMachine = cluster.reportMachine("n-1", LARGE, false);
               cluster.schedulerState.start(
                   cluster.submitJob("job-1", 1, 32), 0, busyMachine, cluster.now);
-              cluster.objectives.requireCompletion(
-                  0, 400); // Both jobs can wait: they are estimated at 60 s.
+              // Both jobs can wait: they are estimated at 60 s.
+              cluster.objectives.requireCompletion(0, 400);
               cluster.submitJob("job-2", 1, 32);
               assertTrue(cluster.planScaleOut(List.of()).isEmpty());
               // A machine that boots in 30 s cannot meet a start objective of 3 s either.
@@ -141,8 +141,8 @@
               cluster.reportMachine("n-1", SMALL, true);
               cluster.submitJob("job-1", 1, 4);
               cluster.taskScheduler.placeTasks(cluster.now);
-              cluster.now +=
-                  40_000; // 20 s of the estimated 60 s remain, less than the 30 s of a boot.
+              // 20 s of the estimated 60 s remain, less than the 30 s of a boot.
+              cluster.now += 40_000;
               cluster.reportMachine("n-1", SMALL, true);
               cluster.submitJob("job-2", 2, 4);
               assertEquals(
@@ -198,24 +198,21 @@
               cluster.submitJob("job-1", 40, 4);
               int machineCount =
                   cluster.planScaleOut(List.of()).stream().mapToInt(ScaleOutRequest::count).sum();
-              assertTrue(
-                  machineCount > 0 && machineCount <= 16,
-                  machineCount + " machines"); // The limit allows 16 of the 40 tasks.
+              // The limit allows 16 of the 40 tasks.
+              assertTrue(machineCount > 0 && machineCount <= 16, machineCount + " machines");
             }),
         testCase(
             "the most expensive empty machine is returned first, if the others have headroom",
             cluster -> {
               cluster.reportMachine("n-1", SMALL, true);
-              Machine large = cluster.reportMachine("n-2", LARGE, false);
+              Machine largeMachine = cluster.reportMachine("n-2", LARGE, false);
               cluster.now += 60_000;
-              assertEquals(
-                  List.of(),
-                  cluster.autoscaler.planScaleIn(
-                      false, cluster.now)); // Their heartbeats are overdue.
+              // The heartbeats of both machines are overdue.
+              assertEquals(List.of(), cluster.autoscaler.planScaleIn(false, cluster.now));
               cluster.reportMachine("n-1", SMALL, true);
               cluster.reportMachine("n-2", LARGE, false);
               List<Machine> returned = cluster.autoscaler.planScaleIn(false, cluster.now);
-              assertEquals(large, returned.get(0));
+              assertEquals(largeMachine, returned.get(0));
             }),
         testCase(
             "an idle machine is kept if the others would not have enough headroom",
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -247,8 +247,8 @@
               }
               // In ten minutes: a reservation requests at most 84 machines, and the backoff doubles
               // after each one.
-              assertTrue(requestedMachines <= 12 * 84, "rented " + requestedMachines);
-              assertTrue(requestedMachines >= 80, "rented " + requestedMachines);
+              assertTrue(requestedMachines <= 12 * 84, "requested machines: " + requestedMachines);
+              assertTrue(requestedMachines >= 80, "requested machines: " + requestedMachines);
             }),
         testCase(
             "two gangs that together exceed the capacity of a zone start one after the other",
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -18,7 +18,7 @@
   private final NameIndex zones = new NameIndex();
   private final List<Team> teams = List.of(new Team("red", 8, 0, 0, 0));
 
-  private SchedulerState schedulerState() {
+  private SchedulerState newSchedulerState() {
     zones.intern("a");
     return new SchedulerState(1, 26, 4, teams, zones);
   }
@@ -26,11 +26,11 @@
   @Test
   void jobIsOverdueAfterItsDueAgeUntilItEnds() {
     classes.intern("c");
-    SchedulerState schedulerState = schedulerState();
+    SchedulerState schedulerState = newSchedulerState();
     ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
     Job doneJob = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
-    schedulerState.accept(
-        JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0); // The largest job; it never starts.
+    // The largest job; it never starts.
+    schedulerState.accept(JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0);
     attainment.recordDone(doneJob);
     schedulerState.jobs().remove(doneJob);
     assertEquals(
@@ -63,7 +63,7 @@
   @Test
   void classNamesBeyondTheMaximumAreCountedTogether() {
     ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
-    SchedulerState schedulerState = schedulerState();
+    SchedulerState schedulerState = newSchedulerState();
     for (int i = 0; i < 1_000; i++) {
       int classIndex = classes.intern("c" + i);
       JobSpec spec = JobSpecs.array("job-" + i, 1, 1).taskClass(classIndex).build();
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -99,7 +99,7 @@
             cluster -> {
               cluster.fillFleet(1, 40_000);
               long preemptions = cluster.preemptionsAfterUrgentJob(100);
-              assertTrue(preemptions >= 40 && preemptions <= 90, "stopped " + preemptions);
+              assertTrue(preemptions >= 40 && preemptions <= 90, "preemptions: " + preemptions);
             }),
         testCase(
             "capacity that is claimed by a job ahead in the queue is not counted again",
@@ -108,7 +108,7 @@
               cluster.schedulerState.accept(
                   JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, cluster.now);
               long preemptions = cluster.preemptionsAfterUrgentJob(30);
-              assertTrue(preemptions >= 25 && preemptions <= 50, "stopped " + preemptions);
+              assertTrue(preemptions >= 25 && preemptions <= 50, "preemptions: " + preemptions);
             }),
         testCase(
             "a task that was started four times is preempted only by a critical job",
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -85,7 +85,7 @@
   @Test
   void agedJobIsAheadOfGuaranteedJobAndIsNotPreemptedForIt() {
     Machine machine = addMachine("n-1");
-    Job large = submitJob("job-1", 0, 50, 1, 60);
+    Job agedJob = submitJob("job-1", 0, 50, 1, 60);
     now += 100_000;
     submitJob("job-2", 1, 1, 1, 60);
     assertEquals(List.of("job-2", "job-1"), queuedJobIds());
@@ -95,14 +95,14 @@
     JobSpecs.commit(schedulerState, now);
     schedulerState.processHeartbeat(
         machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
-    assertEquals(1, large.liveAttemptCount());
+    assertEquals(1, agedJob.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
       taskScheduler.placeTasks(now);
     }
-    // Once, the task of the aged job was preempted here and got the room back in the next pass: the
+    // An aged job that is preempted gets the room back in the next pass: when this was allowed, the
     // two jobs preempted each other 3,713 times.
-    assertFalse(large.liveAttempt(0).isStopping());
+    assertFalse(agedJob.liveAttempt(0).isStopping());
     assertEquals(0, taskScheduler.preemptionCount());
   }
 
@@ -125,6 +125,6 @@
       taskScheduler.placeTasks(now);
     }
     assertEquals(100, job.liveAttemptCount());
-    assertTrue(job.begunMs() == now, "400 CPUs are the limit, 4 each");
+    assertTrue(job.begunMs() == now, "the limit is 400 CPUs, and each task uses 4");
   }
 }
