--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -75,17 +75,17 @@
    */
   List<String> game(String league, long number) throws InvalidMessageException {
     Inspection inspection = new Inspection();
-    BlockKey key = new BlockKey(league, (int) (number / Block.GAMES));
+    BlockKey key = new BlockKey(league, (int) (number / Block.GAMES_PER_BLOCK));
     Block block = FoldCodec.decodeBlock(inspection.value(RecordKeys.foldBlock(key)));
     List<String> out = new ArrayList<>();
     for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
-      if (e.getKey().game() == Block.place(number)) {
+      if (e.getKey().gameIndex() == Block.gameIndex(number)) {
         Fold f = e.getValue();
         out.add(
             e.getKey().member()
                 + ": revision "
                 + f.revision()
-                + (f.taken() ? " (taken back) " : " ")
+                + (f.retracted() ? " (taken back) " : " ")
                 + inspection.jobOutcome(f)
                 + (f.base() == null
                     ? ""
@@ -113,15 +113,16 @@
         new JobCodec(teams, zones, new NameIndex(), new NameIndex(), classes);
 
     RecordedState read() throws InvalidMessageException {
-      JsonNode leader = value(LeaderElection.LEADER);
-      JsonNode term = value(LeaderElection.TERM);
-      List<VersionedValue> open = list(RecordKeys.OPEN_JOBS);
-      List<VersionedValue> run = list(RecordKeys.ATTEMPTS);
-      List<VersionedValue> rental = list(RecordKeys.RENTALS);
+      JsonNode leader = value(LeaderElection.LEADER_KEY);
+      JsonNode term = value(LeaderElection.TERM_KEY);
+      List<VersionedValue> open = list(RecordKeys.OPEN_JOBS_PREFIX);
+      List<VersionedValue> run = list(RecordKeys.ATTEMPT_RECORDS_PREFIX);
+      List<VersionedValue> rental = list(RecordKeys.RENTALS_PREFIX);
       Map<String, int[]> of = new LinkedHashMap<>();
       int attempts = 0;
       for (VersionedValue i : run) {
-        String id = i.key().substring(RecordKeys.ATTEMPTS.length(), i.key().lastIndexOf('/'));
+        String id =
+            i.key().substring(RecordKeys.ATTEMPT_RECORDS_PREFIX.length(), i.key().lastIndexOf('/'));
         int[] counts = of.computeIfAbsent(id, k -> new int[2]);
         int live = AttemptRecordCodec.unresolvedAttempts(i.value()).size();
         counts[0] += AttemptRecordCodec.doneTasks(i.value()).cardinality();
@@ -163,8 +164,8 @@
           Math.max(0, s.tasks() - counts[0] - counts[1]),
           0,
           age,
-          s.dueS() > 0,
-          s.dueS() > 0 ? s.dueS() - age : 0,
+          s.deadlineS() > 0,
+          s.deadlineS() > 0 ? s.deadlineS() - age : 0,
           false,
           0,
           "",
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -87,7 +87,7 @@
 
   /** Decodes submissions. */
   @Override
-  public JobCodec codec() {
+  public JobCodec jobCodec() {
     return codec;
   }
 
@@ -123,7 +123,7 @@
   }
 
   @Override
-  public MachineType type(String name) {
+  public MachineType machineType(String name) {
     for (MachineType t : machineTypes) {
       if (t.name().equals(name)) {
         return t;
@@ -138,7 +138,7 @@
       return "unknown team";
     }
     Team team = newTeams().get(s.team());
-    if (!team.couldEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
+    if (!team.canEverRun(s, s.service() || s.gang() ? s.tasks() : 1)) {
       return "more than the team's limit";
     }
     for (MachineType t : machineTypes) {
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -91,7 +91,7 @@
   /** All open jobs are known: reads the releases that earlier leaders recorded. */
   public void start() {
     store.list(
-        RecordKeys.RELEASES,
+        RecordKeys.RELEASES_PREFIX,
         (result, records, revision) -> {
           if (stopped) {
             return;
@@ -101,7 +101,8 @@
             return;
           }
           for (VersionedValue record : records) {
-            DependencyGate gate = gates.get(record.key().substring(RecordKeys.RELEASES.length()));
+            DependencyGate gate =
+                gates.get(record.key().substring(RecordKeys.RELEASES_PREFIX.length()));
             if (gate != null) {
               restore(gate, record.value(), record.version());
             }
@@ -129,7 +130,7 @@
    */
   public void jobEnded(Job job, boolean done) {
     gates.remove(job.spec.id());
-    gates.jobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
+    gates.recordJobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
     evaluateNext();
   }
 
@@ -185,7 +186,7 @@
             LOG.info("event=dependency_gate_closed job={}", gate.jobId());
             gate.close();
             schedulerState.hold(job, loop.now());
-            gates.queue(gate);
+            gates.enqueue(gate);
             loop.soon(this::evaluateNext);
           }
           next.run();
@@ -195,7 +196,7 @@
   /** Takes over a release record, or its absence. */
   private void restore(DependencyGate gate, JsonNode record, long version) {
     if (record == null) {
-      gate.releaseMissing(version);
+      gate.recordMissingRelease(version);
       return;
     }
     gate.restore(ReleaseRecordCodec.decode(record), version);
@@ -209,7 +210,7 @@
     if (evaluating || stopped || !releasesRead) {
       return;
     }
-    DependencyGate gate = gates.pollToEvaluate();
+    DependencyGate gate = gates.pollGateToEvaluate();
     if (gate == null) {
       leagueWatch.start();
       return;
@@ -231,13 +232,13 @@
       job.holdReason = unmet.dependencies().describe();
       evaluationEnded();
     } else if (outcome instanceof GateEvaluation.Met met) {
-      gate.confirm(met.leagueVersions(), met.leagueChanges());
+      gate.setConfirmedLeagues(met.leagueVersions(), met.leagueChanges());
       recordRelease(gate, job);
     }
   }
 
   private void evaluateLater(DependencyGate gate) {
-    gates.queue(gate);
+    gates.enqueue(gate);
     loop.after(RETRY_MS, this::evaluationEnded);
   }
 
@@ -249,7 +250,7 @@
   private void recordRelease(DependencyGate gate, Job job) {
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderVersion)
+            .requireVersion(LeaderElection.LEADER_KEY, leaderVersion)
             .requireVersion(RecordKeys.openJob(gate.jobId()), job.version)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     addLeagueConditions(gate, transaction);
@@ -278,7 +279,7 @@
   private void releaseNotRecorded(
       DependencyGate gate, Job job, CallResult result, List<String> failed) {
     boolean conflict = result == CallResult.CONDITION_FAILED;
-    if (conflict && failed.contains(LeaderElection.LEADER)) {
+    if (conflict && failed.contains(LeaderElection.LEADER_KEY)) {
       deposed.run();
     } else if (conflict && failed.contains(RecordKeys.release(gate.jobId()))) {
       // An earlier write of this leader that had no answer was applied: taken as it is recorded.
@@ -296,7 +297,7 @@
 
   private static void putRelease(DependencyGate gate, boolean started, Transaction transaction) {
     transaction.put(
-        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.release(started)));
+        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.toRelease(started)));
   }
 
   /**
@@ -305,20 +306,20 @@
    * up to the highest game that any gate requires.
    */
   private void leagueChanged(VersionedValue record) {
-    String league = record.key().substring(RecordKeys.LEAGUES.length());
+    String league = record.key().substring(RecordKeys.LEAGUES_PREFIX.length());
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
-    for (DependencyGate gate : List.copyOf(gates.all())) {
+    for (DependencyGate gate : List.copyOf(gates.allGates())) {
       if (gate.isOutdatedBy(league, changes)) {
         supersede(gate, league);
       }
     }
-    gates.leagueChanged(league);
+    gates.recordLeagueChanged(league);
     evaluateNext();
   }
 
   /** The job started with games that have a newer version: logged once, and recorded. */
   private void supersede(DependencyGate gate, String league) {
-    gate.supersede();
+    gate.markSuperseded();
     LOG.warn(
         "event=dependency_superseded job={} league={} version={}",
         gate.jobId(),
@@ -326,14 +327,14 @@
         gate.leagueVersions());
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderVersion)
+            .requireVersion(LeaderElection.LEADER_KEY, leaderVersion)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     putRelease(gate, true, transaction);
     store.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
-            gate.releaseRewritten(revision);
+            gate.recordRewrittenRelease(revision);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
+++ b/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
@@ -22,7 +22,7 @@
     ObjectNode versions = record.putObject(LEAGUE_VERSIONS);
     release.leagueVersions().forEach(versions::put);
     ObjectNode changes = record.putObject(LEAGUE_CHANGES);
-    release.leagueChanges().forEach(changes::put);
+    release.leagueClaimCounts().forEach(changes::put);
     if (release.started()) {
       record.put(STARTED, true);
     }
@@ -42,7 +42,7 @@
 
   /** How often required games of a league were claimed, by the league's record or its absence. */
   static long leagueChanges(JsonNode leagueRecord) {
-    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGES).asLong();
+    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGE_COUNT).asLong();
   }
 
   private static Map<String, Long> numbers(JsonNode object) {
--- a/src/main/java/org/mallowroad/core/autoscaling/ForecastMachine.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ForecastMachine.java
@@ -51,7 +51,7 @@
 
   private static double remainingS(Attempt attempt, long now) {
     if (attempt.isStopping()) {
-      return attempt.job.spec.saveS();
+      return attempt.job.spec.checkpointDurationS();
     }
     double estimateS =
         attempt.job.spec.service() ? SERVICE_ESTIMATE_S : attempt.job.spec.estimateS();
--- a/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/ScaleInPlanner.java
@@ -72,7 +72,7 @@
       }
       usage.machines++;
       usage.bookedCpus +=
-          (machine.reservedFor == null ? machine.bookedShare() : 1) * machine.type.cpus();
+          (machine.reservedFor == null ? machine.allocatedShare() : 1) * machine.type.cpus();
       usage.cpus += machine.type.cpus();
       if (machine.reservedFor != null
           || schedulerState.imageDistribution().isServing(machine)
--- a/src/main/java/org/mallowroad/core/autoscaling/SpareCapacityTrigger.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/SpareCapacityTrigger.java
@@ -41,9 +41,9 @@
     double totalSpare = 0;
     if (waitingPerMachine < policy.waitingLimit()) {
       for (Machine machine : schedulerState.machines()) {
-        if (isCounted(machine) && machine.bookedShare() < policy.bookedLimit()) {
+        if (isCounted(machine) && machine.allocatedShare() < policy.bookedLimit()) {
           unsaturatedMachines++;
-          totalSpare += policy.bookedLimit() - machine.bookedShare();
+          totalSpare += policy.bookedLimit() - machine.allocatedShare();
         }
       }
       unsaturatedMachines += pendingCount;
--- a/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
+++ b/src/main/java/org/mallowroad/core/autoscaling/StartForecast.java
@@ -141,7 +141,7 @@
       if (spec.cpus() <= 0) {
         taskCounts[i] = pendingTasks;
       } else {
-        double remainingCpus = team.cpusMax() - team.usedCpus() - plannedCpus[spec.team()];
+        double remainingCpus = team.cpuLimit() - team.usedCpus() - plannedCpus[spec.team()];
         double limit = (remainingCpus + ResourceVector.EPSILON) / spec.cpus();
         taskCounts[i] = (int) Math.max(0, Math.min(pendingTasks, limit));
       }
--- a/src/main/java/org/mallowroad/core/gang/GangCandidates.java
+++ b/src/main/java/org/mallowroad/core/gang/GangCandidates.java
@@ -69,7 +69,7 @@
 
   private static Candidate candidate(Job job, Machine machine, long now, long byMs) {
     ResourceVector free = machine.copyFreeResources();
-    int maxSlots = job.waitingCount();
+    int maxSlots = job.pendingTaskCount();
     int slots = free.capacityFor(job.spec, maxSlots);
     long availableAtMs = now;
     if (byMs > now) {
@@ -100,7 +100,7 @@
   private static long expectedEndMs(Attempt attempt, long now) {
     JobSpec spec = attempt.job.spec;
     if (attempt.isStopping()) {
-      return now + (long) (spec.saveS() * 1000) + STOP_MARGIN_MS;
+      return now + (long) (spec.checkpointDurationS() * 1000) + STOP_MARGIN_MS;
     }
     if (spec.service()) {
       return Long.MAX_VALUE;
@@ -122,7 +122,7 @@
       slotsByZone[candidate.machine.zone] += slots;
       total += slots;
     }
-    return Math.min(total, job.waitingCount());
+    return Math.min(total, job.pendingTaskCount());
   }
 
   /**
@@ -138,7 +138,7 @@
       int slots = Math.max(0, slotsWithinZoneLimit(job, candidate, slotsByZone));
       slotsByZone[candidate.machine.zone] += slots;
       total += slots;
-      if (total >= job.waitingCount()) {
+      if (total >= job.pendingTaskCount()) {
         return candidate.availableAtMs;
       }
     }
--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -149,7 +149,7 @@
     }
     long untilMs = backoff.untilMs(backoff.latestZone);
     return new ReservationStatus(
-        backoff.latestZone, 0, job.waitingCount(), 0, untilMs, untilMs > now);
+        backoff.latestZone, 0, job.pendingTaskCount(), 0, untilMs, untilMs > now);
   }
 
   /**
@@ -165,7 +165,7 @@
       return;
     }
     endFinishedReservations(mayStart, now);
-    backoffs.keySet().removeIf(j -> !j.hasWaitingTasks());
+    backoffs.keySet().removeIf(j -> !j.hasStartableTasks());
     for (Job job : queue) {
       if (!job.spec.gang()
           || !mayStart.test(job)
@@ -184,7 +184,7 @@
 
   private void endFinishedReservations(Predicate<Job> mayStart, long now) {
     for (GangReservation reservation : new ArrayList<>(reservations.values())) {
-      if (!reservation.job.hasWaitingTasks() || !mayStart.test(reservation.job)) {
+      if (!reservation.job.hasStartableTasks() || !mayStart.test(reservation.job)) {
         recordChange(reservation, Change.Transition.ENDS, now);
         endReservation(reservation);
       }
@@ -211,7 +211,7 @@
       int slots = slotsBy(job, zone, now, now + Math.max(0, bootMs));
       long startMs = candidates.completeAtMs(job, zone, now, now + RELEASE_HORIZON_MS);
       if (bootMs >= 0
-          && slots + offers.attainableSlots(job.spec, zone, now) >= job.waitingCount()) {
+          && slots + offers.attainableSlots(job.spec, zone, now) >= job.pendingTaskCount()) {
         startMs = Math.min(startMs, now + bootMs);
       }
       if (startMs < bestStartMs
@@ -332,7 +332,7 @@
         bootMs >= 0
             && slotsBy(job, reservation.zone, now, now + bootMs)
                     + offers.attainableSlots(job.spec, reservation.zone, now)
-                >= job.waitingCount();
+                >= job.pendingTaskCount();
     return now + (cloudCanComplete ? bootMs : RELEASE_HORIZON_MS);
   }
 
@@ -344,7 +344,7 @@
           && spec.priority() > job.spec.priority()
           && attempt.number <= MAX_PREEMPTIBLE_ATTEMPT
           && (attempt.phase == Attempt.Phase.RUNNING || attempt.phase == Attempt.Phase.PULLING)) {
-        machinePool.requestStop(attempt, spec.checkpointS() > 0 ? spec.saveS() : 0, now);
+        machinePool.requestStop(attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -109,7 +109,7 @@
   public void recordDone(Job job) {
     Counts counts = countsOf(byClass, classes.name(job.spec.taskClass()));
     counts.done++;
-    long begunMs = job.begunMs() < 0 ? job.lastStartMs() : job.begunMs();
+    long begunMs = job.fullyPlacedMs() < 0 ? job.lastStartMs() : job.fullyPlacedMs();
     counts.starts.addLast(
         new JobStart(job.spec.tasks(), begunMs - job.eligibleSinceMs() <= START_TARGET_MS));
     if (counts.starts.size() > MAX_REMEMBERED_STARTS) {
@@ -120,7 +120,7 @@
 
   /** The age in milliseconds at which a job is due. */
   private static long dueAgeMs(JobSpec spec) {
-    return spec.dueS() > 0 ? (long) (spec.dueS() * DUE_MS_PER_DEADLINE_S) : DEFAULT_DUE_MS;
+    return spec.deadlineS() > 0 ? (long) (spec.deadlineS() * DUE_MS_PER_DEADLINE_S) : DEFAULT_DUE_MS;
   }
 
   /**
@@ -159,7 +159,7 @@
   private void addStart(
       Job job, Object2ObjectLinkedOpenHashMap<String, List<JobStart>> startsByClass, long now) {
     boolean startedInTime =
-        job.begunMs() >= 0 && job.begunMs() - job.eligibleSinceMs() <= START_TARGET_MS;
+        job.fullyPlacedMs() >= 0 && job.fullyPlacedMs() - job.eligibleSinceMs() <= START_TARGET_MS;
     if (!startedInTime && now - job.eligibleSinceMs() <= START_TARGET_MS) {
       return;
     }
--- a/src/main/java/org/mallowroad/core/scheduling/BinPacker.java
+++ b/src/main/java/org/mallowroad/core/scheduling/BinPacker.java
@@ -99,7 +99,7 @@
     while (!job.pendingTasks.isEmpty()) {
       StartRefusal refusal = placementRules.placementRefusal(job, machine, now);
       if (refusal == StartRefusal.IMAGE_FETCH_LIMIT) {
-        schedulerState.imageDistribution().recordHeldBack();
+        schedulerState.imageDistribution().recordHeldBackStart();
       }
       if (refusal != null) {
         return refusal;
--- a/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
+++ b/src/main/java/org/mallowroad/core/scheduling/JobQueue.java
@@ -66,7 +66,7 @@
   /** True while any job has a task that waits to be started. */
   boolean hasWaitingTasks() {
     for (Job job : schedulerState.jobs()) {
-      if (job.hasWaitingTasks()) {
+      if (job.hasStartableTasks()) {
         return true;
       }
     }
@@ -85,15 +85,15 @@
     List<QueuedJob> queued = new ArrayList<>();
     for (Job job : openJobsBySubmission()) {
       JobSpec spec = job.spec;
-      int remainingTasks = spec.tasks() - job.doneCount();
+      int remainingTasks = spec.tasks() - job.doneTaskCount();
       openCpusByTeam[spec.team()] += remainingTasks * spec.cpus();
       openCardsByTeam[spec.team()] += remainingTasks * spec.cards();
       Team team = schedulerState.team(spec);
       job.guaranteed =
-          openCpusByTeam[spec.team()] <= team.cpus() + ResourceVector.EPSILON
-              && openCardsByTeam[spec.team()] <= team.cards() + ResourceVector.EPSILON;
+          openCpusByTeam[spec.team()] <= team.guaranteedCpus() + ResourceVector.EPSILON
+              && openCardsByTeam[spec.team()] <= team.guaranteedCards() + ResourceVector.EPSILON;
       job.aged = now - job.eligibleSinceMs() > 1000 * Math.max(0, AGING_THRESHOLD_S - fetchS(spec));
-      if (job.hasWaitingTasks()) {
+      if (job.hasStartableTasks()) {
         queued.add(new QueuedJob(job, job.eligibleSinceMs() + (long) (1000 * dueAfterS(spec))));
       }
     }
@@ -130,8 +130,8 @@
    * due earlier by half the fetch time, since it starts running only after the fetch.
    */
   private double dueAfterS(JobSpec spec) {
-    if (spec.dueS() > 0) {
-      return spec.dueS();
+    if (spec.deadlineS() > 0) {
+      return spec.deadlineS();
     }
     double defaultDueS =
         Math.min(
@@ -160,7 +160,7 @@
    */
   double maxYieldS(JobSpec spec) {
     double slackS = dueAfterS(spec) - spec.estimateS();
-    if (spec.dueS() > 0) {
+    if (spec.deadlineS() > 0) {
       return DEADLINE_YIELD_SHARE * slackS;
     }
     // Without this bound a job whose image no machine has cached is placed last in every pass,
--- a/src/main/java/org/mallowroad/core/scheduling/MachineDrainer.java
+++ b/src/main/java/org/mallowroad/core/scheduling/MachineDrainer.java
@@ -33,8 +33,8 @@
         continue;
       }
       JobSpec spec = attempt.job.spec;
-      if (spec.checkpointS() > 0) {
-        schedulerState.requestStop(attempt, spec.saveS(), now);
+      if (spec.checkpointIntervalS() > 0) {
+        schedulerState.requestStop(attempt, spec.checkpointDurationS(), now);
       } else if (!endsWithin(attempt, secondsLeft, now)) {
         schedulerState.requestStop(attempt, 0, now);
       }
--- a/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
+++ b/src/main/java/org/mallowroad/core/scheduling/PlacementRules.java
@@ -53,7 +53,7 @@
   private boolean mayFetchImage(JobSpec spec, Machine machine, long now) {
     return schedulerState
         .imageDistribution()
-        .mayFetch(spec, machine, source -> schedulerState.canServeImages(source, now));
+        .canFetch(spec, machine, source -> schedulerState.canServeImages(source, now));
   }
 
   /**
@@ -72,6 +72,6 @@
   /** True when starting the job's next task, or all tasks of a gang, exceeds the team's limit. */
   boolean exceedsTeamLimit(Job job) {
     int tasks = job.spec.gang() ? job.pendingTasks.size() : 1;
-    return !schedulerState.team(job.spec).allows(job.spec, tasks);
+    return !schedulerState.team(job.spec).isWithinLimit(job.spec, tasks);
   }
 }
--- a/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
+++ b/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
@@ -129,7 +129,7 @@
 
   /** Waiting tasks within the team's limit that will not get room without preemption. */
   private int tasksNeedingRoom(Job job) {
-    int startableTasks = schedulerState.team(job.spec).maxTasks(job.spec, job.pendingTasks.size());
+    int startableTasks = schedulerState.team(job.spec).maxAdditionalTasks(job.spec, job.pendingTasks.size());
     int expectedSlots = releases.expectedTaskSlots(job.spec, startableTasks);
     releases.claim(job.spec, startableTasks);
     return startableTasks - expectedSlots;
@@ -265,7 +265,7 @@
 
   private void stop(Attempt attempt, long now) {
     JobSpec spec = attempt.job.spec;
-    schedulerState.requestStop(attempt, spec.checkpointS() > 0 ? spec.saveS() : 0, now);
+    schedulerState.requestStop(attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
   }
 
   private boolean isPreemptable(Attempt attempt, PreemptionRequest request) {
@@ -296,7 +296,7 @@
    */
   private static double lossCpuS(Attempt attempt, long now) {
     double ranS = (now - attempt.createdMs) / 1000.0;
-    double checkpointS = attempt.job.spec.checkpointS();
+    double checkpointS = attempt.job.spec.checkpointIntervalS();
     double lostS = checkpointS > 0 ? Math.min(ranS, checkpointS) : ranS;
     return lostS * Math.max(MIN_LOSS_CPUS, attempt.job.spec.cpus());
   }
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -66,13 +66,13 @@
       schedulerState
           .heartbeatReconciler()
           .reconcile(
-              machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+              machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
       return machine;
     }
 
     Job submitGang(String id, int tasks) {
       return schedulerState.accept(
-          JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
+          JobSpecBuilder.job(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
     List<ScaleOutRequest> runCycle() {
@@ -118,7 +118,7 @@
       schedulerState
           .heartbeatReconciler()
           .reconcile(
-              machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+              machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     int reservedMachines(Job job) {
@@ -173,7 +173,7 @@
               assertEquals(job, machine.reservedFor);
               Job other =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-2", 9, 1).build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-2", 9, 1).build(), 5, 0, cluster.now);
               cluster.runCycle();
               assertEquals(0, other.liveAttemptCount());
               assertEquals(
@@ -196,7 +196,7 @@
                 startTask(
                     cluster,
                     cluster.schedulerState.accept(
-                        JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, cluster.now),
+                        JobSpecBuilder.job("job-" + i, 1, 8).build(), 5, 0, cluster.now),
                     busyMachines.get(i));
               }
               Job job = cluster.submitGang("job-9", 3);
@@ -301,10 +301,10 @@
               }
               Job normalJob =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 1, 8).build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-1", 1, 8).build(), 5, 0, cluster.now);
               Job idleJob =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-2", 1, 8).priority(3).build(), 5, 0, cluster.now);
               Attempt attempt = startTask(cluster, normalJob, machine);
               Attempt idleAttempt = startTask(cluster, idleJob, otherMachine);
               Job job = cluster.submitGang("job-3", 2);
@@ -349,7 +349,7 @@
               }
               Job job =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(),
+                      JobSpecBuilder.job("job-1", 4, 32).gang().scatter().spot().build(),
                       5,
                       0,
                       cluster.now);
@@ -387,13 +387,13 @@
   private static Attempt startTask(TestCluster cluster, Job job, Machine machine) {
     Attempt attempt =
         cluster.schedulerState.start(job, job.pendingTasks.dequeueInt(), machine, cluster.now);
-    JobSpecs.commit(cluster.schedulerState, cluster.now);
+    JobSpecBuilder.commitDirtyRecords(cluster.schedulerState, cluster.now);
     cluster
         .schedulerState
         .heartbeatReconciler()
         .reconcile(
             machine,
-            JobSpecs.report(machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
+            JobSpecBuilder.heartbeatListingAttempts(machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
             true,
             cluster.now);
     return attempt;
--- a/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
+++ b/src/test/java/org/mallowroad/core/objective/ObjectiveAttainmentTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
@@ -28,9 +28,9 @@
     classes.intern("c");
     SchedulerState schedulerState = newSchedulerState();
     ObjectiveAttainment attainment = new ObjectiveAttainment(classes, teams);
-    Job doneJob = schedulerState.accept(JobSpecs.array("job-1", 1, 1).build(), 1, 0, 0);
+    Job doneJob = schedulerState.accept(JobSpecBuilder.job("job-1", 1, 1).build(), 1, 0, 0);
     // The largest job; it never starts.
-    schedulerState.accept(JobSpecs.array("job-2", 2, 1).build(), 1, 0, 0);
+    schedulerState.accept(JobSpecBuilder.job("job-2", 2, 1).build(), 1, 0, 0);
     attainment.recordDone(doneJob);
     schedulerState.jobs().remove(doneJob);
     assertEquals(
@@ -66,7 +66,7 @@
     SchedulerState schedulerState = newSchedulerState();
     for (int i = 0; i < 1_000; i++) {
       int classIndex = classes.intern("c" + i);
-      JobSpec spec = JobSpecs.array("job-" + i, 1, 1).taskClass(classIndex).build();
+      JobSpec spec = JobSpecBuilder.job("job-" + i, 1, 1).taskClass(classIndex).build();
       attainment.recordDone(schedulerState.accept(spec, 1, 0, 0));
     }
     assertTrue(attainment.summarize(List.of(), 0).size() <= 131);
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -42,15 +42,15 @@
 
     void sendHeartbeat(Machine machine) {
       schedulerState.processHeartbeat(
-          machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     }
 
     /** Fills the fleet with tasks of normal priority that have run for {@code ranMs}. */
     void fillFleet(double cpus, long ranMs) {
       int taskCount = (int) (400 / cpus);
-      schedulerState.accept(JobSpecs.array("job-1", taskCount, cpus).spot().build(), 5, 0, now);
+      schedulerState.accept(JobSpecBuilder.job("job-1", taskCount, cpus).spot().build(), 5, 0, now);
       assertEquals(taskCount, taskScheduler.placeTasks(now).size());
-      JobSpecs.commit(schedulerState, now);
+      JobSpecBuilder.commitDirtyRecords(schedulerState, now);
       for (Machine machine : schedulerState.machines()) {
         sendHeartbeat(machine);
       }
@@ -61,7 +61,7 @@
     /** Submits an urgent job and runs placement for 2.5 s; returns the preemptions so far. */
     long preemptionsAfterUrgentJob(int tasks) {
       schedulerState.accept(
-          JobSpecs.array("job-2" + ++sequence, tasks, 1).priority(1).spot().build(), 5, 0, now);
+          JobSpecBuilder.job("job-2" + ++sequence, tasks, 1).priority(1).spot().build(), 5, 0, now);
       for (int i = 0; i < 5; i++) {
         now += 500;
         schedulerState.machines().forEach(this::sendHeartbeat);
@@ -106,7 +106,7 @@
             cluster -> {
               cluster.fillFleet(1, 40_000);
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-0", 30, 1).priority(0).spot().build(), 5, 0, cluster.now);
+                  JobSpecBuilder.job("job-0", 30, 1).priority(0).spot().build(), 5, 0, cluster.now);
               long preemptions = cluster.preemptionsAfterUrgentJob(30);
               assertTrue(preemptions >= 25 && preemptions <= 50, "preemptions: " + preemptions);
             }),
@@ -115,7 +115,7 @@
             cluster -> {
               Job job =
                   cluster.schedulerState.accept(
-                      JobSpecs.array("job-1", 100, 4).spot().build(), 5, 0, cluster.now);
+                      JobSpecBuilder.job("job-1", 100, 4).spot().build(), 5, 0, cluster.now);
               for (int task = 0; task < 100; task++) {
                 cluster.schedulerState.restoreAttempt(
                     job, task, 4, cluster.schedulerState.machine("n-" + task), 1, cluster.now);
@@ -124,7 +124,7 @@
               cluster.schedulerState.machines().forEach(cluster::sendHeartbeat);
               assertEquals(0, cluster.preemptionsAfterUrgentJob(20));
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-0", 8, 1).priority(0).spot().build(), 5, 0, cluster.now);
+                  JobSpecBuilder.job("job-0", 8, 1).priority(0).spot().build(), 5, 0, cluster.now);
               assertEquals(2, cluster.preemptionsAfterUrgentJob(1));
             }),
         testCase(
@@ -132,7 +132,7 @@
             cluster -> {
               cluster.fillFleet(1, 40_000);
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-3", 1, 4).priority(1).spot().build(), 5, 0, cluster.now);
+                  JobSpecBuilder.job("job-3", 1, 4).priority(1).spot().build(), 5, 0, cluster.now);
               assertEquals(4, cluster.preemptionsAfterUrgentJob(1));
             }));
   }
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -10,7 +10,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -72,7 +72,7 @@
   private Machine addMachine(String name) {
     Machine machine = schedulerState.registerMachine(name, type, 0, false, now);
     schedulerState.processHeartbeat(
-        machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     return machine;
   }
 
@@ -92,9 +92,9 @@
     now += 90_000;
     assertEquals(List.of("job-1", "job-2"), queuedJobIds());
     taskScheduler.placeTasks(now);
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     schedulerState.processHeartbeat(
-        machine, JobSpecs.report(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
     assertEquals(1, agedJob.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
@@ -120,11 +120,11 @@
   void jobHasBegunOnceAsManyTasksAsTheTeamLimitAllowsAreStarted() {
     Job job = submitJob("job-1", 1, 150, 1, 60);
     for (int i = 0; i < 100; i++) {
-      assertEquals(-1, job.begunMs());
+      assertEquals(-1, job.fullyPlacedMs());
       addMachine("n-" + i);
       taskScheduler.placeTasks(now);
     }
     assertEquals(100, job.liveAttemptCount());
-    assertTrue(job.begunMs() == now, "the limit is 400 CPUs, and each task uses 4");
+    assertTrue(job.fullyPlacedMs() == now, "the limit is 400 CPUs, and each task uses 4");
   }
 }
