--- a/src/main/java/org/mallowroad/core/gang/GangReservations.java
+++ b/src/main/java/org/mallowroad/core/gang/GangReservations.java
@@ -344,7 +344,8 @@
           && spec.priority() > job.spec.priority()
           && attempt.number <= MAX_PREEMPTIBLE_ATTEMPT
           && (attempt.phase == Attempt.Phase.RUNNING || attempt.phase == Attempt.Phase.PULLING)) {
-        machinePool.requestStop(attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
+        machinePool.requestStop(
+            attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
+++ b/src/main/java/org/mallowroad/core/objective/ObjectiveAttainment.java
@@ -120,7 +120,9 @@
 
   /** The age in milliseconds at which a job is due. */
   private static long dueAgeMs(JobSpec spec) {
-    return spec.deadlineS() > 0 ? (long) (spec.deadlineS() * DUE_MS_PER_DEADLINE_S) : DEFAULT_DUE_MS;
+    return spec.deadlineS() > 0
+        ? (long) (spec.deadlineS() * DUE_MS_PER_DEADLINE_S)
+        : DEFAULT_DUE_MS;
   }
 
   /**
--- a/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
+++ b/src/main/java/org/mallowroad/core/scheduling/Preemptor.java
@@ -129,7 +129,8 @@
 
   /** Waiting tasks within the team's limit that will not get room without preemption. */
   private int tasksNeedingRoom(Job job) {
-    int startableTasks = schedulerState.team(job.spec).maxAdditionalTasks(job.spec, job.pendingTasks.size());
+    int startableTasks =
+        schedulerState.team(job.spec).maxAdditionalTasks(job.spec, job.pendingTasks.size());
     int expectedSlots = releases.expectedTaskSlots(job.spec, startableTasks);
     releases.claim(job.spec, startableTasks);
     return startableTasks - expectedSlots;
@@ -265,7 +266,8 @@
 
   private void stop(Attempt attempt, long now) {
     JobSpec spec = attempt.job.spec;
-    schedulerState.requestStop(attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
+    schedulerState.requestStop(
+        attempt, spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() : 0, now);
   }
 
   private boolean isPreemptable(Attempt attempt, PreemptionRequest request) {
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -66,7 +66,11 @@
       schedulerState
           .heartbeatReconciler()
           .reconcile(
-              machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+              machine,
+              JobSpecBuilder.heartbeatListingAttempts(
+                  machine, ++sequence, 1, Heartbeat.State.RUNNING),
+              true,
+              now);
       return machine;
     }
 
@@ -118,7 +122,11 @@
       schedulerState
           .heartbeatReconciler()
           .reconcile(
-              machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+              machine,
+              JobSpecBuilder.heartbeatListingAttempts(
+                  machine, ++sequence, 1, Heartbeat.State.RUNNING),
+              true,
+              now);
     }
 
     int reservedMachines(Job job) {
@@ -393,7 +401,8 @@
         .heartbeatReconciler()
         .reconcile(
             machine,
-            JobSpecBuilder.heartbeatListingAttempts(machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
+            JobSpecBuilder.heartbeatListingAttempts(
+                machine, ++cluster.sequence, 1, Heartbeat.State.RUNNING),
             true,
             cluster.now);
     return attempt;
--- a/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/ExpectedReleasesTest.java
@@ -42,7 +42,10 @@
 
     void sendHeartbeat(Machine machine) {
       schedulerState.processHeartbeat(
-          machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          machine,
+          JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING),
+          true,
+          now);
     }
 
     /** Fills the fleet with tasks of normal priority that have run for {@code ranMs}. */
--- a/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
+++ b/src/test/java/org/mallowroad/core/scheduling/LargestJobsTest.java
@@ -72,7 +72,10 @@
   private Machine addMachine(String name) {
     Machine machine = schedulerState.registerMachine(name, type, 0, false, now);
     schedulerState.processHeartbeat(
-        machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        machine,
+        JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING),
+        true,
+        now);
     return machine;
   }
 
@@ -94,7 +97,10 @@
     taskScheduler.placeTasks(now);
     JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     schedulerState.processHeartbeat(
-        machine, JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+        machine,
+        JobSpecBuilder.heartbeatListingAttempts(machine, ++sequence, 1, Heartbeat.State.RUNNING),
+        true,
+        now);
     assertEquals(1, agedJob.liveAttemptCount());
     for (int i = 0; i < 20; i++) {
       now += 1_000;
