--- a/src/main/java/org/mallowroad/core/fold/ClaimRules.java
+++ b/src/main/java/org/mallowroad/core/fold/ClaimRules.java
@@ -117,7 +117,7 @@
     }
     changedBlocks
         .computeIfAbsent(key, k -> storedBlocks.get(k).copy())
-        .set(side, new Fold(game.revision(), game.retracted(), claimingJob, false, current));
+        .set(side, new Fold(game.revision(), game.taken(), claimingJob, false, current));
   }
 
   private static String describeSide(Game game, String member) {
--- a/src/main/java/org/mallowroad/core/fold/Fold.java
+++ b/src/main/java/org/mallowroad/core/fold/Fold.java
@@ -5,7 +5,7 @@
  * and whether that job is known to be done. Until the job has ended the record is a claim. When the
  * job has ended, its own record decides whether the claim was folded or is void.
  *
- * @param retracted true when the revision retracts the game, see {@link Game}
+ * @param retracted true when the revision retracts the game, see {@link Game#taken}
  * @param settled true once the job is known to be done, so that its outcome need not be looked up
  *     again
  * @param base the settled lower revision that counts until this one is folded, or null
