--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -65,7 +65,7 @@
   void openRecordFound(VersionedValue item) {
     Job job = restorer.restoreOpenJob(item);
     if (job != null) {
-      listener.openJobFound(job);
+      listener.openJobRestored(job);
     }
   }
 
@@ -76,7 +76,7 @@
     }
     long sentMs = loop.now();
     store.watch(
-        RecordKeys.OPEN_JOBS,
+        RecordKeys.OPEN_JOBS_PREFIX,
         afterRevision,
         WATCH_WAIT_MS,
         (result, events, revision) -> {
@@ -93,13 +93,13 @@
   }
 
   private void apply(List<VersionedValue> events, long sentMs) {
-    CancellationView.Reading reading = view.beginReading(sentMs);
+    CancellationView.ViewRead reading = view.beginRead(sentMs);
     for (VersionedValue event : events) {
       if (event.value() != null) {
         listener.jobAccepted();
         openRecordFound(event);
       } else {
-        openRecordDeleted(RecordKeys.jobOfOpenKey(event.key()), reading);
+        openRecordDeleted(RecordKeys.jobOfOpenJobKey(event.key()), reading);
       }
     }
     reading.markApplied();
@@ -109,11 +109,11 @@
   }
 
   /** The view is no newer than how the job ended: until that is read, nothing of it is stopped. */
-  private void openRecordDeleted(String id, CancellationView.Reading reading) {
+  private void openRecordDeleted(String id, CancellationView.ViewRead reading) {
     Job job = schedulerState.job(id);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.jobCancelled();
-      reading.awaitAnother();
+      reading.awaitFollowUpRead();
       committer.readJobEnd(
           job,
           () -> {
@@ -130,7 +130,7 @@
     }
     long sentMs = loop.now();
     store.list(
-        RecordKeys.OPEN_JOBS,
+        RecordKeys.OPEN_JOBS_PREFIX,
         (result, openRecords, revision) -> {
           if (isStopped) {
             return;
@@ -145,10 +145,10 @@
   }
 
   private void compare(List<VersionedValue> openRecords, long sentMs) {
-    CancellationView.Reading reading = view.beginReading(sentMs);
+    CancellationView.ViewRead reading = view.beginRead(sentMs);
     ObjectOpenHashSet<String> ids = new ObjectOpenHashSet<>();
     for (VersionedValue item : openRecords) {
-      String id = RecordKeys.jobOfOpenKey(item.key());
+      String id = RecordKeys.jobOfOpenJobKey(item.key());
       ids.add(id);
       if (schedulerState.job(id) == null) {
         openRecordFound(item); // Open records never change: the others need not be read again.
--- a/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
+++ b/src/test/java/org/mallowroad/core/gang/GangReservationsTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -60,18 +60,22 @@
       Machine m = schedulerState.registerMachine("n-" + names++, BOX, zone, false, now);
       schedulerState
           .heartbeatReconciler()
-          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(
+              m,
+              JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+              true,
+              now);
       return m;
     }
 
     Job gang(String id, int tasks) {
       return schedulerState.accept(
-          JobSpecs.array(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
+          JobSpecBuilder.job(id, tasks, 32).gang().together().spot().build(), 5, 0, now);
     }
 
     List<ScaleOutRequest> cycle() {
       placement.placeTasks(now);
-      List<ScaleOutRequest> r = fleet.scaleOut(placement.queue(now), coming, TYPES, now);
+      List<ScaleOutRequest> r = fleet.planScaleOut(placement.queue(now), coming, TYPES, now);
       now += 2_000;
       return r;
     }
@@ -108,7 +112,11 @@
     void hear(Machine m) {
       schedulerState
           .heartbeatReconciler()
-          .reconcile(m, JobSpecs.report(m, ++sequence, 1, Heartbeat.State.RUNNING), true, now);
+          .reconcile(
+              m,
+              JobSpecBuilder.heartbeatListingAttempts(m, ++sequence, 1, Heartbeat.State.RUNNING),
+              true,
+              now);
     }
 
     int held(Job job) {
@@ -143,9 +151,10 @@
               List<ScaleOutRequest> rents = w.begin();
               assertEquals(12, sum(rents)); // 11 lacking and 6% of it
               assertTrue(rents.stream().allMatch(r -> r.variant().zone() == 1));
-              assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gang())));
+              assertTrue(rents.stream().allMatch(r -> "job-1".equals(r.gangId())));
               rents.forEach(
-                  r -> w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gang())));
+                  r ->
+                      w.coming.add(new PendingMachines(r.variant(), r.count(), w.now, r.gangId())));
               for (int i = 0; i < 5; i++) {
                 assertEquals(List.of(), w.cycle());
               }
@@ -159,7 +168,7 @@
               Machine m = w.schedulerState.machine("n-0");
               assertEquals(job, m.reservedFor);
               Job other =
-                  w.schedulerState.accept(JobSpecs.array("job-2", 9, 1).build(), 5, 0, w.now);
+                  w.schedulerState.accept(JobSpecBuilder.job("job-2", 9, 1).build(), 5, 0, w.now);
               w.cycle();
               assertEquals(0, other.liveAttemptCount());
               assertEquals(
@@ -180,7 +189,8 @@
               for (int i = 0; i < 3; i++) {
                 run(
                     w,
-                    w.schedulerState.accept(JobSpecs.array("job-" + i, 1, 8).build(), 5, 0, w.now),
+                    w.schedulerState.accept(
+                        JobSpecBuilder.job("job-" + i, 1, 8).build(), 5, 0, w.now),
                     busy.get(i));
               }
               Job job = w.gang("job-9", 3);
@@ -194,7 +204,7 @@
               }
               w.cycle();
               assertEquals(3, w.held(job));
-              assertEquals(3, w.schedulerState.gangReservations().state(job, w.now).places());
+              assertEquals(3, w.schedulerState.gangReservations().status(job, w.now).slots());
             }),
         gang(
             "a zone that cannot complete it is given up at once, and another is tried",
@@ -271,10 +281,10 @@
                     .recordRefusal(new MachineVariant(BOX, z, false), 2, w.now);
               }
               Job equal =
-                  w.schedulerState.accept(JobSpecs.array("job-1", 1, 8).build(), 5, 0, w.now);
+                  w.schedulerState.accept(JobSpecBuilder.job("job-1", 1, 8).build(), 5, 0, w.now);
               Job idle =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-2", 1, 8).priority(3).build(), 5, 0, w.now);
               Attempt a = run(w, equal, m);
               Attempt b = run(w, idle, n);
               Job job = w.gang("job-3", 2);
@@ -306,8 +316,9 @@
               w.now += GangReservations.MAX_RESERVATION_MS + 1_000;
               w.cycle();
               assertEquals(0, w.held(again));
-              GangReservations.State s = w.schedulerState.gangReservations().state(again, w.now);
-              assertTrue(s.givenUp() && s.untilMs() > w.now);
+              GangReservations.ReservationStatus s =
+                  w.schedulerState.gangReservations().status(again, w.now);
+              assertTrue(s.isBackingOff() && s.endsAtMs() > w.now);
             }),
         gang(
             "scatter counts no more of a zone than its rules allow",
@@ -317,7 +328,10 @@
               }
               Job job =
                   w.schedulerState.accept(
-                      JobSpecs.array("job-1", 4, 32).gang().scatter().spot().build(), 5, 0, w.now);
+                      JobSpecBuilder.job("job-1", 4, 32).gang().scatter().spot().build(),
+                      5,
+                      0,
+                      w.now);
               List<ScaleOutRequest> rents = w.begin();
               assertEquals(0, job.liveAttemptCount());
               assertTrue(sum(rents) >= 2);
@@ -350,10 +364,14 @@
 
   private static Attempt run(TestCluster w, Job job, Machine m) {
     Attempt a = w.schedulerState.start(job, job.pendingTasks.dequeueInt(), m, w.now);
-    JobSpecs.commit(w.schedulerState, w.now);
+    JobSpecBuilder.commitDirtyRecords(w.schedulerState, w.now);
     w.schedulerState
         .heartbeatReconciler()
-        .reconcile(m, JobSpecs.report(m, ++w.sequence, 1, Heartbeat.State.RUNNING), true, w.now);
+        .reconcile(
+            m,
+            JobSpecBuilder.heartbeatListingAttempts(m, ++w.sequence, 1, Heartbeat.State.RUNNING),
+            true,
+            w.now);
     return a;
   }
 }
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -132,7 +132,7 @@
 
     void place() {
       scheduler.placeTasks(nowMs);
-      JobSpecs.commit(schedulerState, nowMs);
+      JobSpecBuilder.commitDirtyRecords(schedulerState, nowMs);
     }
 
     List<String> launchedImageSources(Machine machine) {
@@ -243,7 +243,7 @@
               first.interruptionMs = 0;
               cluster.sendHeartbeat(first, null, 2);
               assertEquals(0, cluster.schedulerState.imageDistribution().holderCount(0));
-              assertEquals(3, job.liveAttemptCount() + job.waitingCount() - 1);
+              assertEquals(3, job.liveAttemptCount() + job.pendingTaskCount() - 1);
             }),
         testCase(
             "two copies are fetched from another zone, then the zone's own holder serves it",
