--- a/src/main/java/org/mallowroad/core/health/StragglerDetector.java
+++ b/src/main/java/org/mallowroad/core/health/StragglerDetector.java
@@ -132,9 +132,10 @@
 
   /**
    * Logarithm of the ratio of run time to estimate that is expected of a task; NaN while there is
-   * no baseline. It is the median of the baseline, raised where the spread of the baseline exceeds
-   * the slow factor. That matters for classes, which have a wide spread because each owner's
-   * estimates are wrong in a different way.
+   * no baseline. It is the median of the baseline, raised by the amount by which {@link
+   * #MAX_NORMAL_SPREADS} standard deviations exceed the logarithm of the slow factor. That matters
+   * for classes, which have a wide spread because each owner's estimates are wrong in a different
+   * way.
    */
   private double expectedLogRatio(RunTimeBaseline jobBaseline, int taskClass) {
     RunTimeBaseline baseline =
