--- a/src/test/java/org/mallowroad/controller/LoopbackClient.java
+++ b/src/test/java/org/mallowroad/controller/LoopbackClient.java
@@ -37,7 +37,7 @@
   static void await(String description, BooleanSupplier condition) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadlineNanos, "timed out waiting for " + description);
+      assertTrue(System.nanoTime() < deadlineNanos, "expected " + description + " in time");
       Thread.sleep(POLL_INTERVAL_MS);
     }
   }
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -360,7 +360,7 @@
       // Some jobs are cancelled before they start, some at about the time they end, some
       // afterwards.
       await(
-          "the moment to cancel " + id,
+          "the moment to cancel the job",
           () -> jobNumber < 3 || cloud.running.containsKey(id + "/0") || hasStanding(id, "done"));
       Thread.sleep(60L * i);
       String response = send("POST", "/v1/jobs/" + id + "/withdraw", "").body();
