--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -95,7 +95,7 @@
 
   /** The codec that decodes submissions. */
   @Override
-  public JobCodec codec() {
+  public JobCodec jobCodec() {
     return codec;
   }
 
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public MachineType type(String name) {
+  public MachineType machineType(String name) {
     for (MachineType machineType : machineTypes) {
       if (machineType.name().equals(name)) {
         return machineType;
@@ -157,7 +157,7 @@
       return "unknown team";
     }
     Team team = createTeams().get(spec.team());
-    if (!team.couldEverRun(spec, spec.service() || spec.gang() ? spec.tasks() : 1)) {
+    if (!team.canEverRun(spec, spec.service() || spec.gang() ? spec.tasks() : 1)) {
       return "more than the team's limit";
     }
     for (MachineType machineType : machineTypes) {
--- a/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatHandler.java
@@ -119,15 +119,15 @@
     return context.cancellationView().isStale(now)
         || collaborators.responder.isLeaseUncertain(context.lease().renewedMs(), now)
         || (collaborators.isolation.isCutOffFromStateAndPeers(now)
-            && collaborators.responder.redirectOnce(heartbeat, now));
+            && collaborators.responder.tryRedirect(heartbeat, now));
   }
 
   private void recordContact(Machine machine, int relayPeer, long now) {
     collaborators.isolation.heartbeatReceived(now);
-    collaborators.responder.heartbeatArrived(machine.zone, relayPeer < 0, now);
+    collaborators.responder.recordHeartbeatRoute(machine.zone, relayPeer < 0, now);
     collaborators.provisioner.heartbeatReceived(machine);
     machine.relayPeer = relayPeer;
-    collaborators.responder.evaluateTasks(machine, loop.now());
+    collaborators.responder.evaluateTaskHealth(machine, loop.now());
   }
 
   /**
@@ -142,7 +142,7 @@
 
   /** The machine that sent the heartbeat, or null if its type or zone is unknown. */
   private Machine findOrRegisterMachine(Heartbeat heartbeat) {
-    MachineType type = context.clusterConfig().type(heartbeat.type());
+    MachineType type = context.clusterConfig().machineType(heartbeat.type());
     int zone = context.clusterConfig().zones.find(heartbeat.zone());
     if (type == null || zone < 0) {
       return null;
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -97,7 +97,7 @@
     this.folds = newFoldMaintenance();
     this.stateLoader = newStateLoader();
     this.provisioner = newProvisioner();
-    this.isolation = new LeaderIsolationDetector(context, provisioner::runningMachines);
+    this.isolation = new LeaderIsolationDetector(context, provisioner::runningMachineCount);
     this.heartbeats =
         new HeartbeatHandler(
             context,
@@ -254,7 +254,7 @@
   /** Starts reading the records of the previous term. */
   void start() {
     timers.add(loop.every(TICK_INTERVAL_MS, this::detectPauses));
-    stateLoader.begin();
+    stateLoader.load();
   }
 
   /**
@@ -317,8 +317,8 @@
     provisioner.start();
     rentRequests.forEach(
         request ->
-            provisioner.restore(
-                request.key().substring(RecordKeys.RENTALS.length()), request.value()));
+            provisioner.restoreRental(
+                request.key().substring(RecordKeys.RENTALS_PREFIX.length()), request.value()));
     LOG.info(
         "event=takeover term={} jobs={} records={} rent_requests={} ms={}",
         term.number(),
@@ -358,7 +358,7 @@
     monitor.checkCancellationView(now);
     schedulerState.expireLeases(now);
     if (isLeaseValid()) {
-      context.taskScheduler().drain(now);
+      context.taskScheduler().drainInterruptedMachines(now);
     }
     placement.requestPass();
   }
@@ -397,12 +397,12 @@
     }
 
     @Override
-    public void startRecorded(Job job, long revision) {
+    public void gatedStartCommitted(Job job, long revision) {
       dependencyGates.startRecorded(job, revision);
     }
 
     @Override
-    public void revalidate(Job job, Runnable next) {
+    public void reloadStartConditions(Job job, Runnable next) {
       dependencyGates.revalidate(job, next);
     }
 
@@ -455,7 +455,7 @@
     }
 
     @Override
-    public void openJobFound(Job job) {
+    public void openJobRestored(Job job) {
       dependencyGates.jobAccepted(job);
     }
 
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -105,7 +105,7 @@
     LeaderServices services = context.services();
     return settings.nodes() > 1
         && services.reachablePeers().getAsInt() == 0
-        && now - Math.max(context.lease().renewedMs(), services.state().health().lastContactMs())
+        && now - Math.max(context.lease().renewedMs(), services.state().health().lastExecutedCallSentMs())
             > LEASE_EXPIRED_AFTER_MS;
   }
 }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
-import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Member;
+import org.mallowroad.config.Settings;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
@@ -200,7 +200,7 @@
 
   /** Number of calls of this node that were relayed by a peer. */
   long relayedCallCount() {
-    return state.routeSelector().relayedCalls() + cloud.routeSelector().relayedCalls();
+    return state.routeSelector().relayedCallCount() + cloud.routeSelector().relayedCallCount();
   }
 
   /**
@@ -257,12 +257,12 @@
     long ageMs = links.ageMs(ExternalService.STATE, now);
     boolean isIdle =
         !state.routeSelector().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_TIMEOUT_MS);
-    if (!isProbingState && (state.routeSelector().takeProbe(now) || isIdle)) {
+    if (!isProbingState && (state.routeSelector().startProbeIfDue(now) || isIdle)) {
       isProbingState = true;
-      probe(state, "/kv/" + LeaderElection.LEADER, () -> isProbingState = false);
+      probe(state, "/kv/" + LeaderElection.LEADER_KEY, () -> isProbingState = false);
     }
     // Only the leader uses the cloud; other nodes need no route to it.
-    if (cloud.routeSelector().takeProbe(now) && listener.isLeading()) {
+    if (cloud.routeSelector().startProbeIfDue(now) && listener.isLeading()) {
       probe(cloud, CloudClient.MACHINE_TYPES_PATH, () -> {});
     }
     logLinkChanges(now);
@@ -276,9 +276,9 @@
             change.down() ? "link_down" : "link_up",
             change.from(),
             change.to(),
-            change.lastedMs(),
-            change.by(),
-            logLimiter.suppressed() + links.takeUnkeptChanges());
+            change.previousStateMs(),
+            change.reportedBy(),
+            logLimiter.suppressed() + links.takeDroppedChangeCount());
       }
     }
   }
@@ -314,8 +314,8 @@
     @Override
     public OptionalLong onLinkState(LinkStateAdvertisement advertisement) {
       if (!links.accept(advertisement, loop.now())) {
-        long knownStartMs = links.startedMs(advertisement.node());
-        return knownStartMs > advertisement.started()
+        long knownStartMs = links.processStartedMs(advertisement.node());
+        return knownStartMs > advertisement.processStartedMs()
             ? OptionalLong.of(knownStartMs)
             : OptionalLong.empty();
       }
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -35,7 +35,7 @@
     int waiting = 0;
     int live = 0;
     for (Job job : schedulerState.jobs()) {
-      waiting += job.waitingCount();
+      waiting += job.pendingTaskCount();
       live += job.liveAttemptCount();
     }
     LoadStatistics load = context.loadStatistics();
@@ -47,9 +47,9 @@
         load.directCommands(),
         load.placementPasses(),
         load.placementMs(),
-        context.taskScheduler().preemptions(),
-        committer.commits(),
-        committer.writes(),
+        context.taskScheduler().preemptionCount(),
+        committer.commitCount(),
+        committer.writeCount(),
         schedulerState.dirtyRecords().size(),
         schedulerState.urgentRecords().size(),
         schedulerState.jobs().size(),
@@ -61,18 +61,18 @@
   }
 
   private void logCosts() {
-    for (CostAccounting.Line line :
-        schedulerState.costAccounting().lines(schedulerState.machines(), context.loop().now())) {
+    for (CostAccounting.MachineTypeCosts line :
+        schedulerState.costAccounting().costsByMachineType(schedulerState.machines(), context.loop().now())) {
       LOG.info(
           "event=machine_cost type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
           line.type(),
           line.spot(),
-          line.machinesGone(),
+          line.deletedMachines(),
           toThousandths(line.boot()),
           toThousandths(line.idle()),
           toThousandths(line.starting()),
-          toThousandths(line.useful()),
-          toThousandths(line.lost()));
+          toThousandths(line.completedWork()),
+          toThousandths(line.lostWork()));
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -134,7 +134,7 @@
           // Not retried: if this write is lost, the next term saves the types.
           Transaction transaction =
               new Transaction()
-                  .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
+                  .requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion)
                   .requireVersion(STATE_KEY, savedRecord.version())
                   .put(STATE_KEY, value);
           state.compareAndSwap(transaction, (writeResult, revision, failed) -> {});
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -11,7 +11,7 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.admission.Admission;
+import org.mallowroad.core.admission.AdmissionRateLimiter;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
 import org.mallowroad.net.IncomingRequest;
@@ -103,7 +103,7 @@
   final PeerMessenger peers;
   final MachineTypeCache machineTypes;
   final CancellationPropagation cancellations;
-  final Admission admission;
+  final AdmissionRateLimiter admission;
 
   /**
    * Monitors links and relays requests around broken ones; null if the operator has disabled it.
@@ -134,7 +134,7 @@
                 cloudCalls)
             : null;
     this.state = newStateClient(settings, stateCalls, stateWatches);
-    this.admission = new Admission(loop.now());
+    this.admission = new AdmissionRateLimiter(loop.now());
     this.cloud = newCloudClient(settings, cloudCalls);
     this.machineTypes = new MachineTypeCache(loop, state, cloud, clusterConfig);
     this.workers =
@@ -265,7 +265,7 @@
     @Override
     public JobProgress progress(String id) {
       Job job = leadership.isLeading() ? leadership.leader().job(id) : null;
-      return job == null ? null : new JobProgress(job.doneCount(), job.runningCount());
+      return job == null ? null : new JobProgress(job.doneTaskCount(), job.runningCount());
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -58,13 +58,13 @@
   private void registerHealth() {
     registerGauge(
         "mallowroad.machines.late",
-        m -> m.fleetHealthValue(h -> h.failureDetector().overdueCount()));
+        m -> m.fleetHealthValue(h -> h.failureDetector().overdueMachineCount()));
     registerGauge(
         "mallowroad.machines.doubted",
         m -> m.fleetHealthValue(h -> h.stragglerDetector().suspectCount()));
     registerGauge(
         "mallowroad.machines.slow.refused",
-        m -> m.fleetHealthValue(h -> h.stragglerDetector().refusedSuspicions()));
+        m -> m.fleetHealthValue(h -> h.stragglerDetector().refusedSuspicionCount()));
     registerGauge(
         "mallowroad.zones.cut",
         m -> m.fleetHealthValue(h -> h.failureDetector().partitionedZoneCount()));
@@ -83,21 +83,21 @@
     registerGauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
     registerGauge(
         "mallowroad.state.silence.ms",
-        m -> m.node.loop.now() - m.node.state.health().lastContactMs());
+        m -> m.node.loop.now() - m.node.state.health().lastExecutedCallSentMs());
   }
 
   private void registerLinks(LinkMonitor links) {
     registerGauge("mallowroad.links.down", m -> links.links().downLinkCount());
     registerGauge(
         "mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
-    registerGauge("mallowroad.links.state.via", m -> links.stateRoute().relay());
+    registerGauge("mallowroad.links.state.via", m -> links.stateRoute().relayPeer());
     registerGauge(
         "mallowroad.links.state.age.ms",
         m -> links.links().ageMs(ExternalService.STATE, m.node.loop.now()));
     registerGauge("mallowroad.detours", m -> links.relayedCallCount());
     registerGauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
     registerGauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
-    registerGauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkers());
+    registerGauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkerCount());
   }
 
   private void registerInvalidMessages() {
--- a/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
+++ b/src/main/java/org/mallowroad/controller/ObjectiveLogger.java
@@ -29,7 +29,7 @@
         job.spec.priority(),
         job.spec.tasks(),
         (now - job.submittedMs()) / 1000,
-        (long) job.spec.dueS(),
+        (long) job.spec.deadlineS(),
         (job.lastStartMs() - job.submittedMs()) / 1000,
         job.maxAttemptNumber(),
         job.spec.cpus(),
@@ -39,16 +39,16 @@
 
   /** Logs one line for each task class and team. */
   void logAttainment(Collection<Job> openJobs, long now) {
-    for (ObjectiveAttainment.Line line : attainment.lines(openJobs, now)) {
+    for (ObjectiveAttainment.Summary line : attainment.summarize(openJobs, now)) {
       LOG.info(
           "event=objective_attainment {}={} share={} done={} late={} open={} oldest_s={}",
           line.kind(),
           line.name(),
-          Math.round(line.share() * 1000) / 1000.0,
+          Math.round(line.doneShare() * 1000) / 1000.0,
           line.done(),
-          line.late(),
+          line.overdue(),
           line.open(),
-          line.oldestMs() / 1000);
+          line.oldestOpenAgeMs() / 1000);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -9,11 +9,11 @@
 import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.JobSnapshot;
-import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
 import org.mallowroad.core.explain.NodeSnapshot.Phase;
 import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 import org.mallowroad.core.explain.NodeSnapshot.Totals;
+import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.PendingReasonExplainer;
 import org.mallowroad.core.explain.SnapshotBuilder;
 import org.mallowroad.election.LeaderElection;
@@ -175,7 +175,7 @@
     boolean hasDetails = builder != null;
     String node = clusterConfig.settings.node();
     String electedLeader = election.leader() == null ? "" : election.leader();
-    long sinceLastContactMs = loop.now() - state.health().lastContactMs();
+    long sinceLastContactMs = loop.now() - state.health().lastExecutedCallSentMs();
     return new NodeSnapshot(
         NodeSnapshot.FORMAT,
         node,
@@ -185,7 +185,7 @@
         loop.wallMs(),
         (buildNanos + loop.nanos() - startNanos) / 1000,
         leader == null ? 0 : leader.worstLoopLagMs(),
-        state.health().lastContactMs() < 0 ? -1 : sinceLastContactMs / 1000.0,
+        state.health().lastExecutedCallSentMs() < 0 ? -1 : sinceLastContactMs / 1000.0,
         leader != null && leader.isLeaseValid(),
         totals,
         teams,
@@ -226,7 +226,7 @@
 
     @Override
     public long renewedMs() {
-      return election.renewedMs();
+      return election.lastRenewalSentMs();
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -53,7 +53,7 @@
    * there is none.
    */
   private void relayToReachablePeer(String method, String path, byte[] body, Responder responder) {
-    int peer = links.stateRoute().choose(loop.now());
+    int peer = links.stateRoute().chooseRoute(loop.now());
     if (peer == RouteSelector.DIRECT) {
       respondUnavailable(responder);
     } else {
--- a/src/main/java/org/mallowroad/controller/WriteBudget.java
+++ b/src/main/java/org/mallowroad/controller/WriteBudget.java
@@ -1,7 +1,7 @@
 package org.mallowroad.controller;
 
 import org.mallowroad.config.Settings;
-import org.mallowroad.controller.persistence.WriteRateLimiter;
+import org.mallowroad.controller.persistence.LeaderWriteRateAdjuster;
 import org.mallowroad.net.RateLimiter;
 
 /**
@@ -11,7 +11,7 @@
  * @param rateAdapter adapts the rate of {@code limiter} to the writes that user requests leave
  * @param maxTransactionWrites maximum number of writes in one transaction
  */
-record WriteBudget(RateLimiter limiter, WriteRateLimiter rateAdapter, int maxTransactionWrites) {
+record WriteBudget(RateLimiter limiter, LeaderWriteRateAdjuster rateAdapter, int maxTransactionWrites) {
   /** Initial share of the write rate per second. */
   private static final double INITIAL_SHARE = 0.75;
 
@@ -37,6 +37,6 @@
         new RateLimiter(
             writeRps * INITIAL_SHARE, Math.max(maxTransactionWrites, writeRps * BURST_SHARE), now);
     return new WriteBudget(
-        limiter, new WriteRateLimiter(writeRps, limiter, now), maxTransactionWrites);
+        limiter, new LeaderWriteRateAdjuster(writeRps, limiter, now), maxTransactionWrites);
   }
 }
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -5,8 +5,8 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.dependency.DependencyGate;
 import org.mallowroad.core.dependency.DependencyGate.State;
+import org.mallowroad.core.dependency.DependencyGate;
 import org.mallowroad.core.dependency.DependencyGates;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -93,7 +93,7 @@
   /** Reads the releases that earlier leaders recorded; called once all open jobs are known. */
   public void loadReleases() {
     store.list(
-        RecordKeys.RELEASES,
+        RecordKeys.RELEASES_PREFIX,
         (result, records, revision) -> {
           if (isStopped) {
             return;
@@ -103,7 +103,7 @@
             return;
           }
           for (VersionedValue record : records) {
-            DependencyGate gate = gates.get(record.key().substring(RecordKeys.RELEASES.length()));
+            DependencyGate gate = gates.get(record.key().substring(RecordKeys.RELEASES_PREFIX.length()));
             if (gate != null) {
               restore(gate, record.value(), record.version());
             }
@@ -131,7 +131,7 @@
    */
   public void jobEnded(Job job, boolean done) {
     gates.remove(job.spec.id());
-    gates.jobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
+    gates.recordJobEnded(job.spec.id(), done, job.spec.dependencies().foldedLeagues());
     evaluateNext();
   }
 
@@ -190,7 +190,7 @@
             LOG.info("event=dependency_gate_closed job={}", gate.jobId());
             gate.close();
             schedulerState.hold(job, loop.now());
-            gates.queue(gate);
+            gates.enqueue(gate);
             loop.soon(this::evaluateNext);
           }
           next.run();
@@ -200,7 +200,7 @@
   /** Restores the gate's state from its release record, or from the absence of one. */
   private void restore(DependencyGate gate, JsonNode record, long version) {
     if (record == null) {
-      gate.releaseMissing(version);
+      gate.recordMissingRelease(version);
       return;
     }
     gate.restore(ReleaseRecordCodec.decode(record), version);
@@ -214,7 +214,7 @@
     if (isEvaluating || isStopped || !areReleasesLoaded) {
       return;
     }
-    DependencyGate gate = gates.pollToEvaluate();
+    DependencyGate gate = gates.pollGateToEvaluate();
     if (gate == null) {
       leagueWatch.start();
       return;
@@ -242,13 +242,13 @@
       job.holdReason = unmet.dependencies().describe();
       endEvaluation();
     } else if (outcome instanceof GateEvaluation.Met met) {
-      gate.confirm(met.leagueVersions(), met.leagueChanges());
+      gate.setConfirmedLeagues(met.leagueVersions(), met.leagueChanges());
       recordRelease(gate, job);
     }
   }
 
   private void evaluateLater(DependencyGate gate) {
-    gates.queue(gate);
+    gates.enqueue(gate);
     loop.after(RETRY_MS, this::endEvaluation);
   }
 
@@ -260,7 +260,7 @@
   private void recordRelease(DependencyGate gate, Job job) {
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
+            .requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion)
             .requireVersion(RecordKeys.openJob(gate.jobId()), job.version)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     addLeagueConditions(gate, transaction);
@@ -289,7 +289,7 @@
   private void handleReleaseFailure(
       DependencyGate gate, Job job, CallResult result, List<String> failed) {
     boolean isConflict = result == CallResult.CONDITION_FAILED;
-    if (isConflict && failed.contains(LeaderElection.LEADER)) {
+    if (isConflict && failed.contains(LeaderElection.LEADER_KEY)) {
       onDeposed.run();
     } else if (isConflict && failed.contains(RecordKeys.release(gate.jobId()))) {
       // An earlier write of this leader whose answer was lost has been applied, so the recorded
@@ -308,7 +308,7 @@
 
   private static void putRelease(DependencyGate gate, boolean isStarted, Transaction transaction) {
     transaction.put(
-        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.release(isStarted)));
+        RecordKeys.release(gate.jobId()), ReleaseRecordCodec.encode(gate.toRelease(isStarted)));
   }
 
   /**
@@ -317,20 +317,20 @@
    * counts claims up to the highest game that any gate requires.
    */
   private void handleLeagueRecord(VersionedValue record) {
-    String league = record.key().substring(RecordKeys.LEAGUES.length());
+    String league = record.key().substring(RecordKeys.LEAGUES_PREFIX.length());
     long changes = ReleaseRecordCodec.leagueChanges(record.value());
-    for (DependencyGate gate : List.copyOf(gates.all())) {
+    for (DependencyGate gate : List.copyOf(gates.allGates())) {
       if (gate.isOutdatedBy(league, changes)) {
         markSuperseded(gate, league);
       }
     }
-    gates.leagueChanged(league);
+    gates.recordLeagueChanged(league);
     evaluateNext();
   }
 
   /** Logs once, and records, that the job started with games that have a newer version now. */
   private void markSuperseded(DependencyGate gate, String league) {
-    gate.supersede();
+    gate.markSuperseded();
     LOG.warn(
         "event=dependency_superseded job={} league={} version={}",
         gate.jobId(),
@@ -338,14 +338,14 @@
         gate.leagueVersions());
     Transaction transaction =
         new Transaction()
-            .requireVersion(LeaderElection.LEADER, leaderKeyVersion)
+            .requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion)
             .requireVersion(RecordKeys.release(gate.jobId()), gate.releaseVersion());
     putRelease(gate, true, transaction);
     store.compareAndSwap(
         transaction,
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
-            gate.releaseRewritten(revision);
+            gate.recordRewrittenRelease(revision);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -12,7 +12,7 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.fold.Block;
 import org.mallowroad.core.fold.BlockKey;
-import org.mallowroad.core.fold.Claims;
+import org.mallowroad.core.fold.ClaimRules;
 import org.mallowroad.core.fold.Fold;
 import org.mallowroad.core.fold.JobOutcome;
 import org.mallowroad.core.fold.LeagueIndex;
@@ -145,7 +145,7 @@
       return;
     }
     state.listPage(
-        RecordKeys.FOLD_INTENTS,
+        RecordKeys.FOLD_INTENTS_PREFIX,
         null,
         PAGE_SIZE,
         (result, items, revision) -> {
@@ -164,7 +164,7 @@
   }
 
   private void abandon(VersionedValue intent) {
-    String jobId = intent.key().substring(RecordKeys.FOLD_INTENTS.length());
+    String jobId = intent.key().substring(RecordKeys.FOLD_INTENTS_PREFIX.length());
     try {
       isAbandoning = true;
       claims.abandon(
@@ -187,7 +187,7 @@
       return;
     }
     state.listPage(
-        RecordKeys.FOLD_BLOCKS,
+        RecordKeys.FOLD_BLOCKS_PREFIX,
         lastKey,
         PAGE_SIZE,
         (result, items, revision) -> {
@@ -214,7 +214,7 @@
     ArrayDeque<String> jobs = new ArrayDeque<>();
     for (VersionedValue item : items) {
       try {
-        BlockKey key = RecordKeys.blockOfKey(item.key());
+        BlockKey key = RecordKeys.blockOfFoldBlockKey(item.key());
         Block block = FoldCodec.decodeBlock(item.value());
         blocks.put(key, block);
         versions.put(key, item.version());
@@ -258,14 +258,14 @@
       return;
     }
     Transaction transaction =
-        new Transaction().requireVersion(LeaderElection.LEADER, leaderKeyVersion);
+        new Transaction().requireVersion(LeaderElection.LEADER_KEY, leaderKeyVersion);
     blocks.forEach(
         (key, block) -> {
           leagueIndex(key.league()).update(key.index(), block, jobOutcomes::get);
-          Block settledBlock = Claims.settled(block, jobOutcomes::get);
+          Block settledBlock = ClaimRules.withFinalOutcomes(block, jobOutcomes::get);
           if (settledBlock != block
-              && transaction.writes() < maxTransactionWrites / 2
-              && writeLimiter.availablePermits(loop.now()) - transaction.writes()
+              && transaction.writeCount() < maxTransactionWrites / 2
+              && writeLimiter.availablePermits(loop.now()) - transaction.writeCount()
                   >= RESERVED_WRITE_PERMITS) {
             transaction.requireVersion(RecordKeys.foldBlock(key), versions.get(key));
             if (settledBlock.sides().isEmpty()) {
@@ -276,8 +276,8 @@
           }
         });
     loop.after(PAGE_INTERVAL_MS, this::readNextBlockPage);
-    if (transaction.writes() > 0) {
-      writeLimiter.forceAcquire(transaction.writes(), loop.now());
+    if (transaction.writeCount() > 0) {
+      writeLimiter.forceAcquire(transaction.writeCount(), loop.now());
       // The result is ignored: the next pass retries what failed.
       state.compareAndSwap(transaction, (result, revision, failed) -> {});
     }
--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -127,7 +127,7 @@
     if (end.value() == null) {
       unmet.add(jobId + " is not accepted yet, as far as is known");
     } else if (end.value().path("end").asText().equals(Fields.DONE)) {
-      gate.jobCompleted(jobId);
+      gate.recordCompletedJob(jobId);
     } else {
       unmet.add(jobId + " was withdrawn: this can only be withdrawn as well");
     }
@@ -168,7 +168,7 @@
   /** Reads a page of a league's blocks in order, up to the block with the last required game. */
   private void readBlockPage(RequiredGamesCheck check, String after, Runnable next) {
     store.listPage(
-        RecordKeys.FOLD_BLOCKS + check.league() + "/",
+        RecordKeys.FOLD_BLOCKS_PREFIX + check.league() + "/",
         after,
         BLOCKS_PER_PAGE,
         (status, blocks, revision) -> {
@@ -187,7 +187,7 @@
       RequiredGamesCheck check, List<VersionedValue> blocks, int index, Runnable next) {
     if (index == blocks.size() || unmet.isFull()) {
       boolean hasMore = index > 0 && blocks.size() == BLOCKS_PER_PAGE;
-      if (hasMore && !check.isReached() && unmet.isEmpty()) {
+      if (hasMore && !check.hasReachedLastGame() && unmet.isEmpty()) {
         readBlockPage(check, blocks.get(blocks.size() - 1).key(), next);
         return;
       }
@@ -196,7 +196,7 @@
       return;
     }
     VersionedValue record = blocks.get(index);
-    BlockKey key = RecordKeys.blockOfKey(record.key());
+    BlockKey key = RecordKeys.blockOfFoldBlockKey(record.key());
     if (key.index() > check.lastBlock()) {
       checkBlocks(check, blocks.subList(0, index), index, next);
       return;
@@ -210,7 +210,7 @@
       return;
     }
     readJobOutcomes(
-        RequiredGamesCheck.unknownJobs(block, jobOutcomes.keySet()),
+        RequiredGamesCheck.jobsWithUnknownOutcome(block, jobOutcomes.keySet()),
         () -> {
           check.check(key, block, jobOutcomes::get);
           checkBlocks(check, blocks, index + 1, next);
--- a/src/main/java/org/mallowroad/controller/dependency/LeagueWatch.java
+++ b/src/main/java/org/mallowroad/controller/dependency/LeagueWatch.java
@@ -57,7 +57,7 @@
     }
     isRunning = true;
     store.list(
-        RecordKeys.LEAGUES,
+        RecordKeys.LEAGUES_PREFIX,
         (result, records, revision) -> {
           if (result == CallResult.OK) {
             records.forEach(onRecord);
@@ -79,7 +79,7 @@
       return;
     }
     store.watch(
-        RecordKeys.LEAGUES,
+        RecordKeys.LEAGUES_PREFIX,
         fromRevision,
         WATCH_TIMEOUT_MS,
         (result, changes, revision) -> {
--- a/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
+++ b/src/main/java/org/mallowroad/controller/dependency/ReleaseRecordCodec.java
@@ -25,7 +25,7 @@
     ObjectNode versions = record.putObject(LEAGUE_VERSIONS);
     release.leagueVersions().forEach(versions::put);
     ObjectNode changes = record.putObject(LEAGUE_CHANGES);
-    release.leagueChanges().forEach(changes::put);
+    release.leagueClaimCounts().forEach(changes::put);
     if (release.started()) {
       record.put(STARTED, true);
     }
@@ -48,7 +48,7 @@
    * record.
    */
   static long leagueChanges(JsonNode leagueRecord) {
-    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGES).asLong();
+    return leagueRecord == null ? 0 : leagueRecord.path(LeagueRecordCodec.CHANGE_COUNT).asLong();
   }
 
   private static Map<String, Long> decodeNumbers(JsonNode object) {
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -96,7 +96,7 @@
 
   /** Takes over a recorded request; repeating it tells which machines it brought. */
   void restore(String name, JsonNode record) {
-    MachineType type = services.machineTypes().type(record.path(TYPE).asText());
+    MachineType type = services.machineTypes().machineType(record.path(TYPE).asText());
     int zone = services.zones().find(record.path(ZONE).asText());
     if (type == null || zone < 0) {
       return;
@@ -114,7 +114,7 @@
     for (Rental rental : rentals.values()) {
       if (!rental.isAnswered) {
         ScaleOutRequest r = rental.request;
-        pending.add(new PendingMachines(r.variant(), r.count(), rental.requestedMs, r.gang()));
+        pending.add(new PendingMachines(r.variant(), r.count(), rental.requestedMs, r.gangId()));
       }
     }
   }
@@ -147,7 +147,7 @@
       String key = RecordKeys.rental(rental.name);
       transaction.requireVersion(key, 0).put(key, encode(request));
     }
-    services.writes().forceAcquire(transaction.writes(), now);
+    services.writes().forceAcquire(transaction.writeCount(), now);
     recording = true;
     services
         .store()
@@ -165,7 +165,8 @@
     }
     if (result == CallResult.OK) {
       batch.forEach(this::send);
-    } else if (result == CallResult.CONDITION_FAILED && failed.contains(LeaderElection.LEADER)) {
+    } else if (result == CallResult.CONDITION_FAILED
+        && failed.contains(LeaderElection.LEADER_KEY)) {
       listener.deposed();
     } else {
       // Not known to be recorded, so never sent. The names are not used again.
@@ -174,7 +175,7 @@
   }
 
   private Transaction leaderTransaction() {
-    return new Transaction().requireVersion(LeaderElection.LEADER, settings.leaderKeyVersion());
+    return new Transaction().requireVersion(LeaderElection.LEADER_KEY, settings.leaderKeyVersion());
   }
 
   private ObjectNode encode(ScaleOutRequest request) {
@@ -183,8 +184,9 @@
     record.put(ZONE, services.zones().name(request.variant().zone()));
     record.put(SPOT, request.variant().spot());
     record.put(COUNT, request.count());
-    if (request.gang() != null) {
-      record.put(GANG, request.gang()); // The next leader keeps its machines reserved for the gang.
+    if (request.gangId() != null) {
+      record.put(
+          GANG, request.gangId()); // The next leader keeps its machines reserved for the gang.
     }
     return record;
   }
@@ -248,7 +250,7 @@
       if (MachineListReconciler.isAwaited(name, services.schedulerState())) {
         booting.addRented(
             new BootingMachines.BootingMachine(
-                name, request.variant(), rental.requestedMs, now, request.gang()));
+                name, request.variant(), rental.requestedMs, now, request.gangId()));
       }
     }
   }
@@ -272,7 +274,7 @@
     }
     Transaction transaction = leaderTransaction();
     completed.forEach(rental -> transaction.delete(RecordKeys.rental(rental.name)));
-    services.writes().forceAcquire(transaction.writes(), now);
+    services.writes().forceAcquire(transaction.writeCount(), now);
     deleting = true;
     services
         .store()
--- a/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
+++ b/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
@@ -44,7 +44,7 @@
     waitingCpus = new double[schedulerState.teams().size()][PRIORITIES][2];
     for (Job job : queue) {
       waitingCpus[job.spec.team()][job.spec.priority()][job.isGuaranteed() ? 1 : 0] +=
-          job.waitingCount() * job.spec.cpus();
+          job.pendingTaskCount() * job.spec.cpus();
     }
     surveyMachines();
     for (MachineType type : autoscaler.types()) {
@@ -93,10 +93,10 @@
 
   private static void addBooting(MachineGroup group, PendingMachines pending) {
     group.booting += pending.count();
-    long bootedMs = pending.sinceMs() + (long) (pending.variant().type().bootS() * 1000);
+    long bootedMs = pending.requestedMs() + (long) (pending.variant().type().bootS() * 1000);
     if (bootedMs < group.firstBootedMs) {
       group.firstBootedMs = bootedMs;
-      group.firstRentedMs = pending.sinceMs();
+      group.firstRentedMs = pending.requestedMs();
     }
   }
 
@@ -107,7 +107,7 @@
   boolean isSilent(Machine machine, long at) {
     return schedulerState.machineRefusal(machine, at) == StartRefusal.HEARTBEAT_OVERDUE
         || schedulerState.health().isPartitionedAway(machine.health)
-        || (machine.deleting && !machine.failed && machine.health.isOverdue());
+        || (machine.deleting && !machine.failed && machine.health.isHeartbeatOverdue());
   }
 
   /** When the survey was made. */
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.api.UserApi;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.Settings;
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.SchedulerState;
@@ -127,7 +127,7 @@
     Job job =
         schedulerState.accept(clusterConfig.codec.decode(submission(jobNumber), now), 5, 0, now);
     placement.placeTasks(now);
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     if (jobNumber % 2 == 0) {
       schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.FAILED, now);
       schedulerState.cancel(job, now);
@@ -142,7 +142,7 @@
       schedulerState.markEnded(job, now);
     }
     assertTrue(job.isFinished());
-    JobSpecs.commit(schedulerState, now);
+    JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     schedulerState.removeJob(job);
     schedulerState.machinesWithUnsentCommands().clear();
   }
@@ -156,7 +156,7 @@
     SchedulerState schedulerState =
         new SchedulerState(1, 26, 4, clusterConfig.createTeams(), clusterConfig.zones);
     TaskScheduler placement = new TaskScheduler(schedulerState);
-    MachineType type = clusterConfig.type("t32");
+    MachineType type = clusterConfig.machineType("t32");
     int jobNumber = 0;
     long now = 0;
     Machine machine = null;
@@ -227,7 +227,7 @@
 
   @Test
   void numberOfRememberedEndedJobsIsLimited() {
-    EventLoop loop = new SteppedClock().new Process();
+    EventLoop loop = new VirtualTimeHarness().new Process();
     UserApi users =
         new UserApi(loop, null, new UserApi.Limits(null, 1, null, null, 8, 64, 5_000), null);
     for (int jobNumber = 0; jobNumber < 100_000; jobNumber++) {
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -11,7 +11,7 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.NameIndex;
 import org.mallowroad.core.SchedulerState;
 import org.mallowroad.core.Team;
@@ -39,7 +39,7 @@
 final class DependencyGateControllerTest {
   private static final String RUN_KEY = "run/job-9/0";
 
-  private static final class GatedStartScene implements StateSpaceExplorer.Scene {
+  private static final class GatedStartScene implements StateSpaceExplorer.Scenario {
     private final boolean hasSuccessor;
     private int startedCount;
     private int correctedCount;
@@ -48,7 +48,7 @@
       this.hasSuccessor = hasSuccessor;
     }
 
-    private static long put(StateSpaceExplorer.Stage stage, String key, JsonNode value) {
+    private static long put(StateSpaceExplorer.Execution stage, String key, JsonNode value) {
       ObjectNode transaction = Json.object();
       transaction.putArray("writes").addObject().put("put", key).set("v", value);
       try {
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void begin(StateSpaceExplorer.Stage stage) {
+    public void setUp(StateSpaceExplorer.Execution stage) {
       JobDependencies dependencies =
           new JobDependencies(
               Map.of(), List.of(), List.of(new JobDependencies.RequiredGames("l", 0, null)));
@@ -88,17 +88,17 @@
       startLeader(stage, "one", dependencies, version);
       // The correction is applied in one step, like an acceptance in a single transaction.
       if (hasSuccessor) {
-        stage.inOrder = true;
+        stage.respondsInCallOrder = true;
         // Runs until the release of the first leader is recorded and its start is in flight.
-        stage.until(RUN_KEY);
+        stage.runUntilCallWaits(RUN_KEY);
       }
-      stage.event("correction", () -> acceptCorrection(stage));
+      stage.addEvent("correction", () -> acceptCorrection(stage));
       if (hasSuccessor) {
-        stage.event("successor", () -> startLeader(stage, "two", dependencies, version));
+        stage.addEvent("successor", () -> startLeader(stage, "two", dependencies, version));
       }
     }
 
-    private static void acceptCorrection(StateSpaceExplorer.Stage stage) {
+    private static void acceptCorrection(StateSpaceExplorer.Execution stage) {
       Fold base = new Fold(1, false, "job-1", true, null);
       Block block = new Block();
       block.set(new Block.Side(0, "m"), new Fold(2, false, "job-2", false, base));
@@ -110,18 +110,18 @@
     }
 
     private static void startLeader(
-        StateSpaceExplorer.Stage stage,
+        StateSpaceExplorer.Execution stage,
         String name,
         JobDependencies dependencies,
         long openJobVersion) {
-      long version = put(stage, LeaderElection.LEADER, Json.object().put("node", name));
-      StateSpaceExplorer.Process process = stage.process(name);
+      long version = put(stage, LeaderElection.LEADER_KEY, Json.object().put("node", name));
+      StateSpaceExplorer.Process process = stage.addProcess(name);
       KeyValueStore state = new KeyValueStore(process, process, process);
       NameIndex zones = new NameIndex();
       zones.intern("a");
       SchedulerState schedulerState =
           new SchedulerState(1, 26, 4, List.of(new Team("t", 8, 0, 8, 0)), zones);
-      JobSpec spec = JobSpecs.array("job-9", 1, 1).dependencies(dependencies).build();
+      JobSpec spec = JobSpecBuilder.job("job-9", 1, 1).dependencies(dependencies).build();
       Job job = schedulerState.accept(spec, openJobVersion, 0, process.now());
       DependencyGateController[] gates = new DependencyGateController[1];
       boolean[] isStarting = new boolean[1];
@@ -144,7 +144,7 @@
      * validated again after a conflict.
      */
     private static void start(
-        StateSpaceExplorer.Stage stage,
+        StateSpaceExplorer.Execution stage,
         KeyValueStore state,
         DependencyGateController gates,
         Job job,
@@ -152,7 +152,7 @@
         boolean[] isStarting) {
       Transaction transaction =
           new Transaction()
-              .requireVersion(LeaderElection.LEADER, version)
+              .requireVersion(LeaderElection.LEADER_KEY, version)
               .requireVersion(RecordKeys.openJob("job-9"), job.version);
       gates.addStartConditions(job, transaction);
       transaction.requireVersion(RUN_KEY, 0).put(RUN_KEY, Json.object().put("by", version));
@@ -163,26 +163,26 @@
               gates.startRecorded(job, revision);
             } else if (result == CallResult.UNKNOWN && stage.store.value(RUN_KEY) == null) {
               start(stage, state, gates, job, version, isStarting);
-            } else if (!failed.contains(LeaderElection.LEADER)) {
+            } else if (!failed.contains(LeaderElection.LEADER_KEY)) {
               gates.revalidate(job, () -> isStarting[0] = false);
             }
           });
     }
 
     @Override
-    public void applied(StateSpaceExplorer.Stage stage) {
-      if (stage.store.value(RUN_KEY) == null || stage.notes.contains("started")) {
+    public void afterTransaction(StateSpaceExplorer.Execution stage) {
+      if (stage.store.value(RUN_KEY) == null || stage.observations.contains("started")) {
         return;
       }
-      stage.notes.add("started");
-      stage.check(
+      stage.observations.add("started");
+      stage.require(
           stage.store.value(RecordKeys.openJob("job-2")) == null,
           "the gated job started while a correction was accepted but not folded");
     }
 
     @Override
-    public void end(StateSpaceExplorer.Stage stage) {
-      startedCount += stage.notes.contains("started") ? 1 : 0;
+    public void afterCompletion(StateSpaceExplorer.Execution stage) {
+      startedCount += stage.observations.contains("started") ? 1 : 0;
       correctedCount += stage.store.value(RecordKeys.openJob("job-2")) != null ? 1 : 0;
     }
   }
@@ -201,11 +201,11 @@
     StateSpaceExplorer explorer = new StateSpaceExplorer(scene, maxFaults, 400_000);
     explorer.explore(s -> {});
     System.out.println(
-        "gated starts: " + explorer.states() + " states, " + explorer.histories() + " histories");
+        "gated starts: " + explorer.states() + " states, " + explorer.executions() + " histories");
     assertTrue(scene.startedCount > 50, "started " + scene.startedCount);
     assertTrue(scene.correctedCount > 50, "corrected " + scene.correctedCount);
     assertTrue(
-        scene.startedCount < explorer.histories(),
+        scene.startedCount < explorer.executions(),
         "the correction must come first in some histories");
   }
 }
--- a/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
+++ b/src/test/java/org/mallowroad/core/admission/AdmissionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.TestFactory;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -23,7 +23,7 @@
 final class AdmissionTest {
   private static final class Fixture {
     private long now;
-    private final Admission admission = new Admission(0);
+    private final AdmissionRateLimiter admission = new AdmissionRateLimiter(0);
 
     /** Offers that many jobs a second; returns how many were admitted. */
     private int offer(int seconds, int aSecond, boolean lag, boolean refusals) {
@@ -33,7 +33,7 @@
           now += 1_000 / aSecond;
           admitted += admission.tryAdmit(now) ? 1 : 0;
         }
-        admission.recordStateService(refusals, now);
+        admission.recordStateServiceRefusals(refusals, now);
         if (lag) {
           admission.recordOverload(now);
         }
@@ -103,7 +103,7 @@
         now);
     Job job =
         schedulerState.accept(
-            JobSpecs.array("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
+            JobSpecBuilder.job("job-1", tasks, 1).priority(priority).build(), 5, 0, now);
     for (int t = 0; t < tasks; t++) {
       schedulerState.start(job, t, m, now);
     }
@@ -124,7 +124,7 @@
     return DynamicTest.dynamicTest(
         name,
         () -> {
-          CommitLag lag = new CommitLag();
+          CommitLagMonitor lag = new CommitLagMonitor();
           for (long now = 0; now <= afterMs; now += 1_000) {
             lag.measure(schedulerState, now >= servedFromMs, now);
           }
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -91,21 +91,21 @@
     put(values, "fleet/booked-spare", fleet.bookedSpare());
     put(values, "fleet/waiting-spare", fleet.waitingSpare());
     put(values, "fleet/cycle-s in ms", fleet.cycleMs());
-    put(values, "fleet/step", fleet.step());
+    put(values, "fleet/step", fleet.maxScaleOutPerType());
     put(values, "fleet/idle-s in ms", fleet.idleMs());
   }
 
   private static void addHealth(HealthPolicy health, Map<String, String> values) {
     put(values, "health/slow-factor", health.slowFactor());
-    put(values, "health/slow-samples", health.slowSamples());
+    put(values, "health/slow-samples", health.minSlowSamples());
     put(values, "health/slow-share", health.maxSlowShare());
     put(values, "health/favour-s in ms", health.suspicionExpiryMs());
-    put(values, "health/errors", health.errors());
+    put(values, "health/errors", health.minFailedJobs());
     put(values, "health/cut-share", health.partitionShare());
     put(values, "health/cut-least", health.minPartitionMachines());
-    put(values, "health/cut-returns", health.partitionReturnShare());
-    put(values, "health/haste-share", health.returnShare());
-    put(values, "health/haste-least", health.minReturns());
+    put(values, "health/cut-returns", health.maxPartitionDeletionShare());
+    put(values, "health/haste-share", health.maxDeletionShare());
+    put(values, "health/haste-least", health.minDeletions());
     put(values, "health/replace-share", health.maxReplacementShare());
     put(values, "health/still-s in ms", health.pauseMs());
   }
