--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -334,7 +334,7 @@
 
   private void tick() {
     long now = loop.now();
-    writeBudget.rateAdapter().update(now);
+    writeBudget.rateAdjuster().update(now);
     context.loadStatistics().recordTick(now, TICK_INTERVAL_MS);
     if (isolation.isCutOffFromWorkers(now)) {
       // No other node can end this leadership: its lease is still renewed, and no worker can report
@@ -446,12 +446,12 @@
 
     @Override
     public void jobAccepted() {
-      writeBudget.rateAdapter().jobAccepted();
+      writeBudget.rateAdjuster().jobAccepted();
     }
 
     @Override
     public void jobCancelled() {
-      writeBudget.rateAdapter().jobCancelled();
+      writeBudget.rateAdjuster().jobCancelled();
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -99,13 +99,15 @@
    * True if this leader's lease must have expired and no peer is reachable. Either this node is cut
    * off and another node may lead, or the state service and the peers are down. This node cannot
    * distinguish the two cases, but a worker that contacts the other nodes can ({@link
-   * FailureResponder#redirectOnce}).
+   * FailureResponder#tryRedirect}).
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
     return settings.nodes() > 1
         && services.reachablePeers().getAsInt() == 0
-        && now - Math.max(context.lease().renewedMs(), services.state().health().lastExecutedCallSentMs())
+        && now
+                - Math.max(
+                    context.lease().renewedMs(), services.state().health().lastExecutedCallSentMs())
             > LEASE_EXPIRED_AFTER_MS;
   }
 }
--- a/src/main/java/org/mallowroad/controller/LoadLogger.java
+++ b/src/main/java/org/mallowroad/controller/LoadLogger.java
@@ -62,7 +62,9 @@
 
   private void logCosts() {
     for (CostAccounting.MachineTypeCosts line :
-        schedulerState.costAccounting().costsByMachineType(schedulerState.machines(), context.loop().now())) {
+        schedulerState
+            .costAccounting()
+            .costsByMachineType(schedulerState.machines(), context.loop().now())) {
       LOG.info(
           "event=machine_cost type={} spot={} machines={} boot={} idle={} starting={} useful={} lost={}",
           line.type(),
--- a/src/main/java/org/mallowroad/controller/WriteBudget.java
+++ b/src/main/java/org/mallowroad/controller/WriteBudget.java
@@ -8,10 +8,11 @@
  * The leader's share of the state service's write rate during one term.
  *
  * @param limiter enforces the share; all writes of the leader acquire permits from it
- * @param rateAdapter adapts the rate of {@code limiter} to the writes that user requests leave
+ * @param rateAdjuster adjusts the rate of {@code limiter} to the writes that user requests leave
  * @param maxTransactionWrites maximum number of writes in one transaction
  */
-record WriteBudget(RateLimiter limiter, LeaderWriteRateAdjuster rateAdapter, int maxTransactionWrites) {
+record WriteBudget(
+    RateLimiter limiter, LeaderWriteRateAdjuster rateAdjuster, int maxTransactionWrites) {
   /** Initial share of the write rate per second. */
   private static final double INITIAL_SHARE = 0.75;
 
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -5,8 +5,8 @@
 import org.mallowroad.api.claim.ClaimService;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.SchedulerState;
-import org.mallowroad.core.dependency.DependencyGate.State;
 import org.mallowroad.core.dependency.DependencyGate;
+import org.mallowroad.core.dependency.DependencyGate.State;
 import org.mallowroad.core.dependency.DependencyGates;
 import org.mallowroad.election.LeaderElection;
 import org.mallowroad.net.EventLoop;
@@ -103,7 +103,8 @@
             return;
           }
           for (VersionedValue record : records) {
-            DependencyGate gate = gates.get(record.key().substring(RecordKeys.RELEASES_PREFIX.length()));
+            DependencyGate gate =
+                gates.get(record.key().substring(RecordKeys.RELEASES_PREFIX.length()));
             if (gate != null) {
               restore(gate, record.value(), record.version());
             }
