--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -23,42 +23,45 @@
 import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.state.Transaction;
 
-/** Which records come first when there are more than the state service takes. */
+/**
+ * Tests which records the committer writes first under the state service's write limit, and how
+ * small jobs share attempt records.
+ */
 final class WriteBehindCommitterTest {
-  private static final double RPS = 22;
-  private static final int VALUE_BYTES = 8 * 1024;
-  private final SteppedClock c = new SteppedClock();
-  private final SteppedClock.Process p = c.new Process();
-  private final KeyValueStore state = new KeyValueStore(p, p, p);
+  private static final double WRITES_PER_SECOND = 22;
+  private static final int MAX_VALUE_BYTES = 8 * 1024;
+  private final SteppedClock clock = new SteppedClock();
+  private final SteppedClock.Process process = clock.new Process();
+  private final KeyValueStore store = new KeyValueStore(process, process, process);
   private final NameIndex zones = new NameIndex();
   private final MachineType type =
       new MachineType(0, "t9", 9_000, 0, 9_000, 100, 1, 2.0, 0.5, 30, new int[] {0});
   private final SchedulerState schedulerState;
   private final Machine machine;
-  private final long leaderVersion;
+  private final long leaderKeyVersion;
   private final WriteBehindCommitter committer;
 
   WriteBehindCommitterTest() {
     zones.intern("a");
     schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
-    machine = schedulerState.registerMachine("n-1", type, 0, false, c.now);
+    machine = schedulerState.registerMachine("n-1", type, 0, false, clock.now);
     schedulerState.processHeartbeat(
         machine,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
-        c.now);
-    leaderVersion = put(LeaderElection.LEADER_KEY);
+        clock.now);
+    leaderKeyVersion = put(LeaderElection.LEADER_KEY);
     committer = committer(16);
   }
 
-  private WriteBehindCommitter committer(int maxOps) {
+  private WriteBehindCommitter committer(int maxTransactionWrites) {
     return new WriteBehindCommitter(
-        p,
-        state,
-        new RateLimiter(RPS, 24, c.now),
+        process,
+        store,
+        new RateLimiter(WRITES_PER_SECOND, 24, clock.now),
         schedulerState,
         zones,
-        new WriteBehindCommitter.Options(leaderVersion, maxOps),
+        new WriteBehindCommitter.Options(leaderKeyVersion, maxTransactionWrites),
         new WriteBehindCommitter.Listener() {
           @Override
           public void addStartConditions(Job job, Transaction transaction) {}
@@ -86,277 +89,313 @@
 
   private long put(String key) {
     String body = "{\"writes\":[{\"put\":\"" + key + "\",\"v\":{}}]}";
-    return c.serve("POST", "/multi", body).body().path("epoch").asLong();
+    return clock.serve("POST", "/multi", body).body().path("epoch").asLong();
   }
 
   private Attempt start(String id, int priority) {
-    JobSpec s = JobSpecs.array(id, 1, 1).priority(priority).build();
-    Job job = schedulerState.accept(s, put("open/" + id), 0, c.now);
-    return schedulerState.start(job, 0, machine, c.now);
+    JobSpec jobSpec = JobSpecs.array(id, 1, 1).priority(priority).build();
+    Job job = schedulerState.accept(jobSpec, put("open/" + id), 0, clock.now);
+    return schedulerState.start(job, 0, machine, clock.now);
   }
 
+  /**
+   * Hundreds of starts of idle jobs are pending while other starts use the whole write rate.
+   * Neither may the idle starts delay the others, nor may the idle starts never be recorded.
+   */
   @Test
-  void startsOfIdleJobsDoNotHoldOthersUpAndAreNotLeftOutEither() {
+  void idleJobStartsNeitherDelayOtherStartsNorStarve() {
     List<Attempt> idle = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
       idle.add(start("job-1" + i, JobSpec.IDLE));
     }
     List<Attempt> others = new ArrayList<>();
-    for (int s = 0; s < 6; s++) {
-      // As many as there are writes for.
-      for (int i = 0; i < RPS; i++) {
-        others.add(start("job-2" + s + i, 1));
+    for (int second = 0; second < 6; second++) {
+      // As many starts as the write rate allows per second.
+      for (int i = 0; i < WRITES_PER_SECOND; i++) {
+        others.add(start("job-2" + second + i, 1));
       }
       committer.commitPending();
-      c.run(1_000);
-      if (s == 0) {
-        assertTrue(recorded(others) >= 10, "in the first second: " + recorded(others));
+      clock.run(1_000);
+      if (second == 0) {
+        assertTrue(
+            recordedStarts(others) >= 10,
+            "other starts recorded in the first second: " + recordedStarts(others));
       }
     }
-    assertTrue(recorded(others) >= 70, "others: " + recorded(others));
-    assertTrue(recorded(idle) >= 25, "idle: " + recorded(idle));
-    c.run(25_000);
-    assertEquals(432, recorded(others) + recorded(idle));
+    assertTrue(recordedStarts(others) >= 70, "other starts recorded: " + recordedStarts(others));
+    assertTrue(recordedStarts(idle) >= 25, "idle starts recorded: " + recordedStarts(idle));
+    clock.run(25_000);
+    assertEquals(432, recordedStarts(others) + recordedStarts(idle));
   }
 
-  /** Twenty starts of small jobs in one write; their ends in two each and one more for all. */
+  /**
+   * The starts of twenty small jobs take one write. Their ends take two writes each, and the
+   * deletion of the shared record takes one more.
+   */
   @Test
-  void smallJobsShareARecordOfTheirStarts() {
+  void smallJobsStartedTogetherShareOneAttemptRecord() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    List<Attempt> all = startMany(20);
-    int before = c.writes;
+        .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
+    List<Attempt> attempts = startSingleTaskJobs(20);
+    int writesBefore = clock.writes;
     committer.commitPending();
-    c.run(100);
-    assertEquals(20, recorded(all));
-    assertEquals(1, c.writes - before);
-    assertEquals(1, c.store.keys("starts/").size());
-    assertEquals(0, c.store.keys("run/").size());
-    all.forEach(a -> schedulerState.resolve(a, AttemptOutcome.COMPLETED, c.now));
-    c.run(1_000);
+    clock.run(100);
+    assertEquals(20, recordedStarts(attempts));
+    assertEquals(1, clock.writes - writesBefore);
+    assertEquals(1, clock.store.keys("starts/").size());
+    assertEquals(0, clock.store.keys("run/").size());
+    attempts.forEach(
+        attempt -> schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, clock.now));
+    clock.run(1_000);
     committer.commitPending();
-    c.run(20_000);
-    assertEquals(List.of(), List.copyOf(c.store.keys("starts/")));
-    assertEquals(List.of(), List.copyOf(c.store.keys("open/")));
-    assertEquals(1 + 2 * 20 + 1, c.writes - before);
+    clock.run(20_000);
+    assertEquals(List.of(), List.copyOf(clock.store.keys("starts/")));
+    assertEquals(List.of(), List.copyOf(clock.store.keys("open/")));
+    assertEquals(1 + 2 * 20 + 1, clock.writes - writesBefore);
     assertEquals(0, schedulerState.jobs().size());
     assertEquals(0, schedulerState.sharedAttemptRecords().records().size());
   }
 
-  /** One of them is cancelled before its start is recorded: the others' are recorded. */
+  /**
+   * A job is cancelled before the shared record with its start is written, so the condition on its
+   * open record fails. The starts of the other members must still be recorded.
+   */
   @Test
-  void aJobThatIsOverKeepsNoOtherFromTheSharedRecord() {
+  void jobCancelledBeforeItsStartIsRecordedDoesNotBlockOtherMembers() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    List<Attempt> all = startMany(5);
-    cancelFirst();
+        .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
+    List<Attempt> attempts = startSingleTaskJobs(5);
+    cancelFirstJobInStore();
     committer.commitPending();
-    c.run(1_000);
-    assertEquals(4, recorded(all));
-    assertEquals(Attempt.Phase.GONE, all.get(0).phase);
-    assertEquals(List.of("job-11", "job-12", "job-13", "job-14"), sharedJobs());
+    clock.run(1_000);
+    assertEquals(4, recordedStarts(attempts));
+    assertEquals(Attempt.Phase.GONE, attempts.get(0).phase);
+    assertEquals(List.of("job-11", "job-12", "job-13", "job-14"), jobsInSharedRecords());
   }
 
-  /** What a next leader would have to wait for is taken out of the record. */
+  /**
+   * A cancelled job that has no attempts left is removed from the shared record; otherwise the next
+   * leader would wait for its attempts.
+   */
   @Test
-  void aCancelledJobOfWhichNothingIsLeftIsNotListedAnyMore() {
+  void cancelledJobWithoutAttemptsIsRemovedFromSharedRecord() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    List<Attempt> all = startMany(3);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
+    List<Attempt> attempts = startSingleTaskJobs(3);
     committer.commitPending();
-    c.run(100);
-    cancelFirst();
-    committer.jobCancelled(all.get(0).job);
-    schedulerState.resolve(all.get(0), AttemptOutcome.STOPPED, c.now);
+    clock.run(100);
+    cancelFirstJobInStore();
+    committer.jobCancelled(attempts.get(0).job);
+    schedulerState.resolve(attempts.get(0), AttemptOutcome.STOPPED, clock.now);
     committer.commitPending();
-    c.run(10_000);
+    clock.run(10_000);
     committer.commitPending();
-    c.run(10_000);
-    assertEquals(List.of("job-11", "job-12"), sharedJobs());
+    clock.run(10_000);
+    assertEquals(List.of("job-11", "job-12"), jobsInSharedRecords());
   }
 
   /**
-   * The answer to the commit is lost: the copy finds its own value, and nothing is written anew.
+   * The response to a commit is lost, and the retried copy fails on its conditions. The committer
+   * must recognize the value written by the first copy and must not write the records again.
    */
   @Test
-  void aCommitWhoseAnswerIsLostIsFoundAndNotWrittenOnceMore() {
-    for (boolean shared : new boolean[] {false, true}) {
-      if (shared) {
+  void commitWithLostResponseIsDetectedAndNotWrittenAgain() {
+    for (boolean isShared : new boolean[] {false, true}) {
+      if (isShared) {
         schedulerState
             .sharedAttemptRecords()
-            .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
+            .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
       }
-      List<Attempt> all = startMany(shared ? 3 : 1);
-      int before = c.writes;
-      c.loseNext = 1;
+      List<Attempt> attempts = startSingleTaskJobs(isShared ? 3 : 1);
+      int writesBefore = clock.writes;
+      clock.loseNext = 1;
       committer.commitPending();
-      c.run(600);
-      assertEquals(all.size(), recorded(all));
-      assertEquals(2, c.writes - before);
+      clock.run(600);
+      assertEquals(attempts.size(), recordedStarts(attempts));
+      assertEquals(2, clock.writes - writesBefore);
     }
   }
 
   /**
-   * Exits of thirty arrays, all the time: a fifth of the writes, and starts do not wait for them.
+   * Tasks of thirty job arrays exit continuously. The exits must not exceed a fifth of the write
+   * rate (a quarter with tolerance), or they would delay starts.
    */
   @Test
-  void exitsTakeAFifthOfTheWrites() {
+  void exitsUseAboutAFifthOfTheWriteRate() {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      JobSpec s = JobSpecs.array("job-3" + i, 100, 1).build();
-      Job job = schedulerState.accept(s, put("open/job-3" + i), 0, c.now);
-      for (int t = 0; t < 100; t++) {
-        schedulerState.start(job, t, machine, c.now);
+      JobSpec jobSpec = JobSpecs.array("job-3" + i, 100, 1).build();
+      Job job = schedulerState.accept(jobSpec, put("open/job-3" + i), 0, clock.now);
+      for (int task = 0; task < 100; task++) {
+        schedulerState.start(job, task, machine, clock.now);
       }
       jobs.add(job);
     }
     committer.commitPending();
-    c.run(10_000);
-    int before = c.writes;
-    for (int t = 0; t < 40; t++) {
+    clock.run(10_000);
+    int writesBefore = clock.writes;
+    for (int task = 0; task < 40; task++) {
       for (Job job : jobs) {
-        schedulerState.resolve(job.liveAttempt(t), AttemptOutcome.COMPLETED, c.now);
+        schedulerState.resolve(job.liveAttempt(task), AttemptOutcome.COMPLETED, clock.now);
       }
       committer.commitPending();
-      c.run(500);
+      clock.run(500);
     }
-    int written = c.writes - before;
-    assertTrue(written <= 20 * RPS * 0.25, "in 20 s: " + written);
-    assertTrue(written >= 30, "each record at least once: " + written);
+    int written = clock.writes - writesBefore;
+    assertTrue(written <= 20 * WRITES_PER_SECOND * 0.25, "writes in 20 s: " + written);
+    assertTrue(written >= 30, "each record must be written at least once, writes: " + written);
   }
 
-  /** More starts than one transaction has conditions for: what is listed is what is recorded. */
+  /**
+   * There are more starts than one transaction has conditions for. A shared record must list only
+   * starts whose conditions are in the same transaction.
+   */
   @Test
-  void aSharedRecordListsNoStartWithoutItsCondition() {
+  void sharedRecordListsOnlyStartsWhoseConditionsAreInTheTransaction() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    List<Attempt> all = startMany(90);
+        .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
+    List<Attempt> attempts = startSingleTaskJobs(90);
     committer.commitPending();
-    boolean some = false;
+    boolean sawPartialCommit = false;
     for (int ms = 0; ms < 20; ms++) {
-      c.run(1);
-      assertEquals(recorded(all), sharedJobs().size());
-      some |= recorded(all) > 30 && recorded(all) < 90;
+      clock.run(1);
+      assertEquals(recordedStarts(attempts), jobsInSharedRecords().size());
+      sawPartialCommit |= recordedStarts(attempts) > 30 && recordedStarts(attempts) < 90;
     }
-    assertTrue(some, "more than one transaction");
-    assertEquals(90, recorded(all));
+    assertTrue(sawPartialCommit, "the starts must need more than one transaction");
+    assertEquals(90, recordedStarts(attempts));
   }
 
-  /** Its own record may be there though nobody has heard so: it never joins a shared one. */
+  /**
+   * The response to the write of a job's own attempt record is lost, so the record may exist. The
+   * job must then not join a shared record as well.
+   */
   @Test
-  void aJobWhoseOwnRecordIsUnknownSharesNone() {
-    c.loseAnswers = true;
-    List<Attempt> all = startMany(1);
+  void jobWithPossiblyWrittenOwnRecordDoesNotJoinSharedRecord() {
+    clock.loseAnswers = true;
+    List<Attempt> attempts = startSingleTaskJobs(1);
     committer.commitPending();
-    c.run(1_000);
-    c.loseAnswers = false;
+    clock.run(1_000);
+    clock.loseAnswers = false;
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    c.run(10_000);
-    assertEquals(1, recorded(all));
-    assertEquals(List.of(), sharedJobs());
+        .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
+    clock.run(10_000);
+    assertEquals(1, recordedStarts(attempts));
+    assertEquals(List.of(), jobsInSharedRecords());
   }
 
   /**
-   * Few conditions a transaction: no record takes more members than one has conditions for, or none
-   * of their starts would be recorded until others end.
+   * With small transactions, a shared record must not have more members than one transaction has
+   * conditions for. Otherwise none of their starts could be recorded until other members end.
    */
   @Test
-  void sharedRecordsFitIntoTheSmallestTransactions() {
-    int maxOps = 4;
+  void sharedRecordsFitIntoSmallestTransactions() {
+    int maxTransactionWrites = 4;
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(maxOps), VALUE_BYTES);
-    List<Attempt> all = startMany(60);
-    committer(maxOps).commitPending();
-    c.run(10_000);
-    assertEquals(60, recorded(all));
+        .enable(WriteBehindCommitter.maxSharedMembers(maxTransactionWrites), MAX_VALUE_BYTES);
+    List<Attempt> attempts = startSingleTaskJobs(60);
+    committer(maxTransactionWrites).commitPending();
+    clock.run(10_000);
+    assertEquals(60, recordedStarts(attempts));
   }
 
-  /** Jobs of four tasks on four machines, with the longest ids, and small values. */
+  /**
+   * Jobs with the longest IDs and four tasks on four machines must not make a shared record exceed
+   * a small value size limit.
+   */
   @Test
-  void sharedRecordsStayBelowTheLimitOfAValue() {
-    int mostBytes = 2 * 1024;
+  void sharedRecordsStayWithinValueSizeLimit() {
+    int maxValueBytes = 2 * 1024;
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), mostBytes);
-    List<Attempt> all = new ArrayList<>();
+        .enable(WriteBehindCommitter.maxSharedMembers(16), maxValueBytes);
+    List<Attempt> attempts = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
       Job job =
-          schedulerState.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, c.now);
-      for (int t = 0; t < 4; t++) {
-        all.add(schedulerState.start(job, t, longNamed(t), c.now));
+          schedulerState.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, clock.now);
+      for (int task = 0; task < 4; task++) {
+        attempts.add(schedulerState.start(job, task, registerMachineWithLongName(task), clock.now));
       }
     }
     committer.commitPending();
-    c.run(10_000);
-    assertEquals(96, recorded(all));
-    for (String key : c.store.keys("starts/")) {
-      int bytes = c.store.value(key).toString().length();
-      assertTrue(bytes <= mostBytes, key + ": " + bytes);
+    clock.run(10_000);
+    assertEquals(96, recordedStarts(attempts));
+    for (String key : clock.store.keys("starts/")) {
+      int bytes = clock.store.value(key).toString().length();
+      assertTrue(bytes <= maxValueBytes, key + ": " + bytes);
     }
   }
 
-  /** It may run for years, and would keep the shared record for as long. */
+  /**
+   * A service job may run for years and would keep a shared record alive for as long, so it has its
+   * own record.
+   */
   @Test
-  void aServiceHasARecordOfItsOwn() {
+  void serviceJobHasItsOwnRecord() {
     schedulerState
         .sharedAttemptRecords()
-        .enable(WriteBehindCommitter.maxSharedMembers(16), VALUE_BYTES);
-    JobSpec s = JobSpecs.array("job-1", 1, 1).service().build();
-    Job job = schedulerState.accept(s, put("open/job-1"), 0, c.now);
-    List<Attempt> all = List.of(schedulerState.start(job, 0, machine, c.now));
+        .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
+    JobSpec jobSpec = JobSpecs.array("job-1", 1, 1).service().build();
+    Job job = schedulerState.accept(jobSpec, put("open/job-1"), 0, clock.now);
+    List<Attempt> attempts = List.of(schedulerState.start(job, 0, machine, clock.now));
     committer.commitPending();
-    c.run(1_000);
-    assertEquals(1, recorded(all));
-    assertEquals(List.of(), sharedJobs());
-    assertEquals(List.of("run/job-1/0"), List.copyOf(c.store.keys("run/")));
+    clock.run(1_000);
+    assertEquals(1, recordedStarts(attempts));
+    assertEquals(List.of(), jobsInSharedRecords());
+    assertEquals(List.of("run/job-1/0"), List.copyOf(clock.store.keys("run/")));
   }
 
-  private Machine longNamed(int i) {
-    Machine m =
-        schedulerState.registerMachine("machine-with-a-long-name-" + i, type, 0, false, c.now);
+  private Machine registerMachineWithLongName(int index) {
+    Machine namedMachine =
+        schedulerState.registerMachine(
+            "machine-with-a-long-name-" + index, type, 0, false, clock.now);
     schedulerState.processHeartbeat(
-        m, new Heartbeat(m.name, "h:" + i, "t9", "a", false, 1, 1, 1, -1, List.of()), true, c.now);
-    return m;
+        namedMachine,
+        new Heartbeat(namedMachine.name, "h:" + index, "t9", "a", false, 1, 1, 1, -1, List.of()),
+        true,
+        clock.now);
+    return namedMachine;
   }
 
-  private int groups;
+  private int jobGroups;
 
-  /** Jobs of one task each; those of the first call are job-10, job-11 and so on. */
-  private List<Attempt> startMany(int count) {
-    groups++;
-    List<Attempt> all = new ArrayList<>();
+  /**
+   * Starts jobs of one task each. The jobs of the first call are named job-10, job-11 and so on.
+   */
+  private List<Attempt> startSingleTaskJobs(int count) {
+    jobGroups++;
+    List<Attempt> attempts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(start("job-" + groups + i, 1));
+      attempts.add(start("job-" + jobGroups + i, 1));
     }
-    return all;
+    return attempts;
   }
 
-  private void cancelFirst() {
-    c.serve(
+  private void cancelFirstJobInStore() {
+    clock.serve(
         "POST",
         "/multi",
         "{\"writes\":[{\"delete\":\"open/job-10\"},"
             + "{\"put\":\"end/job-10\",\"v\":{\"end\":\"withdrawn\"}}]}");
   }
 
-  private List<String> sharedJobs() {
-    List<String> out = new ArrayList<>();
-    for (String key : c.store.keys("starts/")) {
-      c.store.value(key).fieldNames().forEachRemaining(out::add);
+  private List<String> jobsInSharedRecords() {
+    List<String> jobIds = new ArrayList<>();
+    for (String key : clock.store.keys("starts/")) {
+      clock.store.value(key).fieldNames().forEachRemaining(jobIds::add);
     }
-    out.sort(null);
-    return out;
+    jobIds.sort(null);
+    return jobIds;
   }
 
-  private static long recorded(List<Attempt> of) {
-    return of.stream().filter(a -> a.phase == Attempt.Phase.READY).count();
+  private static long recordedStarts(List<Attempt> attempts) {
+    return attempts.stream().filter(attempt -> attempt.phase == Attempt.Phase.READY).count();
   }
 }
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -27,12 +27,18 @@
 import org.mallowroad.core.objective.ServiceLevelObjectives;
 import org.mallowroad.core.scheduling.TaskScheduler;
 
-/** Many machines fall together: what is returned, what is rented, what is only waited for. */
+/**
+ * Tests which machines are deleted, which are rented as replacements and which are only waited for
+ * when many machines become silent or unreachable at once.
+ */
 final class FailureResponderTest {
   private static final long TERM = 7;
   private static final long LEASE_MS = 26_000;
 
-  /** Two zones of 20 machines that report every 4 s on virtual time, each with four tasks. */
+  /**
+   * Two zones of 20 machines with four tasks each. The machines send heartbeats every 4 s of
+   * virtual time.
+   */
   private static final class TestCluster {
     final NameIndex zones = new NameIndex();
     final MachineType type =
@@ -40,74 +46,81 @@
     final FleetHealth health;
     final SchedulerState schedulerState;
     final FailureResponder responder;
-    final TaskScheduler placement;
-    final Autoscaler fleet;
+    final TaskScheduler taskScheduler;
+    final Autoscaler autoscaler;
     final List<Machine> machines = new ArrayList<>();
     final Job job;
-    final long[] heardToken = new long[40];
+    final long[] highestSeenToken = new long[40];
     long sequence;
-    Machine pulling;
+    Machine pullingMachine;
 
-    /** Machines from and to which report and hear nothing: the token of their reports stays. */
-    int deafFrom;
+    /**
+     * Range of machines (end exclusive) that send heartbeats but receive no responses, so the
+     * fencing token in their heartbeats does not change.
+     */
+    int unansweredFrom;
 
-    int deafTo;
+    int unansweredTo;
     long now = 1_000_000;
 
-    TestCluster(boolean takenOver) {
+    TestCluster(boolean isTakeover) {
       zones.intern("a");
       zones.intern("b");
       health = new FleetHealth(HealthPolicy.defaults(), 2, 4, now);
       Team team = new Team("t", 1e6, 0, 1e6, 0);
       schedulerState = new SchedulerState(TERM, 26, 4, List.of(team), zones, health);
       responder = new FailureResponder(schedulerState, zones, 4, 26, TERM, now);
-      placement = new TaskScheduler(schedulerState);
-      fleet =
+      taskScheduler = new TaskScheduler(schedulerState);
+      autoscaler =
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
       job = schedulerState.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
       for (int i = 0; i < 40; i++) {
         machines.add(schedulerState.registerMachine("n-" + i, type, i / 20, true, now));
       }
-      if (takenOver) {
-        for (int t = 0; t < 160; t++) {
-          schedulerState.restoreAttempt(job, t, 1, machines.get(t / 4), 1, now);
+      if (isTakeover) {
+        for (int task = 0; task < 160; task++) {
+          schedulerState.restoreAttempt(job, task, 1, machines.get(task / 4), 1, now);
         }
         schedulerState.finishRestore(job, now);
       } else {
-        pass(8_000, 0, 0);
-        assertEquals(160, placement.placeTasks(now).size());
+        advance(8_000, 0, 0);
+        assertEquals(160, taskScheduler.placeTasks(now).size());
         JobSpecs.commit(schedulerState, now);
-        pass(8_000, 0, 0);
+        advance(8_000, 0, 0);
       }
     }
 
-    void report(Machine m) {
-      int i = machines.indexOf(m);
-      boolean deaf = i >= deafFrom && i < deafTo;
-      heardToken[i] = deaf ? heardToken[i] : Math.max(TERM, m.fencingToken);
+    void sendHeartbeat(Machine machine) {
+      int index = machines.indexOf(machine);
+      boolean receivesNoResponses = index >= unansweredFrom && index < unansweredTo;
+      highestSeenToken[index] =
+          receivesNoResponses ? highestSeenToken[index] : Math.max(TERM, machine.fencingToken);
       schedulerState.processHeartbeat(
-          m,
+          machine,
           JobSpecs.report(
-              m,
+              machine,
               ++sequence,
-              heardToken[i],
-              m == pulling ? Heartbeat.State.PULLING : Heartbeat.State.RUNNING),
+              highestSeenToken[index],
+              machine == pullingMachine ? Heartbeat.State.PULLING : Heartbeat.State.RUNNING),
           true,
           now);
-      m.lastResponseMs = now;
-      responder.evaluateTaskHealth(m, now);
+      machine.lastResponseMs = now;
+      responder.evaluateTaskHealth(machine, now);
     }
 
-    /** Time passes; machines from {@code from} to {@code to} are not heard. */
-    void pass(long ms, int from, int to) {
+    /**
+     * Advances the time. Heartbeats of the machines from {@code silentFrom} (inclusive) to {@code
+     * silentTo} (exclusive) do not arrive.
+     */
+    void advance(long ms, int silentFrom, int silentTo) {
       for (long end = now + ms; now < end; now += 250) {
         responder.recordActivity(now);
         responder.recordTick();
         for (int i = 0; i < machines.size(); i++) {
-          Machine m = machines.get(i);
-          boolean heard = i < from || i >= to;
-          if (heard && !m.deleting && (now / 250) % 16 == i % 16) {
-            report(m);
+          Machine machine = machines.get(i);
+          boolean isReachable = i < silentFrom || i >= silentTo;
+          if (isReachable && !machine.deleting && (now / 250) % 16 == i % 16) {
+            sendHeartbeat(machine);
           }
         }
         schedulerState.expireLeases(now);
@@ -115,238 +128,249 @@
       }
     }
 
-    int returned() {
-      int n = 0;
-      for (Machine m : machines) {
-        n += m.deleting ? 1 : 0;
+    int deletedMachines() {
+      int count = 0;
+      for (Machine machine : machines) {
+        count += machine.deleting ? 1 : 0;
       }
-      return n;
+      return count;
     }
 
-    int rented() {
-      int n = 0;
-      for (ScaleOutRequest r :
-          fleet.scaleOut(placement.queue(now), List.of(), List.of(type), now)) {
+    int requestedMachines() {
+      int count = 0;
+      for (ScaleOutRequest request :
+          autoscaler.scaleOut(taskScheduler.queue(now), List.of(), List.of(type), now)) {
         assertFalse(
-            health.failureDetector().isPartitioned(r.variant().zone()), "rented in a cut zone");
-        n += r.count();
+            health.failureDetector().isPartitioned(request.variant().zone()),
+            "requested a machine in a partitioned zone");
+        count += request.count();
       }
-      return n;
+      return count;
     }
   }
 
-  private interface Case {
-    void run(TestCluster w);
+  private interface Scenario {
+    void run(TestCluster cluster);
   }
 
-  private static DynamicTest day(String name, boolean takenOver, Case c) {
-    return DynamicTest.dynamicTest(name, () -> c.run(new TestCluster(takenOver)));
+  private static DynamicTest scenario(String name, boolean isTakeover, Scenario scenario) {
+    return DynamicTest.dynamicTest(name, () -> scenario.run(new TestCluster(isTakeover)));
   }
 
   @TestFactory
-  Stream<DynamicTest> days() {
+  Stream<DynamicTest> scenarios() {
     return Stream.of(
-        day(
-            "one silent machine is returned as soon as it has missed a report",
+        scenario(
+            "a single silent machine is deleted after it has missed a heartbeat",
             false,
-            w -> {
-              w.pass(4_000, 3, 4);
-              assertEquals(0, w.returned());
-              w.pass(9_000, 3, 4);
-              assertTrue(w.machines.get(3).deleting);
-              assertEquals(1, w.returned());
+            cluster -> {
+              cluster.advance(4_000, 3, 4);
+              assertEquals(0, cluster.deletedMachines());
+              cluster.advance(9_000, 3, 4);
+              assertTrue(cluster.machines.get(3).deleting);
+              assertEquals(1, cluster.deletedMachines());
             }),
-        day(
-            "a cut zone keeps half of its machines; their tasks are free once the leases ran out",
+        scenario(
+            "a partitioned zone keeps at least 6 of 20 machines; lease expiry frees their tasks",
             false,
-            w -> {
-              w.pass(20_000, 0, 20);
-              int gone = w.returned();
-              assertTrue(gone >= 10 && gone <= 13, "returned " + gone);
-              assertEquals(0, w.job.waitingCount());
-              w.pass(13_000, 0, 20);
-              // No deletion is answered here: it is the leases that free them.
-              assertEquals(80, w.job.waitingCount());
-              gone = w.returned();
-              assertTrue(gone <= 14, "returned " + gone);
-              // Back: the same machines are used again.
-              w.pass(10_000, 0, 0);
-              assertEquals(4 * (20 - gone), w.placement.placeTasks(w.now).size());
-              assertEquals(gone, w.returned());
+            cluster -> {
+              cluster.advance(20_000, 0, 20);
+              int deleted = cluster.deletedMachines();
+              assertTrue(deleted >= 10 && deleted <= 13, "deleted " + deleted);
+              assertEquals(0, cluster.job.waitingCount());
+              cluster.advance(13_000, 0, 20);
+              // The cloud answers no deletion here, so the tasks are freed by the expiry of the
+              // leases.
+              assertEquals(80, cluster.job.waitingCount());
+              deleted = cluster.deletedMachines();
+              assertTrue(deleted <= 14, "deleted " + deleted);
+              // The partition ends: the remaining machines are used again.
+              cluster.advance(10_000, 0, 0);
+              assertEquals(
+                  4 * (20 - deleted), cluster.taskScheduler.placeTasks(cluster.now).size());
+              assertEquals(deleted, cluster.deletedMachines());
             }),
-        day(
-            "for what a cut zone keeps at most half as much is rented, and elsewhere",
+        scenario(
+            "at most half of the machines kept in a partitioned zone are replaced, in other zones",
             false,
-            w -> {
-              w.pass(33_000, 0, 20);
-              assertEquals(80, w.job.waitingCount());
-              int kept = 20 - w.returned();
-              int rented = w.rented();
+            cluster -> {
+              cluster.advance(33_000, 0, 20);
+              assertEquals(80, cluster.job.waitingCount());
+              int kept = 20 - cluster.deletedMachines();
+              int requested = cluster.requestedMachines();
               assertTrue(kept >= 6, "kept " + kept);
-              assertTrue(rented >= 20 - kept && rented <= 20 - kept / 2, "rented " + rented);
+              assertTrue(
+                  requested >= 20 - kept && requested <= 20 - kept / 2, "requested " + requested);
             }),
-        day(
-            "what no lease can free, in a zone away since before the term, goes at an even pace",
+        scenario(
+            "no lease frees tasks of a zone partitioned before the term: deletions are gradual",
             true,
-            w -> {
-              w.pass(20_000, 0, 20);
-              int first = w.returned();
-              assertTrue(first >= 14 && first <= 19, "returned " + first);
-              assertEquals(0, w.job.waitingCount());
-              w.pass(40_000, 0, 20);
-              assertEquals(20, w.returned());
+            cluster -> {
+              cluster.advance(20_000, 0, 20);
+              int deletedAtFirst = cluster.deletedMachines();
+              assertTrue(deletedAtFirst >= 14 && deletedAtFirst <= 19, "deleted " + deletedAtFirst);
+              assertEquals(0, cluster.job.waitingCount());
+              cluster.advance(40_000, 0, 20);
+              assertEquals(20, cluster.deletedMachines());
             }),
-        day(
-            "a zone whose machines are gone for good opens again, and is rented in",
+        scenario(
+            "a zone whose machines are permanently gone recovers and is scaled out again",
             false,
-            w -> {
+            cluster -> {
               for (int i = 0; i < 10; i++) {
-                w.pass(60_000, 0, 20);
-                // The cloud answers the deletions.
-                for (Machine m : List.copyOf(w.schedulerState.machines())) {
-                  if (m.deleting) {
-                    w.schedulerState.machineDeleted(m, w.now);
+                cluster.advance(60_000, 0, 20);
+                // The cloud confirms the deletions.
+                for (Machine machine : List.copyOf(cluster.schedulerState.machines())) {
+                  if (machine.deleting) {
+                    cluster.schedulerState.machineDeleted(machine, cluster.now);
                   }
                 }
               }
-              assertEquals(0, w.health.failureDetector().partitionedZoneCount());
-              w.schedulerState.accept(
-                  JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, w.now);
-              assertTrue(w.rented() > 0);
+              assertEquals(0, cluster.health.failureDetector().partitionedZoneCount());
+              cluster.schedulerState.accept(
+                  JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, cluster.now);
+              assertTrue(cluster.requestedMachines() > 0);
             }),
-        day(
-            "a fetch that never ends is stopped, so that its machine can go and its task start again",
+        scenario(
+            "an endless image fetch is stopped, so its machine drains and its task can restart",
             false,
-            w -> {
-              Machine m = w.machines.get(3);
-              w.pulling = m;
-              w.pass(60_000, 0, 0);
-              assertTrue(m.draining);
-              for (Attempt a : m.attempts()) {
-                assertTrue(a.isStopping());
+            cluster -> {
+              Machine machine = cluster.machines.get(3);
+              cluster.pullingMachine = machine;
+              cluster.advance(60_000, 0, 0);
+              assertTrue(machine.draining);
+              for (Attempt attempt : machine.attempts()) {
+                assertTrue(attempt.isStopping());
               }
-              assertEquals(1, w.health.stragglerDetector().suspectCount());
+              assertEquals(1, cluster.health.stragglerDetector().suspectCount());
             }),
-        day(
-            "half a fleet that hung to just within its lease is not returned, nor rented twice",
+        scenario(
+            "half a fleet silent within its lease is not replaced; deletions end on recovery",
             false,
-            w -> {
-              w.pass(LEASE_MS - 5_000, 10, 30);
-              // Of the twenty a share goes and what fills up until they are back; the rest is kept.
-              assertTrue(w.returned() <= 20, "returned " + w.returned());
-              assertEquals(0, w.rented());
-              w.pass(3_000, 0, 0);
-              int gone = w.returned();
-              w.pass(20_000, 0, 0);
-              assertEquals(gone, w.returned());
+            cluster -> {
+              cluster.advance(LEASE_MS - 5_000, 10, 30);
+              // Deletions are limited to the budget and its refill until the machines respond
+              // again; the others are kept.
+              assertTrue(cluster.deletedMachines() <= 20, "deleted " + cluster.deletedMachines());
+              assertEquals(0, cluster.requestedMachines());
+              cluster.advance(3_000, 0, 0);
+              int deleted = cluster.deletedMachines();
+              cluster.advance(20_000, 0, 0);
+              assertEquals(deleted, cluster.deletedMachines());
             }),
-        day(
-            "when nobody is heard nobody is returned before the leases ran out",
+        scenario(
+            "when all machines are silent, none is deleted before the leases expire",
             false,
-            w -> {
-              w.pass(LEASE_MS - 5_000, 0, 40);
-              assertEquals(0, w.returned());
-              w.pass(60_000, 0, 40);
-              assertTrue(w.returned() > 0);
+            cluster -> {
+              cluster.advance(LEASE_MS - 5_000, 0, 40);
+              assertEquals(0, cluster.deletedMachines());
+              cluster.advance(60_000, 0, 40);
+              assertTrue(cluster.deletedMachines() > 0);
             }),
-        day(
-            "a leader that stood still returns nobody for it, and asks before it answers",
+        scenario(
+            "after a pause a leader deletes no machine and renews its lease before it responds",
             false,
-            w -> {
-              long renewed = w.now;
-              w.now += 20_000;
-              w.responder.recordActivity(w.now);
-              assertTrue(w.responder.isLeaseUncertain(renewed, w.now));
-              assertFalse(w.responder.isLeaseUncertain(w.now + 10, w.now + 20), "renewed since");
-              // In an outage nobody can be asked: the answers go on, so that leases live.
-              assertFalse(w.responder.isLeaseUncertain(renewed, w.now + 1_500));
-              w.pass(4_500, 0, 40);
-              assertEquals(0, w.returned());
-              w.pass(20_000, 0, 0);
-              assertEquals(0, w.returned());
+            cluster -> {
+              long renewedMs = cluster.now;
+              cluster.now += 20_000;
+              cluster.responder.recordActivity(cluster.now);
+              assertTrue(cluster.responder.isLeaseUncertain(renewedMs, cluster.now));
+              assertFalse(
+                  cluster.responder.isLeaseUncertain(cluster.now + 10, cluster.now + 20),
+                  "the lease was renewed after the pause");
+              // In an outage of the state service the lease cannot be renewed: the leader responds
+              // again after 1.5 s, so that the workers' leases stay valid.
+              assertFalse(cluster.responder.isLeaseUncertain(renewedMs, cluster.now + 1_500));
+              cluster.advance(4_500, 0, 40);
+              assertEquals(0, cluster.deletedMachines());
+              cluster.advance(20_000, 0, 0);
+              assertEquals(0, cluster.deletedMachines());
             }),
-        day(
-            "a freeze that ends as the leases end, in a cut: the cut is seen again, nobody hurries",
+        scenario(
+            "after a pause of about a lease a partition is detected anew; deletions stay limited",
             false,
-            w -> {
-              w.pass(3_000, 0, 20);
-              w.now += LEASE_MS - 3_000;
-              w.pass(9_000, 0, 20);
-              assertEquals(0, w.returned());
-              w.pass(10_000, 0, 20);
-              assertTrue(w.health.failureDetector().isPartitioned(0));
-              assertTrue(w.returned() <= 11, "returned " + w.returned());
+            cluster -> {
+              cluster.advance(3_000, 0, 20);
+              cluster.now += LEASE_MS - 3_000;
+              cluster.advance(9_000, 0, 20);
+              assertEquals(0, cluster.deletedMachines());
+              cluster.advance(10_000, 0, 20);
+              assertTrue(cluster.health.failureDetector().isPartitioned(0));
+              assertTrue(cluster.deletedMachines() <= 11, "deleted " + cluster.deletedMachines());
             }),
-        day(
-            "a machine that reports and hears nothing gets no work, is returned, and frees by proof",
+        scenario(
+            "a machine without responses gets no tasks; its confirmed deletion frees its tasks",
             false,
-            w -> {
-              Machine m = w.machines.get(3);
-              w.deafFrom = 3;
-              w.deafTo = 4;
-              m.fencingToken++; // Something that only an answer tells it.
-              w.pass(20_000, 0, 0);
+            cluster -> {
+              Machine machine = cluster.machines.get(3);
+              cluster.unansweredFrom = 3;
+              cluster.unansweredTo = 4;
+              machine.fencingToken++; // The machine learns the new token only from a response.
+              cluster.advance(20_000, 0, 0);
               assertEquals(
-                  StartRefusal.DRAINING_OR_FAILED, w.schedulerState.machineRefusal(m, w.now));
-              assertEquals(1, w.returned());
-              assertEquals(0, w.job.waitingCount()); // Nothing is freed by a suspicion.
-              w.schedulerState.machineDeleted(m, w.now);
-              assertEquals(4, w.job.waitingCount());
+                  StartRefusal.DRAINING_OR_FAILED,
+                  cluster.schedulerState.machineRefusal(machine, cluster.now));
+              assertEquals(1, cluster.deletedMachines());
+              assertEquals(0, cluster.job.waitingCount()); // A suspicion alone frees nothing.
+              cluster.schedulerState.machineDeleted(machine, cluster.now);
+              assertEquals(4, cluster.job.waitingCount());
             }),
-        day(
-            "of a deaf zone no more is returned than of a cut one; it works again when it hears",
+        scenario(
+            "a zone without responses is not deleted as a whole, and is used again on recovery",
             false,
-            w -> {
-              w.deafFrom = 0;
-              w.deafTo = 20;
-              w.machines.forEach(m -> m.fencingToken++);
-              w.pass(22_000, 0, 0);
-              int gone = w.returned();
-              assertTrue(gone >= 8 && gone <= 16, "returned " + gone);
-              for (Machine m : w.machines.subList(0, 20)) {
+            cluster -> {
+              cluster.unansweredFrom = 0;
+              cluster.unansweredTo = 20;
+              cluster.machines.forEach(machine -> machine.fencingToken++);
+              cluster.advance(22_000, 0, 0);
+              int deleted = cluster.deletedMachines();
+              assertTrue(deleted >= 8 && deleted <= 16, "deleted " + deleted);
+              for (Machine machine : cluster.machines.subList(0, 20)) {
                 assertTrue(
-                    m.deleting
-                        || w.schedulerState.machineRefusal(m, w.now)
+                    machine.deleting
+                        || cluster.schedulerState.machineRefusal(machine, cluster.now)
                             == StartRefusal.OUTBOUND_UNREACHABLE);
               }
-              w.deafTo = 0;
-              w.pass(12_000, 0, 0);
-              gone = w.returned();
-              for (Machine m : w.machines.subList(0, 20)) {
+              cluster.unansweredTo = 0;
+              cluster.advance(12_000, 0, 0);
+              deleted = cluster.deletedMachines();
+              for (Machine machine : cluster.machines.subList(0, 20)) {
                 assertEquals(
-                    m.deleting ? StartRefusal.DRAINING_OR_FAILED : null,
-                    w.schedulerState.machineRefusal(m, w.now));
+                    machine.deleting ? StartRefusal.DRAINING_OR_FAILED : null,
+                    cluster.schedulerState.machineRefusal(machine, cluster.now));
               }
-              w.pass(20_000, 0, 0);
-              assertEquals(gone, w.returned());
+              cluster.advance(20_000, 0, 0);
+              assertEquals(deleted, cluster.deletedMachines());
             }),
-        day(
-            "a leader alone with its workers sends each of them round once in a lease",
+        scenario(
+            "an isolated leader redirects each worker once per lease duration",
             false,
-            w -> {
-              Heartbeat r = JobSpecs.report(w.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
-              assertTrue(w.responder.tryRedirect(r, w.now));
-              assertFalse(w.responder.tryRedirect(r, w.now + 6_000));
-              assertFalse(w.responder.tryRedirect(r, w.now + LEASE_MS - 1));
-              assertTrue(w.responder.tryRedirect(r, w.now + LEASE_MS));
+            cluster -> {
+              Heartbeat heartbeat =
+                  JobSpecs.report(cluster.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
+              assertTrue(cluster.responder.tryRedirect(heartbeat, cluster.now));
+              assertFalse(cluster.responder.tryRedirect(heartbeat, cluster.now + 6_000));
+              assertFalse(cluster.responder.tryRedirect(heartbeat, cluster.now + LEASE_MS - 1));
+              assertTrue(cluster.responder.tryRedirect(heartbeat, cluster.now + LEASE_MS));
               assertTrue(
-                  w.responder.tryRedirect(
-                      JobSpecs.report(w.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
-                      w.now + 10));
+                  cluster.responder.tryRedirect(
+                      JobSpecs.report(cluster.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
+                      cluster.now + 10));
             }),
-        day(
-            "a wave of taken machines in the zone that is left is dealt with in spite of the cut",
+        scenario(
+            "preempted machines are deleted although another zone is partitioned",
             false,
-            w -> {
-              w.pass(6_000, 0, 20);
-              assertTrue(w.health.failureDetector().isPartitioned(0));
-              w.pass(14_000, 0, 26);
-              int taken = 0;
+            cluster -> {
+              cluster.advance(6_000, 0, 20);
+              assertTrue(cluster.health.failureDetector().isPartitioned(0));
+              cluster.advance(14_000, 0, 26);
+              int preempted = 0;
               for (int i = 20; i < 26; i++) {
-                taken += w.machines.get(i).deleting ? 1 : 0;
+                preempted += cluster.machines.get(i).deleting ? 1 : 0;
               }
-              assertEquals(6, taken);
-              assertTrue(w.returned() <= 6 + 13, "returned " + w.returned());
+              assertEquals(6, preempted);
+              assertTrue(
+                  cluster.deletedMachines() <= 6 + 13, "deleted " + cluster.deletedMachines());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -13,15 +13,18 @@
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.state.KeyValueStore;
 
-/** Processes that are back at once, and what the one before them left behind. */
+/**
+ * Tests elections with restarted processes, whose previous process left a lease, a leader record or
+ * a late transaction behind.
+ */
 final class LeaderElectionTest {
-  /** Processes that elect, on one store. */
-  private static final class Here {
-    private final SteppedClock c = new SteppedClock();
+  /** A stepped clock, and processes that take part in an election on its store. */
+  private static final class ElectionFixture {
+    private final SteppedClock clock = new SteppedClock();
 
     private final class Process implements LeaderElection.Listener {
-      private long elected;
-      private final SteppedClock.Process process = c.new Process();
+      private long electedTerm;
+      private final SteppedClock.Process process = clock.new Process();
       private final LeaderElection election;
 
       Process(String node) {
@@ -30,117 +33,127 @@
         election.start();
       }
 
-      void dies() {
+      void crash() {
         process.dead = true;
       }
 
       @Override
       public void elected(long term, long version) {
-        elected = term;
+        electedTerm = term;
       }
 
       @Override
       public void deposed() {
-        elected = 0;
+        electedTerm = 0;
       }
     }
 
-    private void run(long ms) {
-      c.run(ms);
+    private void advance(long ms) {
+      clock.run(ms);
     }
 
-    private JsonNode leader() {
-      return c.store.value(LeaderElection.LEADER_KEY);
+    private JsonNode storedLeader() {
+      return clock.store.value(LeaderElection.LEADER_KEY);
     }
   }
 
-  private static DynamicTest rule(String name, Consumer<Here> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new Here()));
+  private static DynamicTest scenario(String name, Consumer<ElectionFixture> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new ElectionFixture()));
   }
 
   @TestFactory
   Stream<DynamicTest> elections() {
     return Stream.of(
-        rule(
-            "a process that is back does not wait for the lease of the one before, nor use it",
-            h -> {
-              Here.Process before = h.new Process("n0");
-              h.run(200);
-              assertEquals(1, before.elected);
-              before.dies();
-              Here.Process after = h.new Process("n0");
-              h.run(100);
-              assertEquals(0, after.elected);
-              assertEquals(null, h.leader());
-              h.run(1_400);
-              assertEquals(1 + FencingTokens.TOKENS_PER_TERM, after.elected);
+        scenario(
+            "a restarted process neither awaits its predecessor's lease nor takes over its term",
+            fixture -> {
+              ElectionFixture.Process previousProcess = fixture.new Process("n0");
+              fixture.advance(200);
+              assertEquals(1, previousProcess.electedTerm);
+              previousProcess.crash();
+              ElectionFixture.Process restartedProcess = fixture.new Process("n0");
+              fixture.advance(100);
+              assertEquals(0, restartedProcess.electedTerm);
+              assertEquals(null, fixture.storedLeader());
+              fixture.advance(1_400);
+              assertEquals(1 + FencingTokens.TOKENS_PER_TERM, restartedProcess.electedTerm);
             }),
-        rule(
-            "the others have the office first when its holder's process is back",
-            h -> {
-              Here.Process before = h.new Process("n0");
-              h.run(200);
-              Here.Process other = h.new Process("n1");
-              h.run(200);
-              before.dies();
-              Here.Process after = h.new Process("n0");
-              h.run(2_000);
-              assertTrue(other.election.isLeading());
-              assertFalse(after.election.isLeading());
-              assertEquals("n1", after.election.leader());
+        scenario(
+            "another node is elected before the restarted process of the previous leader",
+            fixture -> {
+              ElectionFixture.Process previousProcess = fixture.new Process("n0");
+              fixture.advance(200);
+              ElectionFixture.Process otherProcess = fixture.new Process("n1");
+              fixture.advance(200);
+              previousProcess.crash();
+              ElectionFixture.Process restartedProcess = fixture.new Process("n0");
+              fixture.advance(2_000);
+              assertTrue(otherProcess.election.isLeading());
+              assertFalse(restartedProcess.election.isLeading());
+              assertEquals("n1", restartedProcess.election.leader());
             }),
-        rule(
-            "an election of the process before that is applied late is not taken for one's own",
-            h -> {
-              // Both read the same term record, so both stand for the same term; the answer of the
-              // living one is lost, and what it then reads has its name and its term. An earlier
-              // build's record names no lease, so nobody ends it before.
-              long lease = lease(h);
-              h.c.loseAnswers = true;
-              h.c.beforeMulti =
+        scenario(
+            "a process does not mistake the late election of its predecessor for its own",
+            fixture -> {
+              // Both processes read the same term record, so both try to be elected for the same
+              // term. The response of the running process is lost, and the record that it then
+              // reads has its name and its term. The record has no lease field, like those of older
+              // versions, so no process releases its lease.
+              long lease = grantLease(fixture);
+              fixture.clock.loseAnswers = true;
+              fixture.clock.beforeMulti =
                   () -> {
-                    h.c.beforeMulti = () -> {};
-                    late(h, lease);
+                    fixture.clock.beforeMulti = () -> {};
+                    executeLateElection(fixture, lease);
                   };
-              Here.Process after = h.new Process("n0");
-              h.run(1_700);
-              assertEquals("n0", h.leader() == null ? "n0" : h.leader().path("node").asText());
-              assertFalse(after.election.isLeading());
-              h.c.loseAnswers = false;
-              h.run(6_000);
-              assertTrue(after.election.isLeading());
-              assertTrue(after.elected > FencingTokens.last(1));
+              ElectionFixture.Process restartedProcess = fixture.new Process("n0");
+              fixture.advance(1_700);
+              assertEquals(
+                  "n0",
+                  fixture.storedLeader() == null
+                      ? "n0"
+                      : fixture.storedLeader().path("node").asText());
+              assertFalse(restartedProcess.election.isLeading());
+              fixture.clock.loseAnswers = false;
+              fixture.advance(6_000);
+              assertTrue(restartedProcess.election.isLeading());
+              assertTrue(restartedProcess.electedTerm > FencingTokens.last(1));
             }),
-        rule(
-            "tokens within the term are one's own; the first beyond ends the office",
-            h -> {
-              Here.Process p = h.new Process("n0");
-              h.run(200);
-              p.election.tokenSeen(FencingTokens.last(p.elected));
-              assertTrue(p.election.isLeading());
-              p.election.tokenSeen(FencingTokens.last(1) + 1);
-              assertFalse(p.election.isLeading());
+        scenario(
+            "a token of the leader's own term keeps its leadership; the first higher one ends it",
+            fixture -> {
+              ElectionFixture.Process process = fixture.new Process("n0");
+              fixture.advance(200);
+              process.election.tokenSeen(FencingTokens.last(process.electedTerm));
+              assertTrue(process.election.isLeading());
+              process.election.tokenSeen(FencingTokens.last(1) + 1);
+              assertFalse(process.election.isLeading());
             }),
-        rule(
-            "a record of an earlier build, a plain number, is followed by a higher term",
-            h -> {
-              put(h, "{\"writes\":[{\"put\":\"term\",\"v\":{\"n\":41}}]}");
-              Here.Process p = h.new Process("n0");
-              h.run(200);
-              assertEquals(42, p.elected);
+        scenario(
+            "a higher term follows a term record of an older version, which holds the term itself",
+            fixture -> {
+              executeTransaction(fixture, "{\"writes\":[{\"put\":\"term\",\"v\":{\"n\":41}}]}");
+              ElectionFixture.Process process = fixture.new Process("n0");
+              fixture.advance(200);
+              assertEquals(42, process.electedTerm);
               assertEquals(
                   FencingTokens.last(42),
-                  h.c.store.value(LeaderElection.TERM_KEY).path("n").asLong());
+                  fixture.clock.store.value(LeaderElection.TERM_KEY).path("n").asLong());
             }));
   }
 
-  private static long lease(Here h) {
-    return h.c.serve("POST", "/leases", "{\"life_ms\":3000}").body().path("tenure").asLong();
+  private static long grantLease(ElectionFixture fixture) {
+    return fixture
+        .clock
+        .serve("POST", "/leases", "{\"life_ms\":3000}")
+        .body()
+        .path("tenure")
+        .asLong();
   }
 
-  private static void late(Here h, long lease) {
-    put(
-        h,
+  private static void executeLateElection(ElectionFixture fixture, long lease) {
+    executeTransaction(
+        fixture,
         "{\"if\":[{\"key\":\"leader\",\"mark\":0},{\"key\":\"term\",\"mark\":0}],\"writes\":["
             + "{\"put\":\"leader\",\"v\":{\"node\":\"n0\",\"term\":1},\"tenure\":"
             + lease
@@ -149,7 +162,7 @@
             + "}}]}");
   }
 
-  private static void put(Here h, String multi) {
-    assertEquals(200, h.c.serve("POST", "/multi", multi).status());
+  private static void executeTransaction(ElectionFixture fixture, String body) {
+    assertEquals(200, fixture.clock.serve("POST", "/multi", body).status());
   }
 }
--- a/src/test/java/org/mallowroad/state/TransactionRetryTest.java
+++ b/src/test/java/org/mallowroad/state/TransactionRetryTest.java
@@ -12,89 +12,93 @@
 import org.mallowroad.SteppedClock;
 import org.mallowroad.wire.Json;
 
-/** Transactions whose answers are lost, and what their callers hear of them. */
+/**
+ * Tests the outcomes reported for transactions whose responses are lost, and the number of retries.
+ */
 final class TransactionRetryTest {
-  private static final class Here {
-    private final SteppedClock c = new SteppedClock();
-    private final SteppedClock.Process p = c.new Process();
-    private final KeyValueStore state = new KeyValueStore(p, p, p);
-    private final List<String> heard = new ArrayList<>();
-    private int copies;
+  private static final class RetryFixture {
+    private final SteppedClock clock = new SteppedClock();
+    private final SteppedClock.Process process = clock.new Process();
+    private final KeyValueStore store = new KeyValueStore(process, process, process);
+    private final List<String> outcomes = new ArrayList<>();
+    private int retries;
 
-    Here() {
-      // The service's usual time is known.
+    RetryFixture() {
+      // Train the latency estimate with the service's usual response time.
       for (int i = 0; i < 40; i++) {
-        state.get("a/" + i, (result, item) -> {});
-        c.run(10);
+        store.get("a/" + i, (result, item) -> {});
+        clock.run(10);
       }
     }
 
-    private void put(String key) {
+    private void sendPut(String key) {
       Transaction transaction = new Transaction().requireVersion(key, 0).put(key, Json.object());
-      long sent = c.now;
-      state.compareAndSwapWithRetry(
+      long sentMs = clock.now;
+      store.compareAndSwapWithRetry(
           transaction,
-          () -> copies++,
-          (result, revision, failed) -> heard.add(result + " after " + (c.now - sent) / 100));
+          () -> retries++,
+          (result, revision, failed) ->
+              outcomes.add(result + " after " + (clock.now - sentMs) / 100));
     }
   }
 
-  private static DynamicTest rule(String name, Consumer<Here> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new Here()));
+  private static DynamicTest scenario(String name, Consumer<RetryFixture> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new RetryFixture()));
   }
 
   @TestFactory
-  Stream<DynamicTest> answers() {
+  Stream<DynamicTest> transactionOutcomes() {
     return Stream.of(
-        rule(
-            "an answer in time needs no copy",
-            h -> {
-              h.put("k");
-              h.c.run(5_000);
-              assertEquals(List.of("OK after 0"), h.heard);
-              assertEquals(0, h.copies);
+        scenario(
+            "a response in time causes no retry",
+            fixture -> {
+              fixture.sendPut("k");
+              fixture.clock.run(5_000);
+              assertEquals(List.of("OK after 0"), fixture.outcomes);
+              assertEquals(0, fixture.retries);
             }),
-        rule(
-            "a lost answer is known within a part of a second: the copy finds the key written",
-            h -> {
-              h.c.loseNext = 1;
-              h.put("k");
-              h.c.run(5_000);
-              assertEquals(List.of("CONDITION_FAILED after 0"), h.heard);
-              assertEquals(1, h.copies);
+        scenario(
+            "after a lost response, a retry fails on its condition and reports it within 100 ms",
+            fixture -> {
+              fixture.clock.loseNext = 1;
+              fixture.sendPut("k");
+              fixture.clock.run(5_000);
+              assertEquals(List.of("CONDITION_FAILED after 0"), fixture.outcomes);
+              assertEquals(1, fixture.retries);
             }),
-        rule(
-            "with all answers lost it is unknown, said once, after a few copies",
-            h -> {
-              h.c.loseAnswers = true;
-              h.put("k");
-              h.c.run(10_000);
-              assertEquals(1, h.heard.size());
-              assertTrue(h.heard.get(0).startsWith("UNKNOWN"), h.heard.toString());
-              assertEquals(2, h.copies);
+        scenario(
+            "if all responses are lost, the outcome is UNKNOWN, reported once, after two retries",
+            fixture -> {
+              fixture.clock.loseAnswers = true;
+              fixture.sendPut("k");
+              fixture.clock.run(10_000);
+              assertEquals(1, fixture.outcomes.size());
+              assertTrue(
+                  fixture.outcomes.get(0).startsWith("UNKNOWN"), fixture.outcomes.toString());
+              assertEquals(2, fixture.retries);
             }),
-        rule(
-            "a refusal is an answer; while calls are refused nothing is sent again",
-            h -> {
-              h.c.crowdedUntilMs = h.c.now + 1_000;
-              h.put("k");
-              h.c.run(500);
-              assertEquals(List.of("NOT_EXECUTED after 0"), h.heard);
-              h.c.crowdedUntilMs = 0;
-              h.c.loseNext = 1;
-              h.put("l");
-              h.c.run(300);
-              assertEquals(0, h.copies);
+        scenario(
+            "a throttled call counts as answered, and nothing is retried while calls are throttled",
+            fixture -> {
+              fixture.clock.crowdedUntilMs = fixture.clock.now + 1_000;
+              fixture.sendPut("k");
+              fixture.clock.run(500);
+              assertEquals(List.of("NOT_EXECUTED after 0"), fixture.outcomes);
+              fixture.clock.crowdedUntilMs = 0;
+              fixture.clock.loseNext = 1;
+              fixture.sendPut("l");
+              fixture.clock.run(300);
+              assertEquals(0, fixture.retries);
             }),
-        rule(
-            "copies are bounded, however many answers are lost",
-            h -> {
-              h.c.loseAnswers = true;
+        scenario(
+            "the number of retries is bounded, however many responses are lost",
+            fixture -> {
+              fixture.clock.loseAnswers = true;
               for (int i = 0; i < 200; i++) {
-                h.put("k" + i);
-                h.c.run(10);
+                fixture.sendPut("k" + i);
+                fixture.clock.run(10);
               }
-              assertTrue(h.copies <= 30, "copies: " + h.copies);
+              assertTrue(fixture.retries <= 30, "retries: " + fixture.retries);
             }));
   }
 }
