--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -37,22 +37,22 @@
         id,
         new JobRecordReader.Listener() {
           @Override
-          public void open(JsonNode value, long version) {
+          public void onOpen(JsonNode value, long version) {
             commit(x, id, value, version, retries);
           }
 
           @Override
-          public void over(boolean done) {
-            x.answer(200, JobLookup.status(id, done), false);
+          public void onEnded(boolean done) {
+            x.respond(200, JobLookup.status(id, done), false);
           }
 
           @Override
-          public void absent() {
-            x.answer(404, Reply.reason("no such job"), false);
+          public void onAbsent() {
+            x.respond(404, JsonResponses.errorBody("no such job"), false);
           }
 
           @Override
-          public void unavailable() {
+          public void onUnavailable() {
             JobLookup.answerUnavailable(x);
           }
         });
@@ -77,7 +77,7 @@
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
             lookup.ended(id, false);
-            x.answer(200, JobLookup.status(id, false), false);
+            x.respond(200, JobLookup.status(id, false), false);
           } else if (result == CallResult.CONDITION_FAILED && retries < MAX_RETRIES) {
             cancel(x, id, retries + 1);
           } else {
--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -44,7 +44,7 @@
   }
 
   /** Serves one request, on the event loop. */
-  public void request(IncomingRequest x) {
+  public void route(IncomingRequest x) {
     String path = x.path();
     if (path.equals(HEARTBEATS)) {
       if (isAllowed(x, true)) {
@@ -62,14 +62,14 @@
           serve(x);
         }
       } else {
-        Reply.error(x, 404, "no such path");
+        JsonResponses.sendError(x, 404, "no such path");
       }
     } else if (path.equals(HEALTH)) {
       if (isAllowed(x, false)) {
         if (healthy.get()) {
           text(x, "ok\n");
         } else {
-          Reply.retryLater(x, "not ready");
+          JsonResponses.sendRetryLater(x, "not ready");
         }
       }
     } else if (path.equals(METRICS)) {
@@ -77,7 +77,7 @@
         text(x, metrics.get());
       }
     } else {
-      Reply.error(x, 404, "no such path");
+      JsonResponses.sendError(x, 404, "no such path");
     }
   }
 
@@ -86,14 +86,14 @@
   }
 
   private void serve(IncomingRequest x) {
-    users.serve(x.method(), x.path(), x.body(), Reply.responder(x));
+    users.serve(x.method(), x.path(), x.body(), JsonResponses.responderFor(x));
   }
 
   private static boolean isAllowed(IncomingRequest x, boolean post) {
     if (x.method().equals(post ? "POST" : "GET")) {
       return true;
     }
-    Reply.error(x, 405, "method not allowed");
+    JsonResponses.sendError(x, 405, "method not allowed");
     return false;
   }
 }
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -33,7 +33,7 @@
       KeyValueStore state,
       ReadQueue reads,
       double burst,
-      UserApi.Jobs jobs,
+      UserApi.LocalJobs jobs,
       int maxConditions,
       int maxRememberedEnds) {
     this.reads = reads;
@@ -107,7 +107,7 @@
    */
   void answer(Responder x, String id, Runnable absent, Runnable unavailable) {
     if (ends.containsKey(id)) {
-      x.answer(200, status(id, ends.getBoolean(id)), false);
+      x.respond(200, status(id, ends.getBoolean(id)), false);
       return;
     }
     openJobs.ask(
@@ -127,31 +127,31 @@
     JobRecordReader.Listener reader =
         new JobRecordReader.Listener() {
           @Override
-          public void open(JsonNode value, long version) {
+          public void onOpen(JsonNode value, long version) {
             answerUnavailable(x); // The end record alone is read.
           }
 
           @Override
-          public void over(boolean done) {
-            x.answer(200, status(id, done), false);
+          public void onEnded(boolean done) {
+            x.respond(200, status(id, done), false);
           }
 
           @Override
-          public void absent() {
+          public void onAbsent() {
             answerUnavailable(x); // It was there a moment ago: a 404 would be wrong.
           }
 
           @Override
-          public void unavailable() {
+          public void onUnavailable() {
             answerUnavailable(x);
           }
         };
-    reads.acquire(1, () -> readEnd(id, reader), reader::unavailable);
+    reads.acquire(1, () -> readEnd(id, reader), reader::onUnavailable);
   }
 
   /** Answers that the state service is not reached, and that the client may retry. */
   static void answerUnavailable(Responder x) {
-    x.answer(503, Reply.reason("state service not reached"), true);
+    x.respond(503, JsonResponses.errorBody("state service not reached"), true);
   }
 
   /**
@@ -160,17 +160,17 @@
    */
   void read(String id, JobRecordReader.Listener reader) {
     if (ends.containsKey(id)) {
-      reader.over(ends.getBoolean(id));
+      reader.onEnded(ends.getBoolean(id));
       return;
     }
     openJobs.ask(
         id,
         (status, job) -> {
           switch (status) {
-            case OPEN -> reads.acquire(2, () -> readOpen(id, reader), reader::unavailable);
-            case OVER -> reads.acquire(1, () -> readEnd(id, reader), reader::unavailable);
-            case ABSENT -> reader.absent();
-            default -> reader.unavailable();
+            case OPEN -> reads.acquire(2, () -> readOpen(id, reader), reader::onUnavailable);
+            case OVER -> reads.acquire(1, () -> readEnd(id, reader), reader::onUnavailable);
+            case ABSENT -> reader.onAbsent();
+            default -> reader.onUnavailable();
           }
         });
   }
@@ -180,9 +180,9 @@
         id,
         new EndRememberingListener(id, reader) {
           @Override
-          public void open(JsonNode value, long version) {
+          public void onOpen(JsonNode value, long version) {
             reads.release(); // One call was enough.
-            super.open(value, version);
+            super.onOpen(value, version);
           }
         });
   }
@@ -202,24 +202,24 @@
     }
 
     @Override
-    public void open(JsonNode value, long version) {
-      reader.open(value, version);
+    public void onOpen(JsonNode value, long version) {
+      reader.onOpen(value, version);
     }
 
     @Override
-    public void over(boolean done) {
+    public void onEnded(boolean done) {
       ended(id, done);
-      reader.over(done);
+      reader.onEnded(done);
     }
 
     @Override
-    public void absent() {
-      reader.absent();
+    public void onAbsent() {
+      reader.onAbsent();
     }
 
     @Override
-    public void unavailable() {
-      reader.unavailable();
+    public void onUnavailable() {
+      reader.onUnavailable();
     }
   }
 
--- a/src/main/java/org/mallowroad/api/Reply.java
+++ b/src/main/java/org/mallowroad/api/JsonResponses.java
@@ -7,35 +7,35 @@
 import org.mallowroad.wire.Json;
 
 /** Builds and sends JSON responses. */
-public final class Reply {
+public final class JsonResponses {
   private static final String JSON = "application/json";
 
-  private Reply() {}
+  private JsonResponses() {}
 
   /** Sends a JSON body. */
-  public static void json(IncomingRequest x, int status, JsonNode body) {
-    x.answer(status, JSON, Json.bytes(body), false);
+  public static void send(IncomingRequest x, int status, JsonNode body) {
+    x.answer(status, JSON, Json.toBytes(body), false);
   }
 
   /** A responder that answers this request. */
-  public static Responder responder(IncomingRequest x) {
-    return (status, body, retryLater) -> x.answer(status, JSON, Json.bytes(body), retryLater);
+  public static Responder responderFor(IncomingRequest x) {
+    return (status, body, retryLater) -> x.answer(status, JSON, Json.toBytes(body), retryLater);
   }
 
   /** A body that tells the reason of an error. */
-  public static ObjectNode reason(String reason) {
+  public static ObjectNode errorBody(String reason) {
     ObjectNode o = Json.object();
     o.put(Fields.ERROR, reason);
     return o;
   }
 
   /** Sends an error with its reason. */
-  public static void error(IncomingRequest x, int status, String reason) {
-    json(x, status, reason(reason));
+  public static void sendError(IncomingRequest x, int status, String reason) {
+    send(x, status, errorBody(reason));
   }
 
   /** Sends 503 with a reason, and tells the client to retry after a second. */
-  public static void retryLater(IncomingRequest x, String reason) {
-    x.answer(503, JSON, Json.bytes(reason(reason)), true);
+  public static void sendRetryLater(IncomingRequest x, String reason) {
+    x.answer(503, JSON, Json.toBytes(errorBody(reason)), true);
   }
 }
--- a/src/main/java/org/mallowroad/api/Responder.java
+++ b/src/main/java/org/mallowroad/api/Responder.java
@@ -13,5 +13,5 @@
    *
    * @param retryLater whether the client is told to retry after a second
    */
-  void answer(int status, ObjectNode body, boolean retryLater);
+  void respond(int status, ObjectNode body, boolean retryLater);
 }
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -47,7 +47,7 @@
   private final KeyValueStore state;
   private final JobLookup lookup;
   private final ClaimService claims;
-  private final UserApi.Jobs jobs;
+  private final UserApi.LocalJobs jobs;
   private final RateLimiter writes;
   private final RateLimiter fairWrites;
   private final double maxValueBytes;
@@ -58,16 +58,16 @@
       KeyValueStore state,
       JobLookup lookup,
       ClaimService claims,
-      UserApi.Jobs jobs,
+      UserApi.LocalJobs jobs,
       UserApi.Limits limits) {
-    this.retries = new RateLimiter(RETRY_SHARE * limits.readBurst(), RETRY_BURST, loop.now());
+    this.retries = new RateLimiter(RETRY_SHARE * limits.readsPerSecond(), RETRY_BURST, loop.now());
     this.loop = loop;
     this.state = state;
     this.lookup = lookup;
     this.claims = claims;
     this.jobs = jobs;
-    this.writes = limits.writes();
-    this.fairWrites = limits.fairWrites();
+    this.writes = limits.writeLimiter();
+    this.fairWrites = limits.fairShareWriteLimiter();
     this.maxValueBytes = limits.maxValueKb() * 1024 - ENVELOPE_BYTES;
   }
 
@@ -90,14 +90,14 @@
       lookup.answer(x, id, () -> JobLookup.answerUnavailable(x));
       return;
     }
-    if (!jobs.knowsMachineTypes()) {
-      x.answer(503, Reply.reason("machine types not known yet"), true);
+    if (!jobs.hasMachineTypes()) {
+      x.respond(503, JsonResponses.errorBody("machine types not known yet"), true);
       return;
     }
-    Optional<String> impossible = jobs.whyImpossible(parsed.spec);
+    Optional<String> impossible = jobs.rejectionReason(parsed.spec);
     if (impossible.isPresent()) {
       // A job that was accepted stays accepted, whatever types and limits say today.
-      lookup.answer(x, id, () -> x.answer(422, Reply.reason(impossible.get()), false));
+      lookup.answer(x, id, () -> x.respond(422, JsonResponses.errorBody(impossible.get()), false));
       return;
     }
     if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.answersPromptly()) {
@@ -122,7 +122,7 @@
       ((ObjectNode) value.get("job"))
           .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(ClaimService.blockKeys(games)));
     }
-    if (Json.bytes(value).length > maxValueBytes) {
+    if (Json.toBytes(value).length > maxValueBytes) {
       throw new InvalidMessageException("the submission is too large");
     }
     return new Parsed(spec, games, value);
@@ -134,9 +134,9 @@
    * 503, since a 400 to an accepted job would say that it is lost.
    */
   private void reject(Responder x, ObjectNode o, String reason) {
-    Runnable refuse = () -> x.answer(400, Reply.reason(reason), false);
+    Runnable refuse = () -> x.respond(400, JsonResponses.errorBody(reason), false);
     String id = o == null ? "" : o.path(Fields.ID).asText();
-    if (JobCodec.ID.matcher(id).matches()) {
+    if (JobCodec.ID_PATTERN.matcher(id).matches()) {
       lookup.answer(x, id, refuse);
     } else {
       refuse.run();
@@ -145,7 +145,7 @@
 
   private void recordJob(Responder x, Parsed parsed) {
     if (!jobs.tryAdmit() || !tryAcquireWrite()) {
-      x.answer(429, Reply.reason("too many submissions"), true);
+      x.respond(429, JsonResponses.errorBody("too many submissions"), true);
       return;
     }
     if (parsed.spec.dependencies() == JobDependencies.NONE) {
@@ -169,15 +169,16 @@
   private void answerAcceptance(Responder x, String id, AcceptanceResult result) {
     String reason = result.reason();
     switch (result.status()) {
-      case ACCEPTED -> x.answer(201, queued(id), false);
-      case KNOWN -> lookup.answer(x, id, () -> tryAgain(x));
-      case REJECTED -> lookup.answer(x, id, () -> x.answer(422, Reply.reason(reason), false));
-      default -> lookup.answer(x, id, () -> x.answer(503, Reply.reason(reason), true));
+      case ACCEPTED -> x.respond(201, queued(id), false);
+      case DUPLICATE -> lookup.answer(x, id, () -> tryAgain(x));
+      case REJECTED ->
+          lookup.answer(x, id, () -> x.respond(422, JsonResponses.errorBody(reason), false));
+      default -> lookup.answer(x, id, () -> x.respond(503, JsonResponses.errorBody(reason), true));
     }
   }
 
   private static void tryAgain(Responder x) {
-    x.answer(503, Reply.reason("try again"), true);
+    x.respond(503, JsonResponses.errorBody("try again"), true);
   }
 
   private static ObjectNode queued(String id) {
@@ -214,7 +215,7 @@
           switch (result) {
             case OK -> {
               lookup.opened(id, revision);
-              x.answer(201, queued(id), false);
+              x.respond(201, queued(id), false);
             }
             case CONDITION_FAILED -> lookup.answer(x, id, () -> tryAgain(x));
             default -> JobLookup.answerUnavailable(x);
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -29,7 +29,7 @@
   private final KeyValueStore state;
   private final ReadQueue reads;
   private final double burst;
-  private final UserApi.Jobs jobs;
+  private final UserApi.LocalJobs jobs;
 
   /** By job, from the newest listing of shared start records. */
   private Map<String, JobProgress> shared = Map.of();
@@ -39,7 +39,7 @@
   private boolean listing;
 
   TaskCounts(
-      EventLoop loop, KeyValueStore state, ReadQueue reads, double burst, UserApi.Jobs jobs) {
+      EventLoop loop, KeyValueStore state, ReadQueue reads, double burst, UserApi.LocalJobs jobs) {
     this.loop = loop;
     this.state = state;
     this.reads = reads;
@@ -51,11 +51,11 @@
   void answer(Responder x, OpenJobs.Entry job) {
     JobProgress own = jobs.progress(job.id);
     if (own != null) {
-      x.answer(200, status(job.id, own), false);
+      x.respond(200, status(job.id, own), false);
       return;
     }
     if (loop.now() - job.countedMs() < MAX_AGE_MS) {
-      x.answer(200, status(job.id, job.progress()), false);
+      x.respond(200, status(job.id, job.progress()), false);
       return;
     }
     listShared(() -> answerCounted(x, job));
@@ -69,7 +69,7 @@
       listOwn(x, job);
       return;
     }
-    x.answer(200, status(job.id, job.progress()), false);
+    x.respond(200, status(job.id, job.progress()), false);
   }
 
   /** Runs a task when the listing of shared records is fresh, or when it cannot be read now. */
@@ -123,7 +123,7 @@
             }
             job.counted(new JobProgress(done, running), loop.now());
           }
-          x.answer(200, status(job.id, job.progress()), false);
+          x.respond(200, status(job.id, job.progress()), false);
         });
   }
 
@@ -131,9 +131,9 @@
   static ObjectNode status(String id, JobProgress progress) {
     ObjectNode o = Json.object();
     o.put(Fields.ID, id);
-    o.put(Fields.STATE, progress.running() > 0 ? Fields.RUNNING : Fields.QUEUED);
-    o.put(Fields.DONE, progress.done());
-    o.put(Fields.RUNNING, progress.running());
+    o.put(Fields.STATE, progress.runningTasks() > 0 ? Fields.RUNNING : Fields.QUEUED);
+    o.put(Fields.DONE, progress.doneTasks());
+    o.put(Fields.RUNNING, progress.runningTasks());
     return o;
   }
 }
--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -23,17 +23,17 @@
   private static final int CONDITIONS_PER_OP = 4;
 
   private final JobLookup lookup;
-  private final ClaimService claims;
+  private final ClaimService claimService;
   private final Submissions submissions;
   private final CancelRequests cancelRequests;
 
   /** What the node knows besides the state service. */
-  public interface Jobs {
+  public interface LocalJobs {
     /** Validates and decodes a submission, without giving its names indices. */
     JobSpec validate(JsonNode submission) throws InvalidMessageException;
 
     /** Whether the machine types are known. */
-    boolean knowsMachineTypes();
+    boolean hasMachineTypes();
 
     /** Takes one admission for a job that is not known yet; false when none is left now. */
     default boolean tryAdmit() {
@@ -41,78 +41,78 @@
     }
 
     /** Why the job can never run on any machine type, or empty. */
-    Optional<String> whyImpossible(JobSpec spec);
+    Optional<String> rejectionReason(JobSpec spec);
 
     /** The job's tasks as the leader on this node knows them, or null. */
     JobProgress progress(String id);
   }
 
   /**
-   * What users' requests may use.
+   * The limits within which users' requests call the state service.
    *
-   * @param reads calls to the state service for users
-   * @param readBurst calls a second, and at once
-   * @param writes all that the leader leaves of the state service's writes
-   * @param fairWrites this node's part of them
-   * @param maxValueKb the longest value of a key
-   * @param maxConditions conditions in one transaction
-   * @param maxRememberedEnds jobs whose end is remembered
+   * @param readLimiter limits the read calls for users
+   * @param readsPerSecond the rate of {@code readLimiter}, which is also its burst
+   * @param writeLimiter admits all writes to the state service that the leader leaves unused
+   * @param fairShareWriteLimiter admits only this node's fair share of those writes
+   * @param maxValueKb the maximum size of a value, in KB
+   * @param maxConditions the maximum number of conditions in one transaction
+   * @param maxCachedOutcomes the maximum number of ended jobs whose outcome is cached
    */
   public record Limits(
-      RateLimiter reads,
-      double readBurst,
-      RateLimiter writes,
-      RateLimiter fairWrites,
+      RateLimiter readLimiter,
+      double readsPerSecond,
+      RateLimiter writeLimiter,
+      RateLimiter fairShareWriteLimiter,
       double maxValueKb,
       int maxConditions,
-      int maxRememberedEnds) {}
+      int maxCachedOutcomes) {}
 
   /** Serves users' requests from the state service. */
-  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, Jobs jobs) {
-    ReadQueue reads = new ReadQueue(loop, limits.reads());
+  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, LocalJobs jobs) {
+    ReadQueue reads = new ReadQueue(loop, limits.readLimiter());
     this.lookup =
         new JobLookup(
             loop,
             state,
             reads,
-            limits.readBurst(),
+            limits.readsPerSecond(),
             jobs,
             limits.maxConditions(),
-            limits.maxRememberedEnds());
-    this.claims =
+            limits.maxCachedOutcomes());
+    this.claimService =
         new ClaimService(
             loop,
             state,
-            limits.writes(),
+            limits.writeLimiter(),
             limits.maxConditions() / CONDITIONS_PER_OP,
             limits.maxValueKb(),
             lookup::finalOutcome);
-    this.submissions = new Submissions(loop, state, lookup, claims, jobs, limits);
-    this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writes());
+    this.submissions = new Submissions(loop, state, lookup, claimService, jobs, limits);
+    this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writeLimiter());
   }
 
   /** The acceptance of jobs with claims; a leader abandons claims that are not finished. */
-  public ClaimService claims() {
-    return claims;
+  public ClaimService claimService() {
+    return claimService;
   }
 
   /** Sets the listener of cancellations, called once for each that this node learns of. */
-  public void onCancelled(Consumer<String> listener) {
+  public void setCancellationListener(Consumer<String> listener) {
     lookup.onCancelled(listener);
   }
 
   /** Remembers a job's end, which is committed. */
-  public void ended(String id, boolean done) {
+  public void cacheOutcome(String id, boolean done) {
     lookup.ended(id, done);
   }
 
   /** The number of jobs whose end is remembered. */
-  public int rememberedEnds() {
+  public int cachedOutcomeCount() {
     return lookup.rememberedEnds();
   }
 
   /** The number of open jobs that are remembered. */
-  public int rememberedOpenJobs() {
+  public int cachedOpenJobCount() {
     return lookup.rememberedOpenJobs();
   }
 
@@ -136,7 +136,7 @@
 
   /** Serves GET /v1/jobs/{id}. */
   public void query(Responder x, String id) {
-    if (JobCodec.ID.matcher(id).matches()) {
+    if (JobCodec.ID_PATTERN.matcher(id).matches()) {
       lookup.answer(x, id, () -> notFound(x));
     } else {
       notFound(x);
@@ -145,7 +145,7 @@
 
   /** Serves POST /v1/jobs/{id}/withdraw. */
   public void cancel(Responder x, String id) {
-    if (JobCodec.ID.matcher(id).matches()) {
+    if (JobCodec.ID_PATTERN.matcher(id).matches()) {
       cancelRequests.cancel(x, id);
     } else {
       notFound(x);
@@ -153,6 +153,6 @@
   }
 
   private static void notFound(Responder x) {
-    x.answer(404, Reply.reason("no such job"), false);
+    x.respond(404, JsonResponses.errorBody("no such job"), false);
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/AcceptanceResult.java
+++ b/src/main/java/org/mallowroad/api/claim/AcceptanceResult.java
@@ -11,7 +11,7 @@
     /** The job is recorded with all its claims. */
     ACCEPTED,
     /** The id was accepted before, or its job is over. */
-    KNOWN,
+    DUPLICATE,
     /** The job can never be accepted, such as one of whose games another job is folded. */
     REJECTED,
     /** A game is claimed by a job that is not over, or an earlier claim is being abandoned. */
--- a/src/main/java/org/mallowroad/api/claim/ClaimService.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimService.java
@@ -129,7 +129,7 @@
   }
 
   /** Reads what has become of a job; empty when the state service does not answer. */
-  public void jobOutcome(String job, Consumer<Optional<JobOutcome>> listener) {
+  public void readJobOutcome(String job, Consumer<Optional<JobOutcome>> listener) {
     JobOutcome known = finalOutcome(job);
     if (known != null) {
       listener.accept(Optional.of(known));
@@ -139,22 +139,22 @@
         job,
         new JobRecordReader.Listener() {
           @Override
-          public void open(JsonNode value, long version) {
+          public void onOpen(JsonNode value, long version) {
             listener.accept(Optional.of(JobOutcome.OPEN));
           }
 
           @Override
-          public void over(boolean done) {
+          public void onEnded(boolean done) {
             listener.accept(Optional.of(done ? JobOutcome.DONE : JobOutcome.CANCELLED));
           }
 
           @Override
-          public void absent() {
+          public void onAbsent() {
             listener.accept(Optional.of(JobOutcome.CLAIMING));
           }
 
           @Override
-          public void unavailable() {
+          public void onUnavailable() {
             listener.accept(Optional.empty());
           }
         });
--- a/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
@@ -136,7 +136,7 @@
     Map<BlockKey, Block> out = new TreeMap<>();
     int bytes = 0;
     for (Map.Entry<BlockKey, Block> e : changed.entrySet()) {
-      bytes += Json.text(FoldCodec.encodeBlock(e.getValue())).length() + OVERHEAD_BYTES;
+      bytes += Json.toText(FoldCodec.encodeBlock(e.getValue())).length() + OVERHEAD_BYTES;
       if (!out.isEmpty() && (out.size() + otherOps >= maxOps || bytes > MAX_TRANSACTION_BYTES)) {
         break;
       }
--- a/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
+++ b/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
@@ -188,7 +188,7 @@
       return;
     }
     String other = jobs.poll();
-    service.jobOutcome(
+    service.readJobOutcome(
         other,
         outcome -> {
           if (outcome.isEmpty()) {
@@ -202,7 +202,7 @@
 
   private void commit(Map<BlockKey, Block> changed) {
     for (Block b : changed.values()) {
-      if (Json.text(FoldCodec.encodeBlock(b)).length() > context.maxValueBytes()) {
+      if (Json.toText(FoldCodec.encodeBlock(b)).length() > context.maxValueBytes()) {
         end(
             AcceptanceResult.Status.REJECTED,
             "folds: the record of these games is full, with too many members' names");
@@ -253,7 +253,7 @@
   private void conditionFailed(
       List<String> failed, Runnable intentChanged, Collection<BlockKey> written) {
     if (isKnown(failed)) {
-      end(AcceptanceResult.Status.KNOWN, "");
+      end(AcceptanceResult.Status.DUPLICATE, "");
     } else if (failed.contains(RecordKeys.foldIntent(id))) {
       intentChanged.run();
     } else {
@@ -268,7 +268,7 @@
 
   private void recordIntent() {
     ObjectNode value = IntentRecord.inProgress(loop.wallMs(), gamesHash, keys);
-    if (Json.text(value).length() > context.maxValueBytes()) {
+    if (Json.toText(value).length() > context.maxValueBytes()) {
       end(
           AcceptanceResult.Status.REJECTED,
           "folds: the games are in too many parts of their leagues");
@@ -284,7 +284,7 @@
         },
         failed -> {
           if (isKnown(failed)) {
-            end(AcceptanceResult.Status.KNOWN, "");
+            end(AcceptanceResult.Status.DUPLICATE, "");
           } else {
             adoptIntent();
           }
@@ -339,7 +339,7 @@
         RecordKeys.foldIntent(id),
         (JsonNode value, long version) -> {
           if (value == null) {
-            end(AcceptanceResult.Status.KNOWN, "");
+            end(AcceptanceResult.Status.DUPLICATE, "");
           } else {
             end(AcceptanceResult.Status.CONFLICT, ABANDONED);
           }
--- a/src/main/java/org/mallowroad/api/claim/JobRecordReader.java
+++ b/src/main/java/org/mallowroad/api/claim/JobRecordReader.java
@@ -13,16 +13,16 @@
   /** What a job's records say; one method is called, once. */
   public interface Listener {
     /** The job is open: the value and version of its open record. */
-    void open(JsonNode value, long version);
+    void onOpen(JsonNode value, long version);
 
     /** The job is over: done, or else cancelled. */
-    void over(boolean done);
+    void onEnded(boolean done);
 
     /** There is no such job. */
-    void absent();
+    void onAbsent();
 
     /** The state service did not answer. */
-    void unavailable();
+    void onUnavailable();
   }
 
   /** Reads from the state service. */
@@ -39,9 +39,9 @@
         RecordKeys.openJob(id),
         (result, open) -> {
           if (result != CallResult.OK) {
-            listener.unavailable();
+            listener.onUnavailable();
           } else if (open.value() != null) {
-            listener.open(open.value(), open.version());
+            listener.onOpen(open.value(), open.version());
           } else {
             readEnd(id, listener);
           }
@@ -54,11 +54,11 @@
         RecordKeys.endedJob(id),
         (result, end) -> {
           if (result != CallResult.OK) {
-            listener.unavailable();
+            listener.onUnavailable();
           } else if (end.value() == null) {
-            listener.absent();
+            listener.onAbsent();
           } else {
-            listener.over(JobRecordCodec.isDone(end.value()));
+            listener.onEnded(JobRecordCodec.isDone(end.value()));
           }
         });
   }
--- a/src/main/java/org/mallowroad/calendar/file/TableFile.java
+++ b/src/main/java/org/mallowroad/calendar/file/TableFile.java
@@ -325,7 +325,7 @@
       ObjectNode whole = o.deepCopy().put(Fields.ID, "job-9");
       new JobCodec(
               new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex())
-          .check(whole);
+          .validate(whole);
     } catch (InvalidMessageException e) {
       throw bad(x, "job: " + e.getMessage());
     }
--- a/src/main/java/org/mallowroad/cli/InspectCommands.java
+++ b/src/main/java/org/mallowroad/cli/InspectCommands.java
@@ -79,7 +79,7 @@
           return 3;
         }
       }
-      if (!JobCodec.ID.matcher(id).matches()) {
+      if (!JobCodec.ID_PATTERN.matcher(id).matches()) {
         System.err.println("mallowroad: not a job id (they look like job-000412)");
         return 2;
       }
--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -204,7 +204,7 @@
       if (typingFor == '/') {
         filter = typing.toLowerCase(Locale.ROOT);
         page = 0;
-      } else if (JobCodec.ID.matcher(typing).matches()) {
+      } else if (JobCodec.ID_PATTERN.matcher(typing).matches()) {
         job = typing;
         page = 0;
       }
--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -119,8 +119,8 @@
           void succeeded(ObjectNode body) throws InvalidMessageException {
             CloudCodec.MachinePage page = CloudCodec.decodePage(body);
             earlierPages.addAll(page.machines());
-            if (page.next() != null) {
-              listPage(FIRST_PAGE_PATH + "&from=" + page.next(), earlierPages, listener);
+            if (page.nextPageToken() != null) {
+              listPage(FIRST_PAGE_PATH + "&from=" + page.nextPageToken(), earlierPages, listener);
             } else {
               listener.accept(Optional.of(earlierPages));
             }
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -162,12 +162,12 @@
     String path = x.getRequestPath();
     if (!x.getRequestMethod().equals(Methods.GET)) {
       send(x, 405, ConsoleCodec.encode(new Refusal("only GET is known here")));
-    } else if (path.equals(ConsoleCodec.PATH + "picture")) {
+    } else if (path.equals(ConsoleCodec.PATH_PREFIX + "picture")) {
       picture(x);
-    } else if (path.equals(ConsoleCodec.PATH + "history")) {
+    } else if (path.equals(ConsoleCodec.PATH_PREFIX + "history")) {
       send(x, 200, ConsoleCodec.encode(past.points()));
-    } else if (path.startsWith(ConsoleCodec.PATH + "jobs/")) {
-      job(x, path.substring((ConsoleCodec.PATH + "jobs/").length()));
+    } else if (path.startsWith(ConsoleCodec.PATH_PREFIX + "jobs/")) {
+      job(x, path.substring((ConsoleCodec.PATH_PREFIX + "jobs/").length()));
     } else {
       send(x, 404, ConsoleCodec.encode(new Refusal("no such page")));
     }
@@ -207,7 +207,7 @@
   }
 
   private void job(HttpServerExchange x, String id) {
-    if (!JobCodec.ID.matcher(id).matches()) {
+    if (!JobCodec.ID_PATTERN.matcher(id).matches()) {
       send(x, 404, ConsoleCodec.encode(new Refusal("not a job id")));
       return;
     }
--- a/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
+++ b/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
@@ -133,7 +133,7 @@
 
   private NodeView node(String address) {
     long began = System.nanoTime();
-    BoundedHttpGet.Answer a = fetch.get(address, ConsoleCodec.PATH + "picture");
+    BoundedHttpGet.Answer a = fetch.get(address, ConsoleCodec.PATH_PREFIX + "picture");
     long ms = (System.nanoTime() - began) / 1_000_000;
     if (a.status() == 0) {
       Standing s =
@@ -159,7 +159,7 @@
   public JobSnapshot job(String id) {
     return first(
         n -> {
-          BoundedHttpGet.Answer a = fetch.get(n, ConsoleCodec.PATH + "jobs/" + id);
+          BoundedHttpGet.Answer a = fetch.get(n, ConsoleCodec.PATH_PREFIX + "jobs/" + id);
           try {
             return a.status() == 200 ? ConsoleCodec.decodeJob(a.body()) : null;
           } catch (InvalidMessageException e) {
@@ -196,7 +196,7 @@
   }
 
   private List<MetricSample> history(String node) {
-    BoundedHttpGet.Answer a = fetch.get(node, ConsoleCodec.PATH + "history");
+    BoundedHttpGet.Answer a = fetch.get(node, ConsoleCodec.PATH_PREFIX + "history");
     try {
       return a.status() == 200 ? ConsoleCodec.decodeHistory(a.body()) : List.of();
     } catch (InvalidMessageException e) {
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -209,8 +209,8 @@
         if (o == null) {
           throw new InvalidMessageException("has no lists: not a state service");
         }
-        for (JsonNode n : Json.list(o, Fields.ITEMS)) {
-          from = Json.string(n, Fields.KEY, 400);
+        for (JsonNode n : Json.requiredArray(o, Fields.ITEMS)) {
+          from = Json.requiredString(n, Fields.KEY, 400);
           if (!from.startsWith(prefix) || !(n.get(Fields.VALUE) instanceof ObjectNode v)) {
             throw new InvalidMessageException("answers with something else than records");
           }
--- a/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
@@ -1,6 +1,6 @@
 package org.mallowroad.controller;
 
-import org.mallowroad.api.Reply;
+import org.mallowroad.api.JsonResponses;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.linkstate.HeartbeatRelay;
 import org.mallowroad.core.linkstate.LinkPolicy;
@@ -59,9 +59,9 @@
     }
     if (links.isPeerDown(peer)) {
       // Neither of us gets there: the next node may, and the worker must not wait to hear it.
-      Reply.retryLater(request, LEADER_NOT_REACHED);
+      JsonResponses.sendRetryLater(request, LEADER_NOT_REACHED);
     } else if (inFlight >= MAX_IN_FLIGHT) {
-      Reply.retryLater(request, "too many reports are carried");
+      JsonResponses.sendRetryLater(request, "too many reports are carried");
     } else {
       send(request, peer);
     }
@@ -98,7 +98,7 @@
           @Override
           public void failed(boolean sent) {
             inFlight--;
-            Reply.retryLater(request, LEADER_NOT_REACHED);
+            JsonResponses.sendRetryLater(request, LEADER_NOT_REACHED);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -329,7 +329,7 @@
       try {
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(report));
       } catch (InvalidMessageException e) {
-        answer.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
+        answer.answered(400, Json.toBytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
@@ -344,12 +344,13 @@
           new HeartbeatResponder() {
             @Override
             public void respond(long fencingToken, List<WorkerCommand> commands) {
-              answer.answered(200, Json.bytes(WorkerCodec.encodeCommands(fencingToken, commands)));
+              answer.answered(
+                  200, Json.toBytes(WorkerCodec.encodeCommands(fencingToken, commands)));
             }
 
             @Override
             public void retryLater() {
-              answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
+              answer.answered(503, Json.toBytes(Json.object().put(Fields.ERROR, "not now")));
             }
           });
     }
@@ -357,9 +358,9 @@
     private void redirect(RequestSender.ResponseHandler answer) {
       String leader = election.leader();
       if (leader == null || leader.equals(settings.node())) {
-        answer.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
+        answer.answered(503, Json.toBytes(Json.object().put(Fields.ERROR, "no leader known")));
       } else {
-        answer.answered(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
+        answer.answered(421, Json.toBytes(Json.object().put(Fields.LEADER, leader)));
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -106,7 +106,7 @@
 
     @Override
     public void jobDone(Job job) {
-      users.ended(job.spec.id(), true);
+      users.cacheOutcome(job.spec.id(), true);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/MachineTypeCache.java
+++ b/src/main/java/org/mallowroad/controller/MachineTypeCache.java
@@ -126,7 +126,7 @@
             return;
           }
           ObjectNode value = MachineTypeCodec.encode(types, clusterConfig.zones);
-          if (Json.bytes(value).length > clusterConfig.settings.valueKb() * 1024) {
+          if (Json.toBytes(value).length > clusterConfig.settings.valueKb() * 1024) {
             LOG.warn("event=machine_types_not_saved reason=\"too large\"");
             return;
           }
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -198,7 +198,7 @@
   private final class Requests implements NodeEnvironment.RequestHandler {
     @Override
     public void request(IncomingRequest request) {
-      router.request(request);
+      router.route(request);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -136,7 +136,7 @@
     this.cancellations = new CancellationPropagation(loop, settings, peers);
     this.leadership =
         new LocalLeadership(newLeaderServices(), peers, users, admission, machineTypes);
-    users.onCancelled(this::cancellationLearnt);
+    users.setCancellationListener(this::cancellationLearnt);
     if (links != null) {
       peers.setRelayTransport(links.transport());
       workers.setRelay(links.transport()::relayCommands);
@@ -191,7 +191,7 @@
         clusterConfig,
         election,
         workers,
-        users.claims(),
+        users.claimService(),
         () -> links == null ? 0 : links.links().freshAdvertisementCount(loop.now()));
   }
 
@@ -218,7 +218,7 @@
   }
 
   /** What the node knows of jobs besides their records. */
-  private final class JobChecks implements UserApi.Jobs {
+  private final class JobChecks implements UserApi.LocalJobs {
     @Override
     public boolean tryAdmit() {
       return admission.tryAdmit(loop.now());
@@ -226,16 +226,16 @@
 
     @Override
     public JobSpec validate(JsonNode submission) throws InvalidMessageException {
-      return clusterConfig.codec.check(submission);
+      return clusterConfig.codec.validate(submission);
     }
 
     @Override
-    public boolean knowsMachineTypes() {
+    public boolean hasMachineTypes() {
       return !clusterConfig.machineTypes().isEmpty();
     }
 
     @Override
-    public Optional<String> whyImpossible(JobSpec spec) {
+    public Optional<String> rejectionReason(JobSpec spec) {
       return Optional.ofNullable(clusterConfig.rejectionReason(spec));
     }
 
@@ -249,7 +249,7 @@
   private final class PeerListener implements PeerMessenger.Listener {
     @Override
     public void cancelled(List<String> jobs) {
-      cancellations.received(jobs, users::ended);
+      cancellations.received(jobs, users::cacheOutcome);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -107,8 +107,8 @@
     gauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
     gauge("mallowroad.collector.share", m -> MemoryMetrics.collectorShare());
     gauge("mallowroad.bodies.bytes", m -> m.node.host.bufferedBodyBytes());
-    gauge("mallowroad.kept.ends", m -> m.node.users.rememberedEnds());
-    gauge("mallowroad.kept.opens", m -> m.node.users.rememberedOpenJobs());
+    gauge("mallowroad.kept.ends", m -> m.node.users.cachedOutcomeCount());
+    gauge("mallowroad.kept.opens", m -> m.node.users.cachedOpenJobCount());
     gauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
     gauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
   }
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -1,7 +1,7 @@
 package org.mallowroad.controller;
 
 import org.mallowroad.api.HttpRouter;
-import org.mallowroad.api.Reply;
+import org.mallowroad.api.JsonResponses;
 import org.mallowroad.api.Responder;
 import org.mallowroad.api.UserApi;
 import org.mallowroad.core.linkstate.RouteSelector;
@@ -66,14 +66,14 @@
         (status, answer, later) -> {
           if (status == UNAVAILABLE) {
             peers.relayToAnyPeer(
-                method, path, body, responder, () -> responder.answer(status, answer, later));
+                method, path, body, responder, () -> responder.respond(status, answer, later));
           } else {
-            responder.answer(status, answer, later);
+            responder.respond(status, answer, later);
           }
         });
   }
 
   private static void refuse(Responder responder) {
-    responder.answer(UNAVAILABLE, Reply.reason(STATE_NOT_REACHED), true);
+    responder.respond(UNAVAILABLE, JsonResponses.errorBody(STATE_NOT_REACHED), true);
   }
 }
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -232,7 +232,7 @@
       onResolved.accept(jobOutcomes);
       return;
     }
-    claims.jobOutcome(
+    claims.readJobOutcome(
         job,
         jobOutcome -> {
           jobOutcome.ifPresent(outcome -> jobOutcomes.put(job, outcome));
--- a/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
+++ b/src/main/java/org/mallowroad/controller/dependency/GateEvaluation.java
@@ -223,7 +223,7 @@
       next.run();
       return;
     }
-    claims.jobOutcome(
+    claims.readJobOutcome(
         jobId,
         outcome -> {
           if (outcome.isEmpty()) {
--- a/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
@@ -169,7 +169,7 @@
     }
     try {
       // Through text, as the stored value went: numbers may differ in type otherwise.
-      return Json.parseObject(Json.bytes(written)).equals(found);
+      return Json.parseObject(Json.toBytes(written)).equals(found);
     } catch (InvalidMessageException e) {
       return false; // Not possible for a value that was built here.
     }
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -327,7 +327,7 @@
         .requireVersion(RecordKeys.attemptRecord(c), c.version)
         .put(RecordKeys.attemptRecord(c), value);
     writtenRecords.add(new WrittenRecord(c, c.changeCount, false, starts, value));
-    estimatedBytes += Json.text(value).length() + KEY_BYTES;
+    estimatedBytes += Json.toText(value).length() + KEY_BYTES;
   }
 
   private static List<Attempt> uncommittedStarts(AttemptRecord c) {
--- a/src/main/java/org/mallowroad/fake/FakeCloud.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -167,14 +167,14 @@
   }
 
   private ObjectNode rented(ObjectNode r) throws InvalidMessageException, IOException {
-    String rental = Json.string(r, "hire", 200);
+    String rental = Json.requiredString(r, "hire", 200);
     ObjectNode o = rentals.get(rental);
     if (o != null) {
       return o;
     }
     o = Json.object();
     ArrayNode names = o.putArray("hearths");
-    String type = Json.string(r, "build", 200);
+    String type = Json.requiredString(r, "build", 200);
     double bootS =
         types.stream()
             .filter(t -> t.name.equals(type))
@@ -187,7 +187,7 @@
               this,
               String.format("n-%06d", ++count),
               type,
-              Json.string(r, "ground", 200),
+              Json.requiredString(r, "ground", 200),
               r.path("driftwood").asBoolean(),
               (long) (1000 * bootPart * bootS));
       workers.put(w.name, w);
--- a/src/main/java/org/mallowroad/fake/FakeStateService.java
+++ b/src/main/java/org/mallowroad/fake/FakeStateService.java
@@ -136,7 +136,7 @@
   }
 
   static void send(HttpExchange x, int status, JsonNode o) throws IOException {
-    byte[] b = Json.bytes(o);
+    byte[] b = Json.toBytes(o);
     x.sendResponseHeaders(status, b.length);
     x.getResponseBody().write(b);
     x.close();
--- a/src/main/java/org/mallowroad/fake/FakeWorker.java
+++ b/src/main/java/org/mallowroad/fake/FakeWorker.java
@@ -132,7 +132,7 @@
     byte[] body;
     long sentMs = System.currentTimeMillis();
     synchronized (this) {
-      body = Json.bytes(state());
+      body = Json.toBytes(state());
     }
     if (at == cloud.cutFrom) {
       at = (at + 1) % cloud.controllers().size();
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -217,7 +217,7 @@
             if (isRetriable(response.status())) {
               failed();
             } else {
-              responder.answer(response.status(), Json.parseObject(response.body()), false);
+              responder.respond(response.status(), Json.parseObject(response.body()), false);
             }
           }
 
@@ -242,7 +242,7 @@
         new RelayedResponseHandler() {
           @Override
           void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException {
-            responder.answer(
+            responder.respond(
                 response.status(),
                 Json.parseObject(response.body()),
                 isRetriable(response.status()));
@@ -324,7 +324,8 @@
         r.path(),
         r.body(),
         (status, body, retryLater) -> {
-          byte[] message = codec().encode(new PeerCodec.RelayedResponse(status, Json.bytes(body)));
+          byte[] message =
+              codec().encode(new PeerCodec.RelayedResponse(status, Json.toBytes(body)));
           request.answer(200, AVRO, message, false);
         });
   }
--- a/src/main/java/org/mallowroad/simulation/CloudModel.java
+++ b/src/main/java/org/mallowroad/simulation/CloudModel.java
@@ -109,7 +109,7 @@
     } catch (InvalidMessageException e) {
       status = 400;
     }
-    reply.answer(status, Json.bytes(o));
+    reply.answer(status, Json.toBytes(o));
   }
 
   private void list(ObjectNode o) {
@@ -138,12 +138,12 @@
   }
 
   private ObjectNode rent(ObjectNode r) throws InvalidMessageException {
-    String rental = Json.string(r, "hire", 200);
+    String rental = Json.requiredString(r, "hire", 200);
     ObjectNode known = rentals.get(rental);
     if (known != null) {
       return known;
     }
-    String zone = Json.string(r, "ground", 200);
+    String zone = Json.requiredString(r, "ground", 200);
     ObjectNode o = Json.object();
     ArrayNode names = o.putArray("hearths");
     long there = machines.values().stream().filter(m -> m.worker.zone.equals(zone)).count();
--- a/src/main/java/org/mallowroad/simulation/StateModel.java
+++ b/src/main/java/org/mallowroad/simulation/StateModel.java
@@ -134,7 +134,7 @@
         long block = InMemoryKeyValueStore.block(target);
         watches.add(new PendingWatch(node, target, reply, time.ms() + block));
       } else {
-        reply.answer(a.status(), Json.bytes(a.body()));
+        reply.answer(a.status(), Json.toBytes(a.body()));
       }
       if (store.revision() != before) {
         wake();
@@ -157,7 +157,7 @@
         }
         if (a != null) {
           it.remove();
-          w.reply.answer(a.status(), Json.bytes(a.body()));
+          w.reply.answer(a.status(), Json.toBytes(a.body()));
         }
       } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
--- a/src/main/java/org/mallowroad/simulation/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -198,7 +198,7 @@
         node,
         "POST",
         "/v1/jobs",
-        Json.bytes(bodies.get(id)),
+        Json.toBytes(bodies.get(id)),
         SUBMIT_MS,
         (status, standing) -> checker.submitted(id, status, standing, sentMs));
   }
@@ -294,7 +294,7 @@
     }
     o.put("cairn_s", 0.0).put("stow_s", 0.0).put("due_s", 60.0);
     bodies.put(s.id(), o);
-    submit(s, Json.bytes(o));
+    submit(s, Json.toBytes(o));
     if (cancelAfterMs > 0) {
       time.after(cancelAfterMs * 1000, this, () -> cancel(s, time.ms()));
     }
@@ -389,7 +389,7 @@
     ask(
         "POST",
         "/v1/jobs",
-        Json.bytes(bodies.get(id)),
+        Json.toBytes(bodies.get(id)),
         SUBMIT_MS,
         CONNECT_TRIES,
         (status, standing) -> checker.submitted(id, status, standing, sentMs));
@@ -438,7 +438,7 @@
     ask(
         "POST",
         "/v1/jobs",
-        Json.bytes(o),
+        Json.toBytes(o),
         SUBMIT_MS,
         CONNECT_TRIES,
         (status, standing) -> checker.answeredInvalid(what, status));
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -207,7 +207,7 @@
         nodes.get(at),
         "POST",
         "/v1/report",
-        Json.bytes(state()),
+        Json.toBytes(state()),
         ANSWER_MS,
         new RequestSender.ResponseHandler() {
           @Override
@@ -296,9 +296,9 @@
         saw(o.path("baton").asLong());
         o.path("orders").forEach(this::obey);
       }
-      reply.answer(stale ? 409 : 200, Json.bytes(state()));
+      reply.answer(stale ? 409 : 200, Json.toBytes(state()));
     } else {
-      reply.answer(200, Json.bytes(state()));
+      reply.answer(200, Json.toBytes(state()));
     }
   }
 
--- a/src/main/java/org/mallowroad/state/JobRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/JobRecordCodec.java
@@ -29,7 +29,7 @@
   public static ObjectNode encodeOpen(ObjectNode submission, long nowMs) {
     ObjectNode o = Json.object();
     o.put(SUBMITTED_AT, nowMs);
-    o.set(JOB, JobCodec.record(submission));
+    o.set(JOB, JobCodec.copyKnownFields(submission));
     return o;
   }
 
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -307,7 +307,7 @@
     sender.call(
         "POST",
         "/multi",
-        Json.bytes(transaction.requestBody()),
+        Json.toBytes(transaction.requestBody()),
         TIMEOUT_MS,
         new CallHandler(health, loop.now()) {
           @Override
--- a/src/main/java/org/mallowroad/state/StateServiceCodec.java
+++ b/src/main/java/org/mallowroad/state/StateServiceCodec.java
@@ -47,13 +47,13 @@
   /** One item: the response to a read, or an element of a list. */
   static VersionedValue item(JsonNode o) throws InvalidMessageException {
     return new VersionedValue(
-        Json.string(o, Fields.KEY, MAX_KEY_CHARS), o.get(Fields.VALUE), version(o));
+        Json.requiredString(o, Fields.KEY, MAX_KEY_CHARS), o.get(Fields.VALUE), version(o));
   }
 
   /** The items of a list. */
   static List<VersionedValue> items(ObjectNode body) throws InvalidMessageException {
     List<VersionedValue> items = new ArrayList<>();
-    for (JsonNode n : Json.list(body, Fields.ITEMS)) {
+    for (JsonNode n : Json.requiredArray(body, Fields.ITEMS)) {
       items.add(item(n));
     }
     return items;
@@ -68,9 +68,10 @@
   /** The changes of a watch; those that deleted a key have no value. */
   static List<VersionedValue> events(ObjectNode body) throws InvalidMessageException {
     List<VersionedValue> events = new ArrayList<>();
-    for (JsonNode e : Json.list(body, Fields.EVENTS)) {
+    for (JsonNode e : Json.requiredArray(body, Fields.EVENTS)) {
       JsonNode deleted = e.get(Fields.DELETE);
-      String key = deleted != null ? deleted.asText() : Json.string(e, Fields.PUT, MAX_KEY_CHARS);
+      String key =
+          deleted != null ? deleted.asText() : Json.requiredString(e, Fields.PUT, MAX_KEY_CHARS);
       JsonNode value = deleted != null ? null : e.get(Fields.VALUE);
       events.add(new VersionedValue(key, value, version(e)));
     }
@@ -78,12 +79,12 @@
   }
 
   private static long version(JsonNode o) throws InvalidMessageException {
-    return Json.integer(o, Fields.VERSION, 0, Long.MAX_VALUE);
+    return Json.requiredInteger(o, Fields.VERSION, 0, Long.MAX_VALUE);
   }
 
   /** The service's revision when it answered. */
   static long revision(ObjectNode body) throws InvalidMessageException {
-    return Json.integer(body, Fields.REVISION, 0, Long.MAX_VALUE);
+    return Json.requiredInteger(body, Fields.REVISION, 0, Long.MAX_VALUE);
   }
 
   /** The keys whose conditions did not hold; the service may name the first alone. */
@@ -102,6 +103,6 @@
 
   /** Body of a request for a lease. */
   static byte[] grantLease(long durationMs) {
-    return Json.bytes(Json.object().put(Fields.LEASE_DURATION_MS, durationMs));
+    return Json.toBytes(Json.object().put(Fields.LEASE_DURATION_MS, durationMs));
   }
 }
--- a/src/main/java/org/mallowroad/wire/CloudCodec.java
+++ b/src/main/java/org/mallowroad/wire/CloudCodec.java
@@ -37,9 +37,10 @@
   /**
    * One page of the list of machines.
    *
-   * @param next the name after which the next page begins, or null on the last page
+   * @param nextPageToken the name of the last machine of this page, after which the next page
+   *     begins; null on the last page
    */
-  public record MachinePage(List<ListedMachine> machines, String next) {}
+  public record MachinePage(List<ListedMachine> machines, String nextPageToken) {}
 
   /**
    * A request to rent machines.
@@ -52,7 +53,7 @@
   public static MachinePage decodePage(ObjectNode page) throws InvalidMessageException {
     List<ListedMachine> machines = new ArrayList<>();
     String last = null;
-    for (JsonNode m : Json.list(page, Fields.MACHINES)) {
+    for (JsonNode m : Json.requiredArray(page, Fields.MACHINES)) {
       ListedMachine machine = decodeMachine(m);
       last = machine.name();
       machines.add(machine);
@@ -62,15 +63,15 @@
   }
 
   private static ListedMachine decodeMachine(JsonNode m) throws InvalidMessageException {
-    String address = Json.stringOrNull(m, Fields.ADDRESS, MAX_TYPE_LENGTH);
+    String address = Json.optionalString(m, Fields.ADDRESS, MAX_TYPE_LENGTH);
     return new ListedMachine(
-        Json.string(m, Fields.ID, MAX_NAME_LENGTH),
-        Json.string(m, Fields.MACHINE_TYPE, MAX_TYPE_LENGTH),
-        Json.string(m, Fields.ZONE, MAX_TYPE_LENGTH),
-        Json.bool(m, Fields.SPOT),
+        Json.requiredString(m, Fields.ID, MAX_NAME_LENGTH),
+        Json.requiredString(m, Fields.MACHINE_TYPE, MAX_TYPE_LENGTH),
+        Json.requiredString(m, Fields.ZONE, MAX_TYPE_LENGTH),
+        Json.requiredBoolean(m, Fields.SPOT),
         address == null ? "" : address,
-        Json.string(m, Fields.STATE, MAX_STATE_LENGTH),
-        Json.amountOr(m, Fields.AGE_S, MAX_AGE_S, 0));
+        Json.requiredString(m, Fields.STATE, MAX_STATE_LENGTH),
+        Json.optionalNumber(m, Fields.AGE_S, MAX_AGE_S, 0));
   }
 
   /** Encodes a request to rent machines. */
@@ -81,13 +82,13 @@
     o.put(Fields.ZONE, request.zone());
     o.put(Fields.SPOT, request.spot());
     o.put(Fields.COUNT, request.count());
-    return Json.bytes(o);
+    return Json.toBytes(o);
   }
 
   /** Decodes the names of the machines that a request rented. */
   public static List<String> decodeRentedNames(ObjectNode response) throws InvalidMessageException {
     List<String> names = new ArrayList<>();
-    for (JsonNode n : Json.list(response, Fields.MACHINES)) {
+    for (JsonNode n : Json.requiredArray(response, Fields.MACHINES)) {
       names.add(n.asText());
     }
     return names;
@@ -98,6 +99,6 @@
     ObjectNode o = Json.object();
     ArrayNode list = o.putArray(Fields.MACHINES);
     names.forEach(list::add);
-    return Json.bytes(o);
+    return Json.toBytes(o);
   }
 }
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -20,7 +20,7 @@
  */
 public final class ConsoleCodec {
   /** The prefix of the console's paths; its last part is the version of the API. */
-  public static final String PATH = "/console/v1/";
+  public static final String PATH_PREFIX = "/console/v1/";
 
   private static final ObjectMapper MAPPER =
       new ObjectMapper()
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -61,13 +61,13 @@
     if (!n.hasNonNull(JOBS)) {
       return List.of();
     }
-    ArrayNode a = Json.list(n, JOBS);
+    ArrayNode a = Json.requiredArray(n, JOBS);
     if (a.size() > MAX_JOBS) {
       throw new InvalidMessageException(JOBS + ": at most " + MAX_JOBS + " jobs");
     }
     Set<String> out = new LinkedHashSet<>();
     for (JsonNode j : a) {
-      if (!j.isTextual() || !JobCodec.ID.matcher(j.textValue()).matches()) {
+      if (!j.isTextual() || !JobCodec.ID_PATTERN.matcher(j.textValue()).matches()) {
         throw new InvalidMessageException(JOBS + ": job ids are needed");
       }
       out.add(j.textValue());
@@ -79,7 +79,7 @@
     if (!n.hasNonNull(GAMES)) {
       return List.of();
     }
-    ArrayNode a = Json.list(n, GAMES);
+    ArrayNode a = Json.requiredArray(n, GAMES);
     if (a.size() > MAX_GAMES) {
       throw new InvalidMessageException(GAMES + ": at most " + MAX_GAMES + " of them");
     }
@@ -98,8 +98,8 @@
   }
 
   private static RequiredGames game(JsonNode g) throws InvalidMessageException {
-    String league = Json.string(g, LEAGUE, FoldCodec.MAX_LEAGUE_LENGTH);
-    String member = Json.stringOrNull(g, MEMBER, FoldCodec.MAX_MEMBER_LENGTH);
+    String league = Json.requiredString(g, LEAGUE, FoldCodec.MAX_LEAGUE_LENGTH);
+    String member = Json.optionalString(g, MEMBER, FoldCodec.MAX_MEMBER_LENGTH);
     if (!FoldCodec.LEAGUE.matcher(league).matches()) {
       throw new InvalidMessageException(
           "league: letters, digits, dots, dashes and underscores are needed");
@@ -108,7 +108,8 @@
       throw new InvalidMessageException(
           "member: letters, digits, dots, dashes and underscores are needed");
     }
-    return new RequiredGames(league, Json.integer(g, UP_TO, 0, FoldCodec.MAX_NUMBER), member);
+    return new RequiredGames(
+        league, Json.requiredInteger(g, UP_TO, 0, FoldCodec.MAX_NUMBER), member);
   }
 
   /**
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -101,15 +101,15 @@
     if (!g.isObject()) {
       throw new InvalidMessageException("league: a game with its league is needed");
     }
-    String league = Json.string(g, "league", MAX_LEAGUE_LENGTH);
+    String league = Json.requiredString(g, "league", MAX_LEAGUE_LENGTH);
     if (!LEAGUE.matcher(league).matches()) {
       throw new InvalidMessageException(
           "league: letters, digits, dots, dashes and underscores are needed");
     }
-    long number = Json.integer(g, "game", 0, MAX_NUMBER);
-    long revision = Json.integer(g, "revision", 1, MAX_REVISION);
-    boolean taken = g.hasNonNull("taken_back") && Json.bool(g, "taken_back");
-    ArrayNode members = Json.list(g, "members");
+    long number = Json.requiredInteger(g, "game", 0, MAX_NUMBER);
+    long revision = Json.requiredInteger(g, "revision", 1, MAX_REVISION);
+    boolean taken = g.hasNonNull("taken_back") && Json.requiredBoolean(g, "taken_back");
+    ArrayNode members = Json.requiredArray(g, "members");
     if (members.isEmpty() || members.size() > MAX_MEMBERS) {
       throw new InvalidMessageException("members: 1 to " + MAX_MEMBERS + " members are needed");
     }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -20,7 +20,7 @@
  */
 public final class JobCodec {
   /** The form of a job id. */
-  public static final Pattern ID = Pattern.compile("job-[0-9]{1,40}");
+  public static final Pattern ID_PATTERN = Pattern.compile("job-[0-9]{1,40}");
 
   private static final int MAX_ID_LENGTH = 60;
   private static final int MAX_NAME_LENGTH = 200;
@@ -57,7 +57,7 @@
    * Decodes a submission only to validate it. Unknown names get no indices: a client that sends
    * wrong submissions must not fill the tables.
    */
-  public JobSpec check(JsonNode o) throws InvalidMessageException {
+  public JobSpec validate(JsonNode o) throws InvalidMessageException {
     return decode(o, 0, false);
   }
 
@@ -71,34 +71,34 @@
 
   private JobSpec decode(JsonNode o, long submittedMs, boolean accepted)
       throws InvalidMessageException {
-    String id = Json.string(o, Fields.ID, MAX_ID_LENGTH);
-    if (!ID.matcher(id).matches()) {
+    String id = Json.requiredString(o, Fields.ID, MAX_ID_LENGTH);
+    if (!ID_PATTERN.matcher(id).matches()) {
       throw new InvalidMessageException(Fields.ID + ": not a job id");
     }
-    String taskClass = Json.string(o, Fields.TASK_CLASS, MAX_NAME_LENGTH);
-    String team = Json.string(o, Fields.TEAM, MAX_NAME_LENGTH);
-    String kind = Json.string(o, Fields.KIND, MAX_WORD_LENGTH);
+    String taskClass = Json.requiredString(o, Fields.TASK_CLASS, MAX_NAME_LENGTH);
+    String team = Json.requiredString(o, Fields.TEAM, MAX_NAME_LENGTH);
+    String kind = Json.requiredString(o, Fields.KIND, MAX_WORD_LENGTH);
     boolean service = kind.equals(Fields.KIND_SERVICE);
     boolean gang = kind.equals(Fields.KIND_GANG);
     if (!service && !gang && !kind.equals(Fields.KIND_ARRAY)) {
       throw new InvalidMessageException(Fields.KIND + ": unknown value");
     }
     int priority = priority(o);
-    int tasks = (int) Json.integer(o, Fields.TASKS, 1, MAX_TASKS);
-    double cpus = Json.amount(o, Fields.CPUS, MAX_AMOUNT);
-    double cards = Json.amount(o, Fields.CARDS, MAX_AMOUNT);
-    double memGb = Json.amount(o, Fields.MEMORY_GB, MAX_AMOUNT);
-    String image = Json.string(o, Fields.IMAGE, MAX_IMAGE_LENGTH);
-    double imageGb = Json.amount(o, Fields.IMAGE_GB, MAX_AMOUNT);
+    int tasks = (int) Json.requiredInteger(o, Fields.TASKS, 1, MAX_TASKS);
+    double cpus = Json.requiredNumber(o, Fields.CPUS, MAX_AMOUNT);
+    double cards = Json.requiredNumber(o, Fields.CARDS, MAX_AMOUNT);
+    double memGb = Json.requiredNumber(o, Fields.MEMORY_GB, MAX_AMOUNT);
+    String image = Json.requiredString(o, Fields.IMAGE, MAX_IMAGE_LENGTH);
+    double imageGb = Json.requiredNumber(o, Fields.IMAGE_GB, MAX_AMOUNT);
     BitSet allowed = types(o, accepted);
     int zone = zone(o);
-    boolean together = Json.bool(o, Fields.TOGETHER);
-    boolean scatter = Json.bool(o, Fields.SCATTER);
-    boolean spot = Json.bool(o, Fields.SPOT);
-    double estimate = Json.amount(o, Fields.ESTIMATED_RUNTIME_S, MAX_AMOUNT);
-    double checkpoint = Json.amount(o, Fields.CHECKPOINT_INTERVAL_S, MAX_AMOUNT);
-    double save = Json.amount(o, Fields.CHECKPOINT_SAVE_S, MAX_AMOUNT);
-    double due = Json.amountOr(o, Fields.DEADLINE_S, MAX_AMOUNT, 0);
+    boolean together = Json.requiredBoolean(o, Fields.TOGETHER);
+    boolean scatter = Json.requiredBoolean(o, Fields.SCATTER);
+    boolean spot = Json.requiredBoolean(o, Fields.SPOT);
+    double estimate = Json.requiredNumber(o, Fields.ESTIMATED_RUNTIME_S, MAX_AMOUNT);
+    double checkpoint = Json.requiredNumber(o, Fields.CHECKPOINT_INTERVAL_S, MAX_AMOUNT);
+    double save = Json.requiredNumber(o, Fields.CHECKPOINT_SAVE_S, MAX_AMOUNT);
+    double due = Json.optionalNumber(o, Fields.DEADLINE_S, MAX_AMOUNT, 0);
     return new JobSpec(
         id,
         accepted ? classes.intern(taskClass) : classes.find(taskClass),
@@ -126,7 +126,7 @@
   }
 
   private static int priority(JsonNode o) throws InvalidMessageException {
-    int priority = PRIORITIES.indexOf(Json.string(o, Fields.PRIORITY, MAX_WORD_LENGTH));
+    int priority = PRIORITIES.indexOf(Json.requiredString(o, Fields.PRIORITY, MAX_WORD_LENGTH));
     if (priority < 0) {
       throw new InvalidMessageException(Fields.PRIORITY + ": unknown value");
     }
@@ -134,7 +134,7 @@
   }
 
   private int zone(JsonNode o) throws InvalidMessageException {
-    String name = Json.stringOrNull(o, Fields.ZONE, MAX_NAME_LENGTH);
+    String name = Json.optionalString(o, Fields.ZONE, MAX_NAME_LENGTH);
     if (name == null) {
       return ANY_ZONE;
     }
@@ -170,7 +170,7 @@
       return null;
     }
     BitSet set = new BitSet();
-    for (JsonNode t : Json.list(o, Fields.MACHINE_TYPES)) {
+    for (JsonNode t : Json.requiredArray(o, Fields.MACHINE_TYPES)) {
       if (!t.isTextual() || t.textValue().isEmpty() || t.textValue().length() > MAX_NAME_LENGTH) {
         throw new InvalidMessageException(Fields.MACHINE_TYPES + ": type names are needed");
       }
@@ -184,7 +184,7 @@
   }
 
   /** Copies the known fields of a submission, for its record. */
-  public static ObjectNode record(ObjectNode submission) {
+  public static ObjectNode copyKnownFields(ObjectNode submission) {
     ObjectNode out = Json.object();
     for (String f :
         List.of(
--- a/src/main/java/org/mallowroad/wire/Json.java
+++ b/src/main/java/org/mallowroad/wire/Json.java
@@ -46,12 +46,12 @@
   }
 
   /** The UTF-8 bytes of a value. */
-  public static byte[] bytes(JsonNode n) {
-    return text(n).getBytes(StandardCharsets.UTF_8);
+  public static byte[] toBytes(JsonNode n) {
+    return toText(n).getBytes(StandardCharsets.UTF_8);
   }
 
   /** The text of a value. */
-  public static String text(JsonNode n) {
+  public static String toText(JsonNode n) {
     try {
       return MAPPER.writeValueAsString(n);
     } catch (JsonProcessingException e) {
@@ -64,7 +64,8 @@
   }
 
   /** A required, non-empty string of at most {@code max} characters. */
-  public static String string(JsonNode o, String field, int max) throws InvalidMessageException {
+  public static String requiredString(JsonNode o, String field, int max)
+      throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n) || !n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > max) {
       throw new InvalidMessageException(
@@ -74,13 +75,13 @@
   }
 
   /** An optional string of at most {@code max} characters; null when it is absent. */
-  public static String stringOrNull(JsonNode o, String field, int max)
+  public static String optionalString(JsonNode o, String field, int max)
       throws InvalidMessageException {
-    return absent(o.get(field)) ? null : string(o, field, max);
+    return absent(o.get(field)) ? null : requiredString(o, field, max);
   }
 
   /** A required boolean. */
-  public static boolean bool(JsonNode o, String field) throws InvalidMessageException {
+  public static boolean requiredBoolean(JsonNode o, String field) throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n) || !n.isBoolean()) {
       throw new InvalidMessageException(field + ": true or false is needed");
@@ -89,7 +90,8 @@
   }
 
   /** A required finite number from 0 to {@code max}. */
-  public static double amount(JsonNode o, String field, double max) throws InvalidMessageException {
+  public static double requiredNumber(JsonNode o, String field, double max)
+      throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n) || !n.isNumber()) {
       throw new InvalidMessageException(field + ": a number is needed");
@@ -102,13 +104,13 @@
   }
 
   /** An optional number from 0 to {@code max}, or {@code otherwise} when it is absent. */
-  public static double amountOr(JsonNode o, String field, double max, double otherwise)
+  public static double optionalNumber(JsonNode o, String field, double max, double otherwise)
       throws InvalidMessageException {
-    return absent(o.get(field)) ? otherwise : amount(o, field, max);
+    return absent(o.get(field)) ? otherwise : requiredNumber(o, field, max);
   }
 
   /** A required integer from {@code min} to {@code max}. */
-  public static long integer(JsonNode o, String field, long min, long max)
+  public static long requiredInteger(JsonNode o, String field, long min, long max)
       throws InvalidMessageException {
     JsonNode n = o.get(field);
     if (absent(n)
@@ -123,7 +125,7 @@
   }
 
   /** A required array. */
-  public static ArrayNode list(JsonNode o, String field) throws InvalidMessageException {
+  public static ArrayNode requiredArray(JsonNode o, String field) throws InvalidMessageException {
     if (!(o.get(field) instanceof ArrayNode a)) {
       throw new InvalidMessageException(field + ": a list is needed");
     }
--- a/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
+++ b/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
@@ -24,25 +24,26 @@
   public static List<MachineType> decode(ObjectNode o, NameIndex types, NameIndex zones)
       throws InvalidMessageException {
     List<MachineType> out = new ArrayList<>();
-    for (JsonNode t : Json.list(o, Fields.MACHINE_TYPES)) {
+    for (JsonNode t : Json.requiredArray(o, Fields.MACHINE_TYPES)) {
       List<String> zoneNames = new ArrayList<>();
-      for (JsonNode z : Json.list(t, Fields.ZONES)) {
+      for (JsonNode z : Json.requiredArray(t, Fields.ZONES)) {
         zoneNames.add(z.asText());
       }
-      String name = Json.string(t, Fields.TYPE_NAME, MAX_NAME_LENGTH);
-      double price = Json.amount(t, Fields.PRICE, MAX_AMOUNT);
+      String name = Json.requiredString(t, Fields.TYPE_NAME, MAX_NAME_LENGTH);
+      double price = Json.requiredNumber(t, Fields.PRICE, MAX_AMOUNT);
       out.add(
           new MachineType(
               types.intern(name),
               name,
-              Json.amount(t, Fields.CPUS, MAX_AMOUNT),
-              Json.amountOr(t, Fields.CARDS, MAX_AMOUNT, 0),
-              Json.amount(t, Fields.MEMORY_GB, MAX_AMOUNT),
-              Json.amountOr(t, Fields.IMAGE_CACHE_GB, MAX_AMOUNT, 0),
-              Json.amountOr(t, Fields.IMAGE_FETCH_GB_PER_S, MAX_AMOUNT, DEFAULT_FETCH_GB_PER_S),
+              Json.requiredNumber(t, Fields.CPUS, MAX_AMOUNT),
+              Json.optionalNumber(t, Fields.CARDS, MAX_AMOUNT, 0),
+              Json.requiredNumber(t, Fields.MEMORY_GB, MAX_AMOUNT),
+              Json.optionalNumber(t, Fields.IMAGE_CACHE_GB, MAX_AMOUNT, 0),
+              Json.optionalNumber(
+                  t, Fields.IMAGE_FETCH_GB_PER_S, MAX_AMOUNT, DEFAULT_FETCH_GB_PER_S),
               price,
-              Json.amountOr(t, Fields.SPOT_PRICE, MAX_AMOUNT, price),
-              Json.amountOr(t, Fields.BOOT_TIME_S, MAX_AMOUNT, DEFAULT_BOOT_S),
+              Json.optionalNumber(t, Fields.SPOT_PRICE, MAX_AMOUNT, price),
+              Json.optionalNumber(t, Fields.BOOT_TIME_S, MAX_AMOUNT, DEFAULT_BOOT_S),
               zoneNames.stream().mapToInt(zones::find).filter(z -> z >= 0).toArray()));
     }
     return out;
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -23,28 +23,28 @@
   /** Decodes a heartbeat. */
   public static Heartbeat decodeHeartbeat(JsonNode o) throws InvalidMessageException {
     List<Heartbeat.Entry> entries = new ArrayList<>();
-    for (JsonNode t : Json.list(o, Fields.TASKS)) {
+    for (JsonNode t : Json.requiredArray(o, Fields.TASKS)) {
       entries.add(decodeEntry(t));
     }
-    String address = Json.stringOrNull(o, Fields.ADDRESS, MAX_NAME_LENGTH);
+    String address = Json.optionalString(o, Fields.ADDRESS, MAX_NAME_LENGTH);
     return new Heartbeat(
-        Json.string(o, Fields.MACHINE, MAX_MACHINE_NAME_LENGTH),
+        Json.requiredString(o, Fields.MACHINE, MAX_MACHINE_NAME_LENGTH),
         address == null ? "" : address,
-        Json.string(o, Fields.MACHINE_TYPE, MAX_NAME_LENGTH),
-        Json.string(o, Fields.ZONE, MAX_NAME_LENGTH),
-        Json.bool(o, Fields.SPOT),
-        Json.integer(o, Fields.INCARNATION, 0, Long.MAX_VALUE),
-        Json.integer(o, Fields.SEQUENCE, 0, Long.MAX_VALUE),
+        Json.requiredString(o, Fields.MACHINE_TYPE, MAX_NAME_LENGTH),
+        Json.requiredString(o, Fields.ZONE, MAX_NAME_LENGTH),
+        Json.requiredBoolean(o, Fields.SPOT),
+        Json.requiredInteger(o, Fields.INCARNATION, 0, Long.MAX_VALUE),
+        Json.requiredInteger(o, Fields.SEQUENCE, 0, Long.MAX_VALUE),
         o.get(Fields.FENCING_TOKEN) == null
             ? 0
-            : Json.integer(o, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
-        Json.amountOr(o, Fields.PREEMPTION_NOTICE_S, MAX_NOTICE_S, NO_NOTICE),
+            : Json.requiredInteger(o, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
+        Json.optionalNumber(o, Fields.PREEMPTION_NOTICE_S, MAX_NOTICE_S, NO_NOTICE),
         entries,
         o.path(Fields.SHARES_IMAGES).asBoolean(false));
   }
 
   private static Heartbeat.Entry decodeEntry(JsonNode t) throws InvalidMessageException {
-    String name = Json.string(t, Fields.TASK, MAX_NAME_LENGTH);
+    String name = Json.requiredString(t, Fields.TASK, MAX_NAME_LENGTH);
     int slash = name.lastIndexOf('/');
     int task;
     try {
@@ -55,13 +55,13 @@
     if (slash <= 0) {
       throw new InvalidMessageException(Fields.TASK + ": not a task");
     }
-    Heartbeat.State state = decodeState(Json.string(t, Fields.STATE, MAX_STATE_LENGTH));
+    Heartbeat.State state = decodeState(Json.requiredString(t, Fields.STATE, MAX_STATE_LENGTH));
     return new Heartbeat.Entry(
         name.substring(0, slash),
         task,
-        (int) Json.integer(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
+        (int) Json.requiredInteger(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
         state,
-        Json.stringOrNull(t, Fields.CAUSE, MAX_NAME_LENGTH));
+        Json.optionalString(t, Fields.CAUSE, MAX_NAME_LENGTH));
   }
 
   private static Heartbeat.State decodeState(String state) {
--- a/src/main/java/org/mallowroad/worker/HeartbeatApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.mallowroad.api.Reply;
+import org.mallowroad.api.JsonResponses;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.net.EventLoop;
@@ -87,13 +87,13 @@
           e.getMessage(),
           invalidMessageLog.suppressed());
     }
-    Reply.error(request, 400, e.getMessage());
+    JsonResponses.sendError(request, 400, e.getMessage());
   }
 
   private void redirect(IncomingRequest request, Heartbeat heartbeat) {
     String leader = handler.leaderName();
     if (leader == null) {
-      Reply.retryLater(request, "no leader known");
+      JsonResponses.sendRetryLater(request, "no leader known");
       return;
     }
     if (handler.relayToLeader(request, heartbeat, leader)) {
@@ -101,18 +101,18 @@
     }
     ObjectNode body = Json.object();
     body.put(Fields.LEADER, leader);
-    Reply.json(request, 421, body);
+    JsonResponses.send(request, 421, body);
   }
 
   private record HttpResponder(IncomingRequest request) implements HeartbeatResponder {
     @Override
     public void respond(long fencingToken, List<WorkerCommand> commands) {
-      Reply.json(request, 200, WorkerCodec.encodeCommands(fencingToken, commands));
+      JsonResponses.send(request, 200, WorkerCodec.encodeCommands(fencingToken, commands));
     }
 
     @Override
     public void retryLater() {
-      Reply.retryLater(request, "not now");
+      JsonResponses.sendRetryLater(request, "not now");
     }
   }
 }
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -145,7 +145,8 @@
       List<WorkerCommand> commands,
       DeliveryListener listener) {
     RequestSender.ResponseHandler handler = new DeliveryTracker(address, listener);
-    byte[] body = Json.bytes(WorkerCodec.encodeDirectCommands(fencingToken, incarnation, commands));
+    byte[] body =
+        Json.toBytes(WorkerCodec.encodeDirectCommands(fencingToken, incarnation, commands));
     if (relayPeer >= 0 && relay != null) {
       busyAddresses.add(address);
       relay.relayCommands(relayPeer, address, body, handler);
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -212,7 +212,7 @@
         return; // A watch that has nothing to tell.
       }
       if (heard) {
-        byte[] body = Json.bytes(a.body());
+        byte[] body = Json.toBytes(a.body());
         x.by.tell(
             () -> x.answer.answered(a.status(), body),
             a.status() + new String(body, StandardCharsets.UTF_8));
--- a/src/test/java/org/mallowroad/VirtualTimeHarness.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -143,7 +143,7 @@
               failed.remove(1);
             }
           }
-          answer.answered(a.status(), Json.bytes(a.body()));
+          answer.answered(a.status(), Json.toBytes(a.body()));
         }
       } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
--- a/src/test/java/org/mallowroad/api/OpenJobsTest.java
+++ b/src/test/java/org/mallowroad/api/OpenJobsTest.java
@@ -85,7 +85,7 @@
     }
   }
 
-  private static final class AnyJob implements UserApi.Jobs {
+  private static final class AnyJob implements UserApi.LocalJobs {
     @Override
     public JobSpec validate(JsonNode s) throws InvalidMessageException {
       if (s.has("bad")) {
@@ -95,12 +95,12 @@
     }
 
     @Override
-    public boolean knowsMachineTypes() {
+    public boolean hasMachineTypes() {
       return true;
     }
 
     @Override
-    public Optional<String> whyImpossible(JobSpec spec) {
+    public Optional<String> rejectionReason(JobSpec spec) {
       return Optional.empty();
     }
 
--- a/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
+++ b/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
@@ -74,7 +74,7 @@
       throws InvalidMessageException {
     JsonNode open = store.value(RecordKeys.openJob(job));
     String body =
-        Json.text(
+        Json.toText(
             Json.object()
                 .<ObjectNode>set(
                     "writes",
@@ -114,7 +114,7 @@
   void aClaimIsWholeOrNotAtAllAndTheSameSubmissionAgainIsKnown() throws InvalidMessageException {
     Here h = new Here();
     assertEquals("ACCEPTED", h.accept("job-1", games(0, 100)));
-    assertEquals("KNOWN", h.accept("job-1", games(0, 100)));
+    assertEquals("DUPLICATE", h.accept("job-1", games(0, 100)));
     assertEquals(
         "CONFLICT folds: game 99 of l for m is held by job-1", h.accept("job-2", games(99, 120)));
     assertEquals(100, holders(h.c.store).size());
--- a/src/test/java/org/mallowroad/calendar/file/TableFileTest.java
+++ b/src/test/java/org/mallowroad/calendar/file/TableFileTest.java
@@ -36,7 +36,7 @@
         c.table().entries().get(1).schedule().next(Instant.parse("2027-01-01T00:00:00Z")));
     assertEquals(
         "{\"cards\":0.0,\"docket\":\"waitlist-match\"}",
-        Json.text(c.jobs().get("release").deepCopy().retain("cards", "docket")));
+        Json.toText(c.jobs().get("release").deepCopy().retain("cards", "docket")));
   }
 
   private static final String GOOD =
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -182,7 +182,7 @@
   void checkedSubmissionsLeaveNoNames() throws Exception {
     int before = clusterConfig.nameCount();
     for (int n = 0; n < 1_000; n++) {
-      clusterConfig.codec.check(submission(n));
+      clusterConfig.codec.validate(submission(n));
     }
     assertEquals(before, clusterConfig.nameCount());
   }
@@ -211,9 +211,9 @@
     UserApi users =
         new UserApi(loop, null, new UserApi.Limits(null, 1, null, null, 8, 64, 5_000), null);
     for (int n = 0; n < 100_000; n++) {
-      users.ended("job-" + n, true);
+      users.cacheOutcome("job-" + n, true);
     }
-    assertEquals(5_000, users.rememberedEnds());
+    assertEquals(5_000, users.cachedOutcomeCount());
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -52,7 +52,7 @@
       ObjectNode t = Json.object();
       t.putArray("writes").addObject().put("put", key).set("v", v);
       try {
-        s.store.serve("POST", "/multi", Json.bytes(t), 0);
+        s.store.serve("POST", "/multi", Json.toBytes(t), 0);
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -258,7 +258,7 @@
                   w.schedulerState.accept(
                       JobSpecBuilder.job("job-1", 128, 32).spot().build(), 5, 0, w.now);
               w.placement.placeTasks(w.now);
-              String text = Json.text(AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
+              String text = Json.toText(AttemptRecordCodec.encode(j.attemptRecord(0), w.zones));
               atMost(6 * 1024, text.length());
             }));
   }
--- a/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
@@ -172,7 +172,7 @@
           new Fold(2 + s % 9, s % 2 == 0, "job-" + s % 13, s % 5 == 0 && base == null, base));
     }
     ObjectNode v = FoldCodec.encodeBlock(b);
-    assertEquals(b, FoldCodec.decodeBlock(Json.parseObject(Json.bytes(v))));
+    assertEquals(b, FoldCodec.decodeBlock(Json.parseObject(Json.toBytes(v))));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -320,11 +320,11 @@
     WorkerCommand plain = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
     assertEquals(
         "{\"baton\":3,\"orders\":[{\"order\":\"launch\",\"move\":\"job-1/0\",\"try\":1}]}",
-        Json.text(WorkerCodec.encodeCommands(3, List.of(plain))));
+        Json.toText(WorkerCodec.encodeCommands(3, List.of(plain))));
     WorkerCommand told =
         new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
     assertTrue(
-        Json.text(WorkerCodec.encodeCommands(3, List.of(told))).contains("\"givers\":[\"h:1\"]"));
+        Json.toText(WorkerCodec.encodeCommands(3, List.of(told))).contains("\"givers\":[\"h:1\"]"));
   }
 
   /** Virtual time; a source that gives what 16 machines can take. */
--- a/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -145,7 +145,7 @@
   @Test
   void wordsThatConstantsGiveToMessagesStay() {
     Map<String, String> words = new LinkedHashMap<>();
-    words.put("path of the console", ConsoleCodec.PATH);
+    words.put("path of the console", ConsoleCodec.PATH_PREFIX);
     words.put("phases of a node", names(NodeSnapshot.Phase.values()));
     words.put("parties outside", names(ExternalService.values()));
     words.put("phases of a task", names(Attempt.Phase.values()).toLowerCase(Locale.ROOT));
--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -180,7 +180,7 @@
           String attached = write.has(Fields.LEASE) ? "(leased) " : "";
           recordExamples.put(
               (recordExamples.size() + " " + key).trim(),
-              put ? attached + Json.text(value) : "(deleted)");
+              put ? attached + Json.toText(value) : "(deleted)");
         }
       }
     }
--- a/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -76,7 +76,7 @@
 
     Job accept(String submission) throws InvalidMessageException {
       JsonNode record = Json.parseObject(submission.getBytes(StandardCharsets.UTF_8));
-      JobSpec spec = codec.decode(JobCodec.record((ObjectNode) record), NOW_MS);
+      JobSpec spec = codec.decode(JobCodec.copyKnownFields((ObjectNode) record), NOW_MS);
       return schedulerState.accept(spec, 5, 0, NOW_MS);
     }
 
@@ -189,7 +189,7 @@
                     () -> {
                       String golden = VALUES.entries().get(c.key());
                       ObjectNode value = Json.parseObject(golden.getBytes(StandardCharsets.UTF_8));
-                      assertEquals(golden, Json.text(c.rewrite().apply(value)));
+                      assertEquals(golden, Json.toText(c.rewrite().apply(value)));
                     }))
         .toList();
   }
@@ -204,7 +204,7 @@
     ObjectNode submission = Json.parseObject(SUBMISSION.getBytes(StandardCharsets.UTF_8));
     assertEquals(
         VALUES.entries().get(RecordKeys.openJob("job-000412")),
-        Json.text(JobRecordCodec.encodeOpen(submission, 1_800_000_000_123L)));
+        Json.toText(JobRecordCodec.encodeOpen(submission, 1_800_000_000_123L)));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.mallowroad.VirtualTimeHarness;
-import org.mallowroad.api.Reply;
+import org.mallowroad.api.JsonResponses;
 import org.mallowroad.cloud.CloudClient;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.NameIndex;
@@ -165,10 +165,11 @@
             new WorkerCommand(WorkerCommand.Kind.STOP, "job-000377", 1, 1, 10),
             new WorkerCommand(WorkerCommand.Kind.STOP, "job-000377", 2, 1, 2.5),
             new WorkerCommand(WorkerCommand.Kind.CLEAR, "job-000398", 0, 1, 0));
-    messages.put("answer to a report", Json.text(WorkerCodec.encodeCommands(41, commands)));
-    messages.put("answer without orders", Json.text(WorkerCodec.encodeCommands(41, List.of())));
+    messages.put("answer to a report", Json.toText(WorkerCodec.encodeCommands(41, commands)));
+    messages.put("answer without orders", Json.toText(WorkerCodec.encodeCommands(41, List.of())));
     messages.put(
-        "direct orders", Json.text(WorkerCodec.encodeDirectCommands(4_294_967_296L, 3, commands)));
+        "direct orders",
+        Json.toText(WorkerCodec.encodeDirectCommands(4_294_967_296L, 3, commands)));
     new GoldenFile("worker-orders.txt").check(messages);
   }
 
@@ -207,7 +208,7 @@
   void refusalsOfWrongSubmissionsStay() throws InvalidMessageException {
     NameIndex names = new NameIndex();
     JobCodec codec = new JobCodec(names, names, names, names, names);
-    codec.check(json(SUBMISSION));
+    codec.validate(json(SUBMISSION));
     Map<String, String> refusals = new LinkedHashMap<>();
     for (String change : WRONG) {
       ObjectNode submission = json(SUBMISSION);
@@ -222,10 +223,10 @@
 
   private static String refusal(JobCodec codec, ObjectNode submission) {
     try {
-      codec.check(submission);
+      codec.validate(submission);
       return "accepted";
     } catch (InvalidMessageException e) {
-      return Json.text(Reply.reason(e.getMessage()));
+      return Json.toText(JsonResponses.errorBody(e.getMessage()));
     }
   }
 
@@ -233,7 +234,7 @@
     try {
       return json(body).properties().stream().map(Object::toString).collect(Collectors.joining());
     } catch (InvalidMessageException e) {
-      return Json.text(Reply.reason(e.getMessage()));
+      return Json.toText(JsonResponses.errorBody(e.getMessage()));
     }
   }
 
--- a/src/test/java/org/mallowroad/simulation/RatingModelTest.java
+++ b/src/test/java/org/mallowroad/simulation/RatingModelTest.java
@@ -60,7 +60,7 @@
         w.put("put", key).set("v", v);
       }
       try {
-        store.serve("POST", "/multi", Json.bytes(t), 0);
+        store.serve("POST", "/multi", Json.toBytes(t), 0);
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
--- a/src/test/java/org/mallowroad/wire/JobCodecTest.java
+++ b/src/test/java/org/mallowroad/wire/JobCodecTest.java
@@ -71,7 +71,7 @@
     ObjectNode o = good.deepCopy();
     wrong.accept(o);
     InvalidMessageException e =
-        assertThrows(InvalidMessageException.class, () -> CODEC.check(o), field + ": " + o);
+        assertThrows(InvalidMessageException.class, () -> CODEC.validate(o), field + ": " + o);
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
@@ -148,7 +148,7 @@
     JobCodec codec =
         new JobCodec(teams, new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex());
     String good = GOOD.trim().replaceFirst("\\{", TIED);
-    JobSpec s = codec.check(Json.parseObject(good.getBytes(StandardCharsets.UTF_8)));
+    JobSpec s = codec.validate(Json.parseObject(good.getBytes(StandardCharsets.UTF_8)));
     assertEquals(1, s.dependencies().foldedLeagues().size());
     assertEquals(9, s.dependencies().highestRequiredGames().get("k"));
     assertTrue(good.contains(from), "the row changes something");
@@ -156,7 +156,7 @@
     InvalidMessageException e =
         assertThrows(
             InvalidMessageException.class,
-            () -> codec.check(Json.parseObject(bad.getBytes(StandardCharsets.UTF_8))));
+            () -> codec.validate(Json.parseObject(bad.getBytes(StandardCharsets.UTF_8))));
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
