--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -156,7 +156,7 @@
     this.cancellations = new CancellationPropagation(loop, settings, peers);
     this.leadership =
         new LocalLeadership(newLeaderServices(), peers, users, admission, machineTypes);
-    users.onCancelled(this::handleCancellation);
+    users.setCancellationListener(this::handleCancellation);
     if (links != null) {
       peers.setRelayTransport(links.transport());
       workers.setRelay(links.transport()::relayCommands);
@@ -211,7 +211,7 @@
         clusterConfig,
         election,
         workers,
-        users.claims(),
+        users.claimService(),
         () -> links == null ? 0 : links.links().freshAdvertisementCount(loop.now()));
   }
 
@@ -241,7 +241,7 @@
   }
 
   /** Answers the user API's questions about jobs that their records alone do not answer. */
-  private final class JobChecks implements UserApi.Jobs {
+  private final class JobChecks implements UserApi.LocalJobs {
     @Override
     public boolean tryAdmit() {
       return admission.tryAdmit(loop.now());
@@ -249,16 +249,16 @@
 
     @Override
     public JobSpec validate(JsonNode submission) throws InvalidMessageException {
-      return clusterConfig.codec.check(submission);
+      return clusterConfig.codec.validate(submission);
     }
 
     @Override
-    public boolean knowsMachineTypes() {
+    public boolean hasMachineTypes() {
       return !clusterConfig.machineTypes().isEmpty();
     }
 
     @Override
-    public Optional<String> whyImpossible(JobSpec spec) {
+    public Optional<String> rejectionReason(JobSpec spec) {
       return Optional.ofNullable(clusterConfig.rejectionReason(spec));
     }
 
@@ -272,7 +272,7 @@
   private final class PeerListener implements PeerMessenger.Listener {
     @Override
     public void cancelled(List<String> jobs) {
-      cancellations.handlePeerNotification(jobs, users::ended);
+      cancellations.handlePeerNotification(jobs, users::cacheOutcome);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitConflictResolver.java
@@ -170,7 +170,7 @@
     try {
       // Serializes and parses the value, as the store did: the JSON number types may differ
       // otherwise.
-      return Json.parseObject(Json.bytes(written)).equals(found);
+      return Json.parseObject(Json.toBytes(written)).equals(found);
     } catch (InvalidMessageException e) {
       return false; // Cannot happen for a value that this process encoded.
     }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -284,7 +284,7 @@
                       JobSpecBuilder.job("job-1", 128, 32).spot().build(), 5, 0, cluster.now);
               cluster.taskScheduler.placeTasks(cluster.now);
               String json =
-                  Json.text(AttemptRecordCodec.encode(job.attemptRecord(0), cluster.zones));
+                  Json.toText(AttemptRecordCodec.encode(job.attemptRecord(0), cluster.zones));
               assertAtMost(6 * 1024, json.length());
             }));
   }
