--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
-import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings;
+import org.mallowroad.config.Settings.Member;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
@@ -359,7 +359,8 @@
       try {
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
       } catch (InvalidMessageException e) {
-        responseHandler.answered(400, Json.toBytes(Json.object().put(Fields.ERROR, e.getMessage())));
+        responseHandler.answered(
+            400, Json.toBytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
@@ -380,7 +381,8 @@
 
             @Override
             public void retryLater() {
-              responseHandler.answered(503, Json.toBytes(Json.object().put(Fields.ERROR, "not now")));
+              responseHandler.answered(
+                  503, Json.toBytes(Json.object().put(Fields.ERROR, "not now")));
             }
           });
     }
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -117,7 +117,9 @@
       committer.commitPending();
       clock.advance(1_000);
       if (second == 0) {
-        assertTrue(recordedStarts(others) >= 10, "other starts recorded in the first second: " + recordedStarts(others));
+        assertTrue(
+            recordedStarts(others) >= 10,
+            "other starts recorded in the first second: " + recordedStarts(others));
       }
     }
     assertTrue(recordedStarts(others) >= 70, "other starts recorded: " + recordedStarts(others));
@@ -143,7 +145,8 @@
     assertEquals(1, clock.requestedWrites - writesBefore);
     assertEquals(1, clock.store.keys("starts/").size());
     assertEquals(0, clock.store.keys("run/").size());
-    attempts.forEach(attempt -> schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, clock.nowMs));
+    attempts.forEach(
+        attempt -> schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, clock.nowMs));
     clock.advance(1_000);
     committer.commitPending();
     clock.advance(20_000);
@@ -319,7 +322,8 @@
           schedulerState.accept(
               JobSpecBuilder.job(id, 4, 1).build(), put("open/" + id), 0, clock.nowMs);
       for (int task = 0; task < 4; task++) {
-        attempts.add(schedulerState.start(job, task, registerMachineWithLongName(task), clock.nowMs));
+        attempts.add(
+            schedulerState.start(job, task, registerMachineWithLongName(task), clock.nowMs));
       }
     }
     committer.commitPending();
@@ -352,7 +356,8 @@
 
   private Machine registerMachineWithLongName(int index) {
     Machine namedMachine =
-        schedulerState.registerMachine("machine-with-a-long-name-" + index, type, 0, false, clock.nowMs);
+        schedulerState.registerMachine(
+            "machine-with-a-long-name-" + index, type, 0, false, clock.nowMs);
     schedulerState.processHeartbeat(
         namedMachine,
         new Heartbeat(namedMachine.name, "h:" + index, "t9", "a", false, 1, 1, 1, -1, List.of()),
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -93,7 +93,8 @@
     void sendHeartbeat(Machine machine) {
       int index = machines.indexOf(machine);
       boolean receivesNoResponses = index >= unansweredFrom && index < unansweredTo;
-      highestSeenToken[index] = receivesNoResponses ? highestSeenToken[index] : Math.max(TERM, machine.fencingToken);
+      highestSeenToken[index] =
+          receivesNoResponses ? highestSeenToken[index] : Math.max(TERM, machine.fencingToken);
       schedulerState.processHeartbeat(
           machine,
           JobSpecBuilder.heartbeatListingAttempts(
@@ -140,7 +141,8 @@
       for (ScaleOutRequest request :
           autoscaler.planScaleOut(taskScheduler.queue(now), List.of(), List.of(type), now)) {
         assertFalse(
-            health.failureDetector().isPartitioned(request.variant().zone()), "requested a machine in a partitioned zone");
+            health.failureDetector().isPartitioned(request.variant().zone()),
+            "requested a machine in a partitioned zone");
         count += request.count();
       }
       return count;
@@ -184,7 +186,8 @@
               assertTrue(deleted <= 14, "deleted " + deleted);
               // The partition ends: the remaining machines are used again.
               cluster.advance(10_000, 0, 0);
-              assertEquals(4 * (20 - deleted), cluster.taskScheduler.placeTasks(cluster.now).size());
+              assertEquals(
+                  4 * (20 - deleted), cluster.taskScheduler.placeTasks(cluster.now).size());
               assertEquals(deleted, cluster.deletedMachines());
             }),
         scenario(
@@ -196,7 +199,8 @@
               int kept = 20 - cluster.deletedMachines();
               int requested = cluster.requestedMachines();
               assertTrue(kept >= 6, "kept " + kept);
-              assertTrue(requested >= 20 - kept && requested <= 20 - kept / 2, "requested " + requested);
+              assertTrue(
+                  requested >= 20 - kept && requested <= 20 - kept / 2, "requested " + requested);
             }),
         scenario(
             "no lease frees tasks of a zone partitioned before the term: deletions are gradual",
@@ -271,7 +275,9 @@
               cluster.now += 20_000;
               cluster.responder.recordActivity(cluster.now);
               assertTrue(cluster.responder.isLeaseUncertain(renewedMs, cluster.now));
-              assertFalse(cluster.responder.isLeaseUncertain(cluster.now + 10, cluster.now + 20), "the lease was renewed after the pause");
+              assertFalse(
+                  cluster.responder.isLeaseUncertain(cluster.now + 10, cluster.now + 20),
+                  "the lease was renewed after the pause");
               // In an outage of the state service the lease cannot be renewed: the leader responds
               // again after 1.5 s, so that the workers' leases stay valid.
               assertFalse(cluster.responder.isLeaseUncertain(renewedMs, cluster.now + 1_500));
@@ -302,7 +308,8 @@
               machine.fencingToken++; // The machine learns the new token only from a response.
               cluster.advance(20_000, 0, 0);
               assertEquals(
-                  StartRefusal.DRAINING_OR_FAILED, cluster.schedulerState.machineRefusal(machine, cluster.now));
+                  StartRefusal.DRAINING_OR_FAILED,
+                  cluster.schedulerState.machineRefusal(machine, cluster.now));
               assertEquals(1, cluster.deletedMachines());
               assertEquals(0, cluster.job.pendingTaskCount()); // A suspicion alone frees nothing.
               cluster.schedulerState.machineDeleted(machine, cluster.now);
@@ -364,7 +371,8 @@
                 preempted += cluster.machines.get(i).deleting ? 1 : 0;
               }
               assertEquals(6, preempted);
-              assertTrue(cluster.deletedMachines() <= 6 + 13, "deleted " + cluster.deletedMachines());
+              assertTrue(
+                  cluster.deletedMachines() <= 6 + 13, "deleted " + cluster.deletedMachines());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -108,7 +108,11 @@
                   };
               ElectionFixture.Process restartedProcess = fixture.new Process("n0");
               fixture.advance(1_700);
-              assertEquals("n0", fixture.storedLeader() == null ? "n0" : fixture.storedLeader().path("node").asText());
+              assertEquals(
+                  "n0",
+                  fixture.storedLeader() == null
+                      ? "n0"
+                      : fixture.storedLeader().path("node").asText());
               assertFalse(restartedProcess.election.isLeading());
               fixture.clock.loseTransactionResponses = false;
               fixture.advance(6_000);
@@ -139,7 +143,12 @@
   }
 
   private static long grantLease(ElectionFixture fixture) {
-    return fixture.clock.callStore("POST", "/leases", "{\"life_ms\":3000}").body().path("tenure").asLong();
+    return fixture
+        .clock
+        .callStore("POST", "/leases", "{\"life_ms\":3000}")
+        .body()
+        .path("tenure")
+        .asLong();
   }
 
   private static void executeLateElection(ElectionFixture fixture, long lease) {
--- a/src/test/java/org/mallowroad/state/TransactionRetryTest.java
+++ b/src/test/java/org/mallowroad/state/TransactionRetryTest.java
@@ -37,7 +37,8 @@
       store.compareAndSwapWithRetry(
           transaction,
           () -> retries++,
-          (result, revision, failed) -> outcomes.add(result + " after " + (clock.nowMs - sentMs) / 100));
+          (result, revision, failed) ->
+              outcomes.add(result + " after " + (clock.nowMs - sentMs) / 100));
     }
   }
 
@@ -72,7 +73,8 @@
               fixture.sendPut("k");
               fixture.clock.advance(10_000);
               assertEquals(1, fixture.outcomes.size());
-              assertTrue(fixture.outcomes.get(0).startsWith("UNKNOWN"), fixture.outcomes.toString());
+              assertTrue(
+                  fixture.outcomes.get(0).startsWith("UNKNOWN"), fixture.outcomes.toString());
               assertEquals(2, fixture.retries);
             }),
         scenario(
