--- a/src/main/java/org/mallowroad/controller/persistence/JobEndReader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/JobEndReader.java
@@ -27,15 +27,15 @@
   private final KeyValueStore store;
   private final RecordRestorer restorer;
   private final BooleanSupplier isStopped;
-  private final ArrayDeque<String> unreadJobs;
-  private final ObjectOpenHashSet<String> doneJobs = new ObjectOpenHashSet<>();
+  private final ArrayDeque<String> unreadJobIds;
+  private final ObjectOpenHashSet<String> completedJobIds = new ObjectOpenHashSet<>();
   private final Consumer<Set<String>> onComplete;
   private int activeReads;
 
   /**
    * Creates a reader; {@link #start} begins the reads.
    *
-   * @param unreadJobs IDs of the jobs whose end records are read
+   * @param unreadJobIds IDs of the jobs whose end records are read
    * @param onComplete receives the completed (not cancelled) jobs once all end records are read
    */
   JobEndReader(
@@ -43,55 +43,55 @@
       KeyValueStore store,
       RecordRestorer restorer,
       BooleanSupplier isStopped,
-      Collection<String> unreadJobs,
+      Collection<String> unreadJobIds,
       Consumer<Set<String>> onComplete) {
     this.loop = loop;
     this.store = store;
     this.restorer = restorer;
     this.isStopped = isStopped;
-    this.unreadJobs = new ArrayDeque<>(unreadJobs);
+    this.unreadJobIds = new ArrayDeque<>(unreadJobIds);
     this.onComplete = onComplete;
   }
 
   /** Reads all end records and restores the cancelled jobs. */
   void start() {
-    if (unreadJobs.isEmpty()) {
-      onComplete.accept(doneJobs);
+    if (unreadJobIds.isEmpty()) {
+      onComplete.accept(completedJobIds);
     }
-    for (int i = 0; i < MAX_CONCURRENT_READS && !unreadJobs.isEmpty(); i++) {
+    for (int i = 0; i < MAX_CONCURRENT_READS && !unreadJobIds.isEmpty(); i++) {
       activeReads++;
-      read(unreadJobs.poll());
+      read(unreadJobIds.poll());
     }
   }
 
-  private void read(String job) {
+  private void read(String jobId) {
     store.get(
-        RecordKeys.endedJob(job),
-        (result, item) -> {
+        RecordKeys.endedJob(jobId),
+        (result, endRecord) -> {
           if (isStopped.getAsBoolean()) {
             return;
           }
           if (result != CallResult.OK) {
-            loop.after(READ_RETRY_MS, () -> read(job));
+            loop.after(READ_RETRY_MS, () -> read(jobId));
             return;
           }
-          applyEndRecord(job, item);
-          if (!unreadJobs.isEmpty()) {
-            read(unreadJobs.poll());
+          applyEndRecord(jobId, endRecord);
+          if (!unreadJobIds.isEmpty()) {
+            read(unreadJobIds.poll());
           } else if (--activeReads == 0) {
-            onComplete.accept(doneJobs);
+            onComplete.accept(completedJobIds);
           }
         });
   }
 
-  private void applyEndRecord(String job, VersionedValue item) {
-    if (item.value() == null) {
+  private void applyEndRecord(String jobId, VersionedValue endRecord) {
+    if (endRecord.value() == null) {
       return;
     }
-    if (JobRecordCodec.openRecordOf(item.value()) == null) {
-      doneJobs.add(job);
+    if (JobRecordCodec.openRecordOf(endRecord.value()) == null) {
+      completedJobIds.add(jobId);
     } else {
-      restorer.restoreCancelledJob(item);
+      restorer.restoreCancelledJob(endRecord);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -63,8 +63,8 @@
   }
 
   /** Restores an open job and notifies the listener. */
-  void restoreOpenJob(VersionedValue item) {
-    Job job = restorer.restoreOpenJob(item);
+  void restoreOpenJob(VersionedValue openRecord) {
+    Job job = restorer.restoreOpenJob(openRecord);
     if (job != null) {
       listener.openJobRestored(job);
     }
@@ -110,12 +110,11 @@
   }
 
   /**
-   * Reads how a job whose open record was deleted has ended. The reading of the cancellation view
-   * is complete only once the end record is read, because the deletion alone does not show whether
-   * the job was cancelled.
+   * Reads how a job whose open record was deleted has ended. Until the end record is read, the
+   * reading of the cancellation view is incomplete and no attempt of the job is stopped.
    */
-  private void handleDeletedOpenRecord(String id, CancellationView.Reading reading) {
-    Job job = schedulerState.job(id);
+  private void handleDeletedOpenRecord(String jobId, CancellationView.Reading reading) {
+    Job job = schedulerState.job(jobId);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.jobCancelled();
       reading.awaitAnother();
@@ -152,12 +151,12 @@
   private void reconcile(List<VersionedValue> openRecords, long sentMs) {
     CancellationView.Reading reading = cancellationView.beginReading(sentMs);
     ObjectOpenHashSet<String> listedIds = new ObjectOpenHashSet<>();
-    for (VersionedValue item : openRecords) {
-      String id = RecordKeys.jobOfOpenJobKey(item.key());
-      listedIds.add(id);
-      if (schedulerState.job(id) == null) {
+    for (VersionedValue openRecord : openRecords) {
+      String jobId = RecordKeys.jobOfOpenJobKey(openRecord.key());
+      listedIds.add(jobId);
+      if (schedulerState.job(jobId) == null) {
         restoreOpenJob(
-            item); // Open records never change, so known jobs need not be restored again.
+            openRecord); // Open records never change, so known jobs need not be restored again.
       }
     }
     for (Job job : new ArrayList<>(schedulerState.jobs())) {
--- a/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
+++ b/src/main/java/org/mallowroad/controller/persistence/RecordRestorer.java
@@ -38,17 +38,17 @@
   }
 
   /** Restores a job from its open record; returns null if the record cannot be used. */
-  Job restoreOpenJob(VersionedValue item) {
+  Job restoreOpenJob(VersionedValue openRecord) {
     try {
-      JobSpec spec = JobRecordCodec.decodeOpen(item.value(), decodingContext.jobCodec());
+      JobSpec spec = JobRecordCodec.decodeOpen(openRecord.value(), decodingContext.jobCodec());
       if (spec.team() < 0) {
         LOG.error("event=team_unknown job={}", spec.id());
         return null;
       }
       long ageMs = loop.wallMs() - spec.submittedMs();
-      return schedulerState.accept(spec, item.version(), ageMs, loop.now());
+      return schedulerState.accept(spec, openRecord.version(), ageMs, loop.now());
     } catch (InvalidMessageException e) {
-      logUnreadable(item, e);
+      logUnreadable(openRecord, e);
       return null;
     }
   }
@@ -69,21 +69,25 @@
     }
   }
 
-  private static void logUnreadable(VersionedValue item, InvalidMessageException e) {
-    LOG.error("event=record_unreadable key={} reason=\"{}\"", item.key(), e.getMessage());
+  private static void logUnreadable(VersionedValue storedRecord, InvalidMessageException e) {
+    LOG.error("event=record_unreadable key={} reason=\"{}\"", storedRecord.key(), e.getMessage());
   }
 
   /**
    * Restores an attempt record that belongs to a single job; a record of an unknown job is skipped.
    */
-  void restoreAttempts(VersionedValue item) {
-    Job job = schedulerState.job(RecordKeys.jobOfAttemptRecordKey(item.key()));
+  void restoreAttempts(VersionedValue attemptRecord) {
+    Job job = schedulerState.job(RecordKeys.jobOfAttemptRecordKey(attemptRecord.key()));
     if (job == null) {
       return;
     }
-    int index = RecordKeys.indexOfAttemptRecordKey(item.key());
+    int index = RecordKeys.indexOfAttemptRecordKey(attemptRecord.key());
     if (index < job.attemptRecordCount()) {
-      restoreAttemptRecord(job.attemptRecord(index), item.version(), item.value(), item.key());
+      restoreAttemptRecord(
+          job.attemptRecord(index),
+          attemptRecord.version(),
+          attemptRecord.value(),
+          attemptRecord.key());
     }
   }
 
@@ -91,16 +95,19 @@
    * Restores a shared attempt record. Completed jobs remain listed in it until it is next written;
    * they are skipped.
    */
-  void restoreSharedAttempts(VersionedValue item) {
-    SharedAttemptRecord shared =
+  void restoreSharedAttempts(VersionedValue sharedRecord) {
+    SharedAttemptRecord restoredRecord =
         schedulerState
             .sharedAttemptRecords()
-            .restore(RecordKeys.nameOfSharedAttemptRecordKey(item.key()), item.version());
-    for (Map.Entry<String, JsonNode> member : AttemptRecordCodec.membersOfShared(item.value())) {
+            .restore(
+                RecordKeys.nameOfSharedAttemptRecordKey(sharedRecord.key()),
+                sharedRecord.version());
+    for (Map.Entry<String, JsonNode> member :
+        AttemptRecordCodec.membersOfShared(sharedRecord.value())) {
       Job job = schedulerState.job(member.getKey());
       if (job != null && job.attemptRecordCount() == 1) {
-        schedulerState.sharedAttemptRecords().restoreMember(shared, job.attemptRecord(0));
-        restoreAttemptRecord(job.attemptRecord(0), 0, member.getValue(), item.key());
+        schedulerState.sharedAttemptRecords().restoreMember(restoredRecord, job.attemptRecord(0));
+        restoreAttemptRecord(job.attemptRecord(0), 0, member.getValue(), sharedRecord.key());
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -108,11 +108,11 @@
       loop.after(MACHINE_TYPES_RETRY_MS, this::load);
       return;
     }
-    new LoadAttempt().start();
+    new RecordLoad().start();
   }
 
-  /** One attempt to load all records. */
-  private final class LoadAttempt {
+  /** A single pass that loads all records. */
+  private final class RecordLoad {
     private final long sentMs = loop.now();
     private List<VersionedValue> openJobs;
     private List<VersionedValue> attempts;
@@ -202,9 +202,9 @@
           .start();
     }
 
-    private void handleJobEnds(Set<String> doneJobs) {
+    private void handleJobEnds(Set<String> completedJobIds) {
       for (VersionedValue item : attempts) {
-        if (doneJobs.contains(RecordKeys.jobOfAttemptRecordKey(item.key()))) {
+        if (completedJobIds.contains(RecordKeys.jobOfAttemptRecordKey(item.key()))) {
           committer.deleteObsoleteRecord(item.key(), item.version());
         }
       }
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -334,10 +334,10 @@
         schedulerState.requestStop(attempt, 0, now);
       }
     }
-    int known = health.failureDetector().knownMachines(machine.zone);
+    int knownMachines = health.failureDetector().knownMachines(machine.zone);
     boolean isAllowed =
         unreachableCountByZone[machine.zone] >= health.policy().minPartitionMachines()
-            ? zoneDeletionBudgets[machine.zone].tryTake(known, now)
+            ? zoneDeletionBudgets[machine.zone].tryTake(knownMachines, now)
             : deletionBudget.tryTake(schedulerState.machines().size(), now);
     if (isAllowed) {
       machine.deleting = true;
--- a/src/main/java/org/mallowroad/state/AttemptRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/AttemptRecordCodec.java
@@ -32,14 +32,14 @@
   private static final String KINDS = "kinds";
   private static final String LIVE = "live";
 
-  /** Positions in a group of {@code live}. */
+  /** Indices within a group of {@code live}; the task and attempt numbers follow in pairs. */
   private static final int GROUP_MACHINE = 0;
 
   private static final int GROUP_INCARNATION = 1;
   private static final int GROUP_KIND = 2;
   private static final int GROUP_ATTEMPTS = 3;
 
-  /** Positions in an element of {@code kinds}. */
+  /** Indices within an element of {@code kinds}. */
   private static final int KIND_TYPE = 0;
 
   private static final int KIND_ZONE = 1;
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -126,8 +126,8 @@
   /**
    * Creates a client of one state service.
    *
-   * @param sender for ordinary calls
-   * @param watchSender for watches, so that they never delay other calls
+   * @param sender sends all calls except watches
+   * @param watchSender sends watches separately, so that they never delay other calls
    */
   public KeyValueStore(EventLoop loop, RequestSender sender, RequestSender watchSender) {
     this.loop = loop;
--- a/src/main/java/org/mallowroad/state/RecordedAttempt.java
+++ b/src/main/java/org/mallowroad/state/RecordedAttempt.java
@@ -6,7 +6,7 @@
  * @param task the task's index in its job
  * @param number the attempt number within the task, starting at 1
  * @param machine the machine's name
- * @param incarnation the worker session that the attempt was started in
+ * @param incarnation the worker session in which the attempt was started
  * @param type name of the machine's type
  * @param zone name of the machine's zone
  * @param spot whether the machine is a spot machine
--- a/src/main/java/org/mallowroad/state/Transaction.java
+++ b/src/main/java/org/mallowroad/state/Transaction.java
@@ -54,17 +54,17 @@
     return this;
   }
 
-  /** Number of puts and deletes. */
+  /** Returns the number of puts and deletes. */
   public int writeCount() {
     return writeArray.size();
   }
 
-  /** Number of conditions. */
+  /** Returns the number of conditions. */
   public int conditionCount() {
     return conditionArray.size();
   }
 
-  /** The request body. */
+  /** Returns the request body. */
   ObjectNode requestBody() {
     return request;
   }
--- a/src/main/java/org/mallowroad/state/TransactionRetry.java
+++ b/src/main/java/org/mallowroad/state/TransactionRetry.java
@@ -90,7 +90,7 @@
     hasUnknownOutcome |= result == CallResult.UNKNOWN;
     boolean isCertain = result == CallResult.OK || result == CallResult.CONDITION_FAILED;
     if (!isCertain && outstandingCopies > 0) {
-      return; // Another copy may still bring a certain outcome.
+      return; // Another copy may still have a certain outcome.
     }
     isReported = true;
     if (retryTimer != null) {
