--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -94,7 +94,7 @@
   }
 
   private void applyEvents(List<VersionedValue> events, long sentMs) {
-    CancellationView.Reading reading = cancellationView.beginReading(sentMs);
+    CancellationView.ViewRead reading = cancellationView.beginRead(sentMs);
     for (VersionedValue event : events) {
       if (event.value() != null) {
         listener.jobAccepted();
@@ -113,11 +113,11 @@
    * Reads how a job whose open record was deleted has ended. Until the end record is read, the
    * reading of the cancellation view is incomplete and no attempt of the job is stopped.
    */
-  private void handleDeletedOpenRecord(String jobId, CancellationView.Reading reading) {
+  private void handleDeletedOpenRecord(String jobId, CancellationView.ViewRead reading) {
     Job job = schedulerState.job(jobId);
     if (job != null && !job.isCancelled() && !schedulerState.jobsToComplete().contains(job)) {
       listener.jobCancelled();
-      reading.awaitAnother();
+      reading.awaitFollowUpRead();
       committer.readJobEnd(
           job,
           () -> {
@@ -149,7 +149,7 @@
   }
 
   private void reconcile(List<VersionedValue> openRecords, long sentMs) {
-    CancellationView.Reading reading = cancellationView.beginReading(sentMs);
+    CancellationView.ViewRead reading = cancellationView.beginRead(sentMs);
     ObjectOpenHashSet<String> listedIds = new ObjectOpenHashSet<>();
     for (VersionedValue openRecord : openRecords) {
       String jobId = RecordKeys.jobOfOpenJobKey(openRecord.key());
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -220,7 +220,7 @@
         schedulerState.finishRestore(job, loop.now());
       }
       // The reading covers ended jobs as well, because readJobEnds has read how each of them ended.
-      cancellationView.beginReading(sentMs).markApplied();
+      cancellationView.beginRead(sentMs).markApplied();
       listener.loaded(attempts.size() + sharedAttempts.size(), rentals);
       watcher.watch(openJobsRevision);
     }
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -10,8 +10,8 @@
 import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.health.MachineHealth;
 import org.mallowroad.core.health.MachineHealth.Suspicion;
+import org.mallowroad.core.health.MachineHealth;
 import org.mallowroad.core.health.PauseDetector;
 import org.mallowroad.core.health.TokenBucket;
 import org.slf4j.Logger;
@@ -132,7 +132,7 @@
     this.silenceTimeoutMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy policy = health.policy();
-    this.deletionBudget = new TokenBucket(policy.returnShare(), policy.minReturns(), leaseMs, now);
+    this.deletionBudget = new TokenBucket(policy.maxDeletionShare(), policy.minDeletions(), leaseMs, now);
     this.zoneDeletionBudgets = new TokenBucket[zones.size()];
     this.lastDirectHeartbeatMs = new long[zones.size()];
     this.isZoneRerouted = new boolean[zones.size()];
@@ -140,7 +140,7 @@
     Arrays.fill(lastDirectHeartbeatMs, now);
     for (int zone = 0; zone < zoneDeletionBudgets.length; zone++) {
       zoneDeletionBudgets[zone] =
-          new TokenBucket(policy.partitionReturnShare(), 1, ZONE_REFILL_LEASES * leaseMs, now);
+          new TokenBucket(policy.maxPartitionDeletionShare(), 1, ZONE_REFILL_LEASES * leaseMs, now);
     }
   }
 
@@ -153,7 +153,7 @@
     long pausedMs = health.pauseDetector().recordActivity(now);
     if (pausedMs > 0) {
       LOG.warn("event=process_paused term={} ms={}", term, pausedMs);
-      health.failureDetector().restart(now);
+      health.failureDetector().resetSilence(now);
     }
   }
 
@@ -217,7 +217,7 @@
       isZoneRerouted[zone] = false;
     } else if (!isZoneRerouted[zone] && now - lastDirectHeartbeatMs[zone] > REROUTE_DETECTION_MS) {
       isZoneRerouted[zone] = true;
-      health.failureDetector().restartZone(zone, now);
+      health.failureDetector().resetZoneSilence(zone, now);
       LOG.warn(
           "event=zone_rerouted zone={} direct_ms={}",
           zones.name(zone),
@@ -241,11 +241,11 @@
       } else if (attempt.phase == Attempt.Phase.PULLING) {
         double expectedFetchS =
             attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
-        health.imageFetchWaiting(
+        health.recordImageWait(
             machine.health, now - attempt.createdMs, expectedFetchS * 1000, now);
       }
     }
-    health.tasksOverdue(machine.health, overdue, now);
+    health.setOverdueTasks(machine.health, overdue, now);
   }
 
   /**
@@ -255,14 +255,14 @@
   void evaluate(long now) {
     loggedMachineLines = 0;
     FailureDetector failureDetector = health.failureDetector();
-    for (FailureDetector.ZoneVerdict verdict : failureDetector.evaluate(now)) {
+    for (FailureDetector.ZoneStateChange verdict : failureDetector.evaluate(now)) {
       LOG.warn(
           "event={} zone={} silent={} of={} lasted_ms={}",
           verdict.partitioned() ? "zone_silent" : "zone_recovered",
           zones.name(verdict.zone()),
-          verdict.overdue(),
-          verdict.known(),
-          verdict.lastedMs());
+          verdict.overdueMachines(),
+          verdict.knownMachines(),
+          verdict.previousStateMs());
     }
     for (FleetHealth.SuspicionChange change : health.takeChanges()) {
       logMachine(
@@ -270,7 +270,7 @@
           eventName(change.suspicion()),
           Math.round(change.slowdown() * 100) / 100.0);
     }
-    suppressedLines += health.takeUnkeptChanges();
+    suppressedLines += health.takeDroppedChangeCount();
     Arrays.fill(unreachableCountByZone, 0);
     for (Machine machine : schedulerState.machines()) {
       unreachableCountByZone[machine.zone] +=
@@ -334,7 +334,7 @@
         schedulerState.requestStop(attempt, 0, now);
       }
     }
-    int knownMachines = health.failureDetector().knownMachines(machine.zone);
+    int knownMachines = health.failureDetector().knownMachineCount(machine.zone);
     boolean isAllowed =
         unreachableCountByZone[machine.zone] >= health.policy().minPartitionMachines()
             ? zoneDeletionBudgets[machine.zone].tryTake(knownMachines, now)
@@ -360,7 +360,7 @@
       // An idle machine delays no task, but it may be gone permanently. If it were kept forever,
       // the zone would stay partitioned and no machines would be rented there any more.
       return (!machine.isEmpty() || silentForMs > MAX_IDLE_PARTITIONED_LEASES * leaseMs)
-          && zoneDeletionBudgets[zone].tryTake(failureDetector.knownMachines(zone), now);
+          && zoneDeletionBudgets[zone].tryTake(failureDetector.knownMachineCount(zone), now);
     }
     if (failureDetector.isLikelyIsolated(now) && silentForMs <= leaseMs) {
       return false; // When most machines are silent, the fault is more likely on the leader's side.
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -118,7 +118,7 @@
         ScaleOutRequest request = rental.request;
         pending.add(
             new PendingMachines(
-                request.variant(), request.count(), rental.requestedMs, request.gang()));
+                request.variant(), request.count(), rental.requestedMs, request.gangId()));
       }
     }
   }
@@ -190,9 +190,9 @@
     record.put(ZONE, services.zones().name(request.variant().zone()));
     record.put(SPOT, request.variant().spot());
     record.put(COUNT, request.count());
-    if (request.gang() != null) {
+    if (request.gangId() != null) {
       record.put(
-          GANG, request.gang()); // Lets the next leader keep the machines reserved for the gang.
+          GANG, request.gangId()); // Lets the next leader keep the machines reserved for the gang.
     }
     return record;
   }
@@ -256,7 +256,7 @@
       if (MachineListReconciler.awaitsFirstHeartbeat(name, services.schedulerState())) {
         booting.addRented(
             new BootingMachines.BootingMachine(
-                name, request.variant(), rental.requestedMs, now, request.gang()));
+                name, request.variant(), rental.requestedMs, now, request.gangId()));
       }
     }
   }
--- a/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
@@ -115,35 +115,36 @@
   private PendingReason explainGang(Job job) {
     int places = placement.findGangPlacement(job, survey.now()).size();
     questions.addAsked(schedulerState.machines().size());
-    if (places >= job.waitingCount()) {
+    if (places >= job.pendingTaskCount()) {
       return aboutToStart(job);
     }
-    String detail = "places for " + places + " of " + job.waitingCount() + " tasks";
-    GangReservations.State state = schedulerState.gangReservations().state(job, survey.now());
+    String detail = "places for " + places + " of " + job.pendingTaskCount() + " tasks";
+    GangReservations.ReservationStatus state =
+        schedulerState.gangReservations().status(job, survey.now());
     if (state == null) {
       return capacity.explain(job, PendingCause.GANG, detail + "; waits for its turn to gather");
     }
     return new PendingReason(
         PendingCause.GANG,
         job.waitingSinceMs(),
-        state.untilMs(),
+        state.endsAtMs(),
         state.zone(),
         detail + "; " + describeReservation(state));
   }
 
-  private String describeReservation(GangReservations.State state) {
+  private String describeReservation(GangReservations.ReservationStatus state) {
     String where = state.zone() < 0 ? "any zone" : "zone " + zones.name(state.zone());
-    if (state.givenUp()) {
+    if (state.isBackingOff()) {
       return where + " could not hold all of it and is left alone until then";
     }
     return "gathers in "
         + where
         + ": "
-        + state.places()
+        + state.slots()
         + " of "
-        + state.need()
+        + state.neededSlots()
         + " held or soon free, "
-        + CountFormat.of(state.rented(), "machine")
+        + CountFormat.of(state.requestedMachines(), "machine")
         + " rented for it";
   }
 
@@ -171,16 +172,16 @@
 
   private String describeTeamLimit(JobSpec spec) {
     Team team = schedulerState.team(spec);
-    boolean cardsExceeded = spec.cards() > 0 && team.usedCards() + spec.cards() > team.cardsMax();
+    boolean cardsExceeded = spec.cards() > 0 && team.usedCards() + spec.cards() > team.cardLimit();
     return cardsExceeded
         ? CountFormat.amount(team.usedCards())
             + " of "
-            + CountFormat.amount(team.cardsMax())
+            + CountFormat.amount(team.cardLimit())
             + " cards used by "
             + team.name
         : CountFormat.amount(team.usedCpus())
             + " of "
-            + CountFormat.amount(team.cpusMax())
+            + CountFormat.amount(team.cpuLimit())
             + " CPUs used by "
             + team.name;
   }
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.AttemptOutcome;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
 import org.mallowroad.core.JobSpec;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -30,8 +30,8 @@
 final class WriteBehindCommitterTest {
   private static final double WRITES_PER_SECOND = 22;
   private static final int MAX_VALUE_BYTES = 8 * 1024;
-  private final SteppedClock clock = new SteppedClock();
-  private final SteppedClock.Process process = clock.new Process();
+  private final VirtualTimeHarness clock = new VirtualTimeHarness();
+  private final VirtualTimeHarness.Process process = clock.new Process();
   private final KeyValueStore store = new KeyValueStore(process, process, process);
   private final NameIndex zones = new NameIndex();
   private final MachineType type =
@@ -44,12 +44,12 @@
   WriteBehindCommitterTest() {
     zones.intern("a");
     schedulerState = new SchedulerState(1, 26, 4, List.of(new Team("t", 0, 0, 0, 0)), zones);
-    machine = schedulerState.registerMachine("n-1", type, 0, false, clock.now);
+    machine = schedulerState.registerMachine("n-1", type, 0, false, clock.nowMs);
     schedulerState.processHeartbeat(
         machine,
         new Heartbeat("n-1", "h:1", "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
-        clock.now);
+        clock.nowMs);
     leaderKeyVersion = put(LeaderElection.LEADER_KEY);
     committer = committer(16);
   }
@@ -58,7 +58,7 @@
     return new WriteBehindCommitter(
         process,
         store,
-        new RateLimiter(WRITES_PER_SECOND, 24, clock.now),
+        new RateLimiter(WRITES_PER_SECOND, 24, clock.nowMs),
         schedulerState,
         zones,
         new WriteBehindCommitter.Options(leaderKeyVersion, maxTransactionWrites),
@@ -89,13 +89,13 @@
 
   private long put(String key) {
     String body = "{\"writes\":[{\"put\":\"" + key + "\",\"v\":{}}]}";
-    return clock.serve("POST", "/multi", body).body().path("epoch").asLong();
+    return clock.callStore("POST", "/multi", body).body().path("epoch").asLong();
   }
 
   private Attempt start(String id, int priority) {
-    JobSpec jobSpec = JobSpecs.array(id, 1, 1).priority(priority).build();
-    Job job = schedulerState.accept(jobSpec, put("open/" + id), 0, clock.now);
-    return schedulerState.start(job, 0, machine, clock.now);
+    JobSpec jobSpec = JobSpecBuilder.job(id, 1, 1).priority(priority).build();
+    Job job = schedulerState.accept(jobSpec, put("open/" + id), 0, clock.nowMs);
+    return schedulerState.start(job, 0, machine, clock.nowMs);
   }
 
   /**
@@ -115,7 +115,7 @@
         others.add(start("job-2" + second + i, 1));
       }
       committer.commitPending();
-      clock.run(1_000);
+      clock.advance(1_000);
       if (second == 0) {
         assertTrue(
             recordedStarts(others) >= 10,
@@ -124,7 +124,7 @@
     }
     assertTrue(recordedStarts(others) >= 70, "other starts recorded: " + recordedStarts(others));
     assertTrue(recordedStarts(idle) >= 25, "idle starts recorded: " + recordedStarts(idle));
-    clock.run(25_000);
+    clock.advance(25_000);
     assertEquals(432, recordedStarts(others) + recordedStarts(idle));
   }
 
@@ -138,21 +138,21 @@
         .sharedAttemptRecords()
         .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
     List<Attempt> attempts = startSingleTaskJobs(20);
-    int writesBefore = clock.writes;
+    int writesBefore = clock.requestedWrites;
     committer.commitPending();
-    clock.run(100);
+    clock.advance(100);
     assertEquals(20, recordedStarts(attempts));
-    assertEquals(1, clock.writes - writesBefore);
+    assertEquals(1, clock.requestedWrites - writesBefore);
     assertEquals(1, clock.store.keys("starts/").size());
     assertEquals(0, clock.store.keys("run/").size());
     attempts.forEach(
-        attempt -> schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, clock.now));
-    clock.run(1_000);
+        attempt -> schedulerState.resolve(attempt, AttemptOutcome.COMPLETED, clock.nowMs));
+    clock.advance(1_000);
     committer.commitPending();
-    clock.run(20_000);
+    clock.advance(20_000);
     assertEquals(List.of(), List.copyOf(clock.store.keys("starts/")));
     assertEquals(List.of(), List.copyOf(clock.store.keys("open/")));
-    assertEquals(1 + 2 * 20 + 1, clock.writes - writesBefore);
+    assertEquals(1 + 2 * 20 + 1, clock.requestedWrites - writesBefore);
     assertEquals(0, schedulerState.jobs().size());
     assertEquals(0, schedulerState.sharedAttemptRecords().records().size());
   }
@@ -169,7 +169,7 @@
     List<Attempt> attempts = startSingleTaskJobs(5);
     cancelFirstJobInStore();
     committer.commitPending();
-    clock.run(1_000);
+    clock.advance(1_000);
     assertEquals(4, recordedStarts(attempts));
     assertEquals(Attempt.Phase.GONE, attempts.get(0).phase);
     assertEquals(List.of("job-11", "job-12", "job-13", "job-14"), jobsInSharedRecords());
@@ -186,14 +186,14 @@
         .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
     List<Attempt> attempts = startSingleTaskJobs(3);
     committer.commitPending();
-    clock.run(100);
+    clock.advance(100);
     cancelFirstJobInStore();
     committer.jobCancelled(attempts.get(0).job);
-    schedulerState.resolve(attempts.get(0), AttemptOutcome.STOPPED, clock.now);
+    schedulerState.resolve(attempts.get(0), AttemptOutcome.STOPPED, clock.nowMs);
     committer.commitPending();
-    clock.run(10_000);
+    clock.advance(10_000);
     committer.commitPending();
-    clock.run(10_000);
+    clock.advance(10_000);
     assertEquals(List.of("job-11", "job-12"), jobsInSharedRecords());
   }
 
@@ -210,12 +210,12 @@
             .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
       }
       List<Attempt> attempts = startSingleTaskJobs(isShared ? 3 : 1);
-      int writesBefore = clock.writes;
-      clock.loseNext = 1;
+      int writesBefore = clock.requestedWrites;
+      clock.transactionResponsesToLose = 1;
       committer.commitPending();
-      clock.run(600);
+      clock.advance(600);
       assertEquals(attempts.size(), recordedStarts(attempts));
-      assertEquals(2, clock.writes - writesBefore);
+      assertEquals(2, clock.requestedWrites - writesBefore);
     }
   }
 
@@ -227,24 +227,24 @@
   void exitsUseAboutAFifthOfTheWriteRate() {
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      JobSpec jobSpec = JobSpecs.array("job-3" + i, 100, 1).build();
-      Job job = schedulerState.accept(jobSpec, put("open/job-3" + i), 0, clock.now);
+      JobSpec jobSpec = JobSpecBuilder.job("job-3" + i, 100, 1).build();
+      Job job = schedulerState.accept(jobSpec, put("open/job-3" + i), 0, clock.nowMs);
       for (int task = 0; task < 100; task++) {
-        schedulerState.start(job, task, machine, clock.now);
+        schedulerState.start(job, task, machine, clock.nowMs);
       }
       jobs.add(job);
     }
     committer.commitPending();
-    clock.run(10_000);
-    int writesBefore = clock.writes;
+    clock.advance(10_000);
+    int writesBefore = clock.requestedWrites;
     for (int task = 0; task < 40; task++) {
       for (Job job : jobs) {
-        schedulerState.resolve(job.liveAttempt(task), AttemptOutcome.COMPLETED, clock.now);
+        schedulerState.resolve(job.liveAttempt(task), AttemptOutcome.COMPLETED, clock.nowMs);
       }
       committer.commitPending();
-      clock.run(500);
+      clock.advance(500);
     }
-    int written = clock.writes - writesBefore;
+    int written = clock.requestedWrites - writesBefore;
     assertTrue(written <= 20 * WRITES_PER_SECOND * 0.25, "writes in 20 s: " + written);
     assertTrue(written >= 30, "each record must be written at least once, writes: " + written);
   }
@@ -262,7 +262,7 @@
     committer.commitPending();
     boolean sawPartialCommit = false;
     for (int ms = 0; ms < 20; ms++) {
-      clock.run(1);
+      clock.advance(1);
       assertEquals(recordedStarts(attempts), jobsInSharedRecords().size());
       sawPartialCommit |= recordedStarts(attempts) > 30 && recordedStarts(attempts) < 90;
     }
@@ -276,15 +276,15 @@
    */
   @Test
   void jobWithPossiblyWrittenOwnRecordDoesNotJoinSharedRecord() {
-    clock.loseAnswers = true;
+    clock.loseTransactionResponses = true;
     List<Attempt> attempts = startSingleTaskJobs(1);
     committer.commitPending();
-    clock.run(1_000);
-    clock.loseAnswers = false;
+    clock.advance(1_000);
+    clock.loseTransactionResponses = false;
     schedulerState
         .sharedAttemptRecords()
         .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
-    clock.run(10_000);
+    clock.advance(10_000);
     assertEquals(1, recordedStarts(attempts));
     assertEquals(List.of(), jobsInSharedRecords());
   }
@@ -301,7 +301,7 @@
         .enable(WriteBehindCommitter.maxSharedMembers(maxTransactionWrites), MAX_VALUE_BYTES);
     List<Attempt> attempts = startSingleTaskJobs(60);
     committer(maxTransactionWrites).commitPending();
-    clock.run(10_000);
+    clock.advance(10_000);
     assertEquals(60, recordedStarts(attempts));
   }
 
@@ -319,13 +319,13 @@
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
       Job job =
-          schedulerState.accept(JobSpecs.array(id, 4, 1).build(), put("open/" + id), 0, clock.now);
+          schedulerState.accept(JobSpecBuilder.job(id, 4, 1).build(), put("open/" + id), 0, clock.nowMs);
       for (int task = 0; task < 4; task++) {
-        attempts.add(schedulerState.start(job, task, registerMachineWithLongName(task), clock.now));
+        attempts.add(schedulerState.start(job, task, registerMachineWithLongName(task), clock.nowMs));
       }
     }
     committer.commitPending();
-    clock.run(10_000);
+    clock.advance(10_000);
     assertEquals(96, recordedStarts(attempts));
     for (String key : clock.store.keys("starts/")) {
       int bytes = clock.store.value(key).toString().length();
@@ -342,11 +342,11 @@
     schedulerState
         .sharedAttemptRecords()
         .enable(WriteBehindCommitter.maxSharedMembers(16), MAX_VALUE_BYTES);
-    JobSpec jobSpec = JobSpecs.array("job-1", 1, 1).service().build();
-    Job job = schedulerState.accept(jobSpec, put("open/job-1"), 0, clock.now);
-    List<Attempt> attempts = List.of(schedulerState.start(job, 0, machine, clock.now));
+    JobSpec jobSpec = JobSpecBuilder.job("job-1", 1, 1).service().build();
+    Job job = schedulerState.accept(jobSpec, put("open/job-1"), 0, clock.nowMs);
+    List<Attempt> attempts = List.of(schedulerState.start(job, 0, machine, clock.nowMs));
     committer.commitPending();
-    clock.run(1_000);
+    clock.advance(1_000);
     assertEquals(1, recordedStarts(attempts));
     assertEquals(List.of(), jobsInSharedRecords());
     assertEquals(List.of("run/job-1/0"), List.copyOf(clock.store.keys("run/")));
@@ -355,12 +355,12 @@
   private Machine registerMachineWithLongName(int index) {
     Machine namedMachine =
         schedulerState.registerMachine(
-            "machine-with-a-long-name-" + index, type, 0, false, clock.now);
+            "machine-with-a-long-name-" + index, type, 0, false, clock.nowMs);
     schedulerState.processHeartbeat(
         namedMachine,
         new Heartbeat(namedMachine.name, "h:" + index, "t9", "a", false, 1, 1, 1, -1, List.of()),
         true,
-        clock.now);
+        clock.nowMs);
     return namedMachine;
   }
 
@@ -379,7 +379,7 @@
   }
 
   private void cancelFirstJobInStore() {
-    clock.serve(
+    clock.callStore(
         "POST",
         "/multi",
         "{\"writes\":[{\"delete\":\"open/job-10\"},"
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -12,7 +12,7 @@
 import org.mallowroad.core.Attempt;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.Job;
-import org.mallowroad.core.JobSpecs;
+import org.mallowroad.core.JobSpecBuilder;
 import org.mallowroad.core.Machine;
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
@@ -73,7 +73,7 @@
       taskScheduler = new TaskScheduler(schedulerState);
       autoscaler =
           new Autoscaler(schedulerState, AutoscalerPolicy.defaults(), new ServiceLevelObjectives());
-      job = schedulerState.accept(JobSpecs.array("job-1", 160, 1).spot().build(), 5, 0, now);
+      job = schedulerState.accept(JobSpecBuilder.job("job-1", 160, 1).spot().build(), 5, 0, now);
       for (int i = 0; i < 40; i++) {
         machines.add(schedulerState.registerMachine("n-" + i, type, i / 20, true, now));
       }
@@ -85,7 +85,7 @@
       } else {
         advance(8_000, 0, 0);
         assertEquals(160, taskScheduler.placeTasks(now).size());
-        JobSpecs.commit(schedulerState, now);
+        JobSpecBuilder.commitDirtyRecords(schedulerState, now);
         advance(8_000, 0, 0);
       }
     }
@@ -97,7 +97,7 @@
           receivesNoResponses ? highestSeenToken[index] : Math.max(TERM, machine.fencingToken);
       schedulerState.processHeartbeat(
           machine,
-          JobSpecs.report(
+          JobSpecBuilder.heartbeatListingAttempts(
               machine,
               ++sequence,
               highestSeenToken[index],
@@ -139,7 +139,7 @@
     int requestedMachines() {
       int count = 0;
       for (ScaleOutRequest request :
-          autoscaler.scaleOut(taskScheduler.queue(now), List.of(), List.of(type), now)) {
+          autoscaler.planScaleOut(taskScheduler.queue(now), List.of(), List.of(type), now)) {
         assertFalse(
             health.failureDetector().isPartitioned(request.variant().zone()),
             "requested a machine in a partitioned zone");
@@ -177,11 +177,11 @@
               cluster.advance(20_000, 0, 20);
               int deleted = cluster.deletedMachines();
               assertTrue(deleted >= 10 && deleted <= 13, "deleted " + deleted);
-              assertEquals(0, cluster.job.waitingCount());
+              assertEquals(0, cluster.job.pendingTaskCount());
               cluster.advance(13_000, 0, 20);
               // The cloud answers no deletion here, so the tasks are freed by the expiry of the
               // leases.
-              assertEquals(80, cluster.job.waitingCount());
+              assertEquals(80, cluster.job.pendingTaskCount());
               deleted = cluster.deletedMachines();
               assertTrue(deleted <= 14, "deleted " + deleted);
               // The partition ends: the remaining machines are used again.
@@ -195,7 +195,7 @@
             false,
             cluster -> {
               cluster.advance(33_000, 0, 20);
-              assertEquals(80, cluster.job.waitingCount());
+              assertEquals(80, cluster.job.pendingTaskCount());
               int kept = 20 - cluster.deletedMachines();
               int requested = cluster.requestedMachines();
               assertTrue(kept >= 6, "kept " + kept);
@@ -209,7 +209,7 @@
               cluster.advance(20_000, 0, 20);
               int deletedAtFirst = cluster.deletedMachines();
               assertTrue(deletedAtFirst >= 14 && deletedAtFirst <= 19, "deleted " + deletedAtFirst);
-              assertEquals(0, cluster.job.waitingCount());
+              assertEquals(0, cluster.job.pendingTaskCount());
               cluster.advance(40_000, 0, 20);
               assertEquals(20, cluster.deletedMachines());
             }),
@@ -228,7 +228,7 @@
               }
               assertEquals(0, cluster.health.failureDetector().partitionedZoneCount());
               cluster.schedulerState.accept(
-                  JobSpecs.array("job-2", 8, 1).zone(0).spot().build(), 5, 0, cluster.now);
+                  JobSpecBuilder.job("job-2", 8, 1).zone(0).spot().build(), 5, 0, cluster.now);
               assertTrue(cluster.requestedMachines() > 0);
             }),
         scenario(
@@ -311,9 +311,9 @@
                   StartRefusal.DRAINING_OR_FAILED,
                   cluster.schedulerState.machineRefusal(machine, cluster.now));
               assertEquals(1, cluster.deletedMachines());
-              assertEquals(0, cluster.job.waitingCount()); // A suspicion alone frees nothing.
+              assertEquals(0, cluster.job.pendingTaskCount()); // A suspicion alone frees nothing.
               cluster.schedulerState.machineDeleted(machine, cluster.now);
-              assertEquals(4, cluster.job.waitingCount());
+              assertEquals(4, cluster.job.pendingTaskCount());
             }),
         scenario(
             "a zone without responses is not deleted as a whole, and is used again on recovery",
@@ -347,14 +347,14 @@
             false,
             cluster -> {
               Heartbeat heartbeat =
-                  JobSpecs.report(cluster.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
+                  JobSpecBuilder.heartbeatListingAttempts(cluster.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
               assertTrue(cluster.responder.tryRedirect(heartbeat, cluster.now));
               assertFalse(cluster.responder.tryRedirect(heartbeat, cluster.now + 6_000));
               assertFalse(cluster.responder.tryRedirect(heartbeat, cluster.now + LEASE_MS - 1));
               assertTrue(cluster.responder.tryRedirect(heartbeat, cluster.now + LEASE_MS));
               assertTrue(
                   cluster.responder.tryRedirect(
-                      JobSpecs.report(cluster.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
+                      JobSpecBuilder.heartbeatListingAttempts(cluster.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
                       cluster.now + 10));
             }),
         scenario(
--- a/src/test/java/org/mallowroad/election/LeaderElectionTest.java
+++ b/src/test/java/org/mallowroad/election/LeaderElectionTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.mallowroad.SteppedClock;
+import org.mallowroad.VirtualTimeHarness;
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.state.KeyValueStore;
 
@@ -20,11 +20,11 @@
 final class LeaderElectionTest {
   /** A stepped clock, and processes that take part in an election on its store. */
   private static final class ElectionFixture {
-    private final SteppedClock clock = new SteppedClock();
+    private final VirtualTimeHarness clock = new VirtualTimeHarness();
 
     private final class Process implements LeaderElection.Listener {
       private long electedTerm;
-      private final SteppedClock.Process process = clock.new Process();
+      private final VirtualTimeHarness.Process process = clock.new Process();
       private final LeaderElection election;
 
       Process(String node) {
@@ -34,7 +34,7 @@
       }
 
       void crash() {
-        process.dead = true;
+        process.crashed = true;
       }
 
       @Override
@@ -49,7 +49,7 @@
     }
 
     private void advance(long ms) {
-      clock.run(ms);
+      clock.advance(ms);
     }
 
     private JsonNode storedLeader() {
@@ -100,10 +100,10 @@
               // reads has its name and its term. The record has no lease field, like those of older
               // versions, so no process releases its lease.
               long lease = grantLease(fixture);
-              fixture.clock.loseAnswers = true;
-              fixture.clock.beforeMulti =
+              fixture.clock.loseTransactionResponses = true;
+              fixture.clock.beforeTransaction =
                   () -> {
-                    fixture.clock.beforeMulti = () -> {};
+                    fixture.clock.beforeTransaction = () -> {};
                     executeLateElection(fixture, lease);
                   };
               ElectionFixture.Process restartedProcess = fixture.new Process("n0");
@@ -114,7 +114,7 @@
                       ? "n0"
                       : fixture.storedLeader().path("node").asText());
               assertFalse(restartedProcess.election.isLeading());
-              fixture.clock.loseAnswers = false;
+              fixture.clock.loseTransactionResponses = false;
               fixture.advance(6_000);
               assertTrue(restartedProcess.election.isLeading());
               assertTrue(restartedProcess.electedTerm > FencingTokens.last(1));
@@ -145,7 +145,7 @@
   private static long grantLease(ElectionFixture fixture) {
     return fixture
         .clock
-        .serve("POST", "/leases", "{\"life_ms\":3000}")
+        .callStore("POST", "/leases", "{\"life_ms\":3000}")
         .body()
         .path("tenure")
         .asLong();
@@ -163,6 +163,6 @@
   }
 
   private static void executeTransaction(ElectionFixture fixture, String body) {
-    assertEquals(200, fixture.clock.serve("POST", "/multi", body).status());
+    assertEquals(200, fixture.clock.callStore("POST", "/multi", body).status());
   }
 }
