--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -10,8 +10,8 @@
 import org.mallowroad.core.health.FailureDetector;
 import org.mallowroad.core.health.FleetHealth;
 import org.mallowroad.core.health.HealthPolicy;
-import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.MachineHealth;
+import org.mallowroad.core.health.MachineHealth.Suspicion;
 import org.mallowroad.core.health.PauseDetector;
 import org.mallowroad.core.health.TokenBucket;
 import org.slf4j.Logger;
@@ -132,7 +132,8 @@
     this.silenceTimeoutMs = (long) (heartbeatIntervalS * 1500) + SILENCE_MARGIN_MS;
     this.leaseMs = (long) (leaseS * 1000);
     HealthPolicy policy = health.policy();
-    this.deletionBudget = new TokenBucket(policy.maxDeletionShare(), policy.minDeletions(), leaseMs, now);
+    this.deletionBudget =
+        new TokenBucket(policy.maxDeletionShare(), policy.minDeletions(), leaseMs, now);
     this.zoneDeletionBudgets = new TokenBucket[zones.size()];
     this.lastDirectHeartbeatMs = new long[zones.size()];
     this.isZoneRerouted = new boolean[zones.size()];
@@ -241,8 +242,7 @@
       } else if (attempt.phase == Attempt.Phase.PULLING) {
         double expectedFetchS =
             attempt.job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerS());
-        health.recordImageWait(
-            machine.health, now - attempt.createdMs, expectedFetchS * 1000, now);
+        health.recordImageWait(machine.health, now - attempt.createdMs, expectedFetchS * 1000, now);
       }
     }
     health.setOverdueTasks(machine.health, overdue, now);
--- a/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
+++ b/src/test/java/org/mallowroad/controller/persistence/WriteBehindCommitterTest.java
@@ -319,9 +319,11 @@
     for (int i = 0; i < 24; i++) {
       String id = "job-" + "9".repeat(38) + (10 + i);
       Job job =
-          schedulerState.accept(JobSpecBuilder.job(id, 4, 1).build(), put("open/" + id), 0, clock.nowMs);
+          schedulerState.accept(
+              JobSpecBuilder.job(id, 4, 1).build(), put("open/" + id), 0, clock.nowMs);
       for (int task = 0; task < 4; task++) {
-        attempts.add(schedulerState.start(job, task, registerMachineWithLongName(task), clock.nowMs));
+        attempts.add(
+            schedulerState.start(job, task, registerMachineWithLongName(task), clock.nowMs));
       }
     }
     committer.commitPending();
--- a/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
+++ b/src/test/java/org/mallowroad/controller/provisioning/FailureResponderTest.java
@@ -347,14 +347,16 @@
             false,
             cluster -> {
               Heartbeat heartbeat =
-                  JobSpecBuilder.heartbeatListingAttempts(cluster.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
+                  JobSpecBuilder.heartbeatListingAttempts(
+                      cluster.machines.get(0), 900, TERM, Heartbeat.State.RUNNING);
               assertTrue(cluster.responder.tryRedirect(heartbeat, cluster.now));
               assertFalse(cluster.responder.tryRedirect(heartbeat, cluster.now + 6_000));
               assertFalse(cluster.responder.tryRedirect(heartbeat, cluster.now + LEASE_MS - 1));
               assertTrue(cluster.responder.tryRedirect(heartbeat, cluster.now + LEASE_MS));
               assertTrue(
                   cluster.responder.tryRedirect(
-                      JobSpecBuilder.heartbeatListingAttempts(cluster.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
+                      JobSpecBuilder.heartbeatListingAttempts(
+                          cluster.machines.get(1), 900, TERM, Heartbeat.State.RUNNING),
                       cluster.now + 10));
             }),
         scenario(
