--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -333,8 +333,8 @@
         && attemptRecord.job.spec.dependencies().isGated()
         && !jobsWithStartConditions.contains(attemptRecord.job)) {
       if (isFull(2)) {
-        return; // The first start also writes the job's release record; the next transaction has
-        // room for both.
+        // The first start also writes the job's release record; the next transaction has room.
+        return;
       }
       startConditions.addTo(attemptRecord.job, transaction);
       jobsWithStartConditions.add(attemptRecord.job);
--- a/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
+++ b/src/main/java/org/mallowroad/controller/persistence/OpenJobWatcher.java
@@ -155,8 +155,8 @@
       String jobId = RecordKeys.jobOfOpenJobKey(openRecord.key());
       listedIds.add(jobId);
       if (schedulerState.job(jobId) == null) {
-        restoreOpenJob(
-            openRecord); // Open records never change, so known jobs need not be restored again.
+        // Open records never change, so known jobs need not be restored again.
+        restoreOpenJob(openRecord);
       }
     }
     for (Job job : new ArrayList<>(schedulerState.jobs())) {
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -196,9 +196,8 @@
       return false;
     }
     if (lastRedirectMs.size() >= MAX_REDIRECTED) {
-      lastRedirectMs
-          .clear(); // The only effect is that each worker may be redirected once more than
-      // necessary.
+      // The only effect is that each worker may be redirected once more than necessary.
+      lastRedirectMs.clear();
     }
     lastRedirectMs.put(heartbeat.machine(), now);
     return true;
--- a/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/RentalRecords.java
@@ -191,8 +191,8 @@
     record.put(SPOT, request.variant().spot());
     record.put(COUNT, request.count());
     if (request.gangId() != null) {
-      record.put(
-          GANG, request.gangId()); // Lets the next leader keep the machines reserved for the gang.
+      // Lets the next leader keep the machines reserved for the gang.
+      record.put(GANG, request.gangId());
     }
     return record;
   }
