--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -18,47 +18,47 @@
   private final EventLoop loop;
   private final KeyValueStore state;
   private final JobLookup lookup;
-  private final RateLimiter writes;
+  private final RateLimiter writeLimiter;
 
-  CancelRequests(EventLoop loop, KeyValueStore state, JobLookup lookup, RateLimiter writes) {
+  CancelRequests(EventLoop loop, KeyValueStore state, JobLookup lookup, RateLimiter writeLimiter) {
     this.loop = loop;
     this.state = state;
     this.lookup = lookup;
-    this.writes = writes;
+    this.writeLimiter = writeLimiter;
   }
 
   /** Serves POST /v1/jobs/{id}/withdraw. */
-  void cancel(Responder x, String id) {
-    cancel(x, id, 0);
+  void cancel(Responder responder, String id) {
+    cancel(responder, id, 0);
   }
 
-  private void cancel(Responder x, String id, int retries) {
-    lookup.read(
+  private void cancel(Responder responder, String id, int retries) {
+    lookup.readRecords(
         id,
         new JobRecordReader.Listener() {
           @Override
           public void onOpen(JsonNode value, long version) {
-            commit(x, id, value, version, retries);
+            commit(responder, id, value, version, retries);
           }
 
           @Override
           public void onEnded(boolean done) {
-            x.respond(200, JobLookup.status(id, done), false);
+            responder.respond(200, JobLookup.endedJobBody(id, done), false);
           }
 
           @Override
           public void onAbsent() {
-            x.respond(404, JsonResponses.errorBody("no such job"), false);
+            responder.respond(404, JsonResponses.errorBody("no such job"), false);
           }
 
           @Override
           public void onUnavailable() {
-            JobLookup.answerUnavailable(x);
+            JobLookup.respondUnavailable(responder);
           }
         });
   }
 
-  private void commit(Responder x, String id, JsonNode value, long version, int retries) {
+  private void commit(Responder responder, String id, JsonNode value, long version, int retries) {
     Transaction transaction =
         new Transaction()
             .requireVersion(RecordKeys.openJob(id), version)
@@ -68,20 +68,20 @@
     if (value.path("job").has(DependencyCodec.DEPENDENCIES)) {
       transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
-    writes.forceAcquire(transaction.writeCount(), loop.now());
+    writeLimiter.forceAcquire(transaction.writeCount(), loop.now());
     // Sent twice when an answer is late; if one of the two fails, its failed conditions are read as
     // the outcome.
     state.compareAndSwapWithRetry(
         transaction,
-        () -> writes.forceAcquire(transaction.writeCount(), loop.now()),
+        () -> writeLimiter.forceAcquire(transaction.writeCount(), loop.now()),
         (result, revision, failed) -> {
           if (result == CallResult.OK) {
-            lookup.ended(id, false);
-            x.respond(200, JobLookup.status(id, false), false);
+            lookup.cacheOutcome(id, false);
+            responder.respond(200, JobLookup.endedJobBody(id, false), false);
           } else if (result == CallResult.CONDITION_FAILED && retries < MAX_RETRIES) {
-            cancel(x, id, retries + 1);
+            cancel(responder, id, retries + 1);
           } else {
-            JobLookup.answerUnavailable(x);
+            JobLookup.respondUnavailable(responder);
           }
         });
   }
--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -7,17 +7,17 @@
 
 /** Routes requests of users, workers and probes by path and method. */
 public final class HttpRouter {
-  private static final String JOBS = "/v1/jobs";
-  private static final String HEARTBEATS = "/v1/report";
+  private static final String JOBS_PATH = "/v1/jobs";
+  private static final String HEARTBEATS_PATH = "/v1/report";
   private static final String CANCEL_SUFFIX = "/withdraw";
-  private static final String HEALTH = "/healthz";
-  private static final String METRICS = "/metrics";
-  private static final String TEXT = "text/plain; charset=utf-8";
+  private static final String HEALTH_PATH = "/healthz";
+  private static final String METRICS_PATH = "/metrics";
+  private static final String TEXT_CONTENT_TYPE = "text/plain; charset=utf-8";
 
-  private final UserRequestHandler users;
-  private final Consumer<IncomingRequest> heartbeats;
-  private final Supplier<Boolean> healthy;
-  private final Supplier<String> metrics;
+  private final UserRequestHandler userRequests;
+  private final Consumer<IncomingRequest> heartbeatHandler;
+  private final Supplier<Boolean> isHealthy;
+  private final Supplier<String> metricsText;
 
   /** Serves users' requests, on this node or through a peer. */
   @FunctionalInterface
@@ -33,67 +33,68 @@
    * @param metrics the text of the metrics
    */
   public HttpRouter(
-      UserRequestHandler users,
-      Consumer<IncomingRequest> heartbeats,
-      Supplier<Boolean> healthy,
-      Supplier<String> metrics) {
-    this.users = users;
-    this.heartbeats = heartbeats;
-    this.healthy = healthy;
-    this.metrics = metrics;
+      UserRequestHandler userRequests,
+      Consumer<IncomingRequest> heartbeatHandler,
+      Supplier<Boolean> isHealthy,
+      Supplier<String> metricsText) {
+    this.userRequests = userRequests;
+    this.heartbeatHandler = heartbeatHandler;
+    this.isHealthy = isHealthy;
+    this.metricsText = metricsText;
   }
 
   /** Serves one request, on the event loop. */
-  public void route(IncomingRequest x) {
-    String path = x.path();
-    if (path.equals(HEARTBEATS)) {
-      if (isAllowed(x, true)) {
-        heartbeats.accept(x);
+  public void route(IncomingRequest request) {
+    String path = request.path();
+    if (path.equals(HEARTBEATS_PATH)) {
+      if (checkMethod(request, true)) {
+        heartbeatHandler.accept(request);
       }
-    } else if (path.equals(JOBS)) {
-      if (isAllowed(x, true)) {
-        serve(x);
+    } else if (path.equals(JOBS_PATH)) {
+      if (checkMethod(request, true)) {
+        serve(request);
       }
-    } else if (path.startsWith(JOBS + "/")) {
-      String rest = path.substring(JOBS.length() + 1);
-      int slash = rest.indexOf('/');
-      if (slash < 0 || rest.substring(slash).equals(CANCEL_SUFFIX)) {
-        if (isAllowed(x, slash >= 0)) {
-          serve(x);
+    } else if (path.startsWith(JOBS_PATH + "/")) {
+      String idAndAction = path.substring(JOBS_PATH.length() + 1);
+      int slash = idAndAction.indexOf('/');
+      if (slash < 0 || idAndAction.substring(slash).equals(CANCEL_SUFFIX)) {
+        if (checkMethod(request, slash >= 0)) {
+          serve(request);
         }
       } else {
-        JsonResponses.sendError(x, 404, "no such path");
+        JsonResponses.sendError(request, 404, "no such path");
       }
-    } else if (path.equals(HEALTH)) {
-      if (isAllowed(x, false)) {
-        if (healthy.get()) {
-          text(x, "ok\n");
+    } else if (path.equals(HEALTH_PATH)) {
+      if (checkMethod(request, false)) {
+        if (isHealthy.get()) {
+          sendText(request, "ok\n");
         } else {
-          JsonResponses.sendRetryLater(x, "not ready");
+          JsonResponses.sendRetryLater(request, "not ready");
         }
       }
-    } else if (path.equals(METRICS)) {
-      if (isAllowed(x, false)) {
-        text(x, metrics.get());
+    } else if (path.equals(METRICS_PATH)) {
+      if (checkMethod(request, false)) {
+        sendText(request, metricsText.get());
       }
     } else {
-      JsonResponses.sendError(x, 404, "no such path");
+      JsonResponses.sendError(request, 404, "no such path");
     }
   }
 
-  private static void text(IncomingRequest x, String text) {
-    x.answer(200, TEXT, text.getBytes(StandardCharsets.UTF_8), false);
+  private static void sendText(IncomingRequest request, String text) {
+    request.answer(200, TEXT_CONTENT_TYPE, text.getBytes(StandardCharsets.UTF_8), false);
   }
 
-  private void serve(IncomingRequest x) {
-    users.serve(x.method(), x.path(), x.body(), JsonResponses.responderFor(x));
+  private void serve(IncomingRequest request) {
+    userRequests.serve(
+        request.method(), request.path(), request.body(), JsonResponses.responderFor(request));
   }
 
-  private static boolean isAllowed(IncomingRequest x, boolean post) {
-    if (x.method().equals(post ? "POST" : "GET")) {
+  private static boolean checkMethod(IncomingRequest request, boolean isPostRequired) {
+    if (request.method().equals(isPostRequired ? "POST" : "GET")) {
       return true;
     }
-    JsonResponses.sendError(x, 405, "method not allowed");
+    JsonResponses.sendError(request, 405, "method not allowed");
     return false;
   }
 }
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -17,30 +17,30 @@
  * given.
  */
 final class JobLookup {
-  private final ReadQueue reads;
+  private final ReadQueue readQueue;
   private final OpenJobs openJobs;
-  private final TaskCounts counts;
-  private final JobRecordReader records;
-  private final int maxRememberedEnds;
+  private final TaskCounts taskCounts;
+  private final JobRecordReader recordReader;
+  private final int maxCachedOutcomes;
   private Consumer<String> onCancelled = id -> {};
 
   /** True for done, false for cancelled: final states never change, so they may be kept. */
-  private final Object2BooleanLinkedOpenHashMap<String> ends =
+  private final Object2BooleanLinkedOpenHashMap<String> doneById =
       new Object2BooleanLinkedOpenHashMap<>();
 
   JobLookup(
       EventLoop loop,
       KeyValueStore state,
-      ReadQueue reads,
-      double burst,
-      UserApi.LocalJobs jobs,
-      int maxConditions,
-      int maxRememberedEnds) {
-    this.reads = reads;
-    this.records = new JobRecordReader(state);
-    this.maxRememberedEnds = maxRememberedEnds;
-    this.openJobs = new OpenJobs(state, reads, maxRememberedEnds / 4, maxConditions);
-    this.counts = new TaskCounts(loop, state, reads, burst, jobs);
+      ReadQueue readQueue,
+      double readsPerSecond,
+      UserApi.LocalJobs localJobs,
+      int maxConditionsPerCall,
+      int maxCachedOutcomes) {
+    this.readQueue = readQueue;
+    this.recordReader = new JobRecordReader(state);
+    this.maxCachedOutcomes = maxCachedOutcomes;
+    this.openJobs = new OpenJobs(state, readQueue, maxCachedOutcomes / 4, maxConditionsPerCall);
+    this.taskCounts = new TaskCounts(loop, state, readQueue, readsPerSecond, localJobs);
   }
 
   /** Sets the listener of cancellations, called once for each that this node learns of. */
@@ -49,44 +49,44 @@
   }
 
   /** Remembers a job's end, which is committed. */
-  void ended(String id, boolean done) {
-    openJobs.forget(id);
-    boolean news = !ends.containsKey(id);
-    ends.putAndMoveToLast(id, done);
-    if (ends.size() > maxRememberedEnds) {
-      ends.removeFirstBoolean();
+  void cacheOutcome(String id, boolean done) {
+    openJobs.evict(id);
+    boolean isNew = !doneById.containsKey(id);
+    doneById.putAndMoveToLast(id, done);
+    if (doneById.size() > maxCachedOutcomes) {
+      doneById.removeFirstBoolean();
     }
-    if (news && !done) {
+    if (isNew && !done) {
       onCancelled.accept(id);
     }
   }
 
   /** Remembers a job that was read or written as open. */
-  void opened(String id, long version) {
-    openJobs.seenOpen(id, version);
+  void cacheOpenJob(String id, long version) {
+    openJobs.cacheOpen(id, version);
   }
 
   /** The number of jobs whose end is remembered. */
-  int rememberedEnds() {
-    return ends.size();
+  int cachedOutcomeCount() {
+    return doneById.size();
   }
 
   /** The number of open jobs that are remembered. */
-  int rememberedOpenJobs() {
+  int cachedOpenJobCount() {
     return openJobs.size();
   }
 
   /** The outcome of a job that is remembered to be over, or null. */
-  JobOutcome finalOutcome(String id) {
-    if (!ends.containsKey(id)) {
+  JobOutcome cachedOutcome(String id) {
+    if (!doneById.containsKey(id)) {
       return null;
     }
-    return ends.getBoolean(id) ? JobOutcome.DONE : JobOutcome.CANCELLED;
+    return doneById.getBoolean(id) ? JobOutcome.DONE : JobOutcome.CANCELLED;
   }
 
   /** Whether a lookup made now is answered so soon that a submission may wait for it. */
-  boolean answersPromptly() {
-    return openJobs.answersPromptly();
+  boolean canRespondPromptly() {
+    return openJobs.canAnswerPromptly();
   }
 
   /**
@@ -95,8 +95,8 @@
    *
    * @param absent run instead when there is no such job
    */
-  void answer(Responder x, String id, Runnable absent) {
-    answer(x, id, absent, () -> answerUnavailable(x));
+  void respondWithState(Responder responder, String id, Runnable onAbsent) {
+    respondWithState(responder, id, onAbsent, () -> respondUnavailable(responder));
   }
 
   /**
@@ -105,129 +105,131 @@
    * @param absent run instead when there is no such job
    * @param unavailable run instead when the state service does not answer
    */
-  void answer(Responder x, String id, Runnable absent, Runnable unavailable) {
-    if (ends.containsKey(id)) {
-      x.respond(200, status(id, ends.getBoolean(id)), false);
+  void respondWithState(Responder responder, String id, Runnable onAbsent, Runnable onUnavailable) {
+    if (doneById.containsKey(id)) {
+      responder.respond(200, endedJobBody(id, doneById.getBoolean(id)), false);
       return;
     }
-    openJobs.ask(
+    openJobs.lookUp(
         id,
         (status, job) -> {
           switch (status) {
-            case OPEN -> counts.answer(x, job);
-            case OVER -> answerEnd(x, id);
-            case ABSENT -> absent.run();
-            default -> unavailable.run();
+            case OPEN -> taskCounts.respond(responder, job);
+            case ENDED -> respondWithOutcome(responder, id);
+            case ABSENT -> onAbsent.run();
+            default -> onUnavailable.run();
           }
         });
   }
 
   /** Answers how a job ended that is known to be over. */
-  private void answerEnd(Responder x, String id) {
-    JobRecordReader.Listener reader =
+  private void respondWithOutcome(Responder responder, String id) {
+    JobRecordReader.Listener listener =
         new JobRecordReader.Listener() {
           @Override
           public void onOpen(JsonNode value, long version) {
-            answerUnavailable(x); // The end record alone is read.
+            respondUnavailable(responder); // The end record alone is read.
           }
 
           @Override
           public void onEnded(boolean done) {
-            x.respond(200, status(id, done), false);
+            responder.respond(200, endedJobBody(id, done), false);
           }
 
           @Override
           public void onAbsent() {
-            answerUnavailable(x); // It was there a moment ago: a 404 would be wrong.
+            respondUnavailable(responder); // It was there a moment ago: a 404 would be wrong.
           }
 
           @Override
           public void onUnavailable() {
-            answerUnavailable(x);
+            respondUnavailable(responder);
           }
         };
-    reads.acquire(1, () -> readEnd(id, reader), reader::onUnavailable);
+    readQueue.acquire(1, () -> readEnd(id, listener), listener::onUnavailable);
   }
 
   /** Answers that the state service is not reached, and that the client may retry. */
-  static void answerUnavailable(Responder x) {
-    x.respond(503, JsonResponses.errorBody("state service not reached"), true);
+  static void respondUnavailable(Responder responder) {
+    responder.respond(503, JsonResponses.errorBody("state service not reached"), true);
   }
 
   /**
    * Reads a job's records. Whether there are any is asked together with other questions, since
    * users who go on cancelling jobs that were never accepted would take all calls otherwise.
    */
-  void read(String id, JobRecordReader.Listener reader) {
-    if (ends.containsKey(id)) {
-      reader.onEnded(ends.getBoolean(id));
+  void readRecords(String id, JobRecordReader.Listener listener) {
+    if (doneById.containsKey(id)) {
+      listener.onEnded(doneById.getBoolean(id));
       return;
     }
-    openJobs.ask(
+    openJobs.lookUp(
         id,
         (status, job) -> {
           switch (status) {
-            case OPEN -> reads.acquire(2, () -> readOpen(id, reader), reader::onUnavailable);
-            case OVER -> reads.acquire(1, () -> readEnd(id, reader), reader::onUnavailable);
-            case ABSENT -> reader.onAbsent();
-            default -> reader.onUnavailable();
+            case OPEN ->
+                readQueue.acquire(2, () -> readOpen(id, listener), listener::onUnavailable);
+            case ENDED ->
+                readQueue.acquire(1, () -> readEnd(id, listener), listener::onUnavailable);
+            case ABSENT -> listener.onAbsent();
+            default -> listener.onUnavailable();
           }
         });
   }
 
-  private void readOpen(String id, JobRecordReader.Listener reader) {
-    records.read(
+  private void readOpen(String id, JobRecordReader.Listener listener) {
+    recordReader.read(
         id,
-        new EndRememberingListener(id, reader) {
+        new OutcomeCachingListener(id, listener) {
           @Override
           public void onOpen(JsonNode value, long version) {
-            reads.release(); // One call was enough.
+            readQueue.release(); // One call was enough.
             super.onOpen(value, version);
           }
         });
   }
 
-  private void readEnd(String id, JobRecordReader.Listener reader) {
-    records.readEnd(id, new EndRememberingListener(id, reader));
+  private void readEnd(String id, JobRecordReader.Listener listener) {
+    recordReader.readEnd(id, new OutcomeCachingListener(id, listener));
   }
 
   /** Remembers the end that was read, and hands the result on. */
-  private class EndRememberingListener implements JobRecordReader.Listener {
+  private class OutcomeCachingListener implements JobRecordReader.Listener {
     private final String id;
-    private final JobRecordReader.Listener reader;
+    private final JobRecordReader.Listener delegate;
 
-    EndRememberingListener(String id, JobRecordReader.Listener reader) {
+    OutcomeCachingListener(String id, JobRecordReader.Listener delegate) {
       this.id = id;
-      this.reader = reader;
+      this.delegate = delegate;
     }
 
     @Override
     public void onOpen(JsonNode value, long version) {
-      reader.onOpen(value, version);
+      delegate.onOpen(value, version);
     }
 
     @Override
     public void onEnded(boolean done) {
-      ended(id, done);
-      reader.onEnded(done);
+      cacheOutcome(id, done);
+      delegate.onEnded(done);
     }
 
     @Override
     public void onAbsent() {
-      reader.onAbsent();
+      delegate.onAbsent();
     }
 
     @Override
     public void onUnavailable() {
-      reader.onUnavailable();
+      delegate.onUnavailable();
     }
   }
 
   /** The response body about a job that is over. */
-  static ObjectNode status(String id, boolean done) {
-    ObjectNode o = Json.object();
-    o.put(Fields.ID, id);
-    o.put(Fields.STATE, done ? Fields.DONE : Fields.CANCELLED);
-    return o;
+  static ObjectNode endedJobBody(String id, boolean done) {
+    ObjectNode body = Json.object();
+    body.put(Fields.ID, id);
+    body.put(Fields.STATE, done ? Fields.DONE : Fields.CANCELLED);
+    return body;
   }
 }
--- a/src/main/java/org/mallowroad/api/JsonResponses.java
+++ b/src/main/java/org/mallowroad/api/JsonResponses.java
@@ -8,34 +8,35 @@
 
 /** Builds and sends JSON responses. */
 public final class JsonResponses {
-  private static final String JSON = "application/json";
+  private static final String CONTENT_TYPE = "application/json";
 
   private JsonResponses() {}
 
   /** Sends a JSON body. */
-  public static void send(IncomingRequest x, int status, JsonNode body) {
-    x.answer(status, JSON, Json.toBytes(body), false);
+  public static void send(IncomingRequest request, int status, JsonNode body) {
+    request.answer(status, CONTENT_TYPE, Json.toBytes(body), false);
   }
 
   /** A responder that answers this request. */
-  public static Responder responderFor(IncomingRequest x) {
-    return (status, body, retryLater) -> x.answer(status, JSON, Json.toBytes(body), retryLater);
+  public static Responder responderFor(IncomingRequest request) {
+    return (status, body, retryLater) ->
+        request.answer(status, CONTENT_TYPE, Json.toBytes(body), retryLater);
   }
 
   /** A body that tells the reason of an error. */
   public static ObjectNode errorBody(String reason) {
-    ObjectNode o = Json.object();
-    o.put(Fields.ERROR, reason);
-    return o;
+    ObjectNode body = Json.object();
+    body.put(Fields.ERROR, reason);
+    return body;
   }
 
   /** Sends an error with its reason. */
-  public static void sendError(IncomingRequest x, int status, String reason) {
-    send(x, status, errorBody(reason));
+  public static void sendError(IncomingRequest request, int status, String reason) {
+    send(request, status, errorBody(reason));
   }
 
   /** Sends 503 with a reason, and tells the client to retry after a second. */
-  public static void sendRetryLater(IncomingRequest x, String reason) {
-    x.answer(503, JSON, Json.toBytes(errorBody(reason)), true);
+  public static void sendRetryLater(IncomingRequest request, String reason) {
+    request.answer(503, CONTENT_TYPE, Json.toBytes(errorBody(reason)), true);
   }
 }
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -35,7 +35,7 @@
     /** It is open. */
     OPEN,
     /** It has an end record. */
-    OVER,
+    ENDED,
     /** It has neither record. */
     ABSENT,
     /** The state service did not say. */
@@ -49,20 +49,20 @@
      *
      * @param job with {@link Status#OPEN} the job, else null
      */
-    void answered(Status status, Entry job);
+    void onAnswer(Status status, OpenJob job);
   }
 
   /** A job that was seen open; the counts of its tasks are for display and may be older. */
-  static final class Entry {
+  static final class OpenJob {
     final String id;
 
     /** Version of its open record, or 0 while only its existence was seen. */
     final long version;
 
     private JobProgress progress = JobProgress.NONE;
-    private long countedMs = Long.MIN_VALUE / 2;
+    private long progressUpdatedMs = Long.MIN_VALUE / 2;
 
-    Entry(String id, long version) {
+    OpenJob(String id, long version) {
       this.id = id;
       this.version = version;
     }
@@ -73,125 +73,126 @@
     }
 
     /** When they were counted; long ago when they never were. */
-    long countedMs() {
-      return countedMs;
+    long progressUpdatedMs() {
+      return progressUpdatedMs;
     }
 
     /** Keeps counts that were read now. */
-    void counted(JobProgress counts, long now) {
-      progress = counts;
-      countedMs = now;
+    void updateProgress(JobProgress newProgress, long nowMs) {
+      progress = newProgress;
+      progressUpdatedMs = nowMs;
     }
   }
 
   /** What a question compares. */
-  private enum Kind {
+  private enum Comparison {
     /** The open record with the version that it was read with. */
-    VERSION(1),
+    KNOWN_VERSION(1),
     /** Whether the open record is there, as it was. */
-    OPEN_RECORD(1),
+    OPEN_RECORD_ABSENT(1),
     /** Whether the open or the end record is there. */
-    BOTH_RECORDS(2);
+    BOTH_RECORDS_ABSENT(2);
 
-    private final int conditions;
+    private final int conditionCount;
 
-    Kind(int conditions) {
-      this.conditions = conditions;
+    Comparison(int conditionCount) {
+      this.conditionCount = conditionCount;
     }
   }
 
-  private record Question(String id, Kind kind, long version, Listener listener) {
-    Question withBoth() {
-      return new Question(id, Kind.BOTH_RECORDS, 0, listener);
+  private record PendingLookup(String id, Comparison comparison, long version, Listener listener) {
+    PendingLookup comparingBothRecords() {
+      return new PendingLookup(id, Comparison.BOTH_RECORDS_ABSENT, 0, listener);
     }
   }
 
   /** Comparisons under way at once: with two, one is being answered while the next one fills. */
-  private static final int MAX_IN_FLIGHT = 2;
+  private static final int MAX_COMPARISONS_IN_FLIGHT = 2;
 
   /** A small part of the time in which users expect the answer to a submission. */
-  private static final long PROMPT_ANSWER_MS = 100;
+  private static final long PROMPT_RESPONSE_MS = 100;
 
   /** Questions that wait; more are turned away, as users ask again. */
-  private static final int MAX_WAITING = 1_000;
+  private static final int MAX_PENDING = 1_000;
 
   private final KeyValueStore state;
-  private final ReadQueue reads;
-  private final int maxRemembered;
+  private final ReadQueue readQueue;
+  private final int maxCached;
   private final int maxConditions;
-  private final Object2ObjectLinkedOpenHashMap<String, Entry> jobs =
+  private final Object2ObjectLinkedOpenHashMap<String, OpenJob> cache =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final ArrayDeque<Question> waiting = new ArrayDeque<>();
-  private int inFlight;
+  private final ArrayDeque<PendingLookup> pending = new ArrayDeque<>();
+  private int comparisonsInFlight;
 
   /** Remembers the newest {@code maxRemembered} jobs; a call has at most {@code maxConditions}. */
-  OpenJobs(KeyValueStore state, ReadQueue reads, int maxRemembered, int maxConditions) {
+  OpenJobs(KeyValueStore state, ReadQueue readQueue, int maxCached, int maxConditions) {
     this.state = state;
-    this.reads = reads;
-    this.maxRemembered = maxRemembered;
+    this.readQueue = readQueue;
+    this.maxCached = maxCached;
     this.maxConditions = maxConditions;
   }
 
   /** Remembers a job that was read or written as open with this version, or 0 if unknown. */
-  Entry seenOpen(String id, long version) {
-    Entry entry = jobs.getAndMoveToLast(id);
-    if (entry == null || (version != 0 && entry.version != version)) {
-      entry = new Entry(id, version);
-      jobs.putAndMoveToLast(id, entry);
-      if (jobs.size() > maxRemembered) {
-        jobs.removeFirst();
+  OpenJob cacheOpen(String id, long version) {
+    OpenJob cached = cache.getAndMoveToLast(id);
+    if (cached == null || (version != 0 && cached.version != version)) {
+      cached = new OpenJob(id, version);
+      cache.putAndMoveToLast(id, cached);
+      if (cache.size() > maxCached) {
+        cache.removeFirst();
       }
     }
-    return entry;
+    return cached;
   }
 
   /** Forgets a job that is over. */
-  void forget(String id) {
-    jobs.remove(id);
+  void evict(String id) {
+    cache.remove(id);
   }
 
   /** The number of jobs that are remembered. */
   int size() {
-    return jobs.size();
+    return cache.size();
   }
 
   /** Whether a question asked now is answered so soon that a submission may wait for it. */
-  boolean answersPromptly() {
-    return waiting.size() < maxConditions / 2
-        && reads.delayMs() < PROMPT_ANSWER_MS
+  boolean canAnswerPromptly() {
+    return pending.size() < maxConditions / 2
+        && readQueue.estimatedWaitMs() < PROMPT_RESPONSE_MS
         && !state.health().hasLateResponses();
   }
 
   /** Asks whether a job is open, over or absent. */
-  void ask(String id, Listener listener) {
-    if (waiting.size() >= MAX_WAITING) {
-      listener.answered(Status.UNKNOWN, null);
+  void lookUp(String id, Listener listener) {
+    if (pending.size() >= MAX_PENDING) {
+      listener.onAnswer(Status.UNKNOWN, null);
       return;
     }
-    Entry known = jobs.get(id);
-    if (known == null) {
-      waiting.add(new Question(id, Kind.BOTH_RECORDS, 0, listener));
+    OpenJob cached = cache.get(id);
+    if (cached == null) {
+      pending.add(new PendingLookup(id, Comparison.BOTH_RECORDS_ABSENT, 0, listener));
     } else {
-      Kind kind = known.version == 0 ? Kind.OPEN_RECORD : Kind.VERSION;
-      waiting.add(new Question(id, kind, known.version, listener));
+      Comparison comparison =
+          cached.version == 0 ? Comparison.OPEN_RECORD_ABSENT : Comparison.KNOWN_VERSION;
+      pending.add(new PendingLookup(id, comparison, cached.version, listener));
     }
-    send();
+    sendComparisons();
   }
 
-  private void send() {
+  private void sendComparisons() {
     // A comparison that waits for its call counts as in flight: later questions share it.
-    while (inFlight < MAX_IN_FLIGHT && !waiting.isEmpty()) {
-      inFlight++;
-      reads.acquire(1, this::compare, this::refuse);
+    while (comparisonsInFlight < MAX_COMPARISONS_IN_FLIGHT && !pending.isEmpty()) {
+      comparisonsInFlight++;
+      readQueue.acquire(1, this::sendNextBatch, this::failNextBatch);
     }
   }
 
-  private void refuse() {
-    inFlight--;
-    for (Question q : nextBatch()) {
-      q.listener.answered(Status.UNKNOWN, null);
+  private void failNextBatch() {
+    comparisonsInFlight--;
+    for (PendingLookup lookup : nextBatch()) {
+      lookup.listener.onAnswer(Status.UNKNOWN, null);
     }
-    send();
+    sendComparisons();
   }
 
   /**
@@ -199,79 +200,84 @@
    * are compared apart from other questions: with a failing condition among them all would have to
    * be compared again.
    */
-  private List<Question> nextBatch() {
-    List<Question> batch = new ArrayList<>();
-    if (waiting.isEmpty()) {
+  private List<PendingLookup> nextBatch() {
+    List<PendingLookup> batch = new ArrayList<>();
+    if (pending.isEmpty()) {
       return batch;
     }
-    boolean versions = waiting.peek().kind == Kind.VERSION;
-    int conditions = 0;
-    while (!waiting.isEmpty()
-        && (waiting.peek().kind == Kind.VERSION) == versions
-        && conditions + waiting.peek().kind.conditions <= maxConditions) {
-      conditions += waiting.peek().kind.conditions;
-      batch.add(waiting.poll());
+    boolean comparesVersions = pending.peek().comparison == Comparison.KNOWN_VERSION;
+    int conditionCount = 0;
+    while (!pending.isEmpty()
+        && (pending.peek().comparison == Comparison.KNOWN_VERSION) == comparesVersions
+        && conditionCount + pending.peek().comparison.conditionCount <= maxConditions) {
+      conditionCount += pending.peek().comparison.conditionCount;
+      batch.add(pending.poll());
     }
     return batch;
   }
 
-  private void compare() {
-    List<Question> batch = nextBatch();
+  private void sendNextBatch() {
+    List<PendingLookup> batch = nextBatch();
     if (batch.isEmpty()) {
-      reads.release();
-      inFlight--;
+      readQueue.release();
+      comparisonsInFlight--;
       return;
     }
     Transaction transaction = new Transaction();
-    for (Question q : batch) {
-      transaction.requireVersion(RecordKeys.openJob(q.id), q.version);
-      if (q.kind == Kind.BOTH_RECORDS) {
-        transaction.requireVersion(RecordKeys.endedJob(q.id), 0);
+    for (PendingLookup lookup : batch) {
+      transaction.requireVersion(RecordKeys.openJob(lookup.id), lookup.version);
+      if (lookup.comparison == Comparison.BOTH_RECORDS_ABSENT) {
+        transaction.requireVersion(RecordKeys.endedJob(lookup.id), 0);
       }
     }
     state.compareAndSwapWithRetry(
         transaction,
         () -> {},
-        (result, revision, failed) -> {
-          inFlight--;
-          List<Question> again = new ArrayList<>();
-          for (Question q : batch) {
-            if (!answer(q, result, failed)) {
-              again.add(q.kind == Kind.VERSION ? q : q.withBoth());
+        (result, revision, failedConditions) -> {
+          comparisonsInFlight--;
+          List<PendingLookup> unresolved = new ArrayList<>();
+          for (PendingLookup lookup : batch) {
+            if (!resolve(lookup, result, failedConditions)) {
+              unresolved.add(
+                  lookup.comparison == Comparison.KNOWN_VERSION
+                      ? lookup
+                      : lookup.comparingBothRecords());
             }
           }
-          for (int i = again.size() - 1; i >= 0; i--) {
-            waiting.addFirst(again.get(i));
+          for (int i = unresolved.size() - 1; i >= 0; i--) {
+            pending.addFirst(unresolved.get(i));
           }
-          send();
+          sendComparisons();
         });
   }
 
   /** Answers a question by what the comparison said; false when it said nothing of the job. */
-  private boolean answer(Question q, CallResult result, List<String> failed) {
-    if (result == CallResult.OK && q.kind != Kind.OPEN_RECORD) {
-      boolean open = q.kind == Kind.VERSION;
-      q.listener.answered(
-          open ? Status.OPEN : Status.ABSENT, open ? seenOpen(q.id, q.version) : null);
+  private boolean resolve(PendingLookup lookup, CallResult result, List<String> failedConditions) {
+    if (result == CallResult.OK && lookup.comparison != Comparison.OPEN_RECORD_ABSENT) {
+      boolean isOpen = lookup.comparison == Comparison.KNOWN_VERSION;
+      lookup.listener.onAnswer(
+          isOpen ? Status.OPEN : Status.ABSENT,
+          isOpen ? cacheOpen(lookup.id, lookup.version) : null);
       return true;
     }
-    if (result == CallResult.OK || (result == CallResult.CONDITION_FAILED && !failed.isEmpty())) {
-      return answerByFailedConditions(q, failed);
+    if (result == CallResult.OK
+        || (result == CallResult.CONDITION_FAILED && !failedConditions.isEmpty())) {
+      return resolveByFailedConditions(lookup, failedConditions);
     }
-    q.listener.answered(Status.UNKNOWN, null);
+    lookup.listener.onAnswer(Status.UNKNOWN, null);
     return true;
   }
 
-  private boolean answerByFailedConditions(Question q, List<String> failed) {
-    boolean openFailed = failed.contains(RecordKeys.openJob(q.id));
-    if (q.kind == Kind.VERSION && openFailed) {
-      forget(q.id);
-      q.listener.answered(Status.OVER, null);
-    } else if (failed.contains(RecordKeys.endedJob(q.id))) {
-      forget(q.id);
-      q.listener.answered(Status.OVER, null);
-    } else if (q.kind != Kind.VERSION && openFailed) {
-      q.listener.answered(Status.OPEN, seenOpen(q.id, 0));
+  private boolean resolveByFailedConditions(PendingLookup lookup, List<String> failedConditions) {
+    boolean isOpenConditionFailed = failedConditions.contains(RecordKeys.openJob(lookup.id));
+    if (lookup.comparison == Comparison.KNOWN_VERSION && isOpenConditionFailed) {
+      evict(lookup.id);
+      lookup.listener.onAnswer(Status.ENDED, null);
+    } else if (failedConditions.contains(RecordKeys.endedJob(lookup.id))) {
+      evict(lookup.id);
+      lookup.listener.onAnswer(Status.ENDED, null);
+    } else if (lookup.comparison != Comparison.KNOWN_VERSION && isOpenConditionFailed) {
+      lookup.listener.onAnswer(Status.OPEN, cacheOpen(lookup.id, 0));
     } else {
       return false;
     }
--- a/src/main/java/org/mallowroad/api/ReadQueue.java
+++ b/src/main/java/org/mallowroad/api/ReadQueue.java
@@ -13,15 +13,15 @@
   /** The longest wait of a request: its user waits 2 s for the answer. */
   private static final long MAX_WAIT_MS = 1_300;
 
-  private static final int MAX_WAITING = 500;
+  private static final int MAX_PENDING = 500;
   private static final long CHECK_INTERVAL_MS = 15;
 
-  private record PendingRequest(int calls, long sinceMs, Runnable granted, Runnable refused) {}
+  private record PendingRequest(int calls, long queuedMs, Runnable onGranted, Runnable onRefused) {}
 
   private final EventLoop loop;
   private final RateLimiter rateLimiter;
-  private final ArrayDeque<PendingRequest> waiting = new ArrayDeque<>();
-  private boolean checkScheduled;
+  private final ArrayDeque<PendingRequest> pending = new ArrayDeque<>();
+  private boolean isCheckScheduled;
 
   ReadQueue(EventLoop loop, RateLimiter rateLimiter) {
     this.loop = loop;
@@ -34,33 +34,33 @@
    * @param granted run when they may be made
    * @param refused run instead when that takes too long
    */
-  void acquire(int calls, Runnable granted, Runnable refused) {
-    long now = loop.now();
-    if (waiting.isEmpty() && rateLimiter.tryAcquire(calls, now)) {
-      granted.run();
-    } else if (waiting.size() >= MAX_WAITING) {
-      refused.run();
+  void acquire(int calls, Runnable onGranted, Runnable onRefused) {
+    long nowMs = loop.now();
+    if (pending.isEmpty() && rateLimiter.tryAcquire(calls, nowMs)) {
+      onGranted.run();
+    } else if (pending.size() >= MAX_PENDING) {
+      onRefused.run();
     } else {
-      waiting.add(new PendingRequest(calls, now, granted, refused));
+      pending.add(new PendingRequest(calls, nowMs, onGranted, onRefused));
       scheduleCheck();
     }
   }
 
   /** How long a call that is requested now would wait, in milliseconds. */
-  long delayMs() {
-    double calls = 1 - rateLimiter.availablePermits(loop.now());
-    for (PendingRequest p : waiting) {
-      calls += p.calls;
+  long estimatedWaitMs() {
+    double missingCalls = 1 - rateLimiter.availablePermits(loop.now());
+    for (PendingRequest request : pending) {
+      missingCalls += request.calls;
     }
-    return calls <= 0 ? 0 : Math.round(1000 * calls / rateLimiter.permitsPerSecond());
+    return missingCalls <= 0 ? 0 : Math.round(1000 * missingCalls / rateLimiter.permitsPerSecond());
   }
 
   /** Takes a call for a read that can be left out: only while half of the burst is unused. */
   boolean tryAcquireSpare(double burst) {
-    long now = loop.now();
-    return waiting.isEmpty()
-        && rateLimiter.availablePermits(now) >= burst / 2
-        && rateLimiter.tryAcquire(1, now);
+    long nowMs = loop.now();
+    return pending.isEmpty()
+        && rateLimiter.availablePermits(nowMs) >= burst / 2
+        && rateLimiter.tryAcquire(1, nowMs);
   }
 
   /** Returns a call that was granted and not made. */
@@ -69,23 +69,23 @@
   }
 
   private void scheduleCheck() {
-    if (!checkScheduled) {
-      checkScheduled = true;
-      loop.after(CHECK_INTERVAL_MS, this::check);
+    if (!isCheckScheduled) {
+      isCheckScheduled = true;
+      loop.after(CHECK_INTERVAL_MS, this::grantPending);
     }
   }
 
-  private void check() {
-    checkScheduled = false;
-    long now = loop.now();
+  private void grantPending() {
+    isCheckScheduled = false;
+    long nowMs = loop.now();
     PendingRequest first;
-    while ((first = waiting.peek()) != null) {
-      if (now - first.sinceMs > MAX_WAIT_MS) {
-        waiting.poll();
-        first.refused.run();
-      } else if (rateLimiter.tryAcquire(first.calls, now)) {
-        waiting.poll();
-        first.granted.run();
+    while ((first = pending.peek()) != null) {
+      if (nowMs - first.queuedMs > MAX_WAIT_MS) {
+        pending.poll();
+        first.onRefused.run();
+      } else if (rateLimiter.tryAcquire(first.calls, nowMs)) {
+        pending.poll();
+        first.onGranted.run();
       } else {
         scheduleCheck();
         return;
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -24,10 +24,10 @@
 /** Serves submissions: validates them, and answers after the job is recorded. */
 final class Submissions {
   /** The service counts as overloaded for this time after it refused a call for its limits. */
-  private static final long OVERLOADED_MS = 10_000;
+  private static final long OVERLOAD_WINDOW_MS = 10_000;
 
   /** A submission that the state service refused for its limits is sent again after this time. */
-  private static final long RETRY_MS = 120;
+  private static final long RETRY_DELAY_MS = 120;
 
   private static final int MAX_RETRIES = 4;
 
@@ -35,97 +35,101 @@
    * The rate of calls of submissions that are sent again, as a part of all calls that this node may
    * make for users. Without a bound an overloaded service would get five calls for each submission.
    */
-  private static final double RETRY_SHARE = 0.25;
+  private static final double RETRY_RATE_SHARE = 0.25;
 
   /** Calls of submissions that may be sent again at once. */
   private static final double RETRY_BURST = 12;
 
   /** A value may be as long as the limit less what surrounds it. */
-  private static final int ENVELOPE_BYTES = 64;
+  private static final int RECORD_OVERHEAD_BYTES = 64;
 
   private final EventLoop loop;
   private final KeyValueStore state;
   private final JobLookup lookup;
-  private final ClaimService claims;
-  private final UserApi.LocalJobs jobs;
-  private final RateLimiter writes;
-  private final RateLimiter fairWrites;
+  private final ClaimService claimService;
+  private final UserApi.LocalJobs localJobs;
+  private final RateLimiter writeLimiter;
+  private final RateLimiter fairShareWriteLimiter;
   private final double maxValueBytes;
-  private final RateLimiter retries;
+  private final RateLimiter retryLimiter;
 
   Submissions(
       EventLoop loop,
       KeyValueStore state,
       JobLookup lookup,
-      ClaimService claims,
-      UserApi.LocalJobs jobs,
+      ClaimService claimService,
+      UserApi.LocalJobs localJobs,
       UserApi.Limits limits) {
-    this.retries = new RateLimiter(RETRY_SHARE * limits.readsPerSecond(), RETRY_BURST, loop.now());
+    this.retryLimiter =
+        new RateLimiter(RETRY_RATE_SHARE * limits.readsPerSecond(), RETRY_BURST, loop.now());
     this.loop = loop;
     this.state = state;
     this.lookup = lookup;
-    this.claims = claims;
-    this.jobs = jobs;
-    this.writes = limits.writeLimiter();
-    this.fairWrites = limits.fairShareWriteLimiter();
-    this.maxValueBytes = limits.maxValueKb() * 1024 - ENVELOPE_BYTES;
+    this.claimService = claimService;
+    this.localJobs = localJobs;
+    this.writeLimiter = limits.writeLimiter();
+    this.fairShareWriteLimiter = limits.fairShareWriteLimiter();
+    this.maxValueBytes = limits.maxValueKb() * 1024 - RECORD_OVERHEAD_BYTES;
   }
 
   /** A valid submission and its open record. */
-  private record Parsed(JobSpec spec, List<Game> games, ObjectNode value) {}
+  private record ParsedSubmission(JobSpec spec, List<Game> games, ObjectNode openRecord) {}
 
   /** Serves POST /v1/jobs. */
-  void submit(Responder x, byte[] body) {
-    ObjectNode o = null;
-    Parsed parsed;
+  void submit(Responder responder, byte[] body) {
+    ObjectNode submission = null;
+    ParsedSubmission parsed;
     try {
-      o = Json.parseObject(body);
-      parsed = parse(o);
+      submission = Json.parseObject(body);
+      parsed = parse(submission);
     } catch (InvalidMessageException e) {
-      reject(x, o, e.getMessage());
+      reject(responder, submission, e.getMessage());
       return;
     }
     String id = parsed.spec.id();
-    if (lookup.finalOutcome(id) != null) {
-      lookup.answer(x, id, () -> JobLookup.answerUnavailable(x));
+    if (lookup.cachedOutcome(id) != null) {
+      lookup.respondWithState(responder, id, () -> JobLookup.respondUnavailable(responder));
       return;
     }
-    if (!jobs.hasMachineTypes()) {
-      x.respond(503, JsonResponses.errorBody("machine types not known yet"), true);
+    if (!localJobs.hasMachineTypes()) {
+      responder.respond(503, JsonResponses.errorBody("machine types not known yet"), true);
       return;
     }
-    Optional<String> impossible = jobs.rejectionReason(parsed.spec);
-    if (impossible.isPresent()) {
+    Optional<String> rejection = localJobs.rejectionReason(parsed.spec);
+    if (rejection.isPresent()) {
       // A job that was accepted stays accepted, whatever types and limits say today.
-      lookup.answer(x, id, () -> x.respond(422, JsonResponses.errorBody(impossible.get()), false));
+      lookup.respondWithState(
+          responder,
+          id,
+          () -> responder.respond(422, JsonResponses.errorBody(rejection.get()), false));
       return;
     }
-    if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.answersPromptly()) {
+    if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.canRespondPromptly()) {
       // A repeated submission costs a write even when it fails, and this lookup none. It is left
       // out
       // while lookups wait long, since the submission would wait with it.
-      Runnable record = () -> recordJob(x, parsed);
-      lookup.answer(x, id, record, record);
+      Runnable admission = () -> admit(responder, parsed);
+      lookup.respondWithState(responder, id, admission, admission);
     } else {
-      recordJob(x, parsed);
+      admit(responder, parsed);
     }
   }
 
-  private Parsed parse(ObjectNode o) throws InvalidMessageException {
-    JobSpec spec = jobs.validate(o);
-    List<Game> games = FoldCodec.decodeGames(o);
+  private ParsedSubmission parse(ObjectNode submission) throws InvalidMessageException {
+    JobSpec spec = localJobs.validate(submission);
+    List<Game> games = FoldCodec.decodeGames(submission);
     if (spec.dependencies().foldedBlocks().size() > ClaimService.MAX_LEAGUES) {
       throw new InvalidMessageException("folds: at most " + ClaimService.MAX_LEAGUES + " leagues");
     }
-    ObjectNode value = JobRecordCodec.encodeOpen(o, loop.wallMs());
+    ObjectNode openRecord = JobRecordCodec.encodeOpen(submission, loop.wallMs());
     if (!games.isEmpty()) {
-      ((ObjectNode) value.get("job"))
+      ((ObjectNode) openRecord.get("job"))
           .set(FoldCodec.BLOCKS, FoldCodec.encodeBlockKeys(ClaimService.blockKeys(games)));
     }
-    if (Json.toBytes(value).length > maxValueBytes) {
+    if (Json.toBytes(openRecord).length > maxValueBytes) {
       throw new InvalidMessageException("the submission is too large");
     }
-    return new Parsed(spec, games, value);
+    return new ParsedSubmission(spec, games, openRecord);
   }
 
   /**
@@ -133,92 +137,96 @@
    * whatever is sent later. While the state service does not answer whether it was, the response is
    * 503, since a 400 to an accepted job would say that it is lost.
    */
-  private void reject(Responder x, ObjectNode o, String reason) {
-    Runnable refuse = () -> x.respond(400, JsonResponses.errorBody(reason), false);
-    String id = o == null ? "" : o.path(Fields.ID).asText();
+  private void reject(Responder responder, ObjectNode submission, String reason) {
+    Runnable respondInvalid = () -> responder.respond(400, JsonResponses.errorBody(reason), false);
+    String id = submission == null ? "" : submission.path(Fields.ID).asText();
     if (JobCodec.ID_PATTERN.matcher(id).matches()) {
-      lookup.answer(x, id, refuse);
+      lookup.respondWithState(responder, id, respondInvalid);
     } else {
-      refuse.run();
+      respondInvalid.run();
     }
   }
 
-  private void recordJob(Responder x, Parsed parsed) {
-    if (!jobs.tryAdmit() || !tryAcquireWrite()) {
-      x.respond(429, JsonResponses.errorBody("too many submissions"), true);
+  private void admit(Responder responder, ParsedSubmission parsed) {
+    if (!localJobs.tryAdmit() || !tryAcquireWrite()) {
+      responder.respond(429, JsonResponses.errorBody("too many submissions"), true);
       return;
     }
     if (parsed.spec.dependencies() == JobDependencies.NONE) {
-      accept(x, parsed.spec.id(), parsed.value, 0);
+      accept(responder, parsed.spec.id(), parsed.openRecord, 0);
     } else {
-      acceptWithClaims(x, parsed);
+      acceptWithClaims(responder, parsed);
     }
   }
 
   /** Accepts a job that folds games or has dependencies; a known job is never refused. */
-  private void acceptWithClaims(Responder x, Parsed parsed) {
+  private void acceptWithClaims(Responder responder, ParsedSubmission parsed) {
     String id = parsed.spec.id();
-    claims.accept(
+    claimService.accept(
         id,
-        parsed.value,
+        parsed.openRecord,
         parsed.games,
         parsed.spec.dependencies(),
-        result -> answerAcceptance(x, id, result));
+        result -> respondToAcceptance(responder, id, result));
   }
 
-  private void answerAcceptance(Responder x, String id, AcceptanceResult result) {
+  private void respondToAcceptance(Responder responder, String id, AcceptanceResult result) {
     String reason = result.reason();
     switch (result.status()) {
-      case ACCEPTED -> x.respond(201, queued(id), false);
-      case DUPLICATE -> lookup.answer(x, id, () -> tryAgain(x));
+      case ACCEPTED -> responder.respond(201, queuedBody(id), false);
+      case DUPLICATE -> lookup.respondWithState(responder, id, () -> respondTryAgain(responder));
       case REJECTED ->
-          lookup.answer(x, id, () -> x.respond(422, JsonResponses.errorBody(reason), false));
-      default -> lookup.answer(x, id, () -> x.respond(503, JsonResponses.errorBody(reason), true));
+          lookup.respondWithState(
+              responder, id, () -> responder.respond(422, JsonResponses.errorBody(reason), false));
+      default ->
+          lookup.respondWithState(
+              responder, id, () -> responder.respond(503, JsonResponses.errorBody(reason), true));
     }
   }
 
-  private static void tryAgain(Responder x) {
-    x.respond(503, JsonResponses.errorBody("try again"), true);
+  private static void respondTryAgain(Responder responder) {
+    responder.respond(503, JsonResponses.errorBody("try again"), true);
   }
 
-  private static ObjectNode queued(String id) {
-    ObjectNode o = Json.object();
-    o.put(Fields.ID, id);
-    o.put(Fields.STATE, Fields.QUEUED);
-    return o;
+  private static ObjectNode queuedBody(String id) {
+    ObjectNode body = Json.object();
+    body.put(Fields.ID, id);
+    body.put(Fields.STATE, Fields.QUEUED);
+    return body;
   }
 
-  private void accept(Responder x, String id, ObjectNode value, int retried) {
+  private void accept(Responder responder, String id, ObjectNode openRecord, int retriesUsed) {
     long sentMs = loop.now();
     Transaction transaction =
         new Transaction()
             .requireVersion(RecordKeys.openJob(id), 0)
             .requireVersion(RecordKeys.endedJob(id), 0)
-            .put(RecordKeys.openJob(id), value);
+            .put(RecordKeys.openJob(id), openRecord);
     // Sent twice when an answer is late: the one that is applied first makes the other fail, and
     // the
     // job that the other finds is this one.
     state.compareAndSwapWithRetry(
         transaction,
-        () -> writes.forceAcquire(1, loop.now()),
-        (result, revision, failed) -> {
+        () -> writeLimiter.forceAcquire(1, loop.now()),
+        (result, revision, failedConditions) -> {
           if (result == CallResult.NOT_EXECUTED
               && state.health().lastThrottledMs() >= sentMs
-              && retried < MAX_RETRIES
-              && retries.tryAcquire(1, loop.now())) {
+              && retriesUsed < MAX_RETRIES
+              && retryLimiter.tryAcquire(1, loop.now())) {
             // Refused for the service's limits, which a moment later leave room; a user who is
             // asked
             // to retry does so only after a second.
-            loop.after(RETRY_MS, () -> accept(x, id, value, retried + 1));
+            loop.after(RETRY_DELAY_MS, () -> accept(responder, id, openRecord, retriesUsed + 1));
             return;
           }
           switch (result) {
             case OK -> {
-              lookup.opened(id, revision);
-              x.respond(201, queued(id), false);
+              lookup.cacheOpenJob(id, revision);
+              responder.respond(201, queuedBody(id), false);
             }
-            case CONDITION_FAILED -> lookup.answer(x, id, () -> tryAgain(x));
-            default -> JobLookup.answerUnavailable(x);
+            case CONDITION_FAILED ->
+                lookup.respondWithState(responder, id, () -> respondTryAgain(responder));
+            default -> JobLookup.respondUnavailable(responder);
           }
         });
   }
@@ -230,8 +238,8 @@
    * service has refused a call for its limits.
    */
   private boolean tryAcquireWrite() {
-    long now = loop.now();
-    boolean overloaded = now - state.health().lastThrottledMs() < OVERLOADED_MS;
-    return (overloaded ? fairWrites : writes).tryAcquire(1, now);
+    long nowMs = loop.now();
+    boolean isOverloaded = nowMs - state.health().lastThrottledMs() < OVERLOAD_WINDOW_MS;
+    return (isOverloaded ? fairShareWriteLimiter : writeLimiter).tryAcquire(1, nowMs);
   }
 }
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -27,90 +27,95 @@
 
   private final EventLoop loop;
   private final KeyValueStore state;
-  private final ReadQueue reads;
-  private final double burst;
-  private final UserApi.LocalJobs jobs;
+  private final ReadQueue readQueue;
+  private final double readsPerSecond;
+  private final UserApi.LocalJobs localJobs;
 
   /** By job, from the newest listing of shared start records. */
-  private Map<String, JobProgress> shared = Map.of();
+  private Map<String, JobProgress> sharedCounts = Map.of();
 
   private long sharedListedMs = Long.MIN_VALUE / 2;
-  private final List<Runnable> waiting = new ArrayList<>();
-  private boolean listing;
+  private final List<Runnable> waitingForListing = new ArrayList<>();
+  private boolean isListing;
 
   TaskCounts(
-      EventLoop loop, KeyValueStore state, ReadQueue reads, double burst, UserApi.LocalJobs jobs) {
+      EventLoop loop,
+      KeyValueStore state,
+      ReadQueue readQueue,
+      double readsPerSecond,
+      UserApi.LocalJobs localJobs) {
     this.loop = loop;
     this.state = state;
-    this.reads = reads;
-    this.burst = burst;
-    this.jobs = jobs;
+    this.readQueue = readQueue;
+    this.readsPerSecond = readsPerSecond;
+    this.localJobs = localJobs;
   }
 
   /** Answers with the state of a job that was just seen open. */
-  void answer(Responder x, OpenJobs.Entry job) {
-    JobProgress own = jobs.progress(job.id);
-    if (own != null) {
-      x.respond(200, status(job.id, own), false);
+  void respond(Responder responder, OpenJobs.OpenJob job) {
+    JobProgress localProgress = localJobs.progress(job.id);
+    if (localProgress != null) {
+      responder.respond(200, openJobBody(job.id, localProgress), false);
       return;
     }
-    if (loop.now() - job.countedMs() < MAX_AGE_MS) {
-      x.respond(200, status(job.id, job.progress()), false);
+    if (loop.now() - job.progressUpdatedMs() < MAX_AGE_MS) {
+      responder.respond(200, openJobBody(job.id, job.progress()), false);
       return;
     }
-    listShared(() -> answerCounted(x, job));
+    refreshSharedCounts(() -> respondAfterListing(responder, job));
   }
 
-  private void answerCounted(Responder x, OpenJobs.Entry job) {
-    JobProgress counted = shared.get(job.id);
-    if (counted != null) {
-      job.counted(counted, loop.now());
-    } else if (reads.tryAcquireSpare(burst)) {
-      listOwn(x, job);
+  private void respondAfterListing(Responder responder, OpenJobs.OpenJob job) {
+    JobProgress progress = sharedCounts.get(job.id);
+    if (progress != null) {
+      job.updateProgress(progress, loop.now());
+    } else if (readQueue.tryAcquireSpare(readsPerSecond)) {
+      listRecordsOfJob(responder, job);
       return;
     }
-    x.respond(200, status(job.id, job.progress()), false);
+    responder.respond(200, openJobBody(job.id, job.progress()), false);
   }
 
   /** Runs a task when the listing of shared records is fresh, or when it cannot be read now. */
-  private void listShared(Runnable then) {
-    if (loop.now() - sharedListedMs < MAX_AGE_MS || (!listing && !reads.tryAcquireSpare(burst))) {
-      then.run();
+  private void refreshSharedCounts(Runnable next) {
+    if (loop.now() - sharedListedMs < MAX_AGE_MS
+        || (!isListing && !readQueue.tryAcquireSpare(readsPerSecond))) {
+      next.run();
       return;
     }
-    waiting.add(then);
-    if (listing) {
+    waitingForListing.add(next);
+    if (isListing) {
       return;
     }
-    listing = true;
+    isListing = true;
     state.list(
         RecordKeys.SHARED_ATTEMPT_RECORDS_PREFIX,
         (result, items, revision) -> {
-          listing = false;
+          isListing = false;
           if (result == CallResult.OK) {
             sharedListedMs = loop.now();
-            shared = counts(items);
+            sharedCounts = progressByJob(items);
           }
-          List<Runnable> all = new ArrayList<>(waiting);
-          waiting.clear();
-          all.forEach(Runnable::run);
+          List<Runnable> ready = new ArrayList<>(waitingForListing);
+          waitingForListing.clear();
+          ready.forEach(Runnable::run);
         });
   }
 
-  private static Map<String, JobProgress> counts(List<VersionedValue> items) {
-    Map<String, JobProgress> out = new HashMap<>();
+  private static Map<String, JobProgress> progressByJob(List<VersionedValue> items) {
+    Map<String, JobProgress> progressByJob = new HashMap<>();
     for (VersionedValue item : items) {
-      for (Map.Entry<String, JsonNode> run : AttemptRecordCodec.membersOfShared(item.value())) {
-        int done = AttemptRecordCodec.doneTasks(run.getValue()).cardinality();
-        out.put(
-            run.getKey(),
-            new JobProgress(done, AttemptRecordCodec.unresolvedAttempts(run.getValue()).size()));
+      for (Map.Entry<String, JsonNode> member : AttemptRecordCodec.membersOfShared(item.value())) {
+        int done = AttemptRecordCodec.doneTasks(member.getValue()).cardinality();
+        progressByJob.put(
+            member.getKey(),
+            new JobProgress(done, AttemptRecordCodec.unresolvedAttempts(member.getValue()).size()));
       }
     }
-    return out;
+    return progressByJob;
   }
 
-  private void listOwn(Responder x, OpenJobs.Entry job) {
+  private void listRecordsOfJob(Responder responder, OpenJobs.OpenJob job) {
     state.list(
         RecordKeys.attemptRecordsPrefix(job.id),
         (result, items, revision) -> {
@@ -121,19 +126,19 @@
               done += AttemptRecordCodec.doneTasks(item.value()).cardinality();
               running += AttemptRecordCodec.unresolvedAttempts(item.value()).size();
             }
-            job.counted(new JobProgress(done, running), loop.now());
+            job.updateProgress(new JobProgress(done, running), loop.now());
           }
-          x.respond(200, status(job.id, job.progress()), false);
+          responder.respond(200, openJobBody(job.id, job.progress()), false);
         });
   }
 
   /** The response body about an open job. */
-  static ObjectNode status(String id, JobProgress progress) {
-    ObjectNode o = Json.object();
-    o.put(Fields.ID, id);
-    o.put(Fields.STATE, progress.runningTasks() > 0 ? Fields.RUNNING : Fields.QUEUED);
-    o.put(Fields.DONE, progress.doneTasks());
-    o.put(Fields.RUNNING, progress.runningTasks());
-    return o;
+  static ObjectNode openJobBody(String id, JobProgress progress) {
+    ObjectNode body = Json.object();
+    body.put(Fields.ID, id);
+    body.put(Fields.STATE, progress.runningTasks() > 0 ? Fields.RUNNING : Fields.QUEUED);
+    body.put(Fields.DONE, progress.doneTasks());
+    body.put(Fields.RUNNING, progress.runningTasks());
+    return body;
   }
 }
--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -17,7 +17,7 @@
  * so no node is ever behind what another has said.
  */
 public final class UserApi {
-  private static final String JOBS = "/v1/jobs";
+  private static final String JOBS_PATH = "/v1/jobs";
 
   /** The state service allows so many conditions for each put or delete of a transaction. */
   private static final int CONDITIONS_PER_OP = 4;
@@ -68,15 +68,15 @@
       int maxCachedOutcomes) {}
 
   /** Serves users' requests from the state service. */
-  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, LocalJobs jobs) {
-    ReadQueue reads = new ReadQueue(loop, limits.readLimiter());
+  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, LocalJobs localJobs) {
+    ReadQueue readQueue = new ReadQueue(loop, limits.readLimiter());
     this.lookup =
         new JobLookup(
             loop,
             state,
-            reads,
+            readQueue,
             limits.readsPerSecond(),
-            jobs,
+            localJobs,
             limits.maxConditions(),
             limits.maxCachedOutcomes());
     this.claimService =
@@ -86,8 +86,8 @@
             limits.writeLimiter(),
             limits.maxConditions() / CONDITIONS_PER_OP,
             limits.maxValueKb(),
-            lookup::finalOutcome);
-    this.submissions = new Submissions(loop, state, lookup, claimService, jobs, limits);
+            lookup::cachedOutcome);
+    this.submissions = new Submissions(loop, state, lookup, claimService, localJobs, limits);
     this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writeLimiter());
   }
 
@@ -103,56 +103,57 @@
 
   /** Remembers a job's end, which is committed. */
   public void cacheOutcome(String id, boolean done) {
-    lookup.ended(id, done);
+    lookup.cacheOutcome(id, done);
   }
 
   /** The number of jobs whose end is remembered. */
   public int cachedOutcomeCount() {
-    return lookup.rememberedEnds();
+    return lookup.cachedOutcomeCount();
   }
 
   /** The number of open jobs that are remembered. */
   public int cachedOpenJobCount() {
-    return lookup.rememberedOpenJobs();
+    return lookup.cachedOpenJobCount();
   }
 
   /** Serves a request whose path and method the router has checked. */
-  public void serve(String method, String path, byte[] body, Responder x) {
-    String rest = path.length() > JOBS.length() ? path.substring(JOBS.length() + 1) : "";
-    int slash = rest.indexOf('/');
-    if (rest.isEmpty()) {
-      submit(x, body);
+  public void serve(String method, String path, byte[] body, Responder responder) {
+    String idAndAction =
+        path.length() > JOBS_PATH.length() ? path.substring(JOBS_PATH.length() + 1) : "";
+    int slash = idAndAction.indexOf('/');
+    if (idAndAction.isEmpty()) {
+      submit(responder, body);
     } else if (slash < 0) {
-      query(x, rest);
+      query(responder, idAndAction);
     } else {
-      cancel(x, rest.substring(0, slash));
+      cancel(responder, idAndAction.substring(0, slash));
     }
   }
 
   /** Serves POST /v1/jobs. */
-  public void submit(Responder x, byte[] body) {
-    submissions.submit(x, body);
+  public void submit(Responder responder, byte[] body) {
+    submissions.submit(responder, body);
   }
 
   /** Serves GET /v1/jobs/{id}. */
-  public void query(Responder x, String id) {
+  public void query(Responder responder, String id) {
     if (JobCodec.ID_PATTERN.matcher(id).matches()) {
-      lookup.answer(x, id, () -> notFound(x));
+      lookup.respondWithState(responder, id, () -> respondNotFound(responder));
     } else {
-      notFound(x);
+      respondNotFound(responder);
     }
   }
 
   /** Serves POST /v1/jobs/{id}/withdraw. */
-  public void cancel(Responder x, String id) {
+  public void cancel(Responder responder, String id) {
     if (JobCodec.ID_PATTERN.matcher(id).matches()) {
-      cancelRequests.cancel(x, id);
+      cancelRequests.cancel(responder, id);
     } else {
-      notFound(x);
+      respondNotFound(responder);
     }
   }
 
-  private static void notFound(Responder x) {
-    x.respond(404, JsonResponses.errorBody("no such job"), false);
+  private static void respondNotFound(Responder responder) {
+    responder.respond(404, JsonResponses.errorBody("no such job"), false);
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/ClaimContext.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimContext.java
@@ -12,7 +12,11 @@
  * @param maxValueBytes the longest value of a key
  */
 record ClaimContext(
-    EventLoop loop, KeyValueStore state, RateLimiter writes, int maxOps, double maxValueBytes) {
+    EventLoop loop,
+    KeyValueStore state,
+    RateLimiter writeLimiter,
+    int maxOps,
+    double maxValueBytes) {
   /** A conflict with another claim is retried after this time. */
-  static final long CONFLICT_RETRY_MS = 60;
+  static final long CONFLICT_RETRY_DELAY_MS = 60;
 }
--- a/src/main/java/org/mallowroad/api/claim/ClaimService.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimService.java
@@ -40,19 +40,19 @@
   public static final int MAX_LEAGUES = 16;
 
   /** Acceptances under way at once; a client beyond them is asked to retry. */
-  private static final int MAX_ACTIVE = 24;
+  private static final int MAX_ACTIVE_ACCEPTANCES = 24;
 
-  private static final int MIN_OPS = 4;
+  private static final int MIN_OPS_PER_TRANSACTION = 4;
 
   /** A value may be as long as the limit less what surrounds it. */
-  private static final int ENVELOPE_BYTES = 64;
+  private static final int RECORD_OVERHEAD_BYTES = 64;
 
   private final ClaimContext context;
-  private final Function<String, JobOutcome> finalOutcomes;
-  private final LeagueCache leagues = new LeagueCache();
-  private final JobRecordReader jobRecords;
+  private final Function<String, JobOutcome> knownOutcomes;
+  private final LeagueCache leagueCache = new LeagueCache();
+  private final JobRecordReader jobRecordReader;
   private final IntentRollback rollback;
-  private int active;
+  private int activeAcceptances;
 
   /**
    * Accepts jobs into the state service.
@@ -65,15 +65,19 @@
   public ClaimService(
       EventLoop loop,
       KeyValueStore state,
-      RateLimiter writes,
+      RateLimiter writeLimiter,
       int maxOps,
       double maxValueKb,
-      Function<String, JobOutcome> finalOutcomes) {
+      Function<String, JobOutcome> knownOutcomes) {
     this.context =
         new ClaimContext(
-            loop, state, writes, Math.max(MIN_OPS, maxOps), maxValueKb * 1024 - ENVELOPE_BYTES);
-    this.finalOutcomes = finalOutcomes;
-    this.jobRecords = new JobRecordReader(state);
+            loop,
+            state,
+            writeLimiter,
+            Math.max(MIN_OPS_PER_TRANSACTION, maxOps),
+            maxValueKb * 1024 - RECORD_OVERHEAD_BYTES);
+    this.knownOutcomes = knownOutcomes;
+    this.jobRecordReader = new JobRecordReader(state);
     this.rollback = new IntentRollback(context);
   }
 
@@ -85,57 +89,57 @@
    */
   public void accept(
       String id,
-      ObjectNode value,
+      ObjectNode openRecord,
       List<Game> games,
       JobDependencies dependencies,
       Consumer<AcceptanceResult> listener) {
-    if (active >= MAX_ACTIVE) {
+    if (activeAcceptances >= MAX_ACTIVE_ACCEPTANCES) {
       listener.accept(
           new AcceptanceResult(AcceptanceResult.Status.UNAVAILABLE, "too many claims under way"));
       return;
     }
-    active++;
-    Consumer<AcceptanceResult> ended =
+    activeAcceptances++;
+    Consumer<AcceptanceResult> completion =
         result -> {
-          active--;
+          activeAcceptances--;
           listener.accept(result);
         };
-    JobAcceptance.Job job = new JobAcceptance.Job(id, value, games, dependencies);
-    new JobAcceptance(context, this, leagues, job, ended).start();
+    JobAcceptance.Job job = new JobAcceptance.Job(id, openRecord, games, dependencies);
+    new JobAcceptance(context, this, leagueCache, job, completion).start();
   }
 
   /** The blocks that hold these games, in order. */
   public static Collection<BlockKey> blockKeys(List<Game> games) {
     TreeSet<BlockKey> keys = new TreeSet<>();
-    games.forEach(g -> keys.add(g.blockKey()));
+    games.forEach(game -> keys.add(game.blockKey()));
     return keys;
   }
 
   /** The blocks that an intent names, in order. */
   public static Collection<BlockKey> blockKeysOfIntent(JsonNode intent)
       throws InvalidMessageException {
-    ObjectNode o = Json.object();
-    o.set(FoldCodec.BLOCKS, intent.path("blocks"));
+    ObjectNode blocksField = Json.object();
+    blocksField.set(FoldCodec.BLOCKS, intent.path("blocks"));
     TreeSet<BlockKey> keys = new TreeSet<>();
-    for (Map.Entry<String, IntList> e : FoldCodec.decodeBlockKeys(o).entrySet()) {
-      e.getValue().forEach(i -> keys.add(new BlockKey(e.getKey(), i)));
+    for (Map.Entry<String, IntList> entry : FoldCodec.decodeBlockKeys(blocksField).entrySet()) {
+      entry.getValue().forEach(index -> keys.add(new BlockKey(entry.getKey(), index)));
     }
     return keys;
   }
 
   /** The outcome of a job that this node knows to be over, else null. */
-  JobOutcome finalOutcome(String job) {
-    return finalOutcomes.apply(job);
+  JobOutcome knownOutcome(String job) {
+    return knownOutcomes.apply(job);
   }
 
   /** Reads what has become of a job; empty when the state service does not answer. */
   public void readJobOutcome(String job, Consumer<Optional<JobOutcome>> listener) {
-    JobOutcome known = finalOutcome(job);
+    JobOutcome known = knownOutcome(job);
     if (known != null) {
       listener.accept(Optional.of(known));
       return;
     }
-    jobRecords.read(
+    jobRecordReader.read(
         job,
         new JobRecordReader.Listener() {
           @Override
--- a/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
@@ -26,13 +26,13 @@
   private static final int MAX_TRANSACTION_BYTES = 44 * 1024;
 
   /** What surrounds a block in a transaction. */
-  private static final int OVERHEAD_BYTES = 150;
+  private static final int BLOCK_OVERHEAD_BYTES = 150;
 
   private final KeyValueStore state;
   private final int maxOps;
   private final Map<BlockKey, Block> blocks = new TreeMap<>();
   private final Map<BlockKey, Long> versions = new HashMap<>();
-  private String unreadable;
+  private String decodingError;
 
   ClaimedBlocks(ClaimContext context) {
     this.state = context.state();
@@ -40,13 +40,13 @@
   }
 
   /** The blocks that were read or written. */
-  Map<BlockKey, Block> all() {
+  Map<BlockKey, Block> blocks() {
     return blocks;
   }
 
   /** Which record could not be decoded and why, or null. */
-  String unreadable() {
-    return unreadable;
+  String decodingError() {
+    return decodingError;
   }
 
   /**
@@ -55,43 +55,43 @@
    * @param done called when all are read
    * @param failed called when the service does not answer or a record cannot be decoded
    */
-  void read(Collection<BlockKey> keys, Runnable done, Runnable failed) {
-    new BatchRead(keys, done, failed).readMore();
+  void read(Collection<BlockKey> keys, Runnable onDone, Runnable onFailed) {
+    new BatchRead(keys, onDone, onFailed).readMore();
   }
 
   private final class BatchRead {
     private final ArrayDeque<BlockKey> remaining;
-    private final Runnable done;
-    private final Runnable failed;
-    private int inFlight;
-    private boolean ended;
+    private final Runnable onDone;
+    private final Runnable onFailed;
+    private int readsInFlight;
+    private boolean hasEnded;
 
-    BatchRead(Collection<BlockKey> keys, Runnable done, Runnable failed) {
+    BatchRead(Collection<BlockKey> keys, Runnable onDone, Runnable onFailed) {
       this.remaining = new ArrayDeque<>(keys);
-      this.done = done;
-      this.failed = failed;
+      this.onDone = onDone;
+      this.onFailed = onFailed;
     }
 
     void readMore() {
-      while (!ended && inFlight < MAX_CONCURRENT_READS && !remaining.isEmpty()) {
+      while (!hasEnded && readsInFlight < MAX_CONCURRENT_READS && !remaining.isEmpty()) {
         BlockKey key = remaining.poll();
-        inFlight++;
-        state.get(RecordKeys.foldBlock(key), (result, item) -> received(key, result, item));
+        readsInFlight++;
+        state.get(RecordKeys.foldBlock(key), (result, item) -> onBlockRead(key, result, item));
       }
-      if (!ended && inFlight == 0 && remaining.isEmpty()) {
-        ended = true;
-        done.run();
+      if (!hasEnded && readsInFlight == 0 && remaining.isEmpty()) {
+        hasEnded = true;
+        onDone.run();
       }
     }
 
-    private void received(BlockKey key, CallResult result, VersionedValue item) {
-      inFlight--;
-      if (ended) {
+    private void onBlockRead(BlockKey key, CallResult result, VersionedValue item) {
+      readsInFlight--;
+      if (hasEnded) {
         return;
       }
       if (result != CallResult.OK || !decode(key, item)) {
-        ended = true;
-        failed.run();
+        hasEnded = true;
+        onFailed.run();
       } else {
         readMore();
       }
@@ -104,7 +104,7 @@
       versions.put(key, item.version());
       return true;
     } catch (InvalidMessageException e) {
-      unreadable = "block " + RecordKeys.foldBlock(key) + " cannot be read: " + e.getMessage();
+      decodingError = "block " + RecordKeys.foldBlock(key) + " cannot be read: " + e.getMessage();
       return false;
     }
   }
@@ -123,7 +123,7 @@
   }
 
   /** Takes changed blocks over after they were committed with that revision. */
-  void committed(Map<BlockKey, Block> changed, long revision) {
+  void applyCommitted(Map<BlockKey, Block> changed, long revision) {
     changed.forEach(
         (key, block) -> {
           blocks.put(key, block);
@@ -132,28 +132,29 @@
   }
 
   /** The first of the changed blocks, as many as fit into a transaction with other operations. */
-  Map<BlockKey, Block> firstTransaction(Map<BlockKey, Block> changed, int otherOps) {
-    Map<BlockKey, Block> out = new TreeMap<>();
+  Map<BlockKey, Block> firstBatch(Map<BlockKey, Block> changed, int otherOps) {
+    Map<BlockKey, Block> batch = new TreeMap<>();
     int bytes = 0;
-    for (Map.Entry<BlockKey, Block> e : changed.entrySet()) {
-      bytes += Json.toText(FoldCodec.encodeBlock(e.getValue())).length() + OVERHEAD_BYTES;
-      if (!out.isEmpty() && (out.size() + otherOps >= maxOps || bytes > MAX_TRANSACTION_BYTES)) {
+    for (Map.Entry<BlockKey, Block> entry : changed.entrySet()) {
+      bytes += Json.toText(FoldCodec.encodeBlock(entry.getValue())).length() + BLOCK_OVERHEAD_BYTES;
+      if (!batch.isEmpty()
+          && (batch.size() + otherOps >= maxOps || bytes > MAX_TRANSACTION_BYTES)) {
         break;
       }
-      out.put(e.getKey(), e.getValue());
+      batch.put(entry.getKey(), entry.getValue());
     }
-    return out;
+    return batch;
   }
 
   /** Those of the keys whose conditions failed; all when the service named no condition. */
   static List<BlockKey> failedKeys(List<String> failedConditions, Collection<BlockKey> keys) {
-    List<BlockKey> out = new ArrayList<>();
+    List<BlockKey> failed = new ArrayList<>();
     keys.forEach(
         key -> {
           if (failedConditions.isEmpty() || failedConditions.contains(RecordKeys.foldBlock(key))) {
-            out.add(key);
+            failed.add(key);
           }
         });
-    return out;
+    return failed;
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/ClaimedLeagues.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedLeagues.java
@@ -22,7 +22,7 @@
   /**
    * By league the lowest game that the job folds, or the highest number if it only depends on it.
    */
-  private final Map<String, Long> lowestGames = new TreeMap<>();
+  private final Map<String, Long> lowestFoldedGames = new TreeMap<>();
 
   private final Map<String, LeagueRecord> records = new TreeMap<>();
 
@@ -31,16 +31,16 @@
     this.reader = reader;
     this.cache = cache;
     this.dependencies = dependencies;
-    games.forEach(g -> lowestGames.merge(g.league(), g.number(), Math::min));
+    games.forEach(game -> lowestFoldedGames.merge(game.league(), game.number(), Math::min));
     dependencies
         .highestRequiredGames()
         .keySet()
-        .forEach(l -> lowestGames.putIfAbsent(l, Long.MAX_VALUE));
+        .forEach(league -> lowestFoldedGames.putIfAbsent(league, Long.MAX_VALUE));
   }
 
   /** The number of leagues. */
   int size() {
-    return lowestGames.size();
+    return lowestFoldedGames.size();
   }
 
   /**
@@ -49,31 +49,31 @@
    * @param refresh whether those that are known already are read again
    */
   void read(boolean refresh, Runnable done) {
-    ArrayDeque<String> missing = new ArrayDeque<>();
-    for (String league : lowestGames.keySet()) {
+    ArrayDeque<String> unreadLeagues = new ArrayDeque<>();
+    for (String league : lowestFoldedGames.keySet()) {
       LeagueRecord cached = refresh ? null : cache.get(league);
       if (cached != null) {
         records.put(league, cached);
       } else if (refresh || !records.containsKey(league)) {
-        missing.add(league);
+        unreadLeagues.add(league);
       }
     }
-    readNext(missing, done);
+    readNext(unreadLeagues, done);
   }
 
-  private void readNext(ArrayDeque<String> missing, Runnable done) {
-    if (missing.isEmpty()) {
+  private void readNext(ArrayDeque<String> unreadLeagues, Runnable done) {
+    if (unreadLeagues.isEmpty()) {
       done.run();
       return;
     }
-    String league = missing.poll();
+    String league = unreadLeagues.poll();
     reader.read(
         RecordKeys.league(league),
         (value, version) -> {
-          LeagueRecord read = LeagueRecord.decode(value, version);
-          records.put(league, read);
-          cache.put(league, read);
-          readNext(missing, done);
+          LeagueRecord record = LeagueRecord.decode(value, version);
+          records.put(league, record);
+          cache.put(league, record);
+          readNext(unreadLeagues, done);
         });
   }
 
@@ -83,22 +83,27 @@
    * a dependency under the record's earlier version is no longer confirmed.
    */
   void addTo(Transaction transaction) {
-    lowestGames.forEach(
-        (league, game) -> {
-          LeagueRecord known = records.get(league);
-          transaction.requireVersion(RecordKeys.league(league), known.version());
-          boolean touches = known.version() > 0 && game <= known.upTo();
-          long upTo =
-              Math.max(known.upTo(), dependencies.highestRequiredGames().getOrDefault(league, -1L));
-          if (touches || upTo > known.upTo()) {
-            long changes = Math.max(0, known.changes()) + (touches ? 1 : 0);
-            transaction.put(RecordKeys.league(league), LeagueRecordCodec.encode(upTo, changes));
+    lowestFoldedGames.forEach(
+        (league, lowestFoldedGame) -> {
+          LeagueRecord record = records.get(league);
+          transaction.requireVersion(RecordKeys.league(league), record.version());
+          boolean touchesRequiredGames =
+              record.version() > 0 && lowestFoldedGame <= record.highestRequiredGame();
+          long highestRequiredGame =
+              Math.max(
+                  record.highestRequiredGame(),
+                  dependencies.highestRequiredGames().getOrDefault(league, -1L));
+          if (touchesRequiredGames || highestRequiredGame > record.highestRequiredGame()) {
+            long changeCount = Math.max(0, record.changeCount()) + (touchesRequiredGames ? 1 : 0);
+            transaction.put(
+                RecordKeys.league(league),
+                LeagueRecordCodec.encode(highestRequiredGame, changeCount));
           }
         });
   }
 
   /** Removes the leagues from the cache: the acceptance may have changed their versions. */
-  void forget() {
-    lowestGames.keySet().forEach(cache::remove);
+  void evictFromCache() {
+    lowestFoldedGames.keySet().forEach(cache::remove);
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
+++ b/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
@@ -26,16 +26,16 @@
   /** The result of a check; one method is called, once. */
   interface Listener {
     /** The job would not wait for itself. */
-    void acyclic();
+    void onAcyclic();
 
     /** The job would wait for itself. */
-    void cyclic(String reason);
+    void onCycle(String reason);
 
     /** The state service does not answer. */
-    void unavailable();
+    void onUnavailable();
 
     /** A record cannot be decoded. */
-    void unreadable(String reason);
+    void onUndecodable(String reason);
   }
 
   private final KeyValueStore state;
@@ -44,7 +44,7 @@
   private final JobDependencies dependencies;
 
   /** The version of the order record that was checked; 0 when there was none. */
-  private long orderVersion;
+  private long orderRecordVersion;
 
   DependencyCycleCheck(
       KeyValueStore state, ValueReader reader, String id, JobDependencies dependencies) {
@@ -57,18 +57,18 @@
   /** Reads the other jobs' dependencies and checks them; at once for a job that has none. */
   void run(Listener listener) {
     if (!dependencies.isGated()) {
-      listener.acyclic();
+      listener.onAcyclic();
       return;
     }
     reader.read(
         RecordKeys.DEPENDENCY_ORDER_KEY,
         (value, version) -> {
-          orderVersion = version;
+          orderRecordVersion = version;
           state.list(
               RecordKeys.DEPENDENCIES_PREFIX,
               (result, items, revision) -> {
                 if (result != CallResult.OK) {
-                  listener.unavailable();
+                  listener.onUnavailable();
                 } else {
                   check(items, listener);
                 }
@@ -77,33 +77,35 @@
   }
 
   private void check(List<VersionedValue> items, Listener listener) {
-    Map<String, JobDependencies> waiting = new HashMap<>();
-    for (VersionedValue i : items) {
+    Map<String, JobDependencies> dependenciesByJob = new HashMap<>();
+    for (VersionedValue item : items) {
       try {
-        waiting.put(
-            i.key().substring(RecordKeys.DEPENDENCIES_PREFIX.length()),
-            DependencyCodec.decodeRecord(i.value()));
+        dependenciesByJob.put(
+            item.key().substring(RecordKeys.DEPENDENCIES_PREFIX.length()),
+            DependencyCodec.decodeRecord(item.value()));
       } catch (InvalidMessageException e) {
-        listener.unreadable(i.key() + " cannot be read: " + e.getMessage());
+        listener.onUndecodable(item.key() + " cannot be read: " + e.getMessage());
         return;
       }
     }
-    if (waiting.containsKey(id)) {
-      listener.acyclic(); // Accepted before: its own record must not look like a cycle.
+    if (dependenciesByJob.containsKey(id)) {
+      listener.onAcyclic(); // Accepted before: its own record must not look like a cycle.
       return;
     }
-    Optional<String> through = DependencyCycles.findCycle(id, dependencies, waiting);
-    if (through.isEmpty()) {
-      listener.acyclic();
+    Optional<String> lastJobOfCycle =
+        DependencyCycles.findCycle(id, dependencies, dependenciesByJob);
+    if (lastJobOfCycle.isEmpty()) {
+      listener.onAcyclic();
     } else {
-      listener.cyclic("holds: " + id + " would wait for itself, by way of " + through.get());
+      listener.onCycle(
+          "holds: " + id + " would wait for itself, by way of " + lastJobOfCycle.get());
     }
   }
 
   /** Adds the job's dependencies to its acceptance, on condition that the check still holds. */
   void addTo(Transaction transaction) {
     if (dependencies.isGated()) {
-      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER_KEY, orderVersion);
+      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER_KEY, orderRecordVersion);
       transaction.put(RecordKeys.DEPENDENCY_ORDER_KEY, Json.object().put("by", id));
       transaction.put(RecordKeys.dependencies(id), DependencyCodec.encodeRecord(dependencies));
     }
--- a/src/main/java/org/mallowroad/api/claim/IntentRecord.java
+++ b/src/main/java/org/mallowroad/api/claim/IntentRecord.java
@@ -15,7 +15,7 @@
 
 /** The record of a claim that takes more than one transaction. */
 final class IntentRecord {
-  private static final String AT = "at";
+  private static final String RECORDED_AT = "at";
   private static final String HASH = "hash";
   private static final String BLOCKS = "blocks";
   private static final String ABANDONED = "undo";
@@ -25,33 +25,33 @@
 
   /** The record of a claim in progress, with the hash of its games. */
   static ObjectNode inProgress(long wallMs, String hash, Collection<BlockKey> keys) {
-    ObjectNode v = Json.object();
-    v.put(AT, wallMs);
-    v.put(HASH, hash);
-    v.set(BLOCKS, FoldCodec.encodeBlockKeys(keys));
-    return v;
+    ObjectNode record = Json.object();
+    record.put(RECORDED_AT, wallMs);
+    record.put(HASH, hash);
+    record.set(BLOCKS, FoldCodec.encodeBlockKeys(keys));
+    return record;
   }
 
   /** The record of a claim that is being abandoned. */
   static ObjectNode abandoned(long wallMs, Collection<BlockKey> keys) {
-    ObjectNode v = Json.object();
-    v.put(AT, wallMs);
-    v.put(ABANDONED, true);
-    v.set(BLOCKS, FoldCodec.encodeBlockKeys(keys));
-    return v;
+    ObjectNode record = Json.object();
+    record.put(RECORDED_AT, wallMs);
+    record.put(ABANDONED, true);
+    record.set(BLOCKS, FoldCodec.encodeBlockKeys(keys));
+    return record;
   }
 
   /** Whether the record is of a claim in progress of games with this hash. */
-  static boolean isInProgress(JsonNode value, String hash) {
-    return !value.has(ABANDONED) && value.path(HASH).asText().equals(hash);
+  static boolean isInProgress(JsonNode record, String hash) {
+    return !record.has(ABANDONED) && record.path(HASH).asText().equals(hash);
   }
 
   /** A hash of a submission's games. */
-  static String hash(List<Game> games) {
+  static String hashGames(List<Game> games) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
-      for (Game g : games) {
-        digest.update((g + "\n").getBytes(StandardCharsets.UTF_8));
+      for (Game game : games) {
+        digest.update((game + "\n").getBytes(StandardCharsets.UTF_8));
       }
       return HexFormat.of().formatHex(digest.digest(), 0, HASH_BYTES);
     } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/org/mallowroad/api/claim/IntentRollback.java
+++ b/src/main/java/org/mallowroad/api/claim/IntentRollback.java
@@ -42,7 +42,7 @@
                 .put(
                     RecordKeys.foldIntent(id),
                     IntentRecord.abandoned(context.loop().wallMs(), keys)),
-            (result, revision, failed) -> {
+            (result, revision, failedConditions) -> {
               if (result == CallResult.OK) {
                 removeClaims(id, revision, new ArrayDeque<>(keys), listener);
               } else {
@@ -60,7 +60,7 @@
               new Transaction()
                   .requireVersion(RecordKeys.foldIntent(id), version)
                   .delete(RecordKeys.foldIntent(id)),
-              (result, revision, failed) -> listener.accept(result == CallResult.OK));
+              (result, revision, failedConditions) -> listener.accept(result == CallResult.OK));
       return;
     }
     List<BlockKey> batch = new ArrayList<>();
@@ -83,36 +83,36 @@
       Consumer<Boolean> listener) {
     Map<BlockKey, Block> changed = new TreeMap<>();
     blocks
-        .all()
+        .blocks()
         .forEach(
             (key, block) -> {
-              Block without = ClaimRules.withoutClaimsOf(block, id);
-              if (without != block) {
-                changed.put(key, without);
+              Block unclaimed = ClaimRules.withoutClaimsOf(block, id);
+              if (unclaimed != block) {
+                changed.put(key, unclaimed);
               }
             });
     if (changed.isEmpty()) {
       removeClaims(id, version, remaining, listener);
       return;
     }
-    Map<BlockKey, Block> part = blocks.firstTransaction(changed, 0);
+    Map<BlockKey, Block> writtenBlocks = blocks.firstBatch(changed, 0);
     Transaction transaction = new Transaction().requireVersion(RecordKeys.foldIntent(id), version);
-    blocks.addTo(transaction, part);
+    blocks.addTo(transaction, writtenBlocks);
     context
         .state()
         .compareAndSwap(
             transaction,
-            (result, revision, failed) -> {
+            (result, revision, failedConditions) -> {
               if (result == CallResult.OK
                   || (result == CallResult.CONDITION_FAILED
-                      && !failed.contains(RecordKeys.foldIntent(id)))) {
+                      && !failedConditions.contains(RecordKeys.foldIntent(id)))) {
                 // What is not done, or was changed by others meanwhile, is read once more.
-                batch.removeAll(result == CallResult.OK ? part.keySet() : List.of());
+                batch.removeAll(result == CallResult.OK ? writtenBlocks.keySet() : List.of());
                 remaining.addAll(batch);
                 context
                     .loop()
                     .after(
-                        ClaimContext.CONFLICT_RETRY_MS,
+                        ClaimContext.CONFLICT_RETRY_DELAY_MS,
                         () -> removeClaims(id, version, remaining, listener));
               } else {
                 listener.accept(false);
--- a/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
+++ b/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
@@ -38,29 +38,30 @@
   private static final int MAX_RETRIES = 12;
 
   /** Retries wait longer and longer, up to so many times the first wait. */
-  private static final int MAX_BACKOFF_FACTOR = 8;
+  private static final int MAX_BACKOFF_MULTIPLIER = 8;
 
   /** A transaction that the service refused for its limits is sent again after this time. */
-  private static final long OVERLOAD_RETRY_MS = 150;
+  private static final long OVERLOAD_RETRY_DELAY_MS = 150;
 
   /** Puts and deletes of an acceptance besides blocks and leagues. */
-  private static final int JOB_OPS = 3;
+  private static final int OPS_BESIDES_BLOCKS_AND_LEAGUES = 3;
 
-  private static final String ABANDONED = "folds: an earlier claim of this job is being given up";
+  private static final String ABANDONED_REASON =
+      "folds: an earlier claim of this job is being given up";
 
   /**
    * The job to accept.
    *
    * @param value its open record, which names the blocks
    */
-  record Job(String id, ObjectNode value, List<Game> games, JobDependencies dependencies) {}
+  record Job(String id, ObjectNode openRecord, List<Game> games, JobDependencies dependencies) {}
 
   private final ClaimContext context;
   private final EventLoop loop;
   private final ClaimService service;
   private final Job job;
   private final String id;
-  private final Collection<BlockKey> keys;
+  private final Collection<BlockKey> blockKeys;
   private final String gamesHash;
   private final Consumer<AcceptanceResult> listener;
   private final DependencyCycleCheck cycleCheck;
@@ -84,8 +85,8 @@
     this.service = service;
     this.job = job;
     this.id = job.id();
-    this.keys = ClaimService.blockKeys(job.games());
-    this.gamesHash = IntentRecord.hash(job.games());
+    this.blockKeys = ClaimService.blockKeys(job.games());
+    this.gamesHash = IntentRecord.hashGames(job.games());
     this.listener = listener;
     this.cycleCheck = new DependencyCycleCheck(context.state(), this::read, id, job.dependencies());
     this.leagues = new ClaimedLeagues(this::read, leagueCache, job.games(), job.dependencies());
@@ -97,27 +98,27 @@
     checkCycles(() -> leagues.read(false, this::readAllBlocks));
   }
 
-  private void end(AcceptanceResult.Status status, String reason) {
+  private void complete(AcceptanceResult.Status status, String reason) {
     listener.accept(new AcceptanceResult(status, reason));
   }
 
-  private void unavailable() {
-    end(
+  private void completeUnavailable() {
+    complete(
         AcceptanceResult.Status.UNAVAILABLE,
-        blocks.unreadable() == null ? "state service not reached" : blocks.unreadable());
+        blocks.decodingError() == null ? "state service not reached" : blocks.decodingError());
   }
 
   /** Reads a key, or ends the acceptance when the state service does not answer. */
-  private void read(String key, ValueReader.Listener received) {
+  private void read(String key, ValueReader.Listener listener) {
     context
         .state()
         .get(
             key,
             (result, item) -> {
               if (result != CallResult.OK) {
-                unavailable();
+                completeUnavailable();
               } else {
-                received.received(item.value(), item.version());
+                listener.onValue(item.value(), item.version());
               }
             });
   }
@@ -126,23 +127,23 @@
     cycleCheck.run(
         new DependencyCycleCheck.Listener() {
           @Override
-          public void acyclic() {
+          public void onAcyclic() {
             next.run();
           }
 
           @Override
-          public void cyclic(String reason) {
-            abandonAndEnd(AcceptanceResult.Status.REJECTED, reason);
+          public void onCycle(String reason) {
+            abandonAndComplete(AcceptanceResult.Status.REJECTED, reason);
           }
 
           @Override
-          public void unavailable() {
-            JobAcceptance.this.unavailable();
+          public void onUnavailable() {
+            JobAcceptance.this.completeUnavailable();
           }
 
           @Override
-          public void unreadable(String reason) {
-            end(AcceptanceResult.Status.UNAVAILABLE, reason);
+          public void onUndecodable(String reason) {
+            complete(AcceptanceResult.Status.UNAVAILABLE, reason);
           }
         });
   }
@@ -151,140 +152,146 @@
    * Ends after the claims that were made are released: no other job may be kept from these games
    * while this one cannot have all of its own.
    */
-  private void abandonAndEnd(AcceptanceResult.Status status, String reason) {
+  private void abandonAndComplete(AcceptanceResult.Status status, String reason) {
     if (intentVersion == 0) {
-      end(status, reason);
+      complete(status, reason);
     } else {
-      service.abandon(id, intentVersion, keys, complete -> end(status, reason));
+      service.abandon(id, intentVersion, blockKeys, isComplete -> complete(status, reason));
     }
   }
 
   private void readAllBlocks() {
-    blocks.read(keys, this::decide, this::unavailable);
+    blocks.read(blockKeys, this::decide, this::completeUnavailable);
   }
 
   private void decide() {
-    ClaimRules.Decision outcome =
+    ClaimRules.Decision decision =
         ClaimRules.decide(
             id,
             job.games(),
-            blocks.all(),
-            j -> jobOutcomes.containsKey(j) ? jobOutcomes.get(j) : service.finalOutcome(j));
-    if (outcome instanceof ClaimRules.OutcomesNeeded needed) {
-      readOutcomes(new ArrayDeque<>(needed.jobs()));
-    } else if (outcome instanceof ClaimRules.Granted granted) {
+            blocks.blocks(),
+            holder ->
+                jobOutcomes.containsKey(holder)
+                    ? jobOutcomes.get(holder)
+                    : service.knownOutcome(holder));
+    if (decision instanceof ClaimRules.OutcomesNeeded needed) {
+      readHolderOutcomes(new ArrayDeque<>(needed.jobs()));
+    } else if (decision instanceof ClaimRules.Granted granted) {
       commit(granted.blocks());
-    } else if (outcome instanceof ClaimRules.Refused refused) {
-      abandonAndEnd(AcceptanceResult.Status.REJECTED, refused.reason());
+    } else if (decision instanceof ClaimRules.Refused refused) {
+      abandonAndComplete(AcceptanceResult.Status.REJECTED, refused.reason());
     } else {
-      abandonAndEnd(AcceptanceResult.Status.CONFLICT, ((ClaimRules.Deferred) outcome).reason());
+      abandonAndComplete(
+          AcceptanceResult.Status.CONFLICT, ((ClaimRules.Deferred) decision).reason());
     }
   }
 
   /** Reads what has become of the jobs that hold its games, then decides again. */
-  private void readOutcomes(ArrayDeque<String> jobs) {
-    if (jobs.isEmpty()) {
+  private void readHolderOutcomes(ArrayDeque<String> holders) {
+    if (holders.isEmpty()) {
       decide();
       return;
     }
-    String other = jobs.poll();
+    String holder = holders.poll();
     service.readJobOutcome(
-        other,
+        holder,
         outcome -> {
           if (outcome.isEmpty()) {
-            unavailable();
+            completeUnavailable();
             return;
           }
-          jobOutcomes.put(other, outcome.get());
-          readOutcomes(jobs);
+          jobOutcomes.put(holder, outcome.get());
+          readHolderOutcomes(holders);
         });
   }
 
   private void commit(Map<BlockKey, Block> changed) {
-    for (Block b : changed.values()) {
-      if (Json.toText(FoldCodec.encodeBlock(b)).length() > context.maxValueBytes()) {
-        end(
+    for (Block block : changed.values()) {
+      if (Json.toText(FoldCodec.encodeBlock(block)).length() > context.maxValueBytes()) {
+        complete(
             AcceptanceResult.Status.REJECTED,
             "folds: the record of these games is full, with too many members' names");
         return;
       }
     }
-    int otherOps = JOB_OPS + leagues.size();
+    int otherOps = OPS_BESIDES_BLOCKS_AND_LEAGUES + leagues.size();
     if (intentVersion != 0) {
       if (changed.isEmpty()) {
-        acceptIntent();
+        acceptAndDeleteIntent();
       } else {
-        claimSome(blocks.firstTransaction(changed, 0));
+        claimBatch(blocks.firstBatch(changed, 0));
       }
-    } else if (blocks.firstTransaction(changed, otherOps).size() == changed.size()) {
-      acceptAtOnce(changed);
+    } else if (blocks.firstBatch(changed, otherOps).size() == changed.size()) {
+      acceptInOneTransaction(changed);
     } else {
       recordIntent();
     }
   }
 
   /** A transaction on condition that the job is neither open nor over. */
-  private Transaction unlessKnown() {
+  private Transaction transactionForNewJob() {
     return new Transaction()
         .requireVersion(RecordKeys.openJob(id), 0)
         .requireVersion(RecordKeys.endedJob(id), 0);
   }
 
-  private boolean isKnown(List<String> failed) {
-    return failed.contains(RecordKeys.openJob(id)) || failed.contains(RecordKeys.endedJob(id));
+  private boolean isDuplicate(List<String> failedConditions) {
+    return failedConditions.contains(RecordKeys.openJob(id))
+        || failedConditions.contains(RecordKeys.endedJob(id));
   }
 
-  private void acceptAtOnce(Map<BlockKey, Block> changed) {
+  private void acceptInOneTransaction(Map<BlockKey, Block> changed) {
     Transaction transaction =
-        unlessKnown()
+        transactionForNewJob()
             .requireVersion(RecordKeys.foldIntent(id), 0)
-            .put(RecordKeys.openJob(id), job.value());
+            .put(RecordKeys.openJob(id), job.openRecord());
     leagues.addTo(transaction);
     cycleCheck.addTo(transaction);
     blocks.addTo(transaction, changed);
     send(
         transaction,
-        revision -> accepted(),
+        revision -> completeAccepted(),
         // An intent was recorded by an earlier submission, perhaps on another node.
-        failed -> conditionFailed(failed, this::adoptIntent, changed.keySet()));
+        failedConditions ->
+            handleFailedConditions(failedConditions, this::adoptIntent, changed.keySet()));
   }
 
   /** The job is known, its intent is another one, or other jobs changed what it had read. */
-  private void conditionFailed(
-      List<String> failed, Runnable intentChanged, Collection<BlockKey> written) {
-    if (isKnown(failed)) {
-      end(AcceptanceResult.Status.DUPLICATE, "");
-    } else if (failed.contains(RecordKeys.foldIntent(id))) {
-      intentChanged.run();
+  private void handleFailedConditions(
+      List<String> failedConditions, Runnable onIntentChanged, Collection<BlockKey> written) {
+    if (isDuplicate(failedConditions)) {
+      complete(AcceptanceResult.Status.DUPLICATE, "");
+    } else if (failedConditions.contains(RecordKeys.foldIntent(id))) {
+      onIntentChanged.run();
     } else {
-      rereadAndDecide(failed, written);
+      rereadAndDecide(failedConditions, written);
     }
   }
 
-  private void accepted() {
-    leagues.forget();
-    end(AcceptanceResult.Status.ACCEPTED, "");
+  private void completeAccepted() {
+    leagues.evictFromCache();
+    complete(AcceptanceResult.Status.ACCEPTED, "");
   }
 
   private void recordIntent() {
-    ObjectNode value = IntentRecord.inProgress(loop.wallMs(), gamesHash, keys);
+    ObjectNode value = IntentRecord.inProgress(loop.wallMs(), gamesHash, blockKeys);
     if (Json.toText(value).length() > context.maxValueBytes()) {
-      end(
+      complete(
           AcceptanceResult.Status.REJECTED,
           "folds: the games are in too many parts of their leagues");
       return;
     }
     send(
-        unlessKnown()
+        transactionForNewJob()
             .requireVersion(RecordKeys.foldIntent(id), 0)
             .put(RecordKeys.foldIntent(id), value),
         revision -> {
           intentVersion = revision;
           decide();
         },
-        failed -> {
-          if (isKnown(failed)) {
-            end(AcceptanceResult.Status.DUPLICATE, "");
+        failedConditions -> {
+          if (isDuplicate(failedConditions)) {
+            complete(AcceptanceResult.Status.DUPLICATE, "");
           } else {
             adoptIntent();
           }
@@ -298,66 +305,72 @@
         (value, version) -> {
           if (value == null) {
             intentVersion = 0;
-            retry(this::readAllBlocks);
+            retryAfterDelay(this::readAllBlocks);
           } else if (IntentRecord.isInProgress(value, gamesHash)) {
             intentVersion = version;
             readAllBlocks();
           } else {
-            end(AcceptanceResult.Status.CONFLICT, ABANDONED);
+            complete(AcceptanceResult.Status.CONFLICT, ABANDONED_REASON);
           }
         });
   }
 
-  private void claimSome(Map<BlockKey, Block> part) {
+  private void claimBatch(Map<BlockKey, Block> batch) {
     Transaction transaction =
         new Transaction().requireVersion(RecordKeys.foldIntent(id), intentVersion);
-    blocks.addTo(transaction, part);
+    blocks.addTo(transaction, batch);
     send(
         transaction,
         revision -> {
-          blocks.committed(part, revision);
+          blocks.applyCommitted(batch, revision);
           decide();
         },
-        failed -> conditionFailed(failed, this::intentGone, part.keySet()));
+        failedConditions ->
+            handleFailedConditions(
+                failedConditions, this::completeAfterIntentChange, batch.keySet()));
   }
 
-  private void acceptIntent() {
+  private void acceptAndDeleteIntent() {
     Transaction transaction =
-        unlessKnown().requireVersion(RecordKeys.foldIntent(id), intentVersion);
-    transaction.put(RecordKeys.openJob(id), job.value()).delete(RecordKeys.foldIntent(id));
+        transactionForNewJob().requireVersion(RecordKeys.foldIntent(id), intentVersion);
+    transaction.put(RecordKeys.openJob(id), job.openRecord()).delete(RecordKeys.foldIntent(id));
     leagues.addTo(transaction);
     cycleCheck.addTo(transaction);
     send(
         transaction,
-        revision -> accepted(),
-        failed -> conditionFailed(failed, this::intentGone, List.of()));
+        revision -> completeAccepted(),
+        failedConditions ->
+            handleFailedConditions(failedConditions, this::completeAfterIntentChange, List.of()));
   }
 
   /** Its intent has changed: the job was accepted by another request, or is being abandoned. */
-  private void intentGone() {
+  private void completeAfterIntentChange() {
     read(
         RecordKeys.foldIntent(id),
         (JsonNode value, long version) -> {
           if (value == null) {
-            end(AcceptanceResult.Status.DUPLICATE, "");
+            complete(AcceptanceResult.Status.DUPLICATE, "");
           } else {
-            end(AcceptanceResult.Status.CONFLICT, ABANDONED);
+            complete(AcceptanceResult.Status.CONFLICT, ABANDONED_REASON);
           }
         });
   }
 
   /** Reads again what other jobs changed; when the service does not say what, everything. */
-  private void rereadAndDecide(List<String> failed, Collection<BlockKey> written) {
-    boolean leaguesChanged = failed.isEmpty() || failed.stream().anyMatch(RecordKeys::isLeagueKey);
-    boolean orderChanged = failed.isEmpty() || failed.contains(RecordKeys.DEPENDENCY_ORDER_KEY);
-    List<BlockKey> changed = ClaimedBlocks.failedKeys(failed, written);
+  private void rereadAndDecide(List<String> failedConditions, Collection<BlockKey> written) {
+    boolean haveLeaguesChanged =
+        failedConditions.isEmpty() || failedConditions.stream().anyMatch(RecordKeys::isLeagueKey);
+    boolean hasDependencyOrderChanged =
+        failedConditions.isEmpty() || failedConditions.contains(RecordKeys.DEPENDENCY_ORDER_KEY);
+    List<BlockKey> changed = ClaimedBlocks.failedKeys(failedConditions, written);
     Runnable reread =
         () ->
             leagues.read(
-                leaguesChanged, () -> blocks.read(changed, this::decide, this::unavailable));
-    retry(
+                haveLeaguesChanged,
+                () -> blocks.read(changed, this::decide, this::completeUnavailable));
+    retryAfterDelay(
         () -> {
-          if (orderChanged) {
+          if (hasDependencyOrderChanged) {
             checkCycles(reread);
           } else {
             reread.run();
@@ -366,11 +379,12 @@
   }
 
   /** Goes on after a while, which grows with each retry; too many end the acceptance. */
-  private void retry(Runnable next) {
+  private void retryAfterDelay(Runnable next) {
     if (++retries > MAX_RETRIES) {
-      end(AcceptanceResult.Status.UNAVAILABLE, "others claim the same games at this moment");
+      complete(AcceptanceResult.Status.UNAVAILABLE, "others claim the same games at this moment");
     } else {
-      loop.after(ClaimContext.CONFLICT_RETRY_MS * Math.min(MAX_BACKOFF_FACTOR, retries), next);
+      loop.after(
+          ClaimContext.CONFLICT_RETRY_DELAY_MS * Math.min(MAX_BACKOFF_MULTIPLIER, retries), next);
     }
   }
 
@@ -379,37 +393,39 @@
    * and its conditions tell whether the first was applied.
    */
   private void send(
-      Transaction transaction, LongConsumer committed, Consumer<List<String>> conditionFailed) {
-    long waitMs = context.writes().millisUntilAvailable(transaction.writeCount(), loop.now());
+      Transaction transaction, LongConsumer onCommitted, Consumer<List<String>> onConditionFailed) {
+    long waitMs = context.writeLimiter().millisUntilAvailable(transaction.writeCount(), loop.now());
     if (waitMs > 0) {
-      loop.after(waitMs, () -> send(transaction, committed, conditionFailed));
+      loop.after(waitMs, () -> send(transaction, onCommitted, onConditionFailed));
       return;
     }
-    context.writes().forceAcquire(transaction.writeCount(), loop.now());
+    context.writeLimiter().forceAcquire(transaction.writeCount(), loop.now());
     context
         .state()
         .compareAndSwap(
             transaction,
-            (result, revision, failed) -> {
+            (result, revision, failedConditions) -> {
               switch (result) {
-                case OK -> committed.accept(revision);
-                case CONDITION_FAILED -> conditionFailed.accept(failed);
-                default -> sendAgain(result, transaction, committed, conditionFailed);
+                case OK -> onCommitted.accept(revision);
+                case CONDITION_FAILED -> onConditionFailed.accept(failedConditions);
+                default -> resend(result, transaction, onCommitted, onConditionFailed);
               }
             });
   }
 
-  private void sendAgain(
+  private void resend(
       CallResult result,
       Transaction transaction,
-      LongConsumer committed,
-      Consumer<List<String>> conditionFailed) {
+      LongConsumer onCommitted,
+      Consumer<List<String>> onConditionFailed) {
     if (++retries > MAX_RETRIES) {
-      unavailable();
+      completeUnavailable();
       return;
     }
     long delayMs =
-        result == CallResult.UNKNOWN ? ClaimContext.CONFLICT_RETRY_MS : OVERLOAD_RETRY_MS;
-    loop.after(delayMs, () -> send(transaction, committed, conditionFailed));
+        result == CallResult.UNKNOWN
+            ? ClaimContext.CONFLICT_RETRY_DELAY_MS
+            : OVERLOAD_RETRY_DELAY_MS;
+    loop.after(delayMs, () -> send(transaction, onCommitted, onConditionFailed));
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/LeagueCache.java
+++ b/src/main/java/org/mallowroad/api/claim/LeagueCache.java
@@ -7,7 +7,7 @@
  * of each transaction, which then fails and is made again from a fresh read.
  */
 final class LeagueCache {
-  private static final int MAX_LEAGUES = 256;
+  private static final int MAX_CACHED_LEAGUES = 256;
 
   private final Object2ObjectLinkedOpenHashMap<String, LeagueRecord> records =
       new Object2ObjectLinkedOpenHashMap<>();
@@ -17,9 +17,9 @@
     return records.get(league);
   }
 
-  void put(String league, LeagueRecord read) {
-    records.putAndMoveToLast(league, read);
-    if (records.size() > MAX_LEAGUES) {
+  void put(String league, LeagueRecord record) {
+    records.putAndMoveToLast(league, record);
+    if (records.size() > MAX_CACHED_LEAGUES) {
       records.removeFirst();
     }
   }
--- a/src/main/java/org/mallowroad/api/claim/LeagueRecord.java
+++ b/src/main/java/org/mallowroad/api/claim/LeagueRecord.java
@@ -10,15 +10,15 @@
  * @param changes how often a game up to that one was claimed, or -1
  * @param version the key's version; 0 when there is no record
  */
-record LeagueRecord(long upTo, long changes, long version) {
+record LeagueRecord(long highestRequiredGame, long changeCount, long version) {
   static LeagueRecord decode(JsonNode value, long version) {
     return new LeagueRecord(
-        field(value, LeagueRecordCodec.HIGHEST_GAME),
-        field(value, LeagueRecordCodec.CHANGE_COUNT),
+        longField(value, LeagueRecordCodec.HIGHEST_GAME),
+        longField(value, LeagueRecordCodec.CHANGE_COUNT),
         version);
   }
 
-  private static long field(JsonNode value, String name) {
+  private static long longField(JsonNode value, String name) {
     return value == null ? -1 : value.path(name).asLong(-1);
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/ValueReader.java
+++ b/src/main/java/org/mallowroad/api/claim/ValueReader.java
@@ -9,7 +9,7 @@
   @FunctionalInterface
   interface Listener {
     /** The value, or null with version 0 when the key does not exist. */
-    void received(JsonNode value, long version);
+    void onValue(JsonNode value, long version);
   }
 
   /** Reads a key; the listener is called once, or never when the claim has ended. */
--- a/src/main/java/org/mallowroad/wire/CloudCodec.java
+++ b/src/main/java/org/mallowroad/wire/CloudCodec.java
@@ -52,53 +52,53 @@
   /** Decodes one page of the list of machines. */
   public static MachinePage decodePage(ObjectNode page) throws InvalidMessageException {
     List<ListedMachine> machines = new ArrayList<>();
-    String last = null;
-    for (JsonNode m : Json.requiredArray(page, Fields.MACHINES)) {
-      ListedMachine machine = decodeMachine(m);
-      last = machine.name();
+    String lastName = null;
+    for (JsonNode item : Json.requiredArray(page, Fields.MACHINES)) {
+      ListedMachine machine = decodeMachine(item);
+      lastName = machine.name();
       machines.add(machine);
     }
     JsonNode truncated = page.get(Fields.TRUNCATED);
-    return new MachinePage(machines, truncated != null && truncated.asBoolean() ? last : null);
+    return new MachinePage(machines, truncated != null && truncated.asBoolean() ? lastName : null);
   }
 
-  private static ListedMachine decodeMachine(JsonNode m) throws InvalidMessageException {
-    String address = Json.optionalString(m, Fields.ADDRESS, MAX_TYPE_LENGTH);
+  private static ListedMachine decodeMachine(JsonNode machine) throws InvalidMessageException {
+    String address = Json.optionalString(machine, Fields.ADDRESS, MAX_TYPE_LENGTH);
     return new ListedMachine(
-        Json.requiredString(m, Fields.ID, MAX_NAME_LENGTH),
-        Json.requiredString(m, Fields.MACHINE_TYPE, MAX_TYPE_LENGTH),
-        Json.requiredString(m, Fields.ZONE, MAX_TYPE_LENGTH),
-        Json.requiredBoolean(m, Fields.SPOT),
+        Json.requiredString(machine, Fields.ID, MAX_NAME_LENGTH),
+        Json.requiredString(machine, Fields.MACHINE_TYPE, MAX_TYPE_LENGTH),
+        Json.requiredString(machine, Fields.ZONE, MAX_TYPE_LENGTH),
+        Json.requiredBoolean(machine, Fields.SPOT),
         address == null ? "" : address,
-        Json.requiredString(m, Fields.STATE, MAX_STATE_LENGTH),
-        Json.optionalNumber(m, Fields.AGE_S, MAX_AGE_S, 0));
+        Json.requiredString(machine, Fields.STATE, MAX_STATE_LENGTH),
+        Json.optionalNumber(machine, Fields.AGE_S, MAX_AGE_S, 0));
   }
 
   /** Encodes a request to rent machines. */
   public static byte[] encode(RentalRequest request) {
-    ObjectNode o = Json.object();
-    o.put(Fields.RENTAL_REQUEST, request.name());
-    o.put(Fields.MACHINE_TYPE, request.type());
-    o.put(Fields.ZONE, request.zone());
-    o.put(Fields.SPOT, request.spot());
-    o.put(Fields.COUNT, request.count());
-    return Json.toBytes(o);
+    ObjectNode body = Json.object();
+    body.put(Fields.RENTAL_REQUEST, request.name());
+    body.put(Fields.MACHINE_TYPE, request.type());
+    body.put(Fields.ZONE, request.zone());
+    body.put(Fields.SPOT, request.spot());
+    body.put(Fields.COUNT, request.count());
+    return Json.toBytes(body);
   }
 
   /** Decodes the names of the machines that a request rented. */
   public static List<String> decodeRentedNames(ObjectNode response) throws InvalidMessageException {
     List<String> names = new ArrayList<>();
-    for (JsonNode n : Json.requiredArray(response, Fields.MACHINES)) {
-      names.add(n.asText());
+    for (JsonNode item : Json.requiredArray(response, Fields.MACHINES)) {
+      names.add(item.asText());
     }
     return names;
   }
 
   /** Encodes a request to delete machines. */
   public static byte[] encodeDeletion(List<String> names) {
-    ObjectNode o = Json.object();
-    ArrayNode list = o.putArray(Fields.MACHINES);
+    ObjectNode body = Json.object();
+    ArrayNode list = body.putArray(Fields.MACHINES);
     names.forEach(list::add);
-    return Json.toBytes(o);
+    return Json.toBytes(body);
   }
 }
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -40,67 +40,72 @@
 
   /** Decodes a node's status; all its lists are present and its format is known to this build. */
   public static NodeStatus decodeStatus(byte[] body) throws InvalidMessageException {
-    NodeStatus s = read(body, NodeStatus.class);
-    if (s.format() < 1 || s.node() == null || s.stack() == null) {
-      throw notAnAnswer();
+    NodeStatus status = read(body, NodeStatus.class);
+    if (status.format() < 1 || status.node() == null || status.stack() == null) {
+      throw invalidAnswer();
     }
-    NodeSnapshot p = s.picture();
-    if (p != null
-        && (p.format() != NodeSnapshot.FORMAT
-            || p.phase() == null
-            || p.totals() == null
-            || p.teams() == null
-            || p.jobs() == null
-            || p.zones() == null
-            || p.machines() == null
-            || p.reasons() == null)) {
+    NodeSnapshot snapshot = status.picture();
+    if (snapshot != null
+        && (snapshot.format() != NodeSnapshot.FORMAT
+            || snapshot.phase() == null
+            || snapshot.totals() == null
+            || snapshot.teams() == null
+            || snapshot.jobs() == null
+            || snapshot.zones() == null
+            || snapshot.machines() == null
+            || snapshot.reasons() == null)) {
       throw new InvalidMessageException(
-          "a picture of form " + p.format() + ", not " + NodeSnapshot.FORMAT);
+          "a picture of form " + snapshot.format() + ", not " + NodeSnapshot.FORMAT);
     }
-    if (p != null
-        && Stream.of(p.teams(), p.jobs(), p.zones(), p.machines(), p.reasons())
-            .anyMatch(l -> l.stream().anyMatch(Objects::isNull))) {
-      throw notAnAnswer();
+    if (snapshot != null
+        && Stream.of(
+                snapshot.teams(),
+                snapshot.jobs(),
+                snapshot.zones(),
+                snapshot.machines(),
+                snapshot.reasons())
+            .anyMatch(list -> list.stream().anyMatch(Objects::isNull))) {
+      throw invalidAnswer();
     }
-    return s;
+    return status;
   }
 
   /** Decodes one job. */
   public static JobSnapshot decodeJob(byte[] body) throws InvalidMessageException {
-    JobSnapshot j = read(body, JobSnapshot.class);
-    if (j.id() == null || j.tasks() == null) {
-      throw notAnAnswer();
+    JobSnapshot job = read(body, JobSnapshot.class);
+    if (job.id() == null || job.tasks() == null) {
+      throw invalidAnswer();
     }
-    return j;
+    return job;
   }
 
   /** Decodes the recent samples of a node's metrics, the oldest first. */
   public static List<MetricSample> decodeHistory(byte[] body) throws InvalidMessageException {
     MetricSample[] samples = read(body, MetricSample[].class);
-    for (MetricSample s : samples) {
-      if (s.waiting() == null
-          || s.running() == null
-          || s.machines() == null
-          || s.reasons() == null) {
+    for (MetricSample sample : samples) {
+      if (sample.waiting() == null
+          || sample.running() == null
+          || sample.machines() == null
+          || sample.reasons() == null) {
         throw new InvalidMessageException("not a console's history");
       }
     }
     return List.of(samples);
   }
 
-  private static InvalidMessageException notAnAnswer() {
+  private static InvalidMessageException invalidAnswer() {
     return new InvalidMessageException("not a console's answer");
   }
 
   private static <T> T read(byte[] body, Class<T> type) throws InvalidMessageException {
     try {
-      T t = MAPPER.readValue(body, type);
-      if (t != null) {
-        return t;
+      T value = MAPPER.readValue(body, type);
+      if (value != null) {
+        return value;
       }
     } catch (IOException e) {
       // Replaced by the exception below: the library's text names classes, which helps no user.
     }
-    throw notAnAnswer();
+    throw invalidAnswer();
   }
 }
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -38,105 +38,112 @@
   private DependencyCodec() {}
 
   /** Decodes the dependencies in a submission or record; the folds of the result are empty. */
-  public static JobDependencies decodeDependencies(JsonNode o) throws InvalidMessageException {
-    JsonNode n = o.get(DEPENDENCIES);
-    if (n == null || n.isNull()) {
+  public static JobDependencies decodeDependencies(JsonNode submission)
+      throws InvalidMessageException {
+    JsonNode node = submission.get(DEPENDENCIES);
+    if (node == null || node.isNull()) {
       return JobDependencies.NONE;
     }
-    if (!n.isObject()) {
+    if (!node.isObject()) {
       throw new InvalidMessageException(DEPENDENCIES + ": an object with jobs and games is needed");
     }
     try {
-      JobDependencies t = new JobDependencies(Map.of(), jobs(n), games(n));
-      if (!t.isGated()) {
+      JobDependencies dependencies =
+          new JobDependencies(Map.of(), decodeJobs(node), decodeGames(node));
+      if (!dependencies.isGated()) {
         throw new InvalidMessageException("jobs: at least one job or game is needed");
       }
-      return t;
+      return dependencies;
     } catch (InvalidMessageException e) {
       throw new InvalidMessageException(DEPENDENCIES + "." + e.getMessage());
     }
   }
 
-  private static List<String> jobs(JsonNode n) throws InvalidMessageException {
-    if (!n.hasNonNull(JOBS)) {
+  private static List<String> decodeJobs(JsonNode node) throws InvalidMessageException {
+    if (!node.hasNonNull(JOBS)) {
       return List.of();
     }
-    ArrayNode a = Json.requiredArray(n, JOBS);
-    if (a.size() > MAX_JOBS) {
+    ArrayNode array = Json.requiredArray(node, JOBS);
+    if (array.size() > MAX_JOBS) {
       throw new InvalidMessageException(JOBS + ": at most " + MAX_JOBS + " jobs");
     }
-    Set<String> out = new LinkedHashSet<>();
-    for (JsonNode j : a) {
-      if (!j.isTextual() || !JobCodec.ID_PATTERN.matcher(j.textValue()).matches()) {
+    Set<String> ids = new LinkedHashSet<>();
+    for (JsonNode id : array) {
+      if (!id.isTextual() || !JobCodec.ID_PATTERN.matcher(id.textValue()).matches()) {
         throw new InvalidMessageException(JOBS + ": job ids are needed");
       }
-      out.add(j.textValue());
+      ids.add(id.textValue());
     }
-    return List.copyOf(out);
+    return List.copyOf(ids);
   }
 
-  private static List<RequiredGames> games(JsonNode n) throws InvalidMessageException {
-    if (!n.hasNonNull(GAMES)) {
+  private static List<RequiredGames> decodeGames(JsonNode node) throws InvalidMessageException {
+    if (!node.hasNonNull(GAMES)) {
       return List.of();
     }
-    ArrayNode a = Json.requiredArray(n, GAMES);
-    if (a.size() > MAX_GAMES) {
+    ArrayNode array = Json.requiredArray(node, GAMES);
+    if (array.size() > MAX_GAMES) {
       throw new InvalidMessageException(GAMES + ": at most " + MAX_GAMES + " of them");
     }
-    List<RequiredGames> out = new ArrayList<>();
-    for (int i = 0; i < a.size(); i++) {
+    List<RequiredGames> requiredGames = new ArrayList<>();
+    for (int i = 0; i < array.size(); i++) {
       try {
-        out.add(game(a.get(i)));
+        requiredGames.add(decodeRequiredGames(array.get(i)));
       } catch (InvalidMessageException e) {
         throw new InvalidMessageException(GAMES + "[" + i + "]." + e.getMessage());
       }
     }
-    if (out.stream().map(RequiredGames::league).distinct().count() > MAX_LEAGUES) {
+    if (requiredGames.stream().map(RequiredGames::league).distinct().count() > MAX_LEAGUES) {
       throw new InvalidMessageException(GAMES + ": at most " + MAX_LEAGUES + " leagues");
     }
-    return List.copyOf(out);
+    return List.copyOf(requiredGames);
   }
 
-  private static RequiredGames game(JsonNode g) throws InvalidMessageException {
-    String league = Json.requiredString(g, LEAGUE, FoldCodec.MAX_LEAGUE_LENGTH);
-    String member = Json.optionalString(g, MEMBER, FoldCodec.MAX_MEMBER_LENGTH);
-    if (!FoldCodec.LEAGUE.matcher(league).matches()) {
+  private static RequiredGames decodeRequiredGames(JsonNode node) throws InvalidMessageException {
+    String league = Json.requiredString(node, LEAGUE, FoldCodec.MAX_LEAGUE_LENGTH);
+    String member = Json.optionalString(node, MEMBER, FoldCodec.MAX_MEMBER_LENGTH);
+    if (!FoldCodec.LEAGUE_PATTERN.matcher(league).matches()) {
       throw new InvalidMessageException(
           "league: letters, digits, dots, dashes and underscores are needed");
     }
-    if (member != null && !FoldCodec.MEMBER.matcher(member).matches()) {
+    if (member != null && !FoldCodec.MEMBER_PATTERN.matcher(member).matches()) {
       throw new InvalidMessageException(
           "member: letters, digits, dots, dashes and underscores are needed");
     }
     return new RequiredGames(
-        league, Json.requiredInteger(g, UP_TO, 0, FoldCodec.MAX_NUMBER), member);
+        league, Json.requiredInteger(node, UP_TO, 0, FoldCodec.MAX_GAME_NUMBER), member);
   }
 
   /**
    * Encodes the record of a job with dependencies that is not over. Cycles are found by it when
    * another job with dependencies is submitted.
    */
-  public static ObjectNode encodeRecord(JobDependencies t) {
-    ObjectNode o = Json.object();
-    ObjectNode h = o.putObject(DEPENDENCIES);
-    ArrayNode jobs = h.putArray(JOBS);
-    t.requiredJobs().forEach(jobs::add);
-    ArrayNode games = h.putArray(GAMES);
-    for (RequiredGames g : t.requiredGames()) {
-      ObjectNode x = games.addObject().put(LEAGUE, g.league()).put(UP_TO, g.lastGame());
-      if (g.member() != null) {
-        x.put(MEMBER, g.member());
+  public static ObjectNode encodeRecord(JobDependencies dependencies) {
+    ObjectNode record = Json.object();
+    ObjectNode dependenciesNode = record.putObject(DEPENDENCIES);
+    ArrayNode jobs = dependenciesNode.putArray(JOBS);
+    dependencies.requiredJobs().forEach(jobs::add);
+    ArrayNode games = dependenciesNode.putArray(GAMES);
+    for (RequiredGames required : dependencies.requiredGames()) {
+      ObjectNode gameNode =
+          games.addObject().put(LEAGUE, required.league()).put(UP_TO, required.lastGame());
+      if (required.member() != null) {
+        gameNode.put(MEMBER, required.member());
       }
     }
-    ObjectNode folds = o.putObject(FoldCodec.BLOCKS);
-    t.foldedBlocks().forEach((l, n) -> folds.put(l, BlockNumberRanges.encode(n)));
-    return o;
+    ObjectNode folds = record.putObject(FoldCodec.BLOCKS);
+    dependencies
+        .foldedBlocks()
+        .forEach((league, numbers) -> folds.put(league, BlockNumberRanges.encode(numbers)));
+    return record;
   }
 
   /** Decodes such a record. */
   public static JobDependencies decodeRecord(JsonNode record) throws InvalidMessageException {
-    JobDependencies h = decodeDependencies(record);
+    JobDependencies dependencies = decodeDependencies(record);
     return new JobDependencies(
-        FoldCodec.decodeBlockKeys(record), h.requiredJobs(), h.requiredGames());
+        FoldCodec.decodeBlockKeys(record),
+        dependencies.requiredJobs(),
+        dependencies.requiredGames());
   }
 }
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -42,23 +42,23 @@
   public static final int MAX_MEMBERS = 8;
 
   /** The highest number of a game: bitmaps have 31-bit indices. */
-  public static final long MAX_NUMBER = 100_000_000;
+  public static final long MAX_GAME_NUMBER = 100_000_000;
 
   /** The version of the block format that this build reads and writes. */
-  static final int VERSION = 1;
+  static final int FORMAT_VERSION = 1;
 
   /** The form of a league's name, which is part of a key in the state service. */
-  static final Pattern LEAGUE = Pattern.compile("[A-Za-z0-9._-]{1,64}");
+  static final Pattern LEAGUE_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
 
   /** The form of a member's name. */
-  static final Pattern MEMBER = Pattern.compile("[A-Za-z0-9._-]{1,24}");
+  static final Pattern MEMBER_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,24}");
 
   static final int MAX_LEAGUE_LENGTH = 64;
   static final int MAX_MEMBER_LENGTH = 24;
   private static final long MAX_REVISION = 1_000_000;
 
   /** Flags of a stored side: the result was taken back. */
-  private static final int TAKEN_BACK = 1;
+  private static final int RETRACTED = 1;
 
   /** The fold's job is done. */
   private static final int SETTLED = 2;
@@ -75,83 +75,87 @@
 
   /** Decodes the games that a submission folds; none without the field. */
   public static List<Game> decodeGames(JsonNode submission) throws InvalidMessageException {
-    JsonNode n = submission.get(FOLDS);
-    if (n == null || n.isNull()) {
+    JsonNode node = submission.get(FOLDS);
+    if (node == null || node.isNull()) {
       return List.of();
     }
-    if (!n.isArray() || n.isEmpty() || n.size() > MAX_GAMES) {
+    if (!node.isArray() || node.isEmpty() || node.size() > MAX_GAMES) {
       throw new InvalidMessageException(
           FOLDS + ": a list of 1 to " + MAX_GAMES + " games is needed");
     }
-    List<Game> out = new ArrayList<>();
-    Set<String> seen = new HashSet<>();
-    for (int i = 0; i < n.size(); i++) {
-      String at = FOLDS + "[" + i + "].";
-      JsonNode g = n.get(i);
+    List<Game> games = new ArrayList<>();
+    Set<String> seenSides = new HashSet<>();
+    for (int i = 0; i < node.size(); i++) {
+      String path = FOLDS + "[" + i + "].";
+      JsonNode gameNode = node.get(i);
       try {
-        out.add(game(g, seen));
+        games.add(decodeGame(gameNode, seenSides));
       } catch (InvalidMessageException e) {
-        throw new InvalidMessageException(at + e.getMessage());
+        throw new InvalidMessageException(path + e.getMessage());
       }
     }
-    return out;
+    return games;
   }
 
-  private static Game game(JsonNode g, Set<String> seen) throws InvalidMessageException {
-    if (!g.isObject()) {
+  private static Game decodeGame(JsonNode node, Set<String> seenSides)
+      throws InvalidMessageException {
+    if (!node.isObject()) {
       throw new InvalidMessageException("league: a game with its league is needed");
     }
-    String league = Json.requiredString(g, "league", MAX_LEAGUE_LENGTH);
-    if (!LEAGUE.matcher(league).matches()) {
+    String league = Json.requiredString(node, "league", MAX_LEAGUE_LENGTH);
+    if (!LEAGUE_PATTERN.matcher(league).matches()) {
       throw new InvalidMessageException(
           "league: letters, digits, dots, dashes and underscores are needed");
     }
-    long number = Json.requiredInteger(g, "game", 0, MAX_NUMBER);
-    long revision = Json.requiredInteger(g, "revision", 1, MAX_REVISION);
-    boolean taken = g.hasNonNull("taken_back") && Json.requiredBoolean(g, "taken_back");
-    ArrayNode members = Json.requiredArray(g, "members");
+    long number = Json.requiredInteger(node, "game", 0, MAX_GAME_NUMBER);
+    long revision = Json.requiredInteger(node, "revision", 1, MAX_REVISION);
+    boolean retracted = node.hasNonNull("taken_back") && Json.requiredBoolean(node, "taken_back");
+    ArrayNode members = Json.requiredArray(node, "members");
     if (members.isEmpty() || members.size() > MAX_MEMBERS) {
       throw new InvalidMessageException("members: 1 to " + MAX_MEMBERS + " members are needed");
     }
-    Set<String> names = new LinkedHashSet<>();
-    for (JsonNode m : members) {
-      if (!m.isTextual() || !MEMBER.matcher(m.textValue()).matches()) {
+    Set<String> memberNames = new LinkedHashSet<>();
+    for (JsonNode member : members) {
+      if (!member.isTextual() || !MEMBER_PATTERN.matcher(member.textValue()).matches()) {
         throw new InvalidMessageException(
             "members: names of up to 24 letters, digits, . _ - are needed");
       }
-      if (!names.add(m.textValue()) || !seen.add(league + "/" + number + "/" + m.textValue())) {
-        throw new InvalidMessageException("members: " + m.textValue() + " has this game twice");
+      if (!memberNames.add(member.textValue())
+          || !seenSides.add(league + "/" + number + "/" + member.textValue())) {
+        throw new InvalidMessageException(
+            "members: " + member.textValue() + " has this game twice");
       }
     }
-    return new Game(league, number, revision, taken, List.copyOf(names));
+    return new Game(league, number, revision, retracted, List.copyOf(memberNames));
   }
 
   /** Encodes the names of blocks for a record, as ranges of numbers by league. */
   public static ObjectNode encodeBlockKeys(Iterable<BlockKey> keys) {
     List<BlockKey> list = new ArrayList<>();
     keys.forEach(list::add);
-    ObjectNode o = Json.object();
+    ObjectNode numbersByLeague = Json.object();
     BlockNumberRanges.blockNumbersByLeague(list)
-        .forEach((league, numbers) -> o.put(league, BlockNumberRanges.encode(numbers)));
-    return o;
+        .forEach(
+            (league, numbers) -> numbersByLeague.put(league, BlockNumberRanges.encode(numbers)));
+    return numbersByLeague;
   }
 
   /** Decodes the blocks that a record names; none without the field. */
   public static Map<String, IntList> decodeBlockKeys(JsonNode record)
       throws InvalidMessageException {
-    Map<String, IntList> out = new TreeMap<>();
-    JsonNode n = record.get(BLOCKS);
-    if (n == null || !n.isObject()) {
-      return out;
+    Map<String, IntList> numbersByLeague = new TreeMap<>();
+    JsonNode node = record.get(BLOCKS);
+    if (node == null || !node.isObject()) {
+      return numbersByLeague;
     }
     try {
-      for (Map.Entry<String, JsonNode> e : n.properties()) {
-        out.put(e.getKey(), BlockNumberRanges.decode(e.getValue().asText(), MAX_GAMES));
+      for (Map.Entry<String, JsonNode> e : node.properties()) {
+        numbersByLeague.put(e.getKey(), BlockNumberRanges.decode(e.getValue().asText(), MAX_GAMES));
       }
     } catch (IllegalArgumentException e) {
       throw new InvalidMessageException(BLOCKS + ": " + e.getMessage());
     }
-    return out;
+    return numbersByLeague;
   }
 
   /**
@@ -165,80 +169,81 @@
     block
         .sides()
         .forEach(
-            (s, f) -> {
-              sides.add(s.gameIndex()).add(index(members, s.member()));
-              int flags = (f.retracted() ? TAKEN_BACK : 0) | (f.settled() ? SETTLED : 0);
-              sides.add(f.revision()).add(flags | (f.base() != null ? HAS_BASE : 0));
-              sides.add(index(jobs, f.job()));
-              if (f.base() != null) {
-                sides.add(f.base().revision()).add(f.base().retracted() ? TAKEN_BACK : 0);
-                sides.add(index(jobs, f.base().job()));
+            (side, fold) -> {
+              sides.add(side.gameIndex()).add(indexOf(members, side.member()));
+              int flags = (fold.retracted() ? RETRACTED : 0) | (fold.settled() ? SETTLED : 0);
+              sides.add(fold.revision()).add(flags | (fold.base() != null ? HAS_BASE : 0));
+              sides.add(indexOf(jobs, fold.job()));
+              if (fold.base() != null) {
+                sides.add(fold.base().revision()).add(fold.base().retracted() ? RETRACTED : 0);
+                sides.add(indexOf(jobs, fold.base().job()));
               }
             });
-    ObjectNode o = Json.object();
-    o.put("v", VERSION);
-    ArrayNode m = o.putArray("m");
-    members.keySet().forEach(m::add);
-    ArrayNode j = o.putArray("j");
-    jobs.keySet().forEach(j::add);
-    o.set("s", sides);
-    o.put("c", checksum(o));
-    return o;
+    ObjectNode record = Json.object();
+    record.put("v", FORMAT_VERSION);
+    ArrayNode memberArray = record.putArray("m");
+    members.keySet().forEach(memberArray::add);
+    ArrayNode jobArray = record.putArray("j");
+    jobs.keySet().forEach(jobArray::add);
+    record.set("s", sides);
+    record.put("c", checksum(record));
+    return record;
   }
 
-  private static int index(Object2IntLinkedOpenHashMap<String> of, String name) {
-    int known = of.getOrDefault(name, -1);
+  private static int indexOf(Object2IntLinkedOpenHashMap<String> indices, String name) {
+    int known = indices.getOrDefault(name, -1);
     if (known < 0) {
-      known = of.size();
-      of.put(name, known);
+      known = indices.size();
+      indices.put(name, known);
     }
     return known;
   }
 
-  private static String checksum(JsonNode o) {
-    CRC32C c = new CRC32C();
-    for (String f : List.of("m", "j", "s")) {
-      c.update(o.path(f).toString().getBytes(StandardCharsets.UTF_8));
+  private static String checksum(JsonNode record) {
+    CRC32C crc = new CRC32C();
+    for (String field : List.of("m", "j", "s")) {
+      crc.update(record.path(field).toString().getBytes(StandardCharsets.UTF_8));
     }
-    return Long.toHexString(c.getValue());
+    return Long.toHexString(crc.getValue());
   }
 
   /** Decodes a block from its record; an empty one when there is no record. */
-  public static Block decodeBlock(JsonNode v) throws InvalidMessageException {
-    Block out = new Block();
-    if (v == null) {
-      return out;
+  public static Block decodeBlock(JsonNode record) throws InvalidMessageException {
+    Block block = new Block();
+    if (record == null) {
+      return block;
     }
-    int version = v.path("v").asInt();
-    if (version != VERSION) {
+    int version = record.path("v").asInt();
+    if (version != FORMAT_VERSION) {
       throw new InvalidMessageException(
-          "v: a block of version " + version + ", this build reads " + VERSION);
+          "v: a block of version " + version + ", this build reads " + FORMAT_VERSION);
     }
-    if (!checksum(v).equals(v.path("c").asText())) {
+    if (!checksum(record).equals(record.path("c").asText())) {
       throw new InvalidMessageException("c: the block's checksum is not that of its content");
     }
-    JsonNode s = v.path("s");
+    JsonNode sides = record.path("s");
     try {
-      for (int i = 0; i < s.size(); ) {
+      for (int i = 0; i < sides.size(); ) {
         Block.Side side =
-            new Block.Side(s.get(i).asInt(), v.path("m").get(s.get(i + 1).asInt()).asText());
-        int flags = s.get(i + 3).asInt();
+            new Block.Side(
+                sides.get(i).asInt(), record.path("m").get(sides.get(i + 1).asInt()).asText());
+        int flags = sides.get(i + 3).asInt();
         Fold base = null;
         if ((flags & HAS_BASE) != 0) {
           base =
               new Fold(
-                  s.get(i + 5).asLong(),
-                  (s.get(i + 6).asInt() & TAKEN_BACK) != 0,
-                  v.path("j").get(s.get(i + 7).asInt()).asText(),
+                  sides.get(i + 5).asLong(),
+                  (sides.get(i + 6).asInt() & RETRACTED) != 0,
+                  record.path("j").get(sides.get(i + 7).asInt()).asText(),
                   true,
                   null);
         }
-        out.set(
+        block.set(
             side,
             new Fold(
-                s.get(i + 2).asLong(),
-                (flags & TAKEN_BACK) != 0,
-                v.path("j").get(s.get(i + 4).asInt()).asText(),
+                sides.get(i + 2).asLong(),
+                (flags & RETRACTED) != 0,
+                record.path("j").get(sides.get(i + 4).asInt()).asText(),
                 (flags & SETTLED) != 0,
                 base));
         i += base == null ? SIDE_LENGTH : SIDE_LENGTH_WITH_BASE;
@@ -247,6 +252,6 @@
       // An index that is out of range reads as null.
       throw new InvalidMessageException("s: the block names what it does not have");
     }
-    return out;
+    return block;
   }
 }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -25,7 +25,7 @@
   private static final int MAX_ID_LENGTH = 60;
   private static final int MAX_NAME_LENGTH = 200;
   private static final int MAX_IMAGE_LENGTH = 500;
-  private static final int MAX_WORD_LENGTH = 20;
+  private static final int MAX_ENUM_VALUE_LENGTH = 20;
   private static final int MAX_TASKS = 100_000;
   private static final double MAX_AMOUNT = 1e9;
 
@@ -39,102 +39,109 @@
 
   private final NameIndex teams;
   private final NameIndex zones;
-  private final NameIndex types;
+  private final NameIndex machineTypes;
   private final NameIndex images;
-  private final NameIndex classes;
+  private final NameIndex taskClasses;
 
   /** Looks indices up in these tables of names. */
   public JobCodec(
-      NameIndex teams, NameIndex zones, NameIndex types, NameIndex images, NameIndex classes) {
+      NameIndex teams,
+      NameIndex zones,
+      NameIndex machineTypes,
+      NameIndex images,
+      NameIndex taskClasses) {
     this.teams = teams;
     this.zones = zones;
-    this.types = types;
+    this.machineTypes = machineTypes;
     this.images = images;
-    this.classes = classes;
+    this.taskClasses = taskClasses;
   }
 
   /**
    * Decodes a submission only to validate it. Unknown names get no indices: a client that sends
    * wrong submissions must not fill the tables.
    */
-  public JobSpec validate(JsonNode o) throws InvalidMessageException {
-    return decode(o, 0, false);
+  public JobSpec validate(JsonNode submission) throws InvalidMessageException {
+    return decode(submission, 0, false);
   }
 
   /**
    * Decodes an accepted submission. An unknown team has index -1 and an unknown zone or type
    * matches nothing, which is for the caller to judge: the submission itself is well formed.
    */
-  public JobSpec decode(JsonNode o, long submittedMs) throws InvalidMessageException {
-    return decode(o, submittedMs, true);
+  public JobSpec decode(JsonNode submission, long submittedMs) throws InvalidMessageException {
+    return decode(submission, submittedMs, true);
   }
 
-  private JobSpec decode(JsonNode o, long submittedMs, boolean accepted)
+  private JobSpec decode(JsonNode submission, long submittedMs, boolean isAccepted)
       throws InvalidMessageException {
-    String id = Json.requiredString(o, Fields.ID, MAX_ID_LENGTH);
+    String id = Json.requiredString(submission, Fields.ID, MAX_ID_LENGTH);
     if (!ID_PATTERN.matcher(id).matches()) {
       throw new InvalidMessageException(Fields.ID + ": not a job id");
     }
-    String taskClass = Json.requiredString(o, Fields.TASK_CLASS, MAX_NAME_LENGTH);
-    String team = Json.requiredString(o, Fields.TEAM, MAX_NAME_LENGTH);
-    String kind = Json.requiredString(o, Fields.KIND, MAX_WORD_LENGTH);
-    boolean service = kind.equals(Fields.KIND_SERVICE);
-    boolean gang = kind.equals(Fields.KIND_GANG);
-    if (!service && !gang && !kind.equals(Fields.KIND_ARRAY)) {
+    String taskClass = Json.requiredString(submission, Fields.TASK_CLASS, MAX_NAME_LENGTH);
+    String team = Json.requiredString(submission, Fields.TEAM, MAX_NAME_LENGTH);
+    String kind = Json.requiredString(submission, Fields.KIND, MAX_ENUM_VALUE_LENGTH);
+    boolean isService = kind.equals(Fields.KIND_SERVICE);
+    boolean isGang = kind.equals(Fields.KIND_GANG);
+    if (!isService && !isGang && !kind.equals(Fields.KIND_ARRAY)) {
       throw new InvalidMessageException(Fields.KIND + ": unknown value");
     }
-    int priority = priority(o);
-    int tasks = (int) Json.requiredInteger(o, Fields.TASKS, 1, MAX_TASKS);
-    double cpus = Json.requiredNumber(o, Fields.CPUS, MAX_AMOUNT);
-    double cards = Json.requiredNumber(o, Fields.CARDS, MAX_AMOUNT);
-    double memGb = Json.requiredNumber(o, Fields.MEMORY_GB, MAX_AMOUNT);
-    String image = Json.requiredString(o, Fields.IMAGE, MAX_IMAGE_LENGTH);
-    double imageGb = Json.requiredNumber(o, Fields.IMAGE_GB, MAX_AMOUNT);
-    BitSet allowed = types(o, accepted);
-    int zone = zone(o);
-    boolean together = Json.requiredBoolean(o, Fields.TOGETHER);
-    boolean scatter = Json.requiredBoolean(o, Fields.SCATTER);
-    boolean spot = Json.requiredBoolean(o, Fields.SPOT);
-    double estimate = Json.requiredNumber(o, Fields.ESTIMATED_RUNTIME_S, MAX_AMOUNT);
-    double checkpoint = Json.requiredNumber(o, Fields.CHECKPOINT_INTERVAL_S, MAX_AMOUNT);
-    double save = Json.requiredNumber(o, Fields.CHECKPOINT_SAVE_S, MAX_AMOUNT);
-    double due = Json.optionalNumber(o, Fields.DEADLINE_S, MAX_AMOUNT, 0);
+    int priority = decodePriority(submission);
+    int tasks = (int) Json.requiredInteger(submission, Fields.TASKS, 1, MAX_TASKS);
+    double cpus = Json.requiredNumber(submission, Fields.CPUS, MAX_AMOUNT);
+    double cards = Json.requiredNumber(submission, Fields.CARDS, MAX_AMOUNT);
+    double memGb = Json.requiredNumber(submission, Fields.MEMORY_GB, MAX_AMOUNT);
+    String image = Json.requiredString(submission, Fields.IMAGE, MAX_IMAGE_LENGTH);
+    double imageGb = Json.requiredNumber(submission, Fields.IMAGE_GB, MAX_AMOUNT);
+    BitSet allowedTypes = decodeMachineTypes(submission, isAccepted);
+    int zone = decodeZone(submission);
+    boolean together = Json.requiredBoolean(submission, Fields.TOGETHER);
+    boolean scatter = Json.requiredBoolean(submission, Fields.SCATTER);
+    boolean spot = Json.requiredBoolean(submission, Fields.SPOT);
+    double estimatedRuntimeS =
+        Json.requiredNumber(submission, Fields.ESTIMATED_RUNTIME_S, MAX_AMOUNT);
+    double checkpointIntervalS =
+        Json.requiredNumber(submission, Fields.CHECKPOINT_INTERVAL_S, MAX_AMOUNT);
+    double checkpointSaveS = Json.requiredNumber(submission, Fields.CHECKPOINT_SAVE_S, MAX_AMOUNT);
+    double deadlineS = Json.optionalNumber(submission, Fields.DEADLINE_S, MAX_AMOUNT, 0);
     return new JobSpec(
         id,
-        accepted ? classes.intern(taskClass) : classes.find(taskClass),
+        isAccepted ? taskClasses.intern(taskClass) : taskClasses.find(taskClass),
         teams.find(team),
-        service,
-        gang,
+        isService,
+        isGang,
         priority,
         tasks,
         cpus,
         cards,
         memGb,
-        accepted ? images.intern(image) : images.find(image),
+        isAccepted ? images.intern(image) : images.find(image),
         imageGb,
-        allowed,
+        allowedTypes,
         zone,
         together,
         scatter,
         spot,
-        estimate,
-        checkpoint,
-        save,
-        due,
+        estimatedRuntimeS,
+        checkpointIntervalS,
+        checkpointSaveS,
+        deadlineS,
         submittedMs,
-        dependencies(o, service || gang, accepted));
+        decodeJobDependencies(submission, isService || isGang, isAccepted));
   }
 
-  private static int priority(JsonNode o) throws InvalidMessageException {
-    int priority = PRIORITIES.indexOf(Json.requiredString(o, Fields.PRIORITY, MAX_WORD_LENGTH));
+  private static int decodePriority(JsonNode submission) throws InvalidMessageException {
+    int priority =
+        PRIORITIES.indexOf(Json.requiredString(submission, Fields.PRIORITY, MAX_ENUM_VALUE_LENGTH));
     if (priority < 0) {
       throw new InvalidMessageException(Fields.PRIORITY + ": unknown value");
     }
     return priority;
   }
 
-  private int zone(JsonNode o) throws InvalidMessageException {
-    String name = Json.optionalString(o, Fields.ZONE, MAX_NAME_LENGTH);
+  private int decodeZone(JsonNode submission) throws InvalidMessageException {
+    String name = Json.optionalString(submission, Fields.ZONE, MAX_NAME_LENGTH);
     if (name == null) {
       return ANY_ZONE;
     }
@@ -146,47 +153,53 @@
    * Decodes the games that a job folds and its dependencies. A record names only the blocks of its
    * games; a submission has the games themselves, which are validated.
    */
-  private static JobDependencies dependencies(JsonNode o, boolean notArray, boolean accepted)
-      throws InvalidMessageException {
+  private static JobDependencies decodeJobDependencies(
+      JsonNode submission, boolean isNotArray, boolean isAccepted) throws InvalidMessageException {
     Map<String, IntList> folds;
-    if (accepted) {
-      folds = FoldCodec.decodeBlockKeys(o);
+    if (isAccepted) {
+      folds = FoldCodec.decodeBlockKeys(submission);
     } else {
-      List<BlockKey> keys = FoldCodec.decodeGames(o).stream().map(Game::blockKey).toList();
-      if (notArray && !keys.isEmpty()) {
+      List<BlockKey> keys = FoldCodec.decodeGames(submission).stream().map(Game::blockKey).toList();
+      if (isNotArray && !keys.isEmpty()) {
         throw new InvalidMessageException(FoldCodec.FOLDS + ": only an array folds games");
       }
       folds = BlockNumberRanges.blockNumbersByLeague(keys);
     }
-    JobDependencies dependencies = DependencyCodec.decodeDependencies(o);
+    JobDependencies dependencies = DependencyCodec.decodeDependencies(submission);
     return folds.isEmpty() && !dependencies.isGated()
         ? JobDependencies.NONE
         : new JobDependencies(folds, dependencies.requiredJobs(), dependencies.requiredGames());
   }
 
-  private BitSet types(JsonNode o, boolean accepted) throws InvalidMessageException {
-    JsonNode n = o.get(Fields.MACHINE_TYPES);
-    if (n == null || n.isNull()) {
+  private BitSet decodeMachineTypes(JsonNode submission, boolean isAccepted)
+      throws InvalidMessageException {
+    JsonNode node = submission.get(Fields.MACHINE_TYPES);
+    if (node == null || node.isNull()) {
       return null;
     }
-    BitSet set = new BitSet();
-    for (JsonNode t : Json.requiredArray(o, Fields.MACHINE_TYPES)) {
-      if (!t.isTextual() || t.textValue().isEmpty() || t.textValue().length() > MAX_NAME_LENGTH) {
+    BitSet allowed = new BitSet();
+    for (JsonNode typeName : Json.requiredArray(submission, Fields.MACHINE_TYPES)) {
+      if (!typeName.isTextual()
+          || typeName.textValue().isEmpty()
+          || typeName.textValue().length() > MAX_NAME_LENGTH) {
         throw new InvalidMessageException(Fields.MACHINE_TYPES + ": type names are needed");
       }
       // A type that the cloud does not offer yet may be offered later: it gets an index.
-      int type = accepted ? types.intern(t.textValue()) : types.find(t.textValue());
-      if (type >= 0) {
-        set.set(type);
+      int typeIndex =
+          isAccepted
+              ? machineTypes.intern(typeName.textValue())
+              : machineTypes.find(typeName.textValue());
+      if (typeIndex >= 0) {
+        allowed.set(typeIndex);
       }
     }
-    return set;
+    return allowed;
   }
 
   /** Copies the known fields of a submission, for its record. */
   public static ObjectNode copyKnownFields(ObjectNode submission) {
-    ObjectNode out = Json.object();
-    for (String f :
+    ObjectNode copy = Json.object();
+    for (String field :
         List.of(
             Fields.ID,
             Fields.TASK_CLASS,
@@ -209,11 +222,11 @@
             Fields.CHECKPOINT_SAVE_S,
             Fields.DEADLINE_S,
             DependencyCodec.DEPENDENCIES)) {
-      JsonNode v = submission.get(f);
-      if (v != null && !v.isNull()) {
-        out.set(f, v);
+      JsonNode value = submission.get(field);
+      if (value != null && !value.isNull()) {
+        copy.set(field, value);
       }
     }
-    return out;
+    return copy;
   }
 }
--- a/src/main/java/org/mallowroad/wire/Json.java
+++ b/src/main/java/org/mallowroad/wire/Json.java
@@ -33,102 +33,108 @@
 
   /** Parses a JSON object; nothing may follow it. */
   public static ObjectNode parseObject(byte[] body) throws InvalidMessageException {
-    JsonNode n;
+    JsonNode node;
     try {
-      n = MAPPER.readTree(body);
+      node = MAPPER.readTree(body);
     } catch (IOException e) {
       throw new InvalidMessageException("not JSON");
     }
-    if (!(n instanceof ObjectNode o)) {
+    if (!(node instanceof ObjectNode object)) {
       throw new InvalidMessageException("not an object");
     }
-    return o;
+    return object;
   }
 
   /** The UTF-8 bytes of a value. */
-  public static byte[] toBytes(JsonNode n) {
-    return toText(n).getBytes(StandardCharsets.UTF_8);
+  public static byte[] toBytes(JsonNode node) {
+    return toText(node).getBytes(StandardCharsets.UTF_8);
   }
 
   /** The text of a value. */
-  public static String toText(JsonNode n) {
+  public static String toText(JsonNode node) {
     try {
-      return MAPPER.writeValueAsString(n);
+      return MAPPER.writeValueAsString(node);
     } catch (JsonProcessingException e) {
       throw new UncheckedIOException("a JSON tree can always be written to memory", e);
     }
   }
 
-  private static boolean absent(JsonNode n) {
-    return n == null || n.isNull() || n.isMissingNode();
+  private static boolean isAbsent(JsonNode node) {
+    return node == null || node.isNull() || node.isMissingNode();
   }
 
   /** A required, non-empty string of at most {@code max} characters. */
-  public static String requiredString(JsonNode o, String field, int max)
+  public static String requiredString(JsonNode object, String field, int maxLength)
       throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n) || !n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > max) {
+    JsonNode node = object.get(field);
+    if (isAbsent(node)
+        || !node.isTextual()
+        || node.textValue().isEmpty()
+        || node.textValue().length() > maxLength) {
       throw new InvalidMessageException(
-          field + ": a string of 1 to " + max + " characters is needed");
+          field + ": a string of 1 to " + maxLength + " characters is needed");
     }
-    return n.textValue();
+    return node.textValue();
   }
 
   /** An optional string of at most {@code max} characters; null when it is absent. */
-  public static String optionalString(JsonNode o, String field, int max)
+  public static String optionalString(JsonNode object, String field, int maxLength)
       throws InvalidMessageException {
-    return absent(o.get(field)) ? null : requiredString(o, field, max);
+    return isAbsent(object.get(field)) ? null : requiredString(object, field, maxLength);
   }
 
   /** A required boolean. */
-  public static boolean requiredBoolean(JsonNode o, String field) throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n) || !n.isBoolean()) {
+  public static boolean requiredBoolean(JsonNode object, String field)
+      throws InvalidMessageException {
+    JsonNode node = object.get(field);
+    if (isAbsent(node) || !node.isBoolean()) {
       throw new InvalidMessageException(field + ": true or false is needed");
     }
-    return n.booleanValue();
+    return node.booleanValue();
   }
 
   /** A required finite number from 0 to {@code max}. */
-  public static double requiredNumber(JsonNode o, String field, double max)
+  public static double requiredNumber(JsonNode object, String field, double max)
       throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n) || !n.isNumber()) {
+    JsonNode node = object.get(field);
+    if (isAbsent(node) || !node.isNumber()) {
       throw new InvalidMessageException(field + ": a number is needed");
     }
-    double d = n.doubleValue();
-    if (!Double.isFinite(d) || d < 0 || d > max) {
+    double number = node.doubleValue();
+    if (!Double.isFinite(number) || number < 0 || number > max) {
       throw new InvalidMessageException(field + ": a number from 0 to " + max + " is needed");
     }
-    return d;
+    return number;
   }
 
   /** An optional number from 0 to {@code max}, or {@code otherwise} when it is absent. */
-  public static double optionalNumber(JsonNode o, String field, double max, double otherwise)
+  public static double optionalNumber(
+      JsonNode object, String field, double max, double defaultValue)
       throws InvalidMessageException {
-    return absent(o.get(field)) ? otherwise : requiredNumber(o, field, max);
+    return isAbsent(object.get(field)) ? defaultValue : requiredNumber(object, field, max);
   }
 
   /** A required integer from {@code min} to {@code max}. */
-  public static long requiredInteger(JsonNode o, String field, long min, long max)
+  public static long requiredInteger(JsonNode object, String field, long min, long max)
       throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n)
-        || !n.isIntegralNumber()
-        || !n.canConvertToLong()
-        || n.longValue() < min
-        || n.longValue() > max) {
+    JsonNode node = object.get(field);
+    if (isAbsent(node)
+        || !node.isIntegralNumber()
+        || !node.canConvertToLong()
+        || node.longValue() < min
+        || node.longValue() > max) {
       throw new InvalidMessageException(
           field + ": an integer from " + min + " to " + max + " is needed");
     }
-    return n.longValue();
+    return node.longValue();
   }
 
   /** A required array. */
-  public static ArrayNode requiredArray(JsonNode o, String field) throws InvalidMessageException {
-    if (!(o.get(field) instanceof ArrayNode a)) {
+  public static ArrayNode requiredArray(JsonNode object, String field)
+      throws InvalidMessageException {
+    if (!(object.get(field) instanceof ArrayNode array)) {
       throw new InvalidMessageException(field + ": a list is needed");
     }
-    return a;
+    return array;
   }
 }
--- a/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
+++ b/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
@@ -12,8 +12,8 @@
 public final class MachineTypeCodec {
   private static final double MAX_AMOUNT = 1e9;
   private static final int MAX_NAME_LENGTH = 200;
-  private static final double DEFAULT_FETCH_GB_PER_S = 1;
-  private static final double DEFAULT_BOOT_S = 60;
+  private static final double DEFAULT_IMAGE_FETCH_GB_PER_S = 1;
+  private static final double DEFAULT_BOOT_TIME_S = 60;
 
   private MachineTypeCodec() {}
 
@@ -21,49 +21,51 @@
    * Decodes a list of machine types. Their names are added to {@code types}; zones that are not in
    * {@code zones} are left out.
    */
-  public static List<MachineType> decode(ObjectNode o, NameIndex types, NameIndex zones)
+  public static List<MachineType> decode(ObjectNode list, NameIndex types, NameIndex zones)
       throws InvalidMessageException {
-    List<MachineType> out = new ArrayList<>();
-    for (JsonNode t : Json.requiredArray(o, Fields.MACHINE_TYPES)) {
+    List<MachineType> machineTypes = new ArrayList<>();
+    for (JsonNode item : Json.requiredArray(list, Fields.MACHINE_TYPES)) {
       List<String> zoneNames = new ArrayList<>();
-      for (JsonNode z : Json.requiredArray(t, Fields.ZONES)) {
-        zoneNames.add(z.asText());
+      for (JsonNode zone : Json.requiredArray(item, Fields.ZONES)) {
+        zoneNames.add(zone.asText());
       }
-      String name = Json.requiredString(t, Fields.TYPE_NAME, MAX_NAME_LENGTH);
-      double price = Json.requiredNumber(t, Fields.PRICE, MAX_AMOUNT);
-      out.add(
+      String name = Json.requiredString(item, Fields.TYPE_NAME, MAX_NAME_LENGTH);
+      double price = Json.requiredNumber(item, Fields.PRICE, MAX_AMOUNT);
+      machineTypes.add(
           new MachineType(
               types.intern(name),
               name,
-              Json.requiredNumber(t, Fields.CPUS, MAX_AMOUNT),
-              Json.optionalNumber(t, Fields.CARDS, MAX_AMOUNT, 0),
-              Json.requiredNumber(t, Fields.MEMORY_GB, MAX_AMOUNT),
-              Json.optionalNumber(t, Fields.IMAGE_CACHE_GB, MAX_AMOUNT, 0),
+              Json.requiredNumber(item, Fields.CPUS, MAX_AMOUNT),
+              Json.optionalNumber(item, Fields.CARDS, MAX_AMOUNT, 0),
+              Json.requiredNumber(item, Fields.MEMORY_GB, MAX_AMOUNT),
+              Json.optionalNumber(item, Fields.IMAGE_CACHE_GB, MAX_AMOUNT, 0),
               Json.optionalNumber(
-                  t, Fields.IMAGE_FETCH_GB_PER_S, MAX_AMOUNT, DEFAULT_FETCH_GB_PER_S),
+                  item, Fields.IMAGE_FETCH_GB_PER_S, MAX_AMOUNT, DEFAULT_IMAGE_FETCH_GB_PER_S),
               price,
-              Json.optionalNumber(t, Fields.SPOT_PRICE, MAX_AMOUNT, price),
-              Json.optionalNumber(t, Fields.BOOT_TIME_S, MAX_AMOUNT, DEFAULT_BOOT_S),
-              zoneNames.stream().mapToInt(zones::find).filter(z -> z >= 0).toArray()));
+              Json.optionalNumber(item, Fields.SPOT_PRICE, MAX_AMOUNT, price),
+              Json.optionalNumber(item, Fields.BOOT_TIME_S, MAX_AMOUNT, DEFAULT_BOOT_TIME_S),
+              zoneNames.stream().mapToInt(zones::find).filter(zone -> zone >= 0).toArray()));
     }
-    return out;
+    return machineTypes;
   }
 
   /** Encodes machine types as the cloud would list them. */
   public static ObjectNode encode(List<MachineType> types, NameIndex zones) {
-    ObjectNode o = Json.object();
-    ArrayNode list = o.putArray(Fields.MACHINE_TYPES);
-    for (MachineType t : types) {
-      ObjectNode e = list.addObject();
-      e.put(Fields.TYPE_NAME, t.name()).put(Fields.CPUS, t.cpus()).put(Fields.CARDS, t.cards());
-      e.put(Fields.MEMORY_GB, t.memGb()).put(Fields.IMAGE_CACHE_GB, t.cacheGb());
-      e.put(Fields.IMAGE_FETCH_GB_PER_S, t.fetchGbPerS()).put(Fields.PRICE, t.price());
-      e.put(Fields.SPOT_PRICE, t.spotPrice()).put(Fields.BOOT_TIME_S, t.bootS());
-      ArrayNode zoneList = e.putArray(Fields.ZONES);
-      for (int z : t.zones()) {
-        zoneList.add(zones.name(z));
+    ObjectNode list = Json.object();
+    ArrayNode items = list.putArray(Fields.MACHINE_TYPES);
+    for (MachineType type : types) {
+      ObjectNode item = items.addObject();
+      item.put(Fields.TYPE_NAME, type.name())
+          .put(Fields.CPUS, type.cpus())
+          .put(Fields.CARDS, type.cards());
+      item.put(Fields.MEMORY_GB, type.memGb()).put(Fields.IMAGE_CACHE_GB, type.cacheGb());
+      item.put(Fields.IMAGE_FETCH_GB_PER_S, type.fetchGbPerS()).put(Fields.PRICE, type.price());
+      item.put(Fields.SPOT_PRICE, type.spotPrice()).put(Fields.BOOT_TIME_S, type.bootS());
+      ArrayNode zoneList = item.putArray(Fields.ZONES);
+      for (int zone : type.zones()) {
+        zoneList.add(zones.name(zone));
       }
     }
-    return o;
+    return list;
   }
 }
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -21,30 +21,30 @@
   private WorkerCodec() {}
 
   /** Decodes a heartbeat. */
-  public static Heartbeat decodeHeartbeat(JsonNode o) throws InvalidMessageException {
+  public static Heartbeat decodeHeartbeat(JsonNode body) throws InvalidMessageException {
     List<Heartbeat.Entry> entries = new ArrayList<>();
-    for (JsonNode t : Json.requiredArray(o, Fields.TASKS)) {
-      entries.add(decodeEntry(t));
+    for (JsonNode item : Json.requiredArray(body, Fields.TASKS)) {
+      entries.add(decodeEntry(item));
     }
-    String address = Json.optionalString(o, Fields.ADDRESS, MAX_NAME_LENGTH);
+    String address = Json.optionalString(body, Fields.ADDRESS, MAX_NAME_LENGTH);
     return new Heartbeat(
-        Json.requiredString(o, Fields.MACHINE, MAX_MACHINE_NAME_LENGTH),
+        Json.requiredString(body, Fields.MACHINE, MAX_MACHINE_NAME_LENGTH),
         address == null ? "" : address,
-        Json.requiredString(o, Fields.MACHINE_TYPE, MAX_NAME_LENGTH),
-        Json.requiredString(o, Fields.ZONE, MAX_NAME_LENGTH),
-        Json.requiredBoolean(o, Fields.SPOT),
-        Json.requiredInteger(o, Fields.INCARNATION, 0, Long.MAX_VALUE),
-        Json.requiredInteger(o, Fields.SEQUENCE, 0, Long.MAX_VALUE),
-        o.get(Fields.FENCING_TOKEN) == null
+        Json.requiredString(body, Fields.MACHINE_TYPE, MAX_NAME_LENGTH),
+        Json.requiredString(body, Fields.ZONE, MAX_NAME_LENGTH),
+        Json.requiredBoolean(body, Fields.SPOT),
+        Json.requiredInteger(body, Fields.INCARNATION, 0, Long.MAX_VALUE),
+        Json.requiredInteger(body, Fields.SEQUENCE, 0, Long.MAX_VALUE),
+        body.get(Fields.FENCING_TOKEN) == null
             ? 0
-            : Json.requiredInteger(o, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
-        Json.optionalNumber(o, Fields.PREEMPTION_NOTICE_S, MAX_NOTICE_S, NO_NOTICE),
+            : Json.requiredInteger(body, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
+        Json.optionalNumber(body, Fields.PREEMPTION_NOTICE_S, MAX_NOTICE_S, NO_NOTICE),
         entries,
-        o.path(Fields.SHARES_IMAGES).asBoolean(false));
+        body.path(Fields.SHARES_IMAGES).asBoolean(false));
   }
 
-  private static Heartbeat.Entry decodeEntry(JsonNode t) throws InvalidMessageException {
-    String name = Json.requiredString(t, Fields.TASK, MAX_NAME_LENGTH);
+  private static Heartbeat.Entry decodeEntry(JsonNode item) throws InvalidMessageException {
+    String name = Json.requiredString(item, Fields.TASK, MAX_NAME_LENGTH);
     int slash = name.lastIndexOf('/');
     int task;
     try {
@@ -55,13 +55,13 @@
     if (slash <= 0) {
       throw new InvalidMessageException(Fields.TASK + ": not a task");
     }
-    Heartbeat.State state = decodeState(Json.requiredString(t, Fields.STATE, MAX_STATE_LENGTH));
+    Heartbeat.State state = decodeState(Json.requiredString(item, Fields.STATE, MAX_STATE_LENGTH));
     return new Heartbeat.Entry(
         name.substring(0, slash),
         task,
-        (int) Json.requiredInteger(t, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
+        (int) Json.requiredInteger(item, Fields.ATTEMPT, 0, Integer.MAX_VALUE),
         state,
-        Json.optionalString(t, Fields.CAUSE, MAX_NAME_LENGTH));
+        Json.optionalString(item, Fields.CAUSE, MAX_NAME_LENGTH));
   }
 
   private static Heartbeat.State decodeState(String state) {
@@ -77,35 +77,35 @@
   /** Encodes commands that are sent to one incarnation of a worker. */
   public static ObjectNode encodeDirectCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
-    ObjectNode o = encodeCommands(fencingToken, commands);
-    o.put(Fields.INCARNATION, incarnation);
-    return o;
+    ObjectNode body = encodeCommands(fencingToken, commands);
+    body.put(Fields.INCARNATION, incarnation);
+    return body;
   }
 
   /** Encodes the commands in the response to a heartbeat. */
   public static ObjectNode encodeCommands(long fencingToken, List<WorkerCommand> commands) {
-    ObjectNode o = Json.object();
-    o.put(Fields.FENCING_TOKEN, fencingToken);
-    ArrayNode list = o.putArray(Fields.COMMANDS);
-    for (WorkerCommand c : commands) {
-      ObjectNode e = list.addObject();
-      e.put(
+    ObjectNode body = Json.object();
+    body.put(Fields.FENCING_TOKEN, fencingToken);
+    ArrayNode list = body.putArray(Fields.COMMANDS);
+    for (WorkerCommand command : commands) {
+      ObjectNode item = list.addObject();
+      item.put(
           Fields.COMMAND,
-          switch (c.kind()) {
+          switch (command.kind()) {
             case LAUNCH -> Fields.LAUNCH;
             case STOP -> Fields.STOP;
             case CLEAR -> Fields.CLEAR;
           });
-      e.put(Fields.TASK, c.job() + "/" + c.task());
-      e.put(Fields.ATTEMPT, c.attempt());
-      if (!c.imageSources().isEmpty()) {
-        ArrayNode imageSources = e.putArray(Fields.IMAGE_SOURCES);
-        c.imageSources().forEach(imageSources::add);
+      item.put(Fields.TASK, command.job() + "/" + command.task());
+      item.put(Fields.ATTEMPT, command.attempt());
+      if (!command.imageSources().isEmpty()) {
+        ArrayNode imageSources = item.putArray(Fields.IMAGE_SOURCES);
+        command.imageSources().forEach(imageSources::add);
       }
-      if (c.kind() == WorkerCommand.Kind.STOP) {
-        e.put(Fields.GRACE_PERIOD_S, c.graceS());
+      if (command.kind() == WorkerCommand.Kind.STOP) {
+        item.put(Fields.GRACE_PERIOD_S, command.graceS());
       }
     }
-    return o;
+    return body;
   }
 }
--- a/src/test/java/org/mallowroad/api/OpenJobsTest.java
+++ b/src/test/java/org/mallowroad/api/OpenJobsTest.java
@@ -22,76 +22,78 @@
 
 /** Many lookups cost few calls, and no answer is older than one that was given before. */
 final class OpenJobsTest {
-  private static final double RPS = 10;
+  private static final double READS_PER_S = 10;
 
-  private static final class NodeUnderTest {
-    private final VirtualTimeHarness c = new VirtualTimeHarness();
-    private final VirtualTimeHarness.Process p = c.new Process();
-    private final KeyValueStore state = new KeyValueStore(p, p, p);
+  private static final class TestNode {
+    private final VirtualTimeHarness harness = new VirtualTimeHarness();
+    private final VirtualTimeHarness.Process process = harness.new Process();
+    private final KeyValueStore state = new KeyValueStore(process, process, process);
     private final UserApi users =
         new UserApi(
-            p,
+            process,
             state,
             new UserApi.Limits(
-                new RateLimiter(RPS, RPS, c.nowMs),
-                RPS,
-                new RateLimiter(100, 100, c.nowMs),
-                new RateLimiter(100, 100, c.nowMs),
+                new RateLimiter(READS_PER_S, READS_PER_S, harness.nowMs),
+                READS_PER_S,
+                new RateLimiter(100, 100, harness.nowMs),
+                new RateLimiter(100, 100, harness.nowMs),
                 8,
                 64,
                 1_000),
-            new AnyJob());
-    private final List<String> answers = new ArrayList<>();
+            new AcceptAllLocalJobs());
+    private final List<String> responses = new ArrayList<>();
 
-    private void run(long ms) {
-      c.advance(ms);
+    private void advance(long ms) {
+      harness.advance(ms);
     }
 
-    private void accepted(String id) {
-      put("open/" + id, "{\"at\":1,\"job\":{}}");
+    private void storeOpenJob(String id) {
+      putRecord("open/" + id, "{\"at\":1,\"job\":{}}");
     }
 
-    private void put(String key, String v) {
-      String body = "{\"writes\":[{\"put\":\"" + key + "\",\"v\":" + v + "}]}";
-      assertEquals(200, c.callStore("POST", "/multi", body).status());
+    private void putRecord(String key, String value) {
+      String body = "{\"writes\":[{\"put\":\"" + key + "\",\"v\":" + value + "}]}";
+      assertEquals(200, harness.callStore("POST", "/multi", body).status());
     }
 
-    private void ends(String id) {
+    private void endJob(String id) {
       String body =
           "{\"writes\":[{\"delete\":\"open/%s\"},{\"put\":\"end/%s\",\"v\":{\"end\":\"done\"}}]}";
-      assertEquals(200, c.callStore("POST", "/multi", body.formatted(id, id)).status());
+      assertEquals(200, harness.callStore("POST", "/multi", body.formatted(id, id)).status());
     }
 
-    private void ask(String id) {
-      users.query((status, answer, later) -> answers.add(id + " " + word(status, answer)), id);
+    private void query(String id) {
+      users.query(
+          (status, body, retryLater) -> responses.add(id + " " + stateOrStatus(status, body)), id);
     }
 
-    private static String word(int status, ObjectNode answer) {
-      return status == 200 ? answer.path("standing").asText() : "" + status;
+    private static String stateOrStatus(int status, ObjectNode body) {
+      return status == 200 ? body.path("standing").asText() : "" + status;
     }
 
     private void submit(String body) {
       users.submit(
-          (status, answer, later) -> answers.add("submit " + word(status, answer)),
+          (status, responseBody, retryLater) ->
+              responses.add("submit " + stateOrStatus(status, responseBody)),
           body.getBytes(StandardCharsets.UTF_8));
     }
 
     /** What was answers since the last time. */
-    private List<String> answers() {
-      List<String> s = new ArrayList<>(answers);
-      answers.clear();
-      s.sort(null);
-      return s;
+    private List<String> responses() {
+      List<String> sorted = new ArrayList<>(responses);
+      responses.clear();
+      sorted.sort(null);
+      return sorted;
     }
   }
 
-  private static final class AnyJob implements UserApi.LocalJobs {
+  private static final class AcceptAllLocalJobs implements UserApi.LocalJobs {
     @Override
-    public JobSpec validate(JsonNode s) throws InvalidMessageException {
-      if (s.has("bad")) {
+    public JobSpec validate(JsonNode submission) throws InvalidMessageException {
+      if (submission.has("bad")) {
         throw new InvalidMessageException("bad: not a field");
       }
-      return JobSpecBuilder.job(s.path("name_id").asText(), 1, 1).build();
+      return JobSpecBuilder.job(submission.path("name_id").asText(), 1, 1).build();
     }
 
     @Override
@@ -110,178 +112,189 @@
     }
   }
 
-  private static DynamicTest rule(String name, Consumer<NodeUnderTest> test) {
-    return DynamicTest.dynamicTest(name, () -> test.accept(new NodeUnderTest()));
+  private static DynamicTest testCase(String name, Consumer<TestNode> test) {
+    return DynamicTest.dynamicTest(name, () -> test.accept(new TestNode()));
   }
 
-  private static String id(int n) {
-    return "job-%06d".formatted(n);
+  private static String jobId(int number) {
+    return "job-%06d".formatted(number);
   }
 
   @TestFactory
   Stream<DynamicTest> lookups() {
     return Stream.of(
-        rule(
+        testCase(
             "a malformed submission is rejected, unless its job is known",
-            h -> {
-              h.submit("{\"bad\":1}");
-              h.submit("{\"bad\":1,\"name_id\":7}");
-              h.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
-              h.run(100);
-              assertEquals(List.of("submit 400", "submit 400", "submit 400"), h.answers());
-              h.accepted("job-000001");
-              h.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
-              h.run(100);
-              assertEquals(List.of("submit queued"), h.answers());
-              h.ends("job-000001");
-              h.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
-              h.run(100);
-              assertEquals(List.of("submit done"), h.answers());
+            node -> {
+              node.submit("{\"bad\":1}");
+              node.submit("{\"bad\":1,\"name_id\":7}");
+              node.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
+              node.advance(100);
+              assertEquals(List.of("submit 400", "submit 400", "submit 400"), node.responses());
+              node.storeOpenJob("job-000001");
+              node.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
+              node.advance(100);
+              assertEquals(List.of("submit queued"), node.responses());
+              node.endJob("job-000001");
+              node.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
+              node.advance(100);
+              assertEquals(List.of("submit done"), node.responses());
             }),
-        rule(
+        testCase(
             "four hundred lookups of known jobs cost a handful of calls",
-            h -> {
+            node -> {
               for (int i = 0; i < 40; i++) {
-                h.accepted(id(i));
+                node.storeOpenJob(jobId(i));
               }
               for (int i = 0; i < 40; i++) {
-                h.ask(id(i));
-                h.run(500);
+                node.query(jobId(i));
+                node.advance(500);
               }
-              assertEquals(40, h.answers().size());
-              int before = h.c.receivedCalls;
+              assertEquals(40, node.responses().size());
+              int callsBefore = node.harness.receivedCalls;
               for (int n = 0; n < 400; n++) {
-                h.ask(id(n % 40));
+                node.query(jobId(n % 40));
               }
-              h.run(1_500);
-              List<String> answers = h.answers();
+              node.advance(1_500);
+              List<String> answers = node.responses();
               assertEquals(400, answers.size());
-              assertTrue(answers.stream().allMatch(s -> s.endsWith("queued")), answers.toString());
               assertTrue(
-                  h.c.receivedCalls - before <= 16, "calls: " + (h.c.receivedCalls - before));
+                  answers.stream().allMatch(response -> response.endsWith("queued")),
+                  answers.toString());
+              assertTrue(
+                  node.harness.receivedCalls - callsBefore <= 16,
+                  "calls: " + (node.harness.receivedCalls - callsBefore));
             }),
-        rule(
+        testCase(
             "an end that another node recorded is in the next answer",
-            h -> {
+            node -> {
               for (int i = 0; i < 3; i++) {
-                h.accepted(id(i));
-                h.ask(id(i));
+                node.storeOpenJob(jobId(i));
+                node.query(jobId(i));
               }
-              h.run(3_000);
-              h.answers();
-              h.ends(id(1));
+              node.advance(3_000);
+              node.responses();
+              node.endJob(jobId(1));
               for (int i = 0; i < 3; i++) {
-                h.ask(id(i));
+                node.query(jobId(i));
               }
-              h.run(2_000);
+              node.advance(2_000);
               assertEquals(
-                  List.of(id(0) + " queued", id(1) + " done", id(2) + " queued"), h.answers());
+                  List.of(jobId(0) + " queued", jobId(1) + " done", jobId(2) + " queued"),
+                  node.responses());
             }),
-        rule(
+        testCase(
             "a failed comparison tells nothing of jobs whose conditions it does not name",
-            h -> {
-              h.c.reportFirstFailureOnly = true;
+            node -> {
+              node.harness.reportFirstFailureOnly = true;
               for (int i = 0; i < 4; i++) {
-                h.accepted(id(i));
-                h.ask(id(i));
-                h.run(1_000);
+                node.storeOpenJob(jobId(i));
+                node.query(jobId(i));
+                node.advance(1_000);
               }
-              h.answers();
-              h.ends(id(1));
-              h.ends(id(2));
+              node.responses();
+              node.endJob(jobId(1));
+              node.endJob(jobId(2));
               // The first two go out by themselves, one each; the others share what comes next.
               for (int i : new int[] {0, 3, 1, 2}) {
-                h.ask(id(i));
+                node.query(jobId(i));
               }
-              h.run(3_000);
+              node.advance(3_000);
               assertEquals(
-                  List.of(id(0) + " queued", id(1) + " done", id(2) + " done", id(3) + " queued"),
-                  h.answers());
+                  List.of(
+                      jobId(0) + " queued",
+                      jobId(1) + " done",
+                      jobId(2) + " done",
+                      jobId(3) + " queued"),
+                  node.responses());
             }),
-        rule(
+        testCase(
             "a job that ends during its lookup is answered as over",
-            h -> {
-              h.accepted(id(0));
-              h.ask(id(0));
-              h.run(1_000);
-              h.answers();
-              h.c.beforeTransaction =
+            node -> {
+              node.storeOpenJob(jobId(0));
+              node.query(jobId(0));
+              node.advance(1_000);
+              node.responses();
+              node.harness.beforeTransaction =
                   () -> {
-                    h.c.beforeTransaction = () -> {};
-                    h.ends(id(0));
+                    node.harness.beforeTransaction = () -> {};
+                    node.endJob(jobId(0));
                   };
-              h.ask(id(0));
-              h.run(1_000);
-              assertEquals(List.of(id(0) + " done"), h.answers());
+              node.query(jobId(0));
+              node.advance(1_000);
+              assertEquals(List.of(jobId(0) + " done"), node.responses());
             }),
-        rule(
+        testCase(
             "an unknown job is looked up while others are looked up without pause",
-            h -> {
-              h.accepted(id(0));
-              h.ask(id(0));
-              h.run(1_000);
-              h.ends(id(7));
-              h.answers();
+            node -> {
+              node.storeOpenJob(jobId(0));
+              node.query(jobId(0));
+              node.advance(1_000);
+              node.endJob(jobId(7));
+              node.responses();
               for (int ms = 0; ms < 6_000; ms += 20) {
-                h.ask(id(0));
+                node.query(jobId(0));
                 if (ms % 2_000 == 1_000) {
-                  h.ask(id(7));
+                  node.query(jobId(7));
                 }
-                h.run(20);
+                node.advance(20);
               }
-              h.run(2_000);
-              List<String> answers = h.answers();
-              assertTrue(answers.contains(id(7) + " done"), answers.toString());
+              node.advance(2_000);
+              List<String> answers = node.responses();
+              assertTrue(answers.contains(jobId(7) + " done"), answers.toString());
             }),
-        rule(
+        testCase(
             "a repeated submission costs no write, whatever the state of its job",
-            h -> {
-              h.accepted(id(1));
-              h.accepted(id(2));
-              h.ends(id(2));
-              int before = h.c.requestedWrites;
+            node -> {
+              node.storeOpenJob(jobId(1));
+              node.storeOpenJob(jobId(2));
+              node.endJob(jobId(2));
+              int callsBefore = node.harness.requestedWrites;
               for (int n = 1; n <= 2; n++) {
-                h.submit("{\"name_id\":\"" + id(n) + "\"}");
-                h.run(100);
+                node.submit("{\"name_id\":\"" + jobId(n) + "\"}");
+                node.advance(100);
               }
-              assertEquals(List.of("submit done", "submit queued"), h.answers());
-              assertEquals(0, h.c.requestedWrites - before);
-              h.submit("{\"name_id\":\"" + id(3) + "\"}");
-              h.run(100);
-              assertEquals(List.of("submit 201"), h.answers());
-              assertEquals(1, h.c.requestedWrites - before);
+              assertEquals(List.of("submit done", "submit queued"), node.responses());
+              assertEquals(0, node.harness.requestedWrites - callsBefore);
+              node.submit("{\"name_id\":\"" + jobId(3) + "\"}");
+              node.advance(100);
+              assertEquals(List.of("submit 201"), node.responses());
+              assertEquals(1, node.harness.requestedWrites - callsBefore);
             }),
-        rule(
+        testCase(
             "thirty lookups of unknown jobs cost a handful of calls",
-            h -> {
+            node -> {
               for (int i = 0; i < 30; i += 2) {
-                h.accepted(id(i));
+                node.storeOpenJob(jobId(i));
               }
-              int before = h.c.receivedCalls;
+              int callsBefore = node.harness.receivedCalls;
               for (int i = 0; i < 30; i++) {
-                h.ask(id(i));
+                node.query(jobId(i));
               }
-              h.run(1_500);
-              List<String> answers = h.answers();
-              assertEquals(15, answers.stream().filter(s -> s.endsWith("queued")).count());
-              assertEquals(15, answers.stream().filter(s -> s.endsWith("404")).count());
+              node.advance(1_500);
+              List<String> answers = node.responses();
+              assertEquals(
+                  15, answers.stream().filter(response -> response.endsWith("queued")).count());
+              assertEquals(
+                  15, answers.stream().filter(response -> response.endsWith("404")).count());
               assertTrue(
-                  h.c.receivedCalls - before <= 12, "calls: " + (h.c.receivedCalls - before));
+                  node.harness.receivedCalls - callsBefore <= 12,
+                  "calls: " + (node.harness.receivedCalls - callsBefore));
             }),
-        rule(
+        testCase(
             "an unknown job is answered 404, and any job 503 while the service refuses calls",
-            h -> {
-              h.ask(id(3));
-              h.run(1_000);
-              assertEquals(List.of(id(3) + " 404"), h.answers());
-              h.accepted(id(3));
-              h.ask(id(3));
-              h.run(1_000);
-              assertEquals(List.of(id(3) + " queued"), h.answers());
-              h.c.rateLimitedUntilMs = h.c.nowMs + 1_000;
-              h.ask(id(3));
-              h.run(500);
-              assertEquals(List.of(id(3) + " 503"), h.answers());
+            node -> {
+              node.query(jobId(3));
+              node.advance(1_000);
+              assertEquals(List.of(jobId(3) + " 404"), node.responses());
+              node.storeOpenJob(jobId(3));
+              node.query(jobId(3));
+              node.advance(1_000);
+              assertEquals(List.of(jobId(3) + " queued"), node.responses());
+              node.harness.rateLimitedUntilMs = node.harness.nowMs + 1_000;
+              node.query(jobId(3));
+              node.advance(500);
+              assertEquals(List.of(jobId(3) + " 503"), node.responses());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/wire/JobCodecTest.java
+++ b/src/test/java/org/mallowroad/wire/JobCodecTest.java
@@ -17,7 +17,7 @@
 
 /** What bad submissions get. */
 final class JobCodecTest {
-  static final String GOOD =
+  static final String VALID =
       """
       {"name_id":"job-000412","docket":"train","crew":"vision","form":"sweep","rank":"urgent","moves":16,
        "cpus":8.0,"cards":1.0,"mem_gb":64.0,"kit":"img-07","size_gb":6.2,"builds":["g8"],"ground":null,
@@ -33,49 +33,52 @@
   }
 
   @Test
-  void aGoodOneIsTaken() throws InvalidMessageException {
-    JobSpec s = decode(GOOD);
-    assertEquals(16, s.tasks());
-    assertEquals(1, s.priority());
-    assertEquals(-1, s.zone());
-    assertTrue(s.together() && s.spot() && !s.scatter());
+  void validSubmissionIsDecoded() throws InvalidMessageException {
+    JobSpec spec = decode(VALID);
+    assertEquals(16, spec.tasks());
+    assertEquals(1, spec.priority());
+    assertEquals(-1, spec.zone());
+    assertTrue(spec.together() && spec.spot() && !spec.scatter());
   }
 
   /** What a submission must have, and what it may not be; what may be null may be absent. */
   @Test
-  void eachFieldIsJudgedByItsName() throws InvalidMessageException {
-    ObjectNode good = Json.parseObject(GOOD.getBytes(StandardCharsets.UTF_8));
+  void missingOrMistypedFieldIsRejectedByItsName() throws InvalidMessageException {
+    ObjectNode valid = Json.parseObject(VALID.getBytes(StandardCharsets.UTF_8));
     Set<String> optional = Set.of("builds", "ground", "due_s");
-    for (Iterator<String> it = good.fieldNames(); it.hasNext(); ) {
-      String field = it.next();
+    for (Iterator<String> fieldNames = valid.fieldNames(); fieldNames.hasNext(); ) {
+      String field = fieldNames.next();
       if (!optional.contains(field)) {
-        refused(good, field, o -> o.remove(field));
-        refused(good, field, o -> o.putNull(field));
+        assertRejected(valid, field, submission -> submission.remove(field));
+        assertRejected(valid, field, submission -> submission.putNull(field));
       }
-      refused(good, field, o -> o.putObject(field));
-      if (good.get(field).isNumber()) {
-        refused(good, field, o -> o.put(field, -1));
-        refused(good, field, o -> o.put(field, "8"));
-        refused(good, field, o -> o.put(field, 1e300));
-        refused(good, field, o -> o.put(field, Double.POSITIVE_INFINITY));
-        refused(good, field, o -> o.put(field, Double.NaN));
-      } else if (good.get(field).isBoolean()) {
-        refused(good, field, o -> o.put(field, "true"));
+      assertRejected(valid, field, submission -> submission.putObject(field));
+      if (valid.get(field).isNumber()) {
+        assertRejected(valid, field, submission -> submission.put(field, -1));
+        assertRejected(valid, field, submission -> submission.put(field, "8"));
+        assertRejected(valid, field, submission -> submission.put(field, 1e300));
+        assertRejected(valid, field, submission -> submission.put(field, Double.POSITIVE_INFINITY));
+        assertRejected(valid, field, submission -> submission.put(field, Double.NaN));
+      } else if (valid.get(field).isBoolean()) {
+        assertRejected(valid, field, submission -> submission.put(field, "true"));
       } else {
-        refused(good, field, o -> o.put(field, 7));
+        assertRejected(valid, field, submission -> submission.put(field, 7));
       }
     }
   }
 
-  private static void refused(ObjectNode good, String field, Consumer<ObjectNode> wrong) {
-    ObjectNode o = good.deepCopy();
-    wrong.accept(o);
+  private static void assertRejected(ObjectNode valid, String field, Consumer<ObjectNode> change) {
+    ObjectNode submission = valid.deepCopy();
+    change.accept(submission);
     InvalidMessageException e =
-        assertThrows(InvalidMessageException.class, () -> CODEC.validate(o), field + ": " + o);
+        assertThrows(
+            InvalidMessageException.class,
+            () -> VALIDATING_CODEC.validate(submission),
+            field + ": " + submission);
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
-  private static final JobCodec CODEC =
+  private static final JobCodec VALIDATING_CODEC =
       new JobCodec(
           new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex());
 
@@ -88,8 +91,8 @@
         "\"due_s\":900.0|\"due_s\":null",
         "\"due_s\":900.0|\"due_s\":900.0,\"later\":{}",
       })
-  void whatMayBeLeftOutMay(String from, String to) throws InvalidMessageException {
-    decode(GOOD.replace(from, to == null ? "" : to));
+  void optionalFieldMayBeNullOrAbsent(String from, String to) throws InvalidMessageException {
+    decode(VALID.replace(from, to == null ? "" : to));
   }
 
   @ParameterizedTest
@@ -114,13 +117,13 @@
         "[\"g8\"]|[8]|builds",
         "\"due_s\":900.0|\"due_s\":-5|due_s",
       })
-  void aWrongFieldIsNamed(String from, String to, String field) {
-    String json = GOOD.replace(from, to == null ? "" : to);
+  void errorNamesTheInvalidField(String from, String to, String field) {
+    String json = VALID.replace(from, to == null ? "" : to);
     InvalidMessageException e = assertThrows(InvalidMessageException.class, () -> decode(json));
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
-  private static final String TIED =
+  private static final String FOLDS_AND_DEPENDENCIES =
       "{\"folds\":[{\"league\":\"l\",\"game\":5,\"revision\":1,\"members\":[\"m-1\",\"m-2\"]}],"
           + "\"holds\":{\"jobs\":[\"job-1\"],\"games\":[{\"league\":\"k\",\"up_to\":9}]},";
 
@@ -142,21 +145,22 @@
         "\"k\"|7|holds.games[0].league",
         "\"jobs\":[\"job-1\"],\"games\":[{\"league\":\"k\",\"up_to\":9}]||holds.jobs",
       })
-  void aWrongTieIsNamed(String from, String to, String field) throws InvalidMessageException {
+  void errorNamesTheInvalidFoldOrDependency(String from, String to, String field)
+      throws InvalidMessageException {
     NameIndex teams = new NameIndex();
     teams.intern("vision");
     JobCodec codec =
         new JobCodec(teams, new NameIndex(), new NameIndex(), new NameIndex(), new NameIndex());
-    String good = GOOD.trim().replaceFirst("\\{", TIED);
-    JobSpec s = codec.validate(Json.parseObject(good.getBytes(StandardCharsets.UTF_8)));
-    assertEquals(1, s.dependencies().foldedLeagues().size());
-    assertEquals(9, s.dependencies().highestRequiredGames().get("k"));
-    assertTrue(good.contains(from), "the row changes something");
-    String bad = good.replace(from, to == null ? "" : to);
+    String valid = VALID.trim().replaceFirst("\\{", FOLDS_AND_DEPENDENCIES);
+    JobSpec spec = codec.validate(Json.parseObject(valid.getBytes(StandardCharsets.UTF_8)));
+    assertEquals(1, spec.dependencies().foldedLeagues().size());
+    assertEquals(9, spec.dependencies().highestRequiredGames().get("k"));
+    assertTrue(valid.contains(from), "the row changes something");
+    String invalid = valid.replace(from, to == null ? "" : to);
     InvalidMessageException e =
         assertThrows(
             InvalidMessageException.class,
-            () -> codec.validate(Json.parseObject(bad.getBytes(StandardCharsets.UTF_8))));
+            () -> codec.validate(Json.parseObject(invalid.getBytes(StandardCharsets.UTF_8))));
     assertTrue(e.getMessage().startsWith(field), e.getMessage());
   }
 
@@ -164,7 +168,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"|not JSON", "{|not JSON", "[]|not an object", "{} {}|not JSON", "5|not an object"})
-  void whatIsNoObjectIsRefused(String json, String reason) {
+  void bodyThatIsNotAJsonObjectIsRejected(String json, String reason) {
     InvalidMessageException e =
         assertThrows(
             InvalidMessageException.class,
