--- a/src/main/java/org/mallowroad/api/CancelRequests.java
+++ b/src/main/java/org/mallowroad/api/CancelRequests.java
@@ -11,7 +11,7 @@
 import org.mallowroad.state.Transaction;
 import org.mallowroad.wire.DependencyCodec;
 
-/** Serves requests to cancel a job; each is answered after the end record is committed. */
+/** Serves requests to cancel jobs; the response is sent after the end record is committed. */
 final class CancelRequests {
   private static final int MAX_RETRIES = 2;
 
@@ -37,8 +37,8 @@
         id,
         new JobRecordReader.Listener() {
           @Override
-          public void onOpen(JsonNode value, long version) {
-            commit(responder, id, value, version, retries);
+          public void onOpen(JsonNode openRecord, long version) {
+            commit(responder, id, openRecord, version, retries);
           }
 
           @Override
@@ -58,23 +58,25 @@
         });
   }
 
-  private void commit(Responder responder, String id, JsonNode value, long version, int retries) {
+  private void commit(
+      Responder responder, String id, JsonNode openRecord, long version, int retries) {
     Transaction transaction =
         new Transaction()
             .requireVersion(RecordKeys.openJob(id), version)
             .requireVersion(RecordKeys.endedJob(id), 0)
-            .put(RecordKeys.endedJob(id), JobRecordCodec.encodeCancelled(value))
+            .put(RecordKeys.endedJob(id), JobRecordCodec.encodeCancelled(openRecord))
             .delete(RecordKeys.openJob(id));
-    if (value.path("job").has(DependencyCodec.DEPENDENCIES)) {
+    if (openRecord.path("job").has(DependencyCodec.DEPENDENCIES)) {
       transaction.delete(RecordKeys.dependencies(id)).delete(RecordKeys.release(id));
     }
     writeLimiter.forceAcquire(transaction.writeCount(), loop.now());
-    // Sent twice when an answer is late; if one of the two fails, its failed conditions are read as
-    // the outcome.
+    // The transaction is sent again if the response is late. If an earlier copy was applied, a
+    // later one fails on its conditions; the retry below then reads the job again and finds it
+    // cancelled.
     state.compareAndSwapWithRetry(
         transaction,
         () -> writeLimiter.forceAcquire(transaction.writeCount(), loop.now()),
-        (result, revision, failed) -> {
+        (result, revision, failedConditions) -> {
           if (result == CallResult.OK) {
             lookup.cacheOutcome(id, false);
             responder.respond(200, JobLookup.endedJobBody(id, false), false);
--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 import org.mallowroad.net.IncomingRequest;
 
-/** Routes requests of users, workers and probes by path and method. */
+/** Routes HTTP requests from users, workers and health probes by path and method. */
 public final class HttpRouter {
   private static final String JOBS_PATH = "/v1/jobs";
   private static final String HEARTBEATS_PATH = "/v1/report";
@@ -19,18 +19,20 @@
   private final Supplier<Boolean> isHealthy;
   private final Supplier<String> metricsText;
 
-  /** Serves users' requests, on this node or through a peer. */
+  /** Serves users' requests, on this node or by relaying them to a peer. */
   @FunctionalInterface
   public interface UserRequestHandler {
-    /** Serves one request whose path and method are those of a user's request. */
+    /** Serves a request whose path and method the router has checked. */
     void serve(String method, String path, byte[] body, Responder responder);
   }
 
   /**
-   * Routes to these handlers.
+   * Creates a router for these handlers.
    *
-   * @param healthy whether the node answers its health probe with 200
-   * @param metrics the text of the metrics
+   * @param userRequests serves users' requests
+   * @param heartbeatHandler serves workers' heartbeats
+   * @param isHealthy whether the health probe is answered with 200, else with 503
+   * @param metricsText supplies the metrics in text format
    */
   public HttpRouter(
       UserRequestHandler userRequests,
@@ -43,7 +45,7 @@
     this.metricsText = metricsText;
   }
 
-  /** Serves one request, on the event loop. */
+  /** Routes one request; called on the event loop. */
   public void route(IncomingRequest request) {
     String path = request.path();
     if (path.equals(HEARTBEATS_PATH)) {
@@ -90,6 +92,7 @@
         request.method(), request.path(), request.body(), JsonResponses.responderFor(request));
   }
 
+  /** Whether the request has the required method, POST or GET; if not, responds with 405. */
   private static boolean checkMethod(IncomingRequest request, boolean isPostRequired) {
     if (request.method().equals(isPostRequired ? "POST" : "GET")) {
       return true;
--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -12,9 +12,9 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Looks up the state of jobs: from the ends that this node remembers, since an end never changes,
- * else by a read that is made for the question. So no answer is older than one that any node has
- * given.
+ * Looks up the state of jobs. The outcome of an ended job never changes, so it may come from this
+ * node's cache; anything else is read from the state service for each lookup. Therefore no answer
+ * is older than an answer that any node has given before.
  */
 final class JobLookup {
   private final ReadQueue readQueue;
@@ -22,9 +22,9 @@
   private final TaskCounts taskCounts;
   private final JobRecordReader recordReader;
   private final int maxCachedOutcomes;
-  private Consumer<String> onCancelled = id -> {};
+  private Consumer<String> cancellationListener = id -> {};
 
-  /** True for done, false for cancelled: final states never change, so they may be kept. */
+  /** Whether an ended job is done (true) or was cancelled (false); final, so it may be cached. */
   private final Object2BooleanLinkedOpenHashMap<String> doneById =
       new Object2BooleanLinkedOpenHashMap<>();
 
@@ -43,12 +43,12 @@
     this.taskCounts = new TaskCounts(loop, state, readQueue, readsPerSecond, localJobs);
   }
 
-  /** Sets the listener of cancellations, called once for each that this node learns of. */
-  void onCancelled(Consumer<String> listener) {
-    onCancelled = listener;
+  /** Sets a listener that is called once for each cancellation that this node learns of. */
+  void setCancellationListener(Consumer<String> listener) {
+    cancellationListener = listener;
   }
 
-  /** Remembers a job's end, which is committed. */
+  /** Caches the outcome of a job whose end record is committed. */
   void cacheOutcome(String id, boolean done) {
     openJobs.evict(id);
     boolean isNew = !doneById.containsKey(id);
@@ -57,26 +57,26 @@
       doneById.removeFirstBoolean();
     }
     if (isNew && !done) {
-      onCancelled.accept(id);
+      cancellationListener.accept(id);
     }
   }
 
-  /** Remembers a job that was read or written as open. */
+  /** Caches a job that was read or written as open. */
   void cacheOpenJob(String id, long version) {
     openJobs.cacheOpen(id, version);
   }
 
-  /** The number of jobs whose end is remembered. */
+  /** The number of ended jobs whose outcome is cached. */
   int cachedOutcomeCount() {
     return doneById.size();
   }
 
-  /** The number of open jobs that are remembered. */
+  /** The number of open jobs that are cached. */
   int cachedOpenJobCount() {
     return openJobs.size();
   }
 
-  /** The outcome of a job that is remembered to be over, or null. */
+  /** The cached outcome of an ended job, or null if none is cached. */
   JobOutcome cachedOutcome(String id) {
     if (!doneById.containsKey(id)) {
       return null;
@@ -84,26 +84,28 @@
     return doneById.getBoolean(id) ? JobOutcome.DONE : JobOutcome.CANCELLED;
   }
 
-  /** Whether a lookup made now is answered so soon that a submission may wait for it. */
+  /**
+   * Whether a lookup requested now would be answered soon enough for a submission to wait for it.
+   */
   boolean canRespondPromptly() {
     return openJobs.canAnswerPromptly();
   }
 
   /**
-   * Answers 200 with the state of a job that exists, and 503 when the state service does not
-   * answer.
+   * Responds with 200 and the state of the job if it exists, or with 503 if the state service does
+   * not answer.
    *
-   * @param absent run instead when there is no such job
+   * @param onAbsent run instead if there is no such job
    */
   void respondWithState(Responder responder, String id, Runnable onAbsent) {
     respondWithState(responder, id, onAbsent, () -> respondUnavailable(responder));
   }
 
   /**
-   * Answers 200 with the state of a job that exists.
+   * Responds with 200 and the state of the job if it exists.
    *
-   * @param absent run instead when there is no such job
-   * @param unavailable run instead when the state service does not answer
+   * @param onAbsent run instead if there is no such job
+   * @param onUnavailable run instead if the state service does not answer
    */
   void respondWithState(Responder responder, String id, Runnable onAbsent, Runnable onUnavailable) {
     if (doneById.containsKey(id)) {
@@ -122,13 +124,13 @@
         });
   }
 
-  /** Answers how a job ended that is known to be over. */
+  /** Responds with the outcome of a job that is known to have ended. */
   private void respondWithOutcome(Responder responder, String id) {
     JobRecordReader.Listener listener =
         new JobRecordReader.Listener() {
           @Override
           public void onOpen(JsonNode value, long version) {
-            respondUnavailable(responder); // The end record alone is read.
+            respondUnavailable(responder); // Not called: only the end record is read.
           }
 
           @Override
@@ -138,7 +140,8 @@
 
           @Override
           public void onAbsent() {
-            respondUnavailable(responder); // It was there a moment ago: a 404 would be wrong.
+            respondUnavailable(
+                responder); // The end record existed a moment ago: 404 would be wrong.
           }
 
           @Override
@@ -149,14 +152,14 @@
     readQueue.acquire(1, () -> readEnd(id, listener), listener::onUnavailable);
   }
 
-  /** Answers that the state service is not reached, and that the client may retry. */
+  /** Responds with 503, asking the client to retry, because the state service does not answer. */
   static void respondUnavailable(Responder responder) {
     responder.respond(503, JsonResponses.errorBody("state service not reached"), true);
   }
 
   /**
-   * Reads a job's records. Whether there are any is asked together with other questions, since
-   * users who go on cancelling jobs that were never accepted would take all calls otherwise.
+   * Reads a job's records. Whether the job exists is checked first by a batched lookup: otherwise
+   * clients that keep cancelling jobs that were never accepted would use up all read calls.
    */
   void readRecords(String id, JobRecordReader.Listener listener) {
     if (doneById.containsKey(id)) {
@@ -183,7 +186,7 @@
         new OutcomeCachingListener(id, listener) {
           @Override
           public void onOpen(JsonNode value, long version) {
-            readQueue.release(); // One call was enough.
+            readQueue.release(); // Returns the second of the two calls, which is not needed.
             super.onOpen(value, version);
           }
         });
@@ -193,7 +196,7 @@
     recordReader.readEnd(id, new OutcomeCachingListener(id, listener));
   }
 
-  /** Remembers the end that was read, and hands the result on. */
+  /** Caches an outcome that was read, and passes the result to another listener. */
   private class OutcomeCachingListener implements JobRecordReader.Listener {
     private final String id;
     private final JobRecordReader.Listener delegate;
@@ -225,7 +228,7 @@
     }
   }
 
-  /** The response body about a job that is over. */
+  /** The response body for an ended job. */
   static ObjectNode endedJobBody(String id, boolean done) {
     ObjectNode body = Json.object();
     body.put(Fields.ID, id);
--- a/src/main/java/org/mallowroad/api/JobProgress.java
+++ b/src/main/java/org/mallowroad/api/JobProgress.java
@@ -1,7 +1,7 @@
 package org.mallowroad.api;
 
-/** How many tasks of an open job are done, and how many run. */
+/** The number of tasks of an open job that are done, and the number that are running. */
 public record JobProgress(int doneTasks, int runningTasks) {
-  /** No task is done or runs, or nothing is known of them yet. */
+  /** No task is done or running, or the counts are not known yet. */
   static final JobProgress NONE = new JobProgress(0, 0);
 }
--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -10,53 +10,55 @@
 import org.mallowroad.state.Transaction;
 
 /**
- * Answers whether jobs are open, many with one call.
+ * Looks up whether jobs are open, and batches many lookups into one call to the state service.
  *
- * <p><b>Why an answer is never stale.</b> A transaction without writes compares keys at one moment,
- * which lies after each question that it answers was asked. A job's open record is never changed,
- * only deleted, in the transaction that writes its end record, and neither key is ever written
- * again ({@code RecordKeys}). So there are two comparisons:
+ * <p><b>Why an answer is never stale.</b> A transaction without writes compares all its keys at one
+ * point in time, which is after every lookup that it answers was requested. A job's open record is
+ * never modified. It is only deleted, by the transaction that writes the job's end record, and
+ * neither key is written again afterwards ({@code RecordKeys}). This allows two kinds of
+ * comparison:
  *
  * <ul>
- *   <li>a job whose open record was read with its version is open if the version still holds; when
- *       all conditions of a transaction hold, all of its jobs are open;
- *   <li>of any other job both keys are compared with version 0, "does not exist": a condition that
- *       is named as failed is a record that is there, and when all conditions hold there is none.
- *       Of one that was seen open that way the open record alone is compared at first.
+ *   <li>A job whose open record was read earlier is open if the record still has the version that
+ *       was read. When all conditions of such a transaction hold, all its jobs are open.
+ *   <li>For any other job both keys are compared with version 0, which means "does not exist". A
+ *       condition that is reported as failed proves that its record exists; when all conditions
+ *       hold, neither record exists. If such a comparison has already found the job open, only the
+ *       open record is compared in the next lookup, and both keys only if that is inconclusive.
  * </ul>
  *
- * <p>What is named as failed is taken as a fact; of what is not named nothing is concluded, since a
- * service may name the first failure alone. Those jobs are compared again. What is remembered here
- * is a version, never an answer.
+ * <p>A condition that is reported as failed did fail. Nothing is concluded about a condition that
+ * is not reported, because the state service may report only the first failure; those jobs are
+ * compared again. The cache holds only versions, never answers.
  */
 final class OpenJobs {
-  /** What a comparison that was sent after the question says of a job. */
+  /** The state of a job, according to a comparison that was sent after the lookup was requested. */
   enum Status {
-    /** It is open. */
+    /** The job is open. */
     OPEN,
-    /** It has an end record. */
+    /** The job has an end record. */
     ENDED,
-    /** It has neither record. */
+    /** The job has neither an open nor an end record. */
     ABSENT,
-    /** The state service did not say. */
+    /** The state service did not answer, or the lookup was rejected. */
     UNKNOWN
   }
 
-  /** Takes the answer to a question; called once. */
+  /** Receives the result of a lookup; called once. */
   interface Listener {
     /**
-     * The question is answered.
+     * Called with the result of the lookup.
      *
-     * @param job with {@link Status#OPEN} the job, else null
+     * @param job the job if the status is {@link Status#OPEN}, else null
      */
     void onAnswer(Status status, OpenJob job);
   }
 
-  /** A job that was seen open; the counts of its tasks are for display and may be older. */
+  /** A job that was found open. Its task counts are for display only and may be outdated. */
   static final class OpenJob {
     final String id;
 
-    /** Version of its open record, or 0 while only its existence was seen. */
+    /** The version of the open record, or 0 if only the existence of the record is known. */
     final long version;
 
     private JobProgress progress = JobProgress.NONE;
@@ -67,30 +69,30 @@
       this.version = version;
     }
 
-    /** The newest counts of its tasks. */
+    /** The most recent task counts. */
     JobProgress progress() {
       return progress;
     }
 
-    /** When they were counted; long ago when they never were. */
+    /** When the task counts were read, in ms; a time in the distant past if they never were. */
     long progressUpdatedMs() {
       return progressUpdatedMs;
     }
 
-    /** Keeps counts that were read now. */
+    /** Stores task counts that were read at {@code nowMs}. */
     void updateProgress(JobProgress newProgress, long nowMs) {
       progress = newProgress;
       progressUpdatedMs = nowMs;
     }
   }
 
-  /** What a question compares. */
+  /** Which records a lookup compares, and with which versions. */
   private enum Comparison {
-    /** The open record with the version that it was read with. */
+    /** The open record has the version with which it was read. */
     KNOWN_VERSION(1),
-    /** Whether the open record is there, as it was. */
+    /** The open record does not exist; expected to fail, as the job was open before. */
     OPEN_RECORD_ABSENT(1),
-    /** Whether the open or the end record is there. */
+    /** Neither the open nor the end record exists. */
     BOTH_RECORDS_ABSENT(2);
 
     private final int conditionCount;
@@ -106,13 +108,13 @@
     }
   }
 
-  /** Comparisons under way at once: with two, one is being answered while the next one fills. */
+  /** With two comparisons in flight, one fills with lookups while the other awaits its response. */
   private static final int MAX_COMPARISONS_IN_FLIGHT = 2;
 
-  /** A small part of the time in which users expect the answer to a submission. */
+  /** A small fraction of the time within which users expect the response to a submission. */
   private static final long PROMPT_RESPONSE_MS = 100;
 
-  /** Questions that wait; more are turned away, as users ask again. */
+  /** The maximum number of queued lookups; more are rejected, and their users retry. */
   private static final int MAX_PENDING = 1_000;
 
   private final KeyValueStore state;
@@ -124,7 +126,12 @@
   private final ArrayDeque<PendingLookup> pending = new ArrayDeque<>();
   private int comparisonsInFlight;
 
-  /** Remembers the newest {@code maxRemembered} jobs; a call has at most {@code maxConditions}. */
+  /**
+   * Creates a lookup that batches its comparisons.
+   *
+   * @param maxCached the number of most recently used open jobs whose version is cached
+   * @param maxConditions the maximum number of conditions in one call
+   */
   OpenJobs(KeyValueStore state, ReadQueue readQueue, int maxCached, int maxConditions) {
     this.state = state;
     this.readQueue = readQueue;
@@ -132,7 +139,7 @@
     this.maxConditions = maxConditions;
   }
 
-  /** Remembers a job that was read or written as open with this version, or 0 if unknown. */
+  /** Caches a job that was read or written as open; {@code version} is 0 if it is unknown. */
   OpenJob cacheOpen(String id, long version) {
     OpenJob cached = cache.getAndMoveToLast(id);
     if (cached == null || (version != 0 && cached.version != version)) {
@@ -145,24 +152,26 @@
     return cached;
   }
 
-  /** Forgets a job that is over. */
+  /** Removes a job that has ended from the cache. */
   void evict(String id) {
     cache.remove(id);
   }
 
-  /** The number of jobs that are remembered. */
+  /** The number of cached jobs. */
   int size() {
     return cache.size();
   }
 
-  /** Whether a question asked now is answered so soon that a submission may wait for it. */
+  /**
+   * Whether a lookup requested now would be answered soon enough for a submission to wait for it.
+   */
   boolean canAnswerPromptly() {
     return pending.size() < maxConditions / 2
         && readQueue.estimatedWaitMs() < PROMPT_RESPONSE_MS
         && !state.health().hasLateResponses();
   }
 
-  /** Asks whether a job is open, over or absent. */
+  /** Looks up whether a job is open, has ended or does not exist. */
   void lookUp(String id, Listener listener) {
     if (pending.size() >= MAX_PENDING) {
       listener.onAnswer(Status.UNKNOWN, null);
@@ -180,7 +189,7 @@
   }
 
   private void sendComparisons() {
-    // A comparison that waits for its call counts as in flight: later questions share it.
+    // A comparison that waits for the read queue counts as in flight: later lookups join its batch.
     while (comparisonsInFlight < MAX_COMPARISONS_IN_FLIGHT && !pending.isEmpty()) {
       comparisonsInFlight++;
       readQueue.acquire(1, this::sendNextBatch, this::failNextBatch);
@@ -196,9 +205,9 @@
   }
 
   /**
-   * Takes as many questions as one call has conditions for. Versions, which are expected to hold,
-   * are compared apart from other questions: with a failing condition among them all would have to
-   * be compared again.
+   * Removes as many queued lookups as fit into the conditions of one call. Comparisons with known
+   * versions, which are expected to hold, are not mixed with other comparisons: a single failed
+   * condition would force all of them to be repeated.
    */
   private List<PendingLookup> nextBatch() {
     List<PendingLookup> batch = new ArrayList<>();
@@ -251,7 +260,7 @@
         });
   }
 
-  /** Answers a question by what the comparison said; false when it said nothing of the job. */
+  /** Answers a lookup from the result of its comparison; false if the result was inconclusive. */
   private boolean resolve(PendingLookup lookup, CallResult result, List<String> failedConditions) {
     if (result == CallResult.OK && lookup.comparison != Comparison.OPEN_RECORD_ABSENT) {
       boolean isOpen = lookup.comparison == Comparison.KNOWN_VERSION;
--- a/src/main/java/org/mallowroad/api/ReadQueue.java
+++ b/src/main/java/org/mallowroad/api/ReadQueue.java
@@ -5,12 +5,12 @@
 import org.mallowroad.net.RateLimiter;
 
 /**
- * Grants users' requests their part of the calls to the state service, in the order in which they
- * asked. Without an order a request that needs two calls starves while others take each single
- * permit as it comes (docs/incidents, polls-starved).
+ * Grants read calls to the state service to users' requests, within their rate limit, in FIFO
+ * order. Without the order a request that needs two calls would starve, because requests that need
+ * one call would take each permit as it becomes available (docs/incidents, polls-starved).
  */
 final class ReadQueue {
-  /** The longest wait of a request: its user waits 2 s for the answer. */
+  /** The longest time that a request is queued; users wait 2 s for the response. */
   private static final long MAX_WAIT_MS = 1_300;
 
   private static final int MAX_PENDING = 500;
@@ -29,10 +29,10 @@
   }
 
   /**
-   * Waits until so many calls may be made.
+   * Waits until the rate limit allows this number of calls.
    *
-   * @param granted run when they may be made
-   * @param refused run instead when that takes too long
+   * @param onGranted run when the calls may be made
+   * @param onRefused run instead if the wait is too long or the queue is full
    */
   void acquire(int calls, Runnable onGranted, Runnable onRefused) {
     long nowMs = loop.now();
@@ -46,7 +46,7 @@
     }
   }
 
-  /** How long a call that is requested now would wait, in milliseconds. */
+  /** The estimated wait of a call that is requested now, in ms. */
   long estimatedWaitMs() {
     double missingCalls = 1 - rateLimiter.availablePermits(loop.now());
     for (PendingRequest request : pending) {
@@ -55,7 +55,7 @@
     return missingCalls <= 0 ? 0 : Math.round(1000 * missingCalls / rateLimiter.permitsPerSecond());
   }
 
-  /** Takes a call for a read that can be left out: only while half of the burst is unused. */
+  /** Acquires a call for an optional read, only if at least half of the burst is unused. */
   boolean tryAcquireSpare(double burst) {
     long nowMs = loop.now();
     return pending.isEmpty()
@@ -63,7 +63,7 @@
         && rateLimiter.tryAcquire(1, nowMs);
   }
 
-  /** Returns a call that was granted and not made. */
+  /** Returns one call that was granted but not made. */
   void release() {
     rateLimiter.forceAcquire(-1, loop.now());
   }
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -21,26 +21,27 @@
 import org.mallowroad.wire.JobCodec;
 import org.mallowroad.wire.Json;
 
-/** Serves submissions: validates them, and answers after the job is recorded. */
+/** Serves submissions: validates them, and responds after the job is recorded. */
 final class Submissions {
-  /** The service counts as overloaded for this time after it refused a call for its limits. */
+  /** How long the state service counts as overloaded after it refused a call for its rate limit. */
   private static final long OVERLOAD_WINDOW_MS = 10_000;
 
-  /** A submission that the state service refused for its limits is sent again after this time. */
+  /** The delay before a write that the state service refused for its rate limit is sent again. */
   private static final long RETRY_DELAY_MS = 120;
 
   private static final int MAX_RETRIES = 4;
 
   /**
-   * The rate of calls of submissions that are sent again, as a part of all calls that this node may
-   * make for users. Without a bound an overloaded service would get five calls for each submission.
+   * The rate of retried submission writes, as a fraction of the read calls that this node may make
+   * for users. Without this bound an overloaded state service would get five calls for each
+   * submission: the first attempt and {@link #MAX_RETRIES} retries.
    */
   private static final double RETRY_RATE_SHARE = 0.25;
 
-  /** Calls of submissions that may be sent again at once. */
+  /** The number of submission writes that may be retried in a burst. */
   private static final double RETRY_BURST = 12;
 
-  /** A value may be as long as the limit less what surrounds it. */
+  /** Part of the maximum value size that is reserved for the JSON that encloses the value. */
   private static final int RECORD_OVERHEAD_BYTES = 64;
 
   private final EventLoop loop;
@@ -72,7 +73,7 @@
     this.maxValueBytes = limits.maxValueKb() * 1024 - RECORD_OVERHEAD_BYTES;
   }
 
-  /** A valid submission and its open record. */
+  /** A valid submission with the open record to be stored for it. */
   private record ParsedSubmission(JobSpec spec, List<Game> games, ObjectNode openRecord) {}
 
   /** Serves POST /v1/jobs. */
@@ -97,7 +98,8 @@
     }
     Optional<String> rejection = localJobs.rejectionReason(parsed.spec);
     if (rejection.isPresent()) {
-      // A job that was accepted stays accepted, whatever types and limits say today.
+      // A job that was accepted earlier stays accepted, even if it could not run with the current
+      // machine types and limits.
       lookup.respondWithState(
           responder,
           id,
@@ -105,9 +107,8 @@
       return;
     }
     if (parsed.spec.dependencies() == JobDependencies.NONE && lookup.canRespondPromptly()) {
-      // A repeated submission costs a write even when it fails, and this lookup none. It is left
-      // out
-      // while lookups wait long, since the submission would wait with it.
+      // A repeated submission costs a write even if its conditions fail, while this lookup costs
+      // none. It is skipped while lookups are slow, because it would delay the submission.
       Runnable admission = () -> admit(responder, parsed);
       lookup.respondWithState(responder, id, admission, admission);
     } else {
@@ -133,9 +134,10 @@
   }
 
   /**
-   * Rejects an invalid submission, unless a job was accepted under its id: then it stays accepted,
-   * whatever is sent later. While the state service does not answer whether it was, the response is
-   * 503, since a 400 to an accepted job would say that it is lost.
+   * Rejects an invalid submission, unless a job was accepted under its id earlier: that job stays
+   * accepted, whatever is submitted later. If the state service does not answer whether there is
+   * such a job, the response is 503, because 400 would tell the owner of an accepted job that the
+   * job is lost.
    */
   private void reject(Responder responder, ObjectNode submission, String reason) {
     Runnable respondInvalid = () -> responder.respond(400, JsonResponses.errorBody(reason), false);
@@ -147,6 +149,7 @@
     }
   }
 
+  /** Accepts the job if the admission control and the write limit allow it, else responds 429. */
   private void admit(Responder responder, ParsedSubmission parsed) {
     if (!localJobs.tryAdmit() || !tryAcquireWrite()) {
       responder.respond(429, JsonResponses.errorBody("too many submissions"), true);
@@ -159,7 +162,10 @@
     }
   }
 
-  /** Accepts a job that folds games or has dependencies; a known job is never refused. */
+  /**
+   * Accepts a job that folds games or has dependencies. If the job is already known, the response
+   * is its state and never an error.
+   */
   private void acceptWithClaims(Responder responder, ParsedSubmission parsed) {
     String id = parsed.spec.id();
     claimService.accept(
@@ -202,9 +208,8 @@
             .requireVersion(RecordKeys.openJob(id), 0)
             .requireVersion(RecordKeys.endedJob(id), 0)
             .put(RecordKeys.openJob(id), openRecord);
-    // Sent twice when an answer is late: the one that is applied first makes the other fail, and
-    // the
-    // job that the other finds is this one.
+    // The transaction is sent a second time if the response is late. Whichever is applied first
+    // makes the other one fail, and the job that the other one finds is this job.
     state.compareAndSwapWithRetry(
         transaction,
         () -> writeLimiter.forceAcquire(1, loop.now()),
@@ -213,9 +218,8 @@
               && state.health().lastThrottledMs() >= sentMs
               && retriesUsed < MAX_RETRIES
               && retryLimiter.tryAcquire(1, loop.now())) {
-            // Refused for the service's limits, which a moment later leave room; a user who is
-            // asked
-            // to retry does so only after a second.
+            // The state service refused the write for its rate limit, which soon allows another
+            // one. A user who is asked to retry would do so only after one second.
             loop.after(RETRY_DELAY_MS, () -> accept(responder, id, openRecord, retriesUsed + 1));
             return;
           }
@@ -232,10 +236,11 @@
   }
 
   /**
-   * Takes a write of the state service. When the other nodes are down one node gets all
-   * submissions, which must not wait for its fair part of the writes while the rest is unused. So
-   * each node may use all that the leader leaves, and keeps to its fair part for a while after the
-   * service has refused a call for its limits.
+   * Acquires one write to the state service. When the other nodes are down, one node gets all
+   * submissions, which must not be limited to the node's fair share while the rest of the writes is
+   * unused. So each node may use all writes that the leader leaves, and is limited to its fair
+   * share only for {@link #OVERLOAD_WINDOW_MS} after the service has refused a call for its rate
+   * limit.
    */
   private boolean tryAcquireWrite() {
     long nowMs = loop.now();
--- a/src/main/java/org/mallowroad/api/TaskCounts.java
+++ b/src/main/java/org/mallowroad/api/TaskCounts.java
@@ -16,13 +16,13 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Answers how many tasks of an open job are done and run, for display: from the leader's memory on
- * the leader, else from the attempt records. When so many users ask that a read for each would take
- * the calls that commits and renewals need, the counts of the last read are told; that the job is
- * open was read for the question.
+ * Responds with the numbers of done and running tasks of an open job. They are for display and come
+ * from memory on the leader, and from the attempt records on other nodes. When there are so many
+ * queries that a read for each would take calls that commits and lease renewals need, the counts of
+ * the last read are returned; that the job is open has been read for this query in any case.
  */
 final class TaskCounts {
-  /** Counts may be so old; the protocol allows 3 s. */
+  /** The maximum age of returned counts; the protocol allows 3 s. */
   private static final long MAX_AGE_MS = 2_000;
 
   private final EventLoop loop;
@@ -31,7 +31,7 @@
   private final double readsPerSecond;
   private final UserApi.LocalJobs localJobs;
 
-  /** By job, from the newest listing of shared start records. */
+  /** Task counts by job id, from the most recent listing of the shared attempt records. */
   private Map<String, JobProgress> sharedCounts = Map.of();
 
   private long sharedListedMs = Long.MIN_VALUE / 2;
@@ -51,7 +51,7 @@
     this.localJobs = localJobs;
   }
 
-  /** Answers with the state of a job that was just seen open. */
+  /** Responds with the state of a job that was just found open. */
   void respond(Responder responder, OpenJobs.OpenJob job) {
     JobProgress localProgress = localJobs.progress(job.id);
     if (localProgress != null) {
@@ -76,7 +76,7 @@
     responder.respond(200, openJobBody(job.id, job.progress()), false);
   }
 
-  /** Runs a task when the listing of shared records is fresh, or when it cannot be read now. */
+  /** Runs {@code next} after refreshing the shared counts if they are outdated and may be read. */
   private void refreshSharedCounts(Runnable next) {
     if (loop.now() - sharedListedMs < MAX_AGE_MS
         || (!isListing && !readQueue.tryAcquireSpare(readsPerSecond))) {
@@ -132,7 +132,7 @@
         });
   }
 
-  /** The response body about an open job. */
+  /** The response body for an open job. */
   static ObjectNode openJobBody(String id, JobProgress progress) {
     ObjectNode body = Json.object();
     body.put(Fields.ID, id);
--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -12,14 +12,14 @@
 import org.mallowroad.wire.JobCodec;
 
 /**
- * Serves users' requests, on any node. Nothing is told before it is committed, and every answer
- * about a job that is not over comes from a read that is made for the question ({@link JobLookup}),
- * so no node is ever behind what another has said.
+ * Serves users' requests, on any node. Only committed state is returned, and every response about a
+ * job that has not ended comes from a read that was made for this request ({@link JobLookup}), so
+ * no node returns an older state than another node has returned before.
  */
 public final class UserApi {
   private static final String JOBS_PATH = "/v1/jobs";
 
-  /** The state service allows so many conditions for each put or delete of a transaction. */
+  /** The conditions that the state service allows for each put or delete of a transaction. */
   private static final int CONDITIONS_PER_OP = 4;
 
   private final JobLookup lookup;
@@ -27,23 +27,23 @@
   private final Submissions submissions;
   private final CancelRequests cancelRequests;
 
-  /** What the node knows besides the state service. */
+  /** What this node knows about jobs without reading the state service. */
   public interface LocalJobs {
-    /** Validates and decodes a submission, without giving its names indices. */
+    /** Validates and decodes a submission without adding its names to the name indices. */
     JobSpec validate(JsonNode submission) throws InvalidMessageException;
 
-    /** Whether the machine types are known. */
+    /** Whether the machine types have been loaded. */
     boolean hasMachineTypes();
 
-    /** Takes one admission for a job that is not known yet; false when none is left now. */
+    /** Acquires an admission for a new job; false if the admission limit is reached. */
     default boolean tryAdmit() {
       return true;
     }
 
-    /** Why the job can never run on any machine type, or empty. */
+    /** Why the job could never run on any machine type, or empty if it could. */
     Optional<String> rejectionReason(JobSpec spec);
 
-    /** The job's tasks as the leader on this node knows them, or null. */
+    /** The job's task counts if this node is the leader and has the job in memory, else null. */
     JobProgress progress(String id);
   }
 
@@ -67,7 +67,7 @@
       int maxConditions,
       int maxCachedOutcomes) {}
 
-  /** Serves users' requests from the state service. */
+  /** Creates the API on top of the state service. */
   public UserApi(EventLoop loop, KeyValueStore state, Limits limits, LocalJobs localJobs) {
     ReadQueue readQueue = new ReadQueue(loop, limits.readLimiter());
     this.lookup =
@@ -91,27 +91,27 @@
     this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writeLimiter());
   }
 
-  /** The acceptance of jobs with claims; a leader abandons claims that are not finished. */
+  /** The service that accepts jobs with claims; the leader uses it to abandon unfinished claims. */
   public ClaimService claimService() {
     return claimService;
   }
 
-  /** Sets the listener of cancellations, called once for each that this node learns of. */
+  /** Sets a listener that is called once for each cancellation that this node learns of. */
   public void setCancellationListener(Consumer<String> listener) {
-    lookup.onCancelled(listener);
+    lookup.setCancellationListener(listener);
   }
 
-  /** Remembers a job's end, which is committed. */
+  /** Caches the outcome of a job whose end record is committed. */
   public void cacheOutcome(String id, boolean done) {
     lookup.cacheOutcome(id, done);
   }
 
-  /** The number of jobs whose end is remembered. */
+  /** The number of ended jobs whose outcome is cached. */
   public int cachedOutcomeCount() {
     return lookup.cachedOutcomeCount();
   }
 
-  /** The number of open jobs that are remembered. */
+  /** The number of open jobs that are cached. */
   public int cachedOpenJobCount() {
     return lookup.cachedOpenJobCount();
   }
--- a/src/main/java/org/mallowroad/api/claim/AcceptanceResult.java
+++ b/src/main/java/org/mallowroad/api/claim/AcceptanceResult.java
@@ -1,22 +1,25 @@
 package org.mallowroad.api.claim;
 
 /**
- * The result of an acceptance.
+ * The result of the attempt to accept a job.
  *
- * @param reason for the user; empty when the job is accepted or known
+ * @param reason the reason that is returned to the user; empty if the job is accepted or a
+ *     duplicate
  */
 public record AcceptanceResult(Status status, String reason) {
-  /** How an acceptance ended. */
+  /** Whether the job was accepted, or why not. */
   public enum Status {
     /** The job is recorded with all its claims. */
     ACCEPTED,
-    /** The id was accepted before, or its job is over. */
+    /** A job with this id was accepted before; it may have ended since. */
     DUPLICATE,
-    /** The job can never be accepted, such as one of whose games another job is folded. */
+    /**
+     * The job can never be accepted, for example because another job has folded one of its games.
+     */
     REJECTED,
-    /** A game is claimed by a job that is not over, or an earlier claim is being abandoned. */
+    /** A job that has not ended claims one of the games, or an earlier claim is being abandoned. */
     CONFLICT,
-    /** The state service is not reached, or others changed the same blocks too often. */
+    /** The state service does not answer, or other jobs changed the same blocks too often. */
     UNAVAILABLE
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/ClaimContext.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimContext.java
@@ -5,11 +5,11 @@
 import org.mallowroad.state.KeyValueStore;
 
 /**
- * What all claims of a node share.
+ * What all acceptances on a node share.
  *
- * @param writes the node's part of the state service's writes
- * @param maxOps puts and deletes in one transaction
- * @param maxValueBytes the longest value of a key
+ * @param writeLimiter limits the node's writes to the state service
+ * @param maxOps the maximum number of puts and deletes in one transaction
+ * @param maxValueBytes the maximum size of a value
  */
 record ClaimContext(
     EventLoop loop,
@@ -17,6 +17,6 @@
     RateLimiter writeLimiter,
     int maxOps,
     double maxValueBytes) {
-  /** A conflict with another claim is retried after this time. */
+  /** The delay before the first retry after a conflict with another claim. */
   static final long CONFLICT_RETRY_DELAY_MS = 60;
 }
--- a/src/main/java/org/mallowroad/api/claim/ClaimService.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimService.java
@@ -22,29 +22,30 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Accepts jobs that fold games, on any node: all of a job's games are claimed with its acceptance,
- * or none (docs/folds.md has the records, each transaction and the proof).
+ * Accepts jobs that fold games, on any node. Either all games of a job are claimed together with
+ * its acceptance, or none (see docs/folds.md for the records, the transactions and the proof).
  *
- * <p>A claim names its job; whether the game is folded, claimed or free follows from that job's own
- * records. So a job's end folds all of its games by the one transaction that ends it, and a
- * cancellation releases them, however many there are.
+ * <p>A claim names its job. Whether the game is folded, claimed or free follows from the records of
+ * that job. So the single transaction that ends a job also folds all its games, and the one that
+ * cancels it releases them, regardless of their number.
  *
- * <p>What fits into one transaction is accepted by it. A larger claim begins with the record {@code
- * intent/<id>}, claims some blocks at a time on condition of the intent's version, and ends with a
- * transaction that replaces the intent by {@code open/<id>}. Any node that finds the intent may go
- * on with the same submission. One that abandons it changes the intent first, so that no step that
- * is still under way can be applied any more, and then removes the claims.
+ * <p>A claim that fits into one transaction is accepted by that transaction. A larger claim first
+ * writes the record {@code intent/<id>}, then claims the blocks in batches, each on condition that
+ * the intent is unchanged, and finally replaces the intent by {@code open/<id>} in one transaction.
+ * Any node that finds the intent may continue the same submission. A node that abandons the claim
+ * changes the intent first, so that no batch that is still in flight can be applied, and then
+ * removes the claims.
  */
 public final class ClaimService {
-  /** The most leagues in one submission: each is a condition of its acceptance. */
+  /** The maximum number of leagues in one submission; each is a condition of its acceptance. */
   public static final int MAX_LEAGUES = 16;
 
-  /** Acceptances under way at once; a client beyond them is asked to retry. */
+  /** The maximum number of concurrent acceptances; further clients are asked to retry. */
   private static final int MAX_ACTIVE_ACCEPTANCES = 24;
 
   private static final int MIN_OPS_PER_TRANSACTION = 4;
 
-  /** A value may be as long as the limit less what surrounds it. */
+  /** Part of the maximum value size that is reserved for the JSON that encloses the value. */
   private static final int RECORD_OVERHEAD_BYTES = 64;
 
   private final ClaimContext context;
@@ -55,12 +56,12 @@
   private int activeAcceptances;
 
   /**
-   * Accepts jobs into the state service.
+   * Creates a service that records accepted jobs in the state service.
    *
-   * @param writes the limit of submissions' writes, for which large claims wait
-   * @param maxOps puts and deletes in one transaction
-   * @param maxValueKb the longest value of a key
-   * @param finalOutcomes the outcome of a job that this node knows to be over, else null
+   * @param writeLimiter limits the writes of submissions; claims wait for it
+   * @param maxOps the maximum number of puts and deletes in one transaction
+   * @param maxValueKb the maximum size of a value, in KB
+   * @param knownOutcomes returns the outcome of a job that this node knows to have ended, else null
    */
   public ClaimService(
       EventLoop loop,
@@ -84,8 +85,8 @@
   /**
    * Accepts a job with all games that it folds and all its dependencies.
    *
-   * @param value the open record, which names the blocks
-   * @param listener called once
+   * @param openRecord the open record, which names the blocks of the games
+   * @param listener called once, with the result
    */
   public void accept(
       String id,
@@ -95,7 +96,8 @@
       Consumer<AcceptanceResult> listener) {
     if (activeAcceptances >= MAX_ACTIVE_ACCEPTANCES) {
       listener.accept(
-          new AcceptanceResult(AcceptanceResult.Status.UNAVAILABLE, "too many claims under way"));
+          new AcceptanceResult(
+              AcceptanceResult.Status.UNAVAILABLE, "too many acceptances in progress"));
       return;
     }
     activeAcceptances++;
@@ -108,14 +110,14 @@
     new JobAcceptance(context, this, leagueCache, job, completion).start();
   }
 
-  /** The blocks that hold these games, in order. */
+  /** The keys of the blocks that hold these games, in ascending order. */
   public static Collection<BlockKey> blockKeys(List<Game> games) {
     TreeSet<BlockKey> keys = new TreeSet<>();
     games.forEach(game -> keys.add(game.blockKey()));
     return keys;
   }
 
-  /** The blocks that an intent names, in order. */
+  /** The keys of the blocks that an intent names, in ascending order. */
   public static Collection<BlockKey> blockKeysOfIntent(JsonNode intent)
       throws InvalidMessageException {
     ObjectNode blocksField = Json.object();
@@ -127,12 +129,12 @@
     return keys;
   }
 
-  /** The outcome of a job that this node knows to be over, else null. */
+  /** The outcome of a job that this node knows to have ended, else null. */
   JobOutcome knownOutcome(String job) {
     return knownOutcomes.apply(job);
   }
 
-  /** Reads what has become of a job; empty when the state service does not answer. */
+  /** Reads the outcome of a job; the result is empty if the state service does not answer. */
   public void readJobOutcome(String job, Consumer<Optional<JobOutcome>> listener) {
     JobOutcome known = knownOutcome(job);
     if (known != null) {
@@ -165,11 +167,11 @@
   }
 
   /**
-   * Abandons a claim ({@link IntentRollback}).
+   * Abandons the unfinished claim of a job ({@link IntentRollback}).
    *
-   * @param version of its intent
-   * @param listener whether it is abandoned completely; if not, any node that finds the intent does
-   *     it again
+   * @param version the version of its intent
+   * @param listener receives whether the rollback is complete; if not, any node that finds the
+   *     intent may repeat it
    */
   public void abandon(
       String id, long version, Collection<BlockKey> keys, Consumer<Boolean> listener) {
--- a/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
@@ -18,14 +18,14 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
-/** Blocks of games as one claim has read them from the state service, with their versions. */
+/** The blocks that one claim has read from the state service, with their versions. */
 final class ClaimedBlocks {
   private static final int MAX_CONCURRENT_READS = 8;
 
-  /** The bound of the blocks in one transaction, below the service's bound of a request. */
+  /** The maximum size of the blocks in one transaction, below the service's limit for a request. */
   private static final int MAX_TRANSACTION_BYTES = 44 * 1024;
 
-  /** What surrounds a block in a transaction. */
+  /** The size that a transaction needs for each block besides its value. */
   private static final int BLOCK_OVERHEAD_BYTES = 150;
 
   private final KeyValueStore state;
@@ -39,21 +39,21 @@
     this.maxOps = context.maxOps();
   }
 
-  /** The blocks that were read or written. */
+  /** The blocks as last read or written. */
   Map<BlockKey, Block> blocks() {
     return blocks;
   }
 
-  /** Which record could not be decoded and why, or null. */
+  /** The record that could not be decoded and the reason, or null. */
   String decodingError() {
     return decodingError;
   }
 
   /**
-   * Reads some blocks anew.
+   * Reads blocks from the state service, also those that were read before.
    *
-   * @param done called when all are read
-   * @param failed called when the service does not answer or a record cannot be decoded
+   * @param onDone called when all blocks are read
+   * @param onFailed called if the service does not answer or a record cannot be decoded
    */
   void read(Collection<BlockKey> keys, Runnable onDone, Runnable onFailed) {
     new BatchRead(keys, onDone, onFailed).readMore();
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Adds changed blocks to a transaction, on condition that they are as they were read. */
+  /** Adds changed blocks to a transaction, on condition that their versions are those read. */
   void addTo(Transaction transaction, Map<BlockKey, Block> changed) {
     changed.forEach(
         (key, block) -> {
@@ -122,7 +122,7 @@
         });
   }
 
-  /** Takes changed blocks over after they were committed with that revision. */
+  /** Stores changed blocks after they were committed at this revision. */
   void applyCommitted(Map<BlockKey, Block> changed, long revision) {
     changed.forEach(
         (key, block) -> {
@@ -131,7 +131,7 @@
         });
   }
 
-  /** The first of the changed blocks, as many as fit into a transaction with other operations. */
+  /** As many of the changed blocks as fit into one transaction beside the other operations. */
   Map<BlockKey, Block> firstBatch(Map<BlockKey, Block> changed, int otherOps) {
     Map<BlockKey, Block> batch = new TreeMap<>();
     int bytes = 0;
@@ -146,7 +146,7 @@
     return batch;
   }
 
-  /** Those of the keys whose conditions failed; all when the service named no condition. */
+  /** The keys whose conditions failed; all keys if the service did not report any condition. */
   static List<BlockKey> failedKeys(List<String> failedConditions, Collection<BlockKey> keys) {
     List<BlockKey> failed = new ArrayList<>();
     keys.forEach(
--- a/src/main/java/org/mallowroad/api/claim/ClaimedLeagues.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedLeagues.java
@@ -11,8 +11,8 @@
 import org.mallowroad.state.Transaction;
 
 /**
- * The records of the leagues that one claim touches, as it has read them: the cache may forget them
- * meanwhile.
+ * The records of the leagues that one claim touches, as it has read them. They are kept here
+ * because the cache may evict them before the claim is finished.
  */
 final class ClaimedLeagues {
   private final ValueReader reader;
@@ -20,7 +20,8 @@
   private final JobDependencies dependencies;
 
   /**
-   * By league the lowest game that the job folds, or the highest number if it only depends on it.
+   * The lowest game that the job folds, by league; {@code Long.MAX_VALUE} if the job only depends
+   * on the league.
    */
   private final Map<String, Long> lowestFoldedGames = new TreeMap<>();
 
@@ -38,15 +39,15 @@
         .forEach(league -> lowestFoldedGames.putIfAbsent(league, Long.MAX_VALUE));
   }
 
-  /** The number of leagues. */
+  /** The number of leagues that the claim touches. */
   int size() {
     return lowestFoldedGames.size();
   }
 
   /**
-   * Reads the records.
+   * Reads the league records, from the cache or from the state service.
    *
-   * @param refresh whether those that are known already are read again
+   * @param refresh whether records that are already known are read again
    */
   void read(boolean refresh, Runnable done) {
     ArrayDeque<String> unreadLeagues = new ArrayDeque<>();
@@ -78,9 +79,10 @@
   }
 
   /**
-   * Adds the leagues to an acceptance's transaction. Where other jobs depend on games that this job
-   * folds, or this job depends on games, the league's record changes with it: what was confirmed of
-   * a dependency under the record's earlier version is no longer confirmed.
+   * Adds the leagues to the transaction of an acceptance. If another job may depend on games that
+   * this job folds, or if this job depends on higher games than any before, the transaction also
+   * changes the league's record: a dependency that was confirmed under the earlier version of the
+   * record is then no longer confirmed.
    */
   void addTo(Transaction transaction) {
     lowestFoldedGames.forEach(
@@ -102,7 +104,7 @@
         });
   }
 
-  /** Removes the leagues from the cache: the acceptance may have changed their versions. */
+  /** Evicts the leagues from the cache, because the acceptance may have changed their versions. */
   void evictFromCache() {
     lowestFoldedGames.keySet().forEach(cache::remove);
   }
--- a/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
+++ b/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
@@ -16,25 +16,26 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Checks that a job with dependencies would not wait for itself.
+ * Checks that accepting a job would not close a cycle of dependencies.
  *
- * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER_KEY} with
- * its acceptance, whose version is a condition of the acceptance. So of two jobs that together
- * would close a cycle, the second is checked again and sees the first.
+ * <p>The acceptance of every job with dependencies changes the record {@code
+ * RecordKeys.DEPENDENCY_ORDER_KEY}, and the version of this record is a condition of the
+ * acceptance. So if two jobs would together close a cycle, the acceptance of the second one fails,
+ * and the repeated check sees the first one.
  */
 final class DependencyCycleCheck {
-  /** The result of a check; one method is called, once. */
+  /** Receives the result of a check; exactly one method is called, once. */
   interface Listener {
-    /** The job would not wait for itself. */
+    /** The job would not close a cycle. */
     void onAcyclic();
 
-    /** The job would wait for itself. */
+    /** The job would close a cycle. */
     void onCycle(String reason);
 
     /** The state service does not answer. */
     void onUnavailable();
 
-    /** A record cannot be decoded. */
+    /** The dependency record of another job cannot be decoded. */
     void onUndecodable(String reason);
   }
 
@@ -43,7 +44,7 @@
   private final String id;
   private final JobDependencies dependencies;
 
-  /** The version of the order record that was checked; 0 when there was none. */
+  /** The version of the order record at the time of the check; 0 if there was no record. */
   private long orderRecordVersion;
 
   DependencyCycleCheck(
@@ -54,7 +55,9 @@
     this.dependencies = dependencies;
   }
 
-  /** Reads the other jobs' dependencies and checks them; at once for a job that has none. */
+  /**
+   * Reads the other jobs' dependencies and checks them; a job without dependencies passes at once.
+   */
   void run(Listener listener) {
     if (!dependencies.isGated()) {
       listener.onAcyclic();
@@ -89,7 +92,7 @@
       }
     }
     if (dependenciesByJob.containsKey(id)) {
-      listener.onAcyclic(); // Accepted before: its own record must not look like a cycle.
+      listener.onAcyclic(); // Accepted before; its own record would look like a cycle.
       return;
     }
     Optional<String> lastJobOfCycle =
@@ -97,12 +100,11 @@
     if (lastJobOfCycle.isEmpty()) {
       listener.onAcyclic();
     } else {
-      listener.onCycle(
-          "holds: " + id + " would wait for itself, by way of " + lastJobOfCycle.get());
+      listener.onCycle("holds: " + id + " would depend on itself, through " + lastJobOfCycle.get());
     }
   }
 
-  /** Adds the job's dependencies to its acceptance, on condition that the check still holds. */
+  /** Adds the job's dependencies to its acceptance, on condition that the check is still valid. */
   void addTo(Transaction transaction) {
     if (dependencies.isGated()) {
       transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER_KEY, orderRecordVersion);
--- a/src/main/java/org/mallowroad/api/claim/IntentRecord.java
+++ b/src/main/java/org/mallowroad/api/claim/IntentRecord.java
@@ -13,7 +13,7 @@
 import org.mallowroad.wire.FoldCodec;
 import org.mallowroad.wire.Json;
 
-/** The record of a claim that takes more than one transaction. */
+/** Encodes and reads the intent record of a claim that needs more than one transaction. */
 final class IntentRecord {
   private static final String RECORDED_AT = "at";
   private static final String HASH = "hash";
@@ -23,7 +23,7 @@
 
   private IntentRecord() {}
 
-  /** The record of a claim in progress, with the hash of its games. */
+  /** Encodes the record of a claim in progress, with the hash of its games. */
   static ObjectNode inProgress(long wallMs, String hash, Collection<BlockKey> keys) {
     ObjectNode record = Json.object();
     record.put(RECORDED_AT, wallMs);
@@ -32,7 +32,7 @@
     return record;
   }
 
-  /** The record of a claim that is being abandoned. */
+  /** Encodes the record of a claim that is being abandoned. */
   static ObjectNode abandoned(long wallMs, Collection<BlockKey> keys) {
     ObjectNode record = Json.object();
     record.put(RECORDED_AT, wallMs);
@@ -41,12 +41,12 @@
     return record;
   }
 
-  /** Whether the record is of a claim in progress of games with this hash. */
+  /** Whether the record belongs to a claim in progress for games with this hash. */
   static boolean isInProgress(JsonNode record, String hash) {
     return !record.has(ABANDONED) && record.path(HASH).asText().equals(hash);
   }
 
-  /** A hash of a submission's games. */
+  /** The hash of a submission's games. */
   static String hashGames(List<Game> games) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -55,7 +55,7 @@
       }
       return HexFormat.of().formatHex(digest.digest(), 0, HASH_BYTES);
     } catch (NoSuchAlgorithmException e) {
-      throw new AssertionError("every Java platform has SHA-256", e);
+      throw new AssertionError("SHA-256 is available on every Java platform", e);
     }
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/IntentRollback.java
+++ b/src/main/java/org/mallowroad/api/claim/IntentRollback.java
@@ -15,9 +15,10 @@
 import org.mallowroad.state.Transaction;
 
 /**
- * Abandons claims that were begun and will not be finished. First the intent is marked, so that no
- * step of the claim applies any more; then its claims are removed from the blocks; then the intent
- * is deleted. Several nodes may do it at once, and any may go on after another has stopped.
+ * Rolls back claims that were begun and will not be finished. First it marks the intent as
+ * abandoned, so that no further transaction of the claim can be applied; then it removes the claims
+ * from the blocks; then it deletes the intent. Several nodes may do this at the same time, and any
+ * node may continue when another one has stopped.
  */
 final class IntentRollback {
   private final ClaimContext context;
@@ -27,11 +28,11 @@
   }
 
   /**
-   * Abandons the claim of a job.
+   * Abandons the unfinished claim of a job.
    *
-   * @param version of its intent
-   * @param listener whether it is abandoned completely; if not, any node that finds the intent does
-   *     it again
+   * @param version the version of its intent
+   * @param listener receives whether the rollback is complete; if not, any node that finds the
+   *     intent may repeat it
    */
   void abandon(String id, long version, Collection<BlockKey> keys, Consumer<Boolean> listener) {
     context
@@ -106,7 +107,8 @@
               if (result == CallResult.OK
                   || (result == CallResult.CONDITION_FAILED
                       && !failedConditions.contains(RecordKeys.foldIntent(id)))) {
-                // What is not done, or was changed by others meanwhile, is read once more.
+                // Blocks that are not written yet, or were changed by other jobs meanwhile, are
+                // read again.
                 batch.removeAll(result == CallResult.OK ? writtenBlocks.keySet() : List.of());
                 remaining.addAll(batch);
                 context
--- a/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
+++ b/src/main/java/org/mallowroad/api/claim/JobAcceptance.java
@@ -23,36 +23,36 @@
 import org.mallowroad.wire.Json;
 
 /**
- * One acceptance of a job that folds games or has dependencies, until its outcome is known.
+ * Accepts one job that folds games or has dependencies, and retries until the outcome is known.
  *
- * <p>It reads the records that it touches and decides which blocks it changes ({@link ClaimRules}).
- * What fits into one transaction is accepted by it. Otherwise it records an intent, claims some
- * blocks at a time, and accepts the job with the last transaction. When a condition fails it reads
- * what has changed and decides again.
+ * <p>It reads the records that the job touches and decides which blocks to change ({@link
+ * ClaimRules}). If all changes fit into one transaction, that transaction accepts the job.
+ * Otherwise it records an intent, claims the blocks in batches, and accepts the job with a final
+ * transaction. When a condition fails, it reads again what has changed and decides again.
  */
 final class JobAcceptance {
   /**
-   * Conflicts after which the user is asked to retry. The intent stays, and with it the claims that
-   * were made.
+   * The maximum number of retries, after which the user is asked to retry. The intent and the
+   * claims that were made remain.
    */
   private static final int MAX_RETRIES = 12;
 
-  /** Retries wait longer and longer, up to so many times the first wait. */
+  /** The delay grows with each retry, up to this multiple of the first delay. */
   private static final int MAX_BACKOFF_MULTIPLIER = 8;
 
-  /** A transaction that the service refused for its limits is sent again after this time. */
+  /** The delay before a transaction that the service refused for its rate limit is sent again. */
   private static final long OVERLOAD_RETRY_DELAY_MS = 150;
 
-  /** Puts and deletes of an acceptance besides blocks and leagues. */
+  /** The puts and deletes of an acceptance besides those of blocks and leagues. */
   private static final int OPS_BESIDES_BLOCKS_AND_LEAGUES = 3;
 
   private static final String ABANDONED_REASON =
-      "folds: an earlier claim of this job is being given up";
+      "folds: an earlier claim of this job is being abandoned";
 
   /**
    * The job to accept.
    *
-   * @param value its open record, which names the blocks
+   * @param openRecord its open record, which names the blocks of the games
    */
   record Job(String id, ObjectNode openRecord, List<Game> games, JobDependencies dependencies) {}
 
@@ -69,7 +69,7 @@
   private final ClaimedBlocks blocks;
   private final Map<String, JobOutcome> jobOutcomes = new HashMap<>();
 
-  /** The version of its intent; 0 while it has none. */
+  /** The version of the job's intent record; 0 while it has none. */
   private long intentVersion;
 
   private int retries;
@@ -93,7 +93,7 @@
     this.blocks = new ClaimedBlocks(context);
   }
 
-  /** Begins; the listener is called once, when the outcome is known. */
+  /** Starts the acceptance; the listener is called once, when the outcome is known. */
   void start() {
     checkCycles(() -> leagues.read(false, this::readAllBlocks));
   }
@@ -108,7 +108,9 @@
         blocks.decodingError() == null ? "state service not reached" : blocks.decodingError());
   }
 
-  /** Reads a key, or ends the acceptance when the state service does not answer. */
+  /**
+   * Reads a key, or completes the acceptance as unavailable if the state service does not answer.
+   */
   private void read(String key, ValueReader.Listener listener) {
     context
         .state()
@@ -149,8 +151,8 @@
   }
 
   /**
-   * Ends after the claims that were made are released: no other job may be kept from these games
-   * while this one cannot have all of its own.
+   * Completes after releasing the claims that were made: a job that cannot claim all its games must
+   * not keep other jobs from claiming them.
    */
   private void abandonAndComplete(AcceptanceResult.Status status, String reason) {
     if (intentVersion == 0) {
@@ -186,7 +188,7 @@
     }
   }
 
-  /** Reads what has become of the jobs that hold its games, then decides again. */
+  /** Reads the outcomes of the jobs that hold some of the games, then decides again. */
   private void readHolderOutcomes(ArrayDeque<String> holders) {
     if (holders.isEmpty()) {
       decide();
@@ -210,7 +212,7 @@
       if (Json.toText(FoldCodec.encodeBlock(block)).length() > context.maxValueBytes()) {
         complete(
             AcceptanceResult.Status.REJECTED,
-            "folds: the record of these games is full, with too many members' names");
+            "folds: a block record would be too large because of too many member names");
         return;
       }
     }
@@ -228,7 +230,7 @@
     }
   }
 
-  /** A transaction on condition that the job is neither open nor over. */
+  /** Returns a transaction on condition that the job has neither an open nor an end record. */
   private Transaction transactionForNewJob() {
     return new Transaction()
         .requireVersion(RecordKeys.openJob(id), 0)
@@ -251,12 +253,17 @@
     send(
         transaction,
         revision -> completeAccepted(),
-        // An intent was recorded by an earlier submission, perhaps on another node.
+        // If the intent exists, an earlier submission recorded it, possibly on another node.
         failedConditions ->
             handleFailedConditions(failedConditions, this::adoptIntent, changed.keySet()));
   }
 
-  /** The job is known, its intent is another one, or other jobs changed what it had read. */
+  /**
+   * Handles a failed transaction: the job is a duplicate, its intent has changed, or other jobs
+   * have changed records that were read.
+   *
+   * @param written the blocks that the transaction would have written
+   */
   private void handleFailedConditions(
       List<String> failedConditions, Runnable onIntentChanged, Collection<BlockKey> written) {
     if (isDuplicate(failedConditions)) {
@@ -278,7 +285,7 @@
     if (Json.toText(value).length() > context.maxValueBytes()) {
       complete(
           AcceptanceResult.Status.REJECTED,
-          "folds: the games are in too many parts of their leagues");
+          "folds: the games are spread over too many blocks of their leagues");
       return;
     }
     send(
@@ -298,7 +305,7 @@
         });
   }
 
-  /** Goes on with the recorded intent if it is for the same games and not abandoned. */
+  /** Continues the recorded intent if it is for the same games and not abandoned. */
   private void adoptIntent() {
     read(
         RecordKeys.foldIntent(id),
@@ -343,7 +350,7 @@
             handleFailedConditions(failedConditions, this::completeAfterIntentChange, List.of()));
   }
 
-  /** Its intent has changed: the job was accepted by another request, or is being abandoned. */
+  /** Completes after the intent has changed: another request accepted or abandoned the claim. */
   private void completeAfterIntentChange() {
     read(
         RecordKeys.foldIntent(id),
@@ -356,7 +363,7 @@
         });
   }
 
-  /** Reads again what other jobs changed; when the service does not say what, everything. */
+  /** Reads again what other jobs changed, or everything if the service does not report what. */
   private void rereadAndDecide(List<String> failedConditions, Collection<BlockKey> written) {
     boolean haveLeaguesChanged =
         failedConditions.isEmpty() || failedConditions.stream().anyMatch(RecordKeys::isLeagueKey);
@@ -378,10 +385,15 @@
         });
   }
 
-  /** Goes on after a while, which grows with each retry; too many end the acceptance. */
+  /**
+   * Runs {@code next} after a delay that grows with each retry; too many retries end the
+   * acceptance.
+   */
   private void retryAfterDelay(Runnable next) {
     if (++retries > MAX_RETRIES) {
-      complete(AcceptanceResult.Status.UNAVAILABLE, "others claim the same games at this moment");
+      complete(
+          AcceptanceResult.Status.UNAVAILABLE,
+          "other jobs are claiming the same games at the moment");
     } else {
       loop.after(
           ClaimContext.CONFLICT_RETRY_DELAY_MS * Math.min(MAX_BACKOFF_MULTIPLIER, retries), next);
@@ -389,8 +401,8 @@
   }
 
   /**
-   * Runs a transaction until its outcome is known: without an answer the same one is sent again,
-   * and its conditions tell whether the first was applied.
+   * Sends a transaction until its outcome is known. If there is no response, the same transaction
+   * is sent again, and its conditions show whether the first copy was applied.
    */
   private void send(
       Transaction transaction, LongConsumer onCommitted, Consumer<List<String>> onConditionFailed) {
--- a/src/main/java/org/mallowroad/api/claim/JobRecordReader.java
+++ b/src/main/java/org/mallowroad/api/claim/JobRecordReader.java
@@ -10,12 +10,12 @@
 public final class JobRecordReader {
   private final KeyValueStore state;
 
-  /** What a job's records say; one method is called, once. */
+  /** Receives the state of a job; exactly one method is called, once. */
   public interface Listener {
-    /** The job is open: the value and version of its open record. */
+    /** The job is open; the arguments are the value and version of its open record. */
     void onOpen(JsonNode value, long version);
 
-    /** The job is over: done, or else cancelled. */
+    /** The job has ended: it is done, or else it was cancelled. */
     void onEnded(boolean done);
 
     /** There is no such job. */
@@ -25,14 +25,14 @@
     void onUnavailable();
   }
 
-  /** Reads from the state service. */
+  /** Creates a reader for this state service. */
   public JobRecordReader(KeyValueStore state) {
     this.state = state;
   }
 
   /**
-   * Reads the open record, then the end record. A transaction that writes the second deletes the
-   * first, so in this order a job is never missed.
+   * Reads the open record, then, if there is none, the end record. The transaction that writes the
+   * end record deletes the open record, so reading in this order never misses a job.
    */
   public void read(String id, Listener listener) {
     state.get(
@@ -48,7 +48,7 @@
         });
   }
 
-  /** Reads the end record alone. */
+  /** Reads only the end record. */
   public void readEnd(String id, Listener listener) {
     state.get(
         RecordKeys.endedJob(id),
--- a/src/main/java/org/mallowroad/api/claim/LeagueCache.java
+++ b/src/main/java/org/mallowroad/api/claim/LeagueCache.java
@@ -3,8 +3,9 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectLinkedOpenHashMap;
 
 /**
- * The league records that were read last. An outdated one does no harm: its version is a condition
- * of each transaction, which then fails and is made again from a fresh read.
+ * Caches the league records that were read most recently. An outdated record does no harm: its
+ * version is a condition of every transaction that uses it, so the transaction fails and is built
+ * again from a fresh read.
  */
 final class LeagueCache {
   private static final int MAX_CACHED_LEAGUES = 256;
@@ -12,7 +13,7 @@
   private final Object2ObjectLinkedOpenHashMap<String, LeagueRecord> records =
       new Object2ObjectLinkedOpenHashMap<>();
 
-  /** The record as it was read last, or null. */
+  /** The record as it was last read, or null if it is not cached. */
   LeagueRecord get(String league) {
     return records.get(league);
   }
--- a/src/main/java/org/mallowroad/api/claim/LeagueRecord.java
+++ b/src/main/java/org/mallowroad/api/claim/LeagueRecord.java
@@ -4,11 +4,11 @@
 import org.mallowroad.state.LeagueRecordCodec;
 
 /**
- * A league's record.
+ * The dependency record of a league.
  *
- * @param upTo the highest game on which any job depends, or -1
- * @param changes how often a game up to that one was claimed, or -1
- * @param version the key's version; 0 when there is no record
+ * @param highestRequiredGame the highest game on which any job depends, or -1
+ * @param changeCount how often a game up to that one was claimed, or -1
+ * @param version the version of the record; 0 if there is no record
  */
 record LeagueRecord(long highestRequiredGame, long changeCount, long version) {
   static LeagueRecord decode(JsonNode value, long version) {
--- a/src/main/java/org/mallowroad/api/claim/ValueReader.java
+++ b/src/main/java/org/mallowroad/api/claim/ValueReader.java
@@ -2,16 +2,18 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Reads keys for one claim; when the state service does not answer, the claim ends. */
+/**
+ * Reads keys for one acceptance, which ends as unavailable if the state service does not answer.
+ */
 @FunctionalInterface
 interface ValueReader {
-  /** Takes a value that was read. */
+  /** Receives a value that was read. */
   @FunctionalInterface
   interface Listener {
-    /** The value, or null with version 0 when the key does not exist. */
+    /** Called with the value and its version, or with null and 0 if the key does not exist. */
     void onValue(JsonNode value, long version);
   }
 
-  /** Reads a key; the listener is called once, or never when the claim has ended. */
+  /** Reads a key; the listener is called once, or never if the acceptance ends instead. */
   void read(String key, Listener listener);
 }
--- a/src/main/java/org/mallowroad/wire/CloudCodec.java
+++ b/src/main/java/org/mallowroad/wire/CloudCodec.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Requests and responses of the cloud's machine API, except for machine types ({@link
- * MachineTypeCodec}).
+ * Encodes requests to the cloud's machine API and decodes its responses, except for machine types
+ * ({@link MachineTypeCodec}).
  */
 public final class CloudCodec {
   private static final int MAX_NAME_LENGTH = 150;
@@ -21,9 +21,9 @@
   /**
    * A rented machine as the cloud lists it.
    *
-   * @param address host:port of its worker, empty while it has none
-   * @param state the cloud's own word for its state
-   * @param ageS seconds since it was rented
+   * @param address host:port of its worker; empty while it has none
+   * @param state the state as the cloud names it
+   * @param ageS the time since it was rented, in seconds
    */
   public record ListedMachine(
       String name,
@@ -45,7 +45,8 @@
   /**
    * A request to rent machines.
    *
-   * @param name the idempotency key: a repeated request with the same name rents nothing more
+   * @param name the idempotency key: a repeated request with the same name rents no further
+   *     machines
    */
   public record RentalRequest(String name, String type, String zone, boolean spot, int count) {}
 
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -14,12 +14,12 @@
 import org.mallowroad.core.explain.NodeStatus;
 
 /**
- * The console's answers: the records of {@code core.explain} as JSON, with the names of their
- * components. A reader ignores fields that it does not know, and rejects an answer that lacks a
- * list or has another format version.
+ * Encodes and decodes the responses of the console API: the records of {@code core.explain} as
+ * JSON, with the names of their components as field names. The decoder ignores unknown fields, and
+ * rejects a response that lacks a list or has another format version.
  */
 public final class ConsoleCodec {
-  /** The prefix of the console's paths; its last part is the version of the API. */
+  /** The prefix of the console API's paths, which ends with the version of the API. */
   public static final String PATH_PREFIX = "/console/v1/";
 
   private static final ObjectMapper MAPPER =
@@ -34,11 +34,11 @@
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
-      throw new UncheckedIOException("a record can always be written to memory", e);
+      throw new UncheckedIOException("encoding a record to memory must not fail", e);
     }
   }
 
-  /** Decodes a node's status; all its lists are present and its format is known to this build. */
+  /** Decodes a node's status; checks that its format is supported and that no list is missing. */
   public static NodeStatus decodeStatus(byte[] body) throws InvalidMessageException {
     NodeStatus status = read(body, NodeStatus.class);
     if (status.format() < 1 || status.node() == null || status.stack() == null) {
@@ -70,7 +70,7 @@
     return status;
   }
 
-  /** Decodes one job. */
+  /** Decodes the snapshot of one job. */
   public static JobSnapshot decodeJob(byte[] body) throws InvalidMessageException {
     JobSnapshot job = read(body, JobSnapshot.class);
     if (job.id() == null || job.tasks() == null) {
@@ -79,7 +79,7 @@
     return job;
   }
 
-  /** Decodes the recent samples of a node's metrics, the oldest first. */
+  /** Decodes the recent samples of a node's metrics, oldest first. */
   public static List<MetricSample> decodeHistory(byte[] body) throws InvalidMessageException {
     MetricSample[] samples = read(body, MetricSample[].class);
     for (MetricSample sample : samples) {
@@ -104,7 +104,8 @@
         return value;
       }
     } catch (IOException e) {
-      // Replaced by the exception below: the library's text names classes, which helps no user.
+      // Replaced by the exception below: the library's message names Java classes, which is of no
+      // use to a user.
     }
     throw invalidAnswer();
   }
--- a/src/main/java/org/mallowroad/wire/DependencyCodec.java
+++ b/src/main/java/org/mallowroad/wire/DependencyCodec.java
@@ -13,20 +13,24 @@
 import org.mallowroad.core.fold.BlockNumberRanges;
 
 /**
- * The dependencies of a job, in submissions and in records: jobs that must be over, and games of
- * leagues up to which all must be folded, before it is started.
+ * Decodes and encodes the dependencies of a job, in submissions and in records. Before the job is
+ * started, the jobs that it requires must have ended, and all games of a league up to a given
+ * number must be folded.
  */
 public final class DependencyCodec {
-  /** The field of a submission, and of a record. */
+  /** The field of a submission, and of a record, that holds the dependencies. */
   public static final String DEPENDENCIES = "holds";
 
-  /** The most jobs that one submission may depend on. */
+  /** The maximum number of jobs that one submission may depend on. */
   public static final int MAX_JOBS = 500;
 
-  /** The most games, each of a league or a member, that one submission may depend on. */
+  /** The maximum number of game dependencies in one submission, each for a league or a member. */
   public static final int MAX_GAMES = 64;
 
-  /** The most different leagues among them: each is a condition of every start's transaction. */
+  /**
+   * The maximum number of distinct leagues among them; each is a condition of every transaction
+   * that starts tasks of the job.
+   */
   public static final int MAX_LEAGUES = 16;
 
   private static final String JOBS = "jobs";
@@ -37,7 +41,7 @@
 
   private DependencyCodec() {}
 
-  /** Decodes the dependencies in a submission or record; the folds of the result are empty. */
+  /** Decodes the dependencies in a submission or record; the result has no folded blocks. */
   public static JobDependencies decodeDependencies(JsonNode submission)
       throws InvalidMessageException {
     JsonNode node = submission.get(DEPENDENCIES);
@@ -115,8 +119,8 @@
   }
 
   /**
-   * Encodes the record of a job with dependencies that is not over. Cycles are found by it when
-   * another job with dependencies is submitted.
+   * Encodes the dependency record of a job that has not ended. When another job with dependencies
+   * is submitted, cycles are detected from these records.
    */
   public static ObjectNode encodeRecord(JobDependencies dependencies) {
     ObjectNode record = Json.object();
@@ -138,7 +142,7 @@
     return record;
   }
 
-  /** Decodes such a record. */
+  /** Decodes a record written by {@link #encodeRecord}, including the folded blocks. */
   public static JobDependencies decodeRecord(JsonNode record) throws InvalidMessageException {
     JobDependencies dependencies = decodeDependencies(record);
     return new JobDependencies(
--- a/src/main/java/org/mallowroad/wire/Fields.java
+++ b/src/main/java/org/mallowroad/wire/Fields.java
@@ -1,9 +1,9 @@
 package org.mallowroad.wire;
 
 /**
- * The field names and values of the platform's protocols, which have words of their own. This is
- * the one place where they are mapped to the standard terms that the code uses; names ending in
- * {@code _S}, {@code _MS} and {@code _GB} give the unit.
+ * The field names and values of the platform's protocols, which use their own vocabulary. This is
+ * the only place where they are mapped to the standard terms that the code uses. The suffixes
+ * {@code _S}, {@code _MS} and {@code _GB} state the unit: seconds, milliseconds and gigabytes.
  */
 public final class Fields {
   private Fields() {}
@@ -11,30 +11,30 @@
   // Jobs.
   public static final String ID = "name_id";
 
-  /** The class of jobs that a job belongs to, for which objectives may be set. */
+  /** The class of a job, for which service objectives may be set. */
   public static final String TASK_CLASS = "docket";
 
   public static final String TEAM = "crew";
   public static final String KIND = "form";
 
-  /** A job array: tasks that run independently of each other. */
+  /** A job array: its tasks run independently of each other. */
   public static final String KIND_ARRAY = "sweep";
 
-  /** A service: tasks that run until the job is cancelled. */
+  /** A service: its tasks run until the job is cancelled. */
   public static final String KIND_SERVICE = "service";
 
-  /** A gang: tasks that are started together or not at all. */
+  /** A gang: its tasks are started together or not at all. */
   public static final String KIND_GANG = "gang";
 
   /** One of critical, urgent, normal and idle. */
   public static final String PRIORITY = "rank";
 
-  /** The number of a job's tasks; in a heartbeat the list of attempts on the machine. */
+  /** In a submission the number of tasks; in a heartbeat the list of attempts on the machine. */
   public static final String TASKS = "moves";
 
   public static final String CPUS = "cpus";
 
-  /** Accelerator cards of a task, or of a machine. */
+  /** The number of accelerator cards of a task or of a machine. */
   public static final String CARDS = "cards";
 
   public static final String MEMORY_GB = "mem_gb";
@@ -47,7 +47,7 @@
   /** In a submission the allowed machine types; in a response the list of types. */
   public static final String MACHINE_TYPES = "builds";
 
-  /** A job's only allowed zone, or a machine's zone. */
+  /** The only zone in which a job may run, or the zone of a machine. */
   public static final String ZONE = "ground";
 
   public static final String ZONES = "grounds";
@@ -58,16 +58,18 @@
   /** Whether at most half of the tasks, rounded up, may be in one zone. */
   public static final String SCATTER = "scatter";
 
-  /** Whether spot machines are allowed, or a machine is one. */
+  /**
+   * In a submission whether spot machines are allowed; else whether a machine is a spot machine.
+   */
   public static final String SPOT = "driftwood";
 
-  /** The owner's estimate of a task's run time without the image fetch. */
+  /** The owner's estimate of the run time of a task, excluding the image fetch. */
   public static final String ESTIMATED_RUNTIME_S = "reckon_s";
 
-  /** Progress between two checkpoints; 0 for a task that saves none. */
+  /** The run time between two checkpoints; 0 for a task that saves none. */
   public static final String CHECKPOINT_INTERVAL_S = "cairn_s";
 
-  /** The time in which a stopped task saves a checkpoint. */
+  /** The time that a stopped task needs to save a checkpoint. */
   public static final String CHECKPOINT_SAVE_S = "stow_s";
 
   /** Seconds after submission by which the job should be done; null for no deadline. */
@@ -92,25 +94,25 @@
   /** Orders the messages of a worker within an incarnation. */
   public static final String SEQUENCE = "tally";
 
-  /** The token under which commands are given; in a heartbeat the highest one seen. */
+  /** In commands the token of the sending leader; in a heartbeat the highest token seen. */
   public static final String FENCING_TOKEN = "baton";
 
-  /** Seconds until the cloud preempts the machine; null without a notice. */
+  /** The time until the cloud preempts the machine; null without a preemption notice. */
   public static final String PREEMPTION_NOTICE_S = "warning_s";
 
-  /** A task as job/number. */
+  /** A task, as the job id and the task number separated by a slash. */
   public static final String TASK = "move";
 
-  /** The number of a start of a task. */
+  /** The number of an attempt to run a task. */
   public static final String ATTEMPT = "try";
 
   /** Why an attempt ended. */
   public static final String CAUSE = "cause";
 
-  /** The attempt fetches its image. */
+  /** The attempt is fetching its image. */
   public static final String PULLING = "pulling";
 
-  /** The attempt saves its checkpoint before it ends. */
+  /** The attempt is saving a checkpoint before it ends. */
   public static final String FLUSHING = "flushing";
 
   public static final String EXITED = "exited";
@@ -119,19 +121,19 @@
   public static final String LAUNCH = "launch";
   public static final String STOP = "stop";
 
-  /** A command to remove an exited attempt from the heartbeats. */
+  /** The command to omit an exited attempt from further heartbeats. */
   public static final String CLEAR = "clear";
 
   /** The time that a stopped attempt is given to save a checkpoint. */
   public static final String GRACE_PERIOD_S = "leeway_s";
 
-  /** The name of the node that leads, to which a worker is redirected. */
+  /** The name of the leader, to which a worker is redirected. */
   public static final String LEADER = "steward";
 
-  /** An optional extension: the worker exchanges images with other workers. */
+  /** Optional extension: whether the worker exchanges images with other workers. */
   public static final String SHARES_IMAGES = "hands_on";
 
-  /** An optional extension: addresses of workers that have the image of a launch. */
+  /** Optional extension: the addresses of workers that have the image of the launched task. */
   public static final String IMAGE_SOURCES = "givers";
 
   // Cloud.
@@ -139,24 +141,24 @@
   /** The name of a machine type. */
   public static final String TYPE_NAME = "label";
 
-  /** The size of a machine's cache of images. */
+  /** The size of a machine's image cache. */
   public static final String IMAGE_CACHE_GB = "local_gb";
 
-  /** How fast a machine fetches images. */
+  /** The rate at which a machine fetches images. */
   public static final String IMAGE_FETCH_GB_PER_S = "fetch_gb_per_s";
 
-  /** The price of an hour. */
+  /** The price per hour. */
   public static final String PRICE = "price";
 
   public static final String SPOT_PRICE = "spot_price";
   public static final String BOOT_TIME_S = "boot_s";
 
-  /** The name of a rental request: its idempotency key. */
+  /** The name of a rental request, which is its idempotency key. */
   public static final String RENTAL_REQUEST = "hire";
 
   public static final String COUNT = "how_many";
 
-  /** Whether the list goes on on another page. */
+  /** Whether there is a next page of the list. */
   public static final String TRUNCATED = "truncated";
 
   public static final String AGE_S = "age_s";
@@ -170,22 +172,22 @@
   /** The revision at which a key was last written; 0 when it does not exist. */
   public static final String VERSION = "mark";
 
-  /** Keys with their values and versions. */
+  /** The list of keys with their values and versions. */
   public static final String ITEMS = "pairs";
 
-  /** The versions that keys must have for a transaction to be applied. */
+  /** The versions that keys must have for the transaction to be applied. */
   public static final String CONDITIONS = "if";
 
   public static final String WRITES = "writes";
   public static final String PUT = "put";
   public static final String DELETE = "delete";
 
-  /** The lease with which a key expires. */
+  /** The lease to which a key is attached; the key is deleted when the lease expires. */
   public static final String LEASE = "tenure";
 
   public static final String LEASE_DURATION_MS = "life_ms";
 
-  /** The number of the newest change of the store. */
+  /** The revision of the store, which increases with each change. */
   public static final String REVISION = "epoch";
 
   public static final String EVENTS = "events";
--- a/src/main/java/org/mallowroad/wire/FoldCodec.java
+++ b/src/main/java/org/mallowroad/wire/FoldCodec.java
@@ -22,58 +22,59 @@
 import org.mallowroad.core.fold.Game;
 
 /**
- * The games that a submission folds, and blocks of folds as they are stored.
+ * Decodes the games that a submission folds, and encodes and decodes blocks of folds for storage.
  *
- * <p>A block is stored with the names of members and jobs once each, and its sides as numbers that
- * refer to them (docs/folds.md). Its fields: {@code v} version, {@code m} members, {@code j} jobs,
- * {@code s} sides, {@code c} checksum.
+ * <p>A stored block contains the name of each member and job once, and its sides as numbers that
+ * refer to these names (docs/folds.md). Its fields are {@code v} version, {@code m} members, {@code
+ * j} jobs, {@code s} sides and {@code c} checksum.
  */
 public final class FoldCodec {
   /** The field of a submission that lists its games. */
   public static final String FOLDS = "folds";
 
-  /** The field of an open record that names the blocks in which the games are stored. */
+  /** The field of an open record that lists the blocks in which the games are stored. */
   public static final String BLOCKS = "fold_blocks";
 
-  /** The most games in one submission. */
+  /** The maximum number of games in one submission. */
   public static final int MAX_GAMES = 1_000;
 
-  /** The most members of a game in one submission. */
+  /** The maximum number of members of a game in one submission. */
   public static final int MAX_MEMBERS = 8;
 
-  /** The highest number of a game: bitmaps have 31-bit indices. */
+  /** The highest game number; bitmaps of games have 31-bit indices. */
   public static final long MAX_GAME_NUMBER = 100_000_000;
 
   /** The version of the block format that this build reads and writes. */
   static final int FORMAT_VERSION = 1;
 
-  /** The form of a league's name, which is part of a key in the state service. */
+  /** The format of a league's name, which is part of a key in the state service. */
   static final Pattern LEAGUE_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
 
-  /** The form of a member's name. */
+  /** The format of a member's name. */
   static final Pattern MEMBER_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,24}");
 
   static final int MAX_LEAGUE_LENGTH = 64;
   static final int MAX_MEMBER_LENGTH = 24;
   private static final long MAX_REVISION = 1_000_000;
 
-  /** Flags of a stored side: the result was taken back. */
+  /** Flag of a stored side: the result was retracted. */
   private static final int RETRACTED = 1;
 
-  /** The fold's job is done. */
+  /** Flag of a stored side: the job of the fold is done. */
   private static final int SETTLED = 2;
 
-  /** An earlier fold, to which a cancellation returns, follows. */
+  /** Flag of a stored side: it is followed by its base, the fold that a cancellation restores. */
   private static final int HAS_BASE = 4;
 
-  /** Numbers of a stored side without a base, and with one. */
+  /** The count of numbers that store a side without a base. */
   private static final int SIDE_LENGTH = 5;
 
+  /** The count of numbers that store a side with a base. */
   private static final int SIDE_LENGTH_WITH_BASE = 8;
 
   private FoldCodec() {}
 
-  /** Decodes the games that a submission folds; none without the field. */
+  /** Decodes the games that a submission folds; none if the field is absent. */
   public static List<Game> decodeGames(JsonNode submission) throws InvalidMessageException {
     JsonNode node = submission.get(FOLDS);
     if (node == null || node.isNull()) {
@@ -129,7 +130,7 @@
     return new Game(league, number, revision, retracted, List.copyOf(memberNames));
   }
 
-  /** Encodes the names of blocks for a record, as ranges of numbers by league. */
+  /** Encodes block keys for a record, as ranges of block numbers by league. */
   public static ObjectNode encodeBlockKeys(Iterable<BlockKey> keys) {
     List<BlockKey> list = new ArrayList<>();
     keys.forEach(list::add);
@@ -140,7 +141,7 @@
     return numbersByLeague;
   }
 
-  /** Decodes the blocks that a record names; none without the field. */
+  /** Decodes the block numbers that a record lists, by league; none if the field is absent. */
   public static Map<String, IntList> decodeBlockKeys(JsonNode record)
       throws InvalidMessageException {
     Map<String, IntList> numbersByLeague = new TreeMap<>();
@@ -159,8 +160,8 @@
   }
 
   /**
-   * Encodes a block for its record. The checksum over names and sides tells a record that somebody
-   * changed by hand from one that was written here.
+   * Encodes a block for its record. The checksum over names and sides reveals a record that was
+   * changed by hand.
    */
   public static ObjectNode encodeBlock(Block block) {
     Object2IntLinkedOpenHashMap<String> members = new Object2IntLinkedOpenHashMap<>();
@@ -207,7 +208,7 @@
     return Long.toHexString(crc.getValue());
   }
 
-  /** Decodes a block from its record; an empty one when there is no record. */
+  /** Decodes a block from its record; the block is empty if there is no record. */
   public static Block decodeBlock(JsonNode record) throws InvalidMessageException {
     Block block = new Block();
     if (record == null) {
@@ -216,10 +217,10 @@
     int version = record.path("v").asInt();
     if (version != FORMAT_VERSION) {
       throw new InvalidMessageException(
-          "v: a block of version " + version + ", this build reads " + FORMAT_VERSION);
+          "v: block version " + version + " is not supported; this build reads " + FORMAT_VERSION);
     }
     if (!checksum(record).equals(record.path("c").asText())) {
-      throw new InvalidMessageException("c: the block's checksum is not that of its content");
+      throw new InvalidMessageException("c: the checksum does not match the content of the block");
     }
     JsonNode sides = record.path("s");
     try {
@@ -249,8 +250,8 @@
         i += base == null ? SIDE_LENGTH : SIDE_LENGTH_WITH_BASE;
       }
     } catch (NullPointerException e) {
-      // An index that is out of range reads as null.
-      throw new InvalidMessageException("s: the block names what it does not have");
+      // Reading an index that is out of range returns null.
+      throw new InvalidMessageException("s: an index is out of range");
     }
     return block;
   }
--- a/src/main/java/org/mallowroad/wire/JobCodec.java
+++ b/src/main/java/org/mallowroad/wire/JobCodec.java
@@ -16,10 +16,10 @@
 
 /**
  * Decodes submissions: checks every field, and replaces names by their indices. Confined to the
- * thread of its tables.
+ * thread that owns the name indices.
  */
 public final class JobCodec {
-  /** The form of a job id. */
+  /** The format of a job id. */
   public static final Pattern ID_PATTERN = Pattern.compile("job-[0-9]{1,40}");
 
   private static final int MAX_ID_LENGTH = 60;
@@ -29,10 +29,10 @@
   private static final int MAX_TASKS = 100_000;
   private static final double MAX_AMOUNT = 1e9;
 
-  /** The zone of a job that may run in any. */
+  /** The zone index of a job that may run in any zone. */
   private static final int ANY_ZONE = -1;
 
-  /** The zone of a job whose zone is not in the settings: no machine is in it. */
+  /** The zone index of a job whose zone is not configured; no machine has it. */
   private static final int UNKNOWN_ZONE = Integer.MAX_VALUE;
 
   private static final List<String> PRIORITIES = List.of("critical", "urgent", "normal", "idle");
@@ -43,7 +43,7 @@
   private final NameIndex images;
   private final NameIndex taskClasses;
 
-  /** Looks indices up in these tables of names. */
+  /** Creates a codec that takes indices from these name indices. */
   public JobCodec(
       NameIndex teams,
       NameIndex zones,
@@ -58,16 +58,17 @@
   }
 
   /**
-   * Decodes a submission only to validate it. Unknown names get no indices: a client that sends
-   * wrong submissions must not fill the tables.
+   * Decodes a submission only to validate it. Unknown names are not added to the name indices, so
+   * that a client cannot fill them with invalid submissions.
    */
   public JobSpec validate(JsonNode submission) throws InvalidMessageException {
     return decode(submission, 0, false);
   }
 
   /**
-   * Decodes an accepted submission. An unknown team has index -1 and an unknown zone or type
-   * matches nothing, which is for the caller to judge: the submission itself is well formed.
+   * Decodes an accepted submission. An unknown team has index -1, and an unknown zone or type
+   * matches no machine. The submission is still well formed; the caller decides what to do about
+   * it.
    */
   public JobSpec decode(JsonNode submission, long submittedMs) throws InvalidMessageException {
     return decode(submission, submittedMs, true);
@@ -150,8 +151,8 @@
   }
 
   /**
-   * Decodes the games that a job folds and its dependencies. A record names only the blocks of its
-   * games; a submission has the games themselves, which are validated.
+   * Decodes the games that a job folds and its dependencies. A record contains only the block keys
+   * of its games; a submission contains the games themselves, which are validated.
    */
   private static JobDependencies decodeJobDependencies(
       JsonNode submission, boolean isNotArray, boolean isAccepted) throws InvalidMessageException {
@@ -184,7 +185,7 @@
           || typeName.textValue().length() > MAX_NAME_LENGTH) {
         throw new InvalidMessageException(Fields.MACHINE_TYPES + ": type names are needed");
       }
-      // A type that the cloud does not offer yet may be offered later: it gets an index.
+      // The cloud may offer an unknown type later, so it gets an index.
       int typeIndex =
           isAccepted
               ? machineTypes.intern(typeName.textValue())
@@ -196,7 +197,7 @@
     return allowed;
   }
 
-  /** Copies the known fields of a submission, for its record. */
+  /** Copies the known fields of a submission for its record. */
   public static ObjectNode copyKnownFields(ObjectNode submission) {
     ObjectNode copy = Json.object();
     for (String field :
--- a/src/main/java/org/mallowroad/wire/Json.java
+++ b/src/main/java/org/mallowroad/wire/Json.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads and writes JSON. Accessors check type and bounds; their {@link InvalidMessageException}
- * names the wrong field.
+ * Reads and writes JSON. The accessors check type and bounds of a field, and throw an {@link
+ * InvalidMessageException} that names an invalid field.
  */
 public final class Json {
   private static final ObjectMapper MAPPER =
@@ -21,17 +21,17 @@
 
   private Json() {}
 
-  /** An empty object. */
+  /** Returns a new empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** An empty array. */
+  /** Returns a new empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Parses a JSON object; nothing may follow it. */
+  /** Parses a JSON object; the body must contain nothing else. */
   public static ObjectNode parseObject(byte[] body) throws InvalidMessageException {
     JsonNode node;
     try {
@@ -45,17 +45,17 @@
     return object;
   }
 
-  /** The UTF-8 bytes of a value. */
+  /** Encodes a JSON value as UTF-8. */
   public static byte[] toBytes(JsonNode node) {
     return toText(node).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The text of a value. */
+  /** Encodes a JSON value as text. */
   public static String toText(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
     } catch (JsonProcessingException e) {
-      throw new UncheckedIOException("a JSON tree can always be written to memory", e);
+      throw new UncheckedIOException("encoding JSON to memory must not fail", e);
     }
   }
 
@@ -63,7 +63,7 @@
     return node == null || node.isNull() || node.isMissingNode();
   }
 
-  /** A required, non-empty string of at most {@code max} characters. */
+  /** Returns a required, non-empty string of at most {@code maxLength} characters. */
   public static String requiredString(JsonNode object, String field, int maxLength)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
@@ -77,13 +77,15 @@
     return node.textValue();
   }
 
-  /** An optional string of at most {@code max} characters; null when it is absent. */
+  /**
+   * Returns an optional string of at most {@code maxLength} characters, or null if it is absent.
+   */
   public static String optionalString(JsonNode object, String field, int maxLength)
       throws InvalidMessageException {
     return isAbsent(object.get(field)) ? null : requiredString(object, field, maxLength);
   }
 
-  /** A required boolean. */
+  /** Returns a required boolean. */
   public static boolean requiredBoolean(JsonNode object, String field)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
@@ -93,7 +95,7 @@
     return node.booleanValue();
   }
 
-  /** A required finite number from 0 to {@code max}. */
+  /** Returns a required finite number from 0 to {@code max}. */
   public static double requiredNumber(JsonNode object, String field, double max)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
@@ -107,14 +109,14 @@
     return number;
   }
 
-  /** An optional number from 0 to {@code max}, or {@code otherwise} when it is absent. */
+  /** Returns a number from 0 to {@code max}, or {@code defaultValue} if the field is absent. */
   public static double optionalNumber(
       JsonNode object, String field, double max, double defaultValue)
       throws InvalidMessageException {
     return isAbsent(object.get(field)) ? defaultValue : requiredNumber(object, field, max);
   }
 
-  /** A required integer from {@code min} to {@code max}. */
+  /** Returns a required integer from {@code min} to {@code max}. */
   public static long requiredInteger(JsonNode object, String field, long min, long max)
       throws InvalidMessageException {
     JsonNode node = object.get(field);
@@ -129,7 +131,7 @@
     return node.longValue();
   }
 
-  /** A required array. */
+  /** Returns a required array. */
   public static ArrayNode requiredArray(JsonNode object, String field)
       throws InvalidMessageException {
     if (!(object.get(field) instanceof ArrayNode array)) {
--- a/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
+++ b/src/main/java/org/mallowroad/wire/MachineTypeCodec.java
@@ -8,7 +8,9 @@
 import org.mallowroad.core.MachineType;
 import org.mallowroad.core.NameIndex;
 
-/** Machine types as the cloud lists them, which is also the format of their stored copy. */
+/**
+ * Encodes and decodes machine types in the format of the cloud, which is also used to store them.
+ */
 public final class MachineTypeCodec {
   private static final double MAX_AMOUNT = 1e9;
   private static final int MAX_NAME_LENGTH = 200;
@@ -19,7 +21,7 @@
 
   /**
    * Decodes a list of machine types. Their names are added to {@code types}; zones that are not in
-   * {@code zones} are left out.
+   * {@code zones} are omitted.
    */
   public static List<MachineType> decode(ObjectNode list, NameIndex types, NameIndex zones)
       throws InvalidMessageException {
@@ -49,7 +51,7 @@
     return machineTypes;
   }
 
-  /** Encodes machine types as the cloud would list them. */
+  /** Encodes machine types in the format in which the cloud lists them. */
   public static ObjectNode encode(List<MachineType> types, NameIndex zones) {
     ObjectNode list = Json.object();
     ArrayNode items = list.putArray(Fields.MACHINE_TYPES);
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -8,14 +8,14 @@
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 
-/** Heartbeats of workers and commands to workers. */
+/** Decodes heartbeats from workers and encodes commands to workers. */
 public final class WorkerCodec {
   private static final int MAX_NAME_LENGTH = 200;
   private static final int MAX_MACHINE_NAME_LENGTH = 150;
   private static final int MAX_STATE_LENGTH = 40;
   private static final double MAX_NOTICE_S = 1e9;
 
-  /** The notice of a machine that is not about to be preempted. */
+  /** The preemption notice of a machine that is not about to be preempted. */
   private static final double NO_NOTICE = -1;
 
   private WorkerCodec() {}
@@ -69,12 +69,12 @@
       case Fields.RUNNING -> Heartbeat.State.RUNNING;
       case Fields.FLUSHING -> Heartbeat.State.FLUSHING;
       case Fields.EXITED -> Heartbeat.State.EXITED;
-      // Any other attempt that is on the machine and has not ended has not started yet.
+      // In any other state the attempt is on the machine, but has not started running yet.
       default -> Heartbeat.State.PULLING;
     };
   }
 
-  /** Encodes commands that are sent to one incarnation of a worker. */
+  /** Encodes commands that are sent directly to one incarnation of a worker. */
   public static ObjectNode encodeDirectCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
     ObjectNode body = encodeCommands(fencingToken, commands);
--- a/src/test/java/org/mallowroad/api/OpenJobsTest.java
+++ b/src/test/java/org/mallowroad/api/OpenJobsTest.java
@@ -20,7 +20,10 @@
 import org.mallowroad.state.KeyValueStore;
 import org.mallowroad.wire.InvalidMessageException;
 
-/** Many lookups cost few calls, and no answer is older than one that was given before. */
+/**
+ * Tests that many lookups are answered with few calls to the state service, and that no answer is
+ * older than one that was given before.
+ */
 final class OpenJobsTest {
   private static final double READS_PER_S = 10;
 
@@ -78,8 +81,8 @@
           body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What was answers since the last time. */
-    private List<String> responses() {
+    /** Returns and clears the responses since the last call, sorted. */
+    private List<String> takeResponses() {
       List<String> sorted = new ArrayList<>(responses);
       responses.clear();
       sorted.sort(null);
@@ -124,24 +127,24 @@
   Stream<DynamicTest> lookups() {
     return Stream.of(
         testCase(
-            "a malformed submission is rejected, unless its job is known",
+            "an invalid submission is rejected unless its job was accepted before",
             node -> {
               node.submit("{\"bad\":1}");
               node.submit("{\"bad\":1,\"name_id\":7}");
               node.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
               node.advance(100);
-              assertEquals(List.of("submit 400", "submit 400", "submit 400"), node.responses());
+              assertEquals(List.of("submit 400", "submit 400", "submit 400"), node.takeResponses());
               node.storeOpenJob("job-000001");
               node.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
               node.advance(100);
-              assertEquals(List.of("submit queued"), node.responses());
+              assertEquals(List.of("submit queued"), node.takeResponses());
               node.endJob("job-000001");
               node.submit("{\"bad\":1,\"name_id\":\"job-000001\"}");
               node.advance(100);
-              assertEquals(List.of("submit done"), node.responses());
+              assertEquals(List.of("submit done"), node.takeResponses());
             }),
         testCase(
-            "four hundred lookups of known jobs cost a handful of calls",
+            "400 lookups of cached open jobs cost at most 16 calls",
             node -> {
               for (int i = 0; i < 40; i++) {
                 node.storeOpenJob(jobId(i));
@@ -150,13 +153,13 @@
                 node.query(jobId(i));
                 node.advance(500);
               }
-              assertEquals(40, node.responses().size());
+              assertEquals(40, node.takeResponses().size());
               int callsBefore = node.harness.receivedCalls;
               for (int n = 0; n < 400; n++) {
                 node.query(jobId(n % 40));
               }
               node.advance(1_500);
-              List<String> answers = node.responses();
+              List<String> answers = node.takeResponses();
               assertEquals(400, answers.size());
               assertTrue(
                   answers.stream().allMatch(response -> response.endsWith("queued")),
@@ -166,14 +169,14 @@
                   "calls: " + (node.harness.receivedCalls - callsBefore));
             }),
         testCase(
-            "an end that another node recorded is in the next answer",
+            "the end that another node recorded is visible in the next response",
             node -> {
               for (int i = 0; i < 3; i++) {
                 node.storeOpenJob(jobId(i));
                 node.query(jobId(i));
               }
               node.advance(3_000);
-              node.responses();
+              node.takeResponses();
               node.endJob(jobId(1));
               for (int i = 0; i < 3; i++) {
                 node.query(jobId(i));
@@ -181,10 +184,10 @@
               node.advance(2_000);
               assertEquals(
                   List.of(jobId(0) + " queued", jobId(1) + " done", jobId(2) + " queued"),
-                  node.responses());
+                  node.takeResponses());
             }),
         testCase(
-            "a failed comparison tells nothing of jobs whose conditions it does not name",
+            "nothing is concluded about jobs whose conditions a failed comparison does not report",
             node -> {
               node.harness.reportFirstFailureOnly = true;
               for (int i = 0; i < 4; i++) {
@@ -192,10 +195,11 @@
                 node.query(jobId(i));
                 node.advance(1_000);
               }
-              node.responses();
+              node.takeResponses();
               node.endJob(jobId(1));
               node.endJob(jobId(2));
-              // The first two go out by themselves, one each; the others share what comes next.
+              // The first two lookups are sent in one comparison each; the others share the next
+              // one.
               for (int i : new int[] {0, 3, 1, 2}) {
                 node.query(jobId(i));
               }
@@ -206,15 +210,15 @@
                       jobId(1) + " done",
                       jobId(2) + " done",
                       jobId(3) + " queued"),
-                  node.responses());
+                  node.takeResponses());
             }),
         testCase(
-            "a job that ends during its lookup is answered as over",
+            "a job that ends during its lookup is reported as ended",
             node -> {
               node.storeOpenJob(jobId(0));
               node.query(jobId(0));
               node.advance(1_000);
-              node.responses();
+              node.takeResponses();
               node.harness.beforeTransaction =
                   () -> {
                     node.harness.beforeTransaction = () -> {};
@@ -222,16 +226,16 @@
                   };
               node.query(jobId(0));
               node.advance(1_000);
-              assertEquals(List.of(jobId(0) + " done"), node.responses());
+              assertEquals(List.of(jobId(0) + " done"), node.takeResponses());
             }),
         testCase(
-            "an unknown job is looked up while others are looked up without pause",
+            "the lookup of an unknown job is answered under a continuous load of other lookups",
             node -> {
               node.storeOpenJob(jobId(0));
               node.query(jobId(0));
               node.advance(1_000);
               node.endJob(jobId(7));
-              node.responses();
+              node.takeResponses();
               for (int ms = 0; ms < 6_000; ms += 20) {
                 node.query(jobId(0));
                 if (ms % 2_000 == 1_000) {
@@ -240,29 +244,29 @@
                 node.advance(20);
               }
               node.advance(2_000);
-              List<String> answers = node.responses();
+              List<String> answers = node.takeResponses();
               assertTrue(answers.contains(jobId(7) + " done"), answers.toString());
             }),
         testCase(
-            "a repeated submission costs no write, whatever the state of its job",
+            "a repeated submission costs no write, whether its job is open or has ended",
             node -> {
               node.storeOpenJob(jobId(1));
               node.storeOpenJob(jobId(2));
               node.endJob(jobId(2));
-              int callsBefore = node.harness.requestedWrites;
+              int writesBefore = node.harness.requestedWrites;
               for (int n = 1; n <= 2; n++) {
                 node.submit("{\"name_id\":\"" + jobId(n) + "\"}");
                 node.advance(100);
               }
-              assertEquals(List.of("submit done", "submit queued"), node.responses());
-              assertEquals(0, node.harness.requestedWrites - callsBefore);
+              assertEquals(List.of("submit done", "submit queued"), node.takeResponses());
+              assertEquals(0, node.harness.requestedWrites - writesBefore);
               node.submit("{\"name_id\":\"" + jobId(3) + "\"}");
               node.advance(100);
-              assertEquals(List.of("submit 201"), node.responses());
-              assertEquals(1, node.harness.requestedWrites - callsBefore);
+              assertEquals(List.of("submit 201"), node.takeResponses());
+              assertEquals(1, node.harness.requestedWrites - writesBefore);
             }),
         testCase(
-            "thirty lookups of unknown jobs cost a handful of calls",
+            "30 lookups of jobs that are not cached cost at most 12 calls",
             node -> {
               for (int i = 0; i < 30; i += 2) {
                 node.storeOpenJob(jobId(i));
@@ -272,7 +276,7 @@
                 node.query(jobId(i));
               }
               node.advance(1_500);
-              List<String> answers = node.responses();
+              List<String> answers = node.takeResponses();
               assertEquals(
                   15, answers.stream().filter(response -> response.endsWith("queued")).count());
               assertEquals(
@@ -282,19 +286,19 @@
                   "calls: " + (node.harness.receivedCalls - callsBefore));
             }),
         testCase(
-            "an unknown job is answered 404, and any job 503 while the service refuses calls",
+            "the response is 404 for an unknown job, and 503 while the state service refuses calls",
             node -> {
               node.query(jobId(3));
               node.advance(1_000);
-              assertEquals(List.of(jobId(3) + " 404"), node.responses());
+              assertEquals(List.of(jobId(3) + " 404"), node.takeResponses());
               node.storeOpenJob(jobId(3));
               node.query(jobId(3));
               node.advance(1_000);
-              assertEquals(List.of(jobId(3) + " queued"), node.responses());
+              assertEquals(List.of(jobId(3) + " queued"), node.takeResponses());
               node.harness.rateLimitedUntilMs = node.harness.nowMs + 1_000;
               node.query(jobId(3));
               node.advance(500);
-              assertEquals(List.of(jobId(3) + " 503"), node.responses());
+              assertEquals(List.of(jobId(3) + " 503"), node.takeResponses());
             }));
   }
 }
--- a/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
+++ b/src/test/java/org/mallowroad/api/claim/ClaimServiceTest.java
@@ -27,7 +27,10 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
-/** Claims over the store: whole or not at all, whatever is lost, late or ends in the middle. */
+/**
+ * Guards against half-applied claims: a job's games are claimed completely or not at all, even if
+ * responses are lost, transactions arrive late or twice, or a node crashes between transactions.
+ */
 final class ClaimServiceTest {
   private static Game game(long number, long revision) {
     return new Game("l", number, revision, false, List.of("m"));
@@ -55,7 +58,7 @@
         loop, state, new RateLimiter(1e6, 1e6, loop.now()), maxOps, 8, job -> null);
   }
 
-  /** Who holds each game by the records: the job of each side. */
+  /** The job that holds each game, read from the sides of all stored blocks. */
   private static Map<Long, String> jobByGame(InMemoryKeyValueStore store) {
     Map<Long, String> jobByGame = new TreeMap<>();
     for (String key : store.keys(RecordKeys.FOLD_BLOCKS_PREFIX)) {
@@ -66,8 +69,8 @@
           jobByGame.put(
               Block.gameNumber(index, entry.getKey().gameIndex()), entry.getValue().job());
         }
-      } catch (InvalidMessageException entry) {
-        throw new AssertionError(entry);
+      } catch (InvalidMessageException e) {
+        throw new AssertionError(e);
       }
     }
     return jobByGame;
@@ -94,7 +97,7 @@
     store.serve("POST", "/multi", body.getBytes(java.nio.charset.StandardCharsets.UTF_8), 0);
   }
 
-  /** One node on a clock. */
+  /** A node that runs on the virtual clock. */
   private static final class TestNode {
     private final VirtualTimeHarness harness = new VirtualTimeHarness();
     private final VirtualTimeHarness.Process process = harness.new Process();
@@ -102,7 +105,7 @@
         claimService(process, new KeyValueStore(process, process, process), 16);
 
     String accept(String id, List<Game> games) {
-      String[] outcome = {"nothing"};
+      String[] outcome = {"no result"};
       claims.accept(
           id,
           openRecord(games),
@@ -127,7 +130,7 @@
     assertEquals(
         "REJECTED folds: game 99 of l for m is folded by job-1",
         node.accept("job-2", games(99, 120)));
-    // What was cancelled is nobody's, and the next one takes it.
+    // The games of a cancelled job are free, and the next job claims them.
     assertEquals("ACCEPTED", node.accept("job-3", games(200, 210)));
     endJob(node.harness.store, "job-3", false);
     assertEquals("ACCEPTED", node.accept("job-4", games(205, 215)));
@@ -142,13 +145,15 @@
     endJob(node.harness.store, "job-1", true);
     assertEquals("ACCEPTED", node.accept("job-2", List.of(game(7, 2))));
     endJob(node.harness.store, "job-2", false);
-    // Cancelled: the first revision counts again, and the correction can come once more.
+    // After the cancellation the first revision is valid again, and the correction may be submitted
+    // again.
     assertEquals("ACCEPTED", node.accept("job-3", List.of(game(7, 2))));
     endJob(node.harness.store, "job-3", true);
     assertEquals(
         "REJECTED folds: game 7 of l for m is folded in revision 2 by job-3",
         node.accept("job-4", List.of(game(7, 1))));
-    // So does the job of the first revision by now; its user is told that it is done (UserApi).
+    // The claim of the first job is rejected as well by now; UserApi responds to its user that it
+    // is done.
     assertTrue(node.accept("job-1", List.of(game(7, 1))).startsWith("REJECTED"));
     assertEquals("ACCEPTED", node.accept("job-5", List.of(game(7, 3))));
   }
@@ -157,13 +162,14 @@
   void largeClaimIsResumedAfterACrashAndAbandonedOnConflict() {
     TestNode node = new TestNode();
     assertEquals("ACCEPTED", node.accept("job-1", List.of(game(900, 1))));
-    // More blocks than a transaction takes; one of the last games is held: nothing of it stays.
+    // The claim needs more blocks than fit into a transaction, and job-1 holds one of its last
+    // games: no claim may remain.
     assertEquals(
         "CONFLICT folds: game 900 of l for m is held by job-1",
         node.accept("job-2", games(0, 1_000)));
     assertEquals(Map.of(900L, "job-1"), jobByGame(node.harness.store));
     assertEquals(List.of(), node.harness.store.keys(RecordKeys.FOLD_INTENTS_PREFIX));
-    // Its node ends in the middle; the same submission at another one goes on.
+    // The node crashes halfway through the claim; the same submission on another node resumes it.
     List<Game> manyGames = games(2_000, 3_000);
     node.claims.accept(
         "job-3", openRecord(manyGames), manyGames, JobDependencies.NONE, result -> {});
@@ -200,8 +206,9 @@
   }
 
   /**
-   * Two nodes claim, one of them in steps; each call in any order, answers lost, transactions late
-   * or twice, a node ends, and a leader gives the intent up in the middle.
+   * Two nodes claim an overlapping set of games, one of them in several transactions. Their calls
+   * are interleaved in every order, while responses are lost, transactions are late or repeated, a
+   * node crashes, or a leader abandons the intent halfway.
    */
   private static final class TwoClaimsScenario implements StateSpaceExplorer.Scenario {
     private final List<Game> gamesOfFirstJob = List.of(game(1, 1), game(40, 1));
@@ -253,10 +260,11 @@
       if (execution.store.value(RecordKeys.openJob("job-1")) != null) {
         execution.require(
             "job-1".equals(jobByGame.get(1L)) && "job-1".equals(jobByGame.get(40L)),
-            "job-1 is half claimed");
+            "job-1 is open but does not hold all its games");
       }
       if (execution.store.value(RecordKeys.openJob("job-2")) != null) {
-        execution.require("job-2".equals(jobByGame.get(40L)), "job-2 is half claimed");
+        execution.require(
+            "job-2".equals(jobByGame.get(40L)), "job-2 is open but does not hold all its games");
       }
     }
 
@@ -267,7 +275,7 @@
         boolean isOpen = execution.store.value(RecordKeys.openJob(job)) != null;
         execution.require(
             isOpen || !execution.observations.contains(job + " ACCEPTED"),
-            job + " was accepted and is not");
+            job + " was reported as accepted but has no open record");
         boolean hasIntent = execution.store.value(RecordKeys.foldIntent(job)) != null;
         execution.require(
             isOpen || hasIntent || !jobByGame(execution.store).containsValue(job),
@@ -280,13 +288,14 @@
   @Test
   void concurrentClaimsWithFaultsAreNeverHalfApplied() {
     TwoClaimsScenario scenario = new TwoClaimsScenario();
-    // Two troubles in a history take 40 s: -Dexplore.troubles=2 (docs/folds.md has the counts).
+    // Exploring two faults per execution takes 40 s: -Dexplore.troubles=2 (see docs/folds.md for
+    // the counts).
     StateSpaceExplorer explorer =
         new StateSpaceExplorer(scenario, Integer.getInteger("explore.troubles", 1), 400_000);
     explorer.explore(execution -> {});
     System.out.println(
-        "claims: " + explorer.states() + " states, " + explorer.executions() + " histories");
-    assertTrue(explorer.executions() > 100, "histories " + explorer.executions());
+        "claims: " + explorer.states() + " states, " + explorer.executions() + " executions");
+    assertTrue(explorer.executions() > 100, "executions " + explorer.executions());
     assertTrue(scenario.openJobCount > 100, "accepted " + scenario.openJobCount);
   }
 }
--- a/src/test/java/org/mallowroad/wire/JobCodecTest.java
+++ b/src/test/java/org/mallowroad/wire/JobCodecTest.java
@@ -15,7 +15,7 @@
 import org.mallowroad.core.JobSpec;
 import org.mallowroad.core.NameIndex;
 
-/** What bad submissions get. */
+/** Tests that invalid submissions are rejected with an error that names the invalid field. */
 final class JobCodecTest {
   static final String VALID =
       """
@@ -41,7 +41,7 @@
     assertTrue(spec.together() && spec.spot() && !spec.scatter());
   }
 
-  /** What a submission must have, and what it may not be; what may be null may be absent. */
+  /** Each field is tested missing, null, and with values of a wrong type or out of range. */
   @Test
   void missingOrMistypedFieldIsRejectedByItsName() throws InvalidMessageException {
     ObjectNode valid = Json.parseObject(VALID.getBytes(StandardCharsets.UTF_8));
@@ -91,7 +91,8 @@
         "\"due_s\":900.0|\"due_s\":null",
         "\"due_s\":900.0|\"due_s\":900.0,\"later\":{}",
       })
-  void optionalFieldMayBeNullOrAbsent(String from, String to) throws InvalidMessageException {
+  void optionalFieldMayBeNullOrAbsentAndUnknownFieldIsIgnored(String from, String to)
+      throws InvalidMessageException {
     decode(VALID.replace(from, to == null ? "" : to));
   }
 
@@ -155,7 +156,7 @@
     JobSpec spec = codec.validate(Json.parseObject(valid.getBytes(StandardCharsets.UTF_8)));
     assertEquals(1, spec.dependencies().foldedLeagues().size());
     assertEquals(9, spec.dependencies().highestRequiredGames().get("k"));
-    assertTrue(valid.contains(from), "the row changes something");
+    assertTrue(valid.contains(from), "the submission contains the text to replace");
     String invalid = valid.replace(from, to == null ? "" : to);
     InvalidMessageException e =
         assertThrows(
