--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -8,13 +8,13 @@
 import org.mallowroad.core.linkstate.ExternalService;
 
 /**
- * The metrics of a node in Prometheus text format. What only a leader knows is 0 on other nodes.
- * Runs on the event loop only.
+ * The metrics of a node in Prometheus text format. Metrics that only a leader can provide are 0 on
+ * other nodes. Runs on the event loop only.
  */
 final class NodeMetrics {
   private final NodeComponents node;
 
-  /** Made on the first request: a start must not pay for it. */
+  /** Created on the first request so that it does not slow down the start of the node. */
   private PrometheusMeterRegistry registry;
 
   NodeMetrics(NodeComponents node) {
@@ -38,91 +38,94 @@
   }
 
   private void registerLeadership() {
-    gauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
-    gauge("mallowroad.term", m -> m.node.election.highestSeenToken());
-    gauge("mallowroad.jobs.open", m -> m.ofLeader(l -> l.schedulerState().jobs().size()));
-    gauge("mallowroad.machines", m -> m.ofLeader(l -> l.schedulerState().machines().size()));
-    gauge(
+    registerGauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
+    registerGauge("mallowroad.term", m -> m.node.election.highestSeenToken());
+    registerGauge("mallowroad.jobs.open", m -> m.leaderValue(l -> l.schedulerState().jobs().size()));
+    registerGauge("mallowroad.machines", m -> m.leaderValue(l -> l.schedulerState().machines().size()));
+    registerGauge(
         "mallowroad.records.uncommitted",
-        m -> m.ofLeader(l -> l.schedulerState().dirtyRecords().size()));
-    gauge(
+        m -> m.leaderValue(l -> l.schedulerState().dirtyRecords().size()));
+    registerGauge(
         "mallowroad.records.urgent",
-        m -> m.ofLeader(l -> l.schedulerState().urgentRecords().size()));
-    gauge(
-        "mallowroad.tasks.completed", m -> m.ofLeader(l -> l.schedulerState().attemptsCompleted()));
+        m -> m.leaderValue(l -> l.schedulerState().urgentRecords().size()));
+    registerGauge(
+        "mallowroad.tasks.completed", m -> m.leaderValue(l -> l.schedulerState().attemptsCompleted()));
   }
 
   private void registerHealth() {
-    gauge(
+    registerGauge(
         "mallowroad.machines.late",
-        m -> m.ofHealth(h -> h.failureDetector().overdueMachineCount()));
-    gauge(
-        "mallowroad.machines.doubted", m -> m.ofHealth(h -> h.stragglerDetector().suspectCount()));
-    gauge(
+        m -> m.fleetHealthValue(h -> h.failureDetector().overdueMachineCount()));
+    registerGauge(
+        "mallowroad.machines.doubted", m -> m.fleetHealthValue(h -> h.stragglerDetector().suspectCount()));
+    registerGauge(
         "mallowroad.machines.slow.refused",
-        m -> m.ofHealth(h -> h.stragglerDetector().refusedSuspicionCount()));
-    gauge("mallowroad.zones.cut", m -> m.ofHealth(h -> h.failureDetector().partitionedZoneCount()));
-    gauge("mallowroad.stood.still", m -> m.ofHealth(h -> h.pauseDetector().pauseCount()));
-    gauge(
+        m -> m.fleetHealthValue(h -> h.stragglerDetector().refusedSuspicionCount()));
+    registerGauge("mallowroad.zones.cut", m -> m.fleetHealthValue(h -> h.failureDetector().partitionedZoneCount()));
+    registerGauge("mallowroad.stood.still", m -> m.fleetHealthValue(h -> h.pauseDetector().pauseCount()));
+    registerGauge(
         "mallowroad.stood.still.longest.ms",
-        m -> m.ofHealth(h -> h.pauseDetector().longestPauseMs()));
+        m -> m.fleetHealthValue(h -> h.pauseDetector().longestPauseMs()));
   }
 
   private void registerOverload() {
-    gauge("mallowroad.loop.lag.ms", m -> m.ofLeader(Leader::loopLagMs));
-    gauge("mallowroad.cancellations.view.ms", m -> m.ofLeader(Leader::cancellationViewAgeMs));
-    gauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
-    gauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
-    gauge(
+    registerGauge("mallowroad.loop.lag.ms", m -> m.leaderValue(Leader::worstLoopLagMs));
+    registerGauge("mallowroad.cancellations.view.ms", m -> m.leaderValue(Leader::cancellationViewAgeMs));
+    registerGauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
+    registerGauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
+    registerGauge(
         "mallowroad.state.silence.ms",
         m -> m.node.loop.now() - m.node.state.health().lastExecutedCallSentMs());
   }
 
   private void registerLinks(LinkMonitor links) {
-    gauge("mallowroad.links.down", m -> links.links().downLinkCount());
-    gauge("mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
-    gauge("mallowroad.links.state.via", m -> links.stateRoute().relayPeer());
-    gauge(
+    registerGauge("mallowroad.links.down", m -> links.links().downLinkCount());
+    registerGauge("mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
+    registerGauge("mallowroad.links.state.via", m -> links.stateRoute().relayPeer());
+    registerGauge(
         "mallowroad.links.state.age.ms",
         m -> links.links().ageMs(ExternalService.STATE, m.node.loop.now()));
-    gauge("mallowroad.detours", m -> links.detours());
-    gauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
-    gauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
-    gauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkerCount());
+    registerGauge("mallowroad.detours", m -> links.relayedCallCount());
+    registerGauge("mallowroad.reports.carried", m -> links.heartbeatRelay().relayedCount());
+    registerGauge("mallowroad.reports.sent.on", m -> links.heartbeatRelay().redirectedCount());
+    registerGauge("mallowroad.kept.guests", m -> links.heartbeatRelay().trackedWorkerCount());
   }
 
   private void registerInvalidMessages() {
-    gauge("mallowroad.garbled.state", m -> m.node.state.health().malformedResponses());
-    gauge("mallowroad.garbled.cloud", m -> m.node.cloud.invalidResponses());
-    gauge("mallowroad.garbled.peers", m -> m.node.peers.invalidMessages());
-    gauge("mallowroad.garbled.workers", m -> m.node.heartbeatApi.invalidMessages());
+    registerGauge("mallowroad.garbled.state", m -> m.node.state.health().malformedResponses());
+    registerGauge("mallowroad.garbled.cloud", m -> m.node.cloud.invalidResponses());
+    registerGauge("mallowroad.garbled.peers", m -> m.node.peers.invalidMessages());
+    registerGauge("mallowroad.garbled.workers", m -> m.node.heartbeatApi.invalidMessages());
   }
 
-  /** The process's memory as the system counts it, and which of it are the heap and the buffers. */
+  /**
+   * Registers the memory of the process as the operating system counts it, and the parts of it that
+   * the heap and the buffers use.
+   */
   private void registerMemory() {
-    gauge(
+    registerGauge(
         "mallowroad.memory.limit.bytes",
         m -> m.node.clusterConfig.settings().ramMb() * 1024 * 1024);
-    gauge("mallowroad.memory.process.bytes", m -> MemoryMetrics.processBytes());
-    gauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
-    gauge("mallowroad.collector.share", m -> MemoryMetrics.collectorShare());
-    gauge("mallowroad.bodies.bytes", m -> m.node.host.bufferedBodyBytes());
-    gauge("mallowroad.kept.ends", m -> m.node.users.cachedOutcomeCount());
-    gauge("mallowroad.kept.opens", m -> m.node.users.cachedOpenJobCount());
-    gauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
-    gauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
+    registerGauge("mallowroad.memory.process.bytes", m -> MemoryMetrics.processBytes());
+    registerGauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
+    registerGauge("mallowroad.collector.share", m -> MemoryMetrics.garbageCollectionShare());
+    registerGauge("mallowroad.bodies.bytes", m -> m.node.environment.bufferedBodyBytes());
+    registerGauge("mallowroad.kept.ends", m -> m.node.users.cachedOutcomeCount());
+    registerGauge("mallowroad.kept.opens", m -> m.node.users.cachedOpenJobCount());
+    registerGauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
+    registerGauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
   }
 
-  private double ofLeader(ToDoubleFunction<Leader> value) {
+  private double leaderValue(ToDoubleFunction<Leader> value) {
     Leader leader = node.leadership.leader();
     return leader == null ? 0 : value.applyAsDouble(leader);
   }
 
-  private double ofHealth(ToDoubleFunction<FleetHealth> value) {
-    return ofLeader(l -> value.applyAsDouble(l.schedulerState().health()));
+  private double fleetHealthValue(ToDoubleFunction<FleetHealth> value) {
+    return leaderValue(l -> value.applyAsDouble(l.schedulerState().health()));
   }
 
-  private void gauge(String name, ToDoubleFunction<NodeMetrics> value) {
+  private void registerGauge(String name, ToDoubleFunction<NodeMetrics> value) {
     Gauge.builder(name, this, value).register(registry);
   }
 }
