--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
-import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings;
+import org.mallowroad.config.Settings.Member;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
@@ -148,7 +148,12 @@
    */
   RequestSender state(RequestSender direct) {
     return new RelayedCaller(
-        loop, direct, ExternalService.STATE, state.routeSelector(), transport, policy.hedgeDelayMs());
+        loop,
+        direct,
+        ExternalService.STATE,
+        state.routeSelector(),
+        transport,
+        policy.hedgeDelayMs());
   }
 
   /** A sender to the cloud that relays through a peer when the direct link is broken. */
@@ -250,7 +255,8 @@
   private void checkLinks() {
     long now = loop.now();
     long ageMs = links.ageMs(ExternalService.STATE, now);
-    boolean isIdle = !state.routeSelector().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_TIMEOUT_MS);
+    boolean isIdle =
+        !state.routeSelector().isDirectPathDown() && (ageMs < 0 || ageMs > IDLE_LINK_TIMEOUT_MS);
     if (!isProbingState && (state.routeSelector().startProbeIfDue(now) || isIdle)) {
       isProbingState = true;
       probe(state, "/kv/" + LeaderElection.LEADER_KEY, () -> isProbingState = false);
@@ -336,11 +342,14 @@
         responseHandler.failed(false);
         return;
       }
-      link.directSender().call(method, path, body, timeoutMs, new RelayedCallResponseHandler(link, responseHandler));
+      link.directSender()
+          .call(
+              method, path, body, timeoutMs, new RelayedCallResponseHandler(link, responseHandler));
     }
 
     @Override
-    public void onCommands(String address, byte[] body, RequestSender.ResponseHandler responseHandler) {
+    public void onCommands(
+        String address, byte[] body, RequestSender.ResponseHandler responseHandler) {
       workers.sendRelayed(address, body, responseHandler);
     }
 
@@ -350,7 +359,8 @@
       try {
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
       } catch (InvalidMessageException e) {
-        responseHandler.answered(400, Json.toBytes(Json.object().put(Fields.ERROR, e.getMessage())));
+        responseHandler.answered(
+            400, Json.toBytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
@@ -371,7 +381,8 @@
 
             @Override
             public void retryLater() {
-              responseHandler.answered(503, Json.toBytes(Json.object().put(Fields.ERROR, "not now")));
+              responseHandler.answered(
+                  503, Json.toBytes(Json.object().put(Fields.ERROR, "not now")));
             }
           });
     }
@@ -379,7 +390,8 @@
     private void redirect(RequestSender.ResponseHandler responseHandler) {
       String leader = election.leader();
       if (leader == null || leader.equals(settings.node())) {
-        responseHandler.answered(503, Json.toBytes(Json.object().put(Fields.ERROR, "no leader known")));
+        responseHandler.answered(
+            503, Json.toBytes(Json.object().put(Fields.ERROR, "no leader known")));
       } else {
         responseHandler.answered(421, Json.toBytes(Json.object().put(Fields.LEADER, leader)));
       }
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -78,6 +78,7 @@
 
   /** Burst of the writes for user requests, as a share of the write rate per second. */
   private static final double USER_WRITE_BURST_SHARE = 0.6;
+
   private static final double USER_WRITE_BURST_PER_NODE = 4;
 
   /** A transaction may have four times as many conditions as writes (see PROTOCOL). */
@@ -126,7 +127,11 @@
     this.links =
         isLinkMonitoringEnabled
             ? new LinkMonitor(
-                environment, clusterConfig, clusterConfig.operatorSettings.links().get(), stateCalls, cloudCalls)
+                environment,
+                clusterConfig,
+                clusterConfig.operatorSettings.links().get(),
+                stateCalls,
+                cloudCalls)
             : null;
     this.state = newStateClient(settings, stateCalls, stateWatches);
     this.admission = new AdmissionRateLimiter(loop.now());
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -40,8 +40,10 @@
   private void registerLeadership() {
     registerGauge("mallowroad.leading", m -> m.node.leadership.isLeading() ? 1 : 0);
     registerGauge("mallowroad.term", m -> m.node.election.highestSeenToken());
-    registerGauge("mallowroad.jobs.open", m -> m.leaderValue(l -> l.schedulerState().jobs().size()));
-    registerGauge("mallowroad.machines", m -> m.leaderValue(l -> l.schedulerState().machines().size()));
+    registerGauge(
+        "mallowroad.jobs.open", m -> m.leaderValue(l -> l.schedulerState().jobs().size()));
+    registerGauge(
+        "mallowroad.machines", m -> m.leaderValue(l -> l.schedulerState().machines().size()));
     registerGauge(
         "mallowroad.records.uncommitted",
         m -> m.leaderValue(l -> l.schedulerState().dirtyRecords().size()));
@@ -49,7 +51,8 @@
         "mallowroad.records.urgent",
         m -> m.leaderValue(l -> l.schedulerState().urgentRecords().size()));
     registerGauge(
-        "mallowroad.tasks.completed", m -> m.leaderValue(l -> l.schedulerState().attemptsCompleted()));
+        "mallowroad.tasks.completed",
+        m -> m.leaderValue(l -> l.schedulerState().attemptsCompleted()));
   }
 
   private void registerHealth() {
@@ -57,12 +60,16 @@
         "mallowroad.machines.late",
         m -> m.fleetHealthValue(h -> h.failureDetector().overdueMachineCount()));
     registerGauge(
-        "mallowroad.machines.doubted", m -> m.fleetHealthValue(h -> h.stragglerDetector().suspectCount()));
+        "mallowroad.machines.doubted",
+        m -> m.fleetHealthValue(h -> h.stragglerDetector().suspectCount()));
     registerGauge(
         "mallowroad.machines.slow.refused",
         m -> m.fleetHealthValue(h -> h.stragglerDetector().refusedSuspicionCount()));
-    registerGauge("mallowroad.zones.cut", m -> m.fleetHealthValue(h -> h.failureDetector().partitionedZoneCount()));
-    registerGauge("mallowroad.stood.still", m -> m.fleetHealthValue(h -> h.pauseDetector().pauseCount()));
+    registerGauge(
+        "mallowroad.zones.cut",
+        m -> m.fleetHealthValue(h -> h.failureDetector().partitionedZoneCount()));
+    registerGauge(
+        "mallowroad.stood.still", m -> m.fleetHealthValue(h -> h.pauseDetector().pauseCount()));
     registerGauge(
         "mallowroad.stood.still.longest.ms",
         m -> m.fleetHealthValue(h -> h.pauseDetector().longestPauseMs()));
@@ -70,7 +77,8 @@
 
   private void registerOverload() {
     registerGauge("mallowroad.loop.lag.ms", m -> m.leaderValue(Leader::worstLoopLagMs));
-    registerGauge("mallowroad.cancellations.view.ms", m -> m.leaderValue(Leader::cancellationViewAgeMs));
+    registerGauge(
+        "mallowroad.cancellations.view.ms", m -> m.leaderValue(Leader::cancellationViewAgeMs));
     registerGauge("mallowroad.admission.limited", m -> m.node.admission.isLimited() ? 1 : 0);
     registerGauge("mallowroad.admission.refused", m -> m.node.admission.refusedCount());
     registerGauge(
@@ -80,7 +88,8 @@
 
   private void registerLinks(LinkMonitor links) {
     registerGauge("mallowroad.links.down", m -> links.links().downLinkCount());
-    registerGauge("mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
+    registerGauge(
+        "mallowroad.links.rows", m -> links.links().freshAdvertisementCount(m.node.loop.now()));
     registerGauge("mallowroad.links.state.via", m -> links.stateRoute().relayPeer());
     registerGauge(
         "mallowroad.links.state.age.ms",
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -77,6 +77,7 @@
   }
 
   private static void respondUnavailable(Responder responder) {
-    responder.respond(SERVICE_UNAVAILABLE, JsonResponses.errorBody(STATE_SERVICE_UNREACHABLE), true);
+    responder.respond(
+        SERVICE_UNAVAILABLE, JsonResponses.errorBody(STATE_SERVICE_UNREACHABLE), true);
   }
 }
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -150,7 +150,10 @@
         PAGE_SIZE,
         (result, items, revision) -> {
           if (!isStopped && result == CallResult.OK) {
-            items.stream().filter(item -> isAbandoned(item.value())).findFirst().ifPresent(this::abandon);
+            items.stream()
+                .filter(item -> isAbandoned(item.value()))
+                .findFirst()
+                .ifPresent(this::abandon);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -52,6 +52,7 @@
 
   /** Number of writes of a gated job's end, which also deletes its dependencies and its release. */
   private static final int GATED_END_WRITES = 4;
+
   private static final int END_CONDITIONS = 2;
 
   /** Number of conditions of an attempt record: its own version and the job's open record. */
@@ -179,7 +180,8 @@
   }
 
   private boolean hasRoomForConditions(int additionalConditions) {
-    return transaction.conditionCount() + includedSharedRecords.size() + additionalConditions <= maxConditions;
+    return transaction.conditionCount() + includedSharedRecords.size() + additionalConditions
+        <= maxConditions;
   }
 
   /**
@@ -192,7 +194,8 @@
           || !hasRoomForConditions(END_CONDITIONS)) {
         return;
       }
-      long jobMinAgeMs = minAgeMs > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_DELAY_MS : minAgeMs;
+      long jobMinAgeMs =
+          minAgeMs > 0 && job.spec.priority() >= JobSpec.IDLE ? IDLE_END_DELAY_MS : minAgeMs;
       if (!endedJobs.contains(job) && now - job.allDoneMs() >= jobMinAgeMs) {
         addEnd(job);
       }
@@ -223,7 +226,8 @@
     transaction
         .requireVersion(RecordKeys.attemptRecord(attemptRecord), attemptRecord.version)
         .delete(RecordKeys.attemptRecord(attemptRecord));
-    writtenRecords.add(new WrittenRecord(attemptRecord, attemptRecord.changeCount, true, List.of(), null));
+    writtenRecords.add(
+        new WrittenRecord(attemptRecord, attemptRecord.changeCount, true, List.of(), null));
     estimatedBytes += ESTIMATED_KEY_BYTES;
   }
 
@@ -264,13 +268,15 @@
    *
    * @param spareWrites maximum number of writes to add
    */
-  void addDeferred(long minAgeMs, int spareWrites, Object2LongLinkedOpenHashMap<String> obsoleteRecords) {
+  void addDeferred(
+      long minAgeMs, int spareWrites, Object2LongLinkedOpenHashMap<String> obsoleteRecords) {
     int maxWriteCount = writeCount() + spareWrites;
     for (AttemptRecord attemptRecord : schedulerState.dirtyRecords()) {
       if (isFull(1) || writeCount() >= maxWriteCount) {
         return;
       }
-      if (now - attemptRecord.dirtySinceMs >= minAgeMs || (attemptRecord.job.isFinished() && attemptRecord.version == 0)) {
+      if (now - attemptRecord.dirtySinceMs >= minAgeMs
+          || (attemptRecord.job.isFinished() && attemptRecord.version == 0)) {
         addRecord(attemptRecord);
       }
     }
@@ -286,14 +292,17 @@
       if (isFull(1) || writeCount() >= maxWriteCount || !hasRoomForConditions(1)) {
         return;
       }
-      transaction.requireVersion(obsoleteRecord.getKey(), obsoleteRecord.getLongValue()).delete(obsoleteRecord.getKey());
+      transaction
+          .requireVersion(obsoleteRecord.getKey(), obsoleteRecord.getLongValue())
+          .delete(obsoleteRecord.getKey());
       deletedKeys.add(obsoleteRecord.getKey());
       estimatedBytes += ESTIMATED_KEY_BYTES;
     }
   }
 
   private void addRecord(AttemptRecord attemptRecord) {
-    if (schedulerState.jobsToComplete().contains(attemptRecord.job) || includedRecords.contains(attemptRecord)) {
+    if (schedulerState.jobsToComplete().contains(attemptRecord.job)
+        || includedRecords.contains(attemptRecord)) {
       return;
     }
     if (attemptRecord.isFinished()) {
@@ -313,7 +322,8 @@
     if (attemptRecord.version > 0) {
       deleteRecord(attemptRecord);
     } else {
-      writtenRecords.add(new WrittenRecord(attemptRecord, attemptRecord.changeCount, true, List.of(), null));
+      writtenRecords.add(
+          new WrittenRecord(attemptRecord, attemptRecord.changeCount, true, List.of(), null));
     }
   }
 
@@ -333,13 +343,15 @@
     attemptRecord.mayHaveOwnRecord = true;
     if (!attemptRecord.job.isCancelled() && !attemptRecord.job.isEnded()) {
       // The job must still be open when a start is recorded.
-      transaction.requireVersion(RecordKeys.openJob(attemptRecord.job.spec.id()), attemptRecord.job.version);
+      transaction.requireVersion(
+          RecordKeys.openJob(attemptRecord.job.spec.id()), attemptRecord.job.version);
     }
     ObjectNode value = AttemptRecordCodec.encode(attemptRecord, zones);
     transaction
         .requireVersion(RecordKeys.attemptRecord(attemptRecord), attemptRecord.version)
         .put(RecordKeys.attemptRecord(attemptRecord), value);
-    writtenRecords.add(new WrittenRecord(attemptRecord, attemptRecord.changeCount, false, starts, value));
+    writtenRecords.add(
+        new WrittenRecord(attemptRecord, attemptRecord.changeCount, false, starts, value));
     estimatedBytes += Json.toText(value).length() + ESTIMATED_KEY_BYTES;
   }
 
@@ -361,9 +373,11 @@
   private void addSharedRecord(SharedAttemptRecord sharedRecord) {
     int conditions = 1;
     for (AttemptRecord attemptRecord : sharedRecord.members()) {
-      conditions += !includedRecords.contains(attemptRecord) && attemptRecord.uncommittedStarts() > 0 ? 1 : 0;
+      conditions +=
+          !includedRecords.contains(attemptRecord) && attemptRecord.uncommittedStarts() > 0 ? 1 : 0;
     }
-    if (!hasRoomForConditions(conditions) || (!includedSharedRecords.contains(sharedRecord) && isFull(1))) {
+    if (!hasRoomForConditions(conditions)
+        || (!includedSharedRecords.contains(sharedRecord) && isFull(1))) {
       return;
     }
     includedSharedRecords.add(sharedRecord);
@@ -373,11 +387,18 @@
       }
       List<Attempt> starts = uncommittedStarts(attemptRecord);
       if (!starts.isEmpty()) {
-        transaction.requireVersion(RecordKeys.openJob(attemptRecord.job.spec.id()), attemptRecord.job.version);
+        transaction.requireVersion(
+            RecordKeys.openJob(attemptRecord.job.spec.id()), attemptRecord.job.version);
       }
       estimatedBytes += ESTIMATED_KEY_BYTES + SharedAttemptRecords.reservedBytes(attemptRecord);
       if (!schedulerState.jobsToComplete().contains(attemptRecord.job)) {
-        sharedMembers.add(new WrittenRecord(attemptRecord, attemptRecord.changeCount, attemptRecord.isFinished(), starts, null));
+        sharedMembers.add(
+            new WrittenRecord(
+                attemptRecord,
+                attemptRecord.changeCount,
+                attemptRecord.isFinished(),
+                starts,
+                null));
       }
     }
   }
@@ -388,10 +409,17 @@
       // A member that joined when there was no room for its condition is written by the next
       // transaction.
       List<AttemptRecord> remaining =
-          sharedRecord.members().stream().filter(attemptRecord -> includedRecords.contains(attemptRecord) && !attemptRecord.isFinished()).toList();
+          sharedRecord.members().stream()
+              .filter(
+                  attemptRecord ->
+                      includedRecords.contains(attemptRecord) && !attemptRecord.isFinished())
+              .toList();
       List<WrittenRecord> written =
-          sharedMembers.stream().filter(member -> member.record().sharedRecord == sharedRecord).toList();
-      transaction.requireVersion(RecordKeys.sharedAttemptRecord(sharedRecord), sharedRecord.version);
+          sharedMembers.stream()
+              .filter(member -> member.record().sharedRecord == sharedRecord)
+              .toList();
+      transaction.requireVersion(
+          RecordKeys.sharedAttemptRecord(sharedRecord), sharedRecord.version);
       if (!remaining.isEmpty()) {
         JsonNode value = AttemptRecordCodec.encodeShared(remaining, zones);
         transaction.put(RecordKeys.sharedAttemptRecord(sharedRecord), value);
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -342,7 +342,8 @@
 
   /** Requests a lease that expires unless it is renewed in time. */
   public void grantLease(long durationMs, LeaseListener listener) {
-    sendLeaseCall("POST", "/leases", StateServiceCodec.grantLeaseBody(durationMs), TIMEOUT_MS, listener);
+    sendLeaseCall(
+        "POST", "/leases", StateServiceCodec.grantLeaseBody(durationMs), TIMEOUT_MS, listener);
   }
 
   /** Renews a lease for its full duration. */
--- a/src/main/java/org/mallowroad/state/StateServiceCodec.java
+++ b/src/main/java/org/mallowroad/state/StateServiceCodec.java
@@ -47,7 +47,9 @@
   /** Decodes an item: the response to a read, or an element of a list. */
   static VersionedValue item(JsonNode node) throws InvalidMessageException {
     return new VersionedValue(
-        Json.requiredString(node, Fields.KEY, MAX_KEY_CHARS), node.get(Fields.VALUE), version(node));
+        Json.requiredString(node, Fields.KEY, MAX_KEY_CHARS),
+        node.get(Fields.VALUE),
+        version(node));
   }
 
   /** Decodes the items of a list response. */
@@ -71,7 +73,9 @@
     for (JsonNode event : Json.requiredArray(body, Fields.EVENTS)) {
       JsonNode deleted = event.get(Fields.DELETE);
       String key =
-          deleted != null ? deleted.asText() : Json.requiredString(event, Fields.PUT, MAX_KEY_CHARS);
+          deleted != null
+              ? deleted.asText()
+              : Json.requiredString(event, Fields.PUT, MAX_KEY_CHARS);
       JsonNode value = deleted != null ? null : event.get(Fields.VALUE);
       events.add(new VersionedValue(key, value, version(event)));
     }
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -55,7 +55,10 @@
             || snapshot.machines() == null
             || snapshot.reasons() == null)) {
       throw new InvalidMessageException(
-          "a picture of form " + snapshot.format() + ", not " + NodeSnapshot.FORMAT);
+          "snapshot format "
+              + snapshot.format()
+              + " is not supported; expected "
+              + NodeSnapshot.FORMAT);
     }
     if (snapshot != null
         && Stream.of(
@@ -87,14 +90,14 @@
           || sample.running() == null
           || sample.machines() == null
           || sample.reasons() == null) {
-        throw new InvalidMessageException("not a console's history");
+        throw new InvalidMessageException("not a valid console history");
       }
     }
     return List.of(samples);
   }
 
   private static InvalidMessageException invalidAnswer() {
-    return new InvalidMessageException("not a console's answer");
+    return new InvalidMessageException("not a valid console response");
   }
 
   private static <T> T read(byte[] body, Class<T> type) throws InvalidMessageException {
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -40,7 +40,11 @@
   }
 
   private record Call(
-      Process caller, String method, String path, byte[] body, RequestSender.ResponseHandler handler) {
+      Process caller,
+      String method,
+      String path,
+      byte[] body,
+      RequestSender.ResponseHandler handler) {
     String description() {
       String bodyText = body == null ? "" : new String(body, StandardCharsets.UTF_8);
       return caller.name + " " + method + " " + path + " " + bodyText;
@@ -104,14 +108,19 @@
     /** Fails the execution if the condition does not hold. */
     public void require(boolean condition, String violation) {
       if (!condition) {
-        throw new AssertionError(violation + "; observations " + observations + "; store " + describeStore());
+        throw new AssertionError(
+            violation + "; observations " + observations + "; store " + describeStore());
       }
     }
 
     private String describeStore() {
       StringBuilder text = new StringBuilder();
       for (String key : store.keys("")) {
-        text.append(key).append('@').append(store.version(key)).append('=').append(store.value(key));
+        text.append(key)
+            .append('@')
+            .append(store.version(key))
+            .append('=')
+            .append(store.value(key));
         text.append(' ');
       }
       return text.toString();
@@ -185,7 +194,8 @@
           delayedTransactions.add(call);
           complete(call, true);
         }
-        case "execute-delayed" -> applyToStore(delayedTransactions.remove(Integer.parseInt(parts[1])));
+        case "execute-delayed" ->
+            applyToStore(delayedTransactions.remove(Integer.parseInt(parts[1])));
         case "crash" -> {
           injectedFaults++;
           for (Process process : processes) {
@@ -205,7 +215,10 @@
           ScheduledTask first = timers.get(0);
           for (ScheduledTask timer : timers) {
             first =
-                timer.dueMs < first.dueMs || (timer.dueMs == first.dueMs && timer.sequence < first.sequence) ? timer : first;
+                timer.dueMs < first.dueMs
+                        || (timer.dueMs == first.dueMs && timer.sequence < first.sequence)
+                    ? timer
+                    : first;
           }
           timers.remove(first);
           nowMs = Math.max(nowMs, first.dueMs);
@@ -252,7 +265,10 @@
           .append(faults.keySet())
           .append(events.keySet());
       for (Process process : processes) {
-        text.append('|').append(process.name).append(process.crashed).append(process.responseDigest);
+        text.append('|')
+            .append(process.name)
+            .append(process.crashed)
+            .append(process.responseDigest);
       }
       pendingCalls.forEach(call -> text.append('|').append(call.description()));
       delayedTransactions.forEach(call -> text.append("|delayed ").append(call.description()));
@@ -309,7 +325,8 @@
 
     @Override
     protected Timer schedule(long delayMs, Runnable task) {
-      ScheduledTask timer = new ScheduledTask(this, execution.nowMs + delayMs, execution.nextSequence++, task);
+      ScheduledTask timer =
+          new ScheduledTask(this, execution.nowMs + delayMs, execution.nextSequence++, task);
       execution.timers.add(timer);
       return () -> execution.timers.remove(timer);
     }
--- a/src/test/java/org/mallowroad/VirtualTimeHarness.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -17,7 +17,9 @@
   private record ScheduledTask(long dueMs, long sequence, Runnable task) {}
 
   private final PriorityQueue<ScheduledTask> scheduledTasks =
-      new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::dueMs).thenComparingLong(ScheduledTask::sequence));
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledTask::dueMs)
+              .thenComparingLong(ScheduledTask::sequence));
 
   /** The contents of the state service. */
   public final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
@@ -137,7 +139,8 @@
         if (response == null) {
           // A watch without changes yet; polled again until there is one.
           after(50, () -> callStore(method, path, body, timeoutMs - 50, handler));
-        } else if (isTransaction && (loseTransactionResponses || transactionResponsesToLose-- > 0)) {
+        } else if (isTransaction
+            && (loseTransactionResponses || transactionResponsesToLose-- > 0)) {
           after(timeoutMs, () -> handler.failed(true));
         } else {
           if (reportFirstFailureOnly && response.status() == 409) {
--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -40,29 +40,29 @@
     List<Case> table =
         List.of(
             new Case(404, "", Standing.STRANGE, "answers 404: not a console of this build"),
-            new Case(200, "<html>", Standing.STRANGE, "not a console's answer"),
-            new Case(200, "null", Standing.STRANGE, "not a console's answer"),
-            new Case(200, "{}", Standing.STRANGE, "not a console's answer"),
+            new Case(200, "<html>", Standing.STRANGE, "not a valid console response"),
+            new Case(200, "null", Standing.STRANGE, "not a valid console response"),
+            new Case(200, "{}", Standing.STRANGE, "not a valid console response"),
             new Case(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":1,\"phase\":\"LEADING\",\"totals\":{},\"teams\":[],\"jobs\":[null],\"zones\":[],\"machines\":[],\"reasons\":[]}}",
                 Standing.STRANGE,
-                "not a console's answer"),
+                "not a valid console response"),
             new Case(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":1,\"phase\":\"LEADING\",\"totals\":{},\"teams\":[],\"jobs\":[{}],\"zones\":[],\"machines\":[],\"reasons\":[]}}",
                 Standing.STRANGE,
-                "not a console's answer"),
+                "not a valid console response"),
             new Case(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":1,\"phase\":\"LEADING\",\"totals\":{},\"teams\":[],\"jobs\":[{\"id\":\"job-1\"}],\"zones\":[],\"machines\":[],\"reasons\":[]}}",
                 Standing.STRANGE,
-                "not a console's answer"),
+                "not a valid console response"),
             new Case(
                 200,
                 "{\"format\":9,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":9}}",
                 Standing.STRANGE,
-                "a picture of form 9, not 1"),
+                "snapshot format 9 is not supported; expected 1"),
             new Case(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null,\"later\":1}",
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -99,18 +99,33 @@
 
   private ObjectNode submission(int jobNumber) {
     ObjectNode submission = Json.object();
-    submission.put("name_id", "job-" + jobNumber).put("docket", "class-" + jobNumber).put("crew", "t").put("form", "sweep");
-    submission.put("rank", "normal").put("moves", 4).put("cpus", 8.0).put("cards", 0.0).put("mem_gb", 1.0);
-    submission.put("kit", "image-" + jobNumber).put("size_gb", 4.0).put("together", false).put("scatter", false);
+    submission
+        .put("name_id", "job-" + jobNumber)
+        .put("docket", "class-" + jobNumber)
+        .put("crew", "t")
+        .put("form", "sweep");
+    submission
+        .put("rank", "normal")
+        .put("moves", 4)
+        .put("cpus", 8.0)
+        .put("cards", 0.0)
+        .put("mem_gb", 1.0);
+    submission
+        .put("kit", "image-" + jobNumber)
+        .put("size_gb", 4.0)
+        .put("together", false)
+        .put("scatter", false);
     submission.put("driftwood", true).put("reckon_s", 60.0).put("cairn_s", 0.0).put("stow_s", 0.0);
     submission.putArray("builds").add("t32").add("type-" + jobNumber);
     return submission;
   }
 
   /** Runs a job to its end; every second job has a failed attempt and is cancelled. */
-  private void runJob(SchedulerState schedulerState, TaskScheduler placement, int jobNumber, long now)
+  private void runJob(
+      SchedulerState schedulerState, TaskScheduler placement, int jobNumber, long now)
       throws InvalidMessageException {
-    Job job = schedulerState.accept(clusterConfig.codec.decode(submission(jobNumber), now), 5, 0, now);
+    Job job =
+        schedulerState.accept(clusterConfig.codec.decode(submission(jobNumber), now), 5, 0, now);
     placement.placeTasks(now);
     JobSpecBuilder.commitDirtyRecords(schedulerState, now);
     if (jobNumber % 2 == 0) {
@@ -177,7 +192,8 @@
     assertTrue(classes <= 256, classes + " task classes retained");
     // 72,000 names were used; between two cleanups at most one day's worth of names is added.
     assertTrue(
-        clusterConfig.nameCount() < ClusterConfig.MAX_NAMES, clusterConfig.nameCount() + " names retained");
+        clusterConfig.nameCount() < ClusterConfig.MAX_NAMES,
+        clusterConfig.nameCount() + " names retained");
     assertTrue(clusterConfig.taskClassNames.find("named-in-settings") == 0);
     assertEquals(type.index(), clusterConfig.typeNames.find("t32"));
   }
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -61,7 +61,12 @@
 
     private static ClaimService newClaimService(StateSpaceExplorer.Process process) {
       return new ClaimService(
-          process, new KeyValueStore(process, process, process), new RateLimiter(1e6, 1e6, process.now()), 16, 8, j -> null);
+          process,
+          new KeyValueStore(process, process, process),
+          new RateLimiter(1e6, 1e6, process.now()),
+          16,
+          8,
+          j -> null);
     }
 
     @Override
@@ -85,8 +90,7 @@
       if (hasSuccessor) {
         stage.respondsInCallOrder = true;
         // Runs until the release of the first leader is recorded and its start is in flight.
-        stage.runUntilCallWaits(
-            RUN_KEY);
+        stage.runUntilCallWaits(RUN_KEY);
       }
       stage.addEvent("correction", () -> acceptCorrection(stage));
       if (hasSuccessor) {
@@ -106,7 +110,10 @@
     }
 
     private static void startLeader(
-        StateSpaceExplorer.Execution stage, String name, JobDependencies dependencies, long openJobVersion) {
+        StateSpaceExplorer.Execution stage,
+        String name,
+        JobDependencies dependencies,
+        long openJobVersion) {
       long version = put(stage, LeaderElection.LEADER_KEY, Json.object().put("node", name));
       StateSpaceExplorer.Process process = stage.addProcess(name);
       KeyValueStore state = new KeyValueStore(process, process, process);
@@ -169,7 +176,8 @@
       }
       stage.observations.add("started");
       stage.require(
-          stage.store.value(RecordKeys.openJob("job-2")) == null, "the gated job started while a correction was accepted but not folded");
+          stage.store.value(RecordKeys.openJob("job-2")) == null,
+          "the gated job started while a correction was accepted but not folded");
     }
 
     @Override
@@ -192,9 +200,12 @@
   private static void explore(GatedStartScene scene, int maxFaults) {
     StateSpaceExplorer explorer = new StateSpaceExplorer(scene, maxFaults, 400_000);
     explorer.explore(s -> {});
-    System.out.println("gated starts: " + explorer.states() + " states, " + explorer.executions() + " histories");
+    System.out.println(
+        "gated starts: " + explorer.states() + " states, " + explorer.executions() + " histories");
     assertTrue(scene.startedCount > 50, "started " + scene.startedCount);
     assertTrue(scene.correctedCount > 50, "corrected " + scene.correctedCount);
-    assertTrue(scene.startedCount < explorer.executions(), "the correction must come first in some histories");
+    assertTrue(
+        scene.startedCount < explorer.executions(),
+        "the correction must come first in some histories");
   }
 }
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -58,7 +58,10 @@
         String name = String.format("n-%06d", i);
         Machine machine = schedulerState.registerMachine(name, type, i % 2, false, now);
         schedulerState.processHeartbeat(
-            machine, new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()), true, now);
+            machine,
+            new Heartbeat(name, "h:" + i, "t32", "a", false, 1, 1, 1, -1, List.of()),
+            true,
+            now);
       }
     }
 
@@ -102,7 +105,8 @@
               return now;
             }
           };
-      explainer = new PendingReasonExplainer(schedulerState, taskScheduler, emptyView, zones, classes);
+      explainer =
+          new PendingReasonExplainer(schedulerState, taskScheduler, emptyView, zones, classes);
       return new SnapshotBuilder(schedulerState, emptyView, zones, explainer);
     }
 
@@ -157,7 +161,8 @@
               for (int pass = 0; pass < 4; pass++) {
                 cluster.taskScheduler.placeTasks(cluster.now + 50L * pass);
               }
-              assertAtMost(MACHINES * (16 + 4), cluster.taskScheduler.machinesScanned() - scannedBefore);
+              assertAtMost(
+                  MACHINES * (16 + 4), cluster.taskScheduler.machinesScanned() - scannedBefore);
             }),
         testCase(
             "attempts that will end soon are scanned once for all pending jobs, not once per job",
@@ -183,13 +188,17 @@
               assertAtMost(100, failureDetector.examinedMachineCount());
               for (Machine machine : cluster.schedulerState.machines()) {
                 if (!machine.name.endsWith("7")) {
-                  cluster.schedulerState.health().recordHeartbeat(machine.health, cluster.now + 6_000);
+                  cluster
+                      .schedulerState
+                      .health()
+                      .recordHeartbeat(machine.health, cluster.now + 6_000);
                 }
               }
               long scannedBefore = failureDetector.examinedMachineCount();
               failureDetector.evaluate(cluster.now + 6_000);
               assertEquals(MACHINES / 10, failureDetector.overdueMachineCount());
-              assertAtMost(MACHINES / 10 + 1, failureDetector.examinedMachineCount() - scannedBefore);
+              assertAtMost(
+                  MACHINES / 10 + 1, failureDetector.examinedMachineCount() - scannedBefore);
             }),
         testCase(
             "jobs of 100,000 tasks are forecast up to a limit after the jobs before them are forecast in full",
@@ -203,7 +212,11 @@
               cluster.taskScheduler.placeTasks(cluster.now);
               cluster.commitDirtyRecords();
               int jobs = cluster.taskScheduler.queue(cluster.now).size();
-              cluster.autoscaler.planScaleOut(cluster.taskScheduler.queue(cluster.now), List.of(), List.of(cluster.type), cluster.now);
+              cluster.autoscaler.planScaleOut(
+                  cluster.taskScheduler.queue(cluster.now),
+                  List.of(),
+                  List.of(cluster.type),
+                  cluster.now);
               assertTrue(jobs >= 4, "pending jobs: " + jobs);
               assertEquals(Autoscaler.MAX_FORECAST_TASKS, cluster.autoscaler.tasksForecast());
             }),
@@ -216,12 +229,17 @@
               int requestedMachines =
                   cluster
                       .autoscaler
-                      .planScaleOut(cluster.taskScheduler.queue(cluster.now), List.of(), List.of(cluster.type), cluster.now)
+                      .planScaleOut(
+                          cluster.taskScheduler.queue(cluster.now),
+                          List.of(),
+                          List.of(cluster.type),
+                          cluster.now)
                       .stream()
                       .mapToInt(ScaleOutRequest::count)
                       .sum();
               assertEquals(AutoscalerPolicy.defaults().maxScaleOutPerType(), requestedMachines);
-              assertAtMost((MACHINES + requestedMachines) * 2L * JOBS, cluster.autoscaler.machinesScanned());
+              assertAtMost(
+                  (MACHINES + requestedMachines) * 2L * JOBS, cluster.autoscaler.machinesScanned());
             }),
         testCase(
             "scale-out requests stay within the cloud's limit of machines per request",
@@ -231,7 +249,10 @@
               cluster.acceptJobs(3);
               for (ScaleOutRequest request :
                   cluster.autoscaler.planScaleOut(
-                      cluster.taskScheduler.queue(cluster.now), List.of(), List.of(cluster.type), cluster.now)) {
+                      cluster.taskScheduler.queue(cluster.now),
+                      List.of(),
+                      List.of(cluster.type),
+                      cluster.now)) {
                 assertAtMost(50, request.count());
               }
             }),
@@ -251,7 +272,9 @@
               assertEquals(1, cluster.schedulerState.urgentRecords().size());
               cluster.commitDirtyRecords();
               assertEquals(0, cluster.schedulerState.urgentRecords().size());
-              assertEquals(List.of(machine), List.copyOf(cluster.schedulerState.machinesWithUnsentCommands()));
+              assertEquals(
+                  List.of(machine),
+                  List.copyOf(cluster.schedulerState.machinesWithUnsentCommands()));
             }),
         testCase(
             "a full record stays well below the smallest value limit",
@@ -260,7 +283,8 @@
                   cluster.schedulerState.accept(
                       JobSpecBuilder.job("job-1", 128, 32).spot().build(), 5, 0, cluster.now);
               cluster.taskScheduler.placeTasks(cluster.now);
-              String json = Json.toText(AttemptRecordCodec.encode(job.attemptRecord(0), cluster.zones));
+              String json =
+                  Json.toText(AttemptRecordCodec.encode(job.attemptRecord(0), cluster.zones));
               assertAtMost(6 * 1024, json.length());
             }));
   }
@@ -303,7 +327,8 @@
             "jobs beyond the limit of a snapshot are counted but not explained",
             cluster -> {
               for (int i = 0; i < SnapshotBuilder.MOST_JOBS + 50; i++) {
-                cluster.schedulerState.accept(JobSpecBuilder.job("job-" + i, 1, 99).build(), 5, 0, cluster.now);
+                cluster.schedulerState.accept(
+                    JobSpecBuilder.job("job-" + i, 1, 99).build(), 5, 0, cluster.now);
               }
               SnapshotBuilder builder = cluster.newSnapshotBuilder();
               builder.begin(cluster.now);
@@ -324,21 +349,30 @@
    * Fills the fleet, and adds 300 pending jobs of two teams with 10,000 tasks in total. Each job
    * requests {@code cpuIncrement} more CPUs per task than the one before.
    */
-  private static SnapshotBuilder fullFleetWithWaitingJobs(TestCluster cluster, double cpuIncrement) {
-    cluster.schedulerState.accept(JobSpecBuilder.job("job-0", MACHINES * 8, 4).build(), 5, 0, cluster.now);
+  private static SnapshotBuilder fullFleetWithWaitingJobs(
+      TestCluster cluster, double cpuIncrement) {
+    cluster.schedulerState.accept(
+        JobSpecBuilder.job("job-0", MACHINES * 8, 4).build(), 5, 0, cluster.now);
     cluster.taskScheduler.placeTasks(cluster.now);
     cluster.commitDirtyRecords();
     for (int i = 1; i <= 300; i++) {
       int tasks = i <= 100 ? 34 : 33;
       cluster.schedulerState.accept(
-          JobSpecBuilder.job("job-" + i, tasks, 4 + cpuIncrement * i).team(i % 2).build(), 5, 0, cluster.now);
+          JobSpecBuilder.job("job-" + i, tasks, 4 + cpuIncrement * i).team(i % 2).build(),
+          5,
+          0,
+          cluster.now);
     }
-    cluster.schedulerState
+    cluster
+        .schedulerState
         .machines()
         .forEach(
             machine ->
                 cluster.schedulerState.processHeartbeat(
-                    machine, JobSpecBuilder.heartbeatListingAttempts(machine, 2, 1, RUNNING), true, cluster.now));
+                    machine,
+                    JobSpecBuilder.heartbeatListingAttempts(machine, 2, 1, RUNNING),
+                    true,
+                    cluster.now));
     return cluster.newSnapshotBuilder();
   }
 
@@ -355,14 +389,20 @@
               for (Job job : cluster.schedulerState.jobs()) {
                 Job restored = newLeader.schedulerState.accept(job.spec, 5, 0, newLeader.now);
                 for (int i = 0; i < job.attemptRecordCount(); i++) {
-                  newLeader.schedulerState.restoreRecord(restored.attemptRecord(i), 9, new BitSet(), 1);
+                  newLeader.schedulerState.restoreRecord(
+                      restored.attemptRecord(i), 9, new BitSet(), 1);
                 }
                 for (int task = 0; task < TASKS; task++) {
                   Attempt attempt = job.liveAttempt(task);
                   if (attempt != null) {
                     Machine machine = newLeader.schedulerState.machine(attempt.machine.name);
                     newLeader.schedulerState.restoreAttempt(
-                        restored, task, attempt.number, machine, attempt.incarnation, newLeader.now);
+                        restored,
+                        task,
+                        attempt.number,
+                        machine,
+                        attempt.incarnation,
+                        newLeader.now);
                   }
                 }
                 newLeader.schedulerState.finishRestore(restored, newLeader.now);
--- a/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
@@ -34,7 +34,8 @@
     Block block = new Block();
     block.set(SIDE, storedSide);
     Game game = new Game("l", 3, revision, false, List.of("m"));
-    ClaimRules.Decision decision = ClaimRules.decide("job-1", List.of(game), Map.of(KEY, block), job -> jobOutcome);
+    ClaimRules.Decision decision =
+        ClaimRules.decide("job-1", List.of(game), Map.of(KEY, block), job -> jobOutcome);
     if (decision instanceof ClaimRules.Granted granted) {
       Block writtenBlock = granted.blocks().get(KEY);
       Fold fold = writtenBlock == null ? null : writtenBlock.get(SIDE);
@@ -60,16 +61,36 @@
     Fold folded = recordOf("job-2", 1, true, null);
     return Stream.of(
         testCase("an unclaimed game is granted", null, 1, null, "1 over 0"),
-        testCase("an unclaimed game whose first claim is a correction is granted", null, 2, null, "2 over 0"),
-        testCase("a claim that an earlier attempt of the same job made is granted", recordOf("job-1", 1, false, null), 1, null, "granted"),
-        testCase("a game claimed by an accepted job defers the claim", recordOf("job-2", 1, false, null), 1, JobOutcome.OPEN, "Deferred"),
+        testCase(
+            "an unclaimed game whose first claim is a correction is granted",
+            null,
+            2,
+            null,
+            "2 over 0"),
+        testCase(
+            "a claim that an earlier attempt of the same job made is granted",
+            recordOf("job-1", 1, false, null),
+            1,
+            null,
+            "granted"),
+        testCase(
+            "a game claimed by an accepted job defers the claim",
+            recordOf("job-2", 1, false, null),
+            1,
+            JobOutcome.OPEN,
+            "Deferred"),
         testCase(
             "a game claimed by a job that is not accepted yet defers the claim",
             recordOf("job-2", 1, false, null),
             1,
             JobOutcome.CLAIMING,
             "Deferred"),
-        testCase("a game claimed by a job of unknown outcome needs that outcome", recordOf("job-2", 1, false, null), 1, null, "OutcomesNeeded"),
+        testCase(
+            "a game claimed by a job of unknown outcome needs that outcome",
+            recordOf("job-2", 1, false, null),
+            1,
+            null,
+            "OutcomesNeeded"),
         testCase(
             "a game claimed by a done job that is not recorded as settled refuses the claim",
             recordOf("job-2", 1, false, null),
@@ -78,8 +99,18 @@
             "Refused"),
         testCase("a folded game refuses the claim", folded, 1, null, "Refused"),
         testCase("a correction of a folded game is granted", folded, 2, null, "2 over 1"),
-        testCase("a game folded in a later revision refuses the claim", recordOf("job-2", 3, true, null), 2, null, "Refused"),
-        testCase("a game whose claiming job was cancelled is granted", recordOf("job-2", 1, false, null), 1, JobOutcome.CANCELLED, "1 over 0"),
+        testCase(
+            "a game folded in a later revision refuses the claim",
+            recordOf("job-2", 3, true, null),
+            2,
+            null,
+            "Refused"),
+        testCase(
+            "a game whose claiming job was cancelled is granted",
+            recordOf("job-2", 1, false, null),
+            1,
+            JobOutcome.CANCELLED,
+            "1 over 0"),
         testCase(
             "a correction is granted over the original after another one was cancelled",
             recordOf("job-3", 2, false, folded),
@@ -92,7 +123,12 @@
             1,
             JobOutcome.CANCELLED,
             "Refused"),
-        testCase("a later correction is deferred by a claimed one", recordOf("job-3", 2, false, folded), 3, JobOutcome.OPEN, "Deferred"),
+        testCase(
+            "a later correction is deferred by a claimed one",
+            recordOf("job-3", 2, false, folded),
+            3,
+            JobOutcome.OPEN,
+            "Deferred"),
         testCase(
             "a later correction is granted over a done one that is not recorded as settled",
             recordOf("job-3", 2, false, folded),
@@ -108,7 +144,8 @@
     List<Game> games =
         List.of(new Game("l", 2, 1, false, List.of("m")), new Game("l", 3, 1, false, List.of("m")));
     assertTrue(
-        ClaimRules.decide("job-1", games, Map.of(KEY, block), job -> null) instanceof ClaimRules.Refused);
+        ClaimRules.decide("job-1", games, Map.of(KEY, block), job -> null)
+            instanceof ClaimRules.Refused);
     assertEquals(1, block.sides().size());
   }
 
@@ -174,7 +211,12 @@
       Fold base = seed % 3 == 0 ? recordOf("job-" + seed % 11, 1 + seed % 5, true, null) : null;
       block.set(
           new Block.Side(seed % 32, "m-" + seed % 17),
-          new Fold(2 + seed % 9, seed % 2 == 0, "job-" + seed % 13, seed % 5 == 0 && base == null, base));
+          new Fold(
+              2 + seed % 9,
+              seed % 2 == 0,
+              "job-" + seed % 13,
+              seed % 5 == 0 && base == null,
+              base));
     }
     ObjectNode encoded = FoldCodec.encodeBlock(block);
     assertEquals(block, FoldCodec.decodeBlock(Json.parseObject(Json.toBytes(encoded))));
@@ -196,7 +238,10 @@
     assertEquals("3-5,9", BlockNumberRanges.encode(IntArrayList.of(3, 4, 5, 9)));
     assertEquals(IntArrayList.of(3, 4, 5, 9), BlockNumberRanges.decode("3-5,9", 10));
     for (String invalidText : List.of("", "a", "5-3", "0-99999999", "1,2,3,4-9", "-4")) {
-      assertThrows(IllegalArgumentException.class, () -> BlockNumberRanges.decode(invalidText, 5), invalidText);
+      assertThrows(
+          IllegalArgumentException.class,
+          () -> BlockNumberRanges.decode(invalidText, 5),
+          invalidText);
     }
   }
 }
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -52,12 +52,14 @@
       this.servesImages = servesImages;
       FleetHealth health = new FleetHealth(HealthPolicy.defaults(), 2, 600, nowMs);
       schedulerState =
-          new SchedulerState(1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, health, policy);
+          new SchedulerState(
+              1, 9_000, 600, List.of(new Team("t", 1e9, 0, 1e9, 0)), zones, health, policy);
       scheduler = new TaskScheduler(schedulerState);
     }
 
     Machine addMachine(int zone) {
-      Machine machine = schedulerState.registerMachine("n-" + machines.size(), type, zone, false, nowMs);
+      Machine machine =
+          schedulerState.registerMachine("n-" + machines.size(), type, zone, false, nowMs);
       machines.add(machine);
       sendHeartbeat(machine, null);
       return machine;
@@ -71,8 +73,12 @@
     List<WorkerCommand> sendHeartbeat(Machine machine, Heartbeat.State state, long incarnation) {
       List<Heartbeat.Entry> entries = new ArrayList<>();
       for (Attempt attempt : machine.attempts()) {
-        if (state != null && attempt.phase != Attempt.Phase.RECORDING && attempt.incarnation == incarnation) {
-          entries.add(new Heartbeat.Entry(attempt.job.spec.id(), attempt.task, attempt.number, state, null));
+        if (state != null
+            && attempt.phase != Attempt.Phase.RECORDING
+            && attempt.incarnation == incarnation) {
+          entries.add(
+              new Heartbeat.Entry(
+                  attempt.job.spec.id(), attempt.task, attempt.number, state, null));
         }
       }
       String zone = zones.name(machine.zone);
@@ -143,12 +149,14 @@
     void run(TestCluster cluster);
   }
 
-  private static DynamicTest testCase(String name, ImageFetchPolicy policy, boolean servesImages, TestBody body) {
+  private static DynamicTest testCase(
+      String name, ImageFetchPolicy policy, boolean servesImages, TestBody body) {
     return DynamicTest.dynamicTest(name, () -> body.run(new TestCluster(policy, servesImages)));
   }
 
   private static final ImageFetchPolicy UNLIMITED = ImageFetchPolicy.defaults();
-  private static final ImageFetchPolicy TWO_FROM_SHARED_SOURCE = new ImageFetchPolicy(2, 0, 1, 2, 1);
+  private static final ImageFetchPolicy TWO_FROM_SHARED_SOURCE =
+      new ImageFetchPolicy(2, 0, 1, 2, 1);
 
   @TestFactory
   Stream<DynamicTest> imageDistribution() {
@@ -189,7 +197,8 @@
               assertEquals(2, cluster.schedulerState.imageDistribution().sharedSourceFetchCount());
               int fetchersFromHolder = 0;
               for (Machine machine : busyMachines(cluster)) {
-                fetchersFromHolder += cluster.launchedImageSources(machine).equals(List.of(holder.address)) ? 1 : 0;
+                fetchersFromHolder +=
+                    cluster.launchedImageSources(machine).equals(List.of(holder.address)) ? 1 : 0;
               }
               assertEquals(1, fetchersFromHolder);
               assertTrue(cluster.schedulerState.imageDistribution().isServing(holder));
@@ -204,11 +213,14 @@
               }
               Job job = cluster.submitJob(6, 0);
               cluster.place();
-              busyMachines(cluster).forEach(machine -> cluster.sendHeartbeat(machine, Heartbeat.State.RUNNING));
+              busyMachines(cluster)
+                  .forEach(machine -> cluster.sendHeartbeat(machine, Heartbeat.State.RUNNING));
               cluster.place();
               assertEquals(4, job.liveAttemptCount());
               for (Machine machine : busyMachines(cluster)) {
-                assertTrue(cluster.launchedImageSources(machine).isEmpty() || cluster.launchedImageSources(machine).contains("no launch"));
+                assertTrue(
+                    cluster.launchedImageSources(machine).isEmpty()
+                        || cluster.launchedImageSources(machine).contains("no launch"));
               }
             }),
         testCase(
@@ -250,7 +262,8 @@
               assertEquals(1 + 2 + 1, busyMachines(cluster).size());
               Machine ownZoneHolder = null;
               for (Machine machine : busyMachines(cluster)) {
-                if (machine.zone == 1 && cluster.launchedImageSources(machine).contains(first.address)) {
+                if (machine.zone == 1
+                    && cluster.launchedImageSources(machine).contains(first.address)) {
                   ownZoneHolder = machine;
                 }
               }
@@ -258,7 +271,10 @@
               cluster.place();
               int fetchersInZone = 0;
               for (Machine machine : busyMachines(cluster)) {
-                fetchersInZone += cluster.launchedImageSources(machine).equals(List.of(ownZoneHolder.address)) ? 1 : 0;
+                fetchersInZone +=
+                    cluster.launchedImageSources(machine).equals(List.of(ownZoneHolder.address))
+                        ? 1
+                        : 0;
               }
               assertEquals(2, fetchersInZone);
             }),
@@ -277,9 +293,13 @@
               cluster.place();
               cluster.schedulerState.machineDeleted(holder, cluster.nowMs);
               assertEquals(0, cluster.schedulerState.imageDistribution().holderCount(0));
-              cluster.schedulerState
+              cluster
+                  .schedulerState
                   .machines()
-                  .forEach(machine -> assertFalse(cluster.schedulerState.imageDistribution().isServing(machine)));
+                  .forEach(
+                      machine ->
+                          assertFalse(
+                              cluster.schedulerState.imageDistribution().isServing(machine)));
               for (Machine machine : List.copyOf(cluster.schedulerState.machines())) {
                 cluster.schedulerState.machineDeleted(machine, cluster.nowMs);
               }
@@ -297,7 +317,8 @@
               cluster.sendHeartbeat(first, Heartbeat.State.RUNNING);
               assertEquals(1, cluster.schedulerState.imageDistribution().holderCount(0));
               cluster.schedulerState.cancel(job, cluster.nowMs);
-              cluster.schedulerState.resolve(job.liveAttempt(0), AttemptOutcome.STOPPED, cluster.nowMs);
+              cluster.schedulerState.resolve(
+                  job.liveAttempt(0), AttemptOutcome.STOPPED, cluster.nowMs);
               cluster.submitJob(1, 1);
               cluster.place();
               cluster.sendHeartbeat(first, Heartbeat.State.RUNNING);
@@ -327,7 +348,8 @@
     WorkerCommand withSources =
         new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
     assertTrue(
-        Json.toText(WorkerCodec.encodeCommands(3, List.of(withSources))).contains("\"givers\":[\"h:1\"]"));
+        Json.toText(WorkerCodec.encodeCommands(3, List.of(withSources)))
+            .contains("\"givers\":[\"h:1\"]"));
   }
 
   /**
@@ -340,14 +362,20 @@
   void servingMachinesBringWaveNearTheoreticalBoundDespiteFailures() {
     for (boolean failures : new boolean[] {false, true}) {
       ImageFetchPolicy servingPolicy = new ImageFetchPolicy(16, 0, 1, 2, 1);
-      ImageFetchWave.Setting serving = new ImageFetchWave.Setting(200, 350, 20, servingPolicy, true, failures);
+      ImageFetchWave.Setting serving =
+          new ImageFetchWave.Setting(200, 350, 20, servingPolicy, true, failures);
       ImageFetchWave.Figures servingFigures = new ImageFetchWave(serving, 1).play();
-      assertTrue(servingFigures.lastS() > 0 && servingFigures.lastS() <= 1.1 * ImageFetchWave.bound(serving), "last " + servingFigures.lastS());
+      assertTrue(
+          servingFigures.lastS() > 0
+              && servingFigures.lastS() <= 1.1 * ImageFetchWave.bound(serving),
+          "last " + servingFigures.lastS());
       ImageFetchWave.Setting notServing =
           new ImageFetchWave.Setting(
               200, 350, 20, new ImageFetchPolicy(0, 0, 0, 2, 1), false, failures);
       ImageFetchWave.Figures notServingFigures = new ImageFetchWave(notServing, 1).play();
-      assertTrue(notServingFigures.firstS() > 5 * servingFigures.firstS(), "first " + notServingFigures.firstS());
+      assertTrue(
+          notServingFigures.firstS() > 5 * servingFigures.firstS(),
+          "first " + notServingFigures.firstS());
     }
   }
 }
