--- a/src/main/java/org/mallowroad/api/OpenJobs.java
+++ b/src/main/java/org/mallowroad/api/OpenJobs.java
@@ -10,268 +10,283 @@
 import org.mallowroad.state.Transaction;
 
 /**
- * Answers whether jobs are open, many with one call.
+ * Looks up whether jobs are open, and batches many lookups into one call to the state service.
  *
- * <p><b>Why an answer is never stale.</b> A transaction without writes compares keys at one moment,
- * which lies after each question that it answers was asked. A job's open record is never changed,
- * only deleted, in the transaction that writes its end record, and neither key is ever written
- * again ({@code RecordKeys}). So there are two comparisons:
+ * <p><b>Why an answer is never stale.</b> A transaction without writes compares all its keys at one
+ * point in time, which is after every lookup that it answers was requested. A job's open record is
+ * never modified. It is only deleted, by the transaction that writes the job's end record, and
+ * neither key is written again afterwards ({@code RecordKeys}). This allows two kinds of
+ * comparison:
  *
  * <ul>
- *   <li>a job whose open record was read with its version is open if the version still holds; when
- *       all conditions of a transaction hold, all of its jobs are open;
- *   <li>of any other job both keys are compared with version 0, "does not exist": a condition that
- *       is named as failed is a record that is there, and when all conditions hold there is none.
- *       Of one that was seen open that way the open record alone is compared at first.
+ *   <li>A job whose open record was read earlier is open if the record still has the version that
+ *       was read. When all conditions of such a transaction hold, all its jobs are open.
+ *   <li>For any other job both keys are compared with version 0, which means "does not exist". A
+ *       condition that is reported as failed proves that its record exists; when all conditions
+ *       hold, neither record exists. If such a comparison has already found the job open, only the
+ *       open record is compared in the next lookup, and both keys only if that is inconclusive.
  * </ul>
  *
- * <p>What is named as failed is taken as a fact; of what is not named nothing is concluded, since a
- * service may name the first failure alone. Those jobs are compared again. What is remembered here
- * is a version, never an answer.
+ * <p>A condition that is reported as failed did fail. Nothing is concluded about a condition that
+ * is not reported, because the state service may report only the first failure; those jobs are
+ * compared again. The cache holds only versions, never answers.
  */
 final class OpenJobs {
-  /** What a comparison that was sent after the question says of a job. */
+  /** The state of a job, according to a comparison that was sent after the lookup was requested. */
   enum Status {
-    /** It is open. */
+    /** The job is open. */
     OPEN,
-    /** It has an end record. */
-    OVER,
-    /** It has neither record. */
+    /** The job has an end record. */
+    ENDED,
+    /** The job has neither an open nor an end record. */
     ABSENT,
-    /** The state service did not say. */
+    /** The state service did not answer, or the lookup was rejected. */
     UNKNOWN
   }
 
-  /** Takes the answer to a question; called once. */
+  /** Receives the result of a lookup; called once. */
   interface Listener {
     /**
-     * The question is answered.
+     * Called with the result of the lookup.
      *
-     * @param job with {@link Status#OPEN} the job, else null
+     * @param job the job if the status is {@link Status#OPEN}, else null
      */
-    void answered(Status status, Entry job);
+    void onAnswer(Status status, OpenJob job);
   }
 
-  /** A job that was seen open; the counts of its tasks are for display and may be older. */
-  static final class Entry {
+  /** A job that was found open. Its task counts are for display only and may be outdated. */
+  static final class OpenJob {
     final String id;
 
-    /** Version of its open record, or 0 while only its existence was seen. */
+    /** The version of the open record, or 0 if only the existence of the record is known. */
     final long version;
 
     private JobProgress progress = JobProgress.NONE;
-    private long countedMs = Long.MIN_VALUE / 2;
+    private long progressUpdatedMs = Long.MIN_VALUE / 2;
 
-    Entry(String id, long version) {
+    OpenJob(String id, long version) {
       this.id = id;
       this.version = version;
     }
 
-    /** The newest counts of its tasks. */
+    /** The most recent task counts. */
     JobProgress progress() {
       return progress;
     }
 
-    /** When they were counted; long ago when they never were. */
-    long countedMs() {
-      return countedMs;
+    /** When the task counts were read, in ms; a time in the distant past if they never were. */
+    long progressUpdatedMs() {
+      return progressUpdatedMs;
     }
 
-    /** Keeps counts that were read now. */
-    void counted(JobProgress counts, long now) {
-      progress = counts;
-      countedMs = now;
+    /** Stores task counts that were read at {@code nowMs}. */
+    void updateProgress(JobProgress newProgress, long nowMs) {
+      progress = newProgress;
+      progressUpdatedMs = nowMs;
     }
   }
 
-  /** What a question compares. */
-  private enum Kind {
-    /** The open record with the version that it was read with. */
-    VERSION(1),
-    /** Whether the open record is there, as it was. */
-    OPEN_RECORD(1),
-    /** Whether the open or the end record is there. */
-    BOTH_RECORDS(2);
+  /** Which records a lookup compares, and with which versions. */
+  private enum Comparison {
+    /** The open record has the version with which it was read. */
+    KNOWN_VERSION(1),
+    /** The open record does not exist; expected to fail, as the job was open before. */
+    OPEN_RECORD_ABSENT(1),
+    /** Neither the open nor the end record exists. */
+    BOTH_RECORDS_ABSENT(2);
 
-    private final int conditions;
+    private final int conditionCount;
 
-    Kind(int conditions) {
-      this.conditions = conditions;
+    Comparison(int conditionCount) {
+      this.conditionCount = conditionCount;
     }
   }
 
-  private record Question(String id, Kind kind, long version, Listener listener) {
-    Question withBoth() {
-      return new Question(id, Kind.BOTH_RECORDS, 0, listener);
+  private record PendingLookup(String id, Comparison comparison, long version, Listener listener) {
+    PendingLookup comparingBothRecords() {
+      return new PendingLookup(id, Comparison.BOTH_RECORDS_ABSENT, 0, listener);
     }
   }
 
-  /** Comparisons under way at once: with two, one is being answered while the next one fills. */
-  private static final int MAX_IN_FLIGHT = 2;
+  /** With two comparisons in flight, one fills with lookups while the other awaits its response. */
+  private static final int MAX_COMPARISONS_IN_FLIGHT = 2;
 
-  /** A small part of the time in which users expect the answer to a submission. */
-  private static final long PROMPT_ANSWER_MS = 100;
+  /** A small fraction of the time within which users expect the response to a submission. */
+  private static final long PROMPT_RESPONSE_MS = 100;
 
-  /** Questions that wait; more are turned away, as users ask again. */
-  private static final int MAX_WAITING = 1_000;
+  /** The maximum number of queued lookups; more are rejected, and their users retry. */
+  private static final int MAX_PENDING = 1_000;
 
   private final KeyValueStore state;
-  private final ReadQueue reads;
-  private final int maxRemembered;
+  private final ReadQueue readQueue;
+  private final int maxCached;
   private final int maxConditions;
-  private final Object2ObjectLinkedOpenHashMap<String, Entry> jobs =
+  private final Object2ObjectLinkedOpenHashMap<String, OpenJob> cache =
       new Object2ObjectLinkedOpenHashMap<>();
-  private final ArrayDeque<Question> waiting = new ArrayDeque<>();
-  private int inFlight;
+  private final ArrayDeque<PendingLookup> pending = new ArrayDeque<>();
+  private int comparisonsInFlight;
 
-  /** Remembers the newest {@code maxRemembered} jobs; a call has at most {@code maxConditions}. */
-  OpenJobs(KeyValueStore state, ReadQueue reads, int maxRemembered, int maxConditions) {
+  /**
+   * Creates a lookup that batches its comparisons.
+   *
+   * @param maxCached the number of most recently used open jobs whose version is cached
+   * @param maxConditions the maximum number of conditions in one call
+   */
+  OpenJobs(KeyValueStore state, ReadQueue readQueue, int maxCached, int maxConditions) {
     this.state = state;
-    this.reads = reads;
-    this.maxRemembered = maxRemembered;
+    this.readQueue = readQueue;
+    this.maxCached = maxCached;
     this.maxConditions = maxConditions;
   }
 
-  /** Remembers a job that was read or written as open with this version, or 0 if unknown. */
-  Entry seenOpen(String id, long version) {
-    Entry entry = jobs.getAndMoveToLast(id);
-    if (entry == null || (version != 0 && entry.version != version)) {
-      entry = new Entry(id, version);
-      jobs.putAndMoveToLast(id, entry);
-      if (jobs.size() > maxRemembered) {
-        jobs.removeFirst();
+  /** Caches a job that was read or written as open; {@code version} is 0 if it is unknown. */
+  OpenJob cacheOpen(String id, long version) {
+    OpenJob cached = cache.getAndMoveToLast(id);
+    if (cached == null || (version != 0 && cached.version != version)) {
+      cached = new OpenJob(id, version);
+      cache.putAndMoveToLast(id, cached);
+      if (cache.size() > maxCached) {
+        cache.removeFirst();
       }
     }
-    return entry;
+    return cached;
   }
 
-  /** Forgets a job that is over. */
-  void forget(String id) {
-    jobs.remove(id);
+  /** Removes a job that has ended from the cache. */
+  void evict(String id) {
+    cache.remove(id);
   }
 
-  /** The number of jobs that are remembered. */
+  /** The number of cached jobs. */
   int size() {
-    return jobs.size();
+    return cache.size();
   }
 
-  /** Whether a question asked now is answered so soon that a submission may wait for it. */
-  boolean answersPromptly() {
-    return waiting.size() < maxConditions / 2
-        && reads.delayMs() < PROMPT_ANSWER_MS
+  /**
+   * Whether a lookup requested now would be answered soon enough for a submission to wait for it.
+   */
+  boolean canAnswerPromptly() {
+    return pending.size() < maxConditions / 2
+        && readQueue.estimatedWaitMs() < PROMPT_RESPONSE_MS
         && !state.health().hasLateResponses();
   }
 
-  /** Asks whether a job is open, over or absent. */
-  void ask(String id, Listener listener) {
-    if (waiting.size() >= MAX_WAITING) {
-      listener.answered(Status.UNKNOWN, null);
+  /** Looks up whether a job is open, has ended or does not exist. */
+  void lookUp(String id, Listener listener) {
+    if (pending.size() >= MAX_PENDING) {
+      listener.onAnswer(Status.UNKNOWN, null);
       return;
     }
-    Entry known = jobs.get(id);
-    if (known == null) {
-      waiting.add(new Question(id, Kind.BOTH_RECORDS, 0, listener));
+    OpenJob cached = cache.get(id);
+    if (cached == null) {
+      pending.add(new PendingLookup(id, Comparison.BOTH_RECORDS_ABSENT, 0, listener));
     } else {
-      Kind kind = known.version == 0 ? Kind.OPEN_RECORD : Kind.VERSION;
-      waiting.add(new Question(id, kind, known.version, listener));
+      Comparison comparison =
+          cached.version == 0 ? Comparison.OPEN_RECORD_ABSENT : Comparison.KNOWN_VERSION;
+      pending.add(new PendingLookup(id, comparison, cached.version, listener));
     }
-    send();
+    sendComparisons();
   }
 
-  private void send() {
-    // A comparison that waits for its call counts as in flight: later questions share it.
-    while (inFlight < MAX_IN_FLIGHT && !waiting.isEmpty()) {
-      inFlight++;
-      reads.acquire(1, this::compare, this::refuse);
+  private void sendComparisons() {
+    // A comparison that waits for the read queue counts as in flight: later lookups join its batch.
+    while (comparisonsInFlight < MAX_COMPARISONS_IN_FLIGHT && !pending.isEmpty()) {
+      comparisonsInFlight++;
+      readQueue.acquire(1, this::sendNextBatch, this::failNextBatch);
     }
   }
 
-  private void refuse() {
-    inFlight--;
-    for (Question q : nextBatch()) {
-      q.listener.answered(Status.UNKNOWN, null);
+  private void failNextBatch() {
+    comparisonsInFlight--;
+    for (PendingLookup lookup : nextBatch()) {
+      lookup.listener.onAnswer(Status.UNKNOWN, null);
     }
-    send();
+    sendComparisons();
   }
 
   /**
-   * Takes as many questions as one call has conditions for. Versions, which are expected to hold,
-   * are compared apart from other questions: with a failing condition among them all would have to
-   * be compared again.
+   * Removes as many queued lookups as fit into the conditions of one call. Comparisons with known
+   * versions, which are expected to hold, are not mixed with other comparisons: a single failed
+   * condition would force all of them to be repeated.
    */
-  private List<Question> nextBatch() {
-    List<Question> batch = new ArrayList<>();
-    if (waiting.isEmpty()) {
+  private List<PendingLookup> nextBatch() {
+    List<PendingLookup> batch = new ArrayList<>();
+    if (pending.isEmpty()) {
       return batch;
     }
-    boolean versions = waiting.peek().kind == Kind.VERSION;
-    int conditions = 0;
-    while (!waiting.isEmpty()
-        && (waiting.peek().kind == Kind.VERSION) == versions
-        && conditions + waiting.peek().kind.conditions <= maxConditions) {
-      conditions += waiting.peek().kind.conditions;
-      batch.add(waiting.poll());
+    boolean comparesVersions = pending.peek().comparison == Comparison.KNOWN_VERSION;
+    int conditionCount = 0;
+    while (!pending.isEmpty()
+        && (pending.peek().comparison == Comparison.KNOWN_VERSION) == comparesVersions
+        && conditionCount + pending.peek().comparison.conditionCount <= maxConditions) {
+      conditionCount += pending.peek().comparison.conditionCount;
+      batch.add(pending.poll());
     }
     return batch;
   }
 
-  private void compare() {
-    List<Question> batch = nextBatch();
+  private void sendNextBatch() {
+    List<PendingLookup> batch = nextBatch();
     if (batch.isEmpty()) {
-      reads.release();
-      inFlight--;
+      readQueue.release();
+      comparisonsInFlight--;
       return;
     }
     Transaction transaction = new Transaction();
-    for (Question q : batch) {
-      transaction.requireVersion(RecordKeys.openJob(q.id), q.version);
-      if (q.kind == Kind.BOTH_RECORDS) {
-        transaction.requireVersion(RecordKeys.endedJob(q.id), 0);
+    for (PendingLookup lookup : batch) {
+      transaction.requireVersion(RecordKeys.openJob(lookup.id), lookup.version);
+      if (lookup.comparison == Comparison.BOTH_RECORDS_ABSENT) {
+        transaction.requireVersion(RecordKeys.endedJob(lookup.id), 0);
       }
     }
     state.compareAndSwapWithRetry(
         transaction,
         () -> {},
-        (result, revision, failed) -> {
-          inFlight--;
-          List<Question> again = new ArrayList<>();
-          for (Question q : batch) {
-            if (!answer(q, result, failed)) {
-              again.add(q.kind == Kind.VERSION ? q : q.withBoth());
+        (result, revision, failedConditions) -> {
+          comparisonsInFlight--;
+          List<PendingLookup> unresolved = new ArrayList<>();
+          for (PendingLookup lookup : batch) {
+            if (!resolve(lookup, result, failedConditions)) {
+              unresolved.add(
+                  lookup.comparison == Comparison.KNOWN_VERSION
+                      ? lookup
+                      : lookup.comparingBothRecords());
             }
           }
-          for (int i = again.size() - 1; i >= 0; i--) {
-            waiting.addFirst(again.get(i));
+          for (int i = unresolved.size() - 1; i >= 0; i--) {
+            pending.addFirst(unresolved.get(i));
           }
-          send();
+          sendComparisons();
         });
   }
 
-  /** Answers a question by what the comparison said; false when it said nothing of the job. */
-  private boolean answer(Question q, CallResult result, List<String> failed) {
-    if (result == CallResult.OK && q.kind != Kind.OPEN_RECORD) {
-      boolean open = q.kind == Kind.VERSION;
-      q.listener.answered(
-          open ? Status.OPEN : Status.ABSENT, open ? seenOpen(q.id, q.version) : null);
+  /** Answers a lookup from the result of its comparison; false if the result was inconclusive. */
+  private boolean resolve(PendingLookup lookup, CallResult result, List<String> failedConditions) {
+    if (result == CallResult.OK && lookup.comparison != Comparison.OPEN_RECORD_ABSENT) {
+      boolean isOpen = lookup.comparison == Comparison.KNOWN_VERSION;
+      lookup.listener.onAnswer(
+          isOpen ? Status.OPEN : Status.ABSENT,
+          isOpen ? cacheOpen(lookup.id, lookup.version) : null);
       return true;
     }
-    if (result == CallResult.OK || (result == CallResult.CONDITION_FAILED && !failed.isEmpty())) {
-      return answerByFailedConditions(q, failed);
+    if (result == CallResult.OK
+        || (result == CallResult.CONDITION_FAILED && !failedConditions.isEmpty())) {
+      return resolveByFailedConditions(lookup, failedConditions);
     }
-    q.listener.answered(Status.UNKNOWN, null);
+    lookup.listener.onAnswer(Status.UNKNOWN, null);
     return true;
   }
 
-  private boolean answerByFailedConditions(Question q, List<String> failed) {
-    boolean openFailed = failed.contains(RecordKeys.openJob(q.id));
-    if (q.kind == Kind.VERSION && openFailed) {
-      forget(q.id);
-      q.listener.answered(Status.OVER, null);
-    } else if (failed.contains(RecordKeys.endedJob(q.id))) {
-      forget(q.id);
-      q.listener.answered(Status.OVER, null);
-    } else if (q.kind != Kind.VERSION && openFailed) {
-      q.listener.answered(Status.OPEN, seenOpen(q.id, 0));
+  private boolean resolveByFailedConditions(PendingLookup lookup, List<String> failedConditions) {
+    boolean isOpenConditionFailed = failedConditions.contains(RecordKeys.openJob(lookup.id));
+    if (lookup.comparison == Comparison.KNOWN_VERSION && isOpenConditionFailed) {
+      evict(lookup.id);
+      lookup.listener.onAnswer(Status.ENDED, null);
+    } else if (failedConditions.contains(RecordKeys.endedJob(lookup.id))) {
+      evict(lookup.id);
+      lookup.listener.onAnswer(Status.ENDED, null);
+    } else if (lookup.comparison != Comparison.KNOWN_VERSION && isOpenConditionFailed) {
+      lookup.listener.onAnswer(Status.OPEN, cacheOpen(lookup.id, 0));
     } else {
       return false;
     }
