--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -82,7 +82,7 @@
   }
 
   private static void text(IncomingRequest x, String text) {
-    x.answer(200, TEXT, text.getBytes(StandardCharsets.UTF_8), false);
+    x.respond(200, TEXT, text.getBytes(StandardCharsets.UTF_8), false);
   }
 
   private void serve(IncomingRequest x) {
--- a/src/main/java/org/mallowroad/api/Reply.java
+++ b/src/main/java/org/mallowroad/api/Reply.java
@@ -14,12 +14,12 @@
 
   /** Sends a JSON body. */
   public static void json(IncomingRequest x, int status, JsonNode body) {
-    x.answer(status, JSON, Json.bytes(body), false);
+    x.respond(status, JSON, Json.bytes(body), false);
   }
 
   /** A responder that answers this request. */
   public static Responder responder(IncomingRequest x) {
-    return (status, body, retryLater) -> x.answer(status, JSON, Json.bytes(body), retryLater);
+    return (status, body, retryLater) -> x.respond(status, JSON, Json.bytes(body), retryLater);
   }
 
   /** A body that tells the reason of an error. */
@@ -36,6 +36,6 @@
 
   /** Sends 503 with a reason, and tells the client to retry after a second. */
   public static void retryLater(IncomingRequest x, String reason) {
-    x.answer(503, JSON, Json.bytes(reason(reason)), true);
+    x.respond(503, JSON, Json.bytes(reason(reason)), true);
   }
 }
--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -40,7 +40,7 @@
   public static final String MACHINE_TYPES_PATH = "/machine_types";
 
   private final EventLoop loop;
-  private final LogLimiter invalidResponseLog = LogLimiter.usual();
+  private final LogLimiter invalidResponseLog = LogLimiter.withDefaultLimits();
   private final RequestSender sender;
   private final RateLimiter rateLimiter;
   private final NameIndex typeNames;
@@ -78,7 +78,7 @@
       listener.accept(Optional.empty());
       return;
     }
-    sender.call(
+    sender.send(
         "GET",
         MACHINE_TYPES_PATH,
         null,
@@ -90,7 +90,7 @@
           }
 
           @Override
-          void failed() {
+          void onFailure() {
             listener.accept(Optional.empty());
           }
         });
@@ -109,7 +109,7 @@
       listener.accept(Optional.empty());
       return;
     }
-    sender.call(
+    sender.send(
         "GET",
         path,
         null,
@@ -127,7 +127,7 @@
           }
 
           @Override
-          void failed() {
+          void onFailure() {
             listener.accept(Optional.empty());
           }
         });
@@ -139,7 +139,7 @@
       listener.accept(new RentalResult.Unknown());
       return;
     }
-    sender.call(
+    sender.send(
         "POST",
         MACHINES_PATH,
         CloudCodec.encode(request),
@@ -158,7 +158,7 @@
           }
 
           @Override
-          void failed() {
+          void onFailure() {
             listener.accept(new RentalResult.Unknown());
           }
         });
@@ -172,7 +172,7 @@
       listener.accept(false);
       return;
     }
-    sender.call(
+    sender.send(
         "POST",
         DELETE_PATH,
         CloudCodec.encodeDeletion(names),
@@ -184,7 +184,7 @@
           }
 
           @Override
-          void failed() {
+          void onFailure() {
             listener.accept(false);
           }
         });
@@ -196,15 +196,15 @@
     abstract void succeeded(ObjectNode body) throws InvalidMessageException;
 
     /** There was no response, or an unreadable one. */
-    abstract void failed();
+    abstract void onFailure();
 
     /** The cloud answered with an error; the same as no response unless overridden. */
     void rejected(int status, String error) {
-      failed();
+      onFailure();
     }
 
     @Override
-    public final void answered(int status, byte[] bytes) {
+    public final void onResponse(int status, byte[] bytes) {
       try {
         ObjectNode body = bytes.length == 0 ? Json.object() : Json.parseObject(bytes);
         if (status == 200) {
@@ -224,13 +224,13 @@
               e.getMessage(),
               invalidResponseLog.suppressed());
         }
-        failed();
+        onFailure();
       }
     }
 
     @Override
-    public final void failed(boolean sent) {
-      failed();
+    public final void onFailure(boolean sent) {
+      onFailure();
     }
   }
 }
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -66,7 +66,7 @@
     this.settings = settings;
     this.subject = subject;
     this.past = new MetricHistory(settings.history());
-    this.worker = XnioEventLoop.worker("console");
+    this.worker = XnioEventLoop.createWorker("console");
     this.own = new XnioEventLoop(worker.getIoThread());
     this.jobs = new RateLimiter(JOBS_PER_S, 2 * JOBS_PER_S, own.now());
     HttpHandler handler = this::handle;
@@ -89,7 +89,7 @@
     server.start();
     own.every(BEAT_MS, this::beat);
     own.every(settings.everyMs(), this::ask);
-    own.soon(this::ask);
+    own.submit(this::ask);
     LOG.info("event=console_started node={} listen={}", subject.node(), address());
   }
 
@@ -111,7 +111,7 @@
       subject.soon(
           () -> {
             long ran = own.now();
-            own.soon(() -> probe.back(ran));
+            own.submit(() -> probe.back(ran));
           });
     }
   }
@@ -120,7 +120,7 @@
   private void ask() {
     if (!asked) {
       asked = true;
-      subject.picture(p -> own.soon(() -> take(p)));
+      subject.picture(p -> own.submit(() -> take(p)));
     }
   }
 
@@ -183,7 +183,7 @@
       return;
     }
     x.dispatch(
-        own.thread(),
+        own.ioThread(),
         () -> {
           Waiter w = new Waiter(x);
           w.timer = own.after(WAIT_MS, w::late);
@@ -221,12 +221,12 @@
       return;
     }
     x.dispatch(
-        own.thread(),
+        own.ioThread(),
         () -> {
           JobWaiter w = new JobWaiter(x);
           jobsAsked++;
           w.timer = own.after(WAIT_MS, w::late);
-          subject.job(id, p -> own.soon(() -> w.answer(p)));
+          subject.job(id, p -> own.submit(() -> w.answer(p)));
         });
   }
 
--- a/src/main/java/org/mallowroad/controller/CancellationPropagation.java
+++ b/src/main/java/org/mallowroad/controller/CancellationPropagation.java
@@ -81,7 +81,7 @@
     if (jobIds.isEmpty()) {
       return;
     }
-    peers.sendCancelled(
+    peers.sendCancelledJobs(
         peer,
         jobIds,
         isAccepted -> {
--- a/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
+++ b/src/main/java/org/mallowroad/controller/DeferredHeartbeats.java
@@ -100,7 +100,7 @@
       handler.handle(next.heartbeat, next.relayPeer, next.responder);
     }
     if (!remaining.isEmpty()) {
-      loop.soon(() -> drainBatch(loop, remaining, handler));
+      loop.submit(() -> drainBatch(loop, remaining, handler));
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/DirectCommandSender.java
+++ b/src/main/java/org/mallowroad/controller/DirectCommandSender.java
@@ -47,7 +47,7 @@
     for (Iterator<Machine> iterator = schedulerState.machinesWithUnsentCommands().iterator();
         iterator.hasNext(); ) {
       Machine machine = iterator.next();
-      if (hasPendingReply.test(machine) || workers.isBusy(machine.address)) {
+      if (hasPendingReply.test(machine) || workers.hasMessageInFlight(machine.address)) {
         continue;
       }
       List<WorkerCommand> commands =
@@ -78,12 +78,12 @@
   private void handleResponse(
       Machine machine,
       List<WorkerCommand> commands,
-      WorkerClient.Delivery delivery,
+      WorkerClient.DeliveryResult delivery,
       Heartbeat heartbeat) {
     if (context.lifecycle().isStopped() || schedulerState.machine(machine.name) != machine) {
       return;
     }
-    if (delivery != WorkerClient.Delivery.UNKNOWN) {
+    if (delivery != WorkerClient.DeliveryResult.UNKNOWN) {
       schedulerState.heartbeatReconciler().directCommandsAnswered(machine, commands);
     }
     if (heartbeat != null && heartbeat.machine().equals(machine.name)) {
--- a/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
@@ -91,13 +91,13 @@
         request.body(),
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {
+          public void onResponse(int status, byte[] body) {
             inFlight--;
-            request.answer(status, "application/json", body, status == SERVICE_UNAVAILABLE);
+            request.respond(status, "application/json", body, status == SERVICE_UNAVAILABLE);
           }
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             inFlight--;
             Reply.retryLater(request, LEADER_UNREACHABLE);
           }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -20,7 +20,7 @@
 import org.mallowroad.net.NodeEnvironment;
 import org.mallowroad.net.RequestSender;
 import org.mallowroad.peer.RelayTransport;
-import org.mallowroad.peer.RelayedCaller;
+import org.mallowroad.peer.RelayingRequestSender;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -147,7 +147,7 @@
    * link is broken.
    */
   RequestSender state(RequestSender direct) {
-    return new RelayedCaller(
+    return new RelayingRequestSender(
         loop,
         direct,
         ExternalService.STATE,
@@ -158,7 +158,7 @@
 
   /** A sender to the cloud that relays through a peer when the direct link is broken. */
   RequestSender cloud() {
-    return new RelayedCaller(
+    return new RelayingRequestSender(
         loop,
         cloud.directSender(),
         ExternalService.CLOUD,
@@ -286,19 +286,19 @@
   private void probe(ExternalLink link, String path, Runnable onEnded) {
     long sentMs = loop.now();
     link.directSender()
-        .call(
+        .send(
             "GET",
             path,
             null,
             PROBE_TIMEOUT_MS,
             new RequestSender.ResponseHandler() {
               @Override
-              public void answered(int status, byte[] body) {
+              public void onResponse(int status, byte[] body) {
                 ended(!link.isServiceUnavailable(status));
               }
 
               @Override
-              public void failed(boolean sent) {
+              public void onFailure(boolean sent) {
                 ended(false);
               }
 
@@ -330,7 +330,7 @@
     }
 
     @Override
-    public void onCall(
+    public void onRelayedCall(
         ExternalService service,
         String method,
         String path,
@@ -339,27 +339,29 @@
         RequestSender.ResponseHandler responseHandler) {
       ExternalLink link = service == ExternalService.STATE ? state : cloud;
       if (links.isDown(service)) {
-        responseHandler.failed(false);
+        responseHandler.onFailure(false);
         return;
       }
       link.directSender()
-          .call(
+          .send(
               method, path, body, timeoutMs, new RelayedCallResponseHandler(link, responseHandler));
     }
 
     @Override
-    public void onCommands(
+    public void onRelayedCommands(
         String address, byte[] body, RequestSender.ResponseHandler responseHandler) {
       workers.sendRelayed(address, body, responseHandler);
     }
 
     @Override
-    public void onHeartbeat(int peer, byte[] body, RequestSender.ResponseHandler responseHandler) {
+    public void onRelayedHeartbeat(
+        int peer, byte[] body, RequestSender.ResponseHandler responseHandler) {
       Heartbeat heartbeat;
       try {
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
       } catch (InvalidMessageException e) {
-        responseHandler.answered(400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
+        responseHandler.onResponse(
+            400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
@@ -374,13 +376,14 @@
           new HeartbeatResponder() {
             @Override
             public void respond(long fencingToken, List<WorkerCommand> commands) {
-              responseHandler.answered(
+              responseHandler.onResponse(
                   200, Json.bytes(WorkerCodec.encodeCommands(fencingToken, commands)));
             }
 
             @Override
             public void retryLater() {
-              responseHandler.answered(503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
+              responseHandler.onResponse(
+                  503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
             }
           });
     }
@@ -388,10 +391,10 @@
     private void redirect(RequestSender.ResponseHandler responseHandler) {
       String leader = election.leader();
       if (leader == null || leader.equals(settings.node())) {
-        responseHandler.answered(
+        responseHandler.onResponse(
             503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
       } else {
-        responseHandler.answered(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
+        responseHandler.onResponse(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
       }
     }
   }
@@ -411,20 +414,20 @@
     }
 
     @Override
-    public void answered(int status, byte[] body) {
+    public void onResponse(int status, byte[] body) {
       boolean isUnavailable = link.isServiceUnavailable(status);
       link.routeSelector().recordDirectCall(!isUnavailable, sentMs, loop.now());
       if (isUnavailable) {
-        responseHandler.failed(false);
+        responseHandler.onFailure(false);
       } else {
-        responseHandler.answered(status, body);
+        responseHandler.onResponse(status, body);
       }
     }
 
     @Override
-    public void failed(boolean sent) {
+    public void onFailure(boolean sent) {
       link.routeSelector().recordDirectCall(false, sentMs, loop.now());
-      responseHandler.failed(sent);
+      responseHandler.onFailure(sent);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -64,7 +64,7 @@
     }
     loop.after(
         ANNOUNCEMENT_DELAY_MS,
-        () -> peers.announce(services.clusterConfig().settings().node(), term));
+        () -> peers.announceLeadership(services.clusterConfig().settings().node(), term));
   }
 
   @Override
@@ -104,7 +104,7 @@
     @Override
     public void onOverloaded() {
       admission.recordOverload(services.loop().now());
-      peers.sendOverloaded(term.number());
+      peers.broadcastOverload(term.number());
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -61,7 +61,7 @@
     this.router =
         new HttpRouter(
             new UserRequestRouter(components),
-            components.heartbeatApi::receive,
+            components.heartbeatApi::handle,
             this::isHealthy,
             new NodeMetrics(components)::scrape);
   }
@@ -92,7 +92,7 @@
     // All steps run on the event loop while the calling thread waits, so that only one thread at a
     // time accesses files and sockets, even during startup.
     CompletableFuture<Void> started = new CompletableFuture<>();
-    loop.soon(
+    loop.submit(
         () -> {
           try {
             startOnEventLoop();
@@ -127,7 +127,7 @@
 
   /** Stops all work and closes all connections. */
   public void stop() {
-    loop.soon(
+    loop.submit(
         () -> {
           leadership.stop();
           loop.close();
@@ -202,13 +202,13 @@
 
   private final class RequestDispatcher implements NodeEnvironment.RequestHandler {
     @Override
-    public void request(IncomingRequest request) {
+    public void onRequest(IncomingRequest request) {
       router.request(request);
     }
 
     @Override
-    public void message(IncomingRequest request) {
-      components.peers.receive(request);
+    public void onPeerMessage(IncomingRequest request) {
+      components.peers.handleMessage(request);
     }
   }
 
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -271,24 +271,24 @@
 
   private final class PeerListener implements PeerMessenger.Listener {
     @Override
-    public void cancelled(List<String> jobs) {
+    public void onJobsCancelled(List<String> jobs) {
       cancellations.handlePeerNotification(jobs, users::ended);
     }
 
     @Override
-    public void overloaded(long term) {
+    public void onLeaderOverloaded(long term) {
       if (term >= election.highestSeenToken() || term == election.leaderTerm()) {
         admission.recordOverload(loop.now());
       }
     }
 
     @Override
-    public void announced(String node, long term) {
+    public void onLeadershipAnnounced(String node, long term) {
       election.leaderAnnounced(node, term);
     }
 
     @Override
-    public void relayed(String method, String path, byte[] body, Responder responder) {
+    public void onRelayedRequest(String method, String path, byte[] body, Responder responder) {
       users.serve(method, path, body, responder);
     }
   }
--- a/src/main/java/org/mallowroad/controller/NodeSnapshotSource.java
+++ b/src/main/java/org/mallowroad/controller/NodeSnapshotSource.java
@@ -28,12 +28,12 @@
 
   @Override
   public void picture(Consumer<NodeSnapshot> done) {
-    loop.soon(() -> publisher.snapshot(done));
+    loop.submit(() -> publisher.snapshot(done));
   }
 
   @Override
   public void job(String id, Consumer<JobSnapshot> done) {
-    loop.soon(
+    loop.submit(
         () -> {
           // Answers even if building the snapshot fails, because the console counts its unanswered
           // requests.
@@ -48,11 +48,11 @@
 
   @Override
   public void soon(Runnable task) {
-    loop.soon(task);
+    loop.submit(task);
   }
 
   @Override
   public Thread thread() {
-    return environment.thread();
+    return environment.loopThread();
   }
 }
--- a/src/main/java/org/mallowroad/controller/PlacementLoop.java
+++ b/src/main/java/org/mallowroad/controller/PlacementLoop.java
@@ -42,12 +42,12 @@
       return;
     }
     isPassScheduled = true;
-    long sinceLastMs = (loop.nanos() - lastPassEndNanos) / 1_000_000;
+    long sinceLastMs = (loop.nanoTime() - lastPassEndNanos) / 1_000_000;
     long waitMs =
         Math.max(MIN_PASS_INTERVAL_MS, PAUSE_TO_PASS_RATIO * lastPassDurationNanos / 1_000_000)
             - sinceLastMs;
     if (waitMs <= 0) {
-      loop.soon(this::runPass);
+      loop.submit(this::runPass);
     } else {
       loop.after(waitMs, this::runPass);
     }
@@ -63,9 +63,9 @@
     if (lifecycle.isStopped()) {
       return;
     }
-    long startNanos = loop.nanos();
+    long startNanos = loop.nanoTime();
     runPlacement.run();
-    lastPassEndNanos = loop.nanos();
+    lastPassEndNanos = loop.nanoTime();
     lastPassDurationNanos = lastPassEndNanos - startNanos;
     load.recordPlacementPass(lastPassDurationNanos);
     List<Runnable> tasks = new ArrayList<>(runAfterNextPass);
--- a/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
+++ b/src/main/java/org/mallowroad/controller/SharedRecordRollout.java
@@ -40,7 +40,8 @@
       if (!isSupportedByPeer[i]) {
         isSupportedByAll = false;
         int peer = i;
-        peers.readsSharedStarts(peer, isSupported -> isSupportedByPeer[peer] |= isSupported);
+        peers.checkSharedAttemptRecordSupport(
+            peer, isSupported -> isSupportedByPeer[peer] |= isSupported);
       }
     }
     if (isSupportedByAll) {
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -89,7 +89,7 @@
 
   private void continueBuilding(boolean isFirstTurn) {
     Leader leader = localLeader.get();
-    long startNanos = loop.nanos();
+    long startNanos = loop.nanoTime();
     if (leader == null || !leader.isServing()) {
       buildNanos = 0;
       publish(withoutDetails(leader, startNanos));
@@ -106,8 +106,8 @@
       throw e;
     }
     if (finished == null) {
-      buildNanos += loop.nanos() - startNanos;
-      loop.soon(() -> continueBuilding(false));
+      buildNanos += loop.nanoTime() - startNanos;
+      loop.submit(() -> continueBuilding(false));
     } else {
       publish(finished);
     }
@@ -183,7 +183,7 @@
         leader != null ? leader.term() : election.highestSeenToken(),
         leader != null ? node : electedLeader,
         loop.wallMs(),
-        (buildNanos + loop.nanos() - startNanos) / 1000,
+        (buildNanos + loop.nanoTime() - startNanos) / 1000,
         leader == null ? 0 : leader.worstLoopLagMs(),
         state.health().lastExecutedCallSentMs() < 0 ? -1 : sinceLastContactMs / 1000.0,
         leader != null && leader.isLeaseValid(),
--- a/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
+++ b/src/main/java/org/mallowroad/controller/dependency/DependencyGateController.java
@@ -192,7 +192,7 @@
             gate.close();
             schedulerState.hold(job, loop.now());
             gates.enqueue(gate);
-            loop.soon(this::evaluateNext);
+            loop.submit(this::evaluateNext);
           }
           next.run();
         });
--- a/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
+++ b/src/main/java/org/mallowroad/controller/persistence/StateLoader.java
@@ -178,7 +178,7 @@
       int to = Math.min(items.size(), from + RECORDS_PER_TURN);
       items.subList(from, to).forEach(restore);
       if (to < items.size()) {
-        loop.soon(() -> restoreInTurns(items, to, restore, next));
+        loop.submit(() -> restoreInTurns(items, to, restore, next));
       } else {
         next.run();
       }
--- a/src/main/java/org/mallowroad/net/EventLoop.java
+++ b/src/main/java/org/mallowroad/net/EventLoop.java
@@ -17,11 +17,11 @@
 
   /** Milliseconds of the steady clock. */
   public long now() {
-    return nanos() / NANOS_PER_MS;
+    return nanoTime() / NANOS_PER_MS;
   }
 
   /** Nanoseconds of the steady clock, for durations below a millisecond. */
-  public abstract long nanos();
+  public abstract long nanoTime();
 
   /** Wall-clock time in milliseconds since 1970; its error is bounded by the settings. */
   public abstract long wallMs();
@@ -38,7 +38,7 @@
   }
 
   /** Runs a task on the loop, after those that are queued already. */
-  public final void soon(Runnable task) {
+  public final void submit(Runnable task) {
     if (!closed) {
       execute(() -> runGuarded(task));
     }
--- a/src/main/java/org/mallowroad/net/HttpRequestSender.java
+++ b/src/main/java/org/mallowroad/net/HttpRequestSender.java
@@ -67,7 +67,7 @@
 
   /** A request that is not answered in time closes its connection. */
   @Override
-  public void call(
+  public void send(
       String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
     Call call = new Call(new HttpString(method), path, body, handler);
     ClientConnection c;
@@ -79,7 +79,7 @@
       }
     }
     if (connections >= maxConnections) {
-      handler.exhausted();
+      handler.onNoFreeConnection();
       return;
     }
     call.start(timeoutMs);
@@ -107,7 +107,7 @@
         },
         null,
         uri,
-        loop.thread(),
+        loop.ioThread(),
         null,
         buffers,
         OptionMap.EMPTY);
@@ -252,7 +252,7 @@
       timer.cancel();
       ClientConnection c = connection;
       // The exchange is closed once this listener returns; only then may the next one begin.
-      loop.soon(
+      loop.submit(
           () -> {
             if (!closed
                 && c.isOpen()
@@ -262,7 +262,7 @@
               IoUtils.safeClose(c);
             }
           });
-      handler.answered(status, bytes);
+      handler.onResponse(status, bytes);
     }
 
     private void fail() {
@@ -272,7 +272,7 @@
       over = true;
       timer.cancel();
       IoUtils.safeClose(connection);
-      handler.failed(sent);
+      handler.onFailure(sent);
     }
   }
 }
--- a/src/main/java/org/mallowroad/net/IncomingRequest.java
+++ b/src/main/java/org/mallowroad/net/IncomingRequest.java
@@ -20,5 +20,5 @@
    * @param contentType the media type of the body
    * @param retryLater whether the client is told to retry after a second
    */
-  void answer(int status, String contentType, byte[] body, boolean retryLater);
+  void respond(int status, String contentType, byte[] body, boolean retryLater);
 }
--- a/src/main/java/org/mallowroad/net/LogLimiter.java
+++ b/src/main/java/org/mallowroad/net/LogLimiter.java
@@ -22,7 +22,7 @@
   }
 
   /** The usual bound: five lines in ten seconds. */
-  public static LogLimiter usual() {
+  public static LogLimiter withDefaultLimits() {
     return new LogLimiter(USUAL_LINES, USUAL_PERIOD_MS);
   }
 
--- a/src/main/java/org/mallowroad/net/NodeEnvironment.java
+++ b/src/main/java/org/mallowroad/net/NodeEnvironment.java
@@ -10,10 +10,10 @@
   /** What a node does with incoming requests; called on the event loop. */
   interface RequestHandler {
     /** Serves a request of a user, a worker, or a health or metrics probe. */
-    void request(IncomingRequest x);
+    void onRequest(IncomingRequest x);
 
     /** Serves a message of another controller. */
-    void message(IncomingRequest x);
+    void onPeerMessage(IncomingRequest x);
   }
 
   /** The node's event loop. */
@@ -39,7 +39,7 @@
   String boundAddress(int listener);
 
   /** The thread that runs the event loop, for supervision from outside the loop. */
-  Thread thread();
+  Thread loopThread();
 
   /** Closes the listeners and ends the event loop. */
   void stop();
--- a/src/main/java/org/mallowroad/net/RequestSender.java
+++ b/src/main/java/org/mallowroad/net/RequestSender.java
@@ -8,21 +8,21 @@
   /** Takes the outcome of one request; exactly one method is called, once. */
   interface ResponseHandler {
     /** A complete response arrived in time. */
-    void answered(int status, byte[] body);
+    void onResponse(int status, byte[] body);
 
     /**
      * No complete response arrived in time.
      *
      * @param sent false when the other side certainly did not receive the request
      */
-    void failed(boolean sent);
+    void onFailure(boolean sent);
 
     /**
      * The request was not sent, since all connections of this sender are in use: a failure that is
      * no sign of a fault on the other side.
      */
-    default void exhausted() {
-      failed(false);
+    default void onNoFreeConnection() {
+      onFailure(false);
     }
   }
 
@@ -32,7 +32,7 @@
    * @param body null for none
    * @param timeoutMs after which the request has failed
    */
-  void call(String method, String path, byte[] body, long timeoutMs, ResponseHandler handler);
+  void send(String method, String path, byte[] body, long timeoutMs, ResponseHandler handler);
 
   /** Closes idle connections; requests in flight still get their responses. */
   void close();
--- a/src/main/java/org/mallowroad/net/UndertowRequest.java
+++ b/src/main/java/org/mallowroad/net/UndertowRequest.java
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public void answer(int status, String contentType, byte[] body, boolean retryLater) {
+  public void respond(int status, String contentType, byte[] body, boolean retryLater) {
     if (exchange.isResponseStarted()) {
       return;
     }
@@ -36,6 +36,6 @@
   /** Answers a request that reaches no handler; a 503 tells the client to retry. */
   static void reject(HttpServerExchange exchange, int status, String reason) {
     byte[] body = ("{\"error\":\"" + reason + "\"}").getBytes(StandardCharsets.UTF_8);
-    new UndertowRequest(exchange, EMPTY).answer(status, "application/json", body, status == 503);
+    new UndertowRequest(exchange, EMPTY).respond(status, "application/json", body, status == 503);
   }
 }
--- a/src/main/java/org/mallowroad/net/XnioEnvironment.java
+++ b/src/main/java/org/mallowroad/net/XnioEnvironment.java
@@ -51,7 +51,7 @@
     // rest for the state service, the cloud and the other controllers.
     this.maxConnections = settings.maxSockets() * 13 / 16;
     this.crowdedConnections = maxConnections * 3 / 4;
-    this.worker = XnioEventLoop.worker("loop");
+    this.worker = XnioEventLoop.createWorker("loop");
     this.loop = new XnioEventLoop(worker.getIoThread());
     // A small part of the memory: even all readers at their bounds do not exhaust it.
     long bytes = (long) (settings.ramMb() * 1024 * 1024) / BODY_MEMORY_DIVISOR;
@@ -83,7 +83,9 @@
             .addHttpListener(
                 peers.port(),
                 peers.host(),
-                x -> peerBodies.read(x, (e, body) -> handler.message(new UndertowRequest(e, body))))
+                x ->
+                    peerBodies.read(
+                        x, (e, body) -> handler.onPeerMessage(new UndertowRequest(e, body))))
             .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) BodyReader.MAX_MESSAGE_BYTES)
             .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
@@ -96,7 +98,7 @@
 
   private void request(HttpServerExchange x, RequestHandler handler) {
     if (x.getRequestMethod().equals(Methods.GET)) {
-      BodyReader.dispatch(x, () -> handler.request(new UndertowRequest(x, new byte[0])));
+      BodyReader.dispatch(x, () -> handler.onRequest(new UndertowRequest(x, new byte[0])));
       return;
     }
     boolean heartbeat = x.getRequestPath().equals(HEARTBEAT_PATH);
@@ -104,7 +106,7 @@
       x.setPersistent(false);
     }
     BodyReader bodies = heartbeat ? heartbeatBodies : userBodies;
-    bodies.read(x, (e, body) -> handler.request(new UndertowRequest(e, body)));
+    bodies.read(x, (e, body) -> handler.onRequest(new UndertowRequest(e, body)));
   }
 
   /**
@@ -138,8 +140,8 @@
   }
 
   @Override
-  public Thread thread() {
-    return loop.thread();
+  public Thread loopThread() {
+    return loop.ioThread();
   }
 
   @Override
--- a/src/main/java/org/mallowroad/net/XnioEventLoop.java
+++ b/src/main/java/org/mallowroad/net/XnioEventLoop.java
@@ -11,15 +11,15 @@
 
 /** The event loop of a process: one XNIO I/O thread and the machine's clocks. */
 public final class XnioEventLoop extends EventLoop {
-  private final XnioIoThread thread;
+  private final XnioIoThread ioThread;
 
   /** Runs tasks on an I/O thread. */
   public XnioEventLoop(XnioIoThread thread) {
-    this.thread = thread;
+    this.ioThread = thread;
   }
 
   /** Creates an XNIO worker with one I/O thread, and one thread for tasks of Undertow. */
-  public static XnioWorker worker(String name) throws IOException {
+  public static XnioWorker createWorker(String name) throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -32,12 +32,12 @@
   }
 
   /** The I/O thread that runs the loop. */
-  public XnioIoThread thread() {
-    return thread;
+  public XnioIoThread ioThread() {
+    return ioThread;
   }
 
   @Override
-  public long nanos() {
+  public long nanoTime() {
     return System.nanoTime();
   }
 
@@ -48,12 +48,12 @@
 
   @Override
   protected void execute(Runnable task) {
-    thread.execute(task);
+    ioThread.execute(task);
   }
 
   @Override
   protected Timer schedule(long ms, Runnable task) {
-    XnioExecutor.Key key = thread.executeAfter(task, ms, TimeUnit.MILLISECONDS);
+    XnioExecutor.Key key = ioThread.executeAfter(task, ms, TimeUnit.MILLISECONDS);
     return key::remove;
   }
 }
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -41,30 +41,30 @@
   private static final byte[] EMPTY = new byte[0];
 
   private final EventLoop loop;
-  private final LogLimiter invalidMessageLog = LogLimiter.usual();
+  private final LogLimiter invalidMessageLog = LogLimiter.withDefaultLimits();
   private PeerCodec codec;
   private final List<RequestSender> senders = new ArrayList<>();
   private final Listener listener;
   private RelayTransport relayTransport;
 
   /** Where the next relayed request is sent first, modulo the number of peers. */
-  private int preferredPeer;
+  private int firstPeerToTry;
 
   private long invalidMessages;
 
   /** What the node does with its peers' messages. */
   public interface Listener {
     /** Another node announces that it leads in a term. */
-    void announced(String node, long term);
+    void onLeadershipAnnounced(String node, long term);
 
     /** A peer tells of jobs whose cancellation is committed. */
-    void cancelled(List<String> jobs);
+    void onJobsCancelled(List<String> jobs);
 
     /** The leader of that term has more to record than the state service accepts. */
-    void overloaded(long term);
+    void onLeaderOverloaded(long term);
 
     /** Serves a user's request that a peer relayed; it is not relayed again. */
-    void relayed(String method, String path, byte[] body, Responder responder);
+    void onRelayedRequest(String method, String path, byte[] body, Responder responder);
   }
 
   /** Sends to the members in the order of the settings. */
@@ -101,91 +101,92 @@
   }
 
   /** Announces to all peers that a node leads in a term. */
-  public void announce(String node, long term) {
+  public void announceLeadership(String node, long term) {
     byte[] message = codec().encode(new PeerCodec.LeadershipAnnouncement(node, term));
     for (RequestSender sender : senders) {
-      announce(sender, message, ANNOUNCE_ATTEMPTS);
+      announceLeadership(sender, message, ANNOUNCE_ATTEMPTS);
     }
   }
 
-  private void announce(RequestSender sender, byte[] message, int attempts) {
-    sender.call(
+  private void announceLeadership(RequestSender sender, byte[] message, int attempts) {
+    sender.send(
         "POST",
         ANNOUNCE,
         message,
         TIMEOUT_MS,
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {}
+          public void onResponse(int status, byte[] body) {}
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             if (attempts > 1) {
-              loop.after(ANNOUNCE_RETRY_MS, () -> announce(sender, message, attempts - 1));
+              loop.after(
+                  ANNOUNCE_RETRY_MS, () -> announceLeadership(sender, message, attempts - 1));
             }
           }
         });
   }
 
   /** Asks whether a peer's build reads shared start records; an earlier build answers 404. */
-  public void readsSharedStarts(int peer, Consumer<Boolean> result) {
+  public void checkSharedAttemptRecordSupport(int peer, Consumer<Boolean> result) {
     senders
         .get(peer)
-        .call(
+        .send(
             "POST",
             READS_SHARED_STARTS,
             EMPTY,
             TIMEOUT_MS,
             new RequestSender.ResponseHandler() {
               @Override
-              public void answered(int status, byte[] body) {
+              public void onResponse(int status, byte[] body) {
                 result.accept(status == 204);
               }
 
               @Override
-              public void failed(boolean sent) {
+              public void onFailure(boolean sent) {
                 result.accept(false);
               }
             });
   }
 
   /** Tells all peers that the leader is overloaded; the caller repeats it, so it is not retried. */
-  public void sendOverloaded(long term) {
+  public void broadcastOverload(long term) {
     byte[] message = codec().encode(new PeerCodec.OverloadNotice(term));
     for (RequestSender sender : senders) {
-      sender.call(
+      sender.send(
           "POST",
           OVERLOADED,
           message,
           TIMEOUT_MS,
           new RequestSender.ResponseHandler() {
             @Override
-            public void answered(int status, byte[] body) {}
+            public void onResponse(int status, byte[] body) {}
 
             @Override
-            public void failed(boolean sent) {}
+            public void onFailure(boolean sent) {}
           });
     }
   }
 
   /** Tells one peer of cancelled jobs; the listener gets whether it need not be told again. */
-  public void sendCancelled(int peer, List<String> jobs, Consumer<Boolean> listener) {
+  public void sendCancelledJobs(int peer, List<String> jobs, Consumer<Boolean> listener) {
     senders
         .get(peer)
-        .call(
+        .send(
             "POST",
             CANCELLED,
             codec().encode(new PeerCodec.CancelledJobs(jobs)),
             TIMEOUT_MS,
             new RequestSender.ResponseHandler() {
               @Override
-              public void answered(int status, byte[] body) {
+              public void onResponse(int status, byte[] body) {
                 // An earlier build answers 404 and will never take the message.
                 listener.accept(status < 500);
               }
 
               @Override
-              public void failed(boolean sent) {
+              public void onFailure(boolean sent) {
                 listener.accept(false);
               }
             });
@@ -209,21 +210,21 @@
       return;
     }
     relay(
-        Math.floorMod(preferredPeer, senders.size()),
+        Math.floorMod(firstPeerToTry, senders.size()),
         message,
         new RelayedResponseHandler() {
           @Override
-          void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException {
+          void onResponse(PeerCodec.RelayedResponse response) throws InvalidMessageException {
             if (isRetriable(response.status())) {
-              failed();
+              onFailure();
             } else {
               responder.answer(response.status(), Json.parseObject(response.body()), false);
             }
           }
 
           @Override
-          void failed() {
-            preferredPeer++;
+          void onFailure() {
+            firstPeerToTry++;
             relayToAnyPeer(message, peersTried + 1, responder, failed);
           }
         });
@@ -241,7 +242,7 @@
         codec().encode(new PeerCodec.RelayedRequest(method, path, body)),
         new RelayedResponseHandler() {
           @Override
-          void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException {
+          void onResponse(PeerCodec.RelayedResponse response) throws InvalidMessageException {
             responder.answer(
                 response.status(),
                 Json.parseObject(response.body()),
@@ -249,14 +250,14 @@
           }
 
           @Override
-          void failed() {
+          void onFailure() {
             failed.run();
           }
         });
   }
 
   private void relay(int peer, byte[] message, RelayedResponseHandler handler) {
-    senders.get(peer).call("POST", RELAY, message, TIMEOUT_MS, handler);
+    senders.get(peer).send("POST", RELAY, message, TIMEOUT_MS, handler);
   }
 
   /** Whether a status says that the request may succeed elsewhere or later. */
@@ -266,47 +267,47 @@
 
   /** Decodes the response to a relayed request; an unreadable one counts as none. */
   private abstract class RelayedResponseHandler implements RequestSender.ResponseHandler {
-    abstract void answered(PeerCodec.RelayedResponse response) throws InvalidMessageException;
+    abstract void onResponse(PeerCodec.RelayedResponse response) throws InvalidMessageException;
 
-    abstract void failed();
+    abstract void onFailure();
 
     @Override
-    public final void answered(int status, byte[] bytes) {
+    public final void onResponse(int status, byte[] bytes) {
       try {
-        answered(codec().decodeResponse(bytes));
+        onResponse(codec().decodeResponse(bytes));
       } catch (InvalidMessageException e) {
         countInvalid(e);
-        failed();
+        onFailure();
       }
     }
 
     @Override
-    public final void failed(boolean sent) {
-      failed();
+    public final void onFailure(boolean sent) {
+      onFailure();
     }
   }
 
   /** Serves a message of a peer; one of an unknown kind is answered 404. */
-  public void receive(IncomingRequest request) {
+  public void handleMessage(IncomingRequest request) {
     try {
       switch (request.path()) {
         case ANNOUNCE -> {
           PeerCodec.LeadershipAnnouncement a = codec().decodeAnnouncement(request.body());
-          listener.announced(a.node(), a.term());
+          listener.onLeadershipAnnounced(a.node(), a.term());
           answer(request, 204);
         }
         case CANCELLED -> {
-          listener.cancelled(codec().decodeCancelledJobs(request.body()).jobs());
+          listener.onJobsCancelled(codec().decodeCancelledJobs(request.body()).jobs());
           answer(request, 204);
         }
         case OVERLOADED -> {
-          listener.overloaded(codec().decodeOverloadNotice(request.body()).term());
+          listener.onLeaderOverloaded(codec().decodeOverloadNotice(request.body()).term());
           answer(request, 204);
         }
         case READS_SHARED_STARTS -> answer(request, 204);
         case RELAY -> receiveRelayed(request);
         default -> {
-          if (relayTransport == null || !relayTransport.receive(request)) {
+          if (relayTransport == null || !relayTransport.handleMessage(request)) {
             answer(request, 404);
           }
         }
@@ -319,18 +320,18 @@
 
   private void receiveRelayed(IncomingRequest request) throws InvalidMessageException {
     PeerCodec.RelayedRequest r = codec().decodeRequest(request.body());
-    listener.relayed(
+    listener.onRelayedRequest(
         r.method(),
         r.path(),
         r.body(),
         (status, body, retryLater) -> {
           byte[] message = codec().encode(new PeerCodec.RelayedResponse(status, Json.bytes(body)));
-          request.answer(200, AVRO, message, false);
+          request.respond(200, AVRO, message, false);
         });
   }
 
   private static void answer(IncomingRequest request, int status) {
-    request.answer(status, AVRO, EMPTY, false);
+    request.respond(status, AVRO, EMPTY, false);
   }
 
   private void countInvalid(InvalidMessageException e) {
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -21,7 +21,7 @@
  * others, and each is bounded: a message beyond the bound was certainly not sent. Peers are
  * numbered by their place in the settings. Confined to the event loop.
  */
-public final class RelayTransport implements RelayedCaller.CallRelay {
+public final class RelayTransport implements RelayingRequestSender.CallRelay {
   /** The receiver of a relayed call that is for a worker's address. */
   static final String WORKER = "worker";
 
@@ -74,7 +74,7 @@
     OptionalLong onLinkState(LinkStateAdvertisement linkState);
 
     /** Makes a peer's call by this node's own direct way only, so that relays form no loops. */
-    void onCall(
+    void onRelayedCall(
         ExternalService to,
         String method,
         String path,
@@ -83,10 +83,10 @@
         RequestSender.ResponseHandler handler);
 
     /** Sends a peer's commands to a worker. */
-    void onCommands(String address, byte[] body, RequestSender.ResponseHandler handler);
+    void onRelayedCommands(String address, byte[] body, RequestSender.ResponseHandler handler);
 
     /** Serves a heartbeat that arrived at a peer; the worker gets the response. */
-    void onHeartbeat(int peer, byte[] heartbeat, RequestSender.ResponseHandler handler);
+    void onRelayedHeartbeat(int peer, byte[] heartbeat, RequestSender.ResponseHandler handler);
   }
 
   /** Sends to the members in the order of the settings. */
@@ -135,14 +135,14 @@
     long sentMs = loop.now();
     linkStateSenders
         .get(peer)
-        .call(
+        .send(
             "POST",
             LINK_STATE_PATH,
             message,
             LINK_STATE_TIMEOUT_MS,
             new RequestSender.ResponseHandler() {
               @Override
-              public void answered(int status, byte[] body) {
+              public void onResponse(int status, byte[] body) {
                 linkStateInFlight[peer] = false;
                 links.recordPeerCall(peer, true, sentMs, loop.now());
                 if (status == STATUS_SUPERSEDED) {
@@ -151,7 +151,7 @@
               }
 
               @Override
-              public void failed(boolean sent) {
+              public void onFailure(boolean sent) {
                 linkStateInFlight[peer] = false;
                 links.recordPeerCall(peer, false, sentMs, loop.now());
               }
@@ -194,7 +194,7 @@
   private void relay(int peer, LinkCodec.RelayedCall call, RequestSender.ResponseHandler handler) {
     callSenders
         .get(peer)
-        .call(
+        .send(
             "POST",
             CALL_PATH,
             codec().encode(call),
@@ -202,12 +202,12 @@
             new RelayedResultHandler(peer, handler) {
               @Override
               void rejected(int status) {
-                handler.failed(mayHaveRelayed(status));
+                handler.onFailure(mayHaveRelayed(status));
               }
 
               @Override
               void notAnswered(LinkCodec.Outcome outcome) {
-                handler.failed(outcome != LinkCodec.Outcome.NOT_SENT);
+                handler.onFailure(outcome != LinkCodec.Outcome.NOT_SENT);
               }
             });
   }
@@ -226,7 +226,7 @@
       int peer, String self, byte[] heartbeat, RequestSender.ResponseHandler handler) {
     heartbeatSenders
         .get(peer)
-        .call(
+        .send(
             "POST",
             HEARTBEAT_PATH,
             codec().encode(new LinkCodec.RelayedHeartbeat(self, heartbeat)),
@@ -234,12 +234,12 @@
             new RelayedResultHandler(peer, handler) {
               @Override
               void rejected(int status) {
-                handler.failed(true);
+                handler.onFailure(true);
               }
 
               @Override
               void notAnswered(LinkCodec.Outcome outcome) {
-                handler.failed(true);
+                handler.onFailure(true);
               }
             });
   }
@@ -262,7 +262,7 @@
     abstract void notAnswered(LinkCodec.Outcome outcome);
 
     @Override
-    public final void answered(int status, byte[] bytes) {
+    public final void onResponse(int status, byte[] bytes) {
       links.recordPeerCall(peer, true, sentMs, loop.now());
       if (status != 200) {
         rejected(status);
@@ -272,23 +272,23 @@
       try {
         result = codec().decodeResult(bytes);
       } catch (InvalidMessageException e) {
-        handler.failed(true);
+        handler.onFailure(true);
         return;
       }
       if (result.outcome() == LinkCodec.Outcome.ANSWERED) {
-        handler.answered(result.status(), result.body());
+        handler.onResponse(result.status(), result.body());
       } else {
         notAnswered(result.outcome());
       }
     }
 
     @Override
-    public final void failed(boolean sent) {
+    public final void onFailure(boolean sent) {
       // Unsent may only mean that too many requests are in flight; link states judge that link.
       if (sent) {
         links.recordPeerCall(peer, false, sentMs, loop.now());
       }
-      handler.failed(sent);
+      handler.onFailure(sent);
     }
   }
 
@@ -297,13 +297,13 @@
    *
    * @return false when the message is of no kind that is known here
    */
-  boolean receive(IncomingRequest request) throws InvalidMessageException {
+  boolean handleMessage(IncomingRequest request) throws InvalidMessageException {
     switch (request.path()) {
       case LINK_STATE_PATH -> receiveLinkState(request);
       case CALL_PATH -> receiveCall(request);
       case HEARTBEAT_PATH -> {
         LinkCodec.RelayedHeartbeat h = codec().decodeHeartbeat(request.body());
-        listener.onHeartbeat(
+        listener.onRelayedHeartbeat(
             links.peerIndex(h.from()), h.heartbeat(), new ResultResponder(request, () -> {}));
       }
       default -> {
@@ -317,16 +317,16 @@
     OptionalLong newer = listener.onLinkState(codec().decodeLinkState(request.body()));
     if (newer.isPresent()) {
       byte[] body = codec().encode(new LinkCodec.NewerProcess(newer.getAsLong()));
-      request.answer(STATUS_SUPERSEDED, PeerMessenger.AVRO, body, false);
+      request.respond(STATUS_SUPERSEDED, PeerMessenger.AVRO, body, false);
     } else {
-      request.answer(204, PeerMessenger.AVRO, EMPTY, false);
+      request.respond(204, PeerMessenger.AVRO, EMPTY, false);
     }
   }
 
   private void receiveCall(IncomingRequest request) throws InvalidMessageException {
     LinkCodec.RelayedCall call = codec().decodeCall(request.body());
     if (callsBeingServed >= MAX_CALLS) {
-      request.answer(503, PeerMessenger.AVRO, EMPTY, true);
+      request.respond(503, PeerMessenger.AVRO, EMPTY, true);
       return;
     }
     // Before it is counted: a message that is refused must not occupy a place for ever.
@@ -334,10 +334,11 @@
     callsBeingServed++;
     ResultResponder responder = new ResultResponder(request, () -> callsBeingServed--);
     if (service == null) {
-      listener.onCommands(call.path(), call.body(), responder);
+      listener.onRelayedCommands(call.path(), call.body(), responder);
     } else {
       byte[] body = call.body().length == 0 ? null : call.body();
-      listener.onCall(service, call.method(), call.path(), body, call.timeoutMs(), responder);
+      listener.onRelayedCall(
+          service, call.method(), call.path(), body, call.timeoutMs(), responder);
     }
   }
 
@@ -361,19 +362,19 @@
     }
 
     @Override
-    public void answered(int status, byte[] body) {
+    public void onResponse(int status, byte[] body) {
       respond(LinkCodec.Outcome.ANSWERED, status, body);
     }
 
     @Override
-    public void failed(boolean sent) {
+    public void onFailure(boolean sent) {
       respond(sent ? LinkCodec.Outcome.UNKNOWN : LinkCodec.Outcome.NOT_SENT, 0, EMPTY);
     }
 
     private void respond(LinkCodec.Outcome outcome, int status, byte[] body) {
       beforeResponse.run();
       byte[] message = codec().encode(new LinkCodec.RelayedResult(outcome, status, body));
-      request.answer(200, PeerMessenger.AVRO, message, false);
+      request.respond(200, PeerMessenger.AVRO, message, false);
     }
   }
 }
--- a/src/main/java/org/mallowroad/peer/RelayedCaller.java
+++ b/src/main/java/org/mallowroad/peer/RelayingRequestSender.java
@@ -33,7 +33,7 @@
  *   <li><i>The write limit</i> is that of the node that decides the write; a peer adds none.
  * </ol>
  */
-public final class RelayedCaller implements RequestSender {
+public final class RelayingRequestSender implements RequestSender {
   /** Calls with a longer time-out wait for an event, and are given up when the route changes. */
   private static final long LONG_POLL_TIMEOUT_MS = 4_000;
 
@@ -70,7 +70,7 @@
    * @param direct sends without a peer
    * @param hedgeMs after which an unanswered direct call that may be repeated is also relayed
    */
-  public RelayedCaller(
+  public RelayingRequestSender(
       EventLoop loop,
       RequestSender direct,
       ExternalService service,
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void call(
+  public void send(
       String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
     new Call(method, path, body, timeoutMs, handler).start();
   }
@@ -102,7 +102,7 @@
     route.chooseRoute(loop.now());
     for (Call c : new ArrayList<>(longPolls)) {
       if (c.routeChanges != route.routeChangeCount()) {
-        c.finish(() -> c.handler.failed(true));
+        c.finish(() -> c.handler.onFailure(true));
       }
     }
   }
@@ -162,7 +162,7 @@
     private void sendDirect() {
       inFlight++;
       long sentMs = loop.now();
-      direct.call(method, path, body, deadlineMs - sentMs, new DirectResponseHandler(sentMs));
+      direct.send(method, path, body, deadlineMs - sentMs, new DirectResponseHandler(sentMs));
     }
 
     /** Sends the call a second time, through a peer, where one seems to be faster. */
@@ -184,13 +184,13 @@
           remainingMs(),
           new ResponseHandler() {
             @Override
-            public void answered(int status, byte[] bytes) {
+            public void onResponse(int status, byte[] bytes) {
               route.recordRelayedCall(peer, true, loop.now());
-              finish(() -> handler.answered(status, bytes));
+              finish(() -> handler.onResponse(status, bytes));
             }
 
             @Override
-            public void failed(boolean sent) {
+            public void onFailure(boolean sent) {
               route.recordRelayedCall(peer, false, loop.now());
               inFlight--;
               maybeExecuted |= sent;
@@ -208,7 +208,7 @@
     private void failUnlessInFlight(Runnable refusal) {
       if (inFlight == 0) {
         boolean executed = maybeExecuted;
-        finish(refusal != null && !executed ? refusal : () -> handler.failed(executed));
+        finish(refusal != null && !executed ? refusal : () -> handler.onFailure(executed));
       }
     }
 
@@ -231,26 +231,26 @@
       }
 
       @Override
-      public void answered(int status, byte[] bytes) {
+      public void onResponse(int status, byte[] bytes) {
         // The state service serves all nodes or none, except for one that it refuses with 503: that
         // node is cut off. A cloud's 503 is an answer like any other.
         boolean refused = service == ExternalService.STATE && status == 503;
         route.recordDirectCall(!refused, sentMs, loop.now());
         if (refused) {
-          relayOrFail(false, () -> handler.answered(status, bytes));
+          relayOrFail(false, () -> handler.onResponse(status, bytes));
         } else {
-          finish(() -> handler.answered(status, bytes));
+          finish(() -> handler.onResponse(status, bytes));
         }
       }
 
       @Override
-      public void failed(boolean sent) {
+      public void onFailure(boolean sent) {
         route.recordDirectCall(false, sentMs, loop.now());
         relayOrFail(sent, null);
       }
 
       @Override
-      public void exhausted() {
+      public void onNoFreeConnection() {
         // All connections are in use: no sign that the service is not reached.
         relayOrFail(false, null);
       }
--- a/src/main/java/org/mallowroad/simulation/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -222,13 +222,13 @@
       long timeoutMs,
       RequestSender.ResponseHandler answer) {
     Call call = new Call(a);
-    time.after(timeoutMs * 1000, a, () -> call.end(() -> answer.failed(true)));
+    time.after(timeoutMs * 1000, a, () -> call.end(() -> answer.onFailure(true)));
     Runnable arrival =
         () -> {
           if (!b.listens()) {
             // A process that is gone refuses; a machine that is gone says nothing.
             if (b.kind == Kind.NODE) {
-              back(b, a, () -> call.end(() -> answer.failed(false)));
+              back(b, a, () -> call.end(() -> answer.onFailure(false)));
             }
             return;
           }
@@ -248,7 +248,7 @@
                               () ->
                                   call.end(
                                       () ->
-                                          answer.answered(
+                                          answer.onResponse(
                                               status,
                                               a.kind == Kind.USERS
                                                   ? filter.answer(b, target, bytes)
@@ -294,8 +294,8 @@
       case LOST -> {
         // The caller's own time is all that ends it.
       }
-      case REFUSE -> time.after(LATENCY_US, a, () -> call.end(() -> answer.failed(false)));
-      case RESET -> time.after(LATENCY_US, a, () -> call.end(() -> answer.failed(true)));
+      case REFUSE -> time.after(LATENCY_US, a, () -> call.end(() -> answer.onFailure(false)));
+      case RESET -> time.after(LATENCY_US, a, () -> call.end(() -> answer.onFailure(true)));
       default -> {
         // A connection attempt that is given up does not complete later; one that stood does.
         if (random.nextBoolean()) {
--- a/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
+++ b/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
@@ -65,9 +65,9 @@
     }
     IncomingRequest x = new Arrived(method, target, body, reply);
     if (from.kind == Network.Kind.NODE) {
-      front.message(x);
+      front.onPeerMessage(x);
     } else {
-      front.request(x);
+      front.onRequest(x);
     }
   }
 
@@ -83,10 +83,10 @@
       private int open;
 
       @Override
-      public void call(
+      public void send(
           String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
         if (open >= maxOpen || party == null) {
-          answer.failed(false);
+          answer.onFailure(false);
           return;
         }
         open++;
@@ -99,19 +99,19 @@
             timeoutMs,
             new ResponseHandler() {
               @Override
-              public void answered(int status, byte[] bytes) {
+              public void onResponse(int status, byte[] bytes) {
                 open--;
                 if (bytes.length > maxBody) {
-                  answer.failed(true);
+                  answer.onFailure(true);
                 } else {
-                  answer.answered(status, bytes);
+                  answer.onResponse(status, bytes);
                 }
               }
 
               @Override
-              public void failed(boolean sent) {
+              public void onFailure(boolean sent) {
                 open--;
-                answer.failed(sent);
+                answer.onFailure(sent);
               }
             });
       }
@@ -137,7 +137,7 @@
   }
 
   @Override
-  public Thread thread() {
+  public Thread loopThread() {
     return Thread.currentThread();
   }
 
@@ -149,14 +149,14 @@
   private record Arrived(String method, String path, byte[] body, Network.Reply reply)
       implements IncomingRequest {
     @Override
-    public void answer(int status, String type, byte[] body, boolean later) {
+    public void respond(int status, String type, byte[] body, boolean later) {
       reply.answer(status, body);
     }
   }
 
   private final class Life extends EventLoop {
     @Override
-    public long nanos() {
+    public long nanoTime() {
       return (long) (time.us() * 1000L * (1 + drift)) + 1_000_000_000_000L;
     }
 
--- a/src/main/java/org/mallowroad/simulation/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -98,12 +98,12 @@
         PROBE_MS,
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {
+          public void onResponse(int status, byte[] body) {
             judge(seen.get(i), status == 200);
           }
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             judge(seen.get(i), false);
           }
         });
@@ -250,12 +250,12 @@
         ms,
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] bytes) {
+          public void onResponse(int status, byte[] bytes) {
             got.got(status, standing(bytes));
           }
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             failed.accept(sent);
           }
         });
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -211,7 +211,7 @@
         ANSWER_MS,
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {
+          public void onResponse(int status, byte[] body) {
             out = false;
             ObjectNode o = parsed(body);
             if (status == 200) {
@@ -229,12 +229,12 @@
               at = to;
               next(random.nextLong(500));
             } else {
-              failed(true);
+              onFailure(true);
             }
           }
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             out = false;
             at = (at + 1) % nodes.size();
             next(PAUSE_MS);
--- a/src/main/java/org/mallowroad/state/CallHandler.java
+++ b/src/main/java/org/mallowroad/state/CallHandler.java
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public final void answered(int status, byte[] body) {
+  public final void onResponse(int status, byte[] body) {
     health.recordResponse(status, sentMs, countsForLatency());
     ObjectNode parsed = Json.object();
     if (status < HttpStatus.FIRST_SERVER_ERROR
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public final void failed(boolean sent) {
+  public final void onFailure(boolean sent) {
     health.recordFailure();
     onNoResponse(sent);
   }
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -149,7 +149,7 @@
 
   /** Reads a key. */
   public void get(String key, ReadListener listener) {
-    sender.call(
+    sender.send(
         "GET",
         StateServiceCodec.keyPath(key),
         null,
@@ -254,7 +254,7 @@
   }
 
   private void requestListPage(String prefix, String after, int limit, PageListener listener) {
-    sender.call(
+    sender.send(
         "GET",
         StateServiceCodec.listPath(prefix, after, limit),
         null,
@@ -312,7 +312,7 @@
 
   /** Executes a transaction once, without retries. */
   public void compareAndSwap(Transaction transaction, TransactionListener listener) {
-    sender.call(
+    sender.send(
         "POST",
         "/multi",
         Json.bytes(transaction.requestBody()),
@@ -359,7 +359,7 @@
 
   private void sendLeaseCall(
       String method, String path, byte[] body, long timeoutMs, LeaseListener listener) {
-    sender.call(
+    sender.send(
         method,
         path,
         body,
@@ -393,7 +393,7 @@
    * @param waitMs maximum time that the service waits for a change, in milliseconds
    */
   public void watch(String prefix, long afterRevision, long waitMs, WatchListener listener) {
-    watchSender.call(
+    watchSender.send(
         "GET",
         StateServiceCodec.watchPath(prefix, afterRevision, waitMs),
         null,
--- a/src/main/java/org/mallowroad/state/ServiceHealth.java
+++ b/src/main/java/org/mallowroad/state/ServiceHealth.java
@@ -23,7 +23,7 @@
 
   private final EventLoop loop;
   private final LatencyEstimator latency = new LatencyEstimator();
-  private final LogLimiter malformedLogLimiter = LogLimiter.usual();
+  private final LogLimiter malformedLogLimiter = LogLimiter.withDefaultLimits();
   private long lastExecutedCallSentMs = NEVER_MS;
   private long lastServedResponseMs = NEVER_MS;
   private long lastFailureMs = NEVER_MS;
--- a/src/main/java/org/mallowroad/worker/HeartbeatApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -24,7 +24,7 @@
 
   private final EventLoop loop;
   private final Handler handler;
-  private final LogLimiter invalidMessageLog = LogLimiter.usual();
+  private final LogLimiter invalidMessageLog = LogLimiter.withDefaultLimits();
   private long invalidMessages;
 
   /** What the node does with heartbeats. */
@@ -61,7 +61,7 @@
   }
 
   /** Serves POST /v1/report. */
-  public void receive(IncomingRequest request) {
+  public void handle(IncomingRequest request) {
     Heartbeat heartbeat;
     try {
       heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(request.body()));
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -18,7 +18,7 @@
 
 /**
  * Sends commands to workers' own addresses, without waiting for their next heartbeat. The caller
- * keeps to one message at a time for each worker ({@link #isBusy}).
+ * keeps to one message at a time for each worker ({@link #hasMessageInFlight}).
  */
 public final class WorkerClient {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerClient.class);
@@ -37,7 +37,7 @@
   private static final int STATUS_FENCED = 409;
 
   private final EventLoop loop;
-  private final LogLimiter responseLog = LogLimiter.usual();
+  private final LogLimiter responseLog = LogLimiter.withDefaultLimits();
   private final NodeEnvironment environment;
   private CommandRelay relay;
   private final int maxWorkers;
@@ -49,7 +49,7 @@
   private final ObjectOpenHashSet<String> busyAddresses = new ObjectOpenHashSet<>();
 
   /** What is known of a message's delivery. */
-  public enum Delivery {
+  public enum DeliveryResult {
     /** The worker answered: it executed the commands, or refused all of them. */
     ANSWERED,
     /** The worker certainly did not receive the message. */
@@ -66,7 +66,7 @@
      *
      * @param heartbeat the worker's state after the commands; null when it sent none
      */
-    void delivered(Delivery delivery, Heartbeat heartbeat);
+    void onDeliveryResult(DeliveryResult delivery, Heartbeat heartbeat);
   }
 
   /** A way to workers through another controller. */
@@ -85,7 +85,7 @@
   }
 
   /** Whether a message to the worker is in flight. */
-  public boolean isBusy(String address) {
+  public boolean hasMessageInFlight(String address) {
     return busyAddresses.contains(address);
   }
 
@@ -125,9 +125,9 @@
   public void sendRelayed(String address, byte[] body, RequestSender.ResponseHandler handler) {
     RequestSender sender = sender(address);
     if (sender == null) {
-      handler.failed(false);
+      handler.onFailure(false);
     } else {
-      sender.call("POST", COMMANDS_PATH, body, TIMEOUT_MS, handler);
+      sender.send("POST", COMMANDS_PATH, body, TIMEOUT_MS, handler);
     }
   }
 
@@ -153,11 +153,11 @@
     }
     RequestSender sender = sender(address);
     if (sender == null) {
-      listener.delivered(Delivery.NOT_SENT, null);
+      listener.onDeliveryResult(DeliveryResult.NOT_SENT, null);
       return;
     }
     busyAddresses.add(address);
-    sender.call("POST", COMMANDS_PATH, body, TIMEOUT_MS, handler);
+    sender.send("POST", COMMANDS_PATH, body, TIMEOUT_MS, handler);
   }
 
   /** Turns the response to one message into its delivery. */
@@ -171,10 +171,10 @@
     }
 
     @Override
-    public void answered(int status, byte[] body) {
+    public void onResponse(int status, byte[] body) {
       busyAddresses.remove(address);
       if (status == STATUS_EXECUTED || status == STATUS_FENCED) {
-        listener.delivered(Delivery.ANSWERED, decodeOrNull(body));
+        listener.onDeliveryResult(DeliveryResult.ANSWERED, decodeOrNull(body));
         return;
       }
       if (responseLog.tryAcquire(loop.now())) {
@@ -184,13 +184,14 @@
             status,
             responseLog.suppressed());
       }
-      listener.delivered(status == STATUS_MALFORMED ? Delivery.ANSWERED : Delivery.UNKNOWN, null);
+      listener.onDeliveryResult(
+          status == STATUS_MALFORMED ? DeliveryResult.ANSWERED : DeliveryResult.UNKNOWN, null);
     }
 
     @Override
-    public void failed(boolean wasSent) {
+    public void onFailure(boolean wasSent) {
       busyAddresses.remove(address);
-      listener.delivered(wasSent ? Delivery.UNKNOWN : Delivery.NOT_SENT, null);
+      listener.onDeliveryResult(wasSent ? DeliveryResult.UNKNOWN : DeliveryResult.NOT_SENT, null);
     }
 
     private Heartbeat decodeOrNull(byte[] body) {
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -186,7 +186,7 @@
           injectedFaults++;
           Call call = pendingCalls.remove(Integer.parseInt(parts[1]));
           delayedTransactions.add(call);
-          call.caller.enqueueResponse(() -> call.handler.failed(true), "none");
+          call.caller.enqueueResponse(() -> call.handler.onFailure(true), "none");
         }
         case "duplicate" -> {
           injectedFaults++;
@@ -236,10 +236,10 @@
       if (responseDelivered) {
         byte[] body = Json.bytes(response.body());
         call.caller.enqueueResponse(
-            () -> call.handler.answered(response.status(), body),
+            () -> call.handler.onResponse(response.status(), body),
             response.status() + new String(body, StandardCharsets.UTF_8));
       } else {
-        call.caller.enqueueResponse(() -> call.handler.failed(true), "none");
+        call.caller.enqueueResponse(() -> call.handler.onFailure(true), "none");
       }
     }
 
@@ -309,7 +309,7 @@
     }
 
     @Override
-    public long nanos() {
+    public long nanoTime() {
       return execution.nowMs * 1_000_000;
     }
 
@@ -332,7 +332,7 @@
     }
 
     @Override
-    public void call(
+    public void send(
         String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
       execution.pendingCalls.add(new Call(this, method, path, body, handler));
     }
--- a/src/test/java/org/mallowroad/VirtualTimeHarness.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -79,7 +79,7 @@
     public boolean crashed;
 
     @Override
-    public long nanos() {
+    public long nanoTime() {
       return nowMs * 1_000_000;
     }
 
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void call(
+    public void send(
         String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
       after(1, () -> callStore(method, path, body, timeoutMs, handler));
     }
@@ -126,7 +126,7 @@
       receivedCalls++;
       boolean isTransaction = path.equals("/multi");
       if (nowMs < rateLimitedUntilMs) {
-        handler.answered(429, new byte[0]);
+        handler.onResponse(429, new byte[0]);
         return;
       }
       if (isTransaction) {
@@ -141,7 +141,7 @@
           after(50, () -> callStore(method, path, body, timeoutMs - 50, handler));
         } else if (isTransaction
             && (loseTransactionResponses || transactionResponsesToLose-- > 0)) {
-          after(timeoutMs, () -> handler.failed(true));
+          after(timeoutMs, () -> handler.onFailure(true));
         } else {
           if (reportFirstFailureOnly && response.status() == 409) {
             ArrayNode failedConditions = (ArrayNode) response.body().get("failed");
@@ -149,7 +149,7 @@
               failedConditions.remove(1);
             }
           }
-          handler.answered(response.status(), Json.bytes(response.body()));
+          handler.onResponse(response.status(), Json.bytes(response.body()));
         }
       } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -158,7 +158,7 @@
     nodes
         .get(state.leader())
         .loop()
-        .soon(
+        .submit(
             () -> {
               try {
                 release.await(30, TimeUnit.SECONDS);
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -243,7 +243,7 @@
       WorkerClient client = new WorkerClient(host, 50);
       CompletableFuture<Integer> connectionCount = new CompletableFuture<>();
       host.loop()
-          .soon(
+          .submit(
               () -> {
                 for (int port = 1; port <= 1_000; port++) {
                   client.send("127.0.0.1:" + port, -1, 1, 1, List.of(), (result, report) -> {});
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -296,7 +296,7 @@
     // Simulates a frozen host: the clocks continue, and messages that arrive meanwhile wait in the
     // sockets.
     CountDownLatch resumed = new CountDownLatch(1);
-    nodes.get(firstLeader).loop().soon(() -> pause(6_000, resumed));
+    nodes.get(firstLeader).loop().submit(() -> pause(6_000, resumed));
     addresses.remove(firstLeader);
     await("another leader", () -> state.term() > term && state.leader() != null);
     assertTrue(resumed.getCount() == 1, "the paused leader must be replaced before it resumes");
@@ -319,7 +319,7 @@
     // By then some nodes have requested a lease or sent their election, and they read the result
     // too late.
     Thread.sleep(30);
-    nodes.values().forEach(n -> n.loop().soon(() -> pause(4_000, resumed)));
+    nodes.values().forEach(n -> n.loop().submit(() -> pause(4_000, resumed)));
     assertTrue(resumed.await(20, TimeUnit.SECONDS));
     await("a higher term", () -> state.term() > term && state.leader() != null);
     await("end of the job", () -> hasStanding("job-000001", "done"));
--- a/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
@@ -93,16 +93,16 @@
     RequestSender.ResponseHandler ignored =
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] answer) {}
+          public void onResponse(int status, byte[] answer) {}
 
           @Override
-          public void failed(boolean sent) {}
+          public void onFailure(boolean sent) {}
         };
     host.loop()
-        .soon(
+        .submit(
             () ->
                 host.requestSender(endpoint, type, 1, 1_000)
-                    .call(method, path, body, PATIENCE_MS, ignored));
+                    .send(method, path, body, PATIENCE_MS, ignored));
     server.setSoTimeout(PATIENCE_MS);
     try (Socket connection = server.accept()) {
       connection.setSoTimeout(PATIENCE_MS);
@@ -128,7 +128,7 @@
   void answersStay() throws IOException, InterruptedException {
     CountDownLatch listening = new CountDownLatch(1);
     host.loop()
-        .soon(
+        .submit(
             () -> {
               host.listen(new Answers());
               listening.countDown();
@@ -165,14 +165,14 @@
   /** Answers with the status that the path names. */
   private static final class Answers implements NodeEnvironment.RequestHandler {
     @Override
-    public void request(IncomingRequest request) {
+    public void onRequest(IncomingRequest request) {
       int status = Integer.parseInt(request.path().substring(1));
-      request.answer(status, JSON, BODY, status == 503);
+      request.respond(status, JSON, BODY, status == 503);
     }
 
     @Override
-    public void message(IncomingRequest message) {
-      message.answer(204, "avro/binary", new byte[0], false);
+    public void onPeerMessage(IncomingRequest message) {
+      message.respond(204, "avro/binary", new byte[0], false);
     }
   }
 }
--- a/src/test/java/org/mallowroad/golden/PeerMessagesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/PeerMessagesGoldenTest.java
@@ -51,7 +51,7 @@
                     e.getKey(),
                     () -> {
                       byte[] golden = HexFormat.of().parseHex(e.getValue());
-                      assertArrayEquals(golden, PeerMessages.rewritten(e.getKey(), golden));
+                      assertArrayEquals(golden, PeerMessages.reencode(e.getKey(), golden));
                     }))
         .toList();
   }
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -77,11 +77,11 @@
     private String call = "";
 
     @Override
-    public void call(
+    public void send(
         String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
       String text = body == null ? "no body" : GoldenFile.text(body);
       requests.put(call + ": " + method + " " + path + " within " + timeoutMs + " ms", text);
-      answer.failed(false);
+      answer.onFailure(false);
     }
 
     @Override
--- a/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
+++ b/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
@@ -65,17 +65,17 @@
     List<Socket> kept = new ArrayList<>();
     try {
       host.loop()
-          .soon(
+          .submit(
               () ->
                   host.listen(
                       new NodeEnvironment.RequestHandler() {
                         @Override
-                        public void request(IncomingRequest x) {
-                          x.answer(200, "application/json", new byte[] {'{', '}'}, false);
+                        public void onRequest(IncomingRequest x) {
+                          x.respond(200, "application/json", new byte[] {'{', '}'}, false);
                         }
 
                         @Override
-                        public void message(IncomingRequest x) {}
+                        public void onPeerMessage(IncomingRequest x) {}
                       }));
       String[] at = null;
       for (int i = 0; i < 200 && at == null; i++) {
--- a/src/test/java/org/mallowroad/peer/PeerMessages.java
+++ b/src/test/java/org/mallowroad/peer/PeerMessages.java
@@ -96,7 +96,7 @@
   }
 
   /** Reads the bytes of a message and writes it again. */
-  public static byte[] rewritten(String name, byte[] bytes) throws InvalidMessageException {
+  public static byte[] reencode(String name, byte[] bytes) throws InvalidMessageException {
     return REWRITES.get(name).apply(bytes);
   }
 
--- a/src/test/java/org/mallowroad/peer/RelayTransportTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayTransportTest.java
@@ -29,7 +29,7 @@
   private final EventLoop loop =
       new EventLoop() {
         @Override
-        public long nanos() {
+        public long nanoTime() {
           return 0;
         }
 
@@ -60,9 +60,9 @@
     public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
       return new RequestSender() {
         @Override
-        public void call(
+        public void send(
             String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-          answer.answered(status, new byte[0]);
+          answer.onResponse(status, new byte[0]);
         }
 
         @Override
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public Thread thread() {
+    public Thread loopThread() {
       return Thread.currentThread();
     }
 
@@ -95,12 +95,12 @@
   private final RequestSender.ResponseHandler answer =
       new RequestSender.ResponseHandler() {
         @Override
-        public void answered(int s, byte[] body) {
+        public void onResponse(int s, byte[] body) {
           events.add("answered " + s);
         }
 
         @Override
-        public void failed(boolean sent) {
+        public void onFailure(boolean sent) {
           events.add("failed " + sent);
         }
       };
@@ -113,23 +113,25 @@
         }
 
         @Override
-        public void onCall(
+        public void onRelayedCall(
             ExternalService to,
             String method,
             String path,
             byte[] body,
             long ms,
             RequestSender.ResponseHandler back) {
-          back.answered(200, new byte[0]);
+          back.onResponse(200, new byte[0]);
         }
 
         @Override
-        public void onCommands(String address, byte[] body, RequestSender.ResponseHandler back) {
-          back.failed(true);
+        public void onRelayedCommands(
+            String address, byte[] body, RequestSender.ResponseHandler back) {
+          back.onFailure(true);
         }
 
         @Override
-        public void onHeartbeat(int peer, byte[] heartbeat, RequestSender.ResponseHandler back) {}
+        public void onRelayedHeartbeat(
+            int peer, byte[] heartbeat, RequestSender.ResponseHandler back) {}
       };
 
   private final RelayTransport transport =
@@ -160,10 +162,10 @@
     LinkCodec codec = new LinkCodec();
     for (int i = 0; i < 200; i++) {
       assertThrows(
-          InvalidMessageException.class, () -> transport.receive(incoming(codec, "NOBODY")));
+          InvalidMessageException.class, () -> transport.handleMessage(incoming(codec, "NOBODY")));
     }
     for (int i = 0; i < 200; i++) {
-      transport.receive(incoming(codec, "STATE"));
+      transport.handleMessage(incoming(codec, "STATE"));
     }
     assertEquals(200, events.stream().filter("200"::equals).count());
   }
@@ -187,7 +189,7 @@
       }
 
       @Override
-      public void answer(int s, String type, byte[] bytes, boolean later) {
+      public void respond(int s, String type, byte[] bytes, boolean later) {
         events.add("" + s);
       }
     };
--- a/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
@@ -30,7 +30,7 @@
           RequestSender direct =
               new RequestSender() {
                 @Override
-                public void call(
+                public void send(
                     String method,
                     String path,
                     byte[] body,
@@ -42,23 +42,23 @@
                 @Override
                 public void close() {}
               };
-          RelayedCaller caller =
-              new RelayedCaller(
+          RelayingRequestSender caller =
+              new RelayingRequestSender(
                   loop, direct, ExternalService.STATE, route, (p, o, m, path, b, ms, a) -> {}, 400);
           List<String> outcomes = new ArrayList<>();
-          caller.call(
+          caller.send(
               "POST",
               "/multi",
               new byte[0],
               1_500,
               new RequestSender.ResponseHandler() {
                 @Override
-                public void answered(int status, byte[] body) {
+                public void onResponse(int status, byte[] body) {
                   outcomes.add("answered");
                 }
 
                 @Override
-                public void failed(boolean sent) {
+                public void onFailure(boolean sent) {
                   outcomes.add(sent ? "unknown" : "not sent");
                 }
               });
@@ -72,11 +72,11 @@
     return Stream.of(
         rule(
             "a sender without a free connection is no sign of a partition",
-            RequestSender.ResponseHandler::exhausted,
+            RequestSender.ResponseHandler::onNoFreeConnection,
             false),
         rule(
             "a call without an answer is a sign of a partition",
-            answer -> answer.failed(true),
+            answer -> answer.onFailure(true),
             true));
   }
 }
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -215,10 +215,10 @@
     RequestSender.ResponseHandler ignored =
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {}
+          public void onResponse(int status, byte[] body) {}
 
           @Override
-          public void failed(boolean sent) {}
+          public void onFailure(boolean sent) {}
         };
     network.call(users, host, "GET", "/metrics", new byte[0], 1_000, ignored);
   }
@@ -335,10 +335,10 @@
       Party party = party(to);
       return new RequestSender() {
         @Override
-        public void call(
+        public void send(
             String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
           listener.request(host.index, party, method, path, body == null ? new byte[0] : body);
-          caller.call(method, path, body, timeoutMs, answer);
+          caller.send(method, path, body, timeoutMs, answer);
         }
 
         @Override
@@ -362,14 +362,14 @@
       host.listen(
           new RequestHandler() {
             @Override
-            public void request(IncomingRequest request) {
+            public void onRequest(IncomingRequest request) {
               Party from = request.path().equals("/v1/report") ? Party.WORKERS : Party.USERS;
-              front.request(new RecordedRequest(host.index, from, request));
+              front.onRequest(new RecordedRequest(host.index, from, request));
             }
 
             @Override
-            public void message(IncomingRequest message) {
-              front.message(new RecordedRequest(host.index, Party.CONTROLLERS, message));
+            public void onPeerMessage(IncomingRequest message) {
+              front.onPeerMessage(new RecordedRequest(host.index, Party.CONTROLLERS, message));
             }
           });
     }
@@ -385,8 +385,8 @@
     }
 
     @Override
-    public Thread thread() {
-      return host.thread();
+    public Thread loopThread() {
+      return host.loopThread();
     }
 
     @Override
@@ -423,9 +423,9 @@
     }
 
     @Override
-    public void answer(int status, String type, byte[] body, boolean later) {
+    public void respond(int status, String type, byte[] body, boolean later) {
       listener.answer(node, from, method(), path(), status, type, later, body);
-      request.answer(status, type, body, later);
+      request.respond(status, type, body, later);
     }
   }
 }
