--- a/src/main/java/org/mallowroad/api/HttpRouter.java
+++ b/src/main/java/org/mallowroad/api/HttpRouter.java
@@ -84,7 +84,7 @@
   }
 
   private static void sendText(IncomingRequest request, String text) {
-    request.answer(200, TEXT_CONTENT_TYPE, text.getBytes(StandardCharsets.UTF_8), false);
+    request.respond(200, TEXT_CONTENT_TYPE, text.getBytes(StandardCharsets.UTF_8), false);
   }
 
   private void serve(IncomingRequest request) {
--- a/src/main/java/org/mallowroad/api/JsonResponses.java
+++ b/src/main/java/org/mallowroad/api/JsonResponses.java
@@ -14,13 +14,13 @@
 
   /** Sends a response with a JSON body. */
   public static void send(IncomingRequest request, int status, JsonNode body) {
-    request.answer(status, CONTENT_TYPE, Json.toBytes(body), false);
+    request.respond(status, CONTENT_TYPE, Json.toBytes(body), false);
   }
 
   /** Returns a responder that sends the response to this HTTP request. */
   public static Responder responderFor(IncomingRequest request) {
     return (status, body, retryLater) ->
-        request.answer(status, CONTENT_TYPE, Json.toBytes(body), retryLater);
+        request.respond(status, CONTENT_TYPE, Json.toBytes(body), retryLater);
   }
 
   /** The response body that states the reason of an error. */
@@ -37,6 +37,6 @@
 
   /** Sends 503 with a reason, and asks the client to retry after one second. */
   public static void sendRetryLater(IncomingRequest request, String reason) {
-    request.answer(503, CONTENT_TYPE, Json.toBytes(errorBody(reason)), true);
+    request.respond(503, CONTENT_TYPE, Json.toBytes(errorBody(reason)), true);
   }
 }
