--- a/src/main/java/org/mallowroad/console/report/Plots.java
+++ b/src/main/java/org/mallowroad/console/report/Plots.java
@@ -66,7 +66,7 @@
     for (PendingCause r : PendingCause.values()) {
       Integer n = reasons.get(r.name());
       if (n != null) {
-        out.put(r.text(), n);
+        out.put(r.description(), n);
       }
     }
     return out;
--- a/src/main/java/org/mallowroad/console/view/Overview.java
+++ b/src/main/java/org/mallowroad/console/view/Overview.java
@@ -74,7 +74,7 @@
     if (o != null) {
       jobs = jobs.stream().map(j -> blocked(j, o)).toList();
     }
-    List<ReasonLine> reasons = PendingCauseSummary.of(jobs);
+    List<ReasonLine> reasons = PendingCauseSummary.summarize(jobs);
     return new Overview(
         atMs,
         o == null ? "" : o.reason.name(),
@@ -178,7 +178,12 @@
     List<String> out = new ArrayList<>();
     if (o != null) {
       out.add(
-          capital(o.reason.text()) + ": " + o.detail + ". Ends when " + o.reason.remedy() + ".");
+          capital(o.reason.description())
+              + ": "
+              + o.detail
+              + ". Ends when "
+              + o.reason.remedy()
+              + ".");
     }
     if (p != null) {
       for (NodeSnapshot.ZoneLine z : p.zones()) {
@@ -263,7 +268,7 @@
   /** A reason in words; of a newer build's reasons, which this one does not have, the name. */
   public static String text(String reason) {
     return known(reason)
-        .map(PendingCause::text)
+        .map(PendingCause::description)
         .orElseGet(() -> reason.toLowerCase(Locale.ROOT).replace('_', ' '));
   }
 
--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -79,7 +79,7 @@
     Leader leader = localLeader.get();
     return leader == null || !leader.isServing()
         ? unknownJob(id)
-        : newBuilder(leader).job(id, loop.now());
+        : newBuilder(leader).jobSnapshot(id, loop.now());
   }
 
   /** The snapshot of a job that this node does not know. */
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public List<PendingMachines> coming(long now) {
+    public List<PendingMachines> pendingMachines(long now) {
       return leader.provisioner().pendingMachines(now);
     }
 
@@ -215,17 +215,17 @@
     }
 
     @Override
-    public List<MachineType> types() {
+    public List<MachineType> machineTypes() {
       return clusterConfig.machineTypes();
     }
 
     @Override
-    public boolean firm() {
+    public boolean isLeaseValid() {
       return leader.isLeaseValid();
     }
 
     @Override
-    public long renewedMs() {
+    public long lastRenewalSentMs() {
       return election.lastRenewalSentMs();
     }
   }
--- a/src/main/java/org/mallowroad/core/explain/JobSnapshot.java
+++ b/src/main/java/org/mallowroad/core/explain/JobSnapshot.java
@@ -7,13 +7,13 @@
  *
  * @param job its line, or null when the job is not open here
  * @param remedy what would let its waiting tasks go on, or empty
- * @param tasks unresolved attempts, {@link #MOST} at the most
+ * @param tasks unresolved attempts, {@link #MAX_TASKS} at the most
  * @param leftOut further attempts
  */
 public record JobSnapshot(
     String id, NodeSnapshot.JobLine job, String remedy, List<TaskLine> tasks, int leftOut) {
   /** Tasks that are listed at the most. */
-  public static final int MOST = 500;
+  public static final int MAX_TASKS = 500;
 
   /** An unresolved attempt and its machine. */
   public record TaskLine(
--- a/src/main/java/org/mallowroad/core/explain/PendingCause.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingCause.java
@@ -59,17 +59,17 @@
   /** There is room: the next pass of placement takes it. */
   STARTING("about to start", "the next pass of placement, within a tenth of a second");
 
-  private final String text;
+  private final String description;
   private final String remedy;
 
   PendingCause(String text, String remedy) {
-    this.text = text;
+    this.description = text;
     this.remedy = remedy;
   }
 
   /** In a few words. */
-  public String text() {
-    return text;
+  public String description() {
+    return description;
   }
 
   /** What would let the tasks go on. */
--- a/src/main/java/org/mallowroad/core/explain/PendingCauseSummary.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingCauseSummary.java
@@ -19,7 +19,7 @@
   private PendingCauseSummary() {}
 
   /** The lines of these jobs, most tasks first. */
-  public static List<ReasonLine> of(List<JobLine> jobs) {
+  public static List<ReasonLine> summarize(List<JobLine> jobs) {
     Map<Key, PendingCauseSummary> byKey = new LinkedHashMap<>();
     for (JobLine l : jobs) {
       if (!l.reason().isEmpty()) {
--- a/src/main/java/org/mallowroad/core/explain/PendingReason.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReason.java
@@ -12,7 +12,7 @@
  * @param detail the evidence in words, with names and figures
  */
 public record PendingReason(
-    PendingCause reason, long sinceMs, long dueMs, int zone, String detail) {
+    PendingCause cause, long sinceMs, long expectedEndMs, int zone, String detail) {
 
   /** A reason that has held since the job began to wait, without a zone or an expected end. */
   static PendingReason of(Job job, PendingCause cause, String detail) {
--- a/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReasonExplainer.java
@@ -50,7 +50,7 @@
   }
 
   /** Number of questions that were asked of placement so far: a measure of the cost. */
-  public long asked() {
+  public long evaluationCount() {
     return questions.asked();
   }
 
@@ -151,9 +151,9 @@
       return reason;
     }
     return new PendingReason(
-        reason.reason(),
+        reason.cause(),
         reason.sinceMs(),
-        reason.dueMs(),
+        reason.expectedEndMs(),
         reason.zone() < 0 ? tasks.longestSilent.zone : reason.zone(),
         reason.detail() + "; besides, " + unstartedTasks.describeSilence(tasks));
   }
--- a/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/PlacementExplainer.java
@@ -55,10 +55,10 @@
   /** The reason that holds whatever machines there are, or null. */
   private PendingReason explainWithoutMachines(Job job) {
     JobSpec spec = job.spec;
-    if (!autoscaler.firm()) {
+    if (!autoscaler.isLeaseValid()) {
       return new PendingReason(
           PendingCause.STATE_AWAY,
-          autoscaler.renewedMs(),
+          autoscaler.lastRenewalSentMs(),
           -1,
           -1,
           "the lease is not renewed: nothing is placed");
--- a/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
+++ b/src/main/java/org/mallowroad/core/explain/ScheduleSurvey.java
@@ -47,7 +47,7 @@
           job.pendingTaskCount() * job.spec.cpus();
     }
     surveyMachines();
-    for (MachineType type : autoscaler.types()) {
+    for (MachineType type : autoscaler.machineTypes()) {
       for (int zone : type.zones()) {
         offered.add(new MachineVariant(type, zone, true));
         offered.add(new MachineVariant(type, zone, false));
@@ -69,7 +69,7 @@
         addAttempt(attempt, machine, isSilent);
       }
     }
-    for (PendingMachines pending : autoscaler.coming(now)) {
+    for (PendingMachines pending : autoscaler.pendingMachines(now)) {
       addBooting(group(byVariant, pending.variant()), pending);
     }
     groups.addAll(byVariant.values());
--- a/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
+++ b/src/main/java/org/mallowroad/core/explain/SnapshotBuilder.java
@@ -29,7 +29,7 @@
  */
 public final class SnapshotBuilder {
   /** Open jobs that are explained and listed; those first in the queue, then those that run. */
-  public static final int MOST_JOBS = 1_000;
+  public static final int MAX_JOBS = 1_000;
 
   private final SchedulerState schedulerState;
   private final AutoscalerView supply;
@@ -63,7 +63,7 @@
    * True when all is explained; else to be called again, see {@link PendingReasonExplainer#step}.
    */
   public boolean step(int questions) {
-    boolean over = explainer.step(questions, MOST_JOBS);
+    boolean over = explainer.step(questions, MAX_JOBS);
     List<Job> all = explainer.jobs();
     for (; lined < explainer.explained(); lined++) {
       Job j = all.get(lined);
@@ -92,9 +92,9 @@
         due > 0 ? tenths(due - ageS) : 0,
         j.isGuaranteed(),
         j.consecutiveFailures(),
-        f == null ? "" : f.reason().name(),
+        f == null ? "" : f.cause().name(),
         f == null ? -1 : seconds(Math.max(0, now - f.sinceMs())),
-        f == null || f.dueMs() < 0 ? -1 : seconds(Math.max(0, f.dueMs() - now)),
+        f == null || f.expectedEndMs() < 0 ? -1 : seconds(Math.max(0, f.expectedEndMs() - now)),
         f == null || f.zone() < 0 ? "" : zones.name(f.zone()),
         f == null ? "" : f.detail());
   }
@@ -119,7 +119,7 @@
 
   /** Waiting tasks alike in team, class and reason, most tasks first. */
   public List<ReasonLine> reasons() {
-    return PendingCauseSummary.of(jobs);
+    return PendingCauseSummary.summarize(jobs);
   }
 
   /** The teams in the order of the settings. */
@@ -191,7 +191,7 @@
       s.leaving += no == StartRefusal.DRAINING_OR_FAILED ? 1 : 0;
       s.booked += m.type.cpus() - m.freeCpus();
     }
-    for (PendingMachines c : supply.coming(now)) {
+    for (PendingMachines c : supply.pendingMachines(now)) {
       sums.computeIfAbsent(c.variant(), k -> new Sum()).booting += c.count();
     }
     List<MachineLine> out = new ArrayList<>();
@@ -241,7 +241,7 @@
   }
 
   /** One job's tasks and where they are; its line is of the newest explanation, or null. */
-  public JobSnapshot job(String id, long at) {
+  public JobSnapshot jobSnapshot(String id, long at) {
     Job job = schedulerState.job(id);
     if (job == null) {
       return new JobSnapshot(id, null, "", List.of(), 0);
@@ -255,7 +255,7 @@
       if (a == null) {
         continue;
       }
-      if (tasks.size() == JobSnapshot.MOST) {
+      if (tasks.size() == JobSnapshot.MAX_TASKS) {
         left++;
         continue;
       }
@@ -273,6 +273,6 @@
               a.isStopping(),
               seconds(at - a.createdMs)));
     }
-    return new JobSnapshot(id, line(job, f), f == null ? "" : f.reason().remedy(), tasks, left);
+    return new JobSnapshot(id, line(job, f), f == null ? "" : f.cause().remedy(), tasks, left);
   }
 }
--- a/src/main/java/org/mallowroad/core/explain/UnstartedTasksExplainer.java
+++ b/src/main/java/org/mallowroad/core/explain/UnstartedTasksExplainer.java
@@ -31,7 +31,7 @@
     if (tasks.committing > 0) {
       return reason(
           tasks,
-          autoscaler.firm() ? PendingCause.AWAITS_COMMIT : PendingCause.STATE_AWAY,
+          autoscaler.isLeaseValid() ? PendingCause.AWAITS_COMMIT : PendingCause.STATE_AWAY,
           CountFormat.of(tasks.committing, "start")
               + ", "
               + CountFormat.of(schedulerState.dirtyRecords().size(), "uncommitted record"));
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -66,7 +66,7 @@
             List.of(new NodeSnapshot.ZoneLine("north", 4, 3, true, 12)),
             List.of(
                 new NodeSnapshot.MachineLine("north", EVIL, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
-            PendingCauseSummary.of(jobs));
+            PendingCauseSummary.summarize(jobs));
     List<NodeView> nodes =
         List.of(
             NodeView.answered("127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, p)),
--- a/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
+++ b/src/test/java/org/mallowroad/core/PendingReasonExplainerTest.java
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public List<PendingMachines> coming(long at) {
+    public List<PendingMachines> pendingMachines(long at) {
       return coming;
     }
 
@@ -137,17 +137,17 @@
     }
 
     @Override
-    public List<MachineType> types() {
+    public List<MachineType> machineTypes() {
       return List.of(type);
     }
 
     @Override
-    public boolean firm() {
+    public boolean isLeaseValid() {
       return firm;
     }
 
     @Override
-    public long renewedMs() {
+    public long lastRenewalSentMs() {
       return now - 4_000;
     }
   }
@@ -171,7 +171,7 @@
           Job j = setup.in(w);
           PendingReason f = w.why(j);
           assertNotNull(f);
-          assertEquals(expected, f.reason(), f.toString());
+          assertEquals(expected, f.cause(), f.toString());
           assertTrue(f.detail().contains(detail), f.detail());
           assertTrue(f.sinceMs() <= w.now, f.toString());
           int before = j.pendingTaskCount();
@@ -181,7 +181,7 @@
           }
           PendingReason then = w.why(j);
           assertTrue(
-              j.pendingTaskCount() < before || then == null || then.reason() != expected,
+              j.pendingTaskCount() < before || then == null || then.cause() != expected,
               "still " + then);
         });
   }
@@ -425,13 +425,13 @@
               Job j = w.job(JobSpecBuilder.job("job-1", 3, 2));
               w.run();
               assertNull(w.why(j));
-              JobSnapshot p = w.sketch.job("job-1", w.now + 4_000);
+              JobSnapshot p = w.sketch.jobSnapshot("job-1", w.now + 4_000);
               assertEquals(3, p.tasks().size());
               assertEquals("running", p.tasks().get(0).phase());
               assertEquals("n-001", p.tasks().get(0).machine());
               assertEquals("north", p.tasks().get(0).zone());
               assertEquals("", p.job().reason());
-              assertNull(w.sketch.job("job-2", w.now).job());
+              assertNull(w.sketch.jobSnapshot("job-2", w.now).job());
             }),
         DynamicTest.dynamicTest(
             "a job that ends between two steps is left out, and the others are explained",
@@ -503,13 +503,13 @@
       w.placement.placeTasks(w.now);
       PendingReason then = w.why(j);
       assertTrue(
-          j.liveAttemptCount() > live || then == null || then.reason() != f.reason(),
+          j.liveAttemptCount() > live || then == null || then.cause() != f.cause(),
           f + " was taken away and is still " + then);
     }
   }
 
   private static void without(TestCluster w, Job j, PendingReason f) {
-    switch (f.reason()) {
+    switch (f.cause()) {
       case TEAM_LIMIT ->
           w.schedulerState
               .teams()
--- a/src/test/java/org/mallowroad/core/ScaleTest.java
+++ b/src/test/java/org/mallowroad/core/ScaleTest.java
@@ -81,7 +81,7 @@
       AutoscalerView emptyView =
           new AutoscalerView() {
             @Override
-            public List<PendingMachines> coming(long at) {
+            public List<PendingMachines> pendingMachines(long at) {
               return List.of();
             }
 
@@ -91,17 +91,17 @@
             }
 
             @Override
-            public List<MachineType> types() {
+            public List<MachineType> machineTypes() {
               return List.of(type);
             }
 
             @Override
-            public boolean firm() {
+            public boolean isLeaseValid() {
               return true;
             }
 
             @Override
-            public long renewedMs() {
+            public long lastRenewalSentMs() {
               return now;
             }
           };
@@ -297,16 +297,16 @@
             "a snapshot checks each machine once per job in bounded steps, and only when requested",
             cluster -> {
               SnapshotBuilder builder = fullFleetWithWaitingJobs(cluster, 0.001);
-              assertEquals(0, cluster.explainer.asked());
+              assertEquals(0, cluster.explainer.evaluationCount());
               builder.begin(cluster.now);
               int steps = 1;
               long checksBefore = 0;
               while (!builder.step(10_000)) {
-                assertAtMost(10_000 + MACHINES, cluster.explainer.asked() - checksBefore);
-                checksBefore = cluster.explainer.asked();
+                assertAtMost(10_000 + MACHINES, cluster.explainer.evaluationCount() - checksBefore);
+                checksBefore = cluster.explainer.evaluationCount();
                 steps++;
               }
-              assertAtMost((MACHINES + 1) * 301L, cluster.explainer.asked());
+              assertAtMost((MACHINES + 1) * 301L, cluster.explainer.evaluationCount());
               assertAtMost(31L * MACHINES / 1_000, steps);
               assertEquals(301, builder.jobs().size());
               assertEquals(10_000, builder.jobs().stream().mapToInt(job -> job.waiting()).sum());
@@ -320,22 +320,22 @@
               SnapshotBuilder builder = fullFleetWithWaitingJobs(cluster, 0);
               builder.begin(cluster.now);
               assertTrue(builder.step(10_000));
-              assertAtMost(2L * MACHINES + 301, cluster.explainer.asked());
+              assertAtMost(2L * MACHINES + 301, cluster.explainer.evaluationCount());
               assertEquals(301, builder.jobs().size());
             }),
         testCase(
             "jobs beyond the limit of a snapshot are counted but not explained",
             cluster -> {
-              for (int i = 0; i < SnapshotBuilder.MOST_JOBS + 50; i++) {
+              for (int i = 0; i < SnapshotBuilder.MAX_JOBS + 50; i++) {
                 cluster.schedulerState.accept(
                     JobSpecBuilder.job("job-" + i, 1, 99).build(), 5, 0, cluster.now);
               }
               SnapshotBuilder builder = cluster.newSnapshotBuilder();
               builder.begin(cluster.now);
               while (!builder.step(1_000_000)) {
-                assertAtMost(SnapshotBuilder.MOST_JOBS, builder.jobs().size());
+                assertAtMost(SnapshotBuilder.MAX_JOBS, builder.jobs().size());
               }
-              assertEquals(SnapshotBuilder.MOST_JOBS, builder.jobs().size());
+              assertEquals(SnapshotBuilder.MAX_JOBS, builder.jobs().size());
               assertEquals(50, builder.jobsLeftOut());
             }));
   }
--- a/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -150,7 +150,7 @@
     words.put("parties outside", names(ExternalService.values()));
     words.put("phases of a task", names(Attempt.Phase.values()).toLowerCase(Locale.ROOT));
     for (PendingCause reason : PendingCause.values()) {
-      words.put("reason " + reason.name(), reason.text() + "; " + reason.remedy());
+      words.put("reason " + reason.name(), reason.description() + "; " + reason.remedy());
     }
     new GoldenFile("words.txt").check(words);
   }
