--- a/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
+++ b/src/main/java/org/mallowroad/controller/SnapshotPublisher.java
@@ -9,11 +9,11 @@
 import org.mallowroad.core.autoscaling.PendingMachines;
 import org.mallowroad.core.explain.AutoscalerView;
 import org.mallowroad.core.explain.JobSnapshot;
-import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot.MachineLine;
 import org.mallowroad.core.explain.NodeSnapshot.Phase;
 import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 import org.mallowroad.core.explain.NodeSnapshot.Totals;
+import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.PendingReasonExplainer;
 import org.mallowroad.core.explain.SnapshotBuilder;
 import org.mallowroad.election.LeaderElection;
@@ -79,7 +79,7 @@
     Leader leader = localLeader.get();
     return leader == null || !leader.isServing()
         ? unknownJob(id)
-        : newBuilder(leader).job(id, loop.now());
+        : newBuilder(leader).jobSnapshot(id, loop.now());
   }
 
   /** The snapshot of a job that this node does not know. */
@@ -205,7 +205,7 @@
     }
 
     @Override
-    public List<PendingMachines> coming(long now) {
+    public List<PendingMachines> pendingMachines(long now) {
       return leader.provisioner().pendingMachines(now);
     }
 
@@ -215,17 +215,17 @@
     }
 
     @Override
-    public List<MachineType> types() {
+    public List<MachineType> machineTypes() {
       return clusterConfig.machineTypes();
     }
 
     @Override
-    public boolean firm() {
+    public boolean isLeaseValid() {
       return leader.isLeaseValid();
     }
 
     @Override
-    public long renewedMs() {
+    public long lastRenewalSentMs() {
       return election.lastRenewalSentMs();
     }
   }
