--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
-import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings;
+import org.mallowroad.config.Settings.Member;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
@@ -354,7 +354,8 @@
     }
 
     @Override
-    public void onRelayedHeartbeat(int peer, byte[] body, RequestSender.ResponseHandler responseHandler) {
+    public void onRelayedHeartbeat(
+        int peer, byte[] body, RequestSender.ResponseHandler responseHandler) {
       Heartbeat heartbeat;
       try {
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
--- a/src/main/java/org/mallowroad/core/explain/PendingReason.java
+++ b/src/main/java/org/mallowroad/core/explain/PendingReason.java
@@ -5,9 +5,9 @@
 /**
  * Why tasks of one job wait.
  *
- * @param reason the obstacle
+ * @param cause the obstacle
  * @param sinceMs since when it stands in the way, on the event loop's clock
- * @param dueMs when it ends at the latest, or is expected to; -1 when that is unknown
+ * @param expectedEndMs when it ends at the latest, or is expected to; -1 when that is unknown
  * @param zone index of the zone that is the cause, or -1
  * @param detail the evidence in words, with names and figures
  */
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -121,7 +121,8 @@
           @Override
           public void onFailure(boolean sent) {
             if (attempts > 1) {
-              loop.after(ANNOUNCE_RETRY_MS, () -> announceLeadership(sender, message, attempts - 1));
+              loop.after(
+                  ANNOUNCE_RETRY_MS, () -> announceLeadership(sender, message, attempts - 1));
             }
           }
         });
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -185,7 +185,8 @@
             status,
             responseLog.suppressed());
       }
-      listener.onDeliveryResult(status == STATUS_MALFORMED ? DeliveryResult.ANSWERED : DeliveryResult.UNKNOWN, null);
+      listener.onDeliveryResult(
+          status == STATUS_MALFORMED ? DeliveryResult.ANSWERED : DeliveryResult.UNKNOWN, null);
     }
 
     @Override
