--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -109,7 +109,7 @@
 
     @Override
     public void onJobDone(Job job) {
-      users.ended(job.spec.id(), true);
+      users.cacheOutcome(job.spec.id(), true);
     }
   }
 }
--- a/src/main/java/org/mallowroad/controller/Node.java
+++ b/src/main/java/org/mallowroad/controller/Node.java
@@ -203,7 +203,7 @@
   private final class RequestDispatcher implements NodeEnvironment.RequestHandler {
     @Override
     public void request(IncomingRequest request) {
-      router.request(request);
+      router.route(request);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/controller/UserRequestRouter.java
+++ b/src/main/java/org/mallowroad/controller/UserRequestRouter.java
@@ -1,7 +1,7 @@
 package org.mallowroad.controller;
 
 import org.mallowroad.api.HttpRouter;
-import org.mallowroad.api.Reply;
+import org.mallowroad.api.JsonResponses;
 import org.mallowroad.api.Responder;
 import org.mallowroad.api.UserApi;
 import org.mallowroad.core.linkstate.RouteSelector;
@@ -69,14 +69,15 @@
         (status, answer, retryLater) -> {
           if (status == SERVICE_UNAVAILABLE) {
             peers.relayToAnyPeer(
-                method, path, body, responder, () -> responder.answer(status, answer, retryLater));
+                method, path, body, responder, () -> responder.respond(status, answer, retryLater));
           } else {
-            responder.answer(status, answer, retryLater);
+            responder.respond(status, answer, retryLater);
           }
         });
   }
 
   private static void respondUnavailable(Responder responder) {
-    responder.answer(SERVICE_UNAVAILABLE, Reply.reason(STATE_SERVICE_UNREACHABLE), true);
+    responder.respond(
+        SERVICE_UNAVAILABLE, JsonResponses.errorBody(STATE_SERVICE_UNREACHABLE), true);
   }
 }
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -352,7 +352,7 @@
         .put(RecordKeys.attemptRecord(attemptRecord), value);
     writtenRecords.add(
         new WrittenRecord(attemptRecord, attemptRecord.changeCount, false, starts, value));
-    estimatedBytes += Json.text(value).length() + ESTIMATED_KEY_BYTES;
+    estimatedBytes += Json.toText(value).length() + ESTIMATED_KEY_BYTES;
   }
 
   private static List<Attempt> uncommittedStarts(AttemptRecord attemptRecord) {
--- a/src/main/java/org/mallowroad/core/fold/Game.java
+++ b/src/main/java/org/mallowroad/core/fold/Game.java
@@ -5,9 +5,8 @@
 /**
  * A game in a submission: the job is to fold this revision of the game for each of the members.
  *
- * <p>The text form of this record, with its name and those of its components, is hashed into the
- * stored intent to claim games. Renaming one of them makes a claim that an earlier build began look
- * like another claim.
+ * <p>The names of this record and of its components are part of stored data: the record of a claim
+ * in progress contains a hash of the games' text form ({@link #toString}).
  *
  * @param number number of the game in its league, from 0
  * @param revision 1 for the original result, incremented by each correction
--- a/src/main/java/org/mallowroad/state/JobRecordCodec.java
+++ b/src/main/java/org/mallowroad/state/JobRecordCodec.java
@@ -29,7 +29,7 @@
   public static ObjectNode encodeOpen(ObjectNode submission, long nowMs) {
     ObjectNode recordNode = Json.object();
     recordNode.put(SUBMITTED_AT, nowMs);
-    recordNode.set(JOB, JobCodec.record(submission));
+    recordNode.set(JOB, JobCodec.copyKnownFields(submission));
     return recordNode;
   }
 
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -344,11 +344,11 @@
     WorkerCommand withoutSources = new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0);
     assertEquals(
         "{\"baton\":3,\"orders\":[{\"order\":\"launch\",\"move\":\"job-1/0\",\"try\":1}]}",
-        Json.text(WorkerCodec.encodeCommands(3, List.of(withoutSources))));
+        Json.toText(WorkerCodec.encodeCommands(3, List.of(withoutSources))));
     WorkerCommand withSources =
         new WorkerCommand(WorkerCommand.Kind.LAUNCH, "job-1", 0, 1, 0, List.of("h:1"));
     assertTrue(
-        Json.text(WorkerCodec.encodeCommands(3, List.of(withSources)))
+        Json.toText(WorkerCodec.encodeCommands(3, List.of(withSources)))
             .contains("\"givers\":[\"h:1\"]"));
   }
 
