--- a/src/main/java/org/mallowroad/api/JobLookup.java
+++ b/src/main/java/org/mallowroad/api/JobLookup.java
@@ -129,7 +129,7 @@
     JobRecordReader.Listener listener =
         new JobRecordReader.Listener() {
           @Override
-          public void onOpen(JsonNode value, long version) {
+          public void onOpen(JsonNode openRecord, long version) {
             respondUnavailable(responder); // Not called: only the end record is read.
           }
 
@@ -185,9 +185,9 @@
         id,
         new OutcomeCachingListener(id, listener) {
           @Override
-          public void onOpen(JsonNode value, long version) {
+          public void onOpen(JsonNode openRecord, long version) {
             readQueue.release(); // Returns the second of the two calls, which is not needed.
-            super.onOpen(value, version);
+            super.onOpen(openRecord, version);
           }
         });
   }
@@ -207,8 +207,8 @@
     }
 
     @Override
-    public void onOpen(JsonNode value, long version) {
-      delegate.onOpen(value, version);
+    public void onOpen(JsonNode openRecord, long version) {
+      delegate.onOpen(openRecord, version);
     }
 
     @Override
--- a/src/main/java/org/mallowroad/api/Submissions.java
+++ b/src/main/java/org/mallowroad/api/Submissions.java
@@ -208,8 +208,8 @@
             .requireVersion(RecordKeys.openJob(id), 0)
             .requireVersion(RecordKeys.endedJob(id), 0)
             .put(RecordKeys.openJob(id), openRecord);
-    // The transaction is sent a second time if the response is late. Whichever is applied first
-    // makes the other one fail, and the job that the other one finds is this job.
+    // The transaction is sent again if the response is late. The copy that is applied first makes
+    // the others fail, and the job that they find is this job.
     state.compareAndSwapWithRetry(
         transaction,
         () -> writeLimiter.forceAcquire(1, loop.now()),
--- a/src/main/java/org/mallowroad/api/claim/ClaimService.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimService.java
@@ -145,7 +145,7 @@
         job,
         new JobRecordReader.Listener() {
           @Override
-          public void onOpen(JsonNode value, long version) {
+          public void onOpen(JsonNode openRecord, long version) {
             listener.accept(Optional.of(JobOutcome.OPEN));
           }
 
--- a/src/main/java/org/mallowroad/api/claim/ClaimedLeagues.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedLeagues.java
@@ -49,7 +49,7 @@
    *
    * @param refresh whether records that are already known are read again
    */
-  void read(boolean refresh, Runnable done) {
+  void read(boolean refresh, Runnable onDone) {
     ArrayDeque<String> unreadLeagues = new ArrayDeque<>();
     for (String league : lowestFoldedGames.keySet()) {
       LeagueRecord cached = refresh ? null : cache.get(league);
@@ -59,12 +59,12 @@
         unreadLeagues.add(league);
       }
     }
-    readNext(unreadLeagues, done);
+    readNext(unreadLeagues, onDone);
   }
 
-  private void readNext(ArrayDeque<String> unreadLeagues, Runnable done) {
+  private void readNext(ArrayDeque<String> unreadLeagues, Runnable onDone) {
     if (unreadLeagues.isEmpty()) {
-      done.run();
+      onDone.run();
       return;
     }
     String league = unreadLeagues.poll();
@@ -74,7 +74,7 @@
           LeagueRecord record = LeagueRecord.decode(value, version);
           records.put(league, record);
           cache.put(league, record);
-          readNext(unreadLeagues, done);
+          readNext(unreadLeagues, onDone);
         });
   }
 
--- a/src/main/java/org/mallowroad/api/claim/JobRecordReader.java
+++ b/src/main/java/org/mallowroad/api/claim/JobRecordReader.java
@@ -13,7 +13,7 @@
   /** Receives the state of a job; exactly one method is called, once. */
   public interface Listener {
     /** The job is open; the arguments are the value and version of its open record. */
-    void onOpen(JsonNode value, long version);
+    void onOpen(JsonNode openRecord, long version);
 
     /** The job has ended: it is done, or else it was cancelled. */
     void onEnded(boolean done);
@@ -37,11 +37,11 @@
   public void read(String id, Listener listener) {
     state.get(
         RecordKeys.openJob(id),
-        (result, open) -> {
+        (result, openItem) -> {
           if (result != CallResult.OK) {
             listener.onUnavailable();
-          } else if (open.value() != null) {
-            listener.onOpen(open.value(), open.version());
+          } else if (openItem.value() != null) {
+            listener.onOpen(openItem.value(), openItem.version());
           } else {
             readEnd(id, listener);
           }
@@ -52,13 +52,13 @@
   public void readEnd(String id, Listener listener) {
     state.get(
         RecordKeys.endedJob(id),
-        (result, end) -> {
+        (result, endItem) -> {
           if (result != CallResult.OK) {
             listener.onUnavailable();
-          } else if (end.value() == null) {
+          } else if (endItem.value() == null) {
             listener.onAbsent();
           } else {
-            listener.onEnded(JobRecordCodec.isDone(end.value()));
+            listener.onEnded(JobRecordCodec.isDone(endItem.value()));
           }
         });
   }
--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -42,7 +42,7 @@
   public static NodeStatus decodeStatus(byte[] body) throws InvalidMessageException {
     NodeStatus status = read(body, NodeStatus.class);
     if (status.format() < 1 || status.node() == null || status.stack() == null) {
-      throw invalidAnswer();
+      throw invalidResponse();
     }
     NodeSnapshot snapshot = status.picture();
     if (snapshot != null
@@ -55,10 +55,7 @@
             || snapshot.machines() == null
             || snapshot.reasons() == null)) {
       throw new InvalidMessageException(
-          "snapshot format "
-              + snapshot.format()
-              + " is not supported; expected "
-              + NodeSnapshot.FORMAT);
+          "invalid snapshot: format " + snapshot.format() + ", expected " + NodeSnapshot.FORMAT);
     }
     if (snapshot != null
         && Stream.of(
@@ -68,7 +65,7 @@
                 snapshot.machines(),
                 snapshot.reasons())
             .anyMatch(list -> list.stream().anyMatch(Objects::isNull))) {
-      throw invalidAnswer();
+      throw invalidResponse();
     }
     return status;
   }
@@ -77,7 +74,7 @@
   public static JobSnapshot decodeJob(byte[] body) throws InvalidMessageException {
     JobSnapshot job = read(body, JobSnapshot.class);
     if (job.id() == null || job.tasks() == null) {
-      throw invalidAnswer();
+      throw invalidResponse();
     }
     return job;
   }
@@ -96,7 +93,7 @@
     return List.of(samples);
   }
 
-  private static InvalidMessageException invalidAnswer() {
+  private static InvalidMessageException invalidResponse() {
     return new InvalidMessageException("not a valid console response");
   }
 
@@ -110,6 +107,6 @@
       // Replaced by the exception below: the library's message names Java classes, which is of no
       // use to a user.
     }
-    throw invalidAnswer();
+    throw invalidResponse();
   }
 }
--- a/src/main/java/org/mallowroad/wire/WorkerCodec.java
+++ b/src/main/java/org/mallowroad/wire/WorkerCodec.java
@@ -13,10 +13,10 @@
   private static final int MAX_NAME_LENGTH = 200;
   private static final int MAX_MACHINE_NAME_LENGTH = 150;
   private static final int MAX_STATE_LENGTH = 40;
-  private static final double MAX_NOTICE_S = 1e9;
+  private static final double MAX_PREEMPTION_NOTICE_S = 1e9;
 
   /** The preemption notice of a machine that is not about to be preempted. */
-  private static final double NO_NOTICE = -1;
+  private static final double NO_PREEMPTION_NOTICE_S = -1;
 
   private WorkerCodec() {}
 
@@ -38,7 +38,8 @@
         body.get(Fields.FENCING_TOKEN) == null
             ? 0
             : Json.requiredInteger(body, Fields.FENCING_TOKEN, 0, Long.MAX_VALUE),
-        Json.optionalNumber(body, Fields.PREEMPTION_NOTICE_S, MAX_NOTICE_S, NO_NOTICE),
+        Json.optionalNumber(
+            body, Fields.PREEMPTION_NOTICE_S, MAX_PREEMPTION_NOTICE_S, NO_PREEMPTION_NOTICE_S),
         entries,
         body.path(Fields.SHARES_IMAGES).asBoolean(false));
   }
