--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -26,7 +26,10 @@
 import org.mallowroad.wire.Json;
 import org.mallowroad.wire.WorkerCodec;
 
-/** Requests to the state service and the cloud, orders to workers, refusals to users. */
+/**
+ * Compares requests to the state service and the cloud, commands to workers and error responses to
+ * users with golden files.
+ */
 final class RequestsGoldenTest {
   private static final String SUBMISSION =
       "{'name_id':'job-000412','docket':'train','crew':'vision','form':'sweep','rank':'urgent',"
@@ -34,8 +37,8 @@
           + "'builds':['g8'],'ground':null,'together':true,'scatter':false,'driftwood':true,"
           + "'reckon_s':240.0,'cairn_s':30.0,'stow_s':4.0,'due_s':900.0}";
 
-  /** Changes of the submission that make it wrong, as JSON to be merged into it. */
-  private static final List<String> WRONG =
+  /** Changes that make the submission invalid, as JSON to be merged into it. */
+  private static final List<String> INVALID_CHANGES =
       List.of(
           "{'name_id':null}",
           "{'name_id':'job-x'}",
@@ -71,57 +74,57 @@
           "{'holds':{'games':[{'league':'l','up_to':-1}]}}",
           "{'holds':{'games':[{'league':'l','up_to':1,'member':'/'}]}}");
 
-  /** Keeps what is sent, and says that it was not. */
-  private static final class Recorder implements RequestSender {
+  /** Records each request and reports it as unsent. */
+  private static final class RecordingSender implements RequestSender {
     private final Map<String, String> requests = new LinkedHashMap<>();
-    private String call = "";
+    private String label = "";
 
     @Override
     public void send(
-        String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
+        String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
       String text = body == null ? "no body" : GoldenFile.text(body);
-      requests.put(call + ": " + method + " " + path + " within " + timeoutMs + " ms", text);
-      answer.onFailure(false);
+      requests.put(label + ": " + method + " " + path + " within " + timeoutMs + " ms", text);
+      handler.onFailure(false);
     }
 
     @Override
     public void close() {}
 
-    Recorder at(String name) {
-      call = name;
+    RecordingSender withLabel(String newLabel) {
+      label = newLabel;
       return this;
     }
   }
 
-  private static EventLoop loop() {
+  private static EventLoop newEventLoop() {
     return new VirtualTimeHarness().new Process();
   }
 
   @Test
-  void requestsToTheStateServiceStay() {
-    Recorder recorder = new Recorder();
-    KeyValueStore store = new KeyValueStore(loop(), recorder, recorder);
-    recorder.at("read");
+  void requestsToTheStateServiceMatchTheGoldenFile() {
+    RecordingSender recorder = new RecordingSender();
+    KeyValueStore store = new KeyValueStore(newEventLoop(), recorder, recorder);
+    recorder.withLabel("read");
     store.get("fold/pnw-2026/0000031", (result, item) -> {});
-    recorder.at("list");
+    recorder.withLabel("list");
     store.list("open/", (result, items, revision) -> {});
-    recorder.at("first of a range");
+    recorder.withLabel("first of a range");
     store.listPage("end/", null, 50, (result, items, revision) -> {});
-    recorder.at("rest of a range");
+    recorder.withLabel("rest of a range");
     store.listPage("fold/", "fold/a b&c/0000031", 50, (result, items, revision) -> {});
-    recorder.at("lease");
+    recorder.withLabel("lease");
     store.grantLease(3_000, (result, lease) -> {});
-    recorder.at("renewal");
+    recorder.withLabel("renewal");
     store.renewLease(7, 900, (result, lease) -> {});
-    recorder.at("end of a lease");
+    recorder.withLabel("end of a lease");
     store.releaseLease(7);
-    recorder.at("watch");
+    recorder.withLabel("watch");
     store.watch("hold/", 431, 10_000, (result, events, revision) -> {});
-    recorder.at("transaction");
+    recorder.withLabel("transaction");
     store.compareAndSwap(transaction(), (result, revision, failed) -> {});
-    recorder.at("repeated transaction");
+    recorder.withLabel("repeated transaction");
     store.compareAndSwapWithRetry(transaction(), () -> {}, (result, revision, failed) -> {});
-    recorder.at("empty transaction");
+    recorder.withLabel("empty transaction");
     store.compareAndSwap(new Transaction(), (result, revision, failed) -> {});
     new GoldenFile("state-requests.txt").check(recorder.requests);
   }
@@ -136,26 +139,27 @@
   }
 
   @Test
-  void requestsToTheCloudStay() {
-    Recorder recorder = new Recorder();
-    EventLoop loop = loop();
-    RateLimiter budget = new RateLimiter(10, 10, loop.now());
-    CloudClient cloud = new CloudClient(loop, recorder, budget, new NameIndex(), new NameIndex());
-    recorder.at("types");
+  void requestsToTheCloudMatchTheGoldenFile() {
+    RecordingSender recorder = new RecordingSender();
+    EventLoop loop = newEventLoop();
+    RateLimiter rateLimiter = new RateLimiter(10, 10, loop.now());
+    CloudClient cloud =
+        new CloudClient(loop, recorder, rateLimiter, new NameIndex(), new NameIndex());
+    recorder.withLabel("types");
     cloud.listMachineTypes(types -> {});
-    recorder.at("machines");
+    recorder.withLabel("machines");
     cloud.listMachines(machines -> {});
-    recorder.at("spot machines");
+    recorder.withLabel("spot machines");
     cloud.rent(new CloudCodec.RentalRequest("r-3-17", "g8", "a", true, 12), result -> {});
-    recorder.at("ordinary machine");
+    recorder.withLabel("ordinary machine");
     cloud.rent(new CloudCodec.RentalRequest("r-3-18", "c16", "b", false, 1), result -> {});
-    recorder.at("deletion");
-    cloud.delete(List.of("n-000231", "n-000232"), done -> {});
+    recorder.withLabel("deletion");
+    cloud.delete(List.of("n-000231", "n-000232"), confirmed -> {});
     new GoldenFile("cloud-requests.txt").check(recorder.requests);
   }
 
   @Test
-  void ordersToWorkersStay() {
+  void commandsToWorkersMatchTheGoldenFile() {
     Map<String, String> messages = new LinkedHashMap<>();
     List<WorkerCommand> commands =
         List.of(
@@ -173,8 +177,8 @@
   }
 
   @Test
-  void reportsOfWorkersAreReadAsBefore() throws InvalidMessageException {
-    String report =
+  void workerHeartbeatsAreDecoded() throws InvalidMessageException {
+    String encoded =
         "{'hearth':'n-000231','address':'10.1.0.232:9000','build':'g8','ground':'a',"
             + "'driftwood':true,'watch':2,'tally':88,'baton':41,'warning_s':31.5,'hands_on':true,"
             + "'moves':[{'move':'job-000412/3','try':2,'standing':'running'},"
@@ -182,17 +186,17 @@
             + "{'move':'job-000412/5','try':4,'standing':'pulling'},"
             + "{'move':'job-000412/6','try':5,'standing':'later word'},"
             + "{'move':'job-000398/0','try':1,'standing':'exited','cause':'done'}]}";
-    Heartbeat read = WorkerCodec.decodeHeartbeat(json(report));
-    assertEquals("n-000231", read.machine());
-    assertEquals("10.1.0.232:9000", read.address());
-    assertEquals("g8", read.type());
-    assertEquals("a", read.zone());
-    assertEquals(true, read.spot());
-    assertEquals(2, read.incarnation());
-    assertEquals(88, read.sequence());
-    assertEquals(41, read.fencingToken());
-    assertEquals(31.5, read.interruptionNoticeS());
-    assertEquals(true, read.servesImages());
+    Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(parseSingleQuoted(encoded));
+    assertEquals("n-000231", heartbeat.machine());
+    assertEquals("10.1.0.232:9000", heartbeat.address());
+    assertEquals("g8", heartbeat.type());
+    assertEquals("a", heartbeat.zone());
+    assertEquals(true, heartbeat.spot());
+    assertEquals(2, heartbeat.incarnation());
+    assertEquals(88, heartbeat.sequence());
+    assertEquals(41, heartbeat.fencingToken());
+    assertEquals(31.5, heartbeat.interruptionNoticeS());
+    assertEquals(true, heartbeat.servesImages());
     assertEquals(
         List.of(
             new Heartbeat.Entry("job-000412", 3, 2, Heartbeat.State.RUNNING, null),
@@ -200,27 +204,27 @@
             new Heartbeat.Entry("job-000412", 5, 4, Heartbeat.State.PULLING, null),
             new Heartbeat.Entry("job-000412", 6, 5, Heartbeat.State.PULLING, null),
             new Heartbeat.Entry("job-000398", 0, 1, Heartbeat.State.EXITED, "done")),
-        read.entries());
+        heartbeat.entries());
   }
 
   @Test
-  void refusalsOfWrongSubmissionsStay() throws InvalidMessageException {
+  void errorsForInvalidSubmissionsMatchTheGoldenFile() throws InvalidMessageException {
     NameIndex names = new NameIndex();
     JobCodec codec = new JobCodec(names, names, names, names, names);
-    codec.check(json(SUBMISSION));
-    Map<String, String> refusals = new LinkedHashMap<>();
-    for (String change : WRONG) {
-      ObjectNode submission = json(SUBMISSION);
-      submission.setAll(json(change));
-      refusals.put(change, refusal(codec, submission));
+    codec.check(parseSingleQuoted(SUBMISSION));
+    Map<String, String> errors = new LinkedHashMap<>();
+    for (String change : INVALID_CHANGES) {
+      ObjectNode submission = parseSingleQuoted(SUBMISSION);
+      submission.setAll(parseSingleQuoted(change));
+      errors.put(change, errorText(codec, submission));
     }
     for (String body : List.of("", "nothing", "[]", "{} {}")) {
-      refusals.put("body '" + body + "'", refusal(body));
+      errors.put("body '" + body + "'", errorText(body));
     }
-    new GoldenFile("refusals.txt").check(refusals);
+    new GoldenFile("refusals.txt").check(errors);
   }
 
-  private static String refusal(JobCodec codec, ObjectNode submission) {
+  private static String errorText(JobCodec codec, ObjectNode submission) {
     try {
       codec.check(submission);
       return "accepted";
@@ -229,15 +233,17 @@
     }
   }
 
-  private static String refusal(String body) {
+  private static String errorText(String body) {
     try {
-      return json(body).properties().stream().map(Object::toString).collect(Collectors.joining());
+      return parseSingleQuoted(body).properties().stream()
+          .map(Object::toString)
+          .collect(Collectors.joining());
     } catch (InvalidMessageException e) {
       return Json.text(Reply.reason(e.getMessage()));
     }
   }
 
-  private static ObjectNode json(String singleQuoted) throws InvalidMessageException {
+  private static ObjectNode parseSingleQuoted(String singleQuoted) throws InvalidMessageException {
     return Json.parseObject(singleQuoted.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -14,46 +14,49 @@
 import org.mallowroad.core.image.ImageFetchPolicy;
 import org.mallowroad.core.linkstate.LinkPolicy;
 
-/** What is read from the platform's and the operators' settings files. */
+/** Compares the values read from the platform's and the operator's settings with golden files. */
 final class SettingsGoldenTest {
   private static final String SETTINGS = "src/test/resources/golden/settings.toml";
 
   @Test
-  void everyFieldOfThePlatformsSettingsIsReadAsBefore() throws InvalidSettingsException {
-    Settings s = Settings.load(SETTINGS);
+  void platformSettingsMatchTheGoldenFile() throws InvalidSettingsException {
+    Settings settings = Settings.load(SETTINGS);
     Map<String, String> values = new LinkedHashMap<>();
-    put(values, "node_name", s.node());
-    put(values, "site", s.zone());
-    put(values, "listen", s.listen());
-    put(values, "peer_listen", s.peerListen());
-    for (Settings.Member m : s.members()) {
-      put(values, "member " + m.node(), m.zone() + " " + m.endpoint());
+    put(values, "node_name", settings.node());
+    put(values, "site", settings.zone());
+    put(values, "listen", settings.listen());
+    put(values, "peer_listen", settings.peerListen());
+    for (Settings.Member member : settings.members()) {
+      put(values, "member " + member.node(), member.zone() + " " + member.endpoint());
     }
-    put(values, "outside.cloud", s.cloud());
-    put(values, "outside.state", s.state());
-    put(values, "zones", s.zones());
-    for (Settings.TeamSetting t : s.teams()) {
+    put(values, "outside.cloud", settings.cloud());
+    put(values, "outside.state", settings.state());
+    put(values, "zones", settings.zones());
+    for (Settings.TeamSetting team : settings.teams()) {
       put(
           values,
-          "team " + t.name(),
-          t.cpus() + " " + t.cards() + " " + t.cpusMax() + " " + t.cardsMax());
+          "team " + team.name(),
+          team.cpus() + " " + team.cards() + " " + team.cpusMax() + " " + team.cardsMax());
     }
-    for (int i = 0; i < s.objectives().size(); i++) {
-      Settings.Objective o = s.objectives().get(i);
-      put(values, "objective " + i, o.kind() + " " + o.taskClass() + " " + o.withinS());
+    for (int i = 0; i < settings.objectives().size(); i++) {
+      Settings.Objective objective = settings.objectives().get(i);
+      put(
+          values,
+          "objective " + i,
+          objective.kind() + " " + objective.taskClass() + " " + objective.withinS());
     }
-    put(values, "workers.report_s", s.heartbeatIntervalS());
-    put(values, "workers.lease_s", s.leaseS());
-    put(values, "workers.cancel_s", s.cancelS());
-    put(values, "state.rps", s.stateRps());
-    put(values, "state.write_rps", s.stateWriteRps());
-    put(values, "state.value_kb", s.valueKb());
-    put(values, "state.txn_ops", s.txnOps());
-    put(values, "cloud.rps", s.cloudRps());
-    put(values, "cloud.list_lag_s", s.listLagS());
-    put(values, "resources.max_sockets", s.maxSockets());
-    put(values, "resources.ram_mb", s.ramMb());
-    put(values, "controllers", s.nodes());
+    put(values, "workers.report_s", settings.heartbeatIntervalS());
+    put(values, "workers.lease_s", settings.leaseS());
+    put(values, "workers.cancel_s", settings.cancelS());
+    put(values, "state.rps", settings.stateRps());
+    put(values, "state.write_rps", settings.stateWriteRps());
+    put(values, "state.value_kb", settings.valueKb());
+    put(values, "state.txn_ops", settings.txnOps());
+    put(values, "cloud.rps", settings.cloudRps());
+    put(values, "cloud.list_lag_s", settings.listLagS());
+    put(values, "resources.max_sockets", settings.maxSockets());
+    put(values, "resources.ram_mb", settings.ramMb());
+    put(values, "controllers", settings.nodes());
     new GoldenFile("settings.txt").check(values);
   }
 
@@ -64,24 +67,24 @@
     "deploy/links.xml, operator-links.txt",
     "src/test/resources/golden/operator.xml, operator.txt",
   })
-  void everyFieldOfTheOperatorsSettingsIsReadAsBefore(String file, String golden)
+  void operatorSettingsMatchTheGoldenFile(String file, String golden)
       throws InvalidSettingsException {
     new GoldenFile(golden).check(values(OperatorSettings.load(file)));
   }
 
   @Test
-  void whatHoldsWithoutOperatorsSettingsStays() {
+  void operatorDefaultsMatchTheGoldenFile() {
     new GoldenFile("operator-defaults.txt").check(values(OperatorSettings.defaults()));
   }
 
-  private static Map<String, String> values(OperatorSettings s) {
+  private static Map<String, String> values(OperatorSettings settings) {
     Map<String, String> values = new LinkedHashMap<>();
-    addFleet(s.fleet(), values);
-    addHealth(s.health(), values);
-    s.console().ifPresent(console -> addConsole(console, values));
-    s.links().ifPresent(links -> addLinks(links, values));
-    addFetch(s.fetches(), values);
-    put(values, "records/share-starts", s.records().shareStarts());
+    addFleet(settings.fleet(), values);
+    addHealth(settings.health(), values);
+    settings.console().ifPresent(console -> addConsole(console, values));
+    settings.links().ifPresent(links -> addLinks(links, values));
+    addFetch(settings.fetches(), values);
+    put(values, "records/share-starts", settings.records().shareStarts());
     return values;
   }
 
--- a/src/test/java/org/mallowroad/net/LogLimiterTest.java
+++ b/src/test/java/org/mallowroad/net/LogLimiterTest.java
@@ -5,22 +5,22 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A broken party causes a bounded number of lines, whatever it sends. */
+/** Guards against a faulty peer flooding the log: the number of lines per period is limited. */
 final class LogLimiterTest {
   @Test
-  void linesAreBoundedInEachStretchAndTheRestIsCounted() {
-    LogLimiter s = new LogLimiter(3, 1_000);
+  void linesAreLimitedPerPeriodAndSuppressedLinesAreCounted() {
+    LogLimiter limiter = new LogLimiter(3, 1_000);
     int lines = 0;
-    long left = 0;
-    for (long now = 0; now < 10_000; now++) {
-      if (s.tryAcquire(now)) {
+    long suppressed = 0;
+    for (long nowMs = 0; nowMs < 10_000; nowMs++) {
+      if (limiter.tryAcquire(nowMs)) {
         lines++;
-        left += s.suppressed();
+        suppressed += limiter.suppressedLines();
       }
     }
     assertEquals(30, lines);
-    assertEquals(9 * 997, left);
-    assertTrue(s.tryAcquire(10_000));
-    assertEquals(997, s.suppressed());
+    assertEquals(9 * 997, suppressed);
+    assertTrue(limiter.tryAcquire(10_000));
+    assertEquals(997, limiter.suppressedLines());
   }
 }
--- a/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
+++ b/src/test/java/org/mallowroad/net/XnioEnvironmentTest.java
@@ -13,18 +13,21 @@
 import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Endpoint;
 
-/** A fleet with more workers than the process may have sockets. */
+/**
+ * Guards against workers that cannot connect because the fleet has more workers than the process
+ * may have sockets and other workers keep their connections open.
+ */
 final class XnioEnvironmentTest {
-  private static Settings settings(int sockets) {
-    Endpoint any = new Endpoint("127.0.0.1", 0);
+  private static Settings settingsWithMaxSockets(int maxSockets) {
+    Endpoint anyPort = new Endpoint("127.0.0.1", 0);
     return new Settings(
         "n0",
         "a",
-        any,
-        any,
+        anyPort,
+        anyPort,
         List.of(),
-        any,
-        any,
+        anyPort,
+        anyPort,
         List.of("a"),
         List.of(),
         List.of(),
@@ -37,19 +40,22 @@
         16,
         20,
         2,
-        sockets,
+        maxSockets,
         64,
         1);
   }
 
-  private static boolean reports(Socket s) throws IOException {
-    s.setSoTimeout(10_000);
-    s.getOutputStream()
+  /** Sends a heartbeat and returns whether the server keeps the connection open. */
+  private static boolean sendHeartbeatAndCheckKeepAlive(Socket socket) throws IOException {
+    socket.setSoTimeout(10_000);
+    socket
+        .getOutputStream()
         .write(
             "POST /v1/report HTTP/1.1\r\nHost: n0\r\nContent-Length: 2\r\n\r\n{}"
                 .getBytes(StandardCharsets.US_ASCII));
     BufferedReader in =
-        new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+        new BufferedReader(
+            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
     assertEquals("HTTP/1.1 200 OK", in.readLine());
     boolean close = false;
     for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {
@@ -60,49 +66,50 @@
   }
 
   @Test
-  void moreWorkersThanSocketsAreAllServedInTurn() throws IOException {
-    XnioEnvironment host = new XnioEnvironment(settings(32));
-    List<Socket> kept = new ArrayList<>();
+  void moreWorkersThanSocketsAreAllServed() throws IOException {
+    XnioEnvironment environment = new XnioEnvironment(settingsWithMaxSockets(32));
+    List<Socket> keptConnections = new ArrayList<>();
     try {
-      host.loop()
+      environment
+          .loop()
           .submit(
               () ->
-                  host.listen(
+                  environment.listen(
                       new NodeEnvironment.RequestHandler() {
                         @Override
-                        public void onRequest(IncomingRequest x) {
-                          x.respond(200, "application/json", new byte[] {'{', '}'}, false);
+                        public void onRequest(IncomingRequest request) {
+                          request.respond(200, "application/json", new byte[] {'{', '}'}, false);
                         }
 
                         @Override
-                        public void onPeerMessage(IncomingRequest x) {}
+                        public void onPeerMessage(IncomingRequest request) {}
                       }));
-      String[] at = null;
-      for (int i = 0; i < 200 && at == null; i++) {
+      String[] address = null;
+      for (int i = 0; i < 200 && address == null; i++) {
         try {
-          at = host.boundAddress(0).split(":");
+          address = environment.boundAddress(0).split(":");
         } catch (RuntimeException e) {
           Thread.sleep(20);
         }
       }
       for (int worker = 0; worker < 80; worker++) {
-        Socket s = new Socket(at[0], Integer.parseInt(at[1]));
-        if (reports(s)) {
-          kept.add(s);
+        Socket socket = new Socket(address[0], Integer.parseInt(address[1]));
+        if (sendHeartbeatAndCheckKeepAlive(socket)) {
+          keptConnections.add(socket);
         } else {
-          s.close();
+          socket.close();
         }
       }
-      assertEquals(32 * 13 / 16 * 3 / 4, kept.size());
-      // One that was kept is answered as before; it may be its turn to make room.
-      reports(kept.get(0));
+      assertEquals(32 * 13 / 16 * 3 / 4, keptConnections.size());
+      // A connection that was kept open is still served, although it may be closed afterwards.
+      sendHeartbeatAndCheckKeepAlive(keptConnections.get(0));
     } catch (InterruptedException e) {
       throw new IllegalStateException(e);
     } finally {
-      for (Socket s : kept) {
-        s.close();
+      for (Socket socket : keptConnections) {
+        socket.close();
       }
-      host.stop();
+      environment.stop();
     }
   }
 }
--- a/src/test/java/org/mallowroad/peer/PeerMessages.java
+++ b/src/test/java/org/mallowroad/peer/PeerMessages.java
@@ -12,103 +12,110 @@
 import org.mallowroad.core.linkstate.LinkStateAdvertisement;
 import org.mallowroad.wire.InvalidMessageException;
 
-/** One of each message between controllers, for tests of other packages. */
+/** Samples of all messages between controllers, for tests of other packages. */
 public final class PeerMessages {
-  private static final PeerCodec PEERS = new PeerCodec();
-  private static final LinkCodec LINKS = new LinkCodec();
+  private static final PeerCodec PEER_CODEC = new PeerCodec();
+  private static final LinkCodec LINK_CODEC = new LinkCodec();
   private static final byte[] BODY = "{\"moves\":16}".getBytes(StandardCharsets.UTF_8);
 
-  /** Reads a message and writes it again. */
+  /** Decodes a message and encodes it again. */
   @FunctionalInterface
-  private interface Rewrite {
+  private interface Reencoder {
     byte[] apply(byte[] bytes) throws InvalidMessageException;
   }
 
   private static final Map<String, byte[]> SAMPLES = new LinkedHashMap<>();
-  private static final Map<String, Rewrite> REWRITES = new LinkedHashMap<>();
+  private static final Map<String, Reencoder> REENCODERS = new LinkedHashMap<>();
 
   static {
-    add(
+    addSample(
         "term announced",
-        PEERS.encode(new PeerCodec.LeadershipAnnouncement("hearth-1", 4_294_967_298L)),
-        b -> PEERS.encode(PEERS.decodeAnnouncement(b)));
-    add(
+        PEER_CODEC.encode(new PeerCodec.LeadershipAnnouncement("hearth-1", 4_294_967_298L)),
+        message -> PEER_CODEC.encode(PEER_CODEC.decodeAnnouncement(message)));
+    addSample(
         "user's request",
-        PEERS.encode(new PeerCodec.RelayedRequest("POST", "/v1/jobs", BODY)),
-        b -> PEERS.encode(PEERS.decodeRequest(b)));
-    add(
+        PEER_CODEC.encode(new PeerCodec.RelayedRequest("POST", "/v1/jobs", BODY)),
+        message -> PEER_CODEC.encode(PEER_CODEC.decodeRequest(message)));
+    addSample(
         "answer to a user's request",
-        PEERS.encode(new PeerCodec.RelayedResponse(201, BODY)),
-        b -> PEERS.encode(PEERS.decodeResponse(b)));
-    add(
+        PEER_CODEC.encode(new PeerCodec.RelayedResponse(201, BODY)),
+        message -> PEER_CODEC.encode(PEER_CODEC.decodeResponse(message)));
+    addSample(
         "leader with too much to record",
-        PEERS.encode(new PeerCodec.OverloadNotice(7)),
-        b -> PEERS.encode(PEERS.decodeOverloadNotice(b)));
-    add(
+        PEER_CODEC.encode(new PeerCodec.OverloadNotice(7)),
+        message -> PEER_CODEC.encode(PEER_CODEC.decodeOverloadNotice(message)));
+    addSample(
         "cancelled jobs",
-        PEERS.encode(new PeerCodec.CancelledJobs(List.of("job-000412", "job-7"))),
-        b -> PEERS.encode(PEERS.decodeCancelledJobs(b)));
-    add("no cancelled jobs", PEERS.encode(new PeerCodec.CancelledJobs(List.of())), null);
+        PEER_CODEC.encode(new PeerCodec.CancelledJobs(List.of("job-000412", "job-7"))),
+        message -> PEER_CODEC.encode(PEER_CODEC.decodeCancelledJobs(message)));
+    addSample("no cancelled jobs", PEER_CODEC.encode(new PeerCodec.CancelledJobs(List.of())), null);
     List<LinkStateAdvertisement.ZoneContact> zones =
         List.of(
             new LinkStateAdvertisement.ZoneContact("a", 250, -1),
             new LinkStateAdvertisement.ZoneContact("b", -1, 3_000));
-    LinkStateAdvertisement row =
+    LinkStateAdvertisement linkState =
         new LinkStateAdvertisement(
             "hearth-2", 1_800_000_000_123L, 88, 3, true, 40, -1, List.of("hearth-0", "n9"), zones);
-    add("row of links", LINKS.encode(row), b -> LINKS.encode(LINKS.decodeLinkState(b)));
-    add(
+    addSample(
+        "row of links",
+        LINK_CODEC.encode(linkState),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeLinkState(message)));
+    addSample(
         "call for another controller",
-        LINKS.encode(new LinkCodec.RelayedCall("state", "POST", "/multi", BODY, 1_500)),
-        b -> LINKS.encode(LINKS.decodeCall(b)));
-    add(
+        LINK_CODEC.encode(new LinkCodec.RelayedCall("state", "POST", "/multi", BODY, 1_500)),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeCall(message)));
+    addSample(
         "answered call",
-        LINKS.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.ANSWERED, 200, BODY)),
-        b -> LINKS.encode(LINKS.decodeResult(b)));
-    add(
+        LINK_CODEC.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.ANSWERED, 200, BODY)),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeResult(message)));
+    addSample(
         "call that was not sent",
-        LINKS.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.NOT_SENT, 0, new byte[0])),
-        b -> LINKS.encode(LINKS.decodeResult(b)));
-    add(
+        LINK_CODEC.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.NOT_SENT, 0, new byte[0])),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeResult(message)));
+    addSample(
         "call of unknown outcome",
-        LINKS.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.UNKNOWN, 0, new byte[0])),
-        b -> LINKS.encode(LINKS.decodeResult(b)));
-    add(
+        LINK_CODEC.encode(new LinkCodec.RelayedResult(LinkCodec.Outcome.UNKNOWN, 0, new byte[0])),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeResult(message)));
+    addSample(
         "worker's report",
-        LINKS.encode(new LinkCodec.RelayedHeartbeat("hearth-1", BODY)),
-        b -> LINKS.encode(LINKS.decodeHeartbeat(b)));
-    add(
+        LINK_CODEC.encode(new LinkCodec.RelayedHeartbeat("hearth-1", BODY)),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeHeartbeat(message)));
+    addSample(
         "later process",
-        LINKS.encode(new LinkCodec.NewerProcess(1_800_000_000_456L)),
-        b -> LINKS.encode(LINKS.decodeNewerProcess(b)));
+        LINK_CODEC.encode(new LinkCodec.NewerProcess(1_800_000_000_456L)),
+        message -> LINK_CODEC.encode(LINK_CODEC.decodeNewerProcess(message)));
   }
 
   private PeerMessages() {}
 
-  private static void add(String name, byte[] bytes, Rewrite rewrite) {
+  private static void addSample(String name, byte[] bytes, Reencoder reencoder) {
     SAMPLES.put(name, bytes);
-    REWRITES.put(name, rewrite == null ? b -> PEERS.encode(PEERS.decodeCancelledJobs(b)) : rewrite);
+    REENCODERS.put(
+        name,
+        reencoder == null
+            ? message -> PEER_CODEC.encode(PEER_CODEC.decodeCancelledJobs(message))
+            : reencoder);
   }
 
-  /** The bytes of one message of each form, by what it says. */
+  /** The bytes of one message of each form, by the sample's name in the golden file. */
   public static Map<String, byte[]> samples() {
     return SAMPLES;
   }
 
-  /** Reads the bytes of a message and writes it again. */
+  /** Decodes the bytes of the named sample and encodes the message again. */
   public static byte[] reencode(String name, byte[] bytes) throws InvalidMessageException {
-    return REWRITES.get(name).apply(bytes);
+    return REENCODERS.get(name).apply(bytes);
   }
 
-  /** All schemas of the messages, those of their parts as well. */
+  /** The schemas of all messages and of the records nested in them. */
   public static List<Schema> schemas() throws IllegalAccessException {
     List<Schema> schemas = new ArrayList<>();
-    Set<String> seen = new TreeSet<>();
-    for (Object codec : List.of(PEERS, LINKS)) {
+    Set<String> seenSchemas = new TreeSet<>();
+    for (Object codec : List.of(PEER_CODEC, LINK_CODEC)) {
       for (Field field : codec.getClass().getDeclaredFields()) {
         field.setAccessible(true);
-        Schema schema = schema(field.get(codec));
-        if (schema != null && seen.add(schema.toString())) {
+        Schema schema = schemaOf(field.get(codec));
+        if (schema != null && seenSchemas.add(schema.toString())) {
           schemas.add(schema);
         }
       }
@@ -116,8 +123,8 @@
     return schemas;
   }
 
-  /** The value itself where it is a schema, or the schema that it holds, or null. */
-  private static Schema schema(Object value) throws IllegalAccessException {
+  /** Returns the value if it is a schema, otherwise the schema in one of its fields, or null. */
+  private static Schema schemaOf(Object value) throws IllegalAccessException {
     if (value == null || value instanceof Schema) {
       return (Schema) value;
     }
--- a/src/test/java/org/mallowroad/peer/RelayTransportTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayTransportTest.java
@@ -21,10 +21,14 @@
 import org.mallowroad.net.RequestSender;
 import org.mallowroad.wire.InvalidMessageException;
 
-/** What a peer's response proves of a relayed call; rejected messages occupy no places. */
+/**
+ * Guards against two faults: a relayed command that may have been executed counts as unsent because
+ * the peer answered with an error, and rejected calls permanently use up the limit of concurrent
+ * relayed calls.
+ */
 final class RelayTransportTest {
-  private final List<String> events = new ArrayList<>();
-  private int status;
+  private final List<String> outcomes = new ArrayList<>();
+  private int peerStatus;
 
   private final EventLoop loop =
       new EventLoop() {
@@ -44,25 +48,26 @@
         }
 
         @Override
-        protected Timer schedule(long ms, Runnable task) {
+        protected Timer schedule(long delayMs, Runnable task) {
           return () -> true;
         }
       };
 
-  /** Every peer answers with the current status. */
-  private final class AnsweringEnvironment implements NodeEnvironment {
+  /** An environment in which every peer answers with {@code peerStatus}. */
+  private final class RespondingEnvironment implements NodeEnvironment {
     @Override
     public EventLoop loop() {
       return loop;
     }
 
     @Override
-    public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
+    public RequestSender requestSender(
+        Endpoint endpoint, String contentType, int maxConnections, int maxResponseBytes) {
       return new RequestSender() {
         @Override
         public void send(
-            String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-          answer.onResponse(status, new byte[0]);
+            String method, String path, byte[] body, long timeoutMs, ResponseHandler handler) {
+          handler.onResponse(peerStatus, new byte[0]);
         }
 
         @Override
@@ -71,7 +76,7 @@
     }
 
     @Override
-    public void listen(RequestHandler front) {}
+    public void listen(RequestHandler handler) {}
 
     @Override
     public long bufferedBodyBytes() {
@@ -92,51 +97,51 @@
     public void stop() {}
   }
 
-  private final RequestSender.ResponseHandler answer =
+  private final RequestSender.ResponseHandler responseHandler =
       new RequestSender.ResponseHandler() {
         @Override
-        public void onResponse(int s, byte[] body) {
-          events.add("answered " + s);
+        public void onResponse(int status, byte[] body) {
+          outcomes.add("answered " + status);
         }
 
         @Override
         public void onFailure(boolean sent) {
-          events.add("failed " + sent);
+          outcomes.add("failed " + sent);
         }
       };
 
   private final RelayTransport.Listener listener =
       new RelayTransport.Listener() {
         @Override
-        public OptionalLong onLinkState(LinkStateAdvertisement row) {
+        public OptionalLong onLinkState(LinkStateAdvertisement linkState) {
           return OptionalLong.empty();
         }
 
         @Override
         public void onRelayedCall(
-            ExternalService to,
+            ExternalService service,
             String method,
             String path,
             byte[] body,
-            long ms,
-            RequestSender.ResponseHandler back) {
-          back.onResponse(200, new byte[0]);
+            long timeoutMs,
+            RequestSender.ResponseHandler handler) {
+          handler.onResponse(200, new byte[0]);
         }
 
         @Override
         public void onRelayedCommands(
-            String address, byte[] body, RequestSender.ResponseHandler back) {
-          back.onFailure(true);
+            String address, byte[] body, RequestSender.ResponseHandler handler) {
+          handler.onFailure(true);
         }
 
         @Override
         public void onRelayedHeartbeat(
-            int peer, byte[] heartbeat, RequestSender.ResponseHandler back) {}
+            int peer, byte[] heartbeat, RequestSender.ResponseHandler handler) {}
       };
 
   private final RelayTransport transport =
       new RelayTransport(
-          new AnsweringEnvironment(),
+          new RespondingEnvironment(),
           List.of(new Member("n1", "a", new Endpoint("h", 1))),
           new LinkStateTable(LinkPolicy.defaults(), "n0", List.of("n1"), List.of("a"), 0, 0),
           listener);
@@ -151,27 +156,30 @@
     "204,true",
     "200,true"
   })
-  void onlyStatusesOfRequestsThatCertainlyDidNothingCountAsUnsent(int peerStatus, boolean sent) {
-    status = peerStatus;
-    transport.relayCommands(0, "w:1", new byte[] {1}, answer);
-    assertEquals(List.of("failed " + sent), events);
+  void relayedCommandsCountAsUnsentOnlyIfThePeerCertainlyDidNotExecuteThem(
+      int status, boolean sent) {
+    peerStatus = status;
+    transport.relayCommands(0, "w:1", new byte[] {1}, responseHandler);
+    assertEquals(List.of("failed " + sent), outcomes);
   }
 
   @Test
-  void rejectedMessagesOccupyNoPlaceForEver() throws InvalidMessageException {
+  void rejectedCallsDoNotUseUpTheLimitOfConcurrentCalls() throws InvalidMessageException {
     LinkCodec codec = new LinkCodec();
     for (int i = 0; i < 200; i++) {
       assertThrows(
-          InvalidMessageException.class, () -> transport.handleMessage(incoming(codec, "NOBODY")));
+          InvalidMessageException.class,
+          () -> transport.handleMessage(incomingCall(codec, "NOBODY")));
     }
     for (int i = 0; i < 200; i++) {
-      transport.handleMessage(incoming(codec, "STATE"));
+      transport.handleMessage(incomingCall(codec, "STATE"));
     }
-    assertEquals(200, events.stream().filter("200"::equals).count());
+    assertEquals(200, outcomes.stream().filter("200"::equals).count());
   }
 
-  private IncomingRequest incoming(LinkCodec codec, String to) {
-    byte[] body = codec.encode(new LinkCodec.RelayedCall(to, "GET", "/kv/a", new byte[0], 100));
+  private IncomingRequest incomingCall(LinkCodec codec, String destination) {
+    byte[] body =
+        codec.encode(new LinkCodec.RelayedCall(destination, "GET", "/kv/a", new byte[0], 100));
     return new IncomingRequest() {
       @Override
       public String method() {
@@ -189,8 +197,8 @@
       }
 
       @Override
-      public void respond(int s, String type, byte[] bytes, boolean later) {
-        events.add("" + s);
+      public void respond(int status, String contentType, byte[] bytes, boolean retryLater) {
+        outcomes.add("" + status);
       }
     };
   }
--- a/src/test/java/org/mallowroad/peer/RelayedCallerTest.java
+++ b/src/test/java/org/mallowroad/peer/RelayingRequestSenderTest.java
@@ -15,10 +15,13 @@
 import org.mallowroad.core.linkstate.RouteSelector;
 import org.mallowroad.net.RequestSender;
 
-/** What a failed call tells of the direct way to an external service. */
-final class RelayedCallerTest {
-  private static DynamicTest rule(
-      String name, Consumer<RequestSender.ResponseHandler> outcome, boolean astray) {
+/**
+ * Guards against a sender that has run out of connections being taken for a network partition: only
+ * a call that the service did not answer may mark the direct path as down.
+ */
+final class RelayingRequestSenderTest {
+  private static DynamicTest failedCallTest(
+      String name, Consumer<RequestSender.ResponseHandler> directOutcome, boolean expectPathDown) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
@@ -35,18 +38,23 @@
                     String path,
                     byte[] body,
                     long timeoutMs,
-                    ResponseHandler answer) {
-                  outcome.accept(answer);
+                    ResponseHandler handler) {
+                  directOutcome.accept(handler);
                 }
 
                 @Override
                 public void close() {}
               };
-          RelayingRequestSender caller =
+          RelayingRequestSender sender =
               new RelayingRequestSender(
-                  loop, direct, ExternalService.STATE, route, (p, o, m, path, b, ms, a) -> {}, 400);
+                  loop,
+                  direct,
+                  ExternalService.STATE,
+                  route,
+                  (peer, service, method, path, body, timeoutMs, handler) -> {},
+                  400);
           List<String> outcomes = new ArrayList<>();
-          caller.send(
+          sender.send(
               "POST",
               "/multi",
               new byte[0],
@@ -62,21 +70,21 @@
                   outcomes.add(sent ? "unknown" : "not sent");
                 }
               });
-          assertEquals(List.of(astray ? "unknown" : "not sent"), outcomes);
-          assertEquals(astray, route.isDirectPathDown());
+          assertEquals(List.of(expectPathDown ? "unknown" : "not sent"), outcomes);
+          assertEquals(expectPathDown, route.isDirectPathDown());
         });
   }
 
   @TestFactory
-  Stream<DynamicTest> signsOfAPartition() {
+  Stream<DynamicTest> onlyUnansweredCallsMarkTheDirectPathDown() {
     return Stream.of(
-        rule(
-            "a sender without a free connection is no sign of a partition",
+        failedCallTest(
+            "running out of connections does not mark the direct path as down",
             RequestSender.ResponseHandler::onNoFreeConnection,
             false),
-        rule(
-            "a call without an answer is a sign of a partition",
-            answer -> answer.onFailure(true),
+        failedCallTest(
+            "a call without a response marks the direct path as down",
+            handler -> handler.onFailure(true),
             true));
   }
 }
