--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -40,7 +40,7 @@
   public static final String MACHINE_TYPES_PATH = "/machine_types";
 
   private final EventLoop loop;
-  private final LogLimiter invalidResponseLog = LogLimiter.withDefaultLimits();
+  private final LogLimiter invalidResponseLogLimiter = LogLimiter.withDefaultLimits();
   private final RequestSender sender;
   private final RateLimiter rateLimiter;
   private final NameIndex typeNames;
@@ -51,20 +51,20 @@
    * Creates a client that calls the cloud through a sender.
    *
    * @param rateLimiter limits the calls of this node
-   * @param types the index to which the names of listed machine types are added
-   * @param zones the zones of the settings; machine types omit all other zones
+   * @param typeNames the index to which the names of listed machine types are added
+   * @param zoneNames the zones of the settings; machine types omit all other zones
    */
   public CloudClient(
       EventLoop loop,
       RequestSender sender,
       RateLimiter rateLimiter,
-      NameIndex types,
-      NameIndex zones) {
+      NameIndex typeNames,
+      NameIndex zoneNames) {
     this.loop = loop;
     this.sender = sender;
     this.rateLimiter = rateLimiter;
-    this.typeNames = types;
-    this.zoneNames = zones;
+    this.typeNames = typeNames;
+    this.zoneNames = zoneNames;
   }
 
   /** The number of responses so far that violated the protocol. */
@@ -218,12 +218,12 @@
         onErrorResponse(status, body.path(Fields.ERROR).asText());
       } catch (InvalidMessageException e) {
         invalidResponses++;
-        if (invalidResponseLog.tryAcquire(loop.now())) {
+        if (invalidResponseLogLimiter.tryAcquire(loop.now())) {
           LOG.warn(
               "event=cloud_response_invalid status={} reason=\"{}\" suppressed={}",
               status,
               e.getMessage(),
-              invalidResponseLog.suppressedLines());
+              invalidResponseLogLimiter.suppressedLines());
         }
         onFailure();
       }
--- a/src/main/java/org/mallowroad/net/EventLoop.java
+++ b/src/main/java/org/mallowroad/net/EventLoop.java
@@ -50,7 +50,8 @@
   }
 
   /**
-   * Runs a task every {@code ms} milliseconds, the first time after one period, until cancelled.
+   * Runs a task every {@code periodMs} milliseconds, the first time after one period, until
+   * cancelled.
    */
   public final Timer every(long periodMs, Runnable task) {
     RepeatingTask repeating = new RepeatingTask(periodMs, task);
--- a/src/main/java/org/mallowroad/net/HttpRequestSender.java
+++ b/src/main/java/org/mallowroad/net/HttpRequestSender.java
@@ -29,7 +29,7 @@
   private static final HttpString CONTENT_TYPE = Headers.CONTENT_TYPE;
 
   /** The limit of idle connections, or half of the pool size if that is larger. */
-  private static final int MIN_MAX_IDLE_CONNECTIONS = 8;
+  private static final int MIN_IDLE_POOL_SIZE = 8;
 
   private final XnioEventLoop loop;
   private final ByteBufferPool bufferPool;
@@ -256,8 +256,7 @@
           () -> {
             if (!closed
                 && usedConnection.isOpen()
-                && idleConnections.size()
-                    < Math.max(MIN_MAX_IDLE_CONNECTIONS, maxConnections / 2)) {
+                && idleConnections.size() < Math.max(MIN_IDLE_POOL_SIZE, maxConnections / 2)) {
               idleConnections.addFirst(usedConnection);
             } else {
               IoUtils.safeClose(usedConnection);
--- a/src/main/java/org/mallowroad/net/XnioEnvironment.java
+++ b/src/main/java/org/mallowroad/net/XnioEnvironment.java
@@ -40,9 +40,9 @@
   private final XnioWorker xnioWorker;
   private final XnioEventLoop loop;
   private final ByteBufferPool bufferPool = new DefaultByteBufferPool(false, BUFFER_BYTES, 64, 0);
-  private final BodyReader heartbeatBodies;
-  private final BodyReader userBodies;
-  private final BodyReader peerBodies;
+  private final BodyReader heartbeatBodyReader;
+  private final BodyReader userBodyReader;
+  private final BodyReader peerBodyReader;
   private Undertow server;
 
   /** Starts the event loop of a node; nothing listens before {@link #listen}. */
@@ -56,9 +56,9 @@
     this.loop = new XnioEventLoop(xnioWorker.getIoThread());
     // A small fraction of the memory, so that all readers at their limits do not exhaust it.
     long maxReservedBytes = (long) (settings.ramMb() * 1024 * 1024) / BODY_MEMORY_DIVISOR;
-    this.heartbeatBodies = new BodyReader(maxReservedBytes, BodyReader.MAX_BODY_BYTES);
-    this.userBodies = new BodyReader(maxReservedBytes, BodyReader.MAX_BODY_BYTES);
-    this.peerBodies = new BodyReader(maxReservedBytes, BodyReader.MAX_MESSAGE_BYTES);
+    this.heartbeatBodyReader = new BodyReader(maxReservedBytes, BodyReader.MAX_BODY_BYTES);
+    this.userBodyReader = new BodyReader(maxReservedBytes, BodyReader.MAX_BODY_BYTES);
+    this.peerBodyReader = new BodyReader(maxReservedBytes, BodyReader.MAX_MESSAGE_BYTES);
   }
 
   @Override
@@ -87,7 +87,7 @@
                 peers.port(),
                 peers.host(),
                 exchange ->
-                    peerBodies.read(
+                    peerBodyReader.read(
                         exchange,
                         (exchangeWithBody, body) ->
                             handler.onPeerMessage(new UndertowRequest(exchangeWithBody, body))))
@@ -108,11 +108,11 @@
       return;
     }
     boolean isHeartbeat = exchange.getRequestPath().equals(HEARTBEAT_PATH);
-    if (isHeartbeat && countAndCheckKeepAliveLimit(exchange.getConnection())) {
+    if (isHeartbeat && exceedsKeepAliveLimit(exchange.getConnection())) {
       exchange.setPersistent(false);
     }
-    BodyReader bodies = isHeartbeat ? heartbeatBodies : userBodies;
-    bodies.read(
+    BodyReader bodyReader = isHeartbeat ? heartbeatBodyReader : userBodyReader;
+    bodyReader.read(
         exchange,
         (exchangeWithBody, body) -> handler.onRequest(new UndertowRequest(exchangeWithBody, body)));
   }
@@ -124,7 +124,7 @@
    * accepted beyond the connection limit. Beyond three quarters of that limit, a worker's
    * connection is therefore closed after each heartbeat, which frees its socket for another worker.
    */
-  private boolean countAndCheckKeepAliveLimit(ServerConnection connection) {
+  private boolean exceedsKeepAliveLimit(ServerConnection connection) {
     if (connection.getAttachment(COUNTED_AS_WORKER) == null) {
       connection.putAttachment(COUNTED_AS_WORKER, true);
       workerConnections++;
@@ -135,9 +135,9 @@
 
   @Override
   public long bufferedBodyBytes() {
-    return heartbeatBodies.reservedBytes()
-        + userBodies.reservedBytes()
-        + peerBodies.reservedBytes();
+    return heartbeatBodyReader.reservedBytes()
+        + userBodyReader.reservedBytes()
+        + peerBodyReader.reservedBytes();
   }
 
   /**
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -41,7 +41,7 @@
   private static final byte[] NO_BODY = new byte[0];
 
   private final EventLoop loop;
-  private final LogLimiter invalidMessageLog = LogLimiter.withDefaultLimits();
+  private final LogLimiter invalidMessageLogLimiter = LogLimiter.withDefaultLimits();
   private PeerCodec codec;
   private final List<RequestSender> senders = new ArrayList<>();
   private final Listener listener;
@@ -220,7 +220,7 @@
       onNotServed.run();
       return;
     }
-    relay(
+    sendRelayedRequest(
         Math.floorMod(firstPeerToTry, senders.size()),
         message,
         new RelayedResponseHandler() {
@@ -253,7 +253,7 @@
       byte[] body,
       Responder responder,
       Runnable onNotServed) {
-    relay(
+    sendRelayedRequest(
         peer,
         codec().encode(new PeerCodec.RelayedRequest(method, path, body)),
         new RelayedResponseHandler() {
@@ -272,7 +272,7 @@
         });
   }
 
-  private void relay(int peer, byte[] message, RelayedResponseHandler handler) {
+  private void sendRelayedRequest(int peer, byte[] message, RelayedResponseHandler handler) {
     senders.get(peer).send("POST", RELAY_PATH, message, TIMEOUT_MS, handler);
   }
 
@@ -353,11 +353,11 @@
 
   private void countInvalid(InvalidMessageException e) {
     invalidMessages++;
-    if (invalidMessageLog.tryAcquire(loop.now())) {
+    if (invalidMessageLogLimiter.tryAcquire(loop.now())) {
       LOG.warn(
           "event=peer_message_invalid reason=\"{}\" suppressed={}",
           e.getMessage(),
-          invalidMessageLog.suppressedLines());
+          invalidMessageLogLimiter.suppressedLines());
     }
   }
 }
--- a/src/main/java/org/mallowroad/peer/RelayTransport.java
+++ b/src/main/java/org/mallowroad/peer/RelayTransport.java
@@ -188,7 +188,7 @@
       long timeoutMs,
       RequestSender.ResponseHandler handler) {
     byte[] sentBody = body == null ? NO_BODY : body;
-    relay(
+    sendRelayedCall(
         peer,
         new LinkCodec.RelayedCall(service.name(), method, path, sentBody, timeoutMs),
         handler);
@@ -197,13 +197,14 @@
   /** Sends commands to a worker's address through a peer. */
   public void relayCommands(
       int peer, String address, byte[] body, RequestSender.ResponseHandler handler) {
-    relay(
+    sendRelayedCall(
         peer,
         new LinkCodec.RelayedCall(WORKER_DESTINATION, "POST", address, body, COMMANDS_TIMEOUT_MS),
         handler);
   }
 
-  private void relay(int peer, LinkCodec.RelayedCall call, RequestSender.ResponseHandler handler) {
+  private void sendRelayedCall(
+      int peer, LinkCodec.RelayedCall call, RequestSender.ResponseHandler handler) {
     callSenders
         .get(peer)
         .send(
--- a/src/main/java/org/mallowroad/peer/RelayingRequestSender.java
+++ b/src/main/java/org/mallowroad/peer/RelayingRequestSender.java
@@ -62,32 +62,32 @@
   }
 
   private final EventLoop loop;
-  private final RequestSender direct;
+  private final RequestSender directSender;
   private final ExternalService service;
   private final RouteSelector route;
-  private final CallRelay relay;
+  private final CallRelay callRelay;
   private final long hedgeDelayMs;
   private final ObjectLinkedOpenHashSet<Call> longPolls = new ObjectLinkedOpenHashSet<>();
 
   /**
    * Creates a sender to one external service.
    *
-   * @param direct sends requests to the service without a peer
+   * @param directSender sends requests to the service without a peer
    * @param hedgeDelayMs the time after which an unanswered direct call that is idempotent is also
    *     sent through a peer
    */
   public RelayingRequestSender(
       EventLoop loop,
-      RequestSender direct,
+      RequestSender directSender,
       ExternalService service,
       RouteSelector route,
-      CallRelay relay,
+      CallRelay callRelay,
       long hedgeDelayMs) {
     this.loop = loop;
-    this.direct = direct;
+    this.directSender = directSender;
     this.service = service;
     this.route = route;
-    this.relay = relay;
+    this.callRelay = callRelay;
     this.hedgeDelayMs = hedgeDelayMs;
     loop.every(ROUTE_CHECK_INTERVAL_MS, this::failStaleLongPolls);
   }
@@ -100,7 +100,7 @@
 
   @Override
   public void close() {
-    direct.close();
+    directSender.close();
   }
 
   /** Fails long polls that were sent before a route change, so that callers use the new route. */
@@ -168,7 +168,7 @@
     private void sendDirect() {
       inFlight++;
       long sentMs = loop.now();
-      direct.send(method, path, body, deadlineMs - sentMs, new DirectResponseHandler(sentMs));
+      directSender.send(method, path, body, deadlineMs - sentMs, new DirectResponseHandler(sentMs));
     }
 
     /** Sends the call a second time, through a peer, if a peer is likely to be faster. */
@@ -181,7 +181,7 @@
 
     private void sendThroughPeer(int peer) {
       inFlight++;
-      relay.relayCall(
+      callRelay.relayCall(
           peer,
           service,
           method,
--- a/src/main/java/org/mallowroad/worker/HeartbeatApi.java
+++ b/src/main/java/org/mallowroad/worker/HeartbeatApi.java
@@ -24,7 +24,7 @@
 
   private final EventLoop loop;
   private final Handler handler;
-  private final LogLimiter invalidMessageLog = LogLimiter.withDefaultLimits();
+  private final LogLimiter invalidMessageLogLimiter = LogLimiter.withDefaultLimits();
   private long invalidMessages;
 
   /** Handles the heartbeats that this node receives. */
@@ -81,11 +81,11 @@
 
   private void reject(IncomingRequest request, InvalidMessageException e) {
     invalidMessages++;
-    if (invalidMessageLog.tryAcquire(loop.now())) {
+    if (invalidMessageLogLimiter.tryAcquire(loop.now())) {
       LOG.warn(
           "event=heartbeat_invalid reason=\"{}\" suppressed={}",
           e.getMessage(),
-          invalidMessageLog.suppressedLines());
+          invalidMessageLogLimiter.suppressedLines());
     }
     Reply.error(request, 400, e.getMessage());
   }
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -37,9 +37,9 @@
   private static final int STATUS_FENCED = 409;
 
   private final EventLoop loop;
-  private final LogLimiter responseLog = LogLimiter.withDefaultLimits();
+  private final LogLimiter responseLogLimiter = LogLimiter.withDefaultLimits();
   private final NodeEnvironment environment;
-  private CommandRelay relay;
+  private CommandRelay commandRelay;
   private final int maxWorkers;
 
   /** Senders by worker address, the most recently used last. */
@@ -96,7 +96,7 @@
 
   /** Sets the relay to workers whose heartbeats arrive through a peer. */
   public void setRelay(CommandRelay newRelay) {
-    relay = newRelay;
+    commandRelay = newRelay;
   }
 
   /** Returns the sender to a worker, or null if the address is malformed. */
@@ -147,9 +147,9 @@
       DeliveryListener listener) {
     RequestSender.ResponseHandler handler = new DeliveryTracker(address, listener);
     byte[] body = Json.bytes(WorkerCodec.encodeDirectCommands(fencingToken, incarnation, commands));
-    if (relayPeer >= 0 && relay != null) {
+    if (relayPeer >= 0 && commandRelay != null) {
       busyAddresses.add(address);
-      relay.relayCommands(relayPeer, address, body, handler);
+      commandRelay.relayCommands(relayPeer, address, body, handler);
       return;
     }
     RequestSender sender = senderFor(address);
@@ -178,12 +178,12 @@
         listener.onDeliveryResult(DeliveryResult.ANSWERED, decodeHeartbeatOrNull(body));
         return;
       }
-      if (responseLog.tryAcquire(loop.now())) {
+      if (responseLogLimiter.tryAcquire(loop.now())) {
         LOG.warn(
             "event=commands_rejected address={} status={} suppressed={}",
             address,
             status,
-            responseLog.suppressedLines());
+            responseLogLimiter.suppressedLines());
       }
       listener.onDeliveryResult(
           status == STATUS_MALFORMED ? DeliveryResult.ANSWERED : DeliveryResult.UNKNOWN, null);
@@ -199,11 +199,11 @@
       try {
         return WorkerCodec.decodeHeartbeat(Json.parseObject(body));
       } catch (InvalidMessageException e) {
-        if (responseLog.tryAcquire(loop.now())) {
+        if (responseLogLimiter.tryAcquire(loop.now())) {
           LOG.warn(
               "event=heartbeat_invalid reason=\"{}\" suppressed={}",
               e.getMessage(),
-              responseLog.suppressedLines());
+              responseLogLimiter.suppressedLines());
         }
         return null;
       }
