--- a/src/main/java/org/mallowroad/cloud/CloudClient.java
+++ b/src/main/java/org/mallowroad/cloud/CloudClient.java
@@ -11,9 +11,9 @@
 import org.mallowroad.net.LogLimiter;
 import org.mallowroad.net.RateLimiter;
 import org.mallowroad.net.RequestSender;
-import org.mallowroad.wire.CloudCodec;
 import org.mallowroad.wire.CloudCodec.ListedMachine;
 import org.mallowroad.wire.CloudCodec.RentalRequest;
+import org.mallowroad.wire.CloudCodec;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
@@ -119,8 +119,8 @@
           void onSuccess(ObjectNode body) throws InvalidMessageException {
             CloudCodec.MachinePage page = CloudCodec.decodePage(body);
             earlierPages.addAll(page.machines());
-            if (page.next() != null) {
-              listPage(FIRST_PAGE_PATH + "&from=" + page.next(), earlierPages, listener);
+            if (page.nextPageToken() != null) {
+              listPage(FIRST_PAGE_PATH + "&from=" + page.nextPageToken(), earlierPages, listener);
             } else {
               listener.accept(Optional.of(earlierPages));
             }
--- a/src/main/java/org/mallowroad/controller/LinkMonitor.java
+++ b/src/main/java/org/mallowroad/controller/LinkMonitor.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.mallowroad.cloud.CloudClient;
-import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Member;
+import org.mallowroad.config.Settings;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.WorkerCommand;
 import org.mallowroad.core.linkstate.ExternalService;
@@ -361,7 +361,7 @@
         heartbeat = WorkerCodec.decodeHeartbeat(Json.parseObject(body));
       } catch (InvalidMessageException e) {
         responseHandler.onResponse(
-            400, Json.bytes(Json.object().put(Fields.ERROR, e.getMessage())));
+            400, Json.toBytes(Json.object().put(Fields.ERROR, e.getMessage())));
         return;
       }
       election.tokenSeen(heartbeat.fencingToken());
@@ -377,13 +377,13 @@
             @Override
             public void respond(long fencingToken, List<WorkerCommand> commands) {
               responseHandler.onResponse(
-                  200, Json.bytes(WorkerCodec.encodeCommands(fencingToken, commands)));
+                  200, Json.toBytes(WorkerCodec.encodeCommands(fencingToken, commands)));
             }
 
             @Override
             public void retryLater() {
               responseHandler.onResponse(
-                  503, Json.bytes(Json.object().put(Fields.ERROR, "not now")));
+                  503, Json.toBytes(Json.object().put(Fields.ERROR, "not now")));
             }
           });
     }
@@ -392,9 +392,9 @@
       String leader = election.leader();
       if (leader == null || leader.equals(settings.node())) {
         responseHandler.onResponse(
-            503, Json.bytes(Json.object().put(Fields.ERROR, "no leader known")));
+            503, Json.toBytes(Json.object().put(Fields.ERROR, "no leader known")));
       } else {
-        responseHandler.onResponse(421, Json.bytes(Json.object().put(Fields.LEADER, leader)));
+        responseHandler.onResponse(421, Json.toBytes(Json.object().put(Fields.LEADER, leader)));
       }
     }
   }
--- a/src/main/java/org/mallowroad/controller/NodeMetrics.java
+++ b/src/main/java/org/mallowroad/controller/NodeMetrics.java
@@ -119,8 +119,8 @@
     registerGauge("mallowroad.memory.heap.bytes", m -> MemoryMetrics.heapBytes());
     registerGauge("mallowroad.collector.share", m -> MemoryMetrics.garbageCollectionShare());
     registerGauge("mallowroad.bodies.bytes", m -> m.node.environment.bufferedBodyBytes());
-    registerGauge("mallowroad.kept.ends", m -> m.node.users.rememberedEnds());
-    registerGauge("mallowroad.kept.opens", m -> m.node.users.rememberedOpenJobs());
+    registerGauge("mallowroad.kept.ends", m -> m.node.users.cachedOutcomeCount());
+    registerGauge("mallowroad.kept.opens", m -> m.node.users.cachedOpenJobCount());
     registerGauge("mallowroad.kept.names", m -> m.node.clusterConfig.nameCount());
     registerGauge("mallowroad.kept.callers", m -> m.node.workers.connectedWorkers());
   }
--- a/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
+++ b/src/main/java/org/mallowroad/controller/dependency/FoldMaintenance.java
@@ -241,7 +241,7 @@
       onResolved.accept(jobOutcomes);
       return;
     }
-    claims.jobOutcome(
+    claims.readJobOutcome(
         jobId,
         jobOutcome -> {
           jobOutcome.ifPresent(outcome -> jobOutcomes.put(jobId, outcome));
--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -229,7 +229,7 @@
             if (isRetriable(response.status())) {
               onFailure();
             } else {
-              responder.answer(response.status(), Json.parseObject(response.body()), false);
+              responder.respond(response.status(), Json.parseObject(response.body()), false);
             }
           }
 
@@ -259,7 +259,7 @@
         new RelayedResponseHandler() {
           @Override
           void onResponse(PeerCodec.RelayedResponse response) throws InvalidMessageException {
-            responder.answer(
+            responder.respond(
                 response.status(),
                 Json.parseObject(response.body()),
                 isRetriable(response.status()));
@@ -342,7 +342,7 @@
         relayed.path(),
         relayed.body(),
         (status, body, retryLater) -> {
-          byte[] message = codec().encode(new PeerCodec.RelayedResponse(status, Json.bytes(body)));
+          byte[] message = codec().encode(new PeerCodec.RelayedResponse(status, Json.toBytes(body)));
           request.respond(200, AVRO_CONTENT_TYPE, message, false);
         });
   }
--- a/src/main/java/org/mallowroad/state/KeyValueStore.java
+++ b/src/main/java/org/mallowroad/state/KeyValueStore.java
@@ -315,7 +315,7 @@
     sender.send(
         "POST",
         "/multi",
-        Json.bytes(transaction.requestBody()),
+        Json.toBytes(transaction.requestBody()),
         TIMEOUT_MS,
         new CallHandler(health, loop.now()) {
           @Override
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -234,7 +234,7 @@
         return; // A watch without changes.
       }
       if (responseDelivered) {
-        byte[] body = Json.bytes(response.body());
+        byte[] body = Json.toBytes(response.body());
         call.caller.enqueueResponse(
             () -> call.handler.onResponse(response.status(), body),
             response.status() + new String(body, StandardCharsets.UTF_8));
--- a/src/test/java/org/mallowroad/VirtualTimeHarness.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -149,7 +149,7 @@
               failedConditions.remove(1);
             }
           }
-          handler.onResponse(response.status(), Json.bytes(response.body()));
+          handler.onResponse(response.status(), Json.toBytes(response.body()));
         }
       } catch (InvalidMessageException e) {
         throw new IllegalStateException(e);
--- a/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
+++ b/src/test/java/org/mallowroad/controller/RetentionBoundsTest.java
@@ -202,7 +202,7 @@
   void validatingSubmissionsRetainsNoNames() throws Exception {
     int before = clusterConfig.nameCount();
     for (int jobNumber = 0; jobNumber < 1_000; jobNumber++) {
-      clusterConfig.codec.check(submission(jobNumber));
+      clusterConfig.codec.validate(submission(jobNumber));
     }
     assertEquals(before, clusterConfig.nameCount());
   }
@@ -231,9 +231,9 @@
     UserApi users =
         new UserApi(loop, null, new UserApi.Limits(null, 1, null, null, 8, 64, 5_000), null);
     for (int jobNumber = 0; jobNumber < 100_000; jobNumber++) {
-      users.ended("job-" + jobNumber, true);
+      users.cacheOutcome("job-" + jobNumber, true);
     }
-    assertEquals(5_000, users.rememberedEnds());
+    assertEquals(5_000, users.cachedOutcomeCount());
   }
 
   @Test
--- a/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -147,7 +147,7 @@
   @Test
   void namesOfConstantsInMessagesMatchTheGoldenFile() {
     Map<String, String> texts = new LinkedHashMap<>();
-    texts.put("path of the console", ConsoleCodec.PATH);
+    texts.put("path of the console", ConsoleCodec.PATH_PREFIX);
     texts.put("phases of a node", names(NodeSnapshot.Phase.values()));
     texts.put("parties outside", names(ExternalService.values()));
     texts.put("phases of a task", names(Attempt.Phase.values()).toLowerCase(Locale.ROOT));
--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.mallowroad.election.LeaderElection;
-import org.mallowroad.simulation.RecordedHistory;
 import org.mallowroad.simulation.RecordedHistory.Party;
+import org.mallowroad.simulation.RecordedHistory;
 import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
@@ -182,7 +182,7 @@
           String prefix = write.has(Fields.LEASE) ? "(leased) " : "";
           recordExamples.put(
               (recordExamples.size() + " " + key).trim(),
-              isPut ? prefix + Json.text(value) : "(deleted)");
+              isPut ? prefix + Json.toText(value) : "(deleted)");
         }
       }
     }
--- a/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RecordValuesGoldenTest.java
@@ -78,7 +78,7 @@
 
     Job accept(String submission) throws InvalidMessageException {
       JsonNode record = Json.parseObject(submission.getBytes(StandardCharsets.UTF_8));
-      JobSpec spec = codec.decode(JobCodec.record((ObjectNode) record), NOW_MS);
+      JobSpec spec = codec.decode(JobCodec.copyKnownFields((ObjectNode) record), NOW_MS);
       return schedulerState.accept(spec, 5, 0, NOW_MS);
     }
 
@@ -198,7 +198,7 @@
                     () -> {
                       String golden = VALUES.entries().get(testCase.key());
                       ObjectNode value = Json.parseObject(golden.getBytes(StandardCharsets.UTF_8));
-                      assertEquals(golden, Json.text(testCase.reencoder().apply(value)));
+                      assertEquals(golden, Json.toText(testCase.reencoder().apply(value)));
                     }))
         .toList();
   }
@@ -213,7 +213,7 @@
     ObjectNode submission = Json.parseObject(SUBMISSION.getBytes(StandardCharsets.UTF_8));
     assertEquals(
         VALUES.entries().get(RecordKeys.openJob("job-000412")),
-        Json.text(JobRecordCodec.encodeOpen(submission, 1_800_000_000_123L)));
+        Json.toText(JobRecordCodec.encodeOpen(submission, 1_800_000_000_123L)));
   }
 
   @Test
