--- a/src/main/java/org/mallowroad/peer/PeerMessenger.java
+++ b/src/main/java/org/mallowroad/peer/PeerMessenger.java
@@ -342,7 +342,8 @@
         relayed.path(),
         relayed.body(),
         (status, body, retryLater) -> {
-          byte[] message = codec().encode(new PeerCodec.RelayedResponse(status, Json.toBytes(body)));
+          byte[] message =
+              codec().encode(new PeerCodec.RelayedResponse(status, Json.toBytes(body)));
           request.respond(200, AVRO_CONTENT_TYPE, message, false);
         });
   }
--- a/src/main/java/org/mallowroad/worker/WorkerClient.java
+++ b/src/main/java/org/mallowroad/worker/WorkerClient.java
@@ -146,7 +146,8 @@
       List<WorkerCommand> commands,
       DeliveryListener listener) {
     RequestSender.ResponseHandler handler = new DeliveryTracker(address, listener);
-    byte[] body = Json.toBytes(WorkerCodec.encodeDirectCommands(fencingToken, incarnation, commands));
+    byte[] body =
+        Json.toBytes(WorkerCodec.encodeDirectCommands(fencingToken, incarnation, commands));
     if (relayPeer >= 0 && commandRelay != null) {
       busyAddresses.add(address);
       commandRelay.relayCommands(relayPeer, address, body, handler);
--- a/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/RequestsGoldenTest.java
@@ -172,7 +172,8 @@
     messages.put("answer to a report", Json.toText(WorkerCodec.encodeCommands(41, commands)));
     messages.put("answer without orders", Json.toText(WorkerCodec.encodeCommands(41, List.of())));
     messages.put(
-        "direct orders", Json.toText(WorkerCodec.encodeDirectCommands(4_294_967_296L, 3, commands)));
+        "direct orders",
+        Json.toText(WorkerCodec.encodeDirectCommands(4_294_967_296L, 3, commands)));
     new GoldenFile("worker-orders.txt").check(messages);
   }
 
