--- a/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
+++ b/src/main/java/org/mallowroad/api/claim/DependencyCycleCheck.java
@@ -16,26 +16,27 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Checks that a job with dependencies would not wait for itself.
+ * Checks that accepting a job would not close a cycle of dependencies.
  *
- * <p>Every job with dependencies changes the record {@code RecordKeys.DEPENDENCY_ORDER_KEY} with
- * its acceptance, whose version is a condition of the acceptance. So of two jobs that together
- * would close a cycle, the second is checked again and sees the first.
+ * <p>The acceptance of every job with dependencies changes the record {@code
+ * RecordKeys.DEPENDENCY_ORDER_KEY}, and the version of this record is a condition of the
+ * acceptance. So if two jobs would together close a cycle, the acceptance of the second one fails,
+ * and the repeated check sees the first one.
  */
 final class DependencyCycleCheck {
-  /** The result of a check; one method is called, once. */
+  /** Receives the result of a check; exactly one method is called, once. */
   interface Listener {
-    /** The job would not wait for itself. */
-    void acyclic();
+    /** The job would not close a cycle. */
+    void onAcyclic();
 
-    /** The job would wait for itself. */
-    void cyclic(String reason);
+    /** The job would close a cycle. */
+    void onCycle(String reason);
 
     /** The state service does not answer. */
-    void unavailable();
+    void onUnavailable();
 
-    /** A record cannot be decoded. */
-    void unreadable(String reason);
+    /** The dependency record of another job cannot be decoded. */
+    void onUndecodable(String reason);
   }
 
   private final KeyValueStore state;
@@ -43,8 +44,8 @@
   private final String id;
   private final JobDependencies dependencies;
 
-  /** The version of the order record that was checked; 0 when there was none. */
-  private long orderVersion;
+  /** The version of the order record at the time of the check; 0 if there was no record. */
+  private long orderRecordVersion;
 
   DependencyCycleCheck(
       KeyValueStore state, ValueReader reader, String id, JobDependencies dependencies) {
@@ -54,21 +55,23 @@
     this.dependencies = dependencies;
   }
 
-  /** Reads the other jobs' dependencies and checks them; at once for a job that has none. */
+  /**
+   * Reads the other jobs' dependencies and checks them; a job without dependencies passes at once.
+   */
   void run(Listener listener) {
     if (!dependencies.isGated()) {
-      listener.acyclic();
+      listener.onAcyclic();
       return;
     }
     reader.read(
         RecordKeys.DEPENDENCY_ORDER_KEY,
         (value, version) -> {
-          orderVersion = version;
+          orderRecordVersion = version;
           state.list(
               RecordKeys.DEPENDENCIES_PREFIX,
               (result, items, revision) -> {
                 if (result != CallResult.OK) {
-                  listener.unavailable();
+                  listener.onUnavailable();
                 } else {
                   check(items, listener);
                 }
@@ -77,33 +80,34 @@
   }
 
   private void check(List<VersionedValue> items, Listener listener) {
-    Map<String, JobDependencies> waiting = new HashMap<>();
-    for (VersionedValue i : items) {
+    Map<String, JobDependencies> dependenciesByJob = new HashMap<>();
+    for (VersionedValue item : items) {
       try {
-        waiting.put(
-            i.key().substring(RecordKeys.DEPENDENCIES_PREFIX.length()),
-            DependencyCodec.decodeRecord(i.value()));
+        dependenciesByJob.put(
+            item.key().substring(RecordKeys.DEPENDENCIES_PREFIX.length()),
+            DependencyCodec.decodeRecord(item.value()));
       } catch (InvalidMessageException e) {
-        listener.unreadable(i.key() + " cannot be read: " + e.getMessage());
+        listener.onUndecodable(item.key() + " cannot be read: " + e.getMessage());
         return;
       }
     }
-    if (waiting.containsKey(id)) {
-      listener.acyclic(); // Accepted before: its own record must not look like a cycle.
+    if (dependenciesByJob.containsKey(id)) {
+      listener.onAcyclic(); // Accepted before; its own record would look like a cycle.
       return;
     }
-    Optional<String> through = DependencyCycles.findCycle(id, dependencies, waiting);
-    if (through.isEmpty()) {
-      listener.acyclic();
+    Optional<String> lastJobOfCycle =
+        DependencyCycles.findCycle(id, dependencies, dependenciesByJob);
+    if (lastJobOfCycle.isEmpty()) {
+      listener.onAcyclic();
     } else {
-      listener.cyclic("holds: " + id + " would wait for itself, by way of " + through.get());
+      listener.onCycle("holds: " + id + " would depend on itself, through " + lastJobOfCycle.get());
     }
   }
 
-  /** Adds the job's dependencies to its acceptance, on condition that the check still holds. */
+  /** Adds the job's dependencies to its acceptance, on condition that the check is still valid. */
   void addTo(Transaction transaction) {
     if (dependencies.isGated()) {
-      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER_KEY, orderVersion);
+      transaction.requireVersion(RecordKeys.DEPENDENCY_ORDER_KEY, orderRecordVersion);
       transaction.put(RecordKeys.DEPENDENCY_ORDER_KEY, Json.object().put("by", id));
       transaction.put(RecordKeys.dependencies(id), DependencyCodec.encodeRecord(dependencies));
     }
--- a/src/main/java/org/mallowroad/api/claim/IntentRollback.java
+++ b/src/main/java/org/mallowroad/api/claim/IntentRollback.java
@@ -15,9 +15,10 @@
 import org.mallowroad.state.Transaction;
 
 /**
- * Abandons claims that were begun and will not be finished. First the intent is marked, so that no
- * step of the claim applies any more; then its claims are removed from the blocks; then the intent
- * is deleted. Several nodes may do it at once, and any may go on after another has stopped.
+ * Rolls back claims that were begun and will not be finished. First it marks the intent as
+ * abandoned, so that no further transaction of the claim can be applied; then it removes the claims
+ * from the blocks; then it deletes the intent. Several nodes may do this at the same time, and any
+ * node may continue when another one has stopped.
  */
 final class IntentRollback {
   private final ClaimContext context;
@@ -27,11 +28,11 @@
   }
 
   /**
-   * Abandons the claim of a job.
+   * Abandons the unfinished claim of a job.
    *
-   * @param version of its intent
-   * @param listener whether it is abandoned completely; if not, any node that finds the intent does
-   *     it again
+   * @param version the version of its intent
+   * @param listener receives whether the rollback is complete; if not, any node that finds the
+   *     intent may repeat it
    */
   void abandon(String id, long version, Collection<BlockKey> keys, Consumer<Boolean> listener) {
     context
@@ -42,7 +43,7 @@
                 .put(
                     RecordKeys.foldIntent(id),
                     IntentRecord.abandoned(context.loop().wallMs(), keys)),
-            (result, revision, failed) -> {
+            (result, revision, failedConditions) -> {
               if (result == CallResult.OK) {
                 removeClaims(id, revision, new ArrayDeque<>(keys), listener);
               } else {
@@ -60,7 +61,7 @@
               new Transaction()
                   .requireVersion(RecordKeys.foldIntent(id), version)
                   .delete(RecordKeys.foldIntent(id)),
-              (result, revision, failed) -> listener.accept(result == CallResult.OK));
+              (result, revision, failedConditions) -> listener.accept(result == CallResult.OK));
       return;
     }
     List<BlockKey> batch = new ArrayList<>();
@@ -83,36 +84,37 @@
       Consumer<Boolean> listener) {
     Map<BlockKey, Block> changed = new TreeMap<>();
     blocks
-        .all()
+        .blocks()
         .forEach(
             (key, block) -> {
-              Block without = ClaimRules.withoutClaimsOf(block, id);
-              if (without != block) {
-                changed.put(key, without);
+              Block unclaimed = ClaimRules.withoutClaimsOf(block, id);
+              if (unclaimed != block) {
+                changed.put(key, unclaimed);
               }
             });
     if (changed.isEmpty()) {
       removeClaims(id, version, remaining, listener);
       return;
     }
-    Map<BlockKey, Block> part = blocks.firstTransaction(changed, 0);
+    Map<BlockKey, Block> writtenBlocks = blocks.firstBatch(changed, 0);
     Transaction transaction = new Transaction().requireVersion(RecordKeys.foldIntent(id), version);
-    blocks.addTo(transaction, part);
+    blocks.addTo(transaction, writtenBlocks);
     context
         .state()
         .compareAndSwap(
             transaction,
-            (result, revision, failed) -> {
+            (result, revision, failedConditions) -> {
               if (result == CallResult.OK
                   || (result == CallResult.CONDITION_FAILED
-                      && !failed.contains(RecordKeys.foldIntent(id)))) {
-                // What is not done, or was changed by others meanwhile, is read once more.
-                batch.removeAll(result == CallResult.OK ? part.keySet() : List.of());
+                      && !failedConditions.contains(RecordKeys.foldIntent(id)))) {
+                // Blocks that are not written yet, or were changed by other jobs meanwhile, are
+                // read again.
+                batch.removeAll(result == CallResult.OK ? writtenBlocks.keySet() : List.of());
                 remaining.addAll(batch);
                 context
                     .loop()
                     .after(
-                        ClaimContext.CONFLICT_RETRY_MS,
+                        ClaimContext.CONFLICT_RETRY_DELAY_MS,
                         () -> removeClaims(id, version, remaining, listener));
               } else {
                 listener.accept(false);
--- a/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -152,7 +152,7 @@
     texts.put("parties outside", names(ExternalService.values()));
     texts.put("phases of a task", names(Attempt.Phase.values()).toLowerCase(Locale.ROOT));
     for (PendingCause cause : PendingCause.values()) {
-      texts.put("reason " + cause.name(), cause.text() + "; " + cause.remedy());
+      texts.put("reason " + cause.name(), cause.description() + "; " + cause.remedy());
     }
     new GoldenFile("words.txt").check(texts);
   }
