--- a/src/main/java/org/mallowroad/peer/RelayingRequestSender.java
+++ b/src/main/java/org/mallowroad/peer/RelayingRequestSender.java
@@ -20,11 +20,12 @@
  *       so a transaction that a peer delays for minutes fails like any late transaction. Without a
  *       response its outcome is {@code UNKNOWN}, as it is for a direct call.
  *   <li><i>Reads</i> are executed after this node sent them, and every time limit counts from the
- *       time at which this node sent the read ({@code KeyValueStore.contactMs}), so a response is
- *       never older than this node assumes.
+ *       time at which this node sent the read ({@code ServiceHealth.lastExecutedCallSentMs}), so a
+ *       response is never older than this node assumes.
  *   <li><i>Lease renewals</i> count from the time at which this node sent them ({@code
- *       LeaderElection.renewedMs}). A late renewal can only extend the lease beyond the time that
- *       its holder assumes, which delays the next election and gives no node any authority.
+ *       LeaderElection.lastRenewalSentMs}). A late renewal can only extend the lease beyond the
+ *       time that its holder assumes, which delays the next election and gives no node any
+ *       authority.
  *   <li><i>Rental requests</i> carry their recorded names, and the cloud rents nothing for a name
  *       that it has seen before; deletions are idempotent.
  *   <li><i>A call is sent twice</i> only if the first request was certainly not executed (503, not
