--- a/src/main/java/org/mallowroad/cli/InspectCommands.java
+++ b/src/main/java/org/mallowroad/cli/InspectCommands.java
@@ -44,7 +44,7 @@
 
   /** The code for a look that nobody answered, else 0. */
   static int code(Overview o) {
-    return o.nodes().stream().allMatch(n -> n.sight() == null) && !o.recorded().read() ? 3 : 0;
+    return o.nodes().stream().allMatch(n -> n.sight() == null) && !o.recorded().wasRead() ? 3 : 0;
   }
 
   static void print(List<String> lines) {
@@ -72,7 +72,7 @@
       Matcher game = GAME.matcher(id);
       if (game.matches()) {
         try {
-          print(asker.game(game.group(1), Long.parseLong(game.group(2))));
+          print(asker.describeGame(game.group(1), Long.parseLong(game.group(2))));
           return 0;
         } catch (InvalidMessageException e) {
           System.err.println("mallowroad: the state service: " + e.getMessage());
@@ -83,11 +83,11 @@
         System.err.println("mallowroad: not a job id (they look like job-000412)");
         return 2;
       }
-      Overview o = asker.look();
+      Overview o = asker.fetchOverview();
       JobLine line = o.jobs().stream().filter(j -> j.id().equals(id)).findFirst().orElse(null);
-      JobSnapshot p = o.obstacle().isEmpty() ? asker.job(id) : null;
+      JobSnapshot p = o.obstacle().isEmpty() ? asker.fetchJob(id) : null;
       if (p == null && line != null) {
-        String remedy = line.reason().isEmpty() ? "" : Overview.remedy(line.reason());
+        String remedy = line.reason().isEmpty() ? "" : Overview.describeRemedy(line.reason());
         p = new JobSnapshot(id, line, remedy, List.of(), 0);
       }
       if (p == null) {
@@ -106,7 +106,7 @@
       if (json) {
         System.out.println(new String(ConsoleCodec.encode(p), StandardCharsets.UTF_8));
       } else {
-        print(new Screen(Screen.LEAST_WIDTH, 0).job(p, o.source()));
+        print(new Screen(Screen.MIN_WIDTH, 0).renderJob(p, o.source()));
       }
       return 0;
     }
@@ -120,8 +120,8 @@
   static final class Status extends InspectCommands {
     @Override
     int look(ClusterQuery asker) {
-      Overview o = asker.look();
-      List<String> all = new Screen(100, 0).draw(o, Top.look(Screen.Page.NODES));
+      Overview o = asker.fetchOverview();
+      List<String> all = new Screen(100, 0).render(o, Top.look(Screen.Page.NODES));
       print(all);
       return code(o);
     }
@@ -139,15 +139,15 @@
 
     @Override
     int look(ClusterQuery asker) throws IOException {
-      Overview o = asker.look();
-      String page = Report.page(o, asker.history());
+      Overview o = asker.fetchOverview();
+      String page = Report.renderPage(o, asker.fetchHistory());
       try {
         Files.writeString(out, page);
       } catch (IOException e) {
         System.err.println("mallowroad: " + out + ": cannot be written");
         return 2;
       }
-      o.first().forEach(l -> System.out.println(Screen.plain(l)));
+      o.first().forEach(l -> System.out.println(Screen.sanitize(l)));
       return code(o);
     }
   }
--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -62,7 +62,7 @@
   private double everyS = 1;
 
   @Option(names = "--width", paramLabel = "COLUMNS", hidden = true)
-  private int width = Screen.LEAST_WIDTH;
+  private int width = Screen.MIN_WIDTH;
 
   private int page;
   private String job = "";
@@ -77,11 +77,11 @@
   @Override
   int look(ClusterQuery asker) throws IOException {
     if (json || once) {
-      Overview o = asker.look();
+      Overview o = asker.fetchOverview();
       if (json) {
         System.out.println(new String(ConsoleCodec.encode(o), StandardCharsets.UTF_8));
       } else {
-        print(new Screen(width, 0).draw(o, new Screen.ViewOptions(show, sort, filter, 0)));
+        print(new Screen(width, 0).render(o, new Screen.ViewOptions(show, sort, filter, 0)));
       }
       return code(o);
     }
@@ -101,7 +101,7 @@
     terminal.puts(Capability.cursor_invisible);
     try {
       NonBlockingReader keys = terminal.reader();
-      Overview o = asker.look();
+      Overview o = asker.fetchOverview();
       while (true) {
         draw(terminal, display, o, asker);
         long until = System.nanoTime() + (long) (Math.max(0.2, everyS) * 1e9);
@@ -115,7 +115,7 @@
           return code(o);
         }
         if (key == NonBlockingReader.READ_EXPIRED) {
-          o = asker.look();
+          o = asker.fetchOverview();
         } else {
           press(key);
         }
@@ -131,19 +131,19 @@
   private void draw(Terminal terminal, Display display, Overview o, ClusterQuery asker) {
     Size size = terminal.getSize();
     int rows = Math.max(10, size.getRows());
-    int columns = Math.max(Screen.LEAST_WIDTH, size.getColumns());
+    int columns = Math.max(Screen.MIN_WIDTH, size.getColumns());
     display.resize(Size.of(columns, rows));
     List<String> lines;
     Screen screen = new Screen(columns - 1, rows - 1);
     if (job.isEmpty()) {
-      lines = new ArrayList<>(screen.draw(o, new Screen.ViewOptions(show, sort, filter, page)));
+      lines = new ArrayList<>(screen.render(o, new Screen.ViewOptions(show, sort, filter, page)));
     } else {
-      JobSnapshot p = asker.job(job);
+      JobSnapshot p = asker.fetchJob(job);
       lines =
           new ArrayList<>(
               p == null
                   ? List.of(job + ": no leader says anything of it (Esc goes back)")
-                  : screen.job(p, o.source()));
+                  : screen.renderJob(p, o.source()));
       int room = rows - 1;
       page = Math.min(page, (lines.size() - 1) / room);
       lines = new ArrayList<>(lines.subList(page * room, lines.size()));
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -90,7 +90,7 @@
     own.every(BEAT_MS, this::beat);
     own.every(settings.everyMs(), this::ask);
     own.submit(this::ask);
-    LOG.info("event=console_started node={} listen={}", subject.node(), address());
+    LOG.info("event=console_started node={} listen={}", subject.nodeName(), address());
   }
 
   /** Where it listens once it has started; port 0 in the settings is any port. */
@@ -108,7 +108,7 @@
 
   private void beat() {
     if (probe.send(own.now())) {
-      subject.soon(
+      subject.submit(
           () -> {
             long ran = own.now();
             own.submit(() -> probe.back(ran));
@@ -120,7 +120,7 @@
   private void ask() {
     if (!asked) {
       asked = true;
-      subject.picture(p -> own.submit(() -> take(p)));
+      subject.requestSnapshot(p -> own.submit(() -> take(p)));
     }
   }
 
@@ -194,11 +194,11 @@
 
   private void sight(HttpServerExchange x) {
     long now = own.now();
-    List<String> stack = probe.stuck(now) ? EventLoopProbe.stack(subject.thread()) : List.of();
+    List<String> stack = probe.stuck(now) ? EventLoopProbe.stack(subject.loopThread()) : List.of();
     NodeStatus s =
         new NodeStatus(
             NodeSnapshot.FORMAT,
-            subject.node(),
+            subject.nodeName(),
             probe.lateMs(now),
             stack,
             picture == null ? -1 : (now - pictureMs) / 1000.0,
@@ -226,7 +226,7 @@
           JobWaiter w = new JobWaiter(x);
           jobsAsked++;
           w.timer = own.after(WAIT_MS, w::late);
-          subject.job(id, p -> own.submit(() -> w.answer(p)));
+          subject.requestJob(id, p -> own.submit(() -> w.answer(p)));
         });
   }
 
--- a/src/main/java/org/mallowroad/console/SnapshotSource.java
+++ b/src/main/java/org/mallowroad/console/SnapshotSource.java
@@ -7,17 +7,17 @@
 /** What a console asks of its node's loop. Calls come from any thread, answers on the loop. */
 public interface SnapshotSource {
   /** The node's name. */
-  String node();
+  String nodeName();
 
   /** Asks for a picture. */
-  void picture(Consumer<NodeSnapshot> done);
+  void requestSnapshot(Consumer<NodeSnapshot> callback);
 
   /** Asks for one job. */
-  void job(String id, Consumer<JobSnapshot> done);
+  void requestJob(String id, Consumer<JobSnapshot> callback);
 
   /** Runs on the loop as soon as it turns. */
-  void soon(Runnable task);
+  void submit(Runnable task);
 
   /** The loop's thread, of which nothing but the stack is looked at. */
-  Thread thread();
+  Thread loopThread();
 }
--- a/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
+++ b/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
@@ -71,11 +71,11 @@
             .build();
     this.fetch = new BoundedHttpGet(http, Duration.ofMillis(NODE_MS), MOST_BYTES);
     this.records = new RecordInspector(http, state);
-    this.recorded = RecordedState.none("", "");
+    this.recorded = RecordedState.notRead("", "");
   }
 
   /** One look. */
-  public Overview look() {
+  public Overview fetchOverview() {
     List<Future<NodeView>> asked = new ArrayList<>();
     for (String n : nodes) {
       asked.add(pool.submit(() -> node(n)));
@@ -89,7 +89,7 @@
           within(
               asked.get(i),
               NODE_MS + 300,
-              () -> NodeView.silent(n, Standing.HANGING, "does not answer in time", NODE_MS)));
+              () -> NodeView.failed(n, Standing.HANGING, "does not answer in time", NODE_MS)));
     }
     if (recordedNs == 0) {
       // This program's own first calls are slow: nobody is called hanging for that.
@@ -108,14 +108,15 @@
     }
     if (reading != null) {
       recorded =
-          within(reading, RECORDS_MS, () -> RecordedState.none(state, "does not answer in time"));
+          within(
+              reading, RECORDS_MS, () -> RecordedState.notRead(state, "does not answer in time"));
       recordedNs = System.nanoTime();
     }
     return Overview.of(views, recorded, System.currentTimeMillis());
   }
 
   private Future<RecordedState> readRecords() {
-    return pool.submit(() -> state.isEmpty() ? RecordedState.none("", "") : records.read());
+    return pool.submit(() -> state.isEmpty() ? RecordedState.notRead("", "") : records.read());
   }
 
   private static <T> T within(Future<T> f, long ms, Supplier<T> otherwise) {
@@ -142,21 +143,21 @@
             case HANGS -> Standing.HANGING;
             default -> Standing.STRANGE;
           };
-      return NodeView.silent(address, s, a.problem(), ms);
+      return NodeView.failed(address, s, a.problem(), ms);
     }
     if (a.status() != 200) {
-      return NodeView.silent(
+      return NodeView.failed(
           address, Standing.STRANGE, "answers " + a.status() + ": not a console of this build", ms);
     }
     try {
       return NodeView.answered(address, ms, ConsoleCodec.decodeStatus(a.body()));
     } catch (InvalidMessageException e) {
-      return NodeView.silent(address, Standing.STRANGE, e.getMessage(), ms);
+      return NodeView.failed(address, Standing.STRANGE, e.getMessage(), ms);
     }
   }
 
   /** One job as the first node that knows it says, or null. */
-  public JobSnapshot job(String id) {
+  public JobSnapshot fetchJob(String id) {
     return first(
         n -> {
           BoundedHttpGet.Answer a = fetch.get(n, ConsoleCodec.PATH_PREFIX + "jobs/" + id);
@@ -182,10 +183,10 @@
   }
 
   /** The points that the nodes keep, of all leaders, in the order of their times. */
-  public List<MetricSample> history() {
+  public List<MetricSample> fetchHistory() {
     List<Future<List<MetricSample>>> all = new ArrayList<>();
     for (String n : nodes) {
-      all.add(pool.submit(() -> history(n)));
+      all.add(pool.submit(() -> fetchHistory(n)));
     }
     List<MetricSample> out = new ArrayList<>();
     for (Future<List<MetricSample>> f : all) {
@@ -195,7 +196,7 @@
     return out;
   }
 
-  private List<MetricSample> history(String node) {
+  private List<MetricSample> fetchHistory(String node) {
     BoundedHttpGet.Answer a = fetch.get(node, ConsoleCodec.PATH_PREFIX + "history");
     try {
       return a.status() == 200 ? ConsoleCodec.decodeHistory(a.body()) : List.of();
@@ -205,7 +206,7 @@
   }
 
   /** How a league's game stands by the records; throws with the reason where they are not read. */
-  public List<String> game(String league, long number) throws InvalidMessageException {
+  public List<String> describeGame(String league, long number) throws InvalidMessageException {
     return records.game(league, number);
   }
 
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -63,10 +63,10 @@
     try {
       return new Inspection().read();
     } catch (InvalidMessageException e) {
-      return RecordedState.none(address, e.getMessage());
+      return RecordedState.notRead(address, e.getMessage());
     } catch (RuntimeException e) {
       // A record that nobody of ours wrote: a key without its parts, figures that are none.
-      return RecordedState.none(address, "answers with something else than records");
+      return RecordedState.notRead(address, "answers with something else than records");
     }
   }
 
--- a/src/main/java/org/mallowroad/console/report/Report.java
+++ b/src/main/java/org/mallowroad/console/report/Report.java
@@ -71,7 +71,7 @@
   }
 
   /** The page. */
-  public static String page(Overview o, List<MetricSample> past) throws IOException {
+  public static String renderPage(Overview o, List<MetricSample> past) throws IOException {
     Map<String, Object> model = new LinkedHashMap<>();
     model.put(
         "made",
@@ -118,7 +118,8 @@
     List<String> out = new ArrayList<>();
     NodeSnapshot p = o.picture();
     if (p == null) {
-      out.add(o.recorded().read() ? o.jobs().size() + " open jobs on record" : "open jobs unknown");
+      out.add(
+          o.recorded().wasRead() ? o.jobs().size() + " open jobs on record" : "open jobs unknown");
       out.add("machines unknown");
       return out;
     }
@@ -156,7 +157,7 @@
           List.of(
               text(r.team()),
               text(r.taskClass()),
-              text(Overview.text(r.reason())),
+              text(Overview.describeReason(r.reason())),
               number(r.jobs()),
               number(r.tasks()),
               age(r.longestS()),
@@ -185,7 +186,7 @@
               number(j.silent()),
               age(j.ageS()),
               due(j),
-              text(j.reason().isEmpty() ? "" : Overview.text(j.reason())),
+              text(j.reason().isEmpty() ? "" : Overview.describeReason(j.reason())),
               text(j.detail())));
     }
     out.add(
@@ -217,7 +218,7 @@
           List.of(
               text(n.name()),
               text(n.address()),
-              text(n.standing().text()),
+              text(n.standing().description()),
               number(n.tookMs()),
               n.sight() == null ? text("-") : number(n.sight().loopLateMs()),
               n.sight() == null ? text("-") : age(n.sight().pictureAgeS()),
--- a/src/main/java/org/mallowroad/console/view/NodeView.java
+++ b/src/main/java/org/mallowroad/console/view/NodeView.java
@@ -32,25 +32,25 @@
     /** Answers something else: another build, or not a console. */
     STRANGE("not understood");
 
-    private final String text;
+    private final String description;
 
     Standing(String text) {
-      this.text = text;
+      this.description = text;
     }
 
     /** In a few words. */
-    public String text() {
-      return text;
+    public String description() {
+      return description;
     }
 
     /** True for a node that does its work. */
-    public boolean fine() {
+    public boolean isHealthy() {
       return this == LEADING || this == FOLLOWING;
     }
   }
 
   /** A node that gave no answer. */
-  public static NodeView silent(String address, Standing standing, String problem, long tookMs) {
+  public static NodeView failed(String address, Standing standing, String problem, long tookMs) {
     return new NodeView(address, standing, problem, tookMs, null);
   }
 
@@ -83,13 +83,13 @@
   }
 
   /** Its picture, or null. */
-  public NodeSnapshot picture() {
+  public NodeSnapshot snapshot() {
     return sight == null ? null : sight.picture();
   }
 
   /** True when the picture is one of a leader. */
-  boolean leads() {
-    NodeSnapshot p = picture();
+  boolean claimsLeadership() {
+    NodeSnapshot p = snapshot();
     return p != null
         && (p.phase() == NodeSnapshot.Phase.LEADING || p.phase() == NodeSnapshot.Phase.TAKING_OVER);
   }
--- a/src/main/java/org/mallowroad/console/view/Overview.java
+++ b/src/main/java/org/mallowroad/console/view/Overview.java
@@ -52,7 +52,7 @@
   public static Overview of(List<NodeView> nodes, RecordedState recorded, long atMs) {
     NodeView leader = leader(nodes);
     Obstacle o = obstacle(nodes, leader, recorded);
-    NodeSnapshot picture = leader == null ? null : leader.picture();
+    NodeSnapshot picture = leader == null ? null : leader.snapshot();
     // One that takes over has no jobs before it has read them.
     boolean pictured =
         picture != null
@@ -64,7 +64,7 @@
     if (pictured) {
       source = "leader " + leader.name() + ", term " + picture.term();
       age = leader.sight().pictureAgeS();
-    } else if (recorded.read()) {
+    } else if (recorded.wasRead()) {
       source = "records of the state service" + (recorded.partial() ? " (a part of them)" : "");
       age = 0;
     } else {
@@ -92,16 +92,16 @@
 
   private static NodeView leader(List<NodeView> nodes) {
     return nodes.stream()
-        .filter(NodeView::leads)
+        .filter(NodeView::claimsLeadership)
         .max(
-            Comparator.comparingLong((NodeView n) -> n.picture().term())
+            Comparator.comparingLong((NodeView n) -> n.snapshot().term())
                 .thenComparingDouble(n -> -n.sight().pictureAgeS()))
         .orElse(null);
   }
 
   /** What keeps the whole site from starting anything; null when nothing does. */
   private static Obstacle obstacle(List<NodeView> nodes, NodeView leader, RecordedState recorded) {
-    boolean stateAway = !recorded.address().isEmpty() && !recorded.read();
+    boolean stateAway = !recorded.address().isEmpty() && !recorded.wasRead();
     if (leader != null) {
       if (leader.standing() == Standing.STANDING_STILL) {
         return new Obstacle(
@@ -112,18 +112,18 @@
                 + "; it is in "
                 + leader.sight().stack().get(0));
       }
-      if (!leader.picture().firm()) {
+      if (!leader.snapshot().firm()) {
         return new Obstacle(
             PendingCause.STATE_AWAY,
             leader.name()
                 + " leads and was last served "
-                + round(leader.picture().stateSilenceS())
+                + round(leader.snapshot().stateSilenceS())
                 + " s before its picture");
       }
       if (leader.standing() == Standing.TAKING_OVER) {
         return new Obstacle(
             PendingCause.TAKING_OVER,
-            leader.name() + " takes over in term " + leader.picture().term());
+            leader.name() + " takes over in term " + leader.snapshot().term());
       }
       return null;
     }
@@ -144,7 +144,8 @@
     if (j.waiting() + j.starting() + j.silent() == 0) {
       return j;
     }
-    String before = j.reason().isEmpty() ? "" : "; before: " + text(j.reason()) + ", " + j.detail();
+    String before =
+        j.reason().isEmpty() ? "" : "; before: " + describeReason(j.reason()) + ", " + j.detail();
     return new JobLine(
         j.id(),
         j.team(),
@@ -208,7 +209,9 @@
               + j.team()
               + " by "
               + DurationFormat.of(-j.dueS())
-              + (j.reason().isEmpty() ? ": its last tasks run." : ": " + text(j.reason()) + "."));
+              + (j.reason().isEmpty()
+                  ? ": its last tasks run."
+                  : ": " + describeReason(j.reason()) + "."));
     }
     for (ReasonLine r : reasons.subList(0, Math.min(3, reasons.size()))) {
       if (o != null || r.reason().equals(PendingCause.STARTING.name())) {
@@ -221,20 +224,20 @@
               + " ("
               + r.taskClass()
               + ") wait: "
-              + text(r.reason())
+              + describeReason(r.reason())
               + ", "
               + r.detail()
               + ". Ends when "
-              + remedy(r.reason())
+              + describeRemedy(r.reason())
               + ".");
     }
     for (NodeView n : nodes) {
-      if (!n.standing().fine()) {
+      if (!n.standing().isHealthy()) {
         out.add(
             "Node "
                 + n.name()
                 + " is "
-                + n.standing().text()
+                + n.standing().description()
                 + (n.problem().isEmpty() ? "" : ": " + n.problem())
                 + ".");
       }
@@ -266,14 +269,14 @@
   }
 
   /** A reason in words; of a newer build's reasons, which this one does not have, the name. */
-  public static String text(String reason) {
+  public static String describeReason(String reason) {
     return known(reason)
         .map(PendingCause::description)
         .orElseGet(() -> reason.toLowerCase(Locale.ROOT).replace('_', ' '));
   }
 
   /** What would let the tasks go on; of a newer build's reasons that build knows. */
-  public static String remedy(String reason) {
+  public static String describeRemedy(String reason) {
     return known(reason)
         .map(PendingCause::remedy)
         .orElse("its node says so: it is of another build");
--- a/src/main/java/org/mallowroad/console/view/RecordedState.java
+++ b/src/main/java/org/mallowroad/console/view/RecordedState.java
@@ -29,12 +29,12 @@
     int hires) {
 
   /** Nothing was read. */
-  public static RecordedState none(String address, String problem) {
+  public static RecordedState notRead(String address, String problem) {
     return new RecordedState(address, problem, false, 0, "", 0, 0, List.of(), 0, 0);
   }
 
   /** True when it was asked and answered. */
-  public boolean read() {
+  public boolean wasRead() {
     return problem.isEmpty() && !address.isEmpty();
   }
 }
--- a/src/main/java/org/mallowroad/console/view/Screen.java
+++ b/src/main/java/org/mallowroad/console/view/Screen.java
@@ -15,7 +15,7 @@
 /** Draws an overview as lines of text of a given width; without colour, and without I/O. */
 public final class Screen {
   /** The least width that is drawn for: a terminal of 80 columns keeps its last one free. */
-  public static final int LEAST_WIDTH = 79;
+  public static final int MIN_WIDTH = 79;
 
   /** What is shown. */
   public enum Page {
@@ -44,12 +44,12 @@
   }
 
   /**
-   * What the user asked to see.
+   * The user's choice of what to show.
    *
-   * @param filter lines that have this text; empty for all
-   * @param page of the list, from 0
+   * @param filter shows only the lines that contain this text, ignoring case; empty shows all
+   * @param pageIndex index, from 0, of the shown part of a list that is longer than the screen
    */
-  public record ViewOptions(Page show, Sort sort, String filter, int page) {}
+  public record ViewOptions(Page selectedPage, Sort sort, String filter, int pageIndex) {}
 
   private static final List<String> RANKS = List.of("critical", "urgent", "normal", "idle");
 
@@ -58,15 +58,15 @@
 
   /** For a terminal of a size; a height of 0 draws everything. */
   public Screen(int width, int height) {
-    this.width = Math.max(LEAST_WIDTH, width);
+    this.width = Math.max(MIN_WIDTH, width);
     this.height = height;
   }
 
   /** The lines, each as wide as the screen at the most. */
-  public List<String> draw(Overview o, ViewOptions options) {
+  public List<String> render(Overview o, ViewOptions options) {
     List<String> out = new ArrayList<>(head(o));
     List<String> body =
-        switch (options.show) {
+        switch (options.selectedPage) {
           case QUEUES -> queues(o, options);
           case JOBS -> jobs(o, options);
           case MACHINES -> machines(o, options);
@@ -74,7 +74,7 @@
         };
     int room = height == 0 ? body.size() : Math.max(1, height - out.size() - 1);
     int pages = Math.max(1, (body.size() - 1 + Math.max(1, room - 1) - 1) / Math.max(1, room - 1));
-    int page = Math.min(options.page, pages - 1);
+    int page = Math.min(options.pageIndex, pages - 1);
     if (body.size() <= room) {
       out.addAll(body);
     } else {
@@ -90,7 +90,7 @@
     List<String> out = new ArrayList<>();
     StringBuilder nodes = new StringBuilder("mallowroad  ");
     for (NodeView n : o.nodes()) {
-      nodes.append(n.name()).append(' ').append(n.standing().text()).append("  ");
+      nodes.append(n.name()).append(' ').append(n.standing().description()).append("  ");
     }
     out.add(cut(nodes.toString()));
     out.add(
@@ -118,7 +118,7 @@
       out.add(
           cut(
               "jobs "
-                  + (o.recorded().read() ? o.jobs().size() + " on record" : "unknown")
+                  + (o.recorded().wasRead() ? o.jobs().size() + " on record" : "unknown")
                   + "  machines unknown"));
     }
     for (String s : o.first().subList(0, Math.min(3, o.first().size()))) {
@@ -152,7 +152,7 @@
               r.jobs(),
               r.tasks(),
               DurationFormat.of(r.longestS()),
-              Overview.text(r.reason()),
+              Overview.describeReason(r.reason()),
               r.detail()));
     }
     if (o.picture() != null) {
@@ -219,7 +219,7 @@
   private static String why(JobLine j) {
     return j.reason().isEmpty()
         ? ""
-        : Overview.text(j.reason())
+        : Overview.describeReason(j.reason())
             + (j.inS() >= 0 ? " (" + DurationFormat.of(j.inS()) + ")" : "")
             + (j.detail().isEmpty() ? "" : ": " + j.detail());
   }
@@ -299,7 +299,7 @@
                   "%-10s %-21s %-15s %5d ms %7s  %s",
                   fit(n.name(), 10),
                   fit(n.address(), 21),
-                  n.standing().text(),
+                  n.standing().description(),
                   n.tookMs(),
                   n.sight() == null ? "-" : n.sight().loopLateMs() + " ms",
                   n.problem())));
@@ -316,7 +316,7 @@
               "state service "
                   + r.address()
                   + ": "
-                  + (r.read()
+                  + (r.wasRead()
                       ? "leader "
                           + (r.leader().isEmpty() ? "none" : r.leader())
                           + ", term "
@@ -337,7 +337,7 @@
   }
 
   /** One job: its reason, and where its tasks are. */
-  public List<String> job(JobSnapshot p, String source) {
+  public List<String> renderJob(JobSnapshot p, String source) {
     List<String> out = new ArrayList<>();
     JobLine j = p.job();
     out.add(
@@ -371,7 +371,12 @@
       out.add("nothing of it waits");
     } else {
       out.addAll(
-          wrap("why: " + Overview.text(j.reason()) + ", for " + DurationFormat.of(j.sinceS()), 5));
+          wrap(
+              "why: "
+                  + Overview.describeReason(j.reason())
+                  + ", for "
+                  + DurationFormat.of(j.sinceS()),
+              5));
       out.addAll(wrap("     " + j.detail(), 5));
       if (j.inS() >= 0) {
         out.add("     over, or due, in " + DurationFormat.of(j.inS()));
@@ -417,14 +422,14 @@
   }
 
   private String cut(String s) {
-    String p = plain(s);
+    String p = sanitize(s);
     return p.length() <= width ? p : p.substring(0, width - 1) + "~";
   }
 
   /** Whole words over several lines, those after the first set in. */
   private List<String> wrap(String s, int indent) {
     List<String> out = new ArrayList<>();
-    String rest = plain(s);
+    String rest = sanitize(s);
     while (rest.length() > width) {
       int at = rest.lastIndexOf(' ', width);
       if (at <= indent) {
@@ -445,7 +450,7 @@
    * Without anything that a terminal would obey: names are the users', and a name may hold control
    * characters, escapes or marks that turn the direction of writing.
    */
-  public static String plain(String s) {
+  public static String sanitize(String s) {
     StringBuilder b = new StringBuilder(s.length());
     s.codePoints()
         .forEach(
--- a/src/main/java/org/mallowroad/controller/NodeSnapshotSource.java
+++ b/src/main/java/org/mallowroad/controller/NodeSnapshotSource.java
@@ -22,17 +22,17 @@
   }
 
   @Override
-  public String node() {
+  public String nodeName() {
     return node;
   }
 
   @Override
-  public void picture(Consumer<NodeSnapshot> done) {
+  public void requestSnapshot(Consumer<NodeSnapshot> done) {
     loop.submit(() -> publisher.snapshot(done));
   }
 
   @Override
-  public void job(String id, Consumer<JobSnapshot> done) {
+  public void requestJob(String id, Consumer<JobSnapshot> done) {
     loop.submit(
         () -> {
           // Answers even if building the snapshot fails, because the console counts its unanswered
@@ -47,12 +47,12 @@
   }
 
   @Override
-  public void soon(Runnable task) {
+  public void submit(Runnable task) {
     loop.submit(task);
   }
 
   @Override
-  public Thread thread() {
+  public Thread loopThread() {
     return environment.loopThread();
   }
 }
--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -71,7 +71,7 @@
     for (Case c : table) {
       HttpServer s = answering(c.status, c.body);
       try (ClusterQuery asker = new ClusterQuery(List.of(at(s)), "")) {
-        NodeView n = asker.look().nodes().get(0);
+        NodeView n = asker.fetchOverview().nodes().get(0);
         assertEquals(c.standing, n.standing(), c.body);
         assertEquals(c.problem, n.problem(), c.body);
       } finally {
@@ -96,9 +96,9 @@
                     "no-such-host.invalid:7070",
                     at(good)),
                 "")) {
-      asker.look();
+      asker.fetchOverview();
       long began = System.nanoTime();
-      Overview o = asker.look();
+      Overview o = asker.fetchOverview();
       long ms = (System.nanoTime() - began) / 1_000_000;
       assertTrue(ms < 2_000, ms + " ms");
       assertEquals(
@@ -130,7 +130,7 @@
     for (String[] row : table) {
       HttpServer s = answering(Integer.parseInt(row[0]), row[1]);
       try (ClusterQuery asker = new ClusterQuery(List.of("127.0.0.1:1"), at(s))) {
-        Overview o = asker.look();
+        Overview o = asker.fetchOverview();
         assertEquals(row[2], o.recorded().problem());
         assertTrue(o.first().toString().contains(row[2]), o.first().toString());
       } finally {
@@ -160,7 +160,7 @@
         });
     s.start();
     try (ClusterQuery asker = new ClusterQuery(List.of("127.0.0.1:1"), at(s))) {
-      Overview o = asker.look();
+      Overview o = asker.fetchOverview();
       assertTrue(o.recorded().partial(), o.recorded().toString());
       assertEquals(RecordInspector.MOST_READS, o.recorded().reads());
       assertEquals(RecordInspector.MOST_READS, asked[0]);
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -70,8 +70,8 @@
     List<NodeView> nodes =
         List.of(
             NodeView.answered("127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, p)),
-            NodeView.silent("127.0.0.1:2", Standing.REFUSING, "refuses connections", 1));
-    return Overview.of(nodes, RecordedState.none("", ""), 1_000_000);
+            NodeView.failed("127.0.0.1:2", Standing.REFUSING, "refuses connections", 1));
+    return Overview.of(nodes, RecordedState.notRead("", ""), 1_000_000);
   }
 
   private static List<JobLine> many(int n) {
@@ -90,7 +90,7 @@
       for (int width : new int[] {10, 80, 132}) {
         Screen s = new Screen(width, 24);
         for (int at : new int[] {0, 3, 9_999}) {
-          List<String> lines = s.draw(o, new Screen.ViewOptions(page, Sort.QUEUE, "", at));
+          List<String> lines = s.render(o, new Screen.ViewOptions(page, Sort.QUEUE, "", at));
           assertTrue(lines.size() <= 24, page + " has " + lines.size() + " lines");
           for (String l : lines) {
             assertTrue(l.length() <= Math.max(80, width), l);
@@ -109,13 +109,13 @@
     assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.LONGEST, "", 0)));
     assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.DUE, "", 0)));
     assertEquals("job-0", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", 0)));
-    List<String> found = s.draw(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
+    List<String> found = s.render(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
     assertEquals(1, found.stream().filter(l -> l.startsWith("job-")).count());
     // Each job stands on exactly one of the pages.
     Screen small = new Screen(80, 24);
     List<String> seen = new ArrayList<>();
     for (int page = 0; page < 30; page++) {
-      List<String> lines = small.draw(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
+      List<String> lines = small.render(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
       String last = lines.get(lines.size() - 1);
       lines.stream().filter(l -> l.startsWith("job-")).map(l -> l.split(" ")[0]).forEach(seen::add);
       if (last.matches("-- page (\\d+) of \\1 --")) {
@@ -127,7 +127,7 @@
   }
 
   private static String firstJob(Screen s, Overview o, Screen.ViewOptions look) {
-    return s.draw(o, look).stream()
+    return s.render(o, look).stream()
         .filter(l -> l.startsWith("job-"))
         .findFirst()
         .orElse("")
@@ -153,7 +153,7 @@
               s.machines(),
               s.reasons()));
     }
-    String page = Report.page(o, past);
+    String page = Report.renderPage(o, past);
     assertFalse(page.contains("<script>x"), "a team's name is not escaped");
     assertTrue(page.contains("&lt;script&gt;x"));
     assertEquals(6, page.split("<svg ", -1).length - 1, "plots");
@@ -205,7 +205,7 @@
             "evidence");
     Overview o = overview(List.of(newer));
     assertTrue(o.first().toString().contains("moon phase"), o.first().toString());
-    assertTrue(Report.page(o, List.of()).contains("moon phase"));
+    assertTrue(Report.renderPage(o, List.of()).contains("moon phase"));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -126,13 +126,13 @@
   private Overview await(String description, long timeoutNanos, Predicate<Overview> condition)
       throws InterruptedException {
     long deadlineNanos = System.nanoTime() + timeoutNanos;
-    Overview overview = clusterQuery.look();
+    Overview overview = clusterQuery.fetchOverview();
     while (!condition.test(overview)) {
       assertTrue(
           System.nanoTime() < deadlineNanos,
           "timed out waiting for " + description + ": " + overview.first());
       Thread.sleep(50);
-      overview = clusterQuery.look();
+      overview = clusterQuery.fetchOverview();
     }
     return overview;
   }
@@ -186,9 +186,9 @@
         jobLine.toString());
     assertEquals("north", jobLine.zone());
     assertEquals("", reason(overview, "job-000002"));
-    String page = Report.page(overview, clusterQuery.history());
+    String page = Report.renderPage(overview, clusterQuery.fetchHistory());
     assertTrue(page.contains("Zone north") && page.contains("job-000001"), page);
-    JobSnapshot snapshot = clusterQuery.job("job-000001");
+    JobSnapshot snapshot = clusterQuery.fetchJob("job-000001");
     // All six were silent a moment ago; on a busy machine some may have been proven gone since.
     assertTrue(snapshot.tasks().stream().anyMatch(t -> t.silent()));
     assertTrue(snapshot.tasks().stream().allMatch(t -> !t.silent() || t.zone().equals("north")));
@@ -237,7 +237,7 @@
     assertEquals(3, overview.jobs().size());
     assertEquals(PendingCause.NO_LEADER.name(), reason(overview, "job-000003"));
     assertEquals(2, line(overview, "job-000003").waiting());
-    assertTrue(Report.page(overview, List.of()).contains("no controller answers"));
+    assertTrue(Report.renderPage(overview, List.of()).contains("no controller answers"));
   }
 
   @Test
@@ -319,7 +319,8 @@
     assertTrue(
         countsByStatus.getOrDefault(200, 0) <= 10 + 5 * seconds + 1,
         countsByStatus + " in " + seconds);
-    assertTrue(clusterQuery.look().nodes().stream().allMatch(n -> n.standing().fine()));
+    assertTrue(
+        clusterQuery.fetchOverview().nodes().stream().allMatch(n -> n.standing().isHealthy()));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -256,8 +256,9 @@
         response.body().contains("game 7 of l for m is folded by job-000000"), response.body());
     assertEquals(200, status("POST", "/v1/jobs", ratingSubmission("job-000000", 1, 7, 1)));
     try (ClusterQuery clusterQuery = new ClusterQuery(List.of(), "127.0.0.1:" + state.port())) {
-      assertEquals(List.of("m: revision 1 folded by job-000000"), clusterQuery.game("l", 7));
-      assertTrue(clusterQuery.game("l", 700).get(0).startsWith("nobody has claimed it"));
+      assertEquals(
+          List.of("m: revision 1 folded by job-000000"), clusterQuery.describeGame("l", 7));
+      assertTrue(clusterQuery.describeGame("l", 700).get(0).startsWith("nobody has claimed it"));
     }
     assertEquals(0, cloud.ranTwice());
   }
