--- a/src/main/java/org/mallowroad/cli/Experiment.java
+++ b/src/main/java/org/mallowroad/cli/Experiment.java
@@ -102,11 +102,11 @@
         return 2;
       }
       Simulation world = new Simulation(plan);
-      Simulation.Result r = world.play();
-      world.log().forEach(out::println);
-      out.println(r.line());
+      Simulation.Result r = world.run();
+      world.faultLog().forEach(out::println);
+      out.println(r.summaryLine());
       tell(r);
-      return r.good() ? 0 : 1;
+      return r.hasNoBreaches() ? 0 : 1;
     }
     if (waveTable) {
       return waveTable();
@@ -151,35 +151,36 @@
 
   private void row(
       int machines, double gb, boolean failures, String way, ImageFetchPolicy p, boolean handsOn) {
-    ImageFetchWave.Setting s = new ImageFetchWave.Setting(machines, 350, gb, p, handsOn, failures);
-    ImageFetchWave.Figures f = new ImageFetchWave(s, from).play();
+    ImageFetchWave.Settings s =
+        new ImageFetchWave.Settings(machines, 350, gb, p, handsOn, failures);
+    ImageFetchWave.Result f = new ImageFetchWave(s, from).run();
     out.printf(
         "| %d | %.0f | %s | %s | %d | %d | %d | %d |%n",
         machines,
         gb,
         failures ? "a holder a minute" : "none",
         way,
-        f.firstS(),
-        f.halfS(),
-        f.lastS(),
-        ImageFetchWave.bound(s));
+        f.firstRunningS(),
+        f.halfRunningS(),
+        f.allRunningS(),
+        ImageFetchWave.lowerBoundS(s));
   }
 
   /** A row for each cut: the worst and the sums of several seeds. */
   private int matrix() throws IOException {
     out.println("| cut | of | mode | way | killed | takeovers | workers s | users s |");
     out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    int cells = Scenario.matrix(0, !without).size();
+    int cells = Scenario.singleCuts(0, !without).size();
     boolean good = true;
     for (int c = 0; c < cells; c++) {
       int cell = c;
       List<Simulation.Result> results =
           LongStream.range(from, from + histories)
               .parallel()
-              .mapToObj(seed -> play(Scenario.matrix(seed, !without).get(cell)))
+              .mapToObj(seed -> play(Scenario.singleCuts(seed, !without).get(cell)))
               .toList();
-      Fault f = results.get(0).plan().faults().get(0);
-      good &= results.stream().allMatch(Simulation.Result::good);
+      Fault f = results.get(0).scenario().faults().get(0);
+      good &= results.stream().allMatch(Simulation.Result::hasNoBreaches);
       out.printf(
           java.util.Locale.ROOT,
           "| %s | %s | %s | %s | %d | %d | %.1f | %.1f |%n",
@@ -187,17 +188,19 @@
           f.node() == Scenario.FOLLOWER ? "follower" : "leader",
           f.mode(),
           List.of("both", "there", "back").get(f.direction()),
-          results.stream().mapToLong(Simulation.Result::killed).sum(),
+          results.stream().mapToLong(Simulation.Result::killedTasks).sum(),
           results.stream().mapToLong(r -> r.terms() - 1).sum(),
-          results.stream().mapToLong(Simulation.Result::workersMs).max().orElse(0) / 1000.0,
-          results.stream().mapToLong(Simulation.Result::usersMs).max().orElse(0) / 1000.0);
+          results.stream().mapToLong(Simulation.Result::longestWorkerSilenceMs).max().orElse(0)
+              / 1000.0,
+          results.stream().mapToLong(Simulation.Result::longestUserSilenceMs).max().orElse(0)
+              / 1000.0);
     }
     return good ? 0 : 1;
   }
 
   private static Simulation.Result play(Scenario plan) {
     try {
-      return new Simulation(plan).play();
+      return new Simulation(plan).run();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -208,7 +211,7 @@
     List<Future<Simulation.Result>> results = new ArrayList<>();
     for (int i = 0; i < histories; i++) {
       Scenario plan = plan(from + i);
-      results.add(pool.submit(() -> new Simulation(plan).play()));
+      results.add(pool.submit(() -> new Simulation(plan).run()));
     }
     pool.shutdown();
     int bad = 0;
@@ -220,16 +223,16 @@
     int done = 0;
     for (Future<Simulation.Result> f : results) {
       Simulation.Result r = f.get();
-      killed += r.killed();
-      started += r.started();
-      unfinished += r.unfinished();
-      least = Math.min(least, r.least());
-      if (!r.good()) {
+      killed += r.killedTasks();
+      started += r.startedTasks();
+      unfinished += r.unfinishedJobs();
+      least = Math.min(least, r.leastServedShare());
+      if (!r.hasNoBreaches()) {
         bad++;
         first = first == null ? r : first;
       }
-      if (all || !r.good()) {
-        out.println(r.line());
+      if (all || !r.hasNoBreaches()) {
+        out.println(r.summaryLine());
       }
       if (++done % 100 == 0) {
         System.err.println(done + " of " + histories + ", " + bad + " failed");
@@ -249,25 +252,27 @@
       Simulation.Result r = shrunk(first);
       tell(r);
       out.println("# again: save what follows as FILE, mallowroad experiment --plan FILE");
-      out.print(r.plan().toml());
+      out.print(r.scenario().toToml());
     }
     return bad == 0 ? 0 : 1;
   }
 
   private Scenario plan(long seed) {
     if (meetings) {
-      return Scenario.meetings(seed, !without);
+      return Scenario.overlappingFaults(seed, !without);
     }
     if (waves) {
-      return Scenario.waves(seed, !without);
+      return Scenario.imageFetchWaves(seed, !without);
     }
     if (ratings) {
-      return Scenario.ratings(seed, !without);
+      return Scenario.ratingJobs(seed, !without);
     }
     if (unheard) {
-      return Scenario.unheard(seed, !without);
+      return Scenario.randomMessageFaults(seed, !without);
     }
-    return restarts ? Scenario.restarts(seed, !without) : Scenario.drawn(seed, !without);
+    return restarts
+        ? Scenario.randomRestarts(seed, !without)
+        : Scenario.randomFaults(seed, !without);
   }
 
   private void tell(Simulation.Result r) {
@@ -275,7 +280,7 @@
       out.println("BROKEN " + b.rule() + " at " + b.ms() + ": " + b.what());
       b.events().forEach(e -> out.println("  " + e));
     }
-    r.served()
+    r.servedCounts()
         .forEach((k, v) -> out.println("served " + k + ": " + (int) v[0] + " of " + (int) v[1]));
   }
 
@@ -283,14 +288,14 @@
   private static Simulation.Result shrunk(Simulation.Result r) throws IOException {
     String rule = r.breaches().get(0).rule();
     Simulation.Result best = r;
-    for (int i = best.plan().faults().size() - 1; i >= 0; i--) {
-      List<Fault> fewer = new ArrayList<>(best.plan().faults());
+    for (int i = best.scenario().faults().size() - 1; i >= 0; i--) {
+      List<Fault> fewer = new ArrayList<>(best.scenario().faults());
       fewer.remove(i);
       best = better(best, fewer, rule);
     }
-    for (int i = 0; i < best.plan().faults().size(); i++) {
-      List<Fault> shorter = new ArrayList<>(best.plan().faults());
-      shorter.set(i, shorter.get(i).lasting(shorter.get(i).forMs() / 2));
+    for (int i = 0; i < best.scenario().faults().size(); i++) {
+      List<Fault> shorter = new ArrayList<>(best.scenario().faults());
+      shorter.set(i, shorter.get(i).withDuration(shorter.get(i).forMs() / 2));
       best = better(best, shorter, rule);
     }
     return best;
@@ -298,7 +303,7 @@
 
   private static Simulation.Result better(Simulation.Result best, List<Fault> faults, String rule)
       throws IOException {
-    Simulation.Result r = new Simulation(best.plan().with(faults)).play();
+    Simulation.Result r = new Simulation(best.scenario().withFaults(faults)).run();
     return r.breaches().stream().anyMatch(b -> b.rule().equals(rule)) ? r : best;
   }
 }
--- a/src/main/java/org/mallowroad/simulation/CloudModel.java
+++ b/src/main/java/org/mallowroad/simulation/CloudModel.java
@@ -30,14 +30,14 @@
   private final EventQueue time;
   private final SplittableRandom random;
   private final List<String> zones;
-  private final int most;
-  private final Function<String[], WorkerModel> maker;
+  private final int maxMachinesPerZone;
+  private final Function<String[], WorkerModel> workerFactory;
   private final TreeMap<String, Rented> machines = new TreeMap<>();
   private final Map<String, ObjectNode> rentals = new HashMap<>();
   private int count;
 
   /** Every call gets 503. */
-  boolean out;
+  boolean unavailable;
 
   /** New machines are up within two seconds. */
   boolean quickBoots;
@@ -56,15 +56,15 @@
     this.time = time;
     this.random = random;
     this.zones = zones;
-    this.most = most;
-    this.maker = maker;
+    this.maxMachinesPerZone = most;
+    this.workerFactory = maker;
   }
 
   private final List<WorkerModel> all = new ArrayList<>();
 
   /** Images that came from another machine, on all machines that there ever were. */
-  long taken() {
-    return all.stream().mapToLong(w -> w.taken).sum();
+  long imagesFromMachines() {
+    return all.stream().mapToLong(w -> w.imagesFromMachines).sum();
   }
 
   /** The workers of all machines that it has. */
@@ -75,12 +75,13 @@
   }
 
   @Override
-  void take(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
-    time.after(CALL_US, this, () -> serve(method, target, body, reply));
+  void handleRequest(
+      Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
+    time.schedule(CALL_US, this, () -> serve(method, target, body, reply));
   }
 
   private void serve(String method, String target, byte[] body, Network.Reply reply) {
-    if (out) {
+    if (unavailable) {
       reply.answer(503, TROUBLE);
       return;
     }
@@ -97,7 +98,7 @@
         for (JsonNode n : Json.parseObject(body).path("hearths")) {
           Rented r = machines.remove(n.asText());
           if (r != null) {
-            r.worker.gone("deleted");
+            r.worker.machineGone("deleted");
           }
         }
       } else if (method.equals("GET")) {
@@ -116,7 +117,7 @@
     ArrayNode list = o.putArray("hearths");
     o.put("truncated", false);
     for (Map.Entry<String, Rented> e : machines.entrySet()) {
-      long age = time.ms() - e.getValue().bornMs;
+      long age = time.nowMs() - e.getValue().bornMs;
       if (age >= LIST_LAG_MS) {
         WorkerModel w = e.getValue().worker;
         list.addObject()
@@ -125,7 +126,7 @@
             .put("build", TYPE)
             .put("ground", w.zone)
             .put("driftwood", false)
-            .put("standing", w.alive() ? "running" : "failed")
+            .put("standing", w.isAlive() ? "running" : "failed")
             .put("age_s", (age - LIST_LAG_MS) / 1000.0);
       }
     }
@@ -147,13 +148,13 @@
     ObjectNode o = Json.object();
     ArrayNode names = o.putArray("hearths");
     long there = machines.values().stream().filter(m -> m.worker.zone.equals(zone)).count();
-    for (int i = 0; i < r.path("how_many").asInt() && there < most; i++, there++) {
+    for (int i = 0; i < r.path("how_many").asInt() && there < maxMachinesPerZone; i++, there++) {
       String name = String.format("n-%06d", ++count);
-      WorkerModel w = maker.apply(new String[] {name, zone});
+      WorkerModel w = workerFactory.apply(new String[] {name, zone});
       all.add(w);
-      machines.put(name, new Rented(w, time.ms()));
+      machines.put(name, new Rented(w, time.nowMs()));
       names.add(name);
-      time.after(bootMs() * 1000, w, w::up);
+      time.schedule(bootMs() * 1000, w, w::machineBooted);
     }
     if (!names.isEmpty()) {
       rentals.put(rental, o);
--- a/src/main/java/org/mallowroad/simulation/EventQueue.java
+++ b/src/main/java/org/mallowroad/simulation/EventQueue.java
@@ -5,103 +5,109 @@
 
 /** Virtual time: events in the order of their time, and of their making where times are equal. */
 final class EventQueue {
-  private record Event(long us, long sequence, Being of, int life, Runnable task)
+  private record Event(long atUs, long sequence, Actor owner, int generation, Runnable task)
       implements Comparable<Event> {
     @Override
     public int compareTo(Event o) {
-      return us != o.us ? Long.compare(us, o.us) : Long.compare(sequence, o.sequence);
+      return atUs != o.atUs ? Long.compare(atUs, o.atUs) : Long.compare(sequence, o.sequence);
     }
   }
 
-  /** Something that has events, and can die, stand still and begin a new life. */
-  static class Being {
-    private int life;
+  /** Something that has events, and can die, stand frozen and begin a new life. */
+  static class Actor {
+    private int generation;
     private boolean alive = true;
-    private boolean still;
-    private final ArrayDeque<Event> missed = new ArrayDeque<>();
+    private boolean frozen;
+    private final ArrayDeque<Event> missedEvents = new ArrayDeque<>();
 
-    final boolean alive() {
+    final boolean isAlive() {
       return alive;
     }
 
-    final boolean still() {
-      return still;
+    final boolean isFrozen() {
+      return frozen;
     }
 
-    final int life() {
-      return life;
+    final int generation() {
+      return generation;
     }
 
     /** Its events are void from now on. */
-    final void die() {
+    final void terminate() {
       alive = false;
-      life++;
-      still = false;
-      missed.clear();
+      generation++;
+      frozen = false;
+      missedEvents.clear();
     }
 
     /** Begins anew. */
-    final void rise() {
+    final void revive() {
       alive = true;
     }
 
     /** Its events wait until it goes on; its clock runs. */
     final void freeze() {
-      still = true;
+      frozen = true;
     }
   }
 
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
-  private long us;
-  private long sequence;
-  private long events;
+  private long nowUs;
+  private long nextSequence;
+  private long eventCount;
 
   /** Microseconds since the beginning. */
-  long us() {
-    return us;
+  long nowUs() {
+    return nowUs;
   }
 
   /** Milliseconds since the beginning. */
-  long ms() {
-    return us / 1000;
+  long nowMs() {
+    return nowUs / 1000;
   }
 
   /** Events so far. */
-  long events() {
-    return events;
+  long eventCount() {
+    return eventCount;
   }
 
   /** Runs the task after a while, unless its being's life is over by then; null: nobody's. */
-  void after(long us, Being of, Runnable task) {
-    queue.add(new Event(this.us + Math.max(0, us), sequence++, of, of == null ? 0 : of.life, task));
+  void schedule(long us, Actor of, Runnable task) {
+    queue.add(
+        new Event(
+            this.nowUs + Math.max(0, us),
+            nextSequence++,
+            of,
+            of == null ? 0 : of.generation,
+            task));
   }
 
   /** What a frozen being has missed comes at once, in order. */
-  void thaw(Being b) {
-    b.still = false;
+  void thaw(Actor b) {
+    b.frozen = false;
     Event e;
-    while ((e = b.missed.pollFirst()) != null) {
-      queue.add(new Event(us, sequence++, b, e.life, e.task));
+    while ((e = b.missedEvents.pollFirst()) != null) {
+      queue.add(new Event(nowUs, nextSequence++, b, e.generation, e.task));
     }
   }
 
   /** Runs the next event; false when there is none before the time. */
-  boolean step(long untilUs) {
+  boolean runNext(long untilUs) {
     Event e = queue.peek();
-    if (e == null || e.us > untilUs) {
-      us = Math.max(us, untilUs);
+    if (e == null || e.atUs > untilUs) {
+      nowUs = Math.max(nowUs, untilUs);
       return false;
     }
     queue.poll();
-    us = Math.max(us, e.us);
-    if (e.of != null && e.of.life != e.life) {
+    nowUs = Math.max(nowUs, e.atUs);
+    if (e.owner != null && e.owner.generation != e.generation) {
       return true;
     }
-    if (e.of != null && e.of.still) {
-      e.of.missed.add(e);
+    if (e.owner != null && e.owner.frozen) {
+      e.owner.missedEvents.add(e);
       return true;
     }
-    events++;
+    eventCount++;
     e.task.run();
     return true;
   }
--- a/src/main/java/org/mallowroad/simulation/Fault.java
+++ b/src/main/java/org/mallowroad/simulation/Fault.java
@@ -102,7 +102,7 @@
   }
 
   /** The same at another time and for another while. */
-  public Fault lasting(long ms) {
+  public Fault withDuration(long ms) {
     return new Fault(kind, atMs, ms, node, other, zone, mode, direction, count);
   }
 }
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -28,16 +28,17 @@
  */
 public final class ImageFetchWave {
   /** One wave to play. */
-  public record Setting(
+  public record Settings(
       int machines,
       int replicas,
-      double gb,
+      double imageGb,
       ImageFetchPolicy policy,
-      boolean handsOn,
-      boolean failures) {}
+      boolean servesImages,
+      boolean machinesFail) {}
 
   /** Seconds until the first, half and the last of the replicas run; source fetches. */
-  public record Figures(int firstS, int halfS, int lastS, long fetches) {}
+  public record Result(
+      int firstRunningS, int halfRunningS, int allRunningS, long machinesCreated) {}
 
   private static final double RATE = 0.4;
   private static final int SLOTS = 2;
@@ -59,7 +60,7 @@
     }
   }
 
-  private final Setting setting;
+  private final Settings setting;
   private final SplittableRandom random;
   private final NameIndex zones = new NameIndex();
   private final SchedulerState schedulerState;
@@ -70,7 +71,7 @@
   private int names;
 
   /** Over a setting and a seed. */
-  public ImageFetchWave(Setting setting, long seed) {
+  public ImageFetchWave(Settings setting, long seed) {
     this.setting = setting;
     this.random = new SplittableRandom(seed);
     zones.intern("a");
@@ -123,12 +124,12 @@
             1,
             -1,
             all,
-            setting.handsOn());
+            setting.servesImages());
     return schedulerState.processHeartbeat(m, r, true, now);
   }
 
   /** Plays it until all replicas run. */
-  public Figures play() {
+  public Result run() {
     JobSpec spec =
         new JobSpec(
             "job-1",
@@ -142,7 +143,7 @@
             0,
             1,
             0,
-            setting.gb(),
+            setting.imageGb(),
             null,
             -1,
             false,
@@ -159,7 +160,7 @@
     int half = -1;
     for (int s = 0; s < MOST_S; s++) {
       now += 1_000;
-      if (setting.failures() && half < 0 && s % 60 == 59) {
+      if (setting.machinesFail() && half < 0 && s % 60 == 59) {
         fail();
       }
       placement.placeTasks(now);
@@ -175,10 +176,10 @@
       first = first < 0 && running > 0 ? s : first;
       half = half < 0 && 2 * running >= setting.replicas() ? s : half;
       if (running == setting.replicas()) {
-        return new Figures(first, half, s, names);
+        return new Result(first, half, s, names);
       }
     }
-    return new Figures(first, half, -1, names);
+    return new Result(first, half, -1, names);
   }
 
   /** A holder dies, in the middle of giving if any does; another machine comes. */
@@ -221,7 +222,7 @@
       for (WorkerCommand o : commands) {
         launched |= o.kind() == WorkerCommand.Kind.LAUNCH;
         if (o.kind() == WorkerCommand.Kind.LAUNCH && !w.holds && w.left <= 0) {
-          w.left = setting.gb();
+          w.left = setting.imageGb();
           for (String g : o.imageSources()) {
             Worker from = workers.get(g);
             if (w.imageSource == null && from != null && from.holds) {
@@ -267,13 +268,13 @@
   }
 
   /** The least time by physics: all that hold hand on at once, beside the source. */
-  public static int bound(Setting s) {
+  public static int lowerBoundS(Settings s) {
     int wanted = Math.min(s.machines(), (s.replicas() + SLOTS - 1) / SLOTS);
-    double fetchS = s.gb() / RATE;
+    double fetchS = s.imageGb() / RATE;
     double have = 0;
     int imageDistribution = 0;
     while (have < wanted) {
-      have = s.handsOn() ? 2 * have + SOURCE : have + SOURCE;
+      have = s.servesImages() ? 2 * have + SOURCE : have + SOURCE;
       imageDistribution++;
     }
     return (int) Math.ceil(imageDistribution * fetchS);
--- a/src/main/java/org/mallowroad/simulation/InvariantChecker.java
+++ b/src/main/java/org/mallowroad/simulation/InvariantChecker.java
@@ -34,19 +34,19 @@
   public record Breach(String rule, long ms, String what, List<String> events) {}
 
   /** What users submit, as far as rules need it. */
-  public record Submitted(
+  public record SubmittedJob(
       String id,
       String team,
       String taskClass,
-      int tasks,
-      double cpus,
+      int taskCount,
+      double cpusPerTask,
       String zone,
-      boolean together,
+      boolean sameZone,
       boolean gang,
-      long ms) {}
+      long submittedMs) {}
 
   private static final class Job {
-    private final Submitted spec;
+    private final SubmittedJob spec;
     private boolean accepted;
     private boolean cancelAsked;
     private long cancelledMs = -1;
@@ -59,7 +59,7 @@
     private final Map<String, String> on = new LinkedHashMap<>();
     private final List<String> events = new ArrayList<>();
 
-    Job(Submitted spec) {
+    Job(SubmittedJob spec) {
       this.spec = spec;
     }
   }
@@ -73,13 +73,13 @@
   private final List<Breach> breaches = new ArrayList<>();
   private Consumer<String> onStart = j -> {};
   private Consumer<String> onCompleted = j -> {};
-  private long cancelledStarts;
-  private long goneMs;
+  private long startsAfterCancellation;
+  private long longestRunAfterCancellationMs;
   private long calmMs = Long.MAX_VALUE / 2;
-  private long started;
-  private long killed;
-  private long recoveryMs;
-  private long longestMs;
+  private long startedTasks;
+  private long killedTasks;
+  private long longestRecoveryMs;
+  private long longestSilenceMs;
 
   /** For teams with limits in CPUs. */
   public InvariantChecker(LongSupplier now, Map<String, Double> limits, long cancelMs) {
@@ -96,7 +96,7 @@
     j.events.add(now.getAsLong() + " " + what);
   }
 
-  private void breach(Job j, String rule, String what) {
+  private void reportBreach(Job j, String rule, String what) {
     if (breaches.size() < 20) {
       breaches.add(
           new Breach(rule, now.getAsLong(), what, j == null ? List.of() : List.copyOf(j.events)));
@@ -104,17 +104,17 @@
   }
 
   /** All troubles are over from then on. */
-  public void calmFrom(long ms) {
+  public void setLastFaultEndMs(long ms) {
     calmMs = ms;
   }
 
   /** A user is about to submit it for the first time. */
-  public void submits(Submitted s) {
+  public void observeFirstSubmission(SubmittedJob s) {
     jobs.put(s.id(), new Job(s));
   }
 
   /** A user is about to ask for its cancellation. */
-  public void cancels(String id) {
+  public void observeCancellationRequest(String id) {
     Job j = jobs.get(id);
     if (j.doneMs >= 0) {
       j.lastAnswerMs = now.getAsLong(); // Nobody has asked since its user was told.
@@ -124,21 +124,21 @@
   }
 
   /** A user got an answer to a submission. */
-  public void submitted(String id, int status, String standing, long sentMs) {
+  public void observeSubmissionAnswer(String id, int status, String standing, long sentMs) {
     Job j = jobs.get(id);
     if (status == 200 || status == 201) {
       if (!j.accepted) {
         note(j, "accepted");
       }
       j.accepted = true;
-      told(j, standing, sentMs);
+      observeJobStatus(j, standing, sentMs);
     } else if (j.accepted && (status == 400 || status == 422)) {
-      breach(j, "forgotten", id + " got " + status + " when it was sent again");
+      reportBreach(j, "forgotten", id + " got " + status + " when it was sent again");
     }
   }
 
   /** A user asks about a job for the first time. */
-  public void asks(String id) {
+  public void observeQuery(String id) {
     Job j = jobs.get(id);
     if (j != null && j.askedMs < 0) {
       j.askedMs = now.getAsLong();
@@ -146,45 +146,45 @@
   }
 
   /** A user got an answer to a question or a cancellation that was sent then. */
-  public void told(String id, int status, String standing, long sentMs) {
+  public void observeJobAnswer(String id, int status, String standing, long sentMs) {
     Job j = jobs.get(id);
     if (j == null) {
       if (status == 200) {
-        breach(null, "invented", id + " was never submitted and is " + standing);
+        reportBreach(null, "invented", id + " was never submitted and is " + standing);
       }
       return;
     }
     if (status == 404 && j.accepted) {
-      breach(j, "forgotten", id + " got 404");
+      reportBreach(j, "forgotten", id + " got 404");
     }
     if (status == 200) {
       long gap = now.getAsLong() - Math.max(j.askedMs, j.lastAnswerMs);
       if (j.accepted && j.askedMs >= 0 && gap >= FORGOTTEN_MS) {
-        breach(j, "forgotten", id + " had no answer for " + gap + " ms");
+        reportBreach(j, "forgotten", id + " had no answer for " + gap + " ms");
       }
       // However others fare, from the last trouble on.
       long calm = now.getAsLong() - Math.max(calmMs, Math.max(j.askedMs, j.lastAnswerMs));
       if (j.accepted && j.askedMs >= 0 && !j.cancelAsked && calm >= FORGOTTEN_AFTER_MS) {
-        breach(j, "forgotten", id + " had no answer for " + calm + " ms after all troubles");
+        reportBreach(j, "forgotten", id + " had no answer for " + calm + " ms after all troubles");
       }
       if (calm > 0 && j.doneMs < 0 && j.cancelledMs < 0) {
-        recoveryMs = Math.max(recoveryMs, calm);
+        longestRecoveryMs = Math.max(longestRecoveryMs, calm);
       }
       if (j.askedMs >= 0 && j.doneMs < 0 && j.cancelledMs < 0) {
-        longestMs = Math.max(longestMs, gap);
+        longestSilenceMs = Math.max(longestSilenceMs, gap);
       }
       j.lastAnswerMs = now.getAsLong();
-      told(j, standing, sentMs);
+      observeJobStatus(j, standing, sentMs);
     }
   }
 
-  private void told(Job j, String standing, long sentMs) {
+  private void observeJobStatus(Job j, String standing, long sentMs) {
     if (standing.equals("done")) {
       if (j.cancelledMs >= 0) {
-        breach(j, "went_back", j.spec.id + " was withdrawn and is done");
+        reportBreach(j, "went_back", j.spec.id + " was withdrawn and is done");
       }
-      if (j.completed.size() < j.spec.tasks) {
-        breach(j, "not_done", j.spec.id + " is called done with " + j.completed.size());
+      if (j.completed.size() < j.spec.taskCount) {
+        reportBreach(j, "not_done", j.spec.id + " is called done with " + j.completed.size());
       }
       if (j.doneMs < 0) {
         j.doneMs = now.getAsLong();
@@ -192,7 +192,7 @@
       }
     } else if (standing.equals("withdrawn")) {
       if (j.doneMs >= 0 || !j.cancelAsked) {
-        breach(j, "went_back", j.spec.id + " is called withdrawn");
+        reportBreach(j, "went_back", j.spec.id + " is called withdrawn");
       }
       if (j.cancelledMs < 0) {
         j.cancelledMs = now.getAsLong();
@@ -201,7 +201,7 @@
     } else if ((j.doneMs >= 0 && j.doneMs < sentMs)
         || (j.cancelledMs >= 0 && j.cancelledMs < sentMs)) {
       // What was asked before somebody was told may be answered as it was then.
-      breach(j, "went_back", j.spec.id + " was over and is " + standing);
+      reportBreach(j, "went_back", j.spec.id + " was over and is " + standing);
     }
   }
 
@@ -216,34 +216,34 @@
   }
 
   /** A submission that can never run or is malformed was answered. */
-  void answeredInvalid(String what, int status) {
+  void observeInvalidSubmissionAnswer(String what, int status) {
     if (status == 200 || status == 201) {
-      breach(null, "accepted_invalid", what + " got " + status);
+      reportBreach(null, "accepted_invalid", what + " got " + status);
     }
   }
 
   /** The longest that a task was on a machine after its user was told of the cancellation. */
-  long goneMs() {
-    return goneMs;
+  long longestRunAfterCancellationMs() {
+    return longestRunAfterCancellationMs;
   }
 
   /** Jobs whose users were told that they are cancelled. */
-  int cancelled() {
+  int cancelledJobs() {
     return (int) jobs.values().stream().filter(j -> j.cancelledMs >= 0).count();
   }
 
   /** Jobs whose users were told that they are done. */
-  int done() {
+  int completedJobs() {
     return (int) jobs.values().stream().filter(j -> j.doneMs >= 0).count();
   }
 
   /** Tasks that started after their user was told that the job is cancelled. */
-  long cancelledStarts() {
-    return cancelledStarts;
+  long startsAfterCancellation() {
+    return startsAfterCancellation;
   }
 
   /** Jobs with a task on a machine that nobody has cancelled, and where their tasks are. */
-  Map<String, Set<String>> running() {
+  Map<String, Set<String>> runningJobs() {
     Map<String, Set<String>> out = new TreeMap<>();
     for (Job j : jobs.values()) {
       if (j.accepted && !j.cancelAsked && j.doneMs < 0 && !j.on.isEmpty()) {
@@ -254,8 +254,8 @@
   }
 
   /** Jobs whose users know of no end and wait for one, with how many tasks have completed. */
-  Map<Submitted, Set<Integer>> unfinishedJobs() {
-    Map<Submitted, Set<Integer>> out = new LinkedHashMap<>();
+  Map<SubmittedJob, Set<Integer>> unfinishedJobs() {
+    Map<SubmittedJob, Set<Integer>> out = new LinkedHashMap<>();
     for (Job j : jobs.values()) {
       if (j.accepted && !j.cancelAsked && j.doneMs < 0 && j.cancelledMs < 0) {
         out.put(j.spec, j.completed);
@@ -265,66 +265,66 @@
   }
 
   /** What of its limit a team does not use. */
-  double leftOf(String team) {
+  double unusedCpus(String team) {
     return limits.get(team) - used.getOrDefault(team, 0.0);
   }
 
   /** Something that others found broken. */
-  void breach(String rule, String what) {
-    breach(null, rule, what);
+  void reportBreach(String rule, String what) {
+    reportBreach(null, rule, what);
   }
 
   /** What a task takes. */
-  double cpus(String task) {
+  double taskCpus(String task) {
     Job j = jobs.get(jobOf(task));
-    return j == null ? 0 : j.spec.cpus;
+    return j == null ? 0 : j.spec.cpusPerTask;
   }
 
   /** True when its user was told an end. */
-  boolean told(String id) {
+  boolean isEnded(String id) {
     Job j = jobs.get(id);
     return j != null && (j.doneMs >= 0 || j.cancelledMs >= 0);
   }
 
   /** True when its user was told that it is accepted. */
-  boolean accepted(String id) {
+  boolean isAccepted(String id) {
     return jobs.containsKey(id) && jobs.get(id).accepted;
   }
 
   /** A task has its image and is on a machine. */
-  public void starts(String task, int attempt, String machine, String zone) {
+  public void observeTaskStart(String task, int attempt, String machine, String zone) {
     Job j = jobs.get(jobOf(task));
     onStart.accept(jobOf(task));
     note(j, "starts " + task + " try " + attempt + " on " + machine);
-    started++;
+    startedTasks++;
     String other = j.on.get(task);
     if (other != null) {
-      breach(j, "ran_twice", task + " starts on " + machine + " and is on " + other);
+      reportBreach(j, "ran_twice", task + " starts on " + machine + " and is on " + other);
     }
-    cancelledStarts += j.cancelledMs >= 0 ? 1 : 0;
+    startsAfterCancellation += j.cancelledMs >= 0 ? 1 : 0;
     if (j.cancelledMs >= 0 && now.getAsLong() > j.cancelledMs + cancelMs) {
-      breach(j, "ran_cancelled", task + " starts after its job was withdrawn");
+      reportBreach(j, "ran_cancelled", task + " starts after its job was withdrawn");
     }
     if (j.spec.zone != null && !j.spec.zone.equals(zone)) {
-      breach(j, "wrong_place", task + " starts in " + zone);
+      reportBreach(j, "wrong_place", task + " starts in " + zone);
     }
-    if (j.spec.together) {
+    if (j.spec.sameZone) {
       for (String m : j.on.values()) {
         if (!zone.equals(zoneOf.get(m))) {
-          breach(j, "wrong_place", task + " starts in " + zone + ", others are elsewhere");
+          reportBreach(j, "wrong_place", task + " starts in " + zone + ", others are elsewhere");
         }
       }
     }
     zoneOf.put(machine, zone);
     j.on.put(task, machine);
     j.seen.add(task);
-    if (j.begunMs < 0 && j.seen.size() >= Math.min(j.spec.tasks, atOnce(j.spec))) {
+    if (j.begunMs < 0 && j.seen.size() >= Math.min(j.spec.taskCount, atOnce(j.spec))) {
       j.begunMs = now.getAsLong();
     }
     machines.computeIfAbsent(machine, k -> new LinkedHashSet<>()).add(task);
-    double sum = used.merge(j.spec.team, j.spec.cpus, Double::sum);
+    double sum = used.merge(j.spec.team, j.spec.cpusPerTask, Double::sum);
     if (sum > limits.get(j.spec.team) + 1e-6) {
-      breach(j, "quota", j.spec.team + " uses " + sum);
+      reportBreach(j, "quota", j.spec.team + " uses " + sum);
     }
   }
 
@@ -334,42 +334,43 @@
     if (j.on.remove(task, machine)) {
       note(j, why + " " + task + " on " + machine);
       if (j.cancelledMs >= 0) {
-        goneMs = Math.max(goneMs, now.getAsLong() - j.cancelledMs);
+        longestRunAfterCancellationMs =
+            Math.max(longestRunAfterCancellationMs, now.getAsLong() - j.cancelledMs);
       }
       machines.get(machine).remove(task);
-      used.merge(j.spec.team, -j.spec.cpus, Double::sum);
+      used.merge(j.spec.team, -j.spec.cpusPerTask, Double::sum);
     }
   }
 
   /** A task ended on a machine. */
-  public void exits(String task, String machine, boolean done) {
+  public void observeTaskExit(String task, String machine, boolean done) {
     Job j = jobs.get(jobOf(task));
     off(j, task, machine, done ? "done" : "stopped");
     if (done
         && j.completed.add(Integer.parseInt(task.substring(task.lastIndexOf('/') + 1)))
-        && j.completed.size() == j.spec.tasks) {
+        && j.completed.size() == j.spec.taskCount) {
       onCompleted.accept(j.spec.id);
     }
   }
 
   /** A task was killed by its worker's lease. */
-  public void lost(String task, String machine) {
-    killed++;
+  public void observeTaskKilledByLease(String task, String machine) {
+    killedTasks++;
     off(jobs.get(jobOf(task)), task, machine, "killed by its lease");
   }
 
   /** A machine is gone with all that was on it. */
-  public void machineGone(String machine, String why) {
+  public void observeMachineGone(String machine, String why) {
     for (String task : List.copyOf(machines.getOrDefault(machine, Set.of()))) {
       off(jobs.get(jobOf(task)), task, machine, why);
     }
   }
 
   /** Once a second: what must be gone by now. */
-  public void look() {
+  public void checkCancelledJobs() {
     for (Job j : jobs.values()) {
       if (j.cancelledMs >= 0 && now.getAsLong() > j.cancelledMs + cancelMs && !j.on.isEmpty()) {
-        breach(j, "ran_cancelled", j.on + " long after the withdrawal");
+        reportBreach(j, "ran_cancelled", j.on + " long after the withdrawal");
         j.cancelledMs = now.getAsLong(); // Said once.
       }
     }
@@ -379,9 +380,9 @@
    * At the end: nothing ran, and who was served. A job is served when its user was told that it is
    * over within {@code servedMs} of its first submission.
    */
-  public void end(long servedMs) {
-    if (started == 0) {
-      breach(null, "nothing_ran", "no task was started");
+  public void checkAtEnd(long servedMs) {
+    if (startedTasks == 0) {
+      reportBreach(null, "nothing_ran", "no task was started");
     }
     for (Job j : jobs.values()) {
       long from = Math.max(calmMs, Math.max(j.askedMs, j.lastAnswerMs));
@@ -389,23 +390,23 @@
           && j.doneMs < 0
           && j.cancelledMs < 0
           && now.getAsLong() - from >= FORGOTTEN_AFTER_MS) {
-        breach(j, "forgotten", j.spec.id + " has no answer since " + j.lastAnswerMs);
+        reportBreach(j, "forgotten", j.spec.id + " has no answer since " + j.lastAnswerMs);
       }
       if (j.accepted && j.doneMs < 0 && j.cancelledMs < 0) {
-        breach(j, "stuck", j.spec.id + " was accepted and has no end; on machines: " + j.on);
+        reportBreach(j, "stuck", j.spec.id + " was accepted and has no end; on machines: " + j.on);
       }
     }
-    for (Map.Entry<String, double[]> e : begun().entrySet()) {
+    for (Map.Entry<String, double[]> e : largestJobsStarted().entrySet()) {
       if (2 * e.getValue()[0] < e.getValue()[1]) {
-        breach(
+        reportBreach(
             null,
             "begun",
             e.getKey() + ": " + (int) e.getValue()[0] + " of " + (int) e.getValue()[1]);
       }
     }
-    for (Map.Entry<String, double[]> e : served(servedMs).entrySet()) {
+    for (Map.Entry<String, double[]> e : servedCounts(servedMs).entrySet()) {
       if (2 * e.getValue()[0] < e.getValue()[1]) {
-        breach(
+        reportBreach(
             null,
             "served",
             e.getKey() + ": " + (int) e.getValue()[0] + " of " + (int) e.getValue()[1]);
@@ -414,28 +415,28 @@
   }
 
   /** Jobs served and jobs due, by class and by team. */
-  public Map<String, double[]> served(long servedMs) {
+  public Map<String, double[]> servedCounts(long servedMs) {
     Map<String, double[]> out = new TreeMap<>();
     for (Job j : jobs.values()) {
       long over = Math.max(j.doneMs, j.cancelledMs);
       for (String key : List.of("class " + j.spec.taskClass, "team " + j.spec.team)) {
         double[] of = out.computeIfAbsent(key, k -> new double[2]);
-        of[0] += over >= 0 && over - j.spec.ms <= servedMs ? 1 : 0;
+        of[0] += over >= 0 && over - j.spec.submittedMs <= servedMs ? 1 : 0;
         of[1]++;
       }
     }
     return out;
   }
 
-  private int atOnce(Submitted s) {
-    return (int) Math.floor((limits.get(s.team()) + 1e-6) / s.cpus());
+  private int atOnce(SubmittedJob s) {
+    return (int) Math.floor((limits.get(s.team()) + 1e-6) / s.cpusPerTask());
   }
 
   /** Of each class's largest jobs those that began in time, and all of them. */
-  public Map<String, double[]> begun() {
+  public Map<String, double[]> largestJobsStarted() {
     Map<String, List<Job>> byClass = new TreeMap<>();
     for (Job j : jobs.values()) {
-      boolean due = j.begunMs >= 0 || now.getAsLong() - j.spec.ms > BEGIN_MS;
+      boolean due = j.begunMs >= 0 || now.getAsLong() - j.spec.submittedMs > BEGIN_MS;
       if (j.accepted && !j.cancelAsked && due) {
         byClass.computeIfAbsent("largest " + j.spec.taskClass, k -> new ArrayList<>()).add(j);
       }
@@ -443,10 +444,10 @@
     Map<String, double[]> out = new TreeMap<>();
     byClass.forEach(
         (key, all) -> {
-          all.sort(Comparator.comparingInt((Job j) -> -j.spec.tasks));
+          all.sort(Comparator.comparingInt((Job j) -> -j.spec.taskCount));
           double[] of = new double[2];
           for (Job j : all.subList(0, Math.max(1, all.size() / LARGEST_OF))) {
-            of[0] += j.begunMs >= 0 && j.begunMs - j.spec.ms <= BEGIN_MS ? 1 : 0;
+            of[0] += j.begunMs >= 0 && j.begunMs - j.spec.submittedMs <= BEGIN_MS ? 1 : 0;
             of[1]++;
           }
           out.put(key, of);
@@ -455,7 +456,7 @@
   }
 
   /** Jobs that were accepted and whose users have not been told an end. */
-  public int unfinished() {
+  public int unfinishedJobCount() {
     int n = 0;
     for (Job j : jobs.values()) {
       n += j.accepted && j.doneMs < 0 && j.cancelledMs < 0 ? 1 : 0;
@@ -469,22 +470,22 @@
   }
 
   /** Tasks started so far. */
-  public long started() {
-    return started;
+  public long startedTasks() {
+    return startedTasks;
   }
 
   /** The longest that a user went without an answer about a job. */
-  public long longestMs() {
-    return longestMs;
+  public long longestSilenceMs() {
+    return longestSilenceMs;
   }
 
   /** The longest that a job had no answer after all troubles. */
-  public long recoveryMs() {
-    return recoveryMs;
+  public long longestRecoveryMs() {
+    return longestRecoveryMs;
   }
 
   /** Tasks killed by their workers' leases. */
-  public long killed() {
-    return killed;
+  public long killedTasks() {
+    return killedTasks;
   }
 }
--- a/src/main/java/org/mallowroad/simulation/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -28,17 +28,17 @@
   }
 
   /** Who can send and receive. */
-  static class Party extends EventQueue.Being {
+  static class Party extends EventQueue.Actor {
     final Kind kind;
     final int index;
     final String name;
     final String zone;
 
     /** True while nothing that is sent to it arrives, though what it sends does. */
-    boolean deaf;
+    boolean inboundLost;
 
     /** True while it reaches no controller, though they reach it. */
-    boolean mute;
+    boolean outboundLost;
 
     Party(Kind kind, int index, String name, String zone) {
       this.kind = kind;
@@ -48,11 +48,11 @@
     }
 
     /** Takes a request; the default says nothing. */
-    void take(Party from, String method, String target, byte[] body, Reply reply) {}
+    void handleRequest(Party from, String method, String target, byte[] body, Reply reply) {}
 
     /** False where nothing listens although the machine is there. */
-    boolean listens() {
-      return alive();
+    boolean isListening() {
+      return isAlive();
     }
   }
 
@@ -71,8 +71,8 @@
   }
 
   /** One end of a cut: all parties of a kind, or one of them, or those of a zone. */
-  record End(Kind kind, int index, String zone) {
-    boolean is(Party p) {
+  record PartySelector(Kind kind, int index, String zone) {
+    boolean matches(Party p) {
       return (kind == null || p.kind == kind)
           && (index < 0 || p.index == index)
           && (zone == null || zone.equals(p.zone));
@@ -81,13 +81,13 @@
 
   /** Messages from one end to the other fail until it is lifted. */
   private static final class Cut {
-    private final End from;
-    private final End to;
+    private final PartySelector from;
+    private final PartySelector to;
     private final Mode mode;
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
     private boolean over;
 
-    Cut(End from, End to, Mode mode) {
+    Cut(PartySelector from, PartySelector to, Mode mode) {
       this.from = from;
       this.to = to;
       this.mode = mode;
@@ -96,8 +96,8 @@
     boolean cuts(Party a, Party b) {
       // A zone that is cut from everything goes on inside.
       return !over
-          && from.is(a)
-          && to.is(b)
+          && from.matches(a)
+          && to.matches(b)
           && !(to.kind == null && to.zone == null && from.zone != null && from.zone.equals(b.zone))
           && !(from.kind == null && from.zone == null && to.zone != null && to.zone.equals(a.zone));
     }
@@ -119,7 +119,7 @@
   private final Map<Party, Integer> ids = new HashMap<>();
 
   /** While above 0, one request in so many that was delivered comes once more. */
-  int copyOneIn;
+  int duplicateOneIn;
 
   /** While above 0, one report in so many comes once more, to any controller, much later. */
   int lateReportOneIn;
@@ -133,12 +133,12 @@
   /** While above 0, one direct command in so many is carried out late and never answered. */
   int lateCommandOneIn;
 
-  /** While above 0, a copy of one report in so many is kept for {@link #releaseKept}. */
-  int keepReportOneIn;
+  /** While above 0, a copy of one report in so many is kept for {@link #replayReports}. */
+  int replayReportOneIn;
 
-  private record KeptReport(Party from, byte[] body) {}
+  private record ReplayedReport(Party from, byte[] body) {}
 
-  private final ArrayDeque<KeptReport> kept = new ArrayDeque<>();
+  private final ArrayDeque<ReplayedReport> reportsToReplay = new ArrayDeque<>();
 
   /** Reports that are kept; the oldest go first. */
   private static final int MOST_KEPT = 200;
@@ -158,7 +158,7 @@
   }
 
   /** Cuts a direction; what comes back lifts the cut and lets go what was held, in order. */
-  Runnable cut(End from, End to, Mode mode) {
+  Runnable cut(PartySelector from, PartySelector to, Mode mode) {
     Cut c = new Cut(from, to, mode);
     cuts.add(c);
     return () -> {
@@ -176,10 +176,10 @@
     byte[] answer(Party from, String target, byte[] body);
   }
 
-  AnswerFilter filter = (from, target, body) -> body;
+  AnswerFilter answerFilter = (from, target, body) -> body;
 
   private Cut cutting(Party a, Party b) {
-    if (b.deaf) {
+    if (b.inboundLost) {
       return SILENCE;
     }
     for (Cut c : cuts) {
@@ -199,9 +199,9 @@
       }
     }
     long link = ((long) id(a) << 32) | id(b);
-    long at = Math.max(time.us() + us, last.getOrDefault(link, 0L) + 1);
+    long at = Math.max(time.nowUs() + us, last.getOrDefault(link, 0L) + 1);
     last.put(link, at);
-    time.after(at - time.us(), null, arrival);
+    time.schedule(at - time.nowUs(), null, arrival);
   }
 
   private int id(Party p) {
@@ -222,21 +222,21 @@
       long timeoutMs,
       RequestSender.ResponseHandler answer) {
     Call call = new Call(a);
-    time.after(timeoutMs * 1000, a, () -> call.end(() -> answer.failed(true)));
+    time.schedule(timeoutMs * 1000, a, () -> call.end(() -> answer.failed(true)));
     Runnable arrival =
         () -> {
-          if (!b.listens()) {
+          if (!b.isListening()) {
             // A process that is gone refuses; a machine that is gone says nothing.
             if (b.kind == Kind.NODE) {
               back(b, a, () -> call.end(() -> answer.failed(false)));
             }
             return;
           }
-          time.after(
+          time.schedule(
               0,
               b,
               () ->
-                  b.take(
+                  b.handleRequest(
                       a,
                       method,
                       target,
@@ -251,7 +251,7 @@
                                           answer.answered(
                                               status,
                                               a.kind == Kind.USERS
-                                                  ? filter.answer(b, target, bytes)
+                                                  ? answerFilter.answer(b, target, bytes)
                                                   : bytes)))));
         };
     if (lateWriteOneIn > 0 && target.equals("/multi") && random.nextInt(lateWriteOneIn) == 0) {
@@ -267,13 +267,13 @@
       unanswered(a, b, method, target, body, LATENCY_US);
       return;
     }
-    if (keepReportOneIn > 0
+    if (replayReportOneIn > 0
         && target.equals("/v1/report")
         && a.kind == Kind.WORKER
-        && random.nextInt(keepReportOneIn) == 0) {
-      kept.add(new KeptReport(a, body));
-      if (kept.size() > MOST_KEPT) {
-        kept.removeFirst();
+        && random.nextInt(replayReportOneIn) == 0) {
+      reportsToReplay.add(new ReplayedReport(a, body));
+      if (reportsToReplay.size() > MOST_KEPT) {
+        reportsToReplay.removeFirst();
       }
     }
     if (lateReportOneIn > 0
@@ -282,10 +282,10 @@
         && random.nextInt(lateReportOneIn) == 0) {
       lateReport(a, body);
     }
-    Cut c = a.mute && b.kind == Kind.NODE ? SILENCE : cutting(a, b);
+    Cut c = a.outboundLost && b.kind == Kind.NODE ? SILENCE : cutting(a, b);
     if (c == null) {
       travel(a, b, arrival);
-      if (copyOneIn > 0 && a.kind != Kind.USERS && random.nextInt(copyOneIn) == 0) {
+      if (duplicateOneIn > 0 && a.kind != Kind.USERS && random.nextInt(duplicateOneIn) == 0) {
         copy(a, b, method, target, body);
       }
       return;
@@ -294,8 +294,8 @@
       case LOST -> {
         // The caller's own time is all that ends it.
       }
-      case REFUSE -> time.after(LATENCY_US, a, () -> call.end(() -> answer.failed(false)));
-      case RESET -> time.after(LATENCY_US, a, () -> call.end(() -> answer.failed(true)));
+      case REFUSE -> time.schedule(LATENCY_US, a, () -> call.end(() -> answer.failed(false)));
+      case RESET -> time.schedule(LATENCY_US, a, () -> call.end(() -> answer.failed(true)));
       default -> {
         // A connection attempt that is given up does not complete later; one that stood does.
         if (random.nextBoolean()) {
@@ -310,12 +310,13 @@
 
   private void lateReport(Party from, byte[] body) {
     Party to = controllers.get(random.nextInt(controllers.size()));
-    time.after(
+    time.schedule(
         2_000_000 + random.nextLong(LATE_REPORT_US),
         null,
         () -> {
-          if (to.listens()) {
-            time.after(0, to, () -> to.take(from, "POST", "/v1/report", body, (s, x) -> {}));
+          if (to.isListening()) {
+            time.schedule(
+                0, to, () -> to.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
           }
         });
   }
@@ -323,12 +324,13 @@
   /** Delivers a request after a while; its sender never gets an answer. */
   private void unanswered(
       Party a, Party b, String method, String target, byte[] body, long afterUs) {
-    time.after(
+    time.schedule(
         afterUs,
         null,
         () -> {
-          if (b.listens()) {
-            time.after(0, b, () -> b.take(a, method, target, body, (status, bytes) -> {}));
+          if (b.isListening()) {
+            time.schedule(
+                0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
           }
         });
   }
@@ -338,10 +340,10 @@
    *
    * @return how many there were
    */
-  int releaseKept() {
-    int count = kept.size();
-    KeptReport report;
-    while ((report = kept.pollFirst()) != null) {
+  int replayReports() {
+    int count = reportsToReplay.size();
+    ReplayedReport report;
+    while ((report = reportsToReplay.pollFirst()) != null) {
       for (Party to : controllers) {
         long us = LATENCY_US + random.nextLong(COPY_SPREAD_US);
         unanswered(report.from, to, "POST", "/v1/report", report.body, us);
@@ -357,21 +359,22 @@
   private void copy(Party a, Party b, String method, String target, byte[] body) {
     Runnable lands =
         () -> {
-          if (b.listens()) {
-            time.after(0, b, () -> b.take(a, method, target, body, (status, bytes) -> {}));
+          if (b.isListening()) {
+            time.schedule(
+                0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
           }
         };
-    time.after(LATENCY_US + random.nextLong(COPY_US), null, lands);
+    time.schedule(LATENCY_US + random.nextLong(COPY_US), null, lands);
   }
 
   /** An answer on its way; one that is cut off by a reset leaves the asker without any. */
   private void back(Party b, Party a, Runnable arrival) {
     Cut c = cutting(b, a);
-    int life = a.life();
+    int life = a.generation();
     Runnable lands =
         () -> {
-          if (a.life() == life) {
-            time.after(0, a, arrival);
+          if (a.generation() == life) {
+            time.schedule(0, a, arrival);
           }
         };
     if (c == null) {
@@ -388,11 +391,11 @@
 
     Call(Party of) {
       this.of = of;
-      this.life = of.life();
+      this.life = of.generation();
     }
 
     void end(Runnable last) {
-      if (!over && of.life() == life) {
+      if (!over && of.generation() == life) {
         over = true;
         last.run();
       }
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -39,8 +39,8 @@
   private final UserModel users;
   private final InvariantChecker checker;
   private final InMemoryKeyValueStore store;
-  private final Map<String, List<Want>> wants = new TreeMap<>();
-  private final Map<String, List<String>> prints = new TreeMap<>();
+  private final Map<String, List<Want>> requestedSides = new TreeMap<>();
+  private final Map<String, List<String>> awaitedJobs = new TreeMap<>();
   private final Map<String, Long> upTo = new HashMap<>();
 
   RatingModel(
@@ -63,19 +63,19 @@
   }
 
   /** A job was submitted to fold these. */
-  void wants(String job, List<Want> want) {
-    wants.put(job, want);
+  void addRatingJob(String job, List<Want> want) {
+    requestedSides.put(job, want);
   }
 
   /** A print was submitted that waits for these. */
-  void prints(String job, List<String> jobs) {
-    prints.put(job, jobs);
+  void addPrintJob(String job, List<String> jobs) {
+    awaitedJobs.put(job, jobs);
   }
 
   /**
    * Draws so many rating jobs; a third of them overlaps, every other one is followed by a print.
    */
-  void load(int count, long loadMs) {
+  void scheduleJobs(int count, long loadMs) {
     for (int i = 0; i < count; i++) {
       long at = 2_000 + random.nextLong(loadMs);
       int from = 8 * (random.nextInt(3) == 0 ? random.nextInt(count) : i);
@@ -105,7 +105,7 @@
         want.add(new Want(g, m, revision));
       }
     }
-    wants(id, want);
+    addRatingJob(id, want);
     submit(id, at, dependencies, cancelled ? 500 + random.nextLong(9_000) : 0);
   }
 
@@ -124,18 +124,18 @@
       ObjectNode g = holds.putArray("games").addObject().put("league", LEAGUE);
       g.put("up_to", game).put("member", "m-" + game % 7);
     }
-    prints(id, jobs);
+    addPrintJob(id, jobs);
     // Nobody waits for ever for what was cancelled or refused: then the print is cancelled as well.
     submit(id, at, dependencies, 100_000);
   }
 
   private void submit(String id, long at, ObjectNode dependencies, long cancelAfterMs) {
-    InvariantChecker.Submitted s =
-        new InvariantChecker.Submitted(
+    InvariantChecker.SubmittedJob s =
+        new InvariantChecker.SubmittedJob(
             id, "blue", "rating", 1 + random.nextInt(3), 1, null, false, false, at);
     long run = 500 + random.nextLong(4_000);
-    time.after(
-        at * 1000, null, () -> users.job(s, "urgent", run, 300, cancelAfterMs, dependencies));
+    time.schedule(
+        at * 1000, null, () -> users.submitJob(s, "urgent", run, 300, cancelAfterMs, dependencies));
   }
 
   private Map<BlockKey, Block> blocks() {
@@ -144,7 +144,7 @@
       try {
         out.put(RecordKeys.blockOfFoldBlockKey(key), FoldCodec.decodeBlock(store.value(key)));
       } catch (InvalidMessageException e) {
-        checker.breach("folded_twice", key + ": " + e.getMessage());
+        checker.reportBreach("folded_twice", key + ": " + e.getMessage());
       }
     }
     return out;
@@ -156,8 +156,8 @@
   }
 
   /** True for a print while something that it waits for is not on record: it may not start. */
-  boolean holds(String id) {
-    if (!prints.getOrDefault(id, List.of()).stream().allMatch(this::isDone)) {
+  boolean isHeld(String id) {
+    if (!awaitedJobs.getOrDefault(id, List.of()).stream().allMatch(this::isDone)) {
       return true;
     }
     Long game = upTo.get(id);
@@ -181,9 +181,9 @@
 
   /** A print's task starts: all that it waits for is on record. */
   private void starts(String id) {
-    for (String j : prints.getOrDefault(id, List.of())) {
+    for (String j : awaitedJobs.getOrDefault(id, List.of())) {
       if (!isDone(j)) {
-        checker.breach("printed_early", id + " starts, " + j + " is not done");
+        checker.reportBreach("printed_early", id + " starts, " + j + " is not done");
       }
     }
     Long game = upTo.get(id);
@@ -207,32 +207,33 @@
                           boolean counts =
                               f.settled() || f.base() != null || isDone(f.job()) || later;
                           if (n <= game && s.member().equals(member) && !counts) {
-                            checker.breach("printed_early", id + ": game " + n + " of " + member);
+                            checker.reportBreach(
+                                "printed_early", id + ": game " + n + " of " + member);
                           }
                         }));
   }
 
   /** At the end: who folded what, by the records, against what users were told. */
-  void end() {
+  void checkAtEnd() {
     Map<BlockKey, Block> blocks = blocks();
     Map<Want, String> folded = new HashMap<>();
-    wants.forEach(
+    requestedSides.forEach(
         (job, want) -> {
           if (isDone(job)) {
             for (Want w : want) {
               String other = folded.put(w, job);
               if (other != null) {
-                checker.breach("folded_twice", w + " by " + other + " and " + job);
+                checker.reportBreach("folded_twice", w + " by " + other + " and " + job);
               }
             }
           }
           judge(job, want, blocks);
         });
-    prints.forEach(
+    awaitedJobs.forEach(
         (id, jobs) -> {
           boolean ready = jobs.stream().allMatch(this::isDone) && !upTo.containsKey(id);
-          if (checker.accepted(id) && ready && store.value(RecordKeys.endedJob(id)) == null) {
-            checker.breach("held_for_ever", id + " waits, and " + jobs + " are done");
+          if (checker.isAccepted(id) && ready && store.value(RecordKeys.endedJob(id)) == null) {
+            checker.reportBreach("held_for_ever", id + " waits, and " + jobs + " are done");
           }
         });
   }
@@ -249,19 +250,21 @@
       superseded += !is && !base && f != null && f.revision() > w.revision ? 1 : 0;
     }
     if (isDone(job) && named + superseded < want.size()) {
-      checker.breach("skipped", job + " is done, " + (want.size() - named) + " sides are not its");
+      checker.reportBreach(
+          "skipped", job + " is done, " + (want.size() - named) + " sides are not its");
     }
     boolean open = store.value(RecordKeys.openJob(job)) != null;
     boolean intent = store.value(RecordKeys.foldIntent(job)) != null;
     if (open && named + superseded < want.size()) {
-      checker.breach("half_folded", job + " is accepted with " + named + " of " + want.size());
+      checker.reportBreach(
+          "half_folded", job + " is accepted with " + named + " of " + want.size());
     }
     boolean unknown = !open && store.value(RecordKeys.endedJob(job)) == null;
     if (unknown && !intent && named > 0) {
-      checker.breach("half_folded", job + " was never accepted and has " + named + " claims");
+      checker.reportBreach("half_folded", job + " was never accepted and has " + named + " claims");
     }
-    if (unknown && checker.accepted(job)) {
-      checker.breach("forgotten", job + " was accepted and has no record");
+    if (unknown && checker.isAccepted(job)) {
+      checker.reportBreach("forgotten", job + " was accepted and has no record");
     }
   }
 }
--- a/src/main/java/org/mallowroad/simulation/Scenario.java
+++ b/src/main/java/org/mallowroad/simulation/Scenario.java
@@ -38,7 +38,7 @@
   /** In place of a node's number: the one after the leader. */
   public static final int FOLLOWER = -2;
 
-  private static final Fault.Kind[] PARTIAL = {
+  private static final Fault.Kind[] PARTIAL_FAULTS = {
     Fault.Kind.CUT_STATE,
     Fault.Kind.CUT_WORKERS,
     Fault.Kind.CUT_STATE,
@@ -53,7 +53,7 @@
     Fault.Kind.CUT_USERS,
     Fault.Kind.PEERS_REFUSED
   };
-  private static final Fault.Kind[] WHOLE = {
+  private static final Fault.Kind[] FULL_FAULTS = {
     Fault.Kind.CRASH,
     Fault.Kind.FREEZE,
     Fault.Kind.ROLL,
@@ -66,11 +66,11 @@
     Fault.Kind.DIE
   };
 
-  private static final Fault.Kind[] BACK = {
+  private static final Fault.Kind[] RESTART_FAULTS = {
     Fault.Kind.BACK, Fault.Kind.BACK_LEADERS, Fault.Kind.BACK_ALL
   };
 
-  private static final Fault.Kind[] UNHEARD = {
+  private static final Fault.Kind[] MESSAGE_FAULTS = {
     Fault.Kind.DEAF,
     Fault.Kind.DEAF_ZONE,
     Fault.Kind.LATE_REPORTS,
@@ -79,7 +79,7 @@
     Fault.Kind.WORKERS_ONLY
   };
 
-  private static final Fault.Kind[] MEETINGS = {
+  private static final Fault.Kind[] OVERLAPPING_FAULTS = {
     Fault.Kind.STATE_REFUSES,
     Fault.Kind.STATE_REFUSES,
     Fault.Kind.STATE_OUT,
@@ -105,9 +105,9 @@
   };
 
   /** Teams' limits in one drawn meeting in so many, and their part of the usual ones. */
-  private static final int TIGHT_ONE_IN = 4;
+  private static final int TIGHT_LIMITS_ONE_IN = 4;
 
-  private static final double TIGHT = 0.5;
+  private static final double TIGHT_LIMITS_FACTOR = 0.5;
 
   /** Without gangs. */
   public Scenario(long seed, int nodes, int machines, int jobs, boolean links, List<Fault> faults) {
@@ -137,18 +137,25 @@
   /**
    * A plan from a seed: at least two partial cuts that overlap, and at least two other failures.
    */
-  public static Scenario drawn(long seed, boolean links) {
+  public static Scenario randomFaults(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed);
     int nodes = 3 + 2 * r.nextInt(3);
     List<Fault> faults = new ArrayList<>();
     long from = 15_000 + r.nextLong(15_000);
     int partial = 2 + r.nextInt(4);
     for (int i = 0; i < partial; i++) {
-      faults.add(draw(PARTIAL[r.nextInt(PARTIAL.length)], from + r.nextLong(8_000), nodes, r));
+      faults.add(
+          randomFault(
+              PARTIAL_FAULTS[r.nextInt(PARTIAL_FAULTS.length)],
+              from + r.nextLong(8_000),
+              nodes,
+              r));
     }
     int whole = 2 + r.nextInt(3);
     for (int i = 0; i < whole; i++) {
-      faults.add(draw(WHOLE[r.nextInt(WHOLE.length)], 10_000 + r.nextLong(50_000), nodes, r));
+      faults.add(
+          randomFault(
+              FULL_FAULTS[r.nextInt(FULL_FAULTS.length)], 10_000 + r.nextLong(50_000), nodes, r));
     }
     return new Scenario(seed, nodes, 6 + r.nextInt(10), 16 + r.nextInt(16), links, faults);
   }
@@ -157,43 +164,48 @@
    * A plan with processes that are back within a second, late copies of messages every other time,
    * and at least two other failures.
    */
-  public static Scenario restarts(long seed, boolean links) {
+  public static Scenario randomRestarts(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 17 + 5);
-    Scenario other = drawn(seed, links);
+    Scenario other = randomFaults(seed, links);
     List<Fault> faults = new ArrayList<>();
     int least = 1 + r.nextInt(3);
     for (int i = 0; i < least; i++) {
-      faults.add(draw(BACK[r.nextInt(BACK.length)], 5_000 + r.nextLong(50_000), other.nodes, r));
+      faults.add(
+          randomFault(
+              RESTART_FAULTS[r.nextInt(RESTART_FAULTS.length)],
+              5_000 + r.nextLong(50_000),
+              other.nodes,
+              r));
     }
     if (r.nextBoolean()) {
-      faults.add(draw(Fault.Kind.COPIES, r.nextLong(40_000), other.nodes, r));
+      faults.add(randomFault(Fault.Kind.COPIES, r.nextLong(40_000), other.nodes, r));
     }
     for (int i = 0; i < 2 + r.nextInt(2); i++) {
       faults.add(other.faults.get(r.nextInt(other.faults.size())));
     }
-    return other.with(faults);
+    return other.withFaults(faults);
   }
 
   /**
    * A plan with the troubles that the operators' pages left out: two or three of them, processes
    * that are back at once every other time, and two other failures.
    */
-  public static Scenario unheard(long seed, boolean links) {
+  public static Scenario randomMessageFaults(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 23 + 11);
-    Scenario other = drawn(seed, links);
+    Scenario other = randomFaults(seed, links);
     List<Fault> faults = new ArrayList<>();
     for (int i = 0; i < 2 + r.nextInt(2); i++) {
-      Fault.Kind kind = UNHEARD[r.nextInt(UNHEARD.length)];
-      faults.add(draw(kind, 5_000 + r.nextLong(50_000), other.nodes, r));
+      Fault.Kind kind = MESSAGE_FAULTS[r.nextInt(MESSAGE_FAULTS.length)];
+      faults.add(randomFault(kind, 5_000 + r.nextLong(50_000), other.nodes, r));
     }
     if (r.nextBoolean()) {
-      Fault.Kind kind = BACK[r.nextInt(BACK.length)];
-      faults.add(draw(kind, 5_000 + r.nextLong(50_000), other.nodes, r));
+      Fault.Kind kind = RESTART_FAULTS[r.nextInt(RESTART_FAULTS.length)];
+      faults.add(randomFault(kind, 5_000 + r.nextLong(50_000), other.nodes, r));
     }
     for (int i = 0; i < 2; i++) {
       faults.add(other.faults.get(r.nextInt(other.faults.size())));
     }
-    Scenario p = other.with(faults);
+    Scenario p = other.withFaults(faults);
     return new Scenario(
         p.seed, p.nodes, p.machines, p.jobs, p.links, p.faults, 2 + r.nextInt(4), 0, 0);
   }
@@ -203,14 +215,19 @@
    * in the midst of them, some of whose machines hang; odd requests and cancellations at the end of
    * jobs all the time. The service may be out for longer than a cancellation's time.
    */
-  public static Scenario meetings(long seed, boolean links) {
+  public static Scenario overlappingFaults(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 41 + 9);
     int nodes = 3 + 2 * r.nextInt(3);
     List<Fault> faults = new ArrayList<>();
     long at = 20_000 + r.nextLong(25_000);
     for (int i = 0; i < 2 + r.nextInt(2); i++) {
-      Fault f = draw(MEETINGS[r.nextInt(MEETINGS.length)], at + r.nextLong(4_000), nodes, r);
-      faults.add(f.kind() == Fault.Kind.STATE_OUT ? f.lasting(5_000 + r.nextLong(40_000)) : f);
+      Fault f =
+          randomFault(
+              OVERLAPPING_FAULTS[r.nextInt(OVERLAPPING_FAULTS.length)],
+              at + r.nextLong(4_000),
+              nodes,
+              r);
+      faults.add(f.kind() == Fault.Kind.STATE_OUT ? f.withDuration(5_000 + r.nextLong(40_000)) : f);
     }
     String hang = r.nextBoolean() ? "hang" : "";
     long cancel = at - 1_000 + r.nextLong(5_000);
@@ -222,25 +239,26 @@
     if (r.nextBoolean()) {
       faults.add(new Fault(Fault.Kind.CLOSE_LOOKS, 2_000, 100_000, 0, 0, "a", "", 0, 1));
     }
-    boolean tight = r.nextInt(TIGHT_ONE_IN) == 0;
+    boolean tight = r.nextInt(TIGHT_LIMITS_ONE_IN) == 0;
     int machines = 6 + r.nextInt(10);
     // Fewer jobs where the limits admit little at once.
     int jobs = tight ? 12 + r.nextInt(4) : 16 + r.nextInt(16);
-    return new Scenario(seed, nodes, machines, jobs, links, faults, 0, 0, 0, tight ? TIGHT : 1);
+    return new Scenario(
+        seed, nodes, machines, jobs, links, faults, 0, 0, 0, tight ? TIGHT_LIMITS_FACTOR : 1);
   }
 
   /** The same troubles, beside rating jobs that fold games and prints that wait for them. */
-  public static Scenario ratings(long seed, boolean links) {
+  public static Scenario ratingJobs(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 29 + 3);
-    Scenario p = r.nextBoolean() ? unheard(seed, links) : restarts(seed, links);
+    Scenario p = r.nextBoolean() ? randomMessageFaults(seed, links) : randomRestarts(seed, links);
     return new Scenario(
         seed, p.nodes, p.machines, p.jobs / 2, links, p.faults, 0, 12 + r.nextInt(12), 0);
   }
 
   /** The same troubles, beside many machines that want the same large images at once. */
-  public static Scenario waves(long seed, boolean links) {
+  public static Scenario imageFetchWaves(long seed, boolean links) {
     SplittableRandom r = new SplittableRandom(seed * 37 + 1);
-    Scenario p = r.nextBoolean() ? unheard(seed, links) : restarts(seed, links);
+    Scenario p = r.nextBoolean() ? randomMessageFaults(seed, links) : randomRestarts(seed, links);
     return new Scenario(
         seed, p.nodes, p.machines, p.jobs / 2, links, p.faults, p.gangs, 0, 2 + r.nextInt(4));
   }
@@ -249,7 +267,7 @@
    * Each single cut for itself: of the leader and of a follower, from each party, by each mode and
    * direction.
    */
-  public static List<Scenario> matrix(long seed, boolean links) {
+  public static List<Scenario> singleCuts(long seed, boolean links) {
     List<Scenario> out = new ArrayList<>();
     for (Fault.Kind kind :
         List.of(
@@ -272,7 +290,7 @@
     return out;
   }
 
-  private static Fault draw(Fault.Kind kind, long at, int nodes, SplittableRandom r) {
+  private static Fault randomFault(Fault.Kind kind, long at, int nodes, SplittableRandom r) {
     // Every other time it is the leader who is struck.
     int node = r.nextBoolean() ? -1 : r.nextInt(nodes);
     int other = r.nextInt(nodes);
@@ -305,7 +323,7 @@
   }
 
   /** The same with other faults. */
-  public Scenario with(List<Fault> f) {
+  public Scenario withFaults(List<Fault> f) {
     return new Scenario(seed, nodes, machines, jobs, links, f, gangs, folds, weights, limits);
   }
 
@@ -315,7 +333,7 @@
   }
 
   /** As a file has it. */
-  public String toml() {
+  public String toToml() {
     try {
       return new TomlMapper().writeValueAsString(this);
     } catch (IOException e) {
--- a/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
+++ b/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
@@ -47,18 +47,19 @@
   /** A new process after an end; the time of day has wandered meanwhile. */
   void restart(long wallNowOffMs) {
     wallOffMs = wallNowOffMs;
-    rise();
+    revive();
     front = null;
     loop = new Life();
   }
 
   @Override
-  boolean listens() {
-    return alive() && front != null;
+  boolean isListening() {
+    return isAlive() && front != null;
   }
 
   @Override
-  void take(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
+  void handleRequest(
+      Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
     if (target.equals(unknownMessage)) {
       reply.answer(404, NOTHING);
       return;
@@ -143,7 +144,7 @@
 
   @Override
   public void stop() {
-    die();
+    terminate();
   }
 
   private record Arrived(String method, String path, byte[] body, Network.Reply reply)
@@ -157,23 +158,23 @@
   private final class Life extends EventLoop {
     @Override
     public long nanos() {
-      return (long) (time.us() * 1000L * (1 + drift)) + 1_000_000_000_000L;
+      return (long) (time.nowUs() * 1000L * (1 + drift)) + 1_000_000_000_000L;
     }
 
     @Override
     public long wallMs() {
-      return EPOCH_MS + time.ms() + wallOffMs;
+      return EPOCH_MS + time.nowMs() + wallOffMs;
     }
 
     @Override
     protected void execute(Runnable task) {
-      time.after(0, SimulatedEnvironment.this, task);
+      time.schedule(0, SimulatedEnvironment.this, task);
     }
 
     @Override
     protected Timer schedule(long ms, Runnable task) {
       boolean[] over = new boolean[1];
-      time.after(
+      time.schedule(
           (long) (ms * 1000 / (1 + drift)),
           SimulatedEnvironment.this,
           () -> {
--- a/src/main/java/org/mallowroad/simulation/Simulation.java
+++ b/src/main/java/org/mallowroad/simulation/Simulation.java
@@ -31,7 +31,7 @@
   private static final long END_MS = 260_000;
 
   /** A job is served when its user knows of its end so soon after the first try to submit it. */
-  public static final long SERVED_MS = 110_000;
+  public static final long SERVED_WITHIN_MS = 110_000;
 
   private static final long RESTART_MS = 3_000;
   private static final int MOST_HUNG = 8;
@@ -68,12 +68,12 @@
   private final List<SimulatedEnvironment> hosts = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
   private final Map<String, Network.Party> directory = new HashMap<>();
-  private final List<String> log = new ArrayList<>();
+  private final List<String> faultLog = new ArrayList<>();
 
   /** While above 0, one ending job in so many is cancelled at its end. */
   private int atEndOneIn;
 
-  private int odd;
+  private int oddRequestCount;
   private long calmMs = Long.MAX_VALUE / 2;
   private final StarvationCheck waiting;
 
@@ -81,84 +81,95 @@
   private RatingModel ratings;
 
   /**
-   * What came of a history.
+   * The outcome of one simulation run.
    *
-   * @param killed tasks killed by their workers' leases
-   * @param terms how many terms there were
-   * @param workersMs the longest that a running worker went without an answered report
-   * @param usersMs the longest that a user went without an answer about a job
-   * @param taken images that came from another machine
-   * @param cancelled jobs whose users were told that they are cancelled
-   * @param keptReports reports that were kept for a new leader and reached it
-   * @param looks jobs that users looked at closely once they were accepted
-   * @param done jobs whose users were told that they are done
-   * @param writes puts and deletes of the state service, failed ones too
-   * @param cancelledStarts tasks that started after their user was told of the cancellation
-   * @param goneMs the longest that a task outlasted that word
-   * @param recoveryMs the same after all troubles were over
+   * @param scenario the scenario that was run
+   * @param breaches the rules that were broken, in the order in which the checker found them
+   * @param servedCounts by class and by team, the number of jobs served and the number submitted
+   * @param unfinishedJobs accepted jobs whose users were not told that they are done or cancelled
+   * @param startedTasks tasks that started, repeated starts included
+   * @param killedTasks tasks killed because their worker's lease ran out
+   * @param terms the number of leader terms
+   * @param longestWorkerSilenceMs the longest time that a running worker went without an answer to
+   *     a report
+   * @param longestUserSilenceMs the longest time that a user went without an answer about a job
+   * @param longestRecoveryMs the same, counted only from the end of the last fault
+   * @param imagesFromMachines images that workers fetched from another machine
+   * @param cancelledJobs jobs whose users were told that they are cancelled
+   * @param replayedReports reports whose copies were delivered after the next change of leader
+   * @param closelyCheckedJobs accepted jobs that users queried, resubmitted or cancelled at once
+   * @param completedJobs jobs whose users were told that they are done
+   * @param stateWrites puts and deletes sent to the state service, those of failed transactions
+   *     included
+   * @param startsAfterCancellation tasks that started after their user was told that the job is
+   *     cancelled
+   * @param longestRunAfterCancellationMs the longest time that a task stayed on a machine after its
+   *     user was told that the job is cancelled
+   * @param endMs the virtual time at which the run ended
+   * @param eventCount events processed
    */
   public record Result(
-      Scenario plan,
+      Scenario scenario,
       List<InvariantChecker.Breach> breaches,
-      Map<String, double[]> served,
-      int unfinished,
-      long started,
-      long killed,
+      Map<String, double[]> servedCounts,
+      int unfinishedJobs,
+      long startedTasks,
+      long killedTasks,
       long terms,
-      long workersMs,
-      long usersMs,
-      long recoveryMs,
-      long taken,
-      int cancelled,
-      int keptReports,
-      int looks,
-      int done,
-      long writes,
-      long cancelledStarts,
-      long goneMs,
-      long untilMs,
-      long events) {
+      long longestWorkerSilenceMs,
+      long longestUserSilenceMs,
+      long longestRecoveryMs,
+      long imagesFromMachines,
+      int cancelledJobs,
+      int replayedReports,
+      int closelyCheckedJobs,
+      int completedJobs,
+      long stateWrites,
+      long startsAfterCancellation,
+      long longestRunAfterCancellationMs,
+      long endMs,
+      long eventCount) {
     /** True when no rule broke and all were served. */
-    public boolean good() {
+    public boolean hasNoBreaches() {
       return breaches.isEmpty();
     }
 
     /** The least part of a class or team that was served. */
-    public double least() {
+    public double leastServedShare() {
       double least = 1;
-      for (double[] s : served.values()) {
+      for (double[] s : servedCounts.values()) {
         least = Math.min(least, s[1] == 0 ? 1 : s[0] / s[1]);
       }
       return least;
     }
 
     /** One line that is the same for the same history. */
-    public String line() {
+    public String summaryLine() {
       return String.format(
           java.util.Locale.ROOT,
           "seed=%d nodes=%d faults=%d started=%d killed=%d terms=%d workers_ms=%d users_ms=%d recovery_ms=%d taken=%d"
               + " cancelled=%d kept=%d looks=%d done=%d writes=%d cancelled_starts=%d gone_ms=%d unfinished=%d least=%.2f until=%d events=%d breaches=%s",
-          plan.seed(),
-          plan.nodes(),
-          plan.faults().size(),
-          started,
-          killed,
+          scenario.seed(),
+          scenario.nodes(),
+          scenario.faults().size(),
+          startedTasks,
+          killedTasks,
           terms,
-          workersMs,
-          usersMs,
-          recoveryMs,
-          taken,
-          cancelled,
-          keptReports,
-          looks,
-          done,
-          writes,
-          cancelledStarts,
-          goneMs,
-          unfinished,
-          least(),
-          untilMs,
-          events,
+          longestWorkerSilenceMs,
+          longestUserSilenceMs,
+          longestRecoveryMs,
+          imagesFromMachines,
+          cancelledJobs,
+          replayedReports,
+          closelyCheckedJobs,
+          completedJobs,
+          stateWrites,
+          startsAfterCancellation,
+          longestRunAfterCancellationMs,
+          unfinishedJobs,
+          leastServedShare(),
+          endMs,
+          eventCount,
           breaches.stream().map(InvariantChecker.Breach::rule).distinct().toList());
     }
   }
@@ -170,7 +181,7 @@
     this.network = new Network(time, random.split());
     Map<String, Double> limits = new HashMap<>();
     TEAMS.forEach(t -> limits.put(t, plan.limits() * limit(t)));
-    this.checker = new InvariantChecker(time::ms, limits, (long) (CANCEL_S * 1000));
+    this.checker = new InvariantChecker(time::nowMs, limits, (long) (CANCEL_S * 1000));
     this.state = new StateModel(time, random.split(), STATE_RPS, STATE_WRITE_RPS);
     this.cloud =
         new CloudModel(time, random.split(), Scenario.ZONES, plan.machines(), this::worker);
@@ -195,10 +206,10 @@
     for (int i = 0; i < plan.nodes(); i++) {
       nodes.add(null);
       int n = i;
-      time.after(random.nextLong(300_000), null, () -> begin(n));
+      time.schedule(random.nextLong(300_000), null, () -> begin(n));
     }
     load();
-    users.workers =
+    users.workerByAddress =
         a -> directory.get(a.substring(0, a.indexOf(':'))) instanceof WorkerModel w ? w : null;
     if (plan.gangs() > 0) {
       gangs();
@@ -208,13 +219,13 @@
     }
     if (plan.folds() > 0) {
       ratings = new RatingModel(time, random.split(), users, checker, state.store());
-      ratings.load(plan.folds(), LOAD_MS);
+      ratings.scheduleJobs(plan.folds(), LOAD_MS);
     }
     plan.faults().forEach(this::schedule);
     plan.faults().stream().filter(f -> f.kind() == Fault.Kind.CANCEL_NOW).forEach(this::victims);
     checker.onCompleted(this::completed);
     this.waiting =
-        new StarvationCheck(checker, cloud::workers, id -> ratings != null && ratings.holds(id));
+        new StarvationCheck(checker, cloud::workers, id -> ratings != null && ratings.isHeld(id));
     everySecond();
   }
 
@@ -228,12 +239,12 @@
   }
 
   private void everySecond() {
-    time.after(
+    time.schedule(
         1_000_000,
         null,
         () -> {
-          checker.look();
-          waiting.look(time.ms(), calmMs);
+          checker.checkCancelledJobs();
+          waiting.check(time.nowMs(), calmMs);
           everySecond();
         });
   }
@@ -247,10 +258,10 @@
   private void releaseAtNextTerm(long before, boolean[] over) {
     long term = term();
     if (term > before) {
-      keptReports += network.releaseKept();
+      keptReports += network.replayReports();
     }
     if (!over[0]) {
-      time.after(TERM_LOOK_US, null, () -> releaseAtNextTerm(term, over));
+      time.schedule(TERM_LOOK_US, null, () -> releaseAtNextTerm(term, over));
     }
   }
 
@@ -262,8 +273,8 @@
     if (over[0]) {
       return;
     }
-    InvariantChecker.Submitted s =
-        new InvariantChecker.Submitted(
+    InvariantChecker.SubmittedJob s =
+        new InvariantChecker.SubmittedJob(
             String.format("job-4%05d", singles++),
             TEAMS.get(singles % TEAMS.size()),
             "single",
@@ -272,10 +283,10 @@
             null,
             false,
             false,
-            time.ms());
+            time.nowMs());
     long cancelAfterMs = random.nextInt(4) == 0 ? 100 + random.nextLong(4_000) : 0;
-    users.job(s, "urgent", 1_000 + random.nextLong(4_000), 300, cancelAfterMs, null);
-    time.after(1_000_000 / aSecond, null, () -> singleJobs(aSecond, over));
+    users.submitJob(s, "urgent", 1_000 + random.nextLong(4_000), 300, cancelAfterMs, null);
+    time.schedule(1_000_000 / aSecond, null, () -> singleJobs(aSecond, over));
   }
 
   private int singles;
@@ -296,7 +307,7 @@
             nameAndZone[0],
             nameAndZone[1]);
     directory.put("w" + index, w);
-    w.handsOn = plan.weights() > 0 && index % 4 != 0; // One in four is an earlier build's.
+    w.servesImages = plan.weights() > 0 && index % 4 != 0; // One in four is an earlier build's.
     return w;
   }
 
@@ -358,7 +369,7 @@
           new Node(
               new ClusterConfig(settings(i), plan.links() ? o.with(LinkPolicy.defaults()) : o), h);
       nodes.set(i, n);
-      time.after(0, h, n::startOnEventLoop);
+      time.schedule(0, h, n::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -369,8 +380,8 @@
     for (int j = 0; j < plan.jobs(); j++) {
       long at = 2_000 + r.nextLong(LOAD_MS);
       String kind = CLASSES.get(j % CLASSES.size());
-      InvariantChecker.Submitted s =
-          new InvariantChecker.Submitted(
+      InvariantChecker.SubmittedJob s =
+          new InvariantChecker.SubmittedJob(
               String.format("job-%06d", j + 1),
               TEAMS.get(r.nextInt(TEAMS.size())),
               kind,
@@ -386,9 +397,9 @@
       long run = j % 12 == 2 ? 3 * usual + (long) (CANCEL_S * 1000) : usual;
       long fetch = 300 + r.nextLong(1_500);
       long cancel = r.nextInt(7) == 0 ? 500 + r.nextLong(25_000) : 0;
-      time.after(at * 1000, null, () -> users.job(s, rank, run, fetch, cancel, null));
+      time.schedule(at * 1000, null, () -> users.submitJob(s, rank, run, fetch, cancel, null));
       if (j % 5 == 0) {
-        time.after(at * 1000, null, () -> users.stray("job-9" + s.id().substring(5)));
+        time.schedule(at * 1000, null, () -> users.queryUnknownJob("job-9" + s.id().substring(5)));
       }
     }
   }
@@ -398,8 +409,8 @@
     SplittableRandom r = random.split();
     for (int g = 0; g < plan.gangs(); g++) {
       long at = 2_000 + r.nextLong(LOAD_MS);
-      InvariantChecker.Submitted s =
-          new InvariantChecker.Submitted(
+      InvariantChecker.SubmittedJob s =
+          new InvariantChecker.SubmittedJob(
               String.format("job-7%05d", g),
               "green",
               "gang",
@@ -410,7 +421,7 @@
               true,
               at);
       long run = 2_000 + r.nextLong(6_000);
-      time.after(at * 1000, null, () -> users.job(s, "normal", run, 500, 0, null));
+      time.schedule(at * 1000, null, () -> users.submitJob(s, "normal", run, 500, 0, null));
     }
   }
 
@@ -419,8 +430,8 @@
     SplittableRandom r = random.split();
     for (int i = 0; i < plan.weights(); i++) {
       long at = 2_000 + r.nextLong(LOAD_MS);
-      InvariantChecker.Submitted s =
-          new InvariantChecker.Submitted(
+      InvariantChecker.SubmittedJob s =
+          new InvariantChecker.SubmittedJob(
               String.format("job-6%05d", i),
               "blue",
               "weights" + i % 2,
@@ -431,16 +442,16 @@
               false,
               at);
       long run = 2_000 + r.nextLong(6_000);
-      time.after(at * 1000, null, () -> users.job(s, "normal", run, 9_000, 0, null));
+      time.schedule(at * 1000, null, () -> users.submitJob(s, "normal", run, 9_000, 0, null));
     }
   }
 
   private void say(String line) {
-    log.add(time.ms() + " " + line);
+    faultLog.add(time.nowMs() + " " + line);
   }
 
   private void schedule(Fault f) {
-    time.after(
+    time.schedule(
         f.atMs() * 1000,
         null,
         () -> {
@@ -450,7 +461,7 @@
           }
           say("begins " + f + " of n" + node);
           Runnable end = fails(f, node);
-          time.after(
+          time.schedule(
               f.forMs() * 1000,
               null,
               () -> {
@@ -460,15 +471,15 @@
         });
   }
 
-  private static Network.End node(int i) {
-    return new Network.End(Network.Kind.NODE, i, null);
+  private static Network.PartySelector node(int i) {
+    return new Network.PartySelector(Network.Kind.NODE, i, null);
   }
 
-  private static Network.End all(Network.Kind kind) {
-    return new Network.End(kind, -1, null);
+  private static Network.PartySelector all(Network.Kind kind) {
+    return new Network.PartySelector(kind, -1, null);
   }
 
-  private Runnable cut(Fault f, Network.End a, Network.End b) {
+  private Runnable cut(Fault f, Network.PartySelector a, Network.PartySelector b) {
     Network.Mode mode = Network.Mode.valueOf(f.mode().toUpperCase(java.util.Locale.ROOT));
     Runnable to = f.direction() == 2 ? () -> {} : network.cut(a, b, mode);
     Runnable back = f.direction() == 1 ? () -> {} : network.cut(b, a, mode);
@@ -478,7 +489,7 @@
     };
   }
 
-  private Runnable flap(Fault f, Network.End a, Network.End b) {
+  private Runnable flap(Fault f, Network.PartySelector a, Network.PartySelector b) {
     Runnable[] lift = {cut(f, a, b)};
     boolean[] over = new boolean[1];
     boolean[] up = new boolean[1];
@@ -494,9 +505,9 @@
             lift[0].run();
           }
           up[0] = !up[0];
-          time.after(3_000_000, null, turn[0]);
+          time.schedule(3_000_000, null, turn[0]);
         };
-    time.after(3_000_000, null, turn[0]);
+    time.schedule(3_000_000, null, turn[0]);
     return () -> {
       over[0] = true;
       lift[0].run();
@@ -542,27 +553,31 @@
           network.cut(all(Network.Kind.NODE), all(Network.Kind.NODE), Network.Mode.REFUSE);
       case NONE_WHOLE -> noneWhole(f, node);
       case ALONE -> alone(f, node);
-      case CUT_ZONE -> cut(f, new Network.End(null, -1, f.zone()), new Network.End(null, -1, null));
+      case CUT_ZONE ->
+          cut(
+              f,
+              new Network.PartySelector(null, -1, f.zone()),
+              new Network.PartySelector(null, -1, null));
       case CRASH -> crash(node, f.forMs());
       case FREEZE -> freeze(hosts.get(node));
       case ROLL -> roll();
       case DIE -> die(f.count());
       case HANG -> hang(f.count());
       case STATE_OUT -> {
-        state.out = true;
-        yield state::back;
+        state.unavailable = true;
+        yield state::endOutage;
       }
       case STATE_SLOW -> {
-        state.slow = f.count();
-        yield () -> state.slow = 1;
+        state.slowdownFactor = f.count();
+        yield () -> state.slowdownFactor = 1;
       }
       case STATE_REFUSES -> {
-        state.refused = node;
-        yield () -> state.refused = -1;
+        state.refusedNode = node;
+        yield () -> state.refusedNode = -1;
       }
       case CLOUD_OUT -> {
-        cloud.out = true;
-        yield () -> cloud.out = false;
+        cloud.unavailable = true;
+        yield () -> cloud.unavailable = false;
       }
       case BACK -> back(List.of(() -> node));
       case BACK_LEADERS -> back(List.of(this::leader));
@@ -577,7 +592,7 @@
       case DEAF -> deaf(some(f.count()));
       case DEAF_ZONE -> {
         List<WorkerModel> all = cloud.workers();
-        all.removeIf(w -> !w.listens() || !w.zone.equals(f.zone()));
+        all.removeIf(w -> !w.isListening() || !w.zone.equals(f.zone()));
         yield deaf(all);
       }
       case LATE_REPORTS -> {
@@ -590,17 +605,17 @@
       }
       case WORKERS_ONLY -> workersOnly(f, node);
       case LISTS_CROWDED -> {
-        state.listsCrowded = true;
-        yield () -> state.listsCrowded = false;
+        state.throttlesLists = true;
+        yield () -> state.throttlesLists = false;
       }
       case ENDS_CROWDED -> {
-        state.endsCrowded = true;
-        yield () -> state.endsCrowded = false;
+        state.throttlesEndReads = true;
+        yield () -> state.throttlesEndReads = false;
       }
       case MUTE -> {
         List<WorkerModel> mute = some(f.count());
-        mute.forEach(w -> w.mute = true);
-        yield () -> mute.forEach(w -> w.mute = false);
+        mute.forEach(w -> w.outboundLost = true);
+        yield () -> mute.forEach(w -> w.outboundLost = false);
       }
       case CANCEL_NOW -> cancelNow(f);
       case CANCEL_AT_END -> {
@@ -613,8 +628,8 @@
         yield () -> over[0] = true;
       }
       case COPIES -> {
-        network.copyOneIn = 1 + f.count();
-        yield () -> network.copyOneIn = 0;
+        network.duplicateOneIn = 1 + f.count();
+        yield () -> network.duplicateOneIn = 0;
       }
       case LATE_COMMANDS -> {
         network.lateCommandOneIn = 2 + f.count();
@@ -625,17 +640,17 @@
         yield () -> network.lostAnswerOneIn = 0;
       }
       case REPORTS_FOR_NEXT -> {
-        network.keepReportOneIn = 1 + f.count();
+        network.replayReportOneIn = 1 + f.count();
         boolean[] over = new boolean[1];
         releaseAtNextTerm(term(), over);
         yield () -> {
-          network.keepReportOneIn = 0;
+          network.replayReportOneIn = 0;
           over[0] = true;
         };
       }
       case CLOSE_LOOKS -> {
-        users.closeLooks = true;
-        yield () -> users.closeLooks = false;
+        users.checksClosely = true;
+        yield () -> users.checksClosely = false;
       }
       case QUICK_BOOTS -> {
         cloud.quickBoots = true;
@@ -651,7 +666,7 @@
 
   /** Those that have longest to go are cancelled, within a fifth of a second. */
   private Runnable cancelNow(Fault f) {
-    Map<String, Set<String>> running = checker.running();
+    Map<String, Set<String>> running = checker.runningJobs();
     List<String> longest = new ArrayList<>(running.keySet());
     longest.sort(Comparator.comparingLong((String id) -> -users.runMs(id)));
     List<String> chosen = longest.subList(0, Math.min(f.count(), longest.size()));
@@ -661,15 +676,15 @@
     Set<String> names = new TreeSet<>();
     for (String id : chosen) {
       names.addAll(running.getOrDefault(id, Set.of()));
-      time.after(random.nextLong(200_000), null, () -> users.cancel(id));
+      time.schedule(random.nextLong(200_000), null, () -> users.cancel(id));
     }
     if (!f.mode().equals("hang")) {
       return () -> {};
     }
     List<WorkerModel> hung = cloud.workers();
-    hung.removeIf(w -> !w.listens() || !names.contains(w.name));
+    hung.removeIf(w -> !w.isListening() || !names.contains(w.name));
     List<WorkerModel> few = hung.subList(0, Math.min(MOST_HUNG, hung.size()));
-    few.forEach(EventQueue.Being::freeze);
+    few.forEach(EventQueue.Actor::freeze);
     return () -> few.forEach(time::thaw);
   }
 
@@ -679,13 +694,13 @@
     for (int i = 0; i < f.count(); i++) {
       long before = fetch ? FETCH_MS / 2 : VICTIMS_MS;
       long at = Math.max(1_000, f.atMs() - before) + 100L * i;
-      InvariantChecker.Submitted s =
-          new InvariantChecker.Submitted(
+      InvariantChecker.SubmittedJob s =
+          new InvariantChecker.SubmittedJob(
               victim(f, i), TEAMS.get(1 + i % 2), "long", 1 + i % 3, 4, null, false, false, at);
-      time.after(
+      time.schedule(
           at * 1000,
           null,
-          () -> users.job(s, "urgent", LONG_RUN_MS, fetch ? FETCH_MS : 500, 0, null));
+          () -> users.submitJob(s, "urgent", LONG_RUN_MS, fetch ? FETCH_MS : 500, 0, null));
     }
   }
 
@@ -694,27 +709,27 @@
   }
 
   private void completed(String id) {
-    for (int i = 0; i < END_LOOKS && users.closeLooks; i++) {
-      time.after(random.nextLong(END_LOOK_US), null, () -> users.lookClosely(id));
+    for (int i = 0; i < END_LOOKS && users.checksClosely; i++) {
+      time.schedule(random.nextLong(END_LOOK_US), null, () -> users.checkClosely(id));
     }
     if (atEndOneIn > 0 && random.nextInt(atEndOneIn) == 0) {
       // Around the moment at which the end is committed, and each of them at its own.
-      time.after(random.nextLong(1_500_000), null, () -> users.cancel(id));
-      time.after(random.nextLong(1_500_000), null, () -> users.question(id));
-      time.after(random.nextLong(1_500_000), null, () -> users.repeat(id));
+      time.schedule(random.nextLong(1_500_000), null, () -> users.cancel(id));
+      time.schedule(random.nextLong(1_500_000), null, () -> users.query(id));
+      time.schedule(random.nextLong(1_500_000), null, () -> users.resubmit(id));
     }
   }
 
   private void odd(boolean[] over) {
     if (!over[0]) {
-      users.odd(odd++);
-      time.after(300_000 + random.nextLong(600_000), null, () -> odd(over));
+      users.sendOddRequest(oddRequestCount++);
+      time.schedule(300_000 + random.nextLong(600_000), null, () -> odd(over));
     }
   }
 
   private static Runnable deaf(List<WorkerModel> workers) {
-    workers.forEach(w -> w.deaf = true);
-    return () -> workers.forEach(w -> w.deaf = false);
+    workers.forEach(w -> w.inboundLost = true);
+    return () -> workers.forEach(w -> w.inboundLost = false);
   }
 
   private Runnable workersOnly(Fault f, int node) {
@@ -728,9 +743,9 @@
 
   private Runnable crash(int i, long forMs) {
     SimulatedEnvironment h = hosts.get(i);
-    if (h.alive()) {
-      h.die();
-      time.after(Math.min(forMs, RESTART_MS) * 1000, null, () -> rise(i));
+    if (h.isAlive()) {
+      h.terminate();
+      time.schedule(Math.min(forMs, RESTART_MS) * 1000, null, () -> rise(i));
     }
     return () -> {};
   }
@@ -752,14 +767,14 @@
       return;
     }
     int i = who.getAsInt();
-    if (hosts.get(i).alive()) {
-      hosts.get(i).die();
-      time.after((long) (1_000 * Math.pow(1_000, random.nextDouble())), null, () -> rise(i));
+    if (hosts.get(i).isAlive()) {
+      hosts.get(i).terminate();
+      time.schedule((long) (1_000 * Math.pow(1_000, random.nextDouble())), null, () -> rise(i));
     }
-    time.after(300_000 + random.nextLong(7_000_000), null, () -> again(who, over));
+    time.schedule(300_000 + random.nextLong(7_000_000), null, () -> again(who, over));
   }
 
-  private Runnable freeze(EventQueue.Being b) {
+  private Runnable freeze(EventQueue.Actor b) {
     b.freeze();
     return () -> time.thaw(b);
   }
@@ -767,14 +782,14 @@
   private Runnable roll() {
     for (int i = 0; i < plan.nodes(); i++) {
       int n = i;
-      time.after(i * 6_000_000L, null, () -> crash(n, RESTART_MS));
+      time.schedule(i * 6_000_000L, null, () -> crash(n, RESTART_MS));
     }
     return () -> {};
   }
 
   private List<WorkerModel> some(int count) {
     List<WorkerModel> up = cloud.workers();
-    up.removeIf(w -> !w.listens());
+    up.removeIf(w -> !w.isListening());
     List<WorkerModel> out = new ArrayList<>();
     while (!up.isEmpty() && out.size() < count) {
       out.add(up.remove(random.nextInt(up.size())));
@@ -783,75 +798,75 @@
   }
 
   private Runnable die(int count) {
-    some(count).forEach(w -> w.gone("died"));
+    some(count).forEach(w -> w.machineGone("died"));
     return () -> {};
   }
 
   private Runnable hang(int count) {
     List<WorkerModel> hung = some(count);
-    hung.forEach(EventQueue.Being::freeze);
+    hung.forEach(EventQueue.Actor::freeze);
     return () -> hung.forEach(time::thaw);
   }
 
   /** Lets a faulty service answer users, for tests of what the checker sees. */
-  void filterAnswers(Network.AnswerFilter filter) {
-    network.filter = filter;
+  void setAnswerFilter(Network.AnswerFilter filter) {
+    network.answerFilter = filter;
   }
 
   /** One controller's build does not know a message between controllers. */
-  void unknownMessage(int node, String path) {
+  void setUnknownMessage(int node, String path) {
     hosts.get(node).unknownMessage = path;
   }
 
   /** Transactions that wrote shared records of starts. */
-  long sharedStarts() {
-    return state.sharedStarts();
+  long sharedStartWrites() {
+    return state.sharedStartWrites();
   }
 
   /** Plays it to its end. */
-  public Result play() {
+  public Result run() {
     long lastFault = 0;
     for (Fault f : plan.faults()) {
       lastFault = Math.max(lastFault, f.atMs() + f.forMs());
     }
     calmMs = lastFault;
-    checker.calmFrom(lastFault);
+    checker.setLastFaultEndMs(lastFault);
     long least = Math.max(lastFault, LOAD_MS + 5_000);
-    while (time.ms() < END_MS && (time.ms() < least || users.open() > 0)) {
-      long until = time.us() + 500_000;
-      while (time.step(until)) {
+    while (time.nowMs() < END_MS && (time.nowMs() < least || users.openJobs() > 0)) {
+      long until = time.nowUs() + 500_000;
+      while (time.runNext(until)) {
         // Each step is an event.
       }
     }
     if (ratings != null) {
-      ratings.end();
+      ratings.checkAtEnd();
     }
-    checker.end(SERVED_MS);
+    checker.checkAtEnd(SERVED_WITHIN_MS);
     return new Result(
         plan,
         checker.breaches(),
-        checker.served(SERVED_MS),
-        checker.unfinished(),
-        checker.started(),
-        checker.killed(),
+        checker.servedCounts(SERVED_WITHIN_MS),
+        checker.unfinishedJobCount(),
+        checker.startedTasks(),
+        checker.killedTasks(),
         term(),
-        cloud.workers().stream().mapToLong(WorkerModel::longestMs).max().orElse(0),
-        checker.longestMs(),
-        checker.recoveryMs(),
-        cloud.taken(),
-        checker.cancelled(),
+        cloud.workers().stream().mapToLong(WorkerModel::longestSilenceMs).max().orElse(0),
+        checker.longestSilenceMs(),
+        checker.longestRecoveryMs(),
+        cloud.imagesFromMachines(),
+        checker.cancelledJobs(),
         keptReports,
-        users.looks(),
-        checker.done(),
-        state.writes(),
-        checker.cancelledStarts(),
-        checker.goneMs(),
-        time.ms(),
-        time.events());
+        users.closelyCheckedJobs(),
+        checker.completedJobs(),
+        state.writeCount(),
+        checker.startsAfterCancellation(),
+        checker.longestRunAfterCancellationMs(),
+        time.nowMs(),
+        time.eventCount());
   }
 
   /** When faults began and ended. */
-  public List<String> log() {
-    return List.copyOf(log);
+  public List<String> faultLog() {
+    return List.copyOf(faultLog);
   }
 }
--- a/src/main/java/org/mallowroad/simulation/StarvationCheck.java
+++ b/src/main/java/org/mallowroad/simulation/StarvationCheck.java
@@ -15,7 +15,7 @@
  */
 final class StarvationCheck {
   /** The users' words: no job waits longer than this. */
-  static final long MOST_MS = 90_000;
+  static final long MAX_WAIT_MS = 90_000;
 
   private final InvariantChecker checker;
   private final Supplier<List<WorkerModel>> workers;
@@ -36,44 +36,45 @@
   }
 
   /** Call once a second. */
-  void look(long now, long calmMs) {
+  void check(long now, long calmMs) {
     if (now < calmMs) {
       return;
     }
     List<WorkerModel> up = new ArrayList<>(workers.get());
-    up.removeIf(w -> !w.listens() || w.still() || w.deaf || w.mute);
-    for (Map.Entry<InvariantChecker.Submitted, Set<Integer>> e :
+    up.removeIf(w -> !w.isListening() || w.isFrozen() || w.inboundLost || w.outboundLost);
+    for (Map.Entry<InvariantChecker.SubmittedJob, Set<Integer>> e :
         checker.unfinishedJobs().entrySet()) {
-      InvariantChecker.Submitted s = e.getKey();
+      InvariantChecker.SubmittedJob s = e.getKey();
       if (held.test(s.id()) || !couldRun(s, e.getValue(), up)) {
         sinceMs.remove(s.id());
-      } else if (now - sinceMs.computeIfAbsent(s.id(), k -> now) > MOST_MS) {
-        checker.breach("left_waiting", s.id() + " waits while there is room");
+      } else if (now - sinceMs.computeIfAbsent(s.id(), k -> now) > MAX_WAIT_MS) {
+        checker.reportBreach("left_waiting", s.id() + " waits while there is room");
         sinceMs.put(s.id(), Long.MAX_VALUE / 2); // Said once.
       }
     }
   }
 
-  private boolean couldRun(InvariantChecker.Submitted s, Set<Integer> done, List<WorkerModel> up) {
+  private boolean couldRun(
+      InvariantChecker.SubmittedJob s, Set<Integer> done, List<WorkerModel> up) {
     String zone = s.zone();
     int waiting = 0;
-    for (int t = 0; t < s.tasks(); t++) {
+    for (int t = 0; t < s.taskCount(); t++) {
       if (!done.contains(t)) {
         String task = s.id() + "/" + t;
-        WorkerModel has = up.stream().filter(w -> w.has(task)).findFirst().orElse(null);
+        WorkerModel has = up.stream().filter(w -> w.hasTask(task)).findFirst().orElse(null);
         waiting += has == null ? 1 : 0;
-        zone = has != null && s.together() ? has.zone : zone;
+        zone = has != null && s.sameZone() ? has.zone : zone;
       }
     }
     int need = s.gang() ? waiting : Math.min(1, waiting);
-    if (need == 0 || checker.leftOf(s.team()) < need * s.cpus()) {
+    if (need == 0 || checker.unusedCpus(s.team()) < need * s.cpusPerTask()) {
       return false;
     }
     Map<String, Integer> room = new HashMap<>();
     for (WorkerModel w : up) {
       if (zone == null || zone.equals(w.zone)) {
-        int fits = (int) Math.floor((CloudModel.CPUS - w.usedCpus()) / s.cpus() + 1e-9);
-        room.merge(s.together() ? w.zone : "", fits, Integer::sum);
+        int fits = (int) Math.floor((CloudModel.CPUS - w.usedCpus()) / s.cpusPerTask() + 1e-9);
+        room.merge(s.sameZone() ? w.zone : "", fits, Integer::sum);
       }
     }
     return room.values().stream().anyMatch(n -> n >= need);
--- a/src/main/java/org/mallowroad/simulation/StateModel.java
+++ b/src/main/java/org/mallowroad/simulation/StateModel.java
@@ -26,34 +26,34 @@
 
   private final int writesPerSecond;
   private int writesThisSecond;
-  private long writes;
+  private long writeCount;
 
   /** Puts and deletes asked for so far, those of failed transactions too. */
-  long writes() {
-    return writes;
+  long writeCount() {
+    return writeCount;
   }
 
-  private long sharedStarts;
+  private long sharedStartWrites;
 
   /** Transactions that wrote shared records of starts. */
-  long sharedStarts() {
-    return sharedStarts;
+  long sharedStartWrites() {
+    return sharedStartWrites;
   }
 
   /** How many times slower than usual it is. */
-  int slow = 1;
+  int slowdownFactor = 1;
 
   /** Nobody is served. */
-  boolean out;
+  boolean unavailable;
 
   /** Listings are refused as one call too many. */
-  boolean listsCrowded;
+  boolean throttlesLists;
 
   /** Readings of how a job ended are refused as one call too many. */
-  boolean endsCrowded;
+  boolean throttlesEndReads;
 
   /** The node that alone is not served, or -1. */
-  int refused = -1;
+  int refusedNode = -1;
 
   private record PendingWatch(int node, String target, Network.Reply reply, long untilMs) {}
 
@@ -71,22 +71,22 @@
   }
 
   /** The outage is over: leases have their full time again. */
-  void back() {
-    out = false;
-    store.renewLeases(time.ms());
+  void endOutage() {
+    unavailable = false;
+    store.renewLeases(time.nowMs());
   }
 
   private boolean serves(int node) {
-    return !out && node != refused;
+    return !unavailable && node != refusedNode;
   }
 
   private void tick() {
-    time.after(
+    time.schedule(
         50_000,
         this,
         () -> {
-          if (!out) {
-            store.expire(time.ms());
+          if (!unavailable) {
+            store.expire(time.nowMs());
             wake();
           }
           tick();
@@ -94,9 +94,10 @@
   }
 
   @Override
-  void take(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
-    time.after(
-        (USUAL_US + random.nextLong(USUAL_US)) * slow,
+  void handleRequest(
+      Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
+    time.schedule(
+        (USUAL_US + random.nextLong(USUAL_US)) * slowdownFactor,
         this,
         () -> serve(from.index, method, target, body, reply));
   }
@@ -106,14 +107,14 @@
       reply.answer(503, EMPTY);
       return;
     }
-    if (time.ms() - secondMs >= 1_000) {
-      secondMs = time.ms();
+    if (time.nowMs() - secondMs >= 1_000) {
+      secondMs = time.nowMs();
       calls = 0;
       writesThisSecond = 0;
     }
     if (++calls > rps
-        || (listsCrowded && target.startsWith("/kv?"))
-        || (endsCrowded && target.startsWith("/kv/end/"))) {
+        || (throttlesLists && target.startsWith("/kv?"))
+        || (throttlesEndReads && target.startsWith("/kv/end/"))) {
       reply.answer(429, EMPTY);
       return;
     }
@@ -121,18 +122,18 @@
       long before = store.revision();
       if (target.equals("/multi")) {
         int more = Json.parseObject(body).path(Fields.WRITES).size();
-        writes += more;
+        writeCount += more;
         writesThisSecond += more;
-        sharedStarts += new String(body, UTF_8).contains("\"put\":\"starts/") ? 1 : 0;
+        sharedStartWrites += new String(body, UTF_8).contains("\"put\":\"starts/") ? 1 : 0;
         if (writesThisSecond > writesPerSecond) {
           reply.answer(429, EMPTY);
           return;
         }
       }
-      InMemoryKeyValueStore.Answer a = store.serve(method, target, body, time.ms());
+      InMemoryKeyValueStore.Answer a = store.serve(method, target, body, time.nowMs());
       if (a == null) {
         long block = InMemoryKeyValueStore.block(target);
-        watches.add(new PendingWatch(node, target, reply, time.ms() + block));
+        watches.add(new PendingWatch(node, target, reply, time.nowMs() + block));
       } else {
         reply.answer(a.status(), Json.toBytes(a.body()));
       }
@@ -151,8 +152,8 @@
         continue;
       }
       try {
-        InMemoryKeyValueStore.Answer a = store.serve("GET", w.target, EMPTY, time.ms());
-        if (a == null && time.ms() >= w.untilMs) {
+        InMemoryKeyValueStore.Answer a = store.serve("GET", w.target, EMPTY, time.nowMs());
+        if (a == null && time.nowMs() >= w.untilMs) {
           a = store.nothing();
         }
         if (a != null) {
--- a/src/main/java/org/mallowroad/simulation/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -14,7 +14,7 @@
 import org.mallowroad.wire.Json;
 
 /** All users, and the load balancer in front of the controllers. */
-final class UserModel extends Network.Party implements WorkerModel.Jobs {
+final class UserModel extends Network.Party implements WorkerModel.JobDirectory {
   private static final long SUBMIT_MS = 5_000;
   private static final long POLL_MS = 2_000;
   private static final long EVERY_MS = 5_000;
@@ -40,9 +40,9 @@
   private final SplittableRandom random;
   private final List<SimulatedEnvironment> nodes;
   private final InvariantChecker checker;
-  private final Map<String, long[]> times = new HashMap<>();
+  private final Map<String, long[]> taskTimes = new HashMap<>();
   private final List<Seen> seen = new ArrayList<>();
-  private int open;
+  private int openJobs;
 
   UserModel(
       EventQueue time,
@@ -63,32 +63,32 @@
   }
 
   /** Where workers listen. */
-  Function<String, WorkerModel> workers = a -> null;
+  Function<String, WorkerModel> workerByAddress = a -> null;
 
   private final Map<String, String> images = new HashMap<>();
 
   @Override
-  public String image(String job) {
+  public String imageOf(String job) {
     return images.get(job);
   }
 
   @Override
-  public WorkerModel at(String address) {
-    return workers.apply(address);
+  public WorkerModel workerAt(String address) {
+    return workerByAddress.apply(address);
   }
 
   @Override
-  public long[] times(String job) {
-    return times.get(job);
+  public long[] taskTimesMs(String job) {
+    return taskTimes.get(job);
   }
 
   /** Jobs that users still wait for. */
-  int open() {
-    return open;
+  int openJobs() {
+    return openJobs;
   }
 
   private void probe(int i) {
-    time.after(PROBE_MS * 1000, this, () -> probe(i));
+    time.schedule(PROBE_MS * 1000, this, () -> probe(i));
     network.call(
         this,
         nodes.get(i),
@@ -115,12 +115,12 @@
     if (s.healthy && s.bad >= 2) {
       s.healthy = false;
       // The pause doubles with every further removal within two minutes.
-      boolean again = s.removedMs > 0 && time.ms() - s.removedMs < PAUSE_WINDOW_MS;
+      boolean again = s.removedMs > 0 && time.nowMs() - s.removedMs < PAUSE_WINDOW_MS;
       s.pauseMs = again ? Math.min(MOST_PAUSE_MS, 2 * s.pauseMs) : BACK_MS;
-      s.removedMs = time.ms();
+      s.removedMs = time.nowMs();
     } else if (!s.healthy
         && (s.good >= 2 || (s.good == 1 && !s.ever))
-        && time.ms() - s.removedMs >= (s.ever ? s.pauseMs : 0)) {
+        && time.nowMs() - s.removedMs >= (s.ever ? s.pauseMs : 0)) {
       s.healthy = true;
       s.ever = true;
     }
@@ -141,7 +141,7 @@
   }
 
   /** While true users look at all nodes after each thing that they are told. */
-  boolean closeLooks;
+  boolean checksClosely;
 
   /** A quarter of a user's looks come while the answer to the one before is on its way. */
   private static final long LOOK_US = 6_000;
@@ -150,57 +150,57 @@
   private static final int CANCEL_ONE_IN = 8;
 
   /** Questions and repeated submissions at all nodes, some within the same millisecond. */
-  void lookClosely(String id) {
-    if (!closeLooks) {
+  void checkClosely(String id) {
+    if (!checksClosely) {
       return;
     }
     for (SimulatedEnvironment node : nodes) {
       for (int i = 0; i < LOOKS; i++) {
-        time.after(random.nextLong(LOOK_US << (2 * i)), this, () -> questionAt(node, id));
+        time.schedule(random.nextLong(LOOK_US << (2 * i)), this, () -> questionAt(node, id));
       }
       if (random.nextBoolean()) {
-        time.after(random.nextLong(LOOK_US), this, () -> repeatAt(node, id));
+        time.schedule(random.nextLong(LOOK_US), this, () -> repeatAt(node, id));
       }
     }
   }
 
-  private void accepted(InvariantChecker.Submitted s) {
-    if (closeLooks) {
-      looks++;
-      lookClosely(s.id());
+  private void accepted(InvariantChecker.SubmittedJob s) {
+    if (checksClosely) {
+      closelyCheckedJobs++;
+      checkClosely(s.id());
       if (random.nextInt(CANCEL_ONE_IN) == 0) {
-        time.after(random.nextLong(LOOK_US), this, () -> cancel(s, time.ms()));
+        time.schedule(random.nextLong(LOOK_US), this, () -> cancel(s, time.nowMs()));
       }
     }
   }
 
   /** How many jobs were looked at closely right after they were accepted. */
-  int looks() {
-    return looks;
+  int closelyCheckedJobs() {
+    return closelyCheckedJobs;
   }
 
-  private int looks;
+  private int closelyCheckedJobs;
 
   private void questionAt(SimulatedEnvironment node, String id) {
-    long sentMs = time.ms();
+    long sentMs = time.nowMs();
     askAt(
         node,
         "GET",
         "/v1/jobs/" + id,
         NOTHING,
         POLL_MS,
-        (status, standing) -> checker.told(id, status, standing, sentMs));
+        (status, standing) -> checker.observeJobAnswer(id, status, standing, sentMs));
   }
 
   private void repeatAt(SimulatedEnvironment node, String id) {
-    long sentMs = time.ms();
+    long sentMs = time.nowMs();
     askAt(
         node,
         "POST",
         "/v1/jobs",
         Json.toBytes(bodies.get(id)),
         SUBMIT_MS,
-        (status, standing) -> checker.submitted(id, status, standing, sentMs));
+        (status, standing) -> checker.observeSubmissionAnswer(id, status, standing, sentMs));
   }
 
   /** Asks one node, past the load balancer; status 0 stands for no answer. */
@@ -213,7 +213,7 @@
   private void ask(String method, String target, byte[] body, long ms, int tries, Got got) {
     SimulatedEnvironment node = healthy();
     if (node == null) {
-      time.after(ms * 1000, this, () -> got.got(0, ""));
+      time.schedule(ms * 1000, this, () -> got.got(0, ""));
       return;
     }
     call(
@@ -270,24 +270,24 @@
   }
 
   /** Submits a job now, follows it to its end, and perhaps cancels it. */
-  void job(
-      InvariantChecker.Submitted s,
+  void submitJob(
+      InvariantChecker.SubmittedJob s,
       String rank,
       long runMs,
       long fetchMs,
       long cancelAfterMs,
       ObjectNode dependencies) {
-    times.put(s.id(), new long[] {runMs, fetchMs});
+    taskTimes.put(s.id(), new long[] {runMs, fetchMs});
     jobs.put(s.id(), s);
     images.put(s.id(), "i-" + s.taskClass());
-    checker.submits(s);
-    open++;
+    checker.observeFirstSubmission(s);
+    openJobs++;
     ObjectNode o = Json.object();
     o.put("name_id", s.id()).put("docket", s.taskClass()).put("crew", s.team());
-    o.put("form", s.gang() ? "gang" : "sweep").put("rank", rank).put("moves", s.tasks());
-    o.put("cpus", s.cpus()).put("cards", 0.0).put("mem_gb", 1.0);
+    o.put("form", s.gang() ? "gang" : "sweep").put("rank", rank).put("moves", s.taskCount());
+    o.put("cpus", s.cpusPerTask()).put("cards", 0.0).put("mem_gb", 1.0);
     o.put("kit", "i-" + s.taskClass()).put("size_gb", fetchMs / 1000.0);
-    o.putNull("builds").put("ground", s.zone()).put("together", s.together());
+    o.putNull("builds").put("ground", s.zone()).put("together", s.sameZone());
     o.put("scatter", false).put("driftwood", true).put("reckon_s", runMs / 1000.0);
     if (dependencies != null) {
       o.setAll(dependencies);
@@ -296,12 +296,12 @@
     bodies.put(s.id(), o);
     submit(s, Json.toBytes(o));
     if (cancelAfterMs > 0) {
-      time.after(cancelAfterMs * 1000, this, () -> cancel(s, time.ms()));
+      time.schedule(cancelAfterMs * 1000, this, () -> cancel(s, time.nowMs()));
     }
   }
 
-  private void submit(InvariantChecker.Submitted s, byte[] body) {
-    long sentMs = time.ms();
+  private void submit(InvariantChecker.SubmittedJob s, byte[] body) {
+    long sentMs = time.nowMs();
     ask(
         "POST",
         "/v1/jobs",
@@ -309,27 +309,27 @@
         SUBMIT_MS,
         CONNECT_TRIES,
         (status, standing) -> {
-          checker.submitted(s.id(), status, standing, sentMs);
+          checker.observeSubmissionAnswer(s.id(), status, standing, sentMs);
           if (status == 200 || status == 201) {
             accepted(s);
             poll(s);
           } else if (status == 422) {
-            open--; // Never: it is not sent again.
-          } else if (time.ms() - s.ms() < PATIENCE_MS) {
-            time.after(1_000_000 + random.nextLong(500_000), this, () -> submit(s, body));
+            openJobs--; // Never: it is not sent again.
+          } else if (time.nowMs() - s.submittedMs() < PATIENCE_MS) {
+            time.schedule(1_000_000 + random.nextLong(500_000), this, () -> submit(s, body));
           } else {
-            open--;
+            openJobs--;
           }
         });
   }
 
-  private void poll(InvariantChecker.Submitted s) {
-    time.after(
+  private void poll(InvariantChecker.SubmittedJob s) {
+    time.schedule(
         EVERY_MS * 1000 + random.nextLong(500_000),
         this,
         () -> {
-          checker.asks(s.id());
-          long sentMs = time.ms();
+          checker.observeQuery(s.id());
+          long sentMs = time.nowMs();
           ask(
               "GET",
               "/v1/jobs/" + s.id(),
@@ -337,10 +337,10 @@
               POLL_MS,
               CONNECT_TRIES,
               (status, standing) -> {
-                checker.told(s.id(), status, standing, sentMs);
+                checker.observeJobAnswer(s.id(), status, standing, sentMs);
                 if (standing.equals("done") || standing.equals("withdrawn")) {
-                  lookClosely(s.id());
-                  open--;
+                  checkClosely(s.id());
+                  openJobs--;
                 } else {
                   poll(s);
                 }
@@ -348,9 +348,9 @@
         });
   }
 
-  private void cancel(InvariantChecker.Submitted s, long sinceMs) {
-    checker.cancels(s.id());
-    long sentMs = time.ms();
+  private void cancel(InvariantChecker.SubmittedJob s, long sinceMs) {
+    checker.observeCancellationRequest(s.id());
+    long sentMs = time.nowMs();
     ask(
         "POST",
         "/v1/jobs/" + s.id() + "/withdraw",
@@ -359,68 +359,68 @@
         CONNECT_TRIES,
         (status, standing) -> {
           if (status != 404) {
-            checker.told(s.id(), status, standing, sentMs);
+            checker.observeJobAnswer(s.id(), status, standing, sentMs);
           }
           if (status == 200) {
-            lookClosely(s.id());
+            checkClosely(s.id());
           }
-          if (status != 200 && time.ms() - sinceMs < PATIENCE_MS) {
-            time.after(1_500_000, this, () -> cancel(s, sinceMs));
+          if (status != 200 && time.nowMs() - sinceMs < PATIENCE_MS) {
+            time.schedule(1_500_000, this, () -> cancel(s, sinceMs));
           }
         });
   }
 
-  private final Map<String, InvariantChecker.Submitted> jobs = new HashMap<>();
+  private final Map<String, InvariantChecker.SubmittedJob> jobs = new HashMap<>();
   private final Map<String, ObjectNode> bodies = new LinkedHashMap<>();
 
   /** Cancels a job, and goes on until it is told an end. */
   void cancel(String id) {
-    cancel(jobs.get(id), time.ms());
+    cancel(jobs.get(id), time.nowMs());
   }
 
   /** How long a task of the job runs. */
   long runMs(String id) {
-    return times.get(id)[0];
+    return taskTimes.get(id)[0];
   }
 
   /** Submits a job once more. */
-  void repeat(String id) {
-    long sentMs = time.ms();
+  void resubmit(String id) {
+    long sentMs = time.nowMs();
     ask(
         "POST",
         "/v1/jobs",
         Json.toBytes(bodies.get(id)),
         SUBMIT_MS,
         CONNECT_TRIES,
-        (status, standing) -> checker.submitted(id, status, standing, sentMs));
+        (status, standing) -> checker.observeSubmissionAnswer(id, status, standing, sentMs));
   }
 
   /** Asks about a job once. */
-  void question(String id) {
-    long sentMs = time.ms();
+  void query(String id) {
+    long sentMs = time.nowMs();
     ask(
         "GET",
         "/v1/jobs/" + id,
         NOTHING,
         POLL_MS,
         CONNECT_TRIES,
-        (status, standing) -> checker.told(id, status, standing, sentMs));
+        (status, standing) -> checker.observeJobAnswer(id, status, standing, sentMs));
   }
 
   /** One of the odd things that users send, of some job that there is. */
-  void odd(int count) {
+  void sendOddRequest(int count) {
     if (bodies.isEmpty()) {
       return;
     }
     List<String> ids = new ArrayList<>(bodies.keySet());
     String id = ids.get(random.nextInt(ids.size()));
-    if (checker.told(id)) {
+    if (checker.isEnded(id)) {
       cancel(id); // Done or cancelled: it stays what it was called.
       return;
     }
     if (random.nextBoolean()) {
-      if (checker.accepted(id)) {
-        repeat(id);
+      if (checker.isAccepted(id)) {
+        resubmit(id);
       }
       return;
     }
@@ -441,7 +441,7 @@
         Json.toBytes(o),
         SUBMIT_MS,
         CONNECT_TRIES,
-        (status, standing) -> checker.answeredInvalid(what, status));
+        (status, standing) -> checker.observeInvalidSubmissionAnswer(what, status));
   }
 
   /** A field and what is wrong with it; a team or a zone that is not there is text as well. */
@@ -471,13 +471,13 @@
           "due_s negative");
 
   /** Asks about a job that nobody has submitted. */
-  void stray(String id) {
+  void queryUnknownJob(String id) {
     ask(
         "GET",
         "/v1/jobs/" + id,
         NOTHING,
         POLL_MS,
         1,
-        (status, standing) -> checker.told(id, status, standing, 0));
+        (status, standing) -> checker.observeJobAnswer(id, status, standing, 0));
   }
 }
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -20,15 +20,15 @@
   private static final long EAGER_MS = 500;
 
   /** What a task is, by its job. */
-  interface Jobs {
+  interface JobDirectory {
     /** Run and fetch time in milliseconds, or null when there is no such job. */
-    long[] times(String job);
+    long[] taskTimesMs(String job);
 
     /** The image of a job. */
-    String image(String job);
+    String imageOf(String job);
 
     /** The worker that listens there, or null. */
-    WorkerModel at(String address);
+    WorkerModel workerAt(String address);
   }
 
   private static final class Task {
@@ -47,7 +47,7 @@
   private final Network network;
   private final SplittableRandom random;
   private final List<SimulatedEnvironment> nodes;
-  private final Jobs jobs;
+  private final JobDirectory jobs;
   private final InvariantChecker checker;
   private final long reportMs;
   private final long leaseMs;
@@ -63,10 +63,10 @@
   private final Set<String> ever = new HashSet<>();
 
   /** True when it takes images from others, and hands its own on. */
-  boolean handsOn;
+  boolean servesImages;
 
   /** How often an image came from another machine. */
-  long taken;
+  long imagesFromMachines;
 
   private long fencingToken;
   private long incarnation = 1;
@@ -78,14 +78,14 @@
   private boolean dirty;
   private long lastHeartbeatMs;
   private int beat;
-  private long longestMs;
+  private long longestSilenceMs;
 
   WorkerModel(
       EventQueue time,
       Network network,
       SplittableRandom random,
       List<SimulatedEnvironment> nodes,
-      Jobs jobs,
+      JobDirectory jobs,
       InvariantChecker checker,
       long reportMs,
       long leaseMs,
@@ -108,13 +108,13 @@
   double usedCpus() {
     double sum = 0;
     for (Task t : tasks.values()) {
-      sum += t.standing.equals("exited") ? 0 : checker.cpus(t.id);
+      sum += t.standing.equals("exited") ? 0 : checker.taskCpus(t.id);
     }
     return sum;
   }
 
   /** True when it has the task, fetching or running. */
-  boolean has(String task) {
+  boolean hasTask(String task) {
     for (Task t : tasks.values()) {
       if (t.id.equals(task) && !t.standing.equals("exited")) {
         return true;
@@ -129,22 +129,22 @@
   }
 
   @Override
-  boolean listens() {
-    return alive() && running;
+  boolean isListening() {
+    return isAlive() && running;
   }
 
   /** Its machine is up. */
-  void up() {
+  void machineBooted() {
     running = true;
-    answeredSentMs = time.ms();
+    answeredSentMs = time.nowMs();
     next(0);
     watch();
   }
 
   /** Its machine is gone with everything on it. */
-  void gone(String why) {
-    checker.machineGone(name, why);
-    die();
+  void machineGone(String why) {
+    checker.observeMachineGone(name, why);
+    terminate();
   }
 
   /**
@@ -152,25 +152,26 @@
    * that hangs may go on within its lease only, so this runs on.
    */
   private void watch() {
-    int mine = life();
-    time.after(
+    int mine = generation();
+    time.schedule(
         250_000,
         null,
         () -> {
-          if (mine != life()) {
+          if (mine != generation()) {
             return;
           }
-          longestMs = Math.max(longestMs, still() ? 0 : time.ms() - answeredSentMs);
-          if (time.ms() - answeredSentMs > leaseMs) {
+          longestSilenceMs =
+              Math.max(longestSilenceMs, isFrozen() ? 0 : time.nowMs() - answeredSentMs);
+          if (time.nowMs() - answeredSentMs > leaseMs) {
             for (Task t : tasks.values()) {
               if (!t.standing.equals("exited")) {
-                checker.lost(t.id, name);
+                checker.observeTaskKilledByLease(t.id, name);
               }
             }
             tasks.clear();
             images.clear();
             incarnation++;
-            answeredSentMs = time.ms();
+            answeredSentMs = time.nowMs();
             changed();
           }
           watch();
@@ -179,7 +180,7 @@
 
   private void next(long ms) {
     int mine = ++beat;
-    time.after(
+    time.schedule(
         ms * 1000,
         this,
         () -> {
@@ -192,14 +193,14 @@
   private void changed() {
     dirty = true;
     if (!out) {
-      next(Math.max(0, lastHeartbeatMs + EAGER_MS - time.ms()));
+      next(Math.max(0, lastHeartbeatMs + EAGER_MS - time.nowMs()));
     }
   }
 
   private void report() {
     out = true;
     dirty = false;
-    long sentMs = time.ms();
+    long sentMs = time.nowMs();
     lastHeartbeatMs = sentMs;
     long ofSession = incarnation;
     network.call(
@@ -270,7 +271,7 @@
     ObjectNode o = Json.object();
     o.put("hearth", name).put("address", address()).put("build", CloudModel.TYPE);
     o.put("ground", zone).put("driftwood", false);
-    if (handsOn) {
+    if (servesImages) {
       o.put("hands_on", true);
     }
     o.put("watch", incarnation).put("tally", ++tally).put("baton", fencingToken);
@@ -287,7 +288,8 @@
   }
 
   @Override
-  void take(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
+  void handleRequest(
+      Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
     ObjectNode o = parsed(body);
     if (target.equals("/orders")) {
       boolean stale =
@@ -331,7 +333,7 @@
     for (Task t : tasks.values()) {
       there |= t.id.equals(id) && !t.standing.equals("exited");
     }
-    long[] times = jobs.times(id.substring(0, id.lastIndexOf('/')));
+    long[] times = jobs.taskTimesMs(id.substring(0, id.lastIndexOf('/')));
     Task t = new Task(id, attempt);
     tasks.put(key, t);
     changed();
@@ -340,7 +342,7 @@
       t.cause = there ? "in_use" : "no_such";
       return;
     }
-    String image = jobs.image(id.substring(0, id.lastIndexOf('/')));
+    String image = jobs.imageOf(id.substring(0, id.lastIndexOf('/')));
     after(
         t,
         key,
@@ -349,7 +351,7 @@
           t.standing = "running";
           images.add(image);
           ever.add(image);
-          checker.starts(id, attempt, name, zone);
+          checker.observeTaskStart(id, attempt, name, zone);
           changed();
           after(
               t,
@@ -365,15 +367,17 @@
   /** From a giver in a third of the time; from the source where none of those named has it. */
   private long fetchMs(String image, long fromSource, JsonNode imageSources) {
     for (JsonNode g : imageSources) {
-      WorkerModel w = jobs.at(g.asText());
+      WorkerModel w = jobs.workerAt(g.asText());
       if (w != null && !w.ever.contains(image)) {
-        checker.breach("fetched_from_nobody", name + " is sent to " + w.name + " for " + image);
+        checker.reportBreach(
+            "fetched_from_nobody", name + " is sent to " + w.name + " for " + image);
       }
-      if (!handsOn) {
-        checker.breach("fetched_from_nobody", name + " hands nothing on and is told of givers");
+      if (!servesImages) {
+        checker.reportBreach(
+            "fetched_from_nobody", name + " hands nothing on and is told of givers");
       }
-      if (w != null && w.listens() && !w.still() && w.images.contains(image)) {
-        taken++;
+      if (w != null && w.isListening() && !w.isFrozen() && w.images.contains(image)) {
+        imagesFromMachines++;
         return fromSource / 3;
       }
     }
@@ -382,7 +386,7 @@
 
   /** Later, if the task is still what it was. */
   private void after(Task t, String key, long ms, Runnable then) {
-    time.after(
+    time.schedule(
         ms * 1000,
         this,
         () -> {
@@ -394,7 +398,7 @@
 
   private void exit(Task t, String cause) {
     if (t.standing.equals("running")) {
-      checker.exits(t.id, name, cause.equals("done"));
+      checker.observeTaskExit(t.id, name, cause.equals("done"));
     }
     t.standing = "exited";
     t.cause = cause;
@@ -402,7 +406,7 @@
   }
 
   /** The longest that it went without an answer while its machine ran. */
-  long longestMs() {
-    return longestMs;
+  long longestSilenceMs() {
+    return longestSilenceMs;
   }
 }
--- a/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
+++ b/src/test/java/org/mallowroad/core/image/ImageDistributionTest.java
@@ -362,20 +362,20 @@
   void servingMachinesBringWaveNearTheoreticalBoundDespiteFailures() {
     for (boolean failures : new boolean[] {false, true}) {
       ImageFetchPolicy servingPolicy = new ImageFetchPolicy(16, 0, 1, 2, 1);
-      ImageFetchWave.Setting serving =
-          new ImageFetchWave.Setting(200, 350, 20, servingPolicy, true, failures);
-      ImageFetchWave.Figures servingFigures = new ImageFetchWave(serving, 1).play();
+      ImageFetchWave.Settings serving =
+          new ImageFetchWave.Settings(200, 350, 20, servingPolicy, true, failures);
+      ImageFetchWave.Result servingFigures = new ImageFetchWave(serving, 1).run();
       assertTrue(
-          servingFigures.lastS() > 0
-              && servingFigures.lastS() <= 1.1 * ImageFetchWave.bound(serving),
-          "last " + servingFigures.lastS());
-      ImageFetchWave.Setting notServing =
-          new ImageFetchWave.Setting(
+          servingFigures.allRunningS() > 0
+              && servingFigures.allRunningS() <= 1.1 * ImageFetchWave.lowerBoundS(serving),
+          "last " + servingFigures.allRunningS());
+      ImageFetchWave.Settings notServing =
+          new ImageFetchWave.Settings(
               200, 350, 20, new ImageFetchPolicy(0, 0, 0, 2, 1), false, failures);
-      ImageFetchWave.Figures notServingFigures = new ImageFetchWave(notServing, 1).play();
+      ImageFetchWave.Result notServingFigures = new ImageFetchWave(notServing, 1).run();
       assertTrue(
-          notServingFigures.firstS() > 5 * servingFigures.firstS(),
-          "first " + notServingFigures.firstS());
+          notServingFigures.firstRunningS() > 5 * servingFigures.firstRunningS(),
+          "first " + notServingFigures.firstRunningS());
     }
   }
 }
--- a/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
+++ b/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
@@ -58,7 +58,7 @@
 
   private static Simulation.Result play(Scenario plan) {
     try {
-      return new Simulation(plan).play();
+      return new Simulation(plan).run();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -76,17 +76,21 @@
                   .mapToObj(seed -> play(plan.apply(seed)))
                   .toList();
           List<String> bad =
-              all.stream().filter(r -> !r.good()).map(r -> r.line() + " " + r.breaches()).toList();
+              all.stream()
+                  .filter(r -> !r.hasNoBreaches())
+                  .map(r -> r.summaryLine() + " " + r.breaches())
+                  .toList();
           assertEquals(List.of(), bad);
           assertTrue(
               all.stream().anyMatch(came),
               () ->
-                  "the meeting came about: " + all.stream().map(Simulation.Result::line).toList());
+                  "the meeting came about: "
+                      + all.stream().map(Simulation.Result::summaryLine).toList());
         });
   }
 
   private static Predicate<Simulation.Result> cancelled(int jobs) {
-    return r -> r.cancelled() >= jobs;
+    return r -> r.cancelledJobs() >= jobs;
   }
 
   private static Predicate<Simulation.Result> terms(int terms) {
@@ -94,7 +98,7 @@
   }
 
   private static Predicate<Simulation.Result> killed() {
-    return r -> r.killed() > 0;
+    return r -> r.killedTasks() > 0;
   }
 
   /** The gap: its spans, who else is cut off, which leader it is, what the tasks do. */
@@ -108,7 +112,7 @@
             cancelled(6).and(killed())),
         row(
             "refused 3 s before, out for shorter than cancel_s",
-            of(fault(Kind.STATE_REFUSES, 29_000, 14_000), cancel(29_500), out.lasting(12_000)),
+            of(fault(Kind.STATE_REFUSES, 29_000, 14_000), cancel(29_500), out.withDuration(12_000)),
             cancelled(6)),
         row(
             "refused 14 s before",
@@ -156,7 +160,7 @@
                 fault(Kind.LISTS_CROWDED, 28_000, 50_000),
                 fault(Kind.STATE_REFUSES, 29_000, 1_500),
                 cancel(33_000)),
-            cancelled(6).and(r -> r.goneMs() < 3_000)),
+            cancelled(6).and(r -> r.longestRunAfterCancellationMs() < 3_000)),
         row(
             "the same, and no controller hears of it from another",
             of(
@@ -330,7 +334,7 @@
                 fault(Kind.DIE, 20_000, 1_000, 0, 5),
                 fault(Kind.DIE, 30_000, 1_000, 0, 5),
                 fault(Kind.DIE, 40_000, 1_000, 0, 5)),
-            r -> r.unfinished() == 0),
+            r -> r.unfinishedJobs() == 0),
         row(
             "orders and answers held for seconds, and the machine goes on",
             of(
@@ -356,15 +360,15 @@
                 new Fault(Kind.CUT_WORKERS, 10_000, 60_000, LEADER, 0, "a", "lossy", 0, 1),
                 fault(Kind.STATE_SLOW, 10_000, 60_000, 0, 10),
                 odd),
-            r -> r.unfinished() == 0));
+            r -> r.unfinishedJobs() == 0));
   }
 
   private static Predicate<Simulation.Result> looks(int jobs) {
-    return r -> r.looks() >= jobs;
+    return r -> r.closelyCheckedJobs() >= jobs;
   }
 
   private static Predicate<Simulation.Result> kept(int reports) {
-    return r -> r.keptReports() >= reports;
+    return r -> r.replayedReports() >= reports;
   }
 
   /** Users look at all nodes after each accept, end and cancellation, whatever else happens. */
@@ -588,7 +592,7 @@
   }
 
   private static int done(List<Simulation.Result> all) {
-    return all.stream().mapToInt(Simulation.Result::done).sum();
+    return all.stream().mapToInt(Simulation.Result::completedJobs).sum();
   }
 
   /** One-task jobs as fast as the users' page has them. */
--- a/src/test/java/org/mallowroad/simulation/RatingModelTest.java
+++ b/src/test/java/org/mallowroad/simulation/RatingModelTest.java
@@ -29,13 +29,13 @@
     final RatingModel model = new RatingModel(checker, store);
 
     Told() {
-      model.wants("job-1", List.of(new RatingModel.Want(0, "m", 1)));
-      model.wants("job-2", List.of(new RatingModel.Want(1, "m", 1)));
-      model.prints("job-3", List.of("job-1"));
+      model.addRatingJob("job-1", List.of(new RatingModel.Want(0, "m", 1)));
+      model.addRatingJob("job-2", List.of(new RatingModel.Want(1, "m", 1)));
+      model.addPrintJob("job-3", List.of("job-1"));
       for (String j : List.of("job-1", "job-2", "job-3")) {
-        checker.submits(
-            new InvariantChecker.Submitted(j, "blue", "c", 1, 1, null, false, false, 0));
-        checker.submitted(j, 201, "queued", 0);
+        checker.observeFirstSubmission(
+            new InvariantChecker.SubmittedJob(j, "blue", "c", 1, 1, null, false, false, 0));
+        checker.observeSubmissionAnswer(j, 201, "queued", 0);
       }
       sides("job-1", "job-2");
       put(RecordKeys.endedJob("job-1"), Json.object().put("end", "done"));
@@ -67,8 +67,8 @@
     }
 
     void printed() {
-      checker.starts("job-3/0", 1, "m1", "a");
-      checker.exits("job-3/0", "m1", true);
+      checker.observeTaskStart("job-3/0", 1, "m1", "a");
+      checker.observeTaskExit("job-3/0", "m1", true);
       put(RecordKeys.endedJob("job-3"), Json.object().put("end", "done"));
     }
   }
@@ -79,7 +79,7 @@
         () -> {
           Told t = new Told();
           mutant.accept(t);
-          t.model.end();
+          t.model.checkAtEnd();
           List<String> rules =
               t.checker.breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList();
           assertEquals(rule.isEmpty() ? List.of() : List.of(rule), rules);
@@ -94,7 +94,7 @@
             "folded_twice",
             "two jobs are done with one side, a later correction hides it",
             t -> {
-              t.model.wants("job-2", List.of(new RatingModel.Want(0, "m", 1)));
+              t.model.addRatingJob("job-2", List.of(new RatingModel.Want(0, "m", 1)));
               Block b = new Block();
               Fold base = new Fold(1, false, "job-1", true, null);
               b.set(new Block.Side(0, "m"), new Fold(2, false, "job-5", false, base));
@@ -112,7 +112,7 @@
             "half_folded",
             "claims of a job that was never accepted",
             t -> {
-              t.model.wants("job-6", List.of(new RatingModel.Want(2, "m", 1)));
+              t.model.addRatingJob("job-6", List.of(new RatingModel.Want(2, "m", 1)));
               Block b = new Block();
               b.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", false, null));
               b.set(new Block.Side(1, "m"), new Fold(1, false, "job-2", false, null));
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -92,7 +92,7 @@
     this.network = new Network(time, random.split());
     Map<String, Double> limits = new HashMap<>();
     TEAMS.forEach(team -> limits.put(team, 60.0));
-    this.checker = new InvariantChecker(time::ms, limits, CANCEL_MS);
+    this.checker = new InvariantChecker(time::nowMs, limits, CANCEL_MS);
     this.state = new StateModel(time, random.split(), STATE_RPS, STATE_WRITE_RPS);
     this.cloud =
         new CloudModel(time, random.split(), Scenario.ZONES, MACHINES_A_ZONE, this::createWorker);
@@ -114,7 +114,7 @@
     }
     network.controllers = hosts;
     this.users = new UserModel(time, network, random.split(), hosts, checker);
-    users.workers =
+    users.workerByAddress =
         address ->
             directory.get(address.substring(0, address.indexOf(':'))) instanceof WorkerModel w
                 ? w
@@ -128,18 +128,18 @@
       at(10 + 20 * i, () -> startNode(node));
     }
     submitJobs();
-    new RatingModel(time, random.split(), users, checker, state.store()).load(6, 50_000);
+    new RatingModel(time, random.split(), users, checker, state.store()).scheduleJobs(6, 50_000);
     scheduleFaults();
-    while (time.ms() < END_MS) {
-      long until = time.us() + STEP_US;
-      while (time.step(until)) {
+    while (time.nowMs() < END_MS) {
+      long until = time.nowUs() + STEP_US;
+      while (time.runNext(until)) {
         // Each step is an event.
       }
     }
   }
 
   private void at(long ms, Runnable task) {
-    time.after(ms * 1000, null, task);
+    time.schedule(ms * 1000, null, task);
   }
 
   private static String zoneOf(int node) {
@@ -161,7 +161,7 @@
             index,
             nameAndZone[0],
             nameAndZone[1]);
-    worker.handsOn = index % 4 != 0;
+    worker.servesImages = index % 4 != 0;
     directory.put("w" + index, worker);
     return worker;
   }
@@ -176,10 +176,10 @@
     submit("job-300001", "gang", 4, null, true, 9_000, 500, 0);
     submit("job-300002", "gang", 3, null, true, 41_000, 500, 0);
     submit("job-400001", "weights", 12, null, false, 15_000, 9_000, 0);
-    at(20_000, () -> users.stray("job-999999"));
+    at(20_000, () -> users.queryUnknownJob("job-999999"));
     for (int i = 0; i < 60; i++) {
       int count = i;
-      at(12_000 + 1_300L * i, () -> users.odd(count));
+      at(12_000 + 1_300L * i, () -> users.sendOddRequest(count));
     }
   }
 
@@ -194,11 +194,11 @@
       long cancelAfterMs) {
     String team = TEAMS.get(tasks % TEAMS.size());
     double cpus = gang ? 4 : 2;
-    InvariantChecker.Submitted job =
-        new InvariantChecker.Submitted(id, team, taskClass, tasks, cpus, zone, gang, gang, atMs);
+    InvariantChecker.SubmittedJob job =
+        new InvariantChecker.SubmittedJob(id, team, taskClass, tasks, cpus, zone, gang, gang, atMs);
     long runMs = 3_000 + 500L * tasks;
     String priority = tasks % 3 == 0 ? "urgent" : "normal";
-    at(atMs, () -> users.job(job, priority, runMs, fetchMs, cancelAfterMs, null));
+    at(atMs, () -> users.submitJob(job, priority, runMs, fetchMs, cancelAfterMs, null));
   }
 
   private void scheduleFaults() {
@@ -206,8 +206,8 @@
     cutFor(44_000, 8_000, 0, Network.Kind.WORKER);
     cutFor(56_000, 6_000, 2, Network.Kind.CLOUD);
     at(66_000, () -> crash(leader()));
-    at(82_000, () -> state.refused = 0);
-    at(90_000, () -> state.refused = -1);
+    at(82_000, () -> state.refusedNode = 0);
+    at(90_000, () -> state.refusedNode = -1);
     at(END_MS - 5_000, () -> hosts.forEach(this::askForMetrics));
   }
 
@@ -231,13 +231,13 @@
           int node = (leader() + afterLeader) % NODES;
           Runnable lift =
               network.cut(
-                  new Network.End(Network.Kind.NODE, node, null),
-                  new Network.End(party, -1, null),
+                  new Network.PartySelector(Network.Kind.NODE, node, null),
+                  new Network.PartySelector(party, -1, null),
                   Network.Mode.REFUSE);
           Runnable liftBack =
               network.cut(
-                  new Network.End(party, -1, null),
-                  new Network.End(Network.Kind.NODE, node, null),
+                  new Network.PartySelector(party, -1, null),
+                  new Network.PartySelector(Network.Kind.NODE, node, null),
                   Network.Mode.REFUSE);
           at(
               forMs,
@@ -259,7 +259,7 @@
   }
 
   private void crash(int node) {
-    hosts.get(node).die();
+    hosts.get(node).terminate();
     at(
         3_000,
         () -> {
@@ -276,7 +276,7 @@
     SimulatedEnvironment host = hosts.get(node);
     try {
       Node process = new Node(new ClusterConfig(settings(node), operator), new RecordingHost(host));
-      time.after(0, host, process::startOnEventLoop);
+      time.schedule(0, host, process::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/org/mallowroad/simulation/SimulationTest.java
+++ b/src/test/java/org/mallowroad/simulation/SimulationTest.java
@@ -25,7 +25,7 @@
 
   private static Simulation.Result play(Scenario plan) {
     try {
-      return new Simulation(plan).play();
+      return new Simulation(plan).run();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -36,9 +36,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Scenario.drawn(seed, true)))
-            .filter(r -> !r.good())
-            .map(Simulation.Result::line)
+            .mapToObj(seed -> play(Scenario.randomFaults(seed, true)))
+            .filter(r -> !r.hasNoBreaches())
+            .map(Simulation.Result::summaryLine)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -49,9 +49,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Scenario.restarts(seed, true)))
-            .filter(r -> !r.good())
-            .map(Simulation.Result::line)
+            .mapToObj(seed -> play(Scenario.randomRestarts(seed, true)))
+            .filter(r -> !r.hasNoBreaches())
+            .map(Simulation.Result::summaryLine)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -63,9 +63,9 @@
   @Test
   void whatTheFirstRestartsFoundStaysMended() {
     for (long seed : new long[] {350, 600, 1319}) {
-      Simulation.Result r = play(Scenario.restarts(seed, true));
+      Simulation.Result r = play(Scenario.randomRestarts(seed, true));
       assertEquals(List.of(), r.breaches());
-      assertEquals(0, r.unfinished());
+      assertEquals(0, r.unfinishedJobs());
     }
   }
 
@@ -79,8 +79,8 @@
         LongStream.rangeClosed(1, 24)
             .parallel()
             .mapToObj(seed -> play(new Scenario(seed, 3, 10, 40, true, List.of(copies, end, die))))
-            .filter(r -> !r.good())
-            .map(Simulation.Result::line)
+            .filter(r -> !r.hasNoBreaches())
+            .map(Simulation.Result::summaryLine)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -88,19 +88,19 @@
   @Test
   void theSameSeedGivesTheSameHistory() {
     for (long seed : new long[] {3, 8}) {
-      String line = play(Scenario.drawn(seed, true)).line();
-      assertEquals(line, play(Scenario.drawn(seed, true)).line());
-      assertNotEquals(line, play(Scenario.drawn(seed + 1, true)).line());
+      String line = play(Scenario.randomFaults(seed, true)).summaryLine();
+      assertEquals(line, play(Scenario.randomFaults(seed, true)).summaryLine());
+      assertNotEquals(line, play(Scenario.randomFaults(seed + 1, true)).summaryLine());
     }
   }
 
   @Test
   void noCutOfOneNodeFromOnePartyCostsATakeoverOrALease() {
     List<String> bad =
-        Scenario.matrix(5, true).parallelStream()
+        Scenario.singleCuts(5, true).parallelStream()
             .map(SimulationTest::play)
-            .filter(r -> !r.good() || r.terms() > 1 || r.killed() > 0)
-            .map(r -> r.plan().faults() + " " + r.line())
+            .filter(r -> !r.hasNoBreaches() || r.terms() > 1 || r.killedTasks() > 0)
+            .map(r -> r.scenario().faults() + " " + r.summaryLine())
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -109,20 +109,20 @@
   @Test
   void withoutTheWaysRoundTheSameCutsCostTakeovers() {
     long terms =
-        Scenario.matrix(5, false).parallelStream()
+        Scenario.singleCuts(5, false).parallelStream()
             .map(SimulationTest::play)
             .mapToLong(Simulation.Result::terms)
             .sum();
-    assertTrue(terms > Scenario.matrix(5, false).size() + 10, "terms: " + terms);
+    assertTrue(terms > Scenario.singleCuts(5, false).size() + 10, "terms: " + terms);
   }
 
   /** Found by seeds 410 and 1820 of the first 2,000: attempts of an earlier session stayed. */
   @Test
   void whatTheFirstHistoriesFoundStaysMended() {
     for (long seed : new long[] {410, 1820}) {
-      Simulation.Result r = play(Scenario.drawn(seed, true));
+      Simulation.Result r = play(Scenario.randomFaults(seed, true));
       assertEquals(List.of(), r.breaches());
-      assertEquals(0, r.unfinished());
+      assertEquals(0, r.unfinishedJobs());
     }
   }
 
@@ -134,8 +134,8 @@
         LongStream.rangeClosed(1, 24)
             .parallel()
             .mapToObj(seed -> play(new Scenario(seed, 3, 10, 60, true, List.of(alone))))
-            .filter(r -> !r.good())
-            .map(Simulation.Result::line)
+            .filter(r -> !r.hasNoBreaches())
+            .map(Simulation.Result::summaryLine)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -149,9 +149,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Scenario.unheard(seed, true)))
-            .filter(r -> !r.good() || r.recoveryMs() > 30_000)
-            .map(Simulation.Result::line)
+            .mapToObj(seed -> play(Scenario.randomMessageFaults(seed, true)))
+            .filter(r -> !r.hasNoBreaches() || r.longestRecoveryMs() > 30_000)
+            .map(Simulation.Result::summaryLine)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -161,9 +161,9 @@
    */
   @Test
   void whatTheFirstHistoriesOfTheUnheardFoundStaysMended() {
-    Simulation.Result r = play(Scenario.unheard(166, true));
+    Simulation.Result r = play(Scenario.randomMessageFaults(166, true));
     assertEquals(List.of(), r.breaches());
-    assertEquals(0, r.unfinished());
+    assertEquals(0, r.unfinishedJobs());
   }
 
   /** Rating jobs, corrections and prints beside the same failures: none twice, none skipped. */
@@ -172,9 +172,9 @@
     List<String> bad =
         LongStream.rangeClosed(1, HISTORIES)
             .parallel()
-            .mapToObj(seed -> play(Scenario.ratings(seed, true)))
-            .filter(r -> !r.good())
-            .map(Simulation.Result::line)
+            .mapToObj(seed -> play(Scenario.ratingJobs(seed, true)))
+            .filter(r -> !r.hasNoBreaches())
+            .map(Simulation.Result::summaryLine)
             .toList();
     assertEquals(List.of(), bad);
   }
@@ -185,19 +185,21 @@
     List<Simulation.Result> all =
         LongStream.rangeClosed(1, HISTORIES / 2)
             .parallel()
-            .mapToObj(seed -> play(Scenario.waves(seed, true)))
+            .mapToObj(seed -> play(Scenario.imageFetchWaves(seed, true)))
             .toList();
     assertEquals(
-        List.of(), all.stream().filter(r -> !r.good()).map(Simulation.Result::line).toList());
+        List.of(),
+        all.stream().filter(r -> !r.hasNoBreaches()).map(Simulation.Result::summaryLine).toList());
     assertTrue(
-        all.stream().mapToLong(Simulation.Result::taken).sum() > 100, "images were handed on");
+        all.stream().mapToLong(Simulation.Result::imagesFromMachines).sum() > 100,
+        "images were handed on");
   }
 
   @Test
   void aPlanSurvivesItsFile(@TempDir Path dir) throws IOException {
-    Scenario plan = Scenario.drawn(12, true);
+    Scenario plan = Scenario.randomFaults(12, true);
     Path f = dir.resolve("plan.toml");
-    Files.writeString(f, plan.toml());
+    Files.writeString(f, plan.toToml());
     assertEquals(plan, Scenario.load(f.toString()));
   }
 
@@ -208,11 +210,11 @@
       Simulation world = new Simulation(new Scenario(1, 3, 10, 24, true, List.of()));
       if (older) {
         // Two of them: whoever leads has one among its peers.
-        world.unknownMessage(1, "/reads-shared-starts");
-        world.unknownMessage(2, "/reads-shared-starts");
+        world.setUnknownMessage(1, "/reads-shared-starts");
+        world.setUnknownMessage(2, "/reads-shared-starts");
       }
-      assertEquals(List.of(), world.play().breaches());
-      assertEquals(older, world.sharedStarts() == 0);
+      assertEquals(List.of(), world.run().breaches());
+      assertEquals(older, world.sharedStartWrites() == 0);
     }
   }
 
@@ -223,7 +225,7 @@
     Fault atEnd = new Fault(Fault.Kind.CANCEL_AT_END, 1_000, 100_000, 0, 0, "a", "", 0, 1);
     Simulation world = new Simulation(new Scenario(3, 3, 10, 24, true, List.of(looks, atEnd)));
     Map<String, byte[]> before = new HashMap<>();
-    world.filterAnswers(
+    world.setAnswerFilter(
         (from, target, body) -> {
           if (from.index != 1 || target.equals("/v1/jobs")) {
             return body;
@@ -233,7 +235,7 @@
         });
     assertEquals(
         List.of("went_back"),
-        world.play().breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList());
+        world.run().breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList());
   }
 
   /** A history told by hand, with the clock in hand. */
@@ -249,18 +251,19 @@
 
     private void submit(
         String id, String team, int tasks, double cpus, String zone, boolean together) {
-      checker.submits(
-          new InvariantChecker.Submitted(id, team, "c", tasks, cpus, zone, together, false, now));
-      checker.submitted(id, 201, "queued", now);
+      checker.observeFirstSubmission(
+          new InvariantChecker.SubmittedJob(
+              id, team, "c", tasks, cpus, zone, together, false, now));
+      checker.observeSubmissionAnswer(id, 201, "queued", now);
     }
 
     private void start(String task, String machine, String zone) {
-      checker.starts(task, 1, machine, zone);
+      checker.observeTaskStart(task, 1, machine, zone);
     }
 
     private void told(String id, int status, String standing) {
-      checker.asks(id);
-      checker.told(id, status, standing, now + 1);
+      checker.observeQuery(id);
+      checker.observeJobAnswer(id, status, standing, now + 1);
     }
 
     private void finish() {
@@ -268,7 +271,7 @@
         if (t > 0) {
           start("job-1/1", "m1", "a");
         }
-        checker.exits("job-1/" + t, "m1", true);
+        checker.observeTaskExit("job-1/" + t, "m1", true);
       }
       now += 100;
       told("job-1", 200, "done");
@@ -281,7 +284,7 @@
         () -> {
           Told t = new Told();
           mutant.accept(t);
-          t.checker.end(250_000);
+          t.checker.checkAtEnd(250_000);
           List<String> rules =
               t.checker.breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList();
           assertEquals(rule.isEmpty() ? List.of() : List.of(rule), rules);
@@ -296,22 +299,22 @@
             "",
             "a task lost with its machine runs again, and a poll of before is answered after",
             t -> {
-              t.checker.machineGone("m1", "died");
+              t.checker.observeMachineGone("m1", "died");
               t.start("job-1/0", "m2", "a");
-              t.checker.exits("job-1/0", "m2", true);
+              t.checker.observeTaskExit("job-1/0", "m2", true);
               t.start("job-1/1", "m2", "a");
-              t.checker.exits("job-1/1", "m2", true);
+              t.checker.observeTaskExit("job-1/1", "m2", true);
               t.now += 10;
               t.told("job-1", 200, "done");
-              t.checker.told("job-1", 200, "running", t.now - 5);
+              t.checker.observeJobAnswer("job-1", 200, "running", t.now - 5);
             }),
         breaks(
             "ran_twice",
             "on two machines",
             t -> {
               t.start("job-1/0", "m2", "a");
-              t.checker.exits("job-1/0", "m2", true);
-              t.checker.machineGone("m1", "died");
+              t.checker.observeTaskExit("job-1/0", "m2", true);
+              t.checker.observeMachineGone("m1", "died");
               t.start("job-1/0", "m1", "a");
               t.finish();
             }),
@@ -322,9 +325,9 @@
               t.start("job-1/1", "m1", "a");
               t.submit("job-2", "red", 1, 2, null, false);
               t.start("job-2/0", "m2", "a");
-              t.checker.exits("job-2/0", "m2", true);
+              t.checker.observeTaskExit("job-2/0", "m2", true);
               t.told("job-2", 200, "done");
-              t.checker.exits("job-1/1", "m1", true);
+              t.checker.observeTaskExit("job-1/1", "m1", true);
               t.finish();
             }),
         breaks(
@@ -333,7 +336,7 @@
             t -> {
               t.submit("job-2", "green", 1, 1, "b", false);
               t.start("job-2/0", "m2", "a");
-              t.checker.exits("job-2/0", "m2", true);
+              t.checker.observeTaskExit("job-2/0", "m2", true);
               t.told("job-2", 200, "done");
               t.finish();
             }),
@@ -344,8 +347,8 @@
               t.submit("job-2", "green", 2, 1, null, true);
               t.start("job-2/0", "m2", "a");
               t.start("job-2/1", "m3", "b");
-              t.checker.exits("job-2/0", "m2", true);
-              t.checker.exits("job-2/1", "m3", true);
+              t.checker.observeTaskExit("job-2/0", "m2", true);
+              t.checker.observeTaskExit("job-2/1", "m3", true);
               t.told("job-2", 200, "done");
               t.finish();
             }),
@@ -353,7 +356,7 @@
             "forgotten",
             "no answer for 75 s after all troubles, however others fare",
             t -> {
-              t.checker.calmFrom(1_000);
+              t.checker.setLastFaultEndMs(1_000);
               t.told("job-1", 200, "running");
               t.now = 76_001;
               t.told("job-1", 200, "running");
@@ -363,7 +366,7 @@
             "",
             "no answer for longer while troubles last",
             t -> {
-              t.checker.calmFrom(60_000);
+              t.checker.setLastFaultEndMs(60_000);
               t.told("job-1", 200, "running");
               t.now = 76_001;
               t.told("job-1", 200, "running");
@@ -381,7 +384,7 @@
               t.now += 240_001;
               t.start("job-2/2", "m2", "a");
               for (int i = 0; i < 3; i++) {
-                t.checker.exits("job-2/" + i, "m2", true);
+                t.checker.observeTaskExit("job-2/" + i, "m2", true);
               }
               t.told("job-2", 200, "done");
             }),
@@ -389,18 +392,18 @@
             "ran_cancelled",
             "still there",
             t -> {
-              t.checker.cancels("job-1");
+              t.checker.observeCancellationRequest("job-1");
               t.told("job-1", 200, "withdrawn");
               t.now += 10_001;
-              t.checker.look();
+              t.checker.checkCancelledJobs();
             }),
         breaks(
             "ran_cancelled",
             "starts late",
             t -> {
-              t.checker.cancels("job-1");
+              t.checker.observeCancellationRequest("job-1");
               t.told("job-1", 200, "withdrawn");
-              t.checker.machineGone("m1", "died");
+              t.checker.observeMachineGone("m1", "died");
               t.now += 10_001;
               t.start("job-1/0", "m1", "a");
             }),
@@ -408,8 +411,8 @@
             "accepted_invalid",
             "a job that lacks a field",
             t -> {
-              t.checker.answeredInvalid("cpus absent", 400);
-              t.checker.answeredInvalid("cpus absent", 201);
+              t.checker.observeInvalidSubmissionAnswer("cpus absent", 400);
+              t.checker.observeInvalidSubmissionAnswer("cpus absent", 201);
               t.finish();
             }),
         breaks(
@@ -423,7 +426,7 @@
             "forgotten",
             "refused when sent again",
             t -> {
-              t.checker.submitted("job-1", 422, "", t.now);
+              t.checker.observeSubmissionAnswer("job-1", 422, "", t.now);
               t.finish();
             }),
         breaks(
@@ -437,7 +440,7 @@
             "not_done",
             "a task is missing",
             t -> {
-              t.checker.exits("job-1/0", "m1", true);
+              t.checker.observeTaskExit("job-1/0", "m1", true);
               t.told("job-1", 200, "done");
             }),
         breaks(
@@ -453,7 +456,7 @@
             "nobody withdrew it",
             t -> {
               t.told("job-1", 200, "withdrawn");
-              t.checker.machineGone("m1", "died");
+              t.checker.observeMachineGone("m1", "died");
             }),
         breaks(
             "stuck",
@@ -468,8 +471,8 @@
             t -> {
               t.start("job-1/1", "m1", "a");
               t.now += 250_001;
-              t.checker.exits("job-1/0", "m1", true);
-              t.checker.exits("job-1/1", "m1", true);
+              t.checker.observeTaskExit("job-1/0", "m1", true);
+              t.checker.observeTaskExit("job-1/1", "m1", true);
               t.told("job-1", 200, "done");
             }));
   }
@@ -477,16 +480,16 @@
   @Test
   void startsAfterTheWordAndHowLongTasksOutlastItAreCounted() {
     Told t = new Told();
-    t.checker.cancels("job-1");
+    t.checker.observeCancellationRequest("job-1");
     t.told("job-1", 200, "withdrawn");
     t.now += 2_000;
     t.start("job-1/1", "m1", "a");
     t.now += 500;
-    t.checker.exits("job-1/0", "m1", false);
-    t.checker.exits("job-1/1", "m1", false);
-    assertEquals(1, t.checker.cancelledStarts());
-    assertEquals(2_500, t.checker.goneMs());
-    assertEquals(1, t.checker.cancelled());
+    t.checker.observeTaskExit("job-1/0", "m1", false);
+    t.checker.observeTaskExit("job-1/1", "m1", false);
+    assertEquals(1, t.checker.startsAfterCancellation());
+    assertEquals(2_500, t.checker.longestRunAfterCancellationMs());
+    assertEquals(1, t.checker.cancelledJobs());
     assertEquals(List.of(), t.checker.breaches());
   }
 
@@ -512,13 +515,14 @@
                         "m-" + z,
                         z))
             .toList();
-    up.forEach(WorkerModel::up);
-    t.checker.submits(
-        new InvariantChecker.Submitted("job-2", team, "c", tasks, cpus, zone, gang, gang, t.now));
-    t.checker.submitted("job-2", 201, "queued", t.now);
+    up.forEach(WorkerModel::machineBooted);
+    t.checker.observeFirstSubmission(
+        new InvariantChecker.SubmittedJob(
+            "job-2", team, "c", tasks, cpus, zone, gang, gang, t.now));
+    t.checker.observeSubmissionAnswer("job-2", 201, "queued", t.now);
     StarvationCheck w = new StarvationCheck(t.checker, () -> up, id -> false);
     for (t.now = 0; t.now <= 5_000 + ms; t.now += 1_000) {
-      w.look(t.now, 5_000);
+      w.check(t.now, 5_000);
     }
     return t.checker.breaches().stream()
         .filter(b -> b.what().startsWith("job-2"))
