--- a/src/main/java/org/mallowroad/cli/Rehearse.java
+++ b/src/main/java/org/mallowroad/cli/Rehearse.java
@@ -46,7 +46,7 @@
   static boolean play() throws IOException, InvalidSettingsException, InterruptedException {
     long until = System.nanoTime() + MOST_MS * 1_000_000;
     List<String> at = new CopyOnWriteArrayList<>();
-    FakeCloud.Type type = new FakeCloud.Type("t", 64, 64, 1, 1, List.of("a"));
+    FakeCloud.MachineType type = new FakeCloud.MachineType("t", 64, 64, 1, 1, List.of("a"));
     try (FakeStateService state = new FakeStateService();
         FakeCloud cloud = new FakeCloud(at, List.of(type))) {
       String outside = "127.0.0.1:" + state.port();
@@ -59,7 +59,7 @@
         at.add(first.address());
         at.add(second.address());
         cloud.taskMs = 0;
-        cloud.keeping = true;
+        cloud.keepsTasksRunning = true;
         boolean going = false;
         while (!going && System.nanoTime() < until) {
           ask("GET", at.get(0), "/healthz", "");
@@ -71,15 +71,15 @@
         // Each takes over while tasks run, and the second tells the first (peers speak Avro).
         Set<String> led = new HashSet<>();
         while (led.size() < 2 && System.nanoTime() < until) {
-          String leader = state.leader();
+          String leader = state.leaderName();
           if (leader != null) {
             led.add(leader);
-            state.endLeases();
+            state.expireAllLeases();
           }
           Thread.sleep(5 * PAUSE_MS);
         }
         ask("POST", at.get(0), "/v1/jobs/job-2/withdraw", "{}");
-        cloud.keeping = false;
+        cloud.keepsTasksRunning = false;
         boolean done = false;
         while (!done && System.nanoTime() < until) {
           Thread.sleep(PAUSE_MS);
--- a/src/main/java/org/mallowroad/cli/Try.java
+++ b/src/main/java/org/mallowroad/cli/Try.java
@@ -67,16 +67,16 @@
       return 2;
     }
     List<String> controllers = new CopyOnWriteArrayList<>();
-    List<FakeCloud.Type> types =
+    List<FakeCloud.MachineType> types =
         List.of(
-            new FakeCloud.Type("small", 8, 32, 0.4, 4, ZONES),
-            new FakeCloud.Type("large", 32, 128, 1.6, 8, List.of("north")));
+            new FakeCloud.MachineType("small", 8, 32, 0.4, 4, ZONES),
+            new FakeCloud.MachineType("large", 32, 128, 1.6, 8, List.of("north")));
     List<Node> nodes = new ArrayList<>();
     try (FakeStateService state = new FakeStateService();
         FakeCloud cloud = new FakeCloud(controllers, types)) {
       cloud.taskMs = 12_000;
       cloud.fetchMs = 1_500;
-      cloud.bootPart = 1;
+      cloud.bootTimeFactor = 1;
       List<TeamSetting> teams =
           List.of(
               new TeamSetting("ratings", 24, 0, 48, 0),
@@ -118,8 +118,10 @@
     long began = System.nanoTime();
     for (int i = 0; (System.nanoTime() - began) / 1e9 < forS; i++) {
       submit(controllers.get(i % controllers.size()), i + 1, SAMPLES.get(i % SAMPLES.size()));
-      if (stall != null && cloud.stalled.isEmpty() && System.nanoTime() - began > 30_000_000_000L) {
-        cloud.stalled.add(stall);
+      if (stall != null
+          && cloud.stalledZones.isEmpty()
+          && System.nanoTime() - began > 30_000_000_000L) {
+        cloud.stalledZones.add(stall);
         System.out.println("zone " + stall + " stands still from now on");
       }
       Thread.sleep(2_000);
@@ -152,6 +154,6 @@
     OperatorSettings d = OperatorSettings.defaults();
     Endpoint listen = new Endpoint("127.0.0.1", consolePort == 0 ? 0 : consolePort + i);
     ConsoleSettings console = new ConsoleSettings(listen, 2_000, 1_000, 240);
-    return new Node(new ClusterConfig(site.node(i, CONTROLLERS), d.with(console)));
+    return new Node(new ClusterConfig(site.settingsForNode(i, CONTROLLERS), d.with(console)));
   }
 }
--- a/src/main/java/org/mallowroad/fake/FakeCloud.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -22,33 +22,34 @@
 /** A cloud; each of its machines is a thread with a worker that runs tasks. */
 public final class FakeCloud implements AutoCloseable {
   /** A machine type that it offers. */
-  public record Type(
+  public record MachineType(
       String name, double cpus, double memGb, double price, double bootS, List<String> zones) {}
 
   private final HttpServer server;
-  private final ExecutorService pool = Executors.newCachedThreadPool(FakeStateService::daemon);
+  private final ExecutorService executor =
+      Executors.newCachedThreadPool(FakeStateService::newDaemonThread);
   private final Map<String, FakeWorker> workers = new TreeMap<>();
   private final Map<String, ObjectNode> rentals = new HashMap<>();
-  private final List<String> controllers;
-  private final List<Type> types;
+  private final List<String> controllerAddresses;
+  private final List<MachineType> types;
   private int count;
 
   /** Where each running task runs. */
-  public final Map<String, String> running = new ConcurrentHashMap<>();
+  public final Map<String, String> machineByRunningTask = new ConcurrentHashMap<>();
 
-  private final AtomicInteger ranTwice = new AtomicInteger();
+  private final AtomicInteger duplicateTaskStarts = new AtomicInteger();
 
   /** While true every answer is 200 with something that is not JSON. */
-  public volatile boolean garbled;
+  public volatile boolean sendsMalformedResponses;
 
   /** While true every rent is refused for want of capacity. */
-  public volatile boolean full;
+  public volatile boolean isOutOfCapacity;
 
   /** The controller that no worker reaches, or -1. */
-  public volatile int cutFrom = -1;
+  public volatile int unreachableController = -1;
 
   /** Zones whose workers stand still. */
-  public final Set<String> stalled = ConcurrentHashMap.newKeySet();
+  public final Set<String> stalledZones = ConcurrentHashMap.newKeySet();
 
   /** How long a task runs. */
   public volatile int taskMs = 300;
@@ -57,25 +58,25 @@
   public volatile int fetchMs;
 
   /** From a rent to the worker's first report, as a part of the type's nominal boot time. */
-  public volatile double bootPart;
+  public volatile double bootTimeFactor;
 
   /** While true no task ends. */
-  public volatile boolean keeping;
+  public volatile boolean keepsTasksRunning;
 
   /** Workers kill their tasks when no report was answered for so long. */
-  public volatile long leaseMs = 26_000;
+  public volatile long workerLeaseMs = 26_000;
 
   /** One type in two zones; the list of controllers may be filled later. */
   public FakeCloud(List<String> controllers) throws IOException {
-    this(controllers, List.of(new Type("small", 4, 16, 1, 1, List.of("a", "b"))));
+    this(controllers, List.of(new MachineType("small", 4, 16, 1, 1, List.of("a", "b"))));
   }
 
   /** With the given types. */
-  public FakeCloud(List<String> controllers, List<Type> types) throws IOException {
-    this.controllers = controllers;
+  public FakeCloud(List<String> controllers, List<MachineType> types) throws IOException {
+    this.controllerAddresses = controllers;
     this.types = types;
     server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 50);
-    server.setExecutor(pool);
+    server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
   }
@@ -86,37 +87,37 @@
   }
 
   /** Where the controllers listen. */
-  List<String> controllers() {
-    return controllers;
+  List<String> controllerAddresses() {
+    return controllerAddresses;
   }
 
-  ExecutorService pool() {
-    return pool;
+  ExecutorService executor() {
+    return executor;
   }
 
   /** Tasks that started on a machine while they were on another. */
-  public int ranTwice() {
-    return ranTwice.get();
+  public int duplicateTaskStarts() {
+    return duplicateTaskStarts.get();
   }
 
   /** A task starts on a machine. */
-  void starts(String task, String machine) {
-    if (running.putIfAbsent(task, machine) != null) {
-      ranTwice.incrementAndGet();
+  void recordTaskStart(String task, String machine) {
+    if (machineByRunningTask.putIfAbsent(task, machine) != null) {
+      duplicateTaskStarts.incrementAndGet();
     }
   }
 
   @Override
   public synchronized void close() {
     server.stop(0);
-    workers.values().forEach(FakeWorker::end);
-    pool.shutdownNow();
+    workers.values().forEach(FakeWorker::stop);
+    executor.shutdownNow();
   }
 
   private void handle(HttpExchange x) throws IOException {
     byte[] body = x.getRequestBody().readAllBytes();
-    if (garbled) {
-      FakeStateService.garble(x);
+    if (sendsMalformedResponses) {
+      FakeStateService.sendMalformedResponse(x);
       return;
     }
     ObjectNode o = Json.object();
@@ -130,11 +131,11 @@
           }
           case "GET /machines" -> {
             ArrayNode list = o.putArray("hearths");
-            workers.values().forEach(w -> list.add(w.listed()));
+            workers.values().forEach(w -> list.add(w.machineRecord()));
             o.put("truncated", false);
           }
           case "POST /machines" -> {
-            if (full) {
+            if (isOutOfCapacity) {
               status = 503;
               o.put("error", "no capacity");
             } else {
@@ -145,7 +146,7 @@
             for (JsonNode n : Json.parseObject(body).path("hearths")) {
               FakeWorker w = workers.remove(n.asText());
               if (w != null) {
-                w.end();
+                w.stop();
               }
             }
           }
@@ -155,10 +156,10 @@
     } catch (InvalidMessageException e) {
       status = 400;
     }
-    FakeStateService.send(x, status, o);
+    FakeStateService.sendJson(x, status, o);
   }
 
-  private static void type(ObjectNode o, Type t) {
+  private static void type(ObjectNode o, MachineType t) {
     o.put("label", t.name).put("cpus", t.cpus).put("mem_gb", t.memGb).put("local_gb", 50.0);
     o.put("fetch_gb_per_s", 1.0).put("price", t.price).put("spot_price", 0.4 * t.price);
     o.put("boot_s", t.bootS);
@@ -178,7 +179,7 @@
     double bootS =
         types.stream()
             .filter(t -> t.name.equals(type))
-            .mapToDouble(Type::bootS)
+            .mapToDouble(MachineType::bootS)
             .findFirst()
             .orElse(0);
     for (int i = 0; i < r.path("how_many").asInt(); i++) {
@@ -189,10 +190,10 @@
               type,
               Json.requiredString(r, "ground", 200),
               r.path("driftwood").asBoolean(),
-              (long) (1000 * bootPart * bootS));
+              (long) (1000 * bootTimeFactor * bootS));
       workers.put(w.name, w);
       names.add(w.name);
-      pool.execute(w);
+      executor.execute(w);
     }
     rentals.put(rental, o);
     return o;
--- a/src/main/java/org/mallowroad/fake/FakeStateService.java
+++ b/src/main/java/org/mallowroad/fake/FakeStateService.java
@@ -14,18 +14,19 @@
 public final class FakeStateService implements AutoCloseable {
   private final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
   private final HttpServer server;
-  private final ExecutorService pool = Executors.newCachedThreadPool(FakeStateService::daemon);
+  private final ExecutorService pool =
+      Executors.newCachedThreadPool(FakeStateService::newDaemonThread);
   private int transactions;
   private boolean closed;
 
   /** Every so many transactions one is applied without a response; 0: none. */
-  public volatile int loseEvery;
+  public volatile int lostResponseInterval;
 
   /** While true every answer is 200 with something that is not JSON. */
-  public volatile boolean garbled;
+  public volatile boolean sendsMalformedResponses;
 
   /** While true everything gets 503. */
-  public volatile boolean down;
+  public volatile boolean isUnavailable;
 
   /** Listens on any port of loopback. */
   public FakeStateService() throws IOException {
@@ -35,7 +36,7 @@
     server.start();
   }
 
-  static Thread daemon(Runnable r) {
+  static Thread newDaemonThread(Runnable r) {
     Thread t = new Thread(r, "stand-in");
     t.setDaemon(true);
     return t;
@@ -47,25 +48,25 @@
   }
 
   /** True when the key exists. */
-  public synchronized boolean has(String key) {
+  public synchronized boolean hasKey(String key) {
     return store.value(key) != null;
   }
 
   /** Ends all leases, as if they had not been renewed: whoever leads is deposed unawares. */
-  public synchronized void endLeases() {
-    store.endLeases(System.currentTimeMillis());
+  public synchronized void expireAllLeases() {
+    store.expireAllLeases(System.currentTimeMillis());
     notifyAll();
   }
 
   /** The highest term given out. */
-  public synchronized long term() {
+  public synchronized long highestTerm() {
     JsonNode v = store.value("term");
     return v == null ? 0 : v.path("n").asLong();
   }
 
   /** Who leads, or null. */
-  public synchronized String leader() {
-    store.expire(System.currentTimeMillis());
+  public synchronized String leaderName() {
+    store.removeExpiredKeys(System.currentTimeMillis());
     JsonNode v = store.value("leader");
     return v == null ? null : v.path("node").asText();
   }
@@ -83,15 +84,15 @@
   private void handle(HttpExchange x) throws IOException {
     byte[] body = x.getRequestBody().readAllBytes();
     try {
-      if (garbled) {
-        garble(x);
-      } else if (down) {
-        send(x, 503, Json.object());
+      if (sendsMalformedResponses) {
+        sendMalformedResponse(x);
+      } else if (isUnavailable) {
+        sendJson(x, 503, Json.object());
       } else {
         serve(x, body);
       }
     } catch (InvalidMessageException e) {
-      send(x, 400, Json.object());
+      sendJson(x, 400, Json.object());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -100,22 +101,22 @@
   private void serve(HttpExchange x, byte[] body)
       throws IOException, InvalidMessageException, InterruptedException {
     String target = x.getRequestURI().toString();
-    long until = System.currentTimeMillis() + InMemoryKeyValueStore.block(target);
-    InMemoryKeyValueStore.Answer a;
+    long until = System.currentTimeMillis() + InMemoryKeyValueStore.watchTimeoutMs(target);
+    InMemoryKeyValueStore.Response a;
     boolean lost = false;
     synchronized (this) {
       long before = store.revision();
       while ((a = store.serve(x.getRequestMethod(), target, body, System.currentTimeMillis()))
           == null) {
         if (closed || System.currentTimeMillis() >= until) {
-          a = store.nothing();
+          a = store.emptyWatchResponse();
           break;
         }
         wait(50);
       }
       if (target.equals("/multi")) {
         transactions++;
-        lost = loseEvery > 0 && transactions % loseEvery == 0;
+        lost = lostResponseInterval > 0 && transactions % lostResponseInterval == 0;
       }
       if (store.revision() != before) {
         notifyAll();
@@ -124,18 +125,18 @@
     if (lost) {
       x.close();
     } else {
-      send(x, a.status(), a.body());
+      sendJson(x, a.status(), a.body());
     }
   }
 
-  static void garble(HttpExchange x) throws IOException {
+  static void sendMalformedResponse(HttpExchange x) throws IOException {
     byte[] b = {'<', '?', '{'};
     x.sendResponseHeaders(200, b.length);
     x.getResponseBody().write(b);
     x.close();
   }
 
-  static void send(HttpExchange x, int status, JsonNode o) throws IOException {
+  static void sendJson(HttpExchange x, int status, JsonNode o) throws IOException {
     byte[] b = Json.toBytes(o);
     x.sendResponseHeaders(status, b.length);
     x.getResponseBody().write(b);
--- a/src/main/java/org/mallowroad/fake/FakeWorker.java
+++ b/src/main/java/org/mallowroad/fake/FakeWorker.java
@@ -48,7 +48,7 @@
     this.upMs = bornMs + bootMs;
     this.lastAnswerMs = upMs;
     this.server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
-    server.setExecutor(cloud.pool());
+    server.setExecutor(cloud.executor());
     server.createContext("/orders", this::commands);
     server.start();
   }
@@ -57,7 +57,7 @@
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  ObjectNode listed() {
+  ObjectNode machineRecord() {
     ObjectNode o = Json.object();
     o.put("name_id", name).put("address", address()).put("build", type).put("ground", zone);
     o.put("driftwood", spot);
@@ -66,14 +66,14 @@
     return o;
   }
 
-  void end() {
+  void stop() {
     gone = true;
     server.stop(0);
-    cloud.running.values().removeIf(name::equals);
+    cloud.machineByRunningTask.values().removeIf(name::equals);
   }
 
   private boolean still() {
-    return cloud.stalled.contains(zone) || System.currentTimeMillis() < upMs;
+    return cloud.stalledZones.contains(zone) || System.currentTimeMillis() < upMs;
   }
 
   @Override
@@ -94,8 +94,8 @@
 
   /** Without an answer for its lease's time a worker kills and forgets all it has. */
   private synchronized void lease() {
-    if (System.currentTimeMillis() - lastAnswerMs > cloud.leaseMs) {
-      cloud.running.values().removeIf(name::equals);
+    if (System.currentTimeMillis() - lastAnswerMs > cloud.workerLeaseMs) {
+      cloud.machineByRunningTask.values().removeIf(name::equals);
       tasks.clear();
       incarnation++;
       lastAnswerMs = System.currentTimeMillis();
@@ -112,8 +112,8 @@
       switch (t.path("standing").asText()) {
         case "pulling" -> runs(e.getKey(), t, now);
         case "running" -> {
-          if (!cloud.keeping) {
-            cloud.running.remove(e.getKey(), name);
+          if (!cloud.keepsTasksRunning) {
+            cloud.machineByRunningTask.remove(e.getKey(), name);
             t.put("standing", "exited").put("cause", "done");
           }
         }
@@ -123,7 +123,7 @@
   }
 
   private void runs(String task, ObjectNode t, long now) {
-    cloud.starts(task, name);
+    cloud.recordTaskStart(task, name);
     t.put("standing", "running");
     next.put(task, now + cloud.taskMs);
   }
@@ -134,12 +134,12 @@
     synchronized (this) {
       body = Json.toBytes(state());
     }
-    if (at == cloud.cutFrom) {
-      at = (at + 1) % cloud.controllers().size();
+    if (at == cloud.unreachableController) {
+      at = (at + 1) % cloud.controllerAddresses().size();
     }
-    ObjectNode answer = send(cloud.controllers().get(at), body);
+    ObjectNode answer = send(cloud.controllerAddresses().get(at), body);
     if (answer == null || !obey(answer, sentMs)) {
-      at = (at + 1) % cloud.controllers().size();
+      at = (at + 1) % cloud.controllerAddresses().size();
     }
   }
 
@@ -186,9 +186,9 @@
         obeys = !gone && !still() && o.path("watch").asLong() == incarnation && obey(o, 0);
         answer = state();
       }
-      FakeStateService.send(x, obeys ? 200 : 409, answer);
+      FakeStateService.sendJson(x, obeys ? 200 : 409, answer);
     } catch (InvalidMessageException e) {
-      FakeStateService.send(x, 400, Json.object());
+      FakeStateService.sendJson(x, 400, Json.object());
     }
   }
 
@@ -218,7 +218,7 @@
         }
         case "stop" -> {
           if (t != null && !t.path("standing").asText().equals("exited")) {
-            cloud.running.remove(task, name);
+            cloud.machineByRunningTask.remove(task, name);
             t.put("standing", "exited").put("cause", "stopped");
           }
         }
--- a/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
+++ b/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
@@ -27,7 +27,7 @@
   private record Change(long revision, String key, JsonNode v) {}
 
   /** An answer; null in its place means that a watch must go on waiting. */
-  public record Answer(int status, ObjectNode body) {}
+  public record Response(int status, ObjectNode body) {}
 
   private final TreeMap<String, Value> data = new TreeMap<>();
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
@@ -59,18 +59,18 @@
   }
 
   /** Ends all leases, as if they had not been renewed. */
-  public void endLeases(long now) {
+  public void expireAllLeases(long now) {
     leases.clear();
-    expire(now);
+    removeExpiredKeys(now);
   }
 
   /** After an outage all leases have their full time again. */
-  public void renewLeases(long now) {
+  public void renewAllLeases(long now) {
     leases.values().forEach(l -> l[1] = now + l[0]);
   }
 
   /** Removes what hung on leases that are over. */
-  public void expire(long now) {
+  public void removeExpiredKeys(long now) {
     leases.values().removeIf(l -> l[1] < now);
     List<String> over = new ArrayList<>();
     data.forEach(
@@ -87,7 +87,7 @@
   }
 
   /** The fields of a query. */
-  static Map<String, String> query(String target) {
+  static Map<String, String> queryParameters(String target) {
     Map<String, String> q = new HashMap<>();
     int at = target.indexOf('?');
     for (String p : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
@@ -98,38 +98,38 @@
   }
 
   /** Milliseconds for which a watch may wait. */
-  public static long block(String target) {
-    return Long.parseLong(query(target).getOrDefault("block_ms", "0"));
+  public static long watchTimeoutMs(String target) {
+    return Long.parseLong(queryParameters(target).getOrDefault("block_ms", "0"));
   }
 
   /** Serves one request; null when it is a watch that has nothing to tell yet. */
-  public Answer serve(String method, String target, byte[] body, long now)
+  public Response serve(String method, String target, byte[] body, long now)
       throws InvalidMessageException {
-    expire(now);
+    removeExpiredKeys(now);
     String path = target.indexOf('?') < 0 ? target : target.substring(0, target.indexOf('?'));
     if (path.equals("/multi")) {
       return multi(Json.parseObject(body));
     } else if (path.startsWith("/leases")) {
       return lease(method, path, body, now);
     } else if (path.equals("/follow")) {
-      return follow(query(target));
+      return follow(queryParameters(target));
     } else if (path.equals("/kv")) {
-      return list(query(target));
+      return list(queryParameters(target));
     }
     return get(path.substring("/kv/".length()));
   }
 
-  private Answer get(String key) {
+  private Response get(String key) {
     ObjectNode o = Json.object();
     Value v = data.get(key);
     if (v != null) {
       o.put("key", key).put("mark", v.version).set("v", v.v);
     }
     o.put("epoch", revision);
-    return new Answer(v == null ? 404 : 200, o);
+    return new Response(v == null ? 404 : 200, o);
   }
 
-  private Answer list(Map<String, String> q) {
+  private Response list(Map<String, String> q) {
     ObjectNode o = Json.object();
     String under = q.get("under");
     String from = q.get("from");
@@ -152,10 +152,10 @@
           .set("v", e.getValue().v);
     }
     o.put("epoch", revision).put("truncated", more);
-    return new Answer(200, o);
+    return new Response(200, o);
   }
 
-  private Answer multi(ObjectNode t) {
+  private Response multi(ObjectNode t) {
     ObjectNode o = Json.object();
     ArrayNode failed = Json.array();
     for (JsonNode c : t.path("if")) {
@@ -166,13 +166,13 @@
     }
     for (JsonNode w : t.path("writes")) {
       if (w.has("tenure") && !leases.containsKey(w.path("tenure").asLong())) {
-        return new Answer(400, o.put("error", "no such lease"));
+        return new Response(400, o.put("error", "no such lease"));
       }
     }
     if (!failed.isEmpty()) {
       o.set("failed", failed);
       o.put("epoch", revision);
-      return new Answer(409, o);
+      return new Response(409, o);
     }
     if (!t.path("writes").isEmpty()) {
       revision++;
@@ -186,40 +186,40 @@
         changed(w.get("delete").asText(), null);
       }
     }
-    return new Answer(200, o.put("epoch", revision));
+    return new Response(200, o.put("epoch", revision));
   }
 
-  private Answer lease(String method, String path, byte[] body, long now)
+  private Response lease(String method, String path, byte[] body, long now)
       throws InvalidMessageException {
     ObjectNode o = Json.object();
     if (path.equals("/leases")) {
       long life = Json.parseObject(body).path("life_ms").asLong();
       leases.put(nextLease, new long[] {life, now + life});
-      return new Answer(200, o.put("tenure", nextLease++));
+      return new Response(200, o.put("tenure", nextLease++));
     }
     long id = Long.parseLong(path.split("/")[2]);
     long[] l = leases.get(id);
     if (l == null) {
-      return new Answer(404, o);
+      return new Response(404, o);
     }
     if (method.equals("DELETE")) {
       leases.remove(id);
-      expire(now);
+      removeExpiredKeys(now);
     } else {
       l[1] = now + l[0];
       o.put("tenure", id);
     }
-    return new Answer(200, o);
+    return new Response(200, o);
   }
 
-  private Answer follow(Map<String, String> q) {
+  private Response follow(Map<String, String> q) {
     long from = Long.parseLong(q.get("from"));
     String under = q.get("under");
     ObjectNode o = Json.object();
     ArrayNode events = o.putArray("events");
     o.put("epoch", revision);
     if (from < forgotten) {
-      return new Answer(410, o);
+      return new Response(410, o);
     }
     for (Change c : changes) {
       if (c.revision > from && c.key.startsWith(under)) {
@@ -231,14 +231,14 @@
         }
       }
     }
-    return events.isEmpty() ? null : new Answer(200, o);
+    return events.isEmpty() ? null : new Response(200, o);
   }
 
   /** What a watch is told whose time is over. */
-  public Answer nothing() {
+  public Response emptyWatchResponse() {
     ObjectNode o = Json.object();
     o.putArray("events");
-    return new Answer(200, o.put("epoch", revision));
+    return new Response(200, o.put("epoch", revision));
   }
 
   private void changed(String key, JsonNode v) {
--- a/src/main/java/org/mallowroad/fake/LoopbackSettings.java
+++ b/src/main/java/org/mallowroad/fake/LoopbackSettings.java
@@ -37,7 +37,7 @@
    * One of several controllers; the others are told of it by their number alone, since no port is
    * known before its node listens.
    */
-  public Settings node(int i, int of) {
+  public Settings settingsForNode(int i, int of) {
     Endpoint any = new Endpoint(HOST, 0);
     Member elsewhere = new Member("elsewhere", zones.get(0), new Endpoint(HOST, 1));
     return new Settings(
--- a/src/main/java/org/mallowroad/simulation/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -315,7 +315,8 @@
         null,
         () -> {
           if (to.isListening()) {
-            time.schedule(0, to, () -> to.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
+            time.schedule(
+                0, to, () -> to.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
           }
         });
   }
@@ -328,7 +329,8 @@
         null,
         () -> {
           if (b.isListening()) {
-            time.schedule(0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
+            time.schedule(
+                0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
           }
         });
   }
@@ -358,7 +360,8 @@
     Runnable lands =
         () -> {
           if (b.isListening()) {
-            time.schedule(0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
+            time.schedule(
+                0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
           }
         };
     time.schedule(LATENCY_US + random.nextLong(COPY_US), null, lands);
--- a/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
+++ b/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
@@ -58,7 +58,8 @@
   }
 
   @Override
-  void handleRequest(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
+  void handleRequest(
+      Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
     if (target.equals(unknownMessage)) {
       reply.answer(404, NOTHING);
       return;
--- a/src/main/java/org/mallowroad/simulation/StateModel.java
+++ b/src/main/java/org/mallowroad/simulation/StateModel.java
@@ -73,7 +73,7 @@
   /** The outage is over: leases have their full time again. */
   void endOutage() {
     unavailable = false;
-    store.renewLeases(time.nowMs());
+    store.renewAllLeases(time.nowMs());
   }
 
   private boolean serves(int node) {
@@ -86,7 +86,7 @@
         this,
         () -> {
           if (!unavailable) {
-            store.expire(time.nowMs());
+            store.removeExpiredKeys(time.nowMs());
             wake();
           }
           tick();
@@ -130,9 +130,9 @@
           return;
         }
       }
-      InMemoryKeyValueStore.Answer a = store.serve(method, target, body, time.nowMs());
+      InMemoryKeyValueStore.Response a = store.serve(method, target, body, time.nowMs());
       if (a == null) {
-        long block = InMemoryKeyValueStore.block(target);
+        long block = InMemoryKeyValueStore.watchTimeoutMs(target);
         watches.add(new PendingWatch(node, target, reply, time.nowMs() + block));
       } else {
         reply.answer(a.status(), Json.toBytes(a.body()));
@@ -152,9 +152,9 @@
         continue;
       }
       try {
-        InMemoryKeyValueStore.Answer a = store.serve("GET", w.target, EMPTY, time.nowMs());
+        InMemoryKeyValueStore.Response a = store.serve("GET", w.target, EMPTY, time.nowMs());
         if (a == null && time.nowMs() >= w.untilMs) {
-          a = store.nothing();
+          a = store.emptyWatchResponse();
         }
         if (a != null) {
           it.remove();
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -160,7 +160,8 @@
           if (mine != generation()) {
             return;
           }
-          longestSilenceMs = Math.max(longestSilenceMs, isFrozen() ? 0 : time.nowMs() - answeredSentMs);
+          longestSilenceMs =
+              Math.max(longestSilenceMs, isFrozen() ? 0 : time.nowMs() - answeredSentMs);
           if (time.nowMs() - answeredSentMs > leaseMs) {
             for (Task t : tasks.values()) {
               if (!t.standing.equals("exited")) {
@@ -287,7 +288,8 @@
   }
 
   @Override
-  void handleRequest(Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
+  void handleRequest(
+      Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
     ObjectNode o = parsed(body);
     if (target.equals("/orders")) {
       boolean stale =
@@ -367,10 +369,12 @@
     for (JsonNode g : imageSources) {
       WorkerModel w = jobs.workerAt(g.asText());
       if (w != null && !w.ever.contains(image)) {
-        checker.reportBreach("fetched_from_nobody", name + " is sent to " + w.name + " for " + image);
+        checker.reportBreach(
+            "fetched_from_nobody", name + " is sent to " + w.name + " for " + image);
       }
       if (!servesImages) {
-        checker.reportBreach("fetched_from_nobody", name + " hands nothing on and is told of givers");
+        checker.reportBreach(
+            "fetched_from_nobody", name + " hands nothing on and is told of givers");
       }
       if (w != null && w.isListening() && !w.isFrozen() && w.images.contains(image)) {
         imagesFromMachines++;
--- a/src/test/java/org/mallowroad/StateSpaceExplorer.java
+++ b/src/test/java/org/mallowroad/StateSpaceExplorer.java
@@ -229,7 +229,7 @@
     }
 
     private void complete(Call call, boolean responseDelivered) {
-      InMemoryKeyValueStore.Answer response = applyToStore(call);
+      InMemoryKeyValueStore.Response response = applyToStore(call);
       if (response == null) {
         return; // A watch without changes.
       }
@@ -243,10 +243,10 @@
       }
     }
 
-    private InMemoryKeyValueStore.Answer applyToStore(Call call) {
+    private InMemoryKeyValueStore.Response applyToStore(Call call) {
       try {
         byte[] body = call.body == null ? new byte[0] : call.body;
-        InMemoryKeyValueStore.Answer response = store.serve(call.method, call.path, body, nowMs);
+        InMemoryKeyValueStore.Response response = store.serve(call.method, call.path, body, nowMs);
         if (call.path.equals("/multi") && response.status() == 200) {
           scenario.afterTransaction(this);
         }
--- a/src/test/java/org/mallowroad/VirtualTimeHarness.java
+++ b/src/test/java/org/mallowroad/VirtualTimeHarness.java
@@ -56,15 +56,15 @@
     while (!scheduledTasks.isEmpty() && scheduledTasks.peek().dueMs() <= endMs) {
       ScheduledTask next = scheduledTasks.poll();
       nowMs = Math.max(nowMs, next.dueMs());
-      store.expire(nowMs);
+      store.removeExpiredKeys(nowMs);
       next.task().run();
     }
     nowMs = endMs;
-    store.expire(nowMs);
+    store.removeExpiredKeys(nowMs);
   }
 
   /** Sends a request to the store that belongs to no process; it takes no virtual time. */
-  public InMemoryKeyValueStore.Answer callStore(String method, String path, String body) {
+  public InMemoryKeyValueStore.Response callStore(String method, String path, String body) {
     try {
       return store.serve(
           method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), nowMs);
@@ -134,7 +134,7 @@
         requestedWrites += countWrites(body);
       }
       try {
-        InMemoryKeyValueStore.Answer response =
+        InMemoryKeyValueStore.Response response =
             store.serve(method, path, body == null ? new byte[0] : body, nowMs);
         if (response == null) {
           // A watch without changes yet; polled again until there is one.
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -58,7 +58,7 @@
     cloud =
         new FakeCloud(
             controllers,
-            List.of(new FakeCloud.Type("small", 4, 16, 1, 1, List.of("north", "south"))));
+            List.of(new FakeCloud.MachineType("small", 4, 16, 1, 1, List.of("north", "south"))));
     cloud.taskMs = 600_000;
     loopbackSettings =
         new LoopbackSettings(
@@ -74,7 +74,9 @@
     List<String> consoles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       Node node =
-          new Node(new ClusterConfig(loopbackSettings.node(i, 3), defaults.with(consoleSettings)));
+          new Node(
+              new ClusterConfig(
+                  loopbackSettings.settingsForNode(i, 3), defaults.with(consoleSettings)));
       node.start();
       nodes.put("n" + i, node);
       controllers.add(node.address());
@@ -156,7 +158,7 @@
 
   private void blockLeader(CountDownLatch release) {
     nodes
-        .get(state.leader())
+        .get(state.leaderName())
         .loop()
         .submit(
             () -> {
@@ -170,7 +172,7 @@
 
   @Test
   void aStalledZoneIsReportedWithItsJobs() throws Exception {
-    cloud.stalled.add("north");
+    cloud.stalledZones.add("north");
     Overview overview =
         await(
             "a stalled zone",
@@ -198,7 +200,7 @@
   @Test
   void aBlockedLeaderLoopIsReportedWithItsStackTrace() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    String leader = state.leader();
+    String leader = state.leaderName();
     blockLeader(release);
     Overview overview =
         await(
@@ -242,7 +244,7 @@
 
   @Test
   void aStateServiceOutageIsReportedAsTheReason() throws Exception {
-    state.down = true;
+    state.isUnavailable = true;
     Overview overview =
         await(
             "a state service outage",
@@ -250,13 +252,13 @@
             candidate -> candidate.obstacle().equals(PendingCause.STATE_AWAY.name()));
     assertEquals(PendingCause.STATE_AWAY.name(), reason(overview, "job-000003"));
     assertTrue(overview.first().get(0).contains("state service"), overview.first().toString());
-    state.down = false;
+    state.isUnavailable = false;
     await("recovery from the outage", 20_000_000_000L, candidate -> candidate.obstacle().isEmpty());
   }
 
   @Test
   void aTakeoverIsReportedWithItsTerm() throws Exception {
-    state.endLeases();
+    state.expireAllLeases();
     Overview overview =
         await(
             "a takeover",
@@ -283,7 +285,9 @@
     OperatorSettings defaults = OperatorSettings.defaults();
     ConsoleSettings consoleSettings = new ConsoleSettings(usedEndpoint, 1_000, 100, 10);
     Node node =
-        new Node(new ClusterConfig(loopbackSettings.node(3, 3), defaults.with(consoleSettings)));
+        new Node(
+            new ClusterConfig(
+                loopbackSettings.settingsForNode(3, 3), defaults.with(consoleSettings)));
     try {
       node.start();
       HttpResponse<String> response =
@@ -302,7 +306,7 @@
    */
   @Test
   void jobRequestsAreRateLimited() throws Exception {
-    String baseUrl = "http://" + nodes.get(state.leader()).consoleAddress() + "/console/v1/";
+    String baseUrl = "http://" + nodes.get(state.leaderName()).consoleAddress() + "/console/v1/";
     Map<Integer, Integer> countsByStatus = new LinkedHashMap<>();
     long startNanos = System.nanoTime();
     for (int i = 0; i < 60; i++) {
--- a/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
+++ b/src/test/java/org/mallowroad/controller/RelayedTrafficTest.java
@@ -107,7 +107,7 @@
   @Test
   void aNodeCutOffFromTheStateServiceServesUsersThroughItsPeer() throws Exception {
     start(1);
-    await("a leader", () -> "n0".equals(state.leader()));
+    await("a leader", () -> "n0".equals(state.leaderName()));
     await("acceptance of the job", () -> respondsWith(1, "POST", "/v1/jobs", JOB, "queued"));
     await(
         "completion of the job",
@@ -121,17 +121,17 @@
   @Test
   void heartbeatsAreRelayedToALeaderThatWorkersCannotReachAndItsTermContinues() throws Exception {
     start(-1);
-    await("a leader", () -> state.leader() != null);
-    int leader = "n0".equals(state.leader()) ? 0 : 1;
-    long term = state.term();
-    cloud.cutFrom = leader;
+    await("a leader", () -> state.leaderName() != null);
+    int leader = "n0".equals(state.leaderName()) ? 0 : 1;
+    long term = state.highestTerm();
+    cloud.unreachableController = leader;
     cloud.taskMs = 1_500;
     await("acceptance of the job", () -> respondsWith(leader, "POST", "/v1/jobs", JOB, "queued"));
     await(
         "completion of the job",
         () -> respondsWith(leader, "GET", "/v1/jobs/job-000001", "", "\"done\""));
-    assertEquals(term, state.term());
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(term, state.highestTerm());
+    assertEquals(0, cloud.duplicateTaskStarts());
     await(
         "a count of relayed heartbeats",
         () -> {
--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -54,7 +54,7 @@
     }
     await(
         "a leader and machine types",
-        () -> state.leader() != null && status("GET", "/healthz", "") == 200);
+        () -> state.leaderName() != null && status("GET", "/healthz", "") == 200);
   }
 
   /** Starts a node that listens on the given address; returns the actual address. */
@@ -130,32 +130,32 @@
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     assertEquals(200, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertTrue(state.has("end/job-000001"));
+    assertTrue(state.hasKey("end/job-000001"));
     assertEquals(200, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
     assertTrue(send("POST", "/v1/jobs/job-000001/withdraw", "").body().contains("\"done\""));
-    await("run records deleted", () -> !state.has("run/job-000001/0"));
-    assertEquals(0, cloud.ranTwice());
+    await("run records deleted", () -> !state.hasKey("run/job-000001/0"));
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   @Test
   void jobsSurviveAKilledLeaderAndLostResponses() throws Exception {
-    state.loseEvery = 5;
+    state.lostResponseInterval = 5;
     cloud.taskMs = 1500;
     for (int i = 1; i <= 4; i++) {
       String submission = submission("job-00000" + i, 5, 1);
       await("acceptance", () -> status("POST", "/v1/jobs", submission) / 100 == 2);
     }
-    await("running tasks", () -> !cloud.running.isEmpty());
-    String leader = state.leader();
+    await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
+    String leader = state.leaderName();
     assertNotNull(leader);
     nodes.remove(leader).stop();
     addresses.remove(leader);
-    await("another leader", () -> state.leader() != null && !state.leader().equals(leader));
+    await("another leader", () -> state.leaderName() != null && !state.leaderName().equals(leader));
     for (int i = 1; i <= 4; i++) {
       String id = "job-00000" + i;
       await("end of " + id, () -> hasStanding(id, "done"));
     }
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   /**
@@ -168,20 +168,20 @@
     cloud.taskMs = 700;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 40, 1)));
     for (int restart = 0; restart < 3; restart++) {
-      await("running tasks", () -> !cloud.running.isEmpty());
-      String firstLeader = state.leader();
-      long term = state.term();
+      await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
+      String firstLeader = state.leaderName();
+      long term = state.highestTerm();
       String address = addresses.get(firstLeader);
       nodes.remove(firstLeader).stop();
       long startNanos = System.nanoTime();
       assertEquals(address, startNode(Integer.parseInt(firstLeader.substring(1)), address));
-      await("another term", () -> state.term() > term && state.leader() != null);
+      await("another term", () -> state.highestTerm() > term && state.leaderName() != null);
       // The old lease would have lasted up to 3 s.
       long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
       assertTrue(elapsedMs < 2_000, "waited " + elapsedMs + " ms for the lease");
     }
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   /**
@@ -198,7 +198,7 @@
   }
 
   private void restartLeader() throws Exception {
-    String leader = state.leader();
+    String leader = state.leaderName();
     if (leader != null && nodes.containsKey(leader)) {
       String address = addresses.get(leader);
       nodes.remove(leader).stop();
@@ -238,9 +238,9 @@
     await(
         "completion of the dependent job",
         () -> {
-          boolean all = ids.stream().allMatch(id -> state.has("end/" + id));
+          boolean all = ids.stream().allMatch(id -> state.hasKey("end/" + id));
           assertTrue(
-              all || !state.has("run/job-000009/0"),
+              all || !state.hasKey("run/job-000009/0"),
               "the dependent job started before all games were folded");
           return hasStanding("job-000009", "done");
         });
@@ -259,52 +259,54 @@
       assertEquals(List.of("m: revision 1 folded by job-000000"), clusterQuery.game("l", 7));
       assertTrue(clusterQuery.game("l", 700).get(0).startsWith("nobody has claimed it"));
     }
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   @Test
   void jobsSurviveADeposedLeaderAndTheTermIncreases() throws Exception {
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
-    await("running tasks", () -> !cloud.running.isEmpty());
-    long term = state.term();
-    state.endLeases();
-    await("a higher term", () -> state.term() > term && state.leader() != null);
+    await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
+    long term = state.highestTerm();
+    state.expireAllLeases();
+    await("a higher term", () -> state.highestTerm() > term && state.leaderName() != null);
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   @Test
   void aLeaderWithoutHeartbeatsResigns() throws Exception {
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 6, 1)));
-    await("running tasks", () -> !cloud.running.isEmpty());
-    String firstLeader = state.leader();
-    cloud.cutFrom = Integer.parseInt(firstLeader.substring(1));
-    await("another leader", () -> state.leader() != null && !state.leader().equals(firstLeader));
+    await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
+    String firstLeader = state.leaderName();
+    cloud.unreachableController = Integer.parseInt(firstLeader.substring(1));
+    await(
+        "another leader",
+        () -> state.leaderName() != null && !state.leaderName().equals(firstLeader));
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   @Test
   void aPausedLeaderIsReplacedAndDoesNothingWhenItResumes() throws Exception {
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 12, 1)));
-    await("running tasks", () -> !cloud.running.isEmpty());
-    String firstLeader = state.leader();
-    long term = state.term();
+    await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
+    String firstLeader = state.leaderName();
+    long term = state.highestTerm();
     // Simulates a frozen host: the clocks continue, and messages that arrive meanwhile wait in the
     // sockets.
     CountDownLatch resumed = new CountDownLatch(1);
     nodes.get(firstLeader).loop().submit(() -> pause(6_000, resumed));
     addresses.remove(firstLeader);
-    await("another leader", () -> state.term() > term && state.leader() != null);
+    await("another leader", () -> state.highestTerm() > term && state.leaderName() != null);
     assertTrue(resumed.getCount() == 1, "the paused leader must be replaced before it resumes");
     assertTrue(resumed.await(20, TimeUnit.SECONDS));
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
     assertTrue(
-        state.term() == term + FencingTokens.TOKENS_PER_TERM,
+        state.highestTerm() == term + FencingTokens.TOKENS_PER_TERM,
         "the paused leader must not have campaigned");
   }
 
@@ -312,18 +314,18 @@
   void nodesThatPauseDuringAnElectionStillElectOneLeader() throws Exception {
     cloud.taskMs = 800;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 8, 1)));
-    await("running tasks", () -> !cloud.running.isEmpty());
-    long term = state.term();
+    await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
+    long term = state.highestTerm();
     CountDownLatch resumed = new CountDownLatch(nodes.size());
-    state.endLeases();
+    state.expireAllLeases();
     // By then some nodes have requested a lease or sent their election, and they read the result
     // too late.
     Thread.sleep(30);
     nodes.values().forEach(n -> n.loop().submit(() -> pause(4_000, resumed)));
     assertTrue(resumed.await(20, TimeUnit.SECONDS));
-    await("a higher term", () -> state.term() > term && state.leader() != null);
+    await("a higher term", () -> state.highestTerm() > term && state.leaderName() != null);
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   private static void pause(long ms, CountDownLatch resumed) {
@@ -338,16 +340,16 @@
 
   @Test
   void serviceRecoversFromMalformedResponses() throws Exception {
-    state.garbled = true;
-    cloud.garbled = true;
+    state.sendsMalformedResponses = true;
+    cloud.sendsMalformedResponses = true;
     assertEquals(503, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
     Thread.sleep(1_500);
-    state.garbled = false;
-    cloud.garbled = false;
+    state.sendsMalformedResponses = false;
+    cloud.sendsMalformedResponses = false;
     await(
         "acceptance", () -> status("POST", "/v1/jobs", submission("job-000001", 2, 1)) / 100 == 2);
     await("end of the job", () -> hasStanding("job-000001", "done"));
-    assertEquals(0, cloud.ranTwice());
+    assertEquals(0, cloud.duplicateTaskStarts());
   }
 
   @Test
@@ -361,7 +363,10 @@
       // afterwards.
       await(
           "the moment to cancel the job",
-          () -> jobNumber < 3 || cloud.running.containsKey(id + "/0") || hasStanding(id, "done"));
+          () ->
+              jobNumber < 3
+                  || cloud.machineByRunningTask.containsKey(id + "/0")
+                  || hasStanding(id, "done"));
       Thread.sleep(60L * i);
       String response = send("POST", "/v1/jobs/" + id + "/withdraw", "").body();
       String standing = response.contains("done") ? "done" : "withdrawn";
@@ -376,11 +381,11 @@
   void aCancelledJobIsStoppedEverywhereAndStaysCancelled() throws Exception {
     cloud.taskMs = 60_000;
     assertEquals(201, status("POST", "/v1/jobs", submission("job-000001", 2, 1)));
-    await("running tasks", () -> cloud.running.size() == 2);
+    await("running tasks", () -> cloud.machineByRunningTask.size() == 2);
     assertTrue(send("POST", "/v1/jobs/job-000001/withdraw", "").body().contains("\"withdrawn\""));
-    await("tasks gone", () -> cloud.running.isEmpty());
+    await("tasks gone", () -> cloud.machineByRunningTask.isEmpty());
     assertTrue(hasStanding("job-000001", "withdrawn"));
-    await("run records deleted", () -> !state.has("run/job-000001/0"));
+    await("run records deleted", () -> !state.hasKey("run/job-000001/0"));
   }
 
   @Test
@@ -407,11 +412,11 @@
           status((String) testCase[0], (String) testCase[1], (String) testCase[2]),
           testCase[0] + " " + testCase[1]);
     }
-    state.down = true;
+    state.isUnavailable = true;
     HttpResponse<String> response = send("POST", "/v1/jobs", validSubmission);
     assertEquals(503, response.statusCode());
     assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
-    state.down = false;
+    state.isUnavailable = false;
     await("acceptance after the outage", () -> status("POST", "/v1/jobs", validSubmission) == 201);
   }
 
--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -47,7 +47,7 @@
 
   private static Recording record(long seed, boolean sharedStarts) {
     Recording recording = new Recording();
-    new RecordedHistory(seed, sharedStarts, recording).play();
+    new RecordedHistory(seed, sharedStarts, recording).run();
     return recording;
   }
 
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void request(int node, Party to, String method, String path, byte[] body) {
+    public void onRequest(int node, Party to, String method, String path, byte[] body) {
       add(node, to, "request " + to + " " + method + " ", path, body);
       if (to == Party.STATE && path.equals("/multi")) {
         transaction(body);
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void answer(
+    public void onResponse(
         int node,
         Party to,
         String method,
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -8,10 +8,10 @@
 import java.util.SplittableRandom;
 import org.mallowroad.config.OperatorSettings;
 import org.mallowroad.config.RecordPolicy;
+import org.mallowroad.config.Settings;
 import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings.Member;
 import org.mallowroad.config.Settings.TeamSetting;
-import org.mallowroad.config.Settings;
 import org.mallowroad.controller.ClusterConfig;
 import org.mallowroad.controller.Node;
 import org.mallowroad.core.linkstate.LinkPolicy;
@@ -54,10 +54,10 @@
   /** Takes what leaves the controllers, in the order of time. */
   public interface Listener {
     /** A controller sends a request. */
-    void request(int node, Party to, String method, String path, byte[] body);
+    void onRequest(int node, Party to, String method, String path, byte[] body);
 
     /** A controller answers a request; the type is that of the content. */
-    void answer(
+    void onResponse(
         int node,
         Party to,
         String method,
@@ -122,7 +122,7 @@
   }
 
   /** Plays it to its end. */
-  public void play() {
+  public void run() {
     for (int i = 0; i < NODES; i++) {
       int node = i;
       at(10 + 20 * i, () -> startNode(node));
@@ -337,7 +337,7 @@
         @Override
         public void send(
             String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-          listener.request(host.index, party, method, path, body == null ? new byte[0] : body);
+          listener.onRequest(host.index, party, method, path, body == null ? new byte[0] : body);
           caller.send(method, path, body, timeoutMs, answer);
         }
 
@@ -424,7 +424,7 @@
 
     @Override
     public void respond(int status, String type, byte[] body, boolean later) {
-      listener.answer(node, from, method(), path(), status, type, later, body);
+      listener.onResponse(node, from, method(), path(), status, type, later, body);
       request.respond(status, type, body, later);
     }
   }
