--- a/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HistoryGoldenTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.mallowroad.election.LeaderElection;
-import org.mallowroad.simulation.RecordedHistory;
 import org.mallowroad.simulation.RecordedHistory.Party;
+import org.mallowroad.simulation.RecordedHistory;
 import org.mallowroad.state.RecordKeys;
 import org.mallowroad.wire.Fields;
 import org.mallowroad.wire.InvalidMessageException;
@@ -48,7 +48,7 @@
 
   private static Recording recordHistory(long seed, boolean sharedStarts) {
     Recording recording = new Recording();
-    new RecordedHistory(seed, sharedStarts, recording).play();
+    new RecordedHistory(seed, sharedStarts, recording).run();
     return recording;
   }
 
@@ -130,7 +130,7 @@
     }
 
     @Override
-    public void request(int node, Party to, String method, String path, byte[] body) {
+    public void onRequest(int node, Party to, String method, String path, byte[] body) {
       addMessage(node, to, "request " + to + " " + method + " ", path, body);
       if (to == Party.STATE && path.equals("/multi")) {
         addRecords(body);
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void answer(
+    public void onResponse(
         int node,
         Party to,
         String method,
