--- a/src/test/java/org/mallowroad/controller/ServiceTest.java
+++ b/src/test/java/org/mallowroad/controller/ServiceTest.java
@@ -282,7 +282,9 @@
     await("running tasks", () -> !cloud.machineByRunningTask.isEmpty());
     String firstLeader = state.leaderName();
     cloud.unreachableController = Integer.parseInt(firstLeader.substring(1));
-    await("another leader", () -> state.leaderName() != null && !state.leaderName().equals(firstLeader));
+    await(
+        "another leader",
+        () -> state.leaderName() != null && !state.leaderName().equals(firstLeader));
     await("end of the job", () -> hasStanding("job-000001", "done"));
     assertEquals(0, cloud.duplicateTaskStarts());
   }
@@ -362,7 +364,10 @@
       // afterwards.
       await(
           "the moment to cancel the job",
-          () -> jobNumber < 3 || cloud.machineByRunningTask.containsKey(id + "/0") || hasStanding(id, "done"));
+          () ->
+              jobNumber < 3
+                  || cloud.machineByRunningTask.containsKey(id + "/0")
+                  || hasStanding(id, "done"));
       Thread.sleep(60L * i);
       String response = send("POST", "/v1/jobs/" + id + "/withdraw", "").body();
       String standing = response.contains("done") ? "done" : "withdrawn";
