--- a/src/main/java/org/mallowroad/api/UserApi.java
+++ b/src/main/java/org/mallowroad/api/UserApi.java
@@ -12,147 +12,148 @@
 import org.mallowroad.wire.JobCodec;
 
 /**
- * Serves users' requests, on any node. Nothing is told before it is committed, and every answer
- * about a job that is not over comes from a read that is made for the question ({@link JobLookup}),
- * so no node is ever behind what another has said.
+ * Serves users' requests, on any node. Only committed state is returned, and every response about a
+ * job that has not ended comes from a read that was made for this request ({@link JobLookup}), so
+ * no node returns an older state than another node has returned before.
  */
 public final class UserApi {
-  private static final String JOBS = "/v1/jobs";
+  private static final String JOBS_PATH = "/v1/jobs";
 
-  /** The state service allows so many conditions for each put or delete of a transaction. */
+  /** The conditions that the state service allows for each put or delete of a transaction. */
   private static final int CONDITIONS_PER_OP = 4;
 
   private final JobLookup lookup;
-  private final ClaimService claims;
+  private final ClaimService claimService;
   private final Submissions submissions;
   private final CancelRequests cancelRequests;
 
-  /** What the node knows besides the state service. */
-  public interface Jobs {
-    /** Validates and decodes a submission, without giving its names indices. */
+  /** What this node knows about jobs without reading the state service. */
+  public interface LocalJobs {
+    /** Validates and decodes a submission without adding its names to the name indices. */
     JobSpec validate(JsonNode submission) throws InvalidMessageException;
 
-    /** Whether the machine types are known. */
-    boolean knowsMachineTypes();
+    /** Whether the machine types have been loaded. */
+    boolean hasMachineTypes();
 
-    /** Takes one admission for a job that is not known yet; false when none is left now. */
+    /** Acquires an admission for a new job; false if the admission limit is reached. */
     default boolean tryAdmit() {
       return true;
     }
 
-    /** Why the job can never run on any machine type, or empty. */
-    Optional<String> whyImpossible(JobSpec spec);
+    /** Why the job could never run on any machine type, or empty if it could. */
+    Optional<String> rejectionReason(JobSpec spec);
 
-    /** The job's tasks as the leader on this node knows them, or null. */
+    /** The job's task counts if this node is the leader and has the job in memory, else null. */
     JobProgress progress(String id);
   }
 
   /**
-   * What users' requests may use.
+   * The limits within which users' requests call the state service.
    *
-   * @param reads calls to the state service for users
-   * @param readBurst calls a second, and at once
-   * @param writes all that the leader leaves of the state service's writes
-   * @param fairWrites this node's part of them
-   * @param maxValueKb the longest value of a key
-   * @param maxConditions conditions in one transaction
-   * @param maxRememberedEnds jobs whose end is remembered
+   * @param readLimiter limits the read calls for users
+   * @param readsPerSecond the rate of {@code readLimiter}, which is also its burst
+   * @param writeLimiter admits all writes to the state service that the leader leaves unused
+   * @param fairShareWriteLimiter admits only this node's fair share of those writes
+   * @param maxValueKb the maximum size of a value, in KB
+   * @param maxConditions the maximum number of conditions in one transaction
+   * @param maxCachedOutcomes the maximum number of ended jobs whose outcome is cached
    */
   public record Limits(
-      RateLimiter reads,
-      double readBurst,
-      RateLimiter writes,
-      RateLimiter fairWrites,
+      RateLimiter readLimiter,
+      double readsPerSecond,
+      RateLimiter writeLimiter,
+      RateLimiter fairShareWriteLimiter,
       double maxValueKb,
       int maxConditions,
-      int maxRememberedEnds) {}
+      int maxCachedOutcomes) {}
 
-  /** Serves users' requests from the state service. */
-  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, Jobs jobs) {
-    ReadQueue reads = new ReadQueue(loop, limits.reads());
+  /** Creates the API on top of the state service. */
+  public UserApi(EventLoop loop, KeyValueStore state, Limits limits, LocalJobs localJobs) {
+    ReadQueue readQueue = new ReadQueue(loop, limits.readLimiter());
     this.lookup =
         new JobLookup(
             loop,
             state,
-            reads,
-            limits.readBurst(),
-            jobs,
+            readQueue,
+            limits.readsPerSecond(),
+            localJobs,
             limits.maxConditions(),
-            limits.maxRememberedEnds());
-    this.claims =
+            limits.maxCachedOutcomes());
+    this.claimService =
         new ClaimService(
             loop,
             state,
-            limits.writes(),
+            limits.writeLimiter(),
             limits.maxConditions() / CONDITIONS_PER_OP,
             limits.maxValueKb(),
-            lookup::finalOutcome);
-    this.submissions = new Submissions(loop, state, lookup, claims, jobs, limits);
-    this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writes());
+            lookup::cachedOutcome);
+    this.submissions = new Submissions(loop, state, lookup, claimService, localJobs, limits);
+    this.cancelRequests = new CancelRequests(loop, state, lookup, limits.writeLimiter());
   }
 
-  /** The acceptance of jobs with claims; a leader abandons claims that are not finished. */
-  public ClaimService claims() {
-    return claims;
+  /** The service that accepts jobs with claims; the leader uses it to abandon unfinished claims. */
+  public ClaimService claimService() {
+    return claimService;
   }
 
-  /** Sets the listener of cancellations, called once for each that this node learns of. */
-  public void onCancelled(Consumer<String> listener) {
-    lookup.onCancelled(listener);
+  /** Sets a listener that is called once for each cancellation that this node learns of. */
+  public void setCancellationListener(Consumer<String> listener) {
+    lookup.setCancellationListener(listener);
   }
 
-  /** Remembers a job's end, which is committed. */
-  public void ended(String id, boolean done) {
-    lookup.ended(id, done);
+  /** Caches the outcome of a job whose end record is committed. */
+  public void cacheOutcome(String id, boolean done) {
+    lookup.cacheOutcome(id, done);
   }
 
-  /** The number of jobs whose end is remembered. */
-  public int rememberedEnds() {
-    return lookup.rememberedEnds();
+  /** The number of ended jobs whose outcome is cached. */
+  public int cachedOutcomeCount() {
+    return lookup.cachedOutcomeCount();
   }
 
-  /** The number of open jobs that are remembered. */
-  public int rememberedOpenJobs() {
-    return lookup.rememberedOpenJobs();
+  /** The number of open jobs that are cached. */
+  public int cachedOpenJobCount() {
+    return lookup.cachedOpenJobCount();
   }
 
   /** Serves a request whose path and method the router has checked. */
-  public void serve(String method, String path, byte[] body, Responder x) {
-    String rest = path.length() > JOBS.length() ? path.substring(JOBS.length() + 1) : "";
-    int slash = rest.indexOf('/');
-    if (rest.isEmpty()) {
-      submit(x, body);
+  public void serve(String method, String path, byte[] body, Responder responder) {
+    String idAndAction =
+        path.length() > JOBS_PATH.length() ? path.substring(JOBS_PATH.length() + 1) : "";
+    int slash = idAndAction.indexOf('/');
+    if (idAndAction.isEmpty()) {
+      submit(responder, body);
     } else if (slash < 0) {
-      query(x, rest);
+      query(responder, idAndAction);
     } else {
-      cancel(x, rest.substring(0, slash));
+      cancel(responder, idAndAction.substring(0, slash));
     }
   }
 
   /** Serves POST /v1/jobs. */
-  public void submit(Responder x, byte[] body) {
-    submissions.submit(x, body);
+  public void submit(Responder responder, byte[] body) {
+    submissions.submit(responder, body);
   }
 
   /** Serves GET /v1/jobs/{id}. */
-  public void query(Responder x, String id) {
-    if (JobCodec.ID.matcher(id).matches()) {
-      lookup.answer(x, id, () -> notFound(x));
+  public void query(Responder responder, String id) {
+    if (JobCodec.ID_PATTERN.matcher(id).matches()) {
+      lookup.respondWithState(responder, id, () -> respondNotFound(responder));
     } else {
-      notFound(x);
+      respondNotFound(responder);
     }
   }
 
   /** Serves POST /v1/jobs/{id}/withdraw. */
-  public void cancel(Responder x, String id) {
-    if (JobCodec.ID.matcher(id).matches()) {
-      cancelRequests.cancel(x, id);
+  public void cancel(Responder responder, String id) {
+    if (JobCodec.ID_PATTERN.matcher(id).matches()) {
+      cancelRequests.cancel(responder, id);
     } else {
-      notFound(x);
+      respondNotFound(responder);
     }
   }
 
-  private static void notFound(Responder x) {
-    x.answer(404, Reply.reason("no such job"), false);
+  private static void respondNotFound(Responder responder) {
+    responder.respond(404, JsonResponses.errorBody("no such job"), false);
   }
 }
--- a/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
+++ b/src/main/java/org/mallowroad/api/claim/ClaimedBlocks.java
@@ -18,80 +18,80 @@
 import org.mallowroad.wire.InvalidMessageException;
 import org.mallowroad.wire.Json;
 
-/** Blocks of games as one claim has read them from the state service, with their versions. */
+/** The blocks that one claim has read from the state service, with their versions. */
 final class ClaimedBlocks {
   private static final int MAX_CONCURRENT_READS = 8;
 
-  /** The bound of the blocks in one transaction, below the service's bound of a request. */
+  /** The maximum size of the blocks in one transaction, below the service's limit for a request. */
   private static final int MAX_TRANSACTION_BYTES = 44 * 1024;
 
-  /** What surrounds a block in a transaction. */
-  private static final int OVERHEAD_BYTES = 150;
+  /** The size that a transaction needs for each block besides its value. */
+  private static final int BLOCK_OVERHEAD_BYTES = 150;
 
   private final KeyValueStore state;
   private final int maxOps;
   private final Map<BlockKey, Block> blocks = new TreeMap<>();
   private final Map<BlockKey, Long> versions = new HashMap<>();
-  private String unreadable;
+  private String decodingError;
 
   ClaimedBlocks(ClaimContext context) {
     this.state = context.state();
     this.maxOps = context.maxOps();
   }
 
-  /** The blocks that were read or written. */
-  Map<BlockKey, Block> all() {
+  /** The blocks as last read or written. */
+  Map<BlockKey, Block> blocks() {
     return blocks;
   }
 
-  /** Which record could not be decoded and why, or null. */
-  String unreadable() {
-    return unreadable;
+  /** The record that could not be decoded and the reason, or null. */
+  String decodingError() {
+    return decodingError;
   }
 
   /**
-   * Reads some blocks anew.
+   * Reads blocks from the state service, also those that were read before.
    *
-   * @param done called when all are read
-   * @param failed called when the service does not answer or a record cannot be decoded
+   * @param onDone called when all blocks are read
+   * @param onFailed called if the service does not answer or a record cannot be decoded
    */
-  void read(Collection<BlockKey> keys, Runnable done, Runnable failed) {
-    new BatchRead(keys, done, failed).readMore();
+  void read(Collection<BlockKey> keys, Runnable onDone, Runnable onFailed) {
+    new BatchRead(keys, onDone, onFailed).readMore();
   }
 
   private final class BatchRead {
     private final ArrayDeque<BlockKey> remaining;
-    private final Runnable done;
-    private final Runnable failed;
-    private int inFlight;
-    private boolean ended;
+    private final Runnable onDone;
+    private final Runnable onFailed;
+    private int readsInFlight;
+    private boolean hasEnded;
 
-    BatchRead(Collection<BlockKey> keys, Runnable done, Runnable failed) {
+    BatchRead(Collection<BlockKey> keys, Runnable onDone, Runnable onFailed) {
       this.remaining = new ArrayDeque<>(keys);
-      this.done = done;
-      this.failed = failed;
+      this.onDone = onDone;
+      this.onFailed = onFailed;
     }
 
     void readMore() {
-      while (!ended && inFlight < MAX_CONCURRENT_READS && !remaining.isEmpty()) {
+      while (!hasEnded && readsInFlight < MAX_CONCURRENT_READS && !remaining.isEmpty()) {
         BlockKey key = remaining.poll();
-        inFlight++;
-        state.get(RecordKeys.foldBlock(key), (result, item) -> received(key, result, item));
+        readsInFlight++;
+        state.get(RecordKeys.foldBlock(key), (result, item) -> onBlockRead(key, result, item));
       }
-      if (!ended && inFlight == 0 && remaining.isEmpty()) {
-        ended = true;
-        done.run();
+      if (!hasEnded && readsInFlight == 0 && remaining.isEmpty()) {
+        hasEnded = true;
+        onDone.run();
       }
     }
 
-    private void received(BlockKey key, CallResult result, VersionedValue item) {
-      inFlight--;
-      if (ended) {
+    private void onBlockRead(BlockKey key, CallResult result, VersionedValue item) {
+      readsInFlight--;
+      if (hasEnded) {
         return;
       }
       if (result != CallResult.OK || !decode(key, item)) {
-        ended = true;
-        failed.run();
+        hasEnded = true;
+        onFailed.run();
       } else {
         readMore();
       }
@@ -104,12 +104,12 @@
       versions.put(key, item.version());
       return true;
     } catch (InvalidMessageException e) {
-      unreadable = "block " + RecordKeys.foldBlock(key) + " cannot be read: " + e.getMessage();
+      decodingError = "block " + RecordKeys.foldBlock(key) + " cannot be read: " + e.getMessage();
       return false;
     }
   }
 
-  /** Adds changed blocks to a transaction, on condition that they are as they were read. */
+  /** Adds changed blocks to a transaction, on condition that their versions are those read. */
   void addTo(Transaction transaction, Map<BlockKey, Block> changed) {
     changed.forEach(
         (key, block) -> {
@@ -122,8 +122,8 @@
         });
   }
 
-  /** Takes changed blocks over after they were committed with that revision. */
-  void committed(Map<BlockKey, Block> changed, long revision) {
+  /** Stores changed blocks after they were committed at this revision. */
+  void applyCommitted(Map<BlockKey, Block> changed, long revision) {
     changed.forEach(
         (key, block) -> {
           blocks.put(key, block);
@@ -131,29 +131,30 @@
         });
   }
 
-  /** The first of the changed blocks, as many as fit into a transaction with other operations. */
-  Map<BlockKey, Block> firstTransaction(Map<BlockKey, Block> changed, int otherOps) {
-    Map<BlockKey, Block> out = new TreeMap<>();
+  /** As many of the changed blocks as fit into one transaction beside the other operations. */
+  Map<BlockKey, Block> firstBatch(Map<BlockKey, Block> changed, int otherOps) {
+    Map<BlockKey, Block> batch = new TreeMap<>();
     int bytes = 0;
-    for (Map.Entry<BlockKey, Block> e : changed.entrySet()) {
-      bytes += Json.text(FoldCodec.encodeBlock(e.getValue())).length() + OVERHEAD_BYTES;
-      if (!out.isEmpty() && (out.size() + otherOps >= maxOps || bytes > MAX_TRANSACTION_BYTES)) {
+    for (Map.Entry<BlockKey, Block> entry : changed.entrySet()) {
+      bytes += Json.toText(FoldCodec.encodeBlock(entry.getValue())).length() + BLOCK_OVERHEAD_BYTES;
+      if (!batch.isEmpty()
+          && (batch.size() + otherOps >= maxOps || bytes > MAX_TRANSACTION_BYTES)) {
         break;
       }
-      out.put(e.getKey(), e.getValue());
+      batch.put(entry.getKey(), entry.getValue());
     }
-    return out;
+    return batch;
   }
 
-  /** Those of the keys whose conditions failed; all when the service named no condition. */
+  /** The keys whose conditions failed; all keys if the service did not report any condition. */
   static List<BlockKey> failedKeys(List<String> failedConditions, Collection<BlockKey> keys) {
-    List<BlockKey> out = new ArrayList<>();
+    List<BlockKey> failed = new ArrayList<>();
     keys.forEach(
         key -> {
           if (failedConditions.isEmpty() || failedConditions.contains(RecordKeys.foldBlock(key))) {
-            out.add(key);
+            failed.add(key);
           }
         });
-    return out;
+    return failed;
   }
 }
--- a/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
+++ b/src/main/java/org/mallowroad/controller/HeartbeatForwarder.java
@@ -1,6 +1,6 @@
 package org.mallowroad.controller;
 
-import org.mallowroad.api.Reply;
+import org.mallowroad.api.JsonResponses;
 import org.mallowroad.core.Heartbeat;
 import org.mallowroad.core.linkstate.HeartbeatRelay;
 import org.mallowroad.core.linkstate.LinkPolicy;
@@ -60,9 +60,9 @@
     if (links.isPeerDown(leaderPeer)) {
       // Neither the worker nor this node can reach the leader, but another node may. The worker is
       // told at once so that it does not wait for a timeout.
-      Reply.retryLater(request, LEADER_UNREACHABLE);
+      JsonResponses.sendRetryLater(request, LEADER_UNREACHABLE);
     } else if (inFlight >= MAX_IN_FLIGHT) {
-      Reply.retryLater(request, "too many reports are carried");
+      JsonResponses.sendRetryLater(request, "too many reports are carried");
     } else {
       send(request, leaderPeer);
     }
@@ -91,15 +91,15 @@
         request.body(),
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {
+          public void onResponse(int status, byte[] body) {
             inFlight--;
-            request.answer(status, "application/json", body, status == SERVICE_UNAVAILABLE);
+            request.respond(status, "application/json", body, status == SERVICE_UNAVAILABLE);
           }
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             inFlight--;
-            Reply.retryLater(request, LEADER_UNREACHABLE);
+            JsonResponses.sendRetryLater(request, LEADER_UNREACHABLE);
           }
         });
   }
--- a/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
+++ b/src/main/java/org/mallowroad/controller/persistence/CommitTransactionBuilder.java
@@ -333,8 +333,8 @@
         && attemptRecord.job.spec.dependencies().isGated()
         && !jobsWithStartConditions.contains(attemptRecord.job)) {
       if (isFull(2)) {
-        return; // The first start also writes the job's release record; the next transaction has
-        // room for both.
+        // The first start also writes the job's release record; the next transaction has room.
+        return;
       }
       startConditions.addTo(attemptRecord.job, transaction);
       jobsWithStartConditions.add(attemptRecord.job);
@@ -352,7 +352,7 @@
         .put(RecordKeys.attemptRecord(attemptRecord), value);
     writtenRecords.add(
         new WrittenRecord(attemptRecord, attemptRecord.changeCount, false, starts, value));
-    estimatedBytes += Json.text(value).length() + ESTIMATED_KEY_BYTES;
+    estimatedBytes += Json.toText(value).length() + ESTIMATED_KEY_BYTES;
   }
 
   private static List<Attempt> uncommittedStarts(AttemptRecord attemptRecord) {
--- a/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
+++ b/src/main/java/org/mallowroad/controller/provisioning/FailureResponder.java
@@ -196,9 +196,8 @@
       return false;
     }
     if (lastRedirectMs.size() >= MAX_REDIRECTED) {
-      lastRedirectMs
-          .clear(); // The only effect is that each worker may be redirected once more than
-      // necessary.
+      // The only effect is that each worker may be redirected once more than necessary.
+      lastRedirectMs.clear();
     }
     lastRedirectMs.put(heartbeat.machine(), now);
     return true;
@@ -334,10 +333,10 @@
         schedulerState.requestStop(attempt, 0, now);
       }
     }
-    int known = health.failureDetector().knownMachineCount(machine.zone);
+    int knownMachines = health.failureDetector().knownMachineCount(machine.zone);
     boolean isAllowed =
         unreachableCountByZone[machine.zone] >= health.policy().minPartitionMachines()
-            ? zoneDeletionBudgets[machine.zone].tryTake(known, now)
+            ? zoneDeletionBudgets[machine.zone].tryTake(knownMachines, now)
             : deletionBudget.tryTake(schedulerState.machines().size(), now);
     if (isAllowed) {
       machine.deleting = true;
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -207,11 +207,11 @@
         nodes.get(at),
         "POST",
         "/v1/report",
-        Json.bytes(state()),
+        Json.toBytes(state()),
         ANSWER_MS,
         new RequestSender.ResponseHandler() {
           @Override
-          public void answered(int status, byte[] body) {
+          public void onResponse(int status, byte[] body) {
             out = false;
             ObjectNode o = parsed(body);
             if (status == 200) {
@@ -229,12 +229,12 @@
               at = to;
               next(random.nextLong(500));
             } else {
-              failed(true);
+              onFailure(true);
             }
           }
 
           @Override
-          public void failed(boolean sent) {
+          public void onFailure(boolean sent) {
             out = false;
             at = (at + 1) % nodes.size();
             next(PAUSE_MS);
@@ -296,9 +296,9 @@
         saw(o.path("baton").asLong());
         o.path("orders").forEach(this::obey);
       }
-      reply.answer(stale ? 409 : 200, Json.bytes(state()));
+      reply.answer(stale ? 409 : 200, Json.toBytes(state()));
     } else {
-      reply.answer(200, Json.bytes(state()));
+      reply.answer(200, Json.toBytes(state()));
     }
   }
 
--- a/src/main/java/org/mallowroad/state/StateServiceCodec.java
+++ b/src/main/java/org/mallowroad/state/StateServiceCodec.java
@@ -47,13 +47,15 @@
   /** Decodes an item: the response to a read, or an element of a list. */
   static VersionedValue item(JsonNode node) throws InvalidMessageException {
     return new VersionedValue(
-        Json.string(node, Fields.KEY, MAX_KEY_CHARS), node.get(Fields.VALUE), version(node));
+        Json.requiredString(node, Fields.KEY, MAX_KEY_CHARS),
+        node.get(Fields.VALUE),
+        version(node));
   }
 
   /** Decodes the items of a list response. */
   static List<VersionedValue> items(ObjectNode body) throws InvalidMessageException {
     List<VersionedValue> items = new ArrayList<>();
-    for (JsonNode node : Json.list(body, Fields.ITEMS)) {
+    for (JsonNode node : Json.requiredArray(body, Fields.ITEMS)) {
       items.add(item(node));
     }
     return items;
@@ -68,10 +70,12 @@
   /** Decodes the events of a watch response; an event that deleted a key has no value. */
   static List<VersionedValue> events(ObjectNode body) throws InvalidMessageException {
     List<VersionedValue> events = new ArrayList<>();
-    for (JsonNode event : Json.list(body, Fields.EVENTS)) {
+    for (JsonNode event : Json.requiredArray(body, Fields.EVENTS)) {
       JsonNode deleted = event.get(Fields.DELETE);
       String key =
-          deleted != null ? deleted.asText() : Json.string(event, Fields.PUT, MAX_KEY_CHARS);
+          deleted != null
+              ? deleted.asText()
+              : Json.requiredString(event, Fields.PUT, MAX_KEY_CHARS);
       JsonNode value = deleted != null ? null : event.get(Fields.VALUE);
       events.add(new VersionedValue(key, value, version(event)));
     }
@@ -79,12 +83,12 @@
   }
 
   private static long version(JsonNode node) throws InvalidMessageException {
-    return Json.integer(node, Fields.VERSION, 0, Long.MAX_VALUE);
+    return Json.requiredInteger(node, Fields.VERSION, 0, Long.MAX_VALUE);
   }
 
   /** Returns the service's revision at the time of the response. */
   static long revision(ObjectNode body) throws InvalidMessageException {
-    return Json.integer(body, Fields.REVISION, 0, Long.MAX_VALUE);
+    return Json.requiredInteger(body, Fields.REVISION, 0, Long.MAX_VALUE);
   }
 
   /** Returns the keys whose conditions did not hold; the service may name only the first one. */
@@ -103,6 +107,6 @@
 
   /** Returns the body of a request that grants a lease. */
   static byte[] grantLeaseBody(long durationMs) {
-    return Json.bytes(Json.object().put(Fields.LEASE_DURATION_MS, durationMs));
+    return Json.toBytes(Json.object().put(Fields.LEASE_DURATION_MS, durationMs));
   }
 }
--- a/src/main/java/org/mallowroad/wire/Json.java
+++ b/src/main/java/org/mallowroad/wire/Json.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads and writes JSON. Accessors check type and bounds; their {@link InvalidMessageException}
- * names the wrong field.
+ * Reads and writes JSON. The accessors check type and bounds of a field, and throw an {@link
+ * InvalidMessageException} that names an invalid field.
  */
 public final class Json {
   private static final ObjectMapper MAPPER =
@@ -21,112 +21,122 @@
 
   private Json() {}
 
-  /** An empty object. */
+  /** Returns a new empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** An empty array. */
+  /** Returns a new empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** Parses a JSON object; nothing may follow it. */
+  /** Parses a JSON object; the body must contain nothing else. */
   public static ObjectNode parseObject(byte[] body) throws InvalidMessageException {
-    JsonNode n;
+    JsonNode node;
     try {
-      n = MAPPER.readTree(body);
+      node = MAPPER.readTree(body);
     } catch (IOException e) {
       throw new InvalidMessageException("not JSON");
     }
-    if (!(n instanceof ObjectNode o)) {
+    if (!(node instanceof ObjectNode object)) {
       throw new InvalidMessageException("not an object");
     }
-    return o;
+    return object;
   }
 
-  /** The UTF-8 bytes of a value. */
-  public static byte[] bytes(JsonNode n) {
-    return text(n).getBytes(StandardCharsets.UTF_8);
+  /** Encodes a JSON value as UTF-8. */
+  public static byte[] toBytes(JsonNode node) {
+    return toText(node).getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The text of a value. */
-  public static String text(JsonNode n) {
+  /** Encodes a JSON value as text. */
+  public static String toText(JsonNode node) {
     try {
-      return MAPPER.writeValueAsString(n);
+      return MAPPER.writeValueAsString(node);
     } catch (JsonProcessingException e) {
-      throw new UncheckedIOException("a JSON tree can always be written to memory", e);
+      throw new UncheckedIOException("encoding JSON to memory must not fail", e);
     }
   }
 
-  private static boolean absent(JsonNode n) {
-    return n == null || n.isNull() || n.isMissingNode();
+  private static boolean isAbsent(JsonNode node) {
+    return node == null || node.isNull() || node.isMissingNode();
   }
 
-  /** A required, non-empty string of at most {@code max} characters. */
-  public static String string(JsonNode o, String field, int max) throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n) || !n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > max) {
+  /** Returns a required, non-empty string of at most {@code maxLength} characters. */
+  public static String requiredString(JsonNode object, String field, int maxLength)
+      throws InvalidMessageException {
+    JsonNode node = object.get(field);
+    if (isAbsent(node)
+        || !node.isTextual()
+        || node.textValue().isEmpty()
+        || node.textValue().length() > maxLength) {
       throw new InvalidMessageException(
-          field + ": a string of 1 to " + max + " characters is needed");
+          field + ": a string of 1 to " + maxLength + " characters is needed");
     }
-    return n.textValue();
+    return node.textValue();
   }
 
-  /** An optional string of at most {@code max} characters; null when it is absent. */
-  public static String stringOrNull(JsonNode o, String field, int max)
+  /**
+   * Returns an optional string of at most {@code maxLength} characters, or null if it is absent.
+   */
+  public static String optionalString(JsonNode object, String field, int maxLength)
       throws InvalidMessageException {
-    return absent(o.get(field)) ? null : string(o, field, max);
+    return isAbsent(object.get(field)) ? null : requiredString(object, field, maxLength);
   }
 
-  /** A required boolean. */
-  public static boolean bool(JsonNode o, String field) throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n) || !n.isBoolean()) {
+  /** Returns a required boolean. */
+  public static boolean requiredBoolean(JsonNode object, String field)
+      throws InvalidMessageException {
+    JsonNode node = object.get(field);
+    if (isAbsent(node) || !node.isBoolean()) {
       throw new InvalidMessageException(field + ": true or false is needed");
     }
-    return n.booleanValue();
+    return node.booleanValue();
   }
 
-  /** A required finite number from 0 to {@code max}. */
-  public static double amount(JsonNode o, String field, double max) throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n) || !n.isNumber()) {
+  /** Returns a required finite number from 0 to {@code max}. */
+  public static double requiredNumber(JsonNode object, String field, double max)
+      throws InvalidMessageException {
+    JsonNode node = object.get(field);
+    if (isAbsent(node) || !node.isNumber()) {
       throw new InvalidMessageException(field + ": a number is needed");
     }
-    double d = n.doubleValue();
-    if (!Double.isFinite(d) || d < 0 || d > max) {
+    double number = node.doubleValue();
+    if (!Double.isFinite(number) || number < 0 || number > max) {
       throw new InvalidMessageException(field + ": a number from 0 to " + max + " is needed");
     }
-    return d;
+    return number;
   }
 
-  /** An optional number from 0 to {@code max}, or {@code otherwise} when it is absent. */
-  public static double amountOr(JsonNode o, String field, double max, double otherwise)
+  /** Returns a number from 0 to {@code max}, or {@code defaultValue} if the field is absent. */
+  public static double optionalNumber(
+      JsonNode object, String field, double max, double defaultValue)
       throws InvalidMessageException {
-    return absent(o.get(field)) ? otherwise : amount(o, field, max);
+    return isAbsent(object.get(field)) ? defaultValue : requiredNumber(object, field, max);
   }
 
-  /** A required integer from {@code min} to {@code max}. */
-  public static long integer(JsonNode o, String field, long min, long max)
+  /** Returns a required integer from {@code min} to {@code max}. */
+  public static long requiredInteger(JsonNode object, String field, long min, long max)
       throws InvalidMessageException {
-    JsonNode n = o.get(field);
-    if (absent(n)
-        || !n.isIntegralNumber()
-        || !n.canConvertToLong()
-        || n.longValue() < min
-        || n.longValue() > max) {
+    JsonNode node = object.get(field);
+    if (isAbsent(node)
+        || !node.isIntegralNumber()
+        || !node.canConvertToLong()
+        || node.longValue() < min
+        || node.longValue() > max) {
       throw new InvalidMessageException(
           field + ": an integer from " + min + " to " + max + " is needed");
     }
-    return n.longValue();
+    return node.longValue();
   }
 
-  /** A required array. */
-  public static ArrayNode list(JsonNode o, String field) throws InvalidMessageException {
-    if (!(o.get(field) instanceof ArrayNode a)) {
+  /** Returns a required array. */
+  public static ArrayNode requiredArray(JsonNode object, String field)
+      throws InvalidMessageException {
+    if (!(object.get(field) instanceof ArrayNode array)) {
       throw new InvalidMessageException(field + ": a list is needed");
     }
-    return a;
+    return array;
   }
 }
--- a/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
+++ b/src/test/java/org/mallowroad/controller/dependency/DependencyGateControllerTest.java
@@ -52,7 +52,7 @@
       ObjectNode transaction = Json.object();
       transaction.putArray("writes").addObject().put("put", key).set("v", value);
       try {
-        stage.store.serve("POST", "/multi", Json.bytes(transaction), 0);
+        stage.store.serve("POST", "/multi", Json.toBytes(transaction), 0);
       } catch (InvalidMessageException e) {
         throw new AssertionError(e);
       }
--- a/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
+++ b/src/test/java/org/mallowroad/core/fold/ClaimRulesTest.java
@@ -219,7 +219,7 @@
               base));
     }
     ObjectNode encoded = FoldCodec.encodeBlock(block);
-    assertEquals(block, FoldCodec.decodeBlock(Json.parseObject(Json.bytes(encoded))));
+    assertEquals(block, FoldCodec.decodeBlock(Json.parseObject(Json.toBytes(encoded))));
   }
 
   @Test
