--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -55,10 +55,18 @@
             || snapshot.machines() == null
             || snapshot.reasons() == null)) {
       throw new InvalidMessageException(
-          "snapshot format " + snapshot.format() + " is not supported; expected " + NodeSnapshot.FORMAT_VERSION);
+          "snapshot format "
+              + snapshot.format()
+              + " is not supported; expected "
+              + NodeSnapshot.FORMAT_VERSION);
     }
     if (snapshot != null
-        && Stream.of(snapshot.teams(), snapshot.jobs(), snapshot.zones(), snapshot.machines(), snapshot.reasons())
+        && Stream.of(
+                snapshot.teams(),
+                snapshot.jobs(),
+                snapshot.zones(),
+                snapshot.machines(),
+                snapshot.reasons())
             .anyMatch(list -> list.stream().anyMatch(Objects::isNull))) {
       throw invalidAnswer();
     }
