--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -46,7 +46,7 @@
     }
     NodeSnapshot snapshot = status.picture();
     if (snapshot != null
-        && (snapshot.format() != NodeSnapshot.FORMAT
+        && (snapshot.format() != NodeSnapshot.FORMAT_VERSION
             || snapshot.phase() == null
             || snapshot.totals() == null
             || snapshot.teams() == null
@@ -55,7 +55,7 @@
             || snapshot.machines() == null
             || snapshot.reasons() == null)) {
       throw new InvalidMessageException(
-          "invalid snapshot: format " + snapshot.format() + ", expected " + NodeSnapshot.FORMAT);
+          "invalid snapshot: format " + snapshot.format() + ", expected " + NodeSnapshot.FORMAT_VERSION);
     }
     if (snapshot != null
         && Stream.of(
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -12,8 +12,8 @@
 import org.mallowroad.console.view.Screen.Page;
 import org.mallowroad.console.view.Screen.Sort;
 import org.mallowroad.core.explain.MetricSample;
-import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot.JobLine;
+import org.mallowroad.core.explain.NodeSnapshot;
 import org.mallowroad.core.explain.NodeStatus;
 import org.mallowroad.core.explain.PendingCause;
 import org.mallowroad.core.explain.PendingCauseSummary;
@@ -49,7 +49,7 @@
   private static Overview overview(List<JobLine> jobs) {
     NodeSnapshot p =
         new NodeSnapshot(
-            NodeSnapshot.FORMAT,
+            NodeSnapshot.FORMAT_VERSION,
             "n0",
             NodeSnapshot.Phase.LEADING,
             3,
--- a/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/ConsoleGoldenTest.java
@@ -59,7 +59,7 @@
 
   private static NodeSnapshot nodeSnapshot() {
     return new NodeSnapshot(
-        NodeSnapshot.FORMAT,
+        NodeSnapshot.FORMAT_VERSION,
         "hearth-0",
         NodeSnapshot.Phase.LEADING,
         3,
