--- a/src/main/java/org/mallowroad/wire/ConsoleCodec.java
+++ b/src/main/java/org/mallowroad/wire/ConsoleCodec.java
@@ -55,7 +55,10 @@
             || snapshot.machines() == null
             || snapshot.reasons() == null)) {
       throw new InvalidMessageException(
-          "invalid snapshot: format " + snapshot.format() + ", expected " + NodeSnapshot.FORMAT_VERSION);
+          "invalid snapshot: format "
+              + snapshot.format()
+              + ", expected "
+              + NodeSnapshot.FORMAT_VERSION);
     }
     if (snapshot != null
         && Stream.of(
