--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -27,48 +27,56 @@
 import org.xnio.XnioWorker;
 
 /**
- * Serves pictures of one node. All of it runs on one thread of its own, so it answers while the
- * node's loop is stuck; what it keeps is the newest picture and a bounded past. Sockets, requests
- * that wait and their time are bounded; only GET is known, and no body is read.
+ * Serves snapshots of one node over HTTP. The server runs on its own thread, so it responds even
+ * while the node's event loop is stuck. It keeps the latest snapshot and a bounded history. The
+ * number of sockets, the number of pending requests and their waiting time are bounded; only GET is
+ * supported, and request bodies are not read.
  */
 public final class ConsoleServer {
   private static final Logger LOG = LoggerFactory.getLogger(ConsoleServer.class);
 
-  /** One who asks waits no longer than this for a fresh picture, then gets the one there is. */
-  private static final long WAIT_MS = 250;
+  /**
+   * The longest time that a request waits for the event loop. A status request is then answered
+   * with the latest snapshot, and a job request with 503.
+   */
+  private static final long MAX_WAIT_MS = 250;
 
-  private static final long BEAT_MS = 500;
+  private static final long PROBE_INTERVAL_MS = 500;
 
-  private static final int MOST_SOCKETS = 32;
+  private static final int MAX_SOCKETS = 32;
 
-  /** Questions about single jobs, with a burst of two seconds' worth. */
-  private static final double JOBS_PER_S = 5;
+  /** The rate limit for requests about single jobs; the burst is two seconds' worth of requests. */
+  private static final double JOB_REQUESTS_PER_SECOND = 5;
 
-  /** Requests that wait for the loop at a time; further ones get what there is. */
-  private static final int MOST_WAITING = 64;
+  /**
+   * The maximum number of requests of one kind that wait for the event loop. Further status
+   * requests get the latest snapshot, and further job requests get 503.
+   */
+  private static final int MAX_PENDING_REQUESTS = 64;
 
   private final ConsoleSettings settings;
-  private final SnapshotSource subject;
+  private final SnapshotSource snapshotSource;
   private final XnioWorker worker;
-  private final XnioEventLoop own;
+  private final XnioEventLoop consoleLoop;
   private final Undertow server;
   private final EventLoopProbe probe = new EventLoopProbe();
-  private final List<Waiter> waiters = new ArrayList<>();
-  private final MetricHistory past;
-  private final RateLimiter jobs;
-  private int jobsAsked;
-  private NodeSnapshot picture;
-  private long pictureMs;
-  private boolean asked;
+  private final List<PendingStatusRequest> pendingStatusRequests = new ArrayList<>();
+  private final MetricHistory history;
+  private final RateLimiter jobRateLimiter;
+  private int pendingJobRequests;
+  private NodeSnapshot snapshot;
+  private long snapshotReceivedMs;
+  private boolean snapshotRequested;
 
-  /** A console of a node; it does not listen before {@link #start()}. */
-  public ConsoleServer(ConsoleSettings settings, SnapshotSource subject) throws IOException {
+  /** Creates the console of a node; it does not listen before {@link #start()}. */
+  public ConsoleServer(ConsoleSettings settings, SnapshotSource snapshotSource) throws IOException {
     this.settings = settings;
-    this.subject = subject;
-    this.past = new MetricHistory(settings.history());
+    this.snapshotSource = snapshotSource;
+    this.history = new MetricHistory(settings.history());
     this.worker = XnioEventLoop.createWorker("console");
-    this.own = new XnioEventLoop(worker.getIoThread());
-    this.jobs = new RateLimiter(JOBS_PER_S, 2 * JOBS_PER_S, own.now());
+    this.consoleLoop = new XnioEventLoop(worker.getIoThread());
+    this.jobRateLimiter =
+        new RateLimiter(JOB_REQUESTS_PER_SECOND, 2 * JOB_REQUESTS_PER_SECOND, consoleLoop.now());
     HttpHandler handler = this::handle;
     this.server =
         Undertow.builder()
@@ -79,191 +87,220 @@
             .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 8 * 1024)
             .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, 60_000)
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 5_000)
-            .setSocketOption(Options.CONNECTION_HIGH_WATER, MOST_SOCKETS)
-            .setSocketOption(Options.CONNECTION_LOW_WATER, MOST_SOCKETS - 4)
+            .setSocketOption(Options.CONNECTION_HIGH_WATER, MAX_SOCKETS)
+            .setSocketOption(Options.CONNECTION_LOW_WATER, MAX_SOCKETS - 4)
             .build();
   }
 
-  /** Begins to listen and to look at the loop. */
+  /** Starts to listen, to probe the event loop and to request snapshots. */
   public void start() {
     server.start();
-    own.every(BEAT_MS, this::beat);
-    own.every(settings.everyMs(), this::ask);
-    own.submit(this::ask);
-    LOG.info("event=console_started node={} listen={}", subject.nodeName(), address());
+    consoleLoop.every(PROBE_INTERVAL_MS, this::probeLoop);
+    consoleLoop.every(settings.everyMs(), this::requestSnapshot);
+    consoleLoop.submit(this::requestSnapshot);
+    LOG.info("event=console_started node={} listen={}", snapshotSource.nodeName(), address());
   }
 
-  /** Where it listens once it has started; port 0 in the settings is any port. */
+  /**
+   * The address on which the console listens, known once it has started. If the port in the
+   * settings is 0, the system assigns one.
+   */
   public String address() {
-    InetSocketAddress a = (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
-    return a.getHostString() + ":" + a.getPort();
+    InetSocketAddress socketAddress =
+        (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
+    return socketAddress.getHostString() + ":" + socketAddress.getPort();
   }
 
-  /** Ends the listener and its thread. */
+  /** Stops the listener and its thread. */
   public void stop() {
-    own.close();
+    consoleLoop.close();
     server.stop();
     worker.shutdown();
   }
 
-  private void beat() {
-    if (probe.send(own.now())) {
-      subject.submit(
+  private void probeLoop() {
+    if (probe.tryStart(consoleLoop.now())) {
+      snapshotSource.submit(
           () -> {
-            long ran = own.now();
-            own.submit(() -> probe.back(ran));
+            long executedMs = consoleLoop.now();
+            consoleLoop.submit(() -> probe.complete(executedMs));
           });
     }
   }
 
-  /** Asks the loop for a picture, once at a time: a stuck loop must not find a queue of them. */
-  private void ask() {
-    if (!asked) {
-      asked = true;
-      subject.requestSnapshot(p -> own.submit(() -> take(p)));
+  /**
+   * Requests a snapshot from the event loop unless a request is pending, so that requests do not
+   * queue up while the loop is stuck.
+   */
+  private void requestSnapshot() {
+    if (!snapshotRequested) {
+      snapshotRequested = true;
+      snapshotSource.requestSnapshot(
+          newSnapshot -> consoleLoop.submit(() -> storeSnapshot(newSnapshot)));
     }
   }
 
-  private void take(NodeSnapshot p) {
-    asked = false;
-    picture = p;
-    pictureMs = own.now();
-    past.take(p, pictureMs);
-    List<Waiter> all = List.copyOf(waiters);
-    waiters.clear();
-    all.forEach(Waiter::answer);
+  private void storeSnapshot(NodeSnapshot newSnapshot) {
+    snapshotRequested = false;
+    snapshot = newSnapshot;
+    snapshotReceivedMs = consoleLoop.now();
+    history.record(newSnapshot, snapshotReceivedMs);
+    List<PendingStatusRequest> answered = List.copyOf(pendingStatusRequests);
+    pendingStatusRequests.clear();
+    answered.forEach(PendingStatusRequest::answer);
   }
 
-  /** One who waits for a fresh picture. */
-  private final class Waiter {
+  /** A status request that waits for a fresh snapshot. */
+  private final class PendingStatusRequest {
     private final HttpServerExchange exchange;
     private EventLoop.Timer timer;
-    private boolean over;
+    private boolean completed;
 
-    Waiter(HttpServerExchange exchange) {
+    PendingStatusRequest(HttpServerExchange exchange) {
       this.exchange = exchange;
     }
 
     void answer() {
-      if (!over) {
-        over = true;
+      if (!completed) {
+        completed = true;
         timer.cancel();
-        sight(exchange);
+        sendStatus(exchange);
       }
     }
 
-    void late() {
-      waiters.remove(this);
+    void timeOut() {
+      pendingStatusRequests.remove(this);
       answer();
     }
   }
 
-  private void handle(HttpServerExchange x) {
-    String path = x.getRequestPath();
-    if (!x.getRequestMethod().equals(Methods.GET)) {
-      send(x, 405, ConsoleCodec.encode(new Refusal("only GET is known here")));
+  private void handle(HttpServerExchange exchange) {
+    String path = exchange.getRequestPath();
+    if (!exchange.getRequestMethod().equals(Methods.GET)) {
+      send(
+          exchange,
+          405,
+          ConsoleCodec.encode(new ErrorResponse("method not allowed; only GET is supported")));
     } else if (path.equals(ConsoleCodec.PATH_PREFIX + "picture")) {
-      picture(x);
+      handleStatus(exchange);
     } else if (path.equals(ConsoleCodec.PATH_PREFIX + "history")) {
-      send(x, 200, ConsoleCodec.encode(past.points()));
+      send(exchange, 200, ConsoleCodec.encode(history.samples()));
     } else if (path.startsWith(ConsoleCodec.PATH_PREFIX + "jobs/")) {
-      job(x, path.substring((ConsoleCodec.PATH_PREFIX + "jobs/").length()));
+      handleJob(exchange, path.substring((ConsoleCodec.PATH_PREFIX + "jobs/").length()));
     } else {
-      send(x, 404, ConsoleCodec.encode(new Refusal("no such page")));
+      send(exchange, 404, ConsoleCodec.encode(new ErrorResponse("unknown path")));
     }
   }
 
-  /** Why a request was not served. */
-  private record Refusal(String error) {}
+  /** The body of an error response, as JSON. */
+  private record ErrorResponse(String error) {}
 
-  private void picture(HttpServerExchange x) {
-    boolean fresh = picture != null && own.now() - pictureMs <= settings.freshMs();
-    if (fresh || probe.stuck(own.now()) || waiters.size() >= MOST_WAITING) {
-      sight(x);
+  private void handleStatus(HttpServerExchange exchange) {
+    boolean hasFreshSnapshot =
+        snapshot != null && consoleLoop.now() - snapshotReceivedMs <= settings.freshMs();
+    if (hasFreshSnapshot
+        || probe.isStuck(consoleLoop.now())
+        || pendingStatusRequests.size() >= MAX_PENDING_REQUESTS) {
+      sendStatus(exchange);
       return;
     }
-    x.dispatch(
-        own.ioThread(),
+    exchange.dispatch(
+        consoleLoop.ioThread(),
         () -> {
-          Waiter w = new Waiter(x);
-          w.timer = own.after(WAIT_MS, w::late);
-          waiters.add(w);
-          ask();
+          PendingStatusRequest request = new PendingStatusRequest(exchange);
+          request.timer = consoleLoop.after(MAX_WAIT_MS, request::timeOut);
+          pendingStatusRequests.add(request);
+          requestSnapshot();
         });
   }
 
-  private void sight(HttpServerExchange x) {
-    long now = own.now();
-    List<String> stack = probe.stuck(now) ? EventLoopProbe.stack(subject.loopThread()) : List.of();
-    NodeStatus s =
+  private void sendStatus(HttpServerExchange exchange) {
+    long nowMs = consoleLoop.now();
+    List<String> stack =
+        probe.isStuck(nowMs)
+            ? EventLoopProbe.innermostFrames(snapshotSource.loopThread())
+            : List.of();
+    NodeStatus status =
         new NodeStatus(
             NodeSnapshot.FORMAT,
-            subject.nodeName(),
-            probe.lateMs(now),
+            snapshotSource.nodeName(),
+            probe.latencyMs(nowMs),
             stack,
-            picture == null ? -1 : (now - pictureMs) / 1000.0,
-            picture);
-    send(x, 200, ConsoleCodec.encode(s));
+            snapshot == null ? -1 : (nowMs - snapshotReceivedMs) / 1000.0,
+            snapshot);
+    send(exchange, 200, ConsoleCodec.encode(status));
   }
 
-  private void job(HttpServerExchange x, String id) {
-    if (!JobCodec.ID_PATTERN.matcher(id).matches()) {
-      send(x, 404, ConsoleCodec.encode(new Refusal("not a job id")));
+  private void handleJob(HttpServerExchange exchange, String jobId) {
+    if (!JobCodec.ID_PATTERN.matcher(jobId).matches()) {
+      send(exchange, 404, ConsoleCodec.encode(new ErrorResponse("not a job id")));
       return;
     }
-    if (probe.stuck(own.now()) || jobsAsked >= MOST_WAITING) {
-      send(x, 503, ConsoleCodec.encode(new Refusal("the loop does not answer")));
+    if (probe.isStuck(consoleLoop.now()) || pendingJobRequests >= MAX_PENDING_REQUESTS) {
+      send(
+          exchange, 503, ConsoleCodec.encode(new ErrorResponse("the event loop does not respond")));
       return;
     }
-    // Each costs the loop a look at all machines, and a picture serves many where this serves one.
-    if (!jobs.tryAcquire(1, own.now())) {
-      send(x, 429, ConsoleCodec.encode(new Refusal("too many questions about single jobs")));
+    // Each of these requests makes the event loop scan all machines for one client, whereas one
+    // snapshot serves many clients.
+    if (!jobRateLimiter.tryAcquire(1, consoleLoop.now())) {
+      send(
+          exchange,
+          429,
+          ConsoleCodec.encode(new ErrorResponse("too many requests for single jobs")));
       return;
     }
-    x.dispatch(
-        own.ioThread(),
+    exchange.dispatch(
+        consoleLoop.ioThread(),
         () -> {
-          JobWaiter w = new JobWaiter(x);
-          jobsAsked++;
-          w.timer = own.after(WAIT_MS, w::late);
-          subject.requestJob(id, p -> own.submit(() -> w.answer(p)));
+          PendingJobRequest request = new PendingJobRequest(exchange);
+          pendingJobRequests++;
+          request.timer = consoleLoop.after(MAX_WAIT_MS, request::timeOut);
+          snapshotSource.requestJob(
+              jobId, jobSnapshot -> consoleLoop.submit(() -> request.answer(jobSnapshot)));
         });
   }
 
-  /** One who waits for a job. */
-  private final class JobWaiter {
+  /** A request for one job that waits for the event loop. */
+  private final class PendingJobRequest {
     private final HttpServerExchange exchange;
     private EventLoop.Timer timer;
-    private boolean over;
+    private boolean completed;
 
-    JobWaiter(HttpServerExchange exchange) {
+    PendingJobRequest(HttpServerExchange exchange) {
       this.exchange = exchange;
     }
 
-    void answer(JobSnapshot p) {
-      jobsAsked--;
-      if (!over) {
-        over = true;
+    void answer(JobSnapshot jobSnapshot) {
+      pendingJobRequests--;
+      if (!completed) {
+        completed = true;
         timer.cancel();
-        send(exchange, p.job() == null ? 404 : 200, ConsoleCodec.encode(p));
+        send(exchange, jobSnapshot.job() == null ? 404 : 200, ConsoleCodec.encode(jobSnapshot));
       }
     }
 
-    /** The loop still has the question: it counts as asked until it is answered. */
-    void late() {
-      if (!over) {
-        over = true;
-        send(exchange, 503, ConsoleCodec.encode(new Refusal("the loop does not answer")));
+    /**
+     * Responds with 503. The event loop still has to process the request, so it counts as pending
+     * until the loop has answered.
+     */
+    void timeOut() {
+      if (!completed) {
+        completed = true;
+        send(
+            exchange,
+            503,
+            ConsoleCodec.encode(new ErrorResponse("the event loop does not respond")));
       }
     }
   }
 
-  private static void send(HttpServerExchange x, int status, byte[] body) {
-    x.setStatusCode(status);
-    x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+  private static void send(HttpServerExchange exchange, int status, byte[] body) {
+    exchange.setStatusCode(status);
+    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     if (status == 503 || status == 429) {
-      x.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
+      exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
     }
-    x.getResponseSender().send(ByteBuffer.wrap(body));
+    exchange.getResponseSender().send(ByteBuffer.wrap(body));
   }
 }
--- a/src/main/java/org/mallowroad/console/EventLoopProbe.java
+++ b/src/main/java/org/mallowroad/console/EventLoopProbe.java
@@ -4,52 +4,59 @@
 import java.util.List;
 
 /**
- * Whether a loop turns, as seen from another thread: a beat is sent through it, and the next one
- * only when that is back. Confined to the console's thread; times are of the steady clock.
+ * Detects from another thread whether an event loop is stuck. A probe task is submitted to the
+ * loop, and the next one only after the previous one has completed. Confined to the console's
+ * thread; all times are in milliseconds of the monotonic clock.
  */
 final class EventLoopProbe {
-  /** A beat that is out for longer means that the loop is stuck. */
-  static final long STUCK_MS = 1_000;
+  /** If a probe has been pending for longer than this, the loop is considered stuck. */
+  static final long STUCK_AFTER_MS = 1_000;
 
-  private static final int FRAMES = 16;
+  private static final int MAX_FRAMES = 16;
 
-  private long sentMs = -1;
-  private long lateMs;
+  private long pendingSinceMs = -1;
+  private long latencyMs;
 
-  /** True when a beat is to be sent now. */
-  boolean send(long now) {
-    if (sentMs >= 0) {
+  /**
+   * Starts a probe unless one is pending; returns true if the caller must submit the probe task to
+   * the loop.
+   */
+  boolean tryStart(long nowMs) {
+    if (pendingSinceMs >= 0) {
       return false;
     }
-    sentMs = now;
+    pendingSinceMs = nowMs;
     return true;
   }
 
-  /** The beat came back; it had run on the loop at {@code ranMs}. */
-  void back(long ranMs) {
-    lateMs = Math.max(0, ranMs - sentMs);
-    sentMs = -1;
+  /** Completes the pending probe, whose task ran on the loop at {@code executedMs}. */
+  void complete(long executedMs) {
+    latencyMs = Math.max(0, executedMs - pendingSinceMs);
+    pendingSinceMs = -1;
   }
 
-  /** How late the loop is: the beat that is out, or the one before when that is longer. */
-  long lateMs(long now) {
-    return Math.max(lateMs, sentMs < 0 ? 0 : now - sentMs);
+  /**
+   * The loop's latency in milliseconds: the latency of the last completed probe, or the time for
+   * which the current probe has been pending if that is longer.
+   */
+  long latencyMs(long nowMs) {
+    return Math.max(latencyMs, pendingSinceMs < 0 ? 0 : nowMs - pendingSinceMs);
   }
 
-  /** True while a beat has been out for too long. */
-  boolean stuck(long now) {
-    return sentMs >= 0 && now - sentMs > STUCK_MS;
+  /** True if the current probe has been pending for more than {@link #STUCK_AFTER_MS}. */
+  boolean isStuck(long nowMs) {
+    return pendingSinceMs >= 0 && nowMs - pendingSinceMs > STUCK_AFTER_MS;
   }
 
-  /** Where a stuck loop is: the innermost frames. */
-  static List<String> stack(Thread t) {
-    List<String> out = new ArrayList<>();
-    for (StackTraceElement e : t.getStackTrace()) {
-      if (out.size() == FRAMES) {
+  /** The innermost frames of a thread's stack trace, which show where a stuck loop is blocked. */
+  static List<String> innermostFrames(Thread thread) {
+    List<String> frames = new ArrayList<>();
+    for (StackTraceElement element : thread.getStackTrace()) {
+      if (frames.size() == MAX_FRAMES) {
         break;
       }
-      out.add(e.toString());
+      frames.add(element.toString());
     }
-    return out;
+    return frames;
   }
 }
--- a/src/main/java/org/mallowroad/console/MetricHistory.java
+++ b/src/main/java/org/mallowroad/console/MetricHistory.java
@@ -5,33 +5,41 @@
 import org.mallowroad.core.explain.MetricSample;
 import org.mallowroad.core.explain.NodeSnapshot;
 
-/** Points of a leader's past, one in a while, the oldest dropped when there are too many. */
+/**
+ * Samples of a leader's metrics, taken at a fixed interval. The oldest sample is dropped when there
+ * are more than a maximum.
+ */
 final class MetricHistory {
-  /** Between two points. */
-  static final long POINT_MS = 15_000;
+  /** The minimum time between two samples. */
+  static final long SAMPLE_INTERVAL_MS = 15_000;
 
-  private final int most;
-  private final ArrayDeque<MetricSample> points = new ArrayDeque<>();
-  private long lastMs = Long.MIN_VALUE / 2;
+  private final int maxSamples;
+  private final ArrayDeque<MetricSample> samples = new ArrayDeque<>();
+  private long lastSampleMs = Long.MIN_VALUE / 2;
 
-  MetricHistory(int most) {
-    this.most = most;
+  MetricHistory(int maxSamples) {
+    this.maxSamples = maxSamples;
   }
 
-  /** Takes a picture, if it is a leader's and the last point is long enough ago. */
-  void take(NodeSnapshot p, long now) {
-    if (most == 0 || p.phase() != NodeSnapshot.Phase.LEADING || now - lastMs < POINT_MS) {
+  /**
+   * Adds a sample of a snapshot if the node is the leader and the interval since the last sample
+   * has passed.
+   */
+  void record(NodeSnapshot snapshot, long nowMs) {
+    if (maxSamples == 0
+        || snapshot.phase() != NodeSnapshot.Phase.LEADING
+        || nowMs - lastSampleMs < SAMPLE_INTERVAL_MS) {
       return;
     }
-    lastMs = now;
-    points.add(MetricSample.of(p));
-    if (points.size() > most) {
-      points.removeFirst();
+    lastSampleMs = nowMs;
+    samples.add(MetricSample.of(snapshot));
+    if (samples.size() > maxSamples) {
+      samples.removeFirst();
     }
   }
 
-  /** The points, the oldest first. */
-  List<MetricSample> points() {
-    return List.copyOf(points);
+  /** The samples, oldest first. */
+  List<MetricSample> samples() {
+    return List.copyOf(samples);
   }
 }
--- a/src/main/java/org/mallowroad/console/SnapshotSource.java
+++ b/src/main/java/org/mallowroad/console/SnapshotSource.java
@@ -4,20 +4,23 @@
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.core.explain.NodeSnapshot;
 
-/** What a console asks of its node's loop. Calls come from any thread, answers on the loop. */
+/**
+ * The console's access to its node. The methods may be called from any thread; callbacks and tasks
+ * run on the node's event loop.
+ */
 public interface SnapshotSource {
   /** The node's name. */
   String nodeName();
 
-  /** Asks for a picture. */
+  /** Requests a snapshot of the node. */
   void requestSnapshot(Consumer<NodeSnapshot> callback);
 
-  /** Asks for one job. */
+  /** Requests a snapshot of one job. */
   void requestJob(String id, Consumer<JobSnapshot> callback);
 
-  /** Runs on the loop as soon as it turns. */
+  /** Runs a task on the event loop as soon as the loop is free. */
   void submit(Runnable task);
 
-  /** The loop's thread, of which nothing but the stack is looked at. */
+  /** The thread of the event loop; the console only reads its stack trace. */
   Thread loopThread();
 }
--- a/src/main/java/org/mallowroad/console/ask/BoundedHttpGet.java
+++ b/src/main/java/org/mallowroad/console/ask/BoundedHttpGet.java
@@ -12,76 +12,85 @@
 import java.nio.channels.UnresolvedAddressException;
 import java.time.Duration;
 
-/** A GET whose time and size are bounded, and whose failure is a sentence. */
+/** An HTTP GET with a timeout and a maximum response size, which reports failures as text. */
 final class BoundedHttpGet {
-  /** How no answer came. */
+  /** The kind of failure of a request. */
   enum Failure {
-    /** One came. */
+    /** The request did not fail: there is a response. */
     NONE,
-    /** Nobody listens there. */
+    /** The connection was refused. */
     REFUSED,
-    /** Nothing came in time, or the connection ended. */
-    HANGS,
-    /** The address or the answer is wrong. */
-    WRONG
+    /** No response within the timeout, or the connection was closed without one. */
+    NO_RESPONSE,
+    /** The address is invalid, or the response is too large. */
+    INVALID
   }
 
-  /** An answer; one that did not come has status 0 and a problem. */
-  record Answer(int status, byte[] body, Failure failure, String problem) {}
+  /**
+   * A response. If the request failed, the status is 0 and the problem describes the failure.
+   *
+   * @param status HTTP status code, or 0
+   * @param problem description of the failure for the user; empty if there is a response
+   */
+  record Response(int status, byte[] body, Failure failure, String problem) {}
 
   private final HttpClient http;
   private final Duration timeout;
-  private final int most;
+  private final int maxBytes;
 
-  BoundedHttpGet(HttpClient http, Duration timeout, int most) {
+  BoundedHttpGet(HttpClient http, Duration timeout, int maxBytes) {
     this.http = http;
     this.timeout = timeout;
-    this.most = most;
+    this.maxBytes = maxBytes;
   }
 
-  Answer get(String address, String path) {
+  Response get(String address, String path) {
     try {
-      HttpResponse<InputStream> r =
+      HttpResponse<InputStream> response =
           http.send(
               HttpRequest.newBuilder(URI.create("http://" + address + path))
                   .timeout(timeout)
                   .build(),
               HttpResponse.BodyHandlers.ofInputStream());
-      try (InputStream in = r.body()) {
-        byte[] body = in.readNBytes(most + 1);
-        return body.length > most
-            ? failed("answers more than " + (most >> 20) + " MiB", Failure.WRONG)
-            : new Answer(r.statusCode(), body, Failure.NONE, "");
+      try (InputStream stream = response.body()) {
+        byte[] body = stream.readNBytes(maxBytes + 1);
+        return body.length > maxBytes
+            ? failure("returned more than " + (maxBytes >> 20) + " MiB", Failure.INVALID)
+            : new Response(response.statusCode(), body, Failure.NONE, "");
       }
     } catch (HttpConnectTimeoutException e) {
-      return failed("takes no connection within " + timeout.toMillis() + " ms", Failure.HANGS);
+      return failure(
+          "accepts no connection within " + timeout.toMillis() + " ms", Failure.NO_RESPONSE);
     } catch (HttpTimeoutException e) {
-      return failed("does not answer within " + timeout.toMillis() + " ms", Failure.HANGS);
+      return failure("does not answer within " + timeout.toMillis() + " ms", Failure.NO_RESPONSE);
     } catch (ConnectException e) {
-      return unresolved(e)
-          ? failed("no such host", Failure.WRONG)
-          : failed("refuses connections", Failure.REFUSED);
+      return isUnresolvedHost(e)
+          ? failure("no such host", Failure.INVALID)
+          : failure("refuses connections", Failure.REFUSED);
     } catch (IOException e) {
-      return failed("ends the connection without an answer", Failure.HANGS);
+      return failure("closed the connection without a response", Failure.NO_RESPONSE);
     } catch (IllegalArgumentException e) {
-      return failed("not an address of the form host:port", Failure.WRONG);
+      return failure("the address is not of the form host:port", Failure.INVALID);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return failed("was not waited for", Failure.HANGS);
+      return failure("the request was interrupted", Failure.NO_RESPONSE);
     }
   }
 
-  /** An unresolved name comes as a refused connection, with a cause that says so. */
-  private static boolean unresolved(Throwable e) {
-    for (Throwable t = e; t != null; t = t.getCause()) {
-      if (t instanceof UnresolvedAddressException) {
+  /**
+   * Returns whether the host name could not be resolved. The HTTP client reports this as a refused
+   * connection, with an {@link UnresolvedAddressException} among its causes.
+   */
+  private static boolean isUnresolvedHost(Throwable exception) {
+    for (Throwable cause = exception; cause != null; cause = cause.getCause()) {
+      if (cause instanceof UnresolvedAddressException) {
         return true;
       }
     }
     return false;
   }
 
-  private static Answer failed(String problem, Failure failure) {
-    return new Answer(0, new byte[0], failure, problem);
+  private static Response failure(String problem, Failure failure) {
+    return new Response(0, new byte[0], failure, problem);
   }
 }
--- a/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
+++ b/src/main/java/org/mallowroad/console/ask/ClusterQuery.java
@@ -23,195 +23,216 @@
 import org.mallowroad.wire.InvalidMessageException;
 
 /**
- * Looks at a site: all nodes and the state service at once, so that one that hangs costs its
- * time-out and not the others'. The state service is asked seldom while a leader answers.
+ * Queries a cluster: all nodes and the state service concurrently, so that one that hangs delays
+ * the result only by its own timeout. While a leader answers, the state service is queried only
+ * occasionally.
  */
 public final class ClusterQuery implements AutoCloseable {
-  /** A node that has not answered by then is hanging. */
-  private static final long NODE_MS = 1_000;
+  /** The timeout of a request to a node, after which the node counts as hanging. */
+  private static final long NODE_TIMEOUT_MS = 1_000;
 
-  /** One look at the records may take so long, its budget of reads included. */
-  private static final long RECORDS_MS = 3_500;
+  /** The timeout for reading the records, including waits for the request rate limit. */
+  private static final long RECORDS_TIMEOUT_MS = 3_500;
 
-  /** While a leader answers the records are read again only after this time. */
-  private static final long RECORDS_EVERY_MS = 10_000;
+  /** While a leader answers, the records are read again only after this time. */
+  private static final long RECORDS_REFRESH_MS = 10_000;
 
-  private static final int MOST_BYTES = 8 << 20;
-  private static final int MOST_NODES = 64;
+  private static final int MAX_RESPONSE_BYTES = 8 << 20;
+  private static final int MAX_NODES = 64;
 
   private final List<String> nodes;
-  private final RecordInspector records;
-  private final String state;
-  private final BoundedHttpGet fetch;
-  private final ExecutorService pool;
-  private RecordedState recorded;
-  private long recordedNs;
+  private final RecordInspector recordInspector;
+  private final String stateAddress;
+  private final BoundedHttpGet httpGet;
+  private final ExecutorService executor;
+  private RecordedState recordedState;
+  private long recordsReadNs;
 
   /**
-   * Of a site.
+   * Creates the query of a cluster.
    *
-   * @param nodes consoles' addresses
-   * @param state the state service's address, or empty to leave it alone
+   * @param nodes the addresses of the nodes' consoles; at most 64 are queried
+   * @param stateAddress the address of the state service, or empty to not query it
    */
-  public ClusterQuery(List<String> nodes, String state) {
-    this.nodes = List.copyOf(nodes.subList(0, Math.min(MOST_NODES, nodes.size())));
-    this.state = state;
-    this.pool =
+  public ClusterQuery(List<String> nodes, String stateAddress) {
+    this.nodes = List.copyOf(nodes.subList(0, Math.min(MAX_NODES, nodes.size())));
+    this.stateAddress = stateAddress;
+    this.executor =
         Executors.newCachedThreadPool(
-            r -> {
-              Thread t = new Thread(r, "asker");
-              t.setDaemon(true);
-              return t;
+            task -> {
+              Thread thread = new Thread(task, "cluster-query");
+              thread.setDaemon(true);
+              return thread;
             });
     HttpClient http =
         HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofMillis(NODE_MS))
-            .executor(pool)
+            .connectTimeout(Duration.ofMillis(NODE_TIMEOUT_MS))
+            .executor(executor)
             .build();
-    this.fetch = new BoundedHttpGet(http, Duration.ofMillis(NODE_MS), MOST_BYTES);
-    this.records = new RecordInspector(http, state);
-    this.recorded = RecordedState.notRead("", "");
+    this.httpGet = new BoundedHttpGet(http, Duration.ofMillis(NODE_TIMEOUT_MS), MAX_RESPONSE_BYTES);
+    this.recordInspector = new RecordInspector(http, stateAddress);
+    this.recordedState = RecordedState.notRead("", "");
   }
 
-  /** One look. */
+  /** Queries the nodes and, if needed, the state service. */
   public Overview fetchOverview() {
-    List<Future<NodeView>> asked = new ArrayList<>();
-    for (String n : nodes) {
-      asked.add(pool.submit(() -> node(n)));
+    List<Future<NodeView>> pendingViews = new ArrayList<>();
+    for (String node : nodes) {
+      pendingViews.add(executor.submit(() -> fetchNodeView(node)));
     }
-    // The first look reads the records beside the nodes; later ones only where they are needed.
-    Future<RecordedState> reading = recordedNs == 0 ? readRecords() : null;
+    // The first query reads the records concurrently with the nodes; later ones read them only if
+    // needed.
+    Future<RecordedState> pendingRecords = recordsReadNs == 0 ? submitRecordsRead() : null;
     List<NodeView> views = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
-      String n = nodes.get(i);
+      String node = nodes.get(i);
       views.add(
-          within(
-              asked.get(i),
-              NODE_MS + 300,
-              () -> NodeView.failed(n, Standing.HANGING, "does not answer in time", NODE_MS)));
+          await(
+              pendingViews.get(i),
+              NODE_TIMEOUT_MS + 300,
+              () ->
+                  NodeView.failed(
+                      node, Standing.HANGING, "does not answer in time", NODE_TIMEOUT_MS)));
     }
-    if (recordedNs == 0) {
-      // This program's own first calls are slow: nobody is called hanging for that.
+    if (recordsReadNs == 0) {
+      // The first requests of this process are slow, so a node that timed out is queried once more
+      // before it counts as hanging.
       for (int i = 0; i < views.size(); i++) {
         if (views.get(i).standing() == Standing.HANGING) {
-          String n = nodes.get(i);
-          NodeView first = views.get(i);
-          views.set(i, within(pool.submit(() -> node(n)), NODE_MS + 300, () -> first));
+          String node = nodes.get(i);
+          NodeView firstView = views.get(i);
+          views.set(
+              i,
+              await(
+                  executor.submit(() -> fetchNodeView(node)),
+                  NODE_TIMEOUT_MS + 300,
+                  () -> firstView));
         }
       }
     }
-    boolean led = views.stream().anyMatch(v -> v.standing() == Standing.LEADING);
-    long age = (System.nanoTime() - recordedNs) / 1_000_000;
-    if (reading == null && (!led || age > RECORDS_EVERY_MS)) {
-      reading = readRecords();
+    boolean hasLeader = views.stream().anyMatch(view -> view.standing() == Standing.LEADING);
+    long recordsAgeMs = (System.nanoTime() - recordsReadNs) / 1_000_000;
+    if (pendingRecords == null && (!hasLeader || recordsAgeMs > RECORDS_REFRESH_MS)) {
+      pendingRecords = submitRecordsRead();
     }
-    if (reading != null) {
-      recorded =
-          within(
-              reading, RECORDS_MS, () -> RecordedState.notRead(state, "does not answer in time"));
-      recordedNs = System.nanoTime();
+    if (pendingRecords != null) {
+      recordedState =
+          await(
+              pendingRecords,
+              RECORDS_TIMEOUT_MS,
+              () -> RecordedState.notRead(stateAddress, "does not answer in time"));
+      recordsReadNs = System.nanoTime();
     }
-    return Overview.of(views, recorded, System.currentTimeMillis());
+    return Overview.of(views, recordedState, System.currentTimeMillis());
   }
 
-  private Future<RecordedState> readRecords() {
-    return pool.submit(() -> state.isEmpty() ? RecordedState.notRead("", "") : records.read());
+  private Future<RecordedState> submitRecordsRead() {
+    return executor.submit(
+        () -> stateAddress.isEmpty() ? RecordedState.notRead("", "") : recordInspector.read());
   }
 
-  private static <T> T within(Future<T> f, long ms, Supplier<T> otherwise) {
+  private static <T> T await(Future<T> future, long timeoutMs, Supplier<T> fallback) {
     try {
-      return f.get(ms, TimeUnit.MILLISECONDS);
+      return future.get(timeoutMs, TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      f.cancel(true);
+      future.cancel(true);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException e) {
       throw new IllegalStateException(e.getCause());
     }
-    return otherwise.get();
+    return fallback.get();
   }
 
-  private NodeView node(String address) {
-    long began = System.nanoTime();
-    BoundedHttpGet.Answer a = fetch.get(address, ConsoleCodec.PATH_PREFIX + "picture");
-    long ms = (System.nanoTime() - began) / 1_000_000;
-    if (a.status() == 0) {
-      Standing s =
-          switch (a.failure()) {
+  private NodeView fetchNodeView(String address) {
+    long startNs = System.nanoTime();
+    BoundedHttpGet.Response response = httpGet.get(address, ConsoleCodec.PATH_PREFIX + "picture");
+    long tookMs = (System.nanoTime() - startNs) / 1_000_000;
+    if (response.status() == 0) {
+      Standing standing =
+          switch (response.failure()) {
             case REFUSED -> Standing.REFUSING;
-            case HANGS -> Standing.HANGING;
+            case NO_RESPONSE -> Standing.HANGING;
             default -> Standing.STRANGE;
           };
-      return NodeView.failed(address, s, a.problem(), ms);
+      return NodeView.failed(address, standing, response.problem(), tookMs);
     }
-    if (a.status() != 200) {
+    if (response.status() != 200) {
       return NodeView.failed(
-          address, Standing.STRANGE, "answers " + a.status() + ": not a console of this build", ms);
+          address,
+          Standing.STRANGE,
+          "returned HTTP status " + response.status() + ": not a console of this build",
+          tookMs);
     }
     try {
-      return NodeView.answered(address, ms, ConsoleCodec.decodeStatus(a.body()));
+      return NodeView.answered(address, tookMs, ConsoleCodec.decodeStatus(response.body()));
     } catch (InvalidMessageException e) {
-      return NodeView.failed(address, Standing.STRANGE, e.getMessage(), ms);
+      return NodeView.failed(address, Standing.STRANGE, e.getMessage(), tookMs);
     }
   }
 
-  /** One job as the first node that knows it says, or null. */
+  /** Fetches a job from the first node that knows the job; returns null if none does. */
   public JobSnapshot fetchJob(String id) {
-    return first(
-        n -> {
-          BoundedHttpGet.Answer a = fetch.get(n, ConsoleCodec.PATH_PREFIX + "jobs/" + id);
+    return firstAnswer(
+        node -> {
+          BoundedHttpGet.Response response =
+              httpGet.get(node, ConsoleCodec.PATH_PREFIX + "jobs/" + id);
           try {
-            return a.status() == 200 ? ConsoleCodec.decodeJob(a.body()) : null;
+            return response.status() == 200 ? ConsoleCodec.decodeJob(response.body()) : null;
           } catch (InvalidMessageException e) {
             return null;
           }
         });
   }
 
-  private <T> T first(Function<String, T> ask) {
-    List<Future<T>> all = new ArrayList<>();
-    for (String n : nodes) {
-      all.add(pool.submit(() -> ask.apply(n)));
+  private <T> T firstAnswer(Function<String, T> request) {
+    List<Future<T>> pending = new ArrayList<>();
+    for (String node : nodes) {
+      pending.add(executor.submit(() -> request.apply(node)));
     }
     T found = null;
-    for (Future<T> f : all) {
-      T t = within(f, NODE_MS + 300, () -> null);
-      found = found == null ? t : found;
+    for (Future<T> future : pending) {
+      T answer = await(future, NODE_TIMEOUT_MS + 300, () -> null);
+      found = found == null ? answer : found;
     }
     return found;
   }
 
-  /** The points that the nodes keep, of all leaders, in the order of their times. */
+  /** Fetches the samples that the nodes kept while each was the leader, ordered by time. */
   public List<MetricSample> fetchHistory() {
-    List<Future<List<MetricSample>>> all = new ArrayList<>();
-    for (String n : nodes) {
-      all.add(pool.submit(() -> fetchHistory(n)));
+    List<Future<List<MetricSample>>> pending = new ArrayList<>();
+    for (String address : nodes) {
+      pending.add(executor.submit(() -> fetchHistory(address)));
     }
-    List<MetricSample> out = new ArrayList<>();
-    for (Future<List<MetricSample>> f : all) {
-      out.addAll(within(f, NODE_MS + 300, List::of));
+    List<MetricSample> samples = new ArrayList<>();
+    for (Future<List<MetricSample>> future : pending) {
+      samples.addAll(await(future, NODE_TIMEOUT_MS + 300, List::of));
     }
-    out.sort(Comparator.comparingLong(MetricSample::atMs));
-    return out;
+    samples.sort(Comparator.comparingLong(MetricSample::atMs));
+    return samples;
   }
 
   private List<MetricSample> fetchHistory(String node) {
-    BoundedHttpGet.Answer a = fetch.get(node, ConsoleCodec.PATH_PREFIX + "history");
+    BoundedHttpGet.Response response = httpGet.get(node, ConsoleCodec.PATH_PREFIX + "history");
     try {
-      return a.status() == 200 ? ConsoleCodec.decodeHistory(a.body()) : List.of();
+      return response.status() == 200 ? ConsoleCodec.decodeHistory(response.body()) : List.of();
     } catch (InvalidMessageException e) {
       return List.of();
     }
   }
 
-  /** How a league's game stands by the records; throws with the reason where they are not read. */
+  /**
+   * Describes the claims on a league's game by the records.
+   *
+   * @throws InvalidMessageException with the reason if the records cannot be read
+   */
   public List<String> describeGame(String league, long number) throws InvalidMessageException {
-    return records.game(league, number);
+    return recordInspector.describeGame(league, number);
   }
 
   @Override
   public void close() {
-    pool.shutdownNow();
+    executor.shutdownNow();
   }
 }
--- a/src/main/java/org/mallowroad/console/ask/RecordInspector.java
+++ b/src/main/java/org/mallowroad/console/ask/RecordInspector.java
@@ -30,79 +30,82 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Reads what is on record in the state service: read-only, a bounded number of requests a look, no
- * more than a few a second. The service's limits are the leader's to use, so this stays far below
- * them, and says when it saw a part only.
+ * Reads the scheduler's records from the state service without changing them. The number of
+ * requests for one result and the request rate are bounded: the rate limits of the state service
+ * are meant for the leader, so the inspector stays far below them. The result says if it covers
+ * only a part of the records.
  */
 final class RecordInspector {
-  /** Requests for one look. */
-  static final int MOST_READS = 24;
+  /** The number of requests for one result after which no further list pages are read. */
+  static final int MAX_READS = 24;
 
-  /** Requests a second. */
-  private static final double RPS = 10;
+  private static final double REQUESTS_PER_SECOND = 10;
 
-  private static final int PAGE = 500;
-  private static final int MOST_BYTES = 4 << 20;
+  private static final int PAGE_SIZE = 500;
+  private static final int MAX_RESPONSE_BYTES = 4 << 20;
   private static final Duration TIMEOUT = Duration.ofMillis(1_500);
 
   private final String address;
-  private final BoundedHttpGet fetch;
-  private final RateLimiter budget = new RateLimiter(RPS, RPS, millis());
+  private final BoundedHttpGet httpGet;
+  private final RateLimiter rateLimiter =
+      new RateLimiter(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, nowMs());
 
   RecordInspector(HttpClient http, String address) {
     this.address = address;
-    this.fetch = new BoundedHttpGet(http, TIMEOUT, MOST_BYTES);
+    this.httpGet = new BoundedHttpGet(http, TIMEOUT, MAX_RESPONSE_BYTES);
   }
 
-  private static long millis() {
+  private static long nowMs() {
     return System.nanoTime() / 1_000_000;
   }
 
-  /** One look. */
+  /** Reads the leadership, the open jobs, the attempts and the rental requests. */
   RecordedState read() {
     try {
-      return new Inspection().read();
+      return new Inspection().readRecords();
     } catch (InvalidMessageException e) {
       return RecordedState.notRead(address, e.getMessage());
     } catch (RuntimeException e) {
-      // A record that nobody of ours wrote: a key without its parts, figures that are none.
-      return RecordedState.notRead(address, "answers with something else than records");
+      // The scheduler wrote no such record: for example, a part of the key is missing or a value is
+      // not a number.
+      return RecordedState.notRead(address, "returned something other than valid records");
     }
   }
 
   /**
-   * How a game stands by the records: a line for each side, and its neighbours that are nobody's.
+   * Describes the claims on a game by the records: one line for each side that claims it, or a
+   * single line if there is none.
    */
-  List<String> game(String league, long number) throws InvalidMessageException {
+  List<String> describeGame(String league, long number) throws InvalidMessageException {
     Inspection inspection = new Inspection();
     BlockKey key = new BlockKey(league, (int) (number / Block.GAMES_PER_BLOCK));
-    Block block = FoldCodec.decodeBlock(inspection.value(RecordKeys.foldBlock(key)));
-    List<String> out = new ArrayList<>();
-    for (Map.Entry<Block.Side, Fold> e : block.sides().entrySet()) {
-      if (e.getKey().gameIndex() == Block.gameIndex(number)) {
-        Fold f = e.getValue();
-        out.add(
-            e.getKey().member()
+    Block block = FoldCodec.decodeBlock(inspection.readValue(RecordKeys.foldBlock(key)));
+    List<String> lines = new ArrayList<>();
+    for (Map.Entry<Block.Side, Fold> side : block.sides().entrySet()) {
+      if (side.getKey().gameIndex() == Block.gameIndex(number)) {
+        Fold fold = side.getValue();
+        lines.add(
+            side.getKey().member()
                 + ": revision "
-                + f.revision()
-                + (f.retracted() ? " (taken back) " : " ")
-                + inspection.jobOutcome(f)
-                + (f.base() == null
+                + fold.revision()
+                + (fold.retracted() ? " (retracted) " : " ")
+                + inspection.describeOutcome(fold)
+                + (fold.base() == null
                     ? ""
-                    : "; until then revision "
-                        + f.base().revision()
+                    : "; until then, revision "
+                        + fold.base().revision()
                         + " by "
-                        + f.base().job()
-                        + " counts"));
+                        + fold.base().job()
+                        + " is valid"));
       }
     }
-    if (out.isEmpty()) {
-      out.add("nobody has claimed it, or whoever did was withdrawn");
+    if (lines.isEmpty()) {
+      lines.add("nobody has claimed it, or the job that claimed it was withdrawn");
     }
-    return out;
+    return lines;
   }
 
-  /** A look and what it has used of its budget. */
+  /** Reads the records for one result and counts the requests. */
   private final class Inspection {
     private int reads;
     private boolean partial;
@@ -112,26 +115,27 @@
     private final JobCodec codec =
         new JobCodec(teams, zones, new NameIndex(), new NameIndex(), classes);
 
-    RecordedState read() throws InvalidMessageException {
-      JsonNode leader = value(LeaderElection.LEADER_KEY);
-      JsonNode term = value(LeaderElection.TERM_KEY);
-      List<VersionedValue> open = list(RecordKeys.OPEN_JOBS_PREFIX);
-      List<VersionedValue> run = list(RecordKeys.ATTEMPT_RECORDS_PREFIX);
-      List<VersionedValue> rental = list(RecordKeys.RENTALS_PREFIX);
-      Map<String, int[]> of = new LinkedHashMap<>();
+    RecordedState readRecords() throws InvalidMessageException {
+      JsonNode leader = readValue(LeaderElection.LEADER_KEY);
+      JsonNode term = readValue(LeaderElection.TERM_KEY);
+      List<VersionedValue> openJobs = readAll(RecordKeys.OPEN_JOBS_PREFIX);
+      List<VersionedValue> attemptRecords = readAll(RecordKeys.ATTEMPT_RECORDS_PREFIX);
+      List<VersionedValue> rentalRequests = readAll(RecordKeys.RENTALS_PREFIX);
+      Map<String, int[]> countsByJob = new LinkedHashMap<>();
       int attempts = 0;
-      for (VersionedValue i : run) {
-        String id =
-            i.key().substring(RecordKeys.ATTEMPT_RECORDS_PREFIX.length(), i.key().lastIndexOf('/'));
-        int[] counts = of.computeIfAbsent(id, k -> new int[2]);
-        int live = AttemptRecordCodec.unresolvedAttempts(i.value()).size();
-        counts[0] += AttemptRecordCodec.doneTasks(i.value()).cardinality();
-        counts[1] += live;
-        attempts += live;
+      for (VersionedValue item : attemptRecords) {
+        String jobId =
+            item.key()
+                .substring(RecordKeys.ATTEMPT_RECORDS_PREFIX.length(), item.key().lastIndexOf('/'));
+        int[] counts = countsByJob.computeIfAbsent(jobId, k -> new int[2]);
+        int unresolved = AttemptRecordCodec.unresolvedAttempts(item.value()).size();
+        counts[0] += AttemptRecordCodec.doneTasks(item.value()).cardinality();
+        counts[1] += unresolved;
+        attempts += unresolved;
       }
       List<JobLine> jobs = new ArrayList<>();
-      for (VersionedValue i : open) {
-        jobs.add(line(i, of));
+      for (VersionedValue item : openJobs) {
+        jobs.add(decodeOpenJob(item, countsByJob));
       }
       return new RecordedState(
           address,
@@ -143,29 +147,30 @@
           term == null ? 0 : term.path("n").asLong(),
           jobs,
           attempts,
-          rental.size());
+          rentalRequests.size());
     }
 
-    private JobLine line(VersionedValue i, Map<String, int[]> of) throws InvalidMessageException {
-      JsonNode job = i.value().path("job");
+    private JobLine decodeOpenJob(VersionedValue item, Map<String, int[]> countsByJob)
+        throws InvalidMessageException {
+      JsonNode job = item.value().path("job");
       teams.intern(job.path(Fields.TEAM).asText());
-      JobSpec s = JobRecordCodec.decodeOpen(i.value(), codec);
-      int[] counts = of.getOrDefault(s.id(), new int[2]);
-      double age = Math.max(0, (System.currentTimeMillis() - s.submittedMs()) / 1000.0);
+      JobSpec spec = JobRecordCodec.decodeOpen(item.value(), codec);
+      int[] counts = countsByJob.getOrDefault(spec.id(), new int[2]);
+      double ageS = Math.max(0, (System.currentTimeMillis() - spec.submittedMs()) / 1000.0);
       return new JobLine(
-          s.id(),
+          spec.id(),
           job.path(Fields.TEAM).asText(),
           job.path(Fields.TASK_CLASS).asText(),
-          s.priority(),
-          s.tasks(),
+          spec.priority(),
+          spec.tasks(),
           counts[0],
           0,
           counts[1],
-          Math.max(0, s.tasks() - counts[0] - counts[1]),
+          Math.max(0, spec.tasks() - counts[0] - counts[1]),
           0,
-          age,
-          s.deadlineS() > 0,
-          s.deadlineS() > 0 ? s.deadlineS() - age : 0,
+          ageS,
+          spec.deadlineS() > 0,
+          spec.deadlineS() > 0 ? spec.deadlineS() - ageS : 0,
           false,
           0,
           "",
@@ -175,84 +180,87 @@
           "");
     }
 
-    private String jobOutcome(Fold f) throws InvalidMessageException {
-      if (f.settled()) {
-        return "folded by " + f.job();
+    private String describeOutcome(Fold fold) throws InvalidMessageException {
+      if (fold.settled()) {
+        return "folded by " + fold.job();
       }
-      if (value(RecordKeys.openJob(f.job())) != null) {
-        return "claimed by " + f.job() + ", which is not over";
+      if (readValue(RecordKeys.openJob(fold.job())) != null) {
+        return "claimed by " + fold.job() + ", which has not ended";
       }
-      JsonNode end = value(RecordKeys.endedJob(f.job()));
-      if (end == null) {
-        return "being claimed by " + f.job() + ", which is not accepted yet";
+      JsonNode endRecord = readValue(RecordKeys.endedJob(fold.job()));
+      if (endRecord == null) {
+        return "being claimed by " + fold.job() + ", which is not accepted yet";
       }
-      boolean done = end.path("end").asText().equals(Fields.DONE);
-      return done ? "folded by " + f.job() : "released by " + f.job() + ", which was withdrawn";
+      boolean done = endRecord.path("end").asText().equals(Fields.DONE);
+      return done
+          ? "folded by " + fold.job()
+          : "released by " + fold.job() + ", which was withdrawn";
     }
 
-    private JsonNode value(String key) throws InvalidMessageException {
-      ObjectNode o = ask("/kv/" + key);
-      return o == null ? null : o.get(Fields.VALUE);
+    private JsonNode readValue(String key) throws InvalidMessageException {
+      ObjectNode response = sendRequest("/kv/" + key);
+      return response == null ? null : response.get(Fields.VALUE);
     }
 
-    private List<VersionedValue> list(String prefix) throws InvalidMessageException {
-      List<VersionedValue> out = new ArrayList<>();
-      String from = "";
-      while (reads < MOST_READS) {
-        ObjectNode o =
-            ask(
+    private List<VersionedValue> readAll(String prefix) throws InvalidMessageException {
+      List<VersionedValue> items = new ArrayList<>();
+      String lastKey = "";
+      while (reads < MAX_READS) {
+        ObjectNode response =
+            sendRequest(
                 "/kv?under="
                     + prefix
-                    + (from.isEmpty() ? "" : "&from=" + encode(from))
+                    + (lastKey.isEmpty() ? "" : "&from=" + urlEncode(lastKey))
                     + "&limit="
-                    + PAGE);
-        if (o == null) {
-          throw new InvalidMessageException("has no lists: not a state service");
+                    + PAGE_SIZE);
+        if (response == null) {
+          throw new InvalidMessageException("does not support lists: not a state service");
         }
-        for (JsonNode n : Json.requiredArray(o, Fields.ITEMS)) {
-          from = Json.requiredString(n, Fields.KEY, 400);
-          if (!from.startsWith(prefix) || !(n.get(Fields.VALUE) instanceof ObjectNode v)) {
-            throw new InvalidMessageException("answers with something else than records");
+        for (JsonNode item : Json.requiredArray(response, Fields.ITEMS)) {
+          lastKey = Json.requiredString(item, Fields.KEY, 400);
+          if (!lastKey.startsWith(prefix)
+              || !(item.get(Fields.VALUE) instanceof ObjectNode value)) {
+            throw new InvalidMessageException("returned something other than valid records");
           }
-          out.add(new VersionedValue(from, v, 0));
+          items.add(new VersionedValue(lastKey, value, 0));
         }
-        if (!o.path(Fields.TRUNCATED).asBoolean() || from.isEmpty()) {
-          return out;
+        if (!response.path(Fields.TRUNCATED).asBoolean() || lastKey.isEmpty()) {
+          return items;
         }
       }
       partial = true;
-      return out;
+      return items;
     }
 
-    private static String encode(String s) {
-      return URLEncoder.encode(s, StandardCharsets.UTF_8);
+    private static String urlEncode(String text) {
+      return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
 
-    /** Null for 404. */
-    private ObjectNode ask(String path) throws InvalidMessageException {
+    /** Sends a request within the rate limit; returns null for status 404. */
+    private ObjectNode sendRequest(String path) throws InvalidMessageException {
       reads++;
-      while (!budget.tryAcquire(1, millis())) {
+      while (!rateLimiter.tryAcquire(1, nowMs())) {
         try {
           Thread.sleep(20);
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
-          throw new InvalidMessageException("was not waited for");
+          throw new InvalidMessageException("the request was interrupted");
         }
       }
-      BoundedHttpGet.Answer a = fetch.get(address, path);
-      if (a.status() == 404) {
+      BoundedHttpGet.Response response = httpGet.get(address, path);
+      if (response.status() == 404) {
         return null;
       }
-      if (a.status() == 0) {
-        throw new InvalidMessageException(a.problem());
+      if (response.status() == 0) {
+        throw new InvalidMessageException(response.problem());
       }
-      if (a.status() != 200) {
-        throw new InvalidMessageException("answers " + a.status());
+      if (response.status() != 200) {
+        throw new InvalidMessageException("returned HTTP status " + response.status());
       }
       try {
-        return Json.parseObject(a.body());
+        return Json.parseObject(response.body());
       } catch (InvalidMessageException e) {
-        throw new InvalidMessageException("answers something that is " + e.getMessage());
+        throw new InvalidMessageException("returned a response that is " + e.getMessage());
       }
     }
   }
--- a/src/main/java/org/mallowroad/console/ask/package-info.java
+++ b/src/main/java/org/mallowroad/console/ask/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Asks nodes' consoles and the state service from outside: all at once, each with a time-out, and
- * the state service read-only and within a small budget.
+ * Queries the consoles of the nodes and the state service from outside: concurrently, and each with
+ * a timeout. The state service is only read, and with few requests.
  */
 package org.mallowroad.console.ask;
--- a/src/main/java/org/mallowroad/console/package-info.java
+++ b/src/main/java/org/mallowroad/console/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A node's console: a listener and a thread of its own, which serve the newest picture of the node
- * whatever its loop does. It touches nothing of the loop's: it asks the loop for pictures, which
- * are immutable, and reads the stack of a loop that does not answer.
+ * A node's console: an HTTP listener with its own thread that serves the latest snapshot of the
+ * node even while the node's event loop is blocked. The console shares no mutable state with the
+ * event loop: it requests snapshots, which are immutable, and reads the stack trace of a loop that
+ * does not respond.
  */
 package org.mallowroad.console;
--- a/src/main/java/org/mallowroad/console/report/Plots.java
+++ b/src/main/java/org/mallowroad/console/report/Plots.java
@@ -23,106 +23,115 @@
 import org.mallowroad.core.explain.MetricSample;
 import org.mallowroad.core.explain.PendingCause;
 
-/** Plots of the points that the nodes keep, as SVG. */
+/** Plots the metric samples that the nodes keep, as SVG. */
 final class Plots {
-  /** More lines than this cannot be told apart: the largest are drawn. */
-  private static final int MOST_LINES = 8;
+  /**
+   * The maximum number of lines in a plot, as more cannot be told apart; the series with the
+   * highest maxima are drawn.
+   */
+  private static final int MAX_SERIES = 8;
 
   private static final int WIDTH = 560;
   private static final int HEIGHT = 260;
 
-  private final List<MetricSample> past;
+  private final List<MetricSample> samples;
 
-  Plots(List<MetricSample> past) {
-    this.past = past;
+  Plots(List<MetricSample> samples) {
+    this.samples = samples;
   }
 
-  /** A plot with its title. */
+  /** A plot as an SVG element, with its title. */
   public record Plot(String title, String svg) {
-    /** For the template. */
+    /** Read by the report template. */
     public String getTitle() {
       return title;
     }
 
-    /** For the template. */
+    /** Read by the report template. */
     public String getSvg() {
       return svg;
     }
   }
 
-  /** All of them. */
-  List<Plot> all() {
+  /** Draws all plots. */
+  List<Plot> drawAll() {
     return List.of(
-        plot("Waiting tasks by team", MetricSample::waiting),
-        plot("Running tasks by team", MetricSample::running),
-        plot("Waiting tasks by reason", s -> words(s.reasons())),
-        plot("Machines by type and zone", MetricSample::machines),
-        draw("Starts and ends a minute", rates()),
-        draw("Money per hour", money()));
+        plotLargest("Waiting tasks by team", MetricSample::waiting),
+        plotLargest("Running tasks by team", MetricSample::running),
+        plotLargest("Waiting tasks by reason", sample -> withDescriptions(sample.reasons())),
+        plotLargest("Machines by type and zone", MetricSample::machines),
+        draw("Starts and ends per minute", startAndEndRates()),
+        draw("Money per hour", costPerHour()));
   }
 
-  private static Map<String, Integer> words(Map<String, Integer> reasons) {
-    Map<String, Integer> out = new TreeMap<>();
-    for (PendingCause r : PendingCause.values()) {
-      Integer n = reasons.get(r.name());
-      if (n != null) {
-        out.put(r.description(), n);
+  private static Map<String, Integer> withDescriptions(Map<String, Integer> reasons) {
+    Map<String, Integer> result = new TreeMap<>();
+    for (PendingCause cause : PendingCause.values()) {
+      Integer tasks = reasons.get(cause.name());
+      if (tasks != null) {
+        result.put(cause.description(), tasks);
       }
     }
-    return out;
+    return result;
   }
 
-  private Plot plot(String title, Function<MetricSample, Map<String, Integer>> of) {
+  private Plot plotLargest(String title, Function<MetricSample, Map<String, Integer>> values) {
     TreeSet<String> names = new TreeSet<>();
-    past.forEach(s -> names.addAll(of.apply(s).keySet()));
-    TimeSeriesCollection lines = new TimeSeriesCollection();
+    samples.forEach(sample -> names.addAll(values.apply(sample).keySet()));
+    TimeSeriesCollection dataset = new TimeSeriesCollection();
     names.stream()
-        .sorted(Comparator.comparingInt((String n) -> -most(n, of)))
-        .limit(MOST_LINES)
+        .sorted(Comparator.comparingInt((String name) -> -maximum(name, values)))
+        .limit(MAX_SERIES)
         .forEach(
-            n -> {
-              TimeSeries line = new TimeSeries(n);
-              past.forEach(s -> line.addOrUpdate(at(s), of.apply(s).getOrDefault(n, 0)));
-              lines.addSeries(line);
+            name -> {
+              TimeSeries series = new TimeSeries(name);
+              samples.forEach(
+                  sample ->
+                      series.addOrUpdate(
+                          timeOf(sample), values.apply(sample).getOrDefault(name, 0)));
+              dataset.addSeries(series);
             });
-    return draw(title, lines);
+    return draw(title, dataset);
   }
 
-  private int most(String name, Function<MetricSample, Map<String, Integer>> of) {
-    return past.stream().mapToInt(s -> of.apply(s).getOrDefault(name, 0)).max().orElse(0);
+  private int maximum(String name, Function<MetricSample, Map<String, Integer>> values) {
+    return samples.stream()
+        .mapToInt(sample -> values.apply(sample).getOrDefault(name, 0))
+        .max()
+        .orElse(0);
   }
 
-  private TimeSeriesCollection rates() {
+  private TimeSeriesCollection startAndEndRates() {
     TimeSeries starts = new TimeSeries("starts");
     TimeSeries ends = new TimeSeries("ends");
-    for (int i = 1; i < past.size(); i++) {
-      MetricSample a = past.get(i - 1);
-      MetricSample b = past.get(i);
-      double minutes = (b.atMs() - a.atMs()) / 60_000.0;
-      // A new term counts from 0 again.
-      if (a.term() == b.term() && minutes > 0) {
-        starts.addOrUpdate(at(b), (b.started() - a.started()) / minutes);
-        ends.addOrUpdate(at(b), (b.completed() - a.completed()) / minutes);
+    for (int i = 1; i < samples.size(); i++) {
+      MetricSample previous = samples.get(i - 1);
+      MetricSample current = samples.get(i);
+      double minutes = (current.atMs() - previous.atMs()) / 60_000.0;
+      // The counters restart at 0 in each term, so no rate spans two terms.
+      if (previous.term() == current.term() && minutes > 0) {
+        starts.addOrUpdate(timeOf(current), (current.started() - previous.started()) / minutes);
+        ends.addOrUpdate(timeOf(current), (current.completed() - previous.completed()) / minutes);
       }
     }
-    TimeSeriesCollection out = new TimeSeriesCollection(starts);
-    out.addSeries(ends);
-    return out;
+    TimeSeriesCollection dataset = new TimeSeriesCollection(starts);
+    dataset.addSeries(ends);
+    return dataset;
   }
 
-  private TimeSeriesCollection money() {
-    TimeSeries line = new TimeSeries("money per hour");
-    past.forEach(s -> line.addOrUpdate(at(s), s.moneyPerHour()));
-    return new TimeSeriesCollection(line);
+  private TimeSeriesCollection costPerHour() {
+    TimeSeries series = new TimeSeries("money per hour");
+    samples.forEach(sample -> series.addOrUpdate(timeOf(sample), sample.moneyPerHour()));
+    return new TimeSeriesCollection(series);
   }
 
-  private static Millisecond at(MetricSample s) {
-    return new Millisecond(new Date(s.atMs()));
+  private static Millisecond timeOf(MetricSample sample) {
+    return new Millisecond(new Date(sample.atMs()));
   }
 
-  private static Plot draw(String title, TimeSeriesCollection lines) {
+  private static Plot draw(String title, TimeSeriesCollection dataset) {
     JFreeChart chart =
-        ChartFactory.createTimeSeriesChart(null, null, null, lines, true, false, false);
+        ChartFactory.createTimeSeriesChart(null, null, null, dataset, true, false, false);
     chart.setBackgroundPaint(Color.WHITE);
     XYPlot plot = chart.getXYPlot();
     plot.setBackgroundPaint(Color.WHITE);
@@ -130,20 +139,20 @@
     plot.setDomainGridlinesVisible(false);
     plot.setOutlineVisible(false);
     plot.getRangeAxis().setLowerBound(0);
-    // A single point is a line of no length: its mark is what is seen of it.
-    XYLineAndShapeRenderer pen = new XYLineAndShapeRenderer(true, lines.getItemCount(0) < 2);
-    pen.setDefaultStroke(new BasicStroke(1.6f));
-    pen.setAutoPopulateSeriesStroke(false);
-    plot.setRenderer(pen);
-    Font small = new Font(Font.SANS_SERIF, Font.PLAIN, 11);
-    plot.getDomainAxis().setTickLabelFont(small);
-    plot.getRangeAxis().setTickLabelFont(small);
+    // A series with a single point has no visible line, so the point gets a marker.
+    XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, dataset.getItemCount(0) < 2);
+    renderer.setDefaultStroke(new BasicStroke(1.6f));
+    renderer.setAutoPopulateSeriesStroke(false);
+    plot.setRenderer(renderer);
+    Font smallFont = new Font(Font.SANS_SERIF, Font.PLAIN, 11);
+    plot.getDomainAxis().setTickLabelFont(smallFont);
+    plot.getRangeAxis().setTickLabelFont(smallFont);
     if (chart.getLegend() != null) {
-      chart.getLegend().setItemFont(small);
+      chart.getLegend().setItemFont(smallFont);
     }
-    SVGGraphics2D g = new SVGGraphics2D(WIDTH, HEIGHT, SVGUnits.PX);
-    g.setDefsKeyPrefix(title.replaceAll("[^A-Za-z]", ""));
-    chart.draw(g, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
-    return new Plot(title, g.getSVGElement());
+    SVGGraphics2D graphics = new SVGGraphics2D(WIDTH, HEIGHT, SVGUnits.PX);
+    graphics.setDefsKeyPrefix(title.replaceAll("[^A-Za-z]", ""));
+    chart.draw(graphics, new Rectangle2D.Double(0, 0, WIDTH, HEIGHT));
+    return new Plot(title, graphics.getSVGElement());
   }
 }
--- a/src/main/java/org/mallowroad/console/report/Report.java
+++ b/src/main/java/org/mallowroad/console/report/Report.java
@@ -25,174 +25,185 @@
 import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 
 /**
- * One self-contained page: no script, style, font or picture comes from elsewhere. All that comes
- * from outside is escaped by the template's output format; only plots, which a library drew, are
- * not escaped again.
+ * Renders a self-contained HTML page, which loads no script, style, font or image from elsewhere.
+ * The template's output format escapes all external text. Only the plots are inserted unescaped,
+ * because the plotting library has already escaped their text.
  */
 public final class Report {
-  private static final List<String> RANKS = List.of("critical", "urgent", "normal", "idle");
+  private static final List<String> PRIORITY_NAMES =
+      List.of("critical", "urgent", "normal", "idle");
 
   private Report() {}
 
-  /** A table: its head, and rows of cells; a cell is a text and the key by which it sorts. */
+  /** A table with the column names in {@code head}. */
   public record Table(String id, String title, List<String> head, List<List<Cell>> rows) {
-    /** For the template. */
+    /** Read by the report template. */
     public String getId() {
       return id;
     }
 
-    /** For the template. */
+    /** Read by the report template. */
     public String getTitle() {
       return title;
     }
 
-    /** For the template. */
+    /** Read by the report template. */
     public List<String> getHead() {
       return head;
     }
 
-    /** For the template. */
+    /** Read by the report template. */
     public List<List<Cell>> getRows() {
       return rows;
     }
   }
 
-  /** A cell. */
+  /** A table cell: the displayed text and the key by which its column is sorted. */
   public record Cell(String text, String key) {
-    /** For the template. */
+    /** Read by the report template. */
     public String getText() {
       return text;
     }
 
-    /** For the template. */
+    /** Read by the report template. */
     public String getKey() {
       return key;
     }
   }
 
-  /** The page. */
-  public static String renderPage(Overview o, List<MetricSample> past) throws IOException {
+  /**
+   * Renders the page.
+   *
+   * @param samples the metric samples for the plots
+   */
+  public static String renderPage(Overview overview, List<MetricSample> samples)
+      throws IOException {
     Map<String, Object> model = new LinkedHashMap<>();
     model.put(
         "made",
         DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss 'UTC'", Locale.ROOT)
-            .format(Instant.ofEpochMilli(o.atMs()).atOffset(ZoneOffset.UTC)));
-    model.put("source", o.source());
-    model.put("age", o.ageS() < 0 ? "" : DurationFormat.of(o.ageS()));
-    model.put("first", o.first());
-    model.put("facts", facts(o));
-    model.put("tables", tables(o));
+            .format(Instant.ofEpochMilli(overview.atMs()).atOffset(ZoneOffset.UTC)));
+    model.put("source", overview.source());
+    model.put("age", overview.ageS() < 0 ? "" : DurationFormat.of(overview.ageS()));
+    model.put("first", overview.first());
+    model.put("facts", facts(overview));
+    model.put("tables", tables(overview));
     String noPlots = "";
     List<Plots.Plot> plots = List.of();
-    if (past.size() < 2) {
-      noPlots = "No plots: the leader's console has no past yet (a point is kept every 15 s).";
+    if (samples.size() < 2) {
+      noPlots =
+          "No plots: the consoles have fewer than two metric samples yet (one is kept every 15 s).";
     } else {
       try {
         System.setProperty("java.awt.headless", "true");
-        plots = new Plots(past).all();
+        plots = new Plots(samples).drawAll();
       } catch (RuntimeException | LinkageError | InternalError e) {
-        // A machine without any font cannot measure text; the tables are worth having all the same.
-        noPlots =
-            "No plots: this machine has no fonts to draw with (install fontconfig and a font).";
+        // Without any font on the machine, the library cannot measure text. The tables make the
+        // page
+        // useful even without plots.
+        noPlots = "No plots: this machine has no fonts (install fontconfig and a font).";
       }
     }
     model.put("plots", plots);
     model.put("noPlots", noPlots);
-    Configuration c = new Configuration(Configuration.VERSION_2_3_34);
-    c.setClassForTemplateLoading(Report.class, "");
-    c.setDefaultEncoding("UTF-8");
-    c.setOutputFormat(HTMLOutputFormat.INSTANCE);
-    c.setLocale(Locale.ROOT);
-    c.setTemplateExceptionHandler(TemplateExceptionHandler.RETHROW_HANDLER);
-    c.setLogTemplateExceptions(false);
-    StringWriter out = new StringWriter();
+    Configuration configuration = new Configuration(Configuration.VERSION_2_3_34);
+    configuration.setClassForTemplateLoading(Report.class, "");
+    configuration.setDefaultEncoding("UTF-8");
+    configuration.setOutputFormat(HTMLOutputFormat.INSTANCE);
+    configuration.setLocale(Locale.ROOT);
+    configuration.setTemplateExceptionHandler(TemplateExceptionHandler.RETHROW_HANDLER);
+    configuration.setLogTemplateExceptions(false);
+    StringWriter writer = new StringWriter();
     try {
-      c.getTemplate("report.ftlh").process(model, out);
+      configuration.getTemplate("report.ftlh").process(model, writer);
     } catch (TemplateException e) {
       throw new IOException(e);
     }
-    return out.toString();
+    return writer.toString();
   }
 
-  private static List<String> facts(Overview o) {
-    List<String> out = new ArrayList<>();
-    NodeSnapshot p = o.picture();
-    if (p == null) {
-      out.add(
-          o.recorded().wasRead() ? o.jobs().size() + " open jobs on record" : "open jobs unknown");
-      out.add("machines unknown");
-      return out;
+  private static List<String> facts(Overview overview) {
+    List<String> lines = new ArrayList<>();
+    NodeSnapshot snapshot = overview.picture();
+    if (snapshot == null) {
+      lines.add(
+          overview.recorded().wasRead()
+              ? overview.jobs().size() + " open jobs on record"
+              : "open jobs unknown");
+      lines.add("machines unknown");
+      return lines;
     }
-    NodeSnapshot.Totals t = p.totals();
-    out.add(t.jobs() + " open jobs");
-    out.add(t.waiting() + " tasks wait");
-    out.add(t.starting() + " start");
-    out.add(t.running() + " run");
-    out.add(t.machines() + " machines, " + t.booting() + " on their way");
-    out.add(String.format(Locale.ROOT, "%.2f an hour", t.moneyPerHour()));
-    return out;
+    NodeSnapshot.Totals totals = snapshot.totals();
+    lines.add(totals.jobs() + " open jobs");
+    lines.add(totals.waiting() + " tasks wait");
+    lines.add(totals.starting() + " start");
+    lines.add(totals.running() + " run");
+    lines.add(totals.machines() + " machines, " + totals.booting() + " booting");
+    lines.add(String.format(Locale.ROOT, "%.2f per hour", totals.moneyPerHour()));
+    return lines;
   }
 
-  private static Cell text(String s) {
-    return new Cell(s, s);
+  private static Cell textCell(String text) {
+    return new Cell(text, text);
   }
 
-  private static Cell number(long n) {
-    return new Cell(Long.toString(n), Long.toString(n));
+  private static Cell numberCell(long value) {
+    return new Cell(Long.toString(value), Long.toString(value));
   }
 
-  private static Cell number(double d) {
-    return new Cell(String.format(Locale.ROOT, "%.1f", d), Double.toString(d));
+  private static Cell numberCell(double value) {
+    return new Cell(String.format(Locale.ROOT, "%.1f", value), Double.toString(value));
   }
 
-  private static Cell age(double s) {
-    return new Cell(DurationFormat.of(s), Double.toString(s));
+  private static Cell durationCell(double seconds) {
+    return new Cell(DurationFormat.of(seconds), Double.toString(seconds));
   }
 
-  private static List<Table> tables(Overview o) {
-    List<Table> out = new ArrayList<>();
+  private static List<Table> tables(Overview overview) {
+    List<Table> result = new ArrayList<>();
     List<List<Cell>> rows = new ArrayList<>();
-    for (ReasonLine r : o.reasons()) {
+    for (ReasonLine line : overview.reasons()) {
       rows.add(
           List.of(
-              text(r.team()),
-              text(r.taskClass()),
-              text(Overview.describeReason(r.reason())),
-              number(r.jobs()),
-              number(r.tasks()),
-              age(r.longestS()),
-              text(r.exampleJob()),
-              text(r.detail())));
+              textCell(line.team()),
+              textCell(line.taskClass()),
+              textCell(Overview.describeReason(line.reason())),
+              numberCell(line.jobs()),
+              numberCell(line.tasks()),
+              durationCell(line.longestS()),
+              textCell(line.exampleJob()),
+              textCell(line.detail())));
     }
-    out.add(
+    result.add(
         new Table(
             "why",
             "Why tasks wait",
             List.of("team", "class", "why", "jobs", "tasks", "longest", "for example", "evidence"),
             rows));
     rows = new ArrayList<>();
-    for (JobLine j : o.jobs()) {
+    for (JobLine job : overview.jobs()) {
       rows.add(
           List.of(
-              text(j.id()),
-              text(j.team()),
-              text(j.taskClass()),
-              new Cell(rank(j.priority()), Integer.toString(j.priority())),
-              number(j.tasks()),
-              number(j.done()),
-              number(j.running()),
-              number(j.starting()),
-              number(j.waiting()),
-              number(j.silent()),
-              age(j.ageS()),
-              due(j),
-              text(j.reason().isEmpty() ? "" : Overview.describeReason(j.reason())),
-              text(j.detail())));
+              textCell(job.id()),
+              textCell(job.team()),
+              textCell(job.taskClass()),
+              new Cell(priorityName(job.priority()), Integer.toString(job.priority())),
+              numberCell(job.tasks()),
+              numberCell(job.done()),
+              numberCell(job.running()),
+              numberCell(job.starting()),
+              numberCell(job.waiting()),
+              numberCell(job.silent()),
+              durationCell(job.ageS()),
+              deadlineCell(job),
+              textCell(job.reason().isEmpty() ? "" : Overview.describeReason(job.reason())),
+              textCell(job.detail())));
     }
-    out.add(
+    result.add(
         new Table(
             "jobs",
-            "Open jobs" + (o.jobsLeftOut() > 0 ? " (" + o.jobsLeftOut() + " left out)" : ""),
+            "Open jobs"
+                + (overview.jobsLeftOut() > 0 ? " (" + overview.jobsLeftOut() + " left out)" : ""),
             List.of(
                 "job",
                 "team",
@@ -209,23 +220,23 @@
                 "why",
                 "evidence"),
             rows));
-    if (o.picture() != null) {
-      pictured(o.picture(), out);
+    if (overview.picture() != null) {
+      addSnapshotTables(overview.picture(), result);
     }
     rows = new ArrayList<>();
-    for (NodeView n : o.nodes()) {
+    for (NodeView node : overview.nodes()) {
       rows.add(
           List.of(
-              text(n.name()),
-              text(n.address()),
-              text(n.standing().description()),
-              number(n.tookMs()),
-              n.sight() == null ? text("-") : number(n.sight().loopLateMs()),
-              n.sight() == null ? text("-") : age(n.sight().pictureAgeS()),
-              text(n.problem()),
-              text(n.sight() == null ? "" : String.join(" < ", n.sight().stack()))));
+              textCell(node.name()),
+              textCell(node.address()),
+              textCell(node.standing().description()),
+              numberCell(node.tookMs()),
+              node.sight() == null ? textCell("-") : numberCell(node.sight().loopLateMs()),
+              node.sight() == null ? textCell("-") : durationCell(node.sight().pictureAgeS()),
+              textCell(node.problem()),
+              textCell(node.sight() == null ? "" : String.join(" < ", node.sight().stack()))));
     }
-    out.add(
+    result.add(
         new Table(
             "nodes",
             "Controllers",
@@ -234,51 +245,51 @@
                 "address",
                 "standing",
                 "answered ms",
-                "loop late ms",
+                "loop latency ms",
                 "picture",
                 "problem",
-                "where its loop is"),
+                "event loop stack"),
             rows));
-    return out;
+    return result;
   }
 
-  private static void pictured(NodeSnapshot p, List<Table> out) {
+  private static void addSnapshotTables(NodeSnapshot snapshot, List<Table> result) {
     List<List<Cell>> rows = new ArrayList<>();
-    for (TeamLine t : p.teams()) {
+    for (TeamLine team : snapshot.teams()) {
       rows.add(
           List.of(
-              text(t.name()),
-              number(t.waiting()),
-              number(t.running()),
-              number(t.usedCpus()),
-              number(t.guaranteeCpus()),
-              number(t.limitCpus())));
+              textCell(team.name()),
+              numberCell(team.waiting()),
+              numberCell(team.running()),
+              numberCell(team.usedCpus()),
+              numberCell(team.guaranteeCpus()),
+              numberCell(team.limitCpus())));
     }
-    out.add(
+    result.add(
         new Table(
             "teams",
             "Teams",
             List.of("team", "waiting", "running", "CPUs used", "guaranteed", "limit"),
             rows));
     rows = new ArrayList<>();
-    for (MachineLine m : p.machines()) {
+    for (MachineLine machine : snapshot.machines()) {
       rows.add(
           List.of(
-              text(m.zone()),
-              text(m.type()),
-              text(m.spot() ? "spot" : "ordinary"),
-              number(m.machines()),
-              number(m.booting()),
-              number(m.empty()),
-              number(m.silent()),
-              number(m.doubted()),
-              number(m.leaving()),
-              number(m.cpus()),
-              number(m.bookedCpus()),
-              number(m.moneyPerHour()),
-              age(m.refusedForS())));
+              textCell(machine.zone()),
+              textCell(machine.type()),
+              textCell(machine.spot() ? "spot" : "ordinary"),
+              numberCell(machine.machines()),
+              numberCell(machine.booting()),
+              numberCell(machine.empty()),
+              numberCell(machine.silent()),
+              numberCell(machine.doubted()),
+              numberCell(machine.leaving()),
+              numberCell(machine.cpus()),
+              numberCell(machine.bookedCpus()),
+              numberCell(machine.moneyPerHour()),
+              durationCell(machine.refusedForS())));
     }
-    out.add(
+    result.add(
         new Table(
             "machines",
             "Machines",
@@ -298,28 +309,30 @@
                 "refused for"),
             rows));
     rows = new ArrayList<>();
-    for (NodeSnapshot.ZoneLine z : p.zones()) {
+    for (NodeSnapshot.ZoneLine zone : snapshot.zones()) {
       rows.add(
           List.of(
-              text(z.name()),
-              number(z.machines()),
-              number(z.silent()),
-              text(z.cut() ? "cut off" : ""),
-              age(z.cut() ? z.cutForS() : -1)));
+              textCell(zone.name()),
+              numberCell(zone.machines()),
+              numberCell(zone.silent()),
+              textCell(zone.cut() ? "cut off" : ""),
+              durationCell(zone.cut() ? zone.cutForS() : -1)));
     }
-    out.add(new Table("zones", "Zones", List.of("zone", "machines", "silent", "", "for"), rows));
+    result.add(new Table("zones", "Zones", List.of("zone", "machines", "silent", "", "for"), rows));
   }
 
-  private static String rank(int priority) {
-    return priority >= 0 && priority < RANKS.size() ? RANKS.get(priority) : "?";
+  private static String priorityName(int priority) {
+    return priority >= 0 && priority < PRIORITY_NAMES.size() ? PRIORITY_NAMES.get(priority) : "?";
   }
 
-  private static Cell due(JobLine j) {
-    if (!j.hasDue()) {
+  private static Cell deadlineCell(JobLine job) {
+    if (!job.hasDue()) {
       return new Cell("-", "1e300");
     }
     String text =
-        j.dueS() < 0 ? "late by " + DurationFormat.of(-j.dueS()) : DurationFormat.of(j.dueS());
-    return new Cell(text, Double.toString(j.dueS()));
+        job.dueS() < 0
+            ? "late by " + DurationFormat.of(-job.dueS())
+            : DurationFormat.of(job.dueS());
+    return new Cell(text, Double.toString(job.dueS()));
   }
 }
--- a/src/main/java/org/mallowroad/console/report/package-info.java
+++ b/src/main/java/org/mallowroad/console/report/package-info.java
@@ -1,2 +1,5 @@
-/** One HTML page from an overview: a template with escaping by default, and a library's plots. */
+/**
+ * Renders an overview as one HTML page, from a template that escapes by default and plots drawn by
+ * a library.
+ */
 package org.mallowroad.console.report;
--- a/src/main/java/org/mallowroad/console/view/DurationFormat.java
+++ b/src/main/java/org/mallowroad/console/view/DurationFormat.java
@@ -2,25 +2,28 @@
 
 import java.util.Locale;
 
-/** Lengths of time for people. */
+/** Formats durations for users. */
 public final class DurationFormat {
   private DurationFormat() {}
 
-  /** As {@code 0.4s}, {@code 17s}, {@code 3m20s} or {@code 2h05m}; a dash for unknown. */
-  public static String of(double s) {
-    if (s < 0) {
+  /**
+   * Formats a duration as {@code 0.4s}, {@code 17s}, {@code 3m20s} or {@code 2h05m}. A negative
+   * duration is unknown and formatted as a dash.
+   */
+  public static String of(double seconds) {
+    if (seconds < 0) {
       return "-";
     }
-    if (s < 9.95) {
-      return String.format(Locale.ROOT, "%.1fs", s);
+    if (seconds < 9.95) {
+      return String.format(Locale.ROOT, "%.1fs", seconds);
     }
-    long t = Math.round(s);
-    if (t < 60) {
-      return t + "s";
+    long rounded = Math.round(seconds);
+    if (rounded < 60) {
+      return rounded + "s";
     }
-    if (t < 3600) {
-      return String.format(Locale.ROOT, "%dm%02ds", t / 60, t % 60);
+    if (rounded < 3600) {
+      return String.format(Locale.ROOT, "%dm%02ds", rounded / 60, rounded % 60);
     }
-    return String.format(Locale.ROOT, "%dh%02dm", t / 3600, t / 60 % 60);
+    return String.format(Locale.ROOT, "%dh%02dm", rounded / 3600, rounded / 60 % 60);
   }
 }
--- a/src/main/java/org/mallowroad/console/view/NodeView.java
+++ b/src/main/java/org/mallowroad/console/view/NodeView.java
@@ -4,93 +4,106 @@
 import org.mallowroad.core.explain.NodeStatus;
 
 /**
- * How one node answered.
+ * The result of querying one node.
  *
- * @param address where it was asked
- * @param problem what was wrong, in one line, or empty
- * @param sight its answer, or null
+ * @param address the address of the node's console
+ * @param problem what is wrong with the node, in one line, or empty
+ * @param tookMs how long the query took, in milliseconds
+ * @param sight the status that the node returned, or null
  */
 public record NodeView(
     String address, Standing standing, String problem, long tookMs, NodeStatus sight) {
 
-  /** How a node stands. */
+  /** The state of a node as the console sees it. */
   public enum Standing {
-    /** Leads. */
+    /** The node is the leader. */
     LEADING("leading"),
-    /** Leads, and is still reading its records. */
+    /**
+     * The node was elected leader and still reads its records or waits for the first reports of the
+     * workers.
+     */
     TAKING_OVER("taking over"),
-    /** Fine; another leads. */
+    /** The node is healthy, and another node is the leader. */
     FOLLOWING("not leading"),
-    /** Fine, but it knows no leader. */
+    /** The node answers and knows no leader. */
     NO_LEADER("knows no leader"),
-    /** Its console answers, its loop does not turn. */
+    /** The node's console answers, but its event loop is stuck. */
     STANDING_STILL("standing still"),
-    /** Takes connections and does not answer, or answers nothing at all in time. */
+    /** The node did not respond within the timeout, or closed the connection without a response. */
     HANGING("hanging"),
-    /** Refuses connections. */
+    /** The node refuses connections. */
     REFUSING("refusing"),
-    /** Answers something else: another build, or not a console. */
+    /**
+     * This build does not understand the response, for example because it comes from another build
+     * or not from a console; or the address is invalid.
+     */
     STRANGE("not understood");
 
     private final String description;
 
-    Standing(String text) {
-      this.description = text;
+    Standing(String description) {
+      this.description = description;
     }
 
-    /** In a few words. */
+    /** The state as text for users. */
     public String description() {
       return description;
     }
 
-    /** True for a node that does its work. */
+    /** Returns whether the node works normally, as leader or as follower. */
     public boolean isHealthy() {
       return this == LEADING || this == FOLLOWING;
     }
   }
 
-  /** A node that gave no answer. */
+  /** The view of a node without a valid status. */
   public static NodeView failed(String address, Standing standing, String problem, long tookMs) {
     return new NodeView(address, standing, problem, tookMs, null);
   }
 
-  /** A node that answered. */
-  public static NodeView answered(String address, long tookMs, NodeStatus s) {
-    if (!s.stack().isEmpty()) {
+  /** The view of a node that returned its status. */
+  public static NodeView answered(String address, long tookMs, NodeStatus status) {
+    if (!status.stack().isEmpty()) {
       return new NodeView(
           address,
           Standing.STANDING_STILL,
-          "its loop has not turned for " + s.loopLateMs() / 1000 + " s",
+          "its event loop has been stuck for " + status.loopLateMs() / 1000 + " s",
           tookMs,
-          s);
+          status);
     }
-    if (s.picture() == null) {
-      return new NodeView(address, Standing.NO_LEADER, "it has only just started", tookMs, s);
+    if (status.picture() == null) {
+      return new NodeView(
+          address,
+          Standing.NO_LEADER,
+          "it has just started and has no snapshot yet",
+          tookMs,
+          status);
     }
     Standing standing =
-        switch (s.picture().phase()) {
+        switch (status.picture().phase()) {
           case LEADING -> Standing.LEADING;
           case TAKING_OVER -> Standing.TAKING_OVER;
           case FOLLOWING -> Standing.FOLLOWING;
           case NO_LEADER -> Standing.NO_LEADER;
         };
-    return new NodeView(address, standing, "", tookMs, s);
+    return new NodeView(address, standing, "", tookMs, status);
   }
 
-  /** Its name, or the address while the name is not known. */
+  /** The node's name, or its address if the name is unknown. */
   public String name() {
     return sight == null ? address : sight.node();
   }
 
-  /** Its picture, or null. */
+  /** The node's latest snapshot, or null. */
   public NodeSnapshot snapshot() {
     return sight == null ? null : sight.picture();
   }
 
-  /** True when the picture is one of a leader. */
+  /** Returns whether the node was the leader, or was taking over, when the snapshot was taken. */
   boolean claimsLeadership() {
-    NodeSnapshot p = snapshot();
-    return p != null
-        && (p.phase() == NodeSnapshot.Phase.LEADING || p.phase() == NodeSnapshot.Phase.TAKING_OVER);
+    NodeSnapshot snapshot = snapshot();
+    return snapshot != null
+        && (snapshot.phase() == NodeSnapshot.Phase.LEADING
+            || snapshot.phase() == NodeSnapshot.Phase.TAKING_OVER);
   }
 }
--- a/src/main/java/org/mallowroad/console/view/Overview.java
+++ b/src/main/java/org/mallowroad/console/view/Overview.java
@@ -15,20 +15,24 @@
 import org.mallowroad.core.explain.PendingCauseSummary;
 
 /**
- * One look at the site: which answer counts, what stands in everybody's way, and what to look at
- * first.
+ * The state of the cluster at one moment, combined from the responses of all nodes and the state
+ * service: the jobs and figures, what blocks the whole cluster, and the most important findings.
  *
- * <p>The leader's newest picture counts, the one of the highest term when two claim to lead. While
- * something stands in the way of everybody (no leader, a takeover, a stuck loop, the state service
- * away) it is the reason of each job that waits, and what the last picture said of the job comes
- * after it: when the leader cannot place anything, a team's limit is not what is waited for.
- * Without any picture the records say which jobs are open.
+ * <p>The jobs and figures come from the leader's latest snapshot. If two nodes claim to be the
+ * leader, the snapshot with the higher term is used. While an obstacle blocks the whole cluster (no
+ * leader, a takeover, a stuck event loop, an unreachable state service), it replaces the reason of
+ * each job that waits, and the reason from the last snapshot is appended to the details: while the
+ * leader cannot place any task, it is not, for example, the team's limit that keeps a job waiting.
+ * Without a usable snapshot, the open jobs are taken from the records of the state service.
  *
- * @param obstacle what stands in everybody's way, or empty
+ * @param atMs wall-clock time of the query
+ * @param obstacle name of the {@link PendingCause} that blocks the whole cluster, or empty
+ * @param obstacleDetail evidence for the obstacle, or empty
  * @param source where the jobs and figures come from
- * @param ageS how old they are; -1 when there are none
- * @param picture the picture that counts, or null
- * @param first what to look at first, the most important line first
+ * @param ageS age of the jobs and figures in seconds, or -1 if there are none
+ * @param picture the leader's snapshot, or null
+ * @param jobsLeftOut number of open jobs that are not listed
+ * @param first the findings to look at first, most important first
  */
 public record Overview(
     long atMs,
@@ -44,64 +48,67 @@
     List<ReasonLine> reasons,
     List<String> first) {
 
-  private static final int MOST_FIRST = 8;
+  private static final int MAX_FINDINGS = 8;
 
-  private record Obstacle(PendingCause reason, String detail) {}
+  private record Obstacle(PendingCause cause, String detail) {}
 
-  /** Of what was answered. */
+  /** Combines the responses of the nodes and the records of the state service. */
   public static Overview of(List<NodeView> nodes, RecordedState recorded, long atMs) {
-    NodeView leader = leader(nodes);
-    Obstacle o = obstacle(nodes, leader, recorded);
-    NodeSnapshot picture = leader == null ? null : leader.snapshot();
-    // One that takes over has no jobs before it has read them.
-    boolean pictured =
-        picture != null
-            && (picture.phase() == NodeSnapshot.Phase.LEADING || !picture.jobs().isEmpty());
-    List<JobLine> jobs = pictured ? picture.jobs() : recorded.jobs();
-    int leftOut = pictured ? picture.jobsLeftOut() : 0;
+    NodeView leaderView = findLeader(nodes);
+    Obstacle clusterObstacle = findObstacle(nodes, leaderView, recorded);
+    NodeSnapshot leaderSnapshot = leaderView == null ? null : leaderView.snapshot();
+    // A node that takes over has no jobs in its snapshot until it has read them.
+    boolean useSnapshot =
+        leaderSnapshot != null
+            && (leaderSnapshot.phase() == NodeSnapshot.Phase.LEADING
+                || !leaderSnapshot.jobs().isEmpty());
+    List<JobLine> jobs = useSnapshot ? leaderSnapshot.jobs() : recorded.jobs();
+    int omittedJobs = useSnapshot ? leaderSnapshot.jobsLeftOut() : 0;
     String source;
-    double age;
-    if (pictured) {
-      source = "leader " + leader.name() + ", term " + picture.term();
-      age = leader.sight().pictureAgeS();
+    double ageSeconds;
+    if (useSnapshot) {
+      source = "leader " + leaderView.name() + ", term " + leaderSnapshot.term();
+      ageSeconds = leaderView.sight().pictureAgeS();
     } else if (recorded.wasRead()) {
-      source = "records of the state service" + (recorded.partial() ? " (a part of them)" : "");
-      age = 0;
+      source = "records of the state service" + (recorded.partial() ? " (incomplete)" : "");
+      ageSeconds = 0;
     } else {
       source = "nobody: jobs and machines are unknown";
-      age = -1;
+      ageSeconds = -1;
     }
-    if (o != null) {
-      jobs = jobs.stream().map(j -> blocked(j, o)).toList();
+    if (clusterObstacle != null) {
+      jobs = jobs.stream().map(job -> withObstacle(job, clusterObstacle)).toList();
     }
     List<ReasonLine> reasons = PendingCauseSummary.summarize(jobs);
     return new Overview(
         atMs,
-        o == null ? "" : o.reason.name(),
-        o == null ? "" : o.detail,
+        clusterObstacle == null ? "" : clusterObstacle.cause.name(),
+        clusterObstacle == null ? "" : clusterObstacle.detail,
         source,
-        age,
+        ageSeconds,
         List.copyOf(nodes),
         recorded,
-        picture,
+        leaderSnapshot,
         jobs,
-        leftOut,
+        omittedJobs,
         reasons,
-        first(nodes, o, pictured ? picture : null, jobs, reasons, recorded));
+        collectFindings(
+            nodes, clusterObstacle, useSnapshot ? leaderSnapshot : null, jobs, reasons, recorded));
   }
 
-  private static NodeView leader(List<NodeView> nodes) {
+  private static NodeView findLeader(List<NodeView> nodes) {
     return nodes.stream()
         .filter(NodeView::claimsLeadership)
         .max(
-            Comparator.comparingLong((NodeView n) -> n.snapshot().term())
-                .thenComparingDouble(n -> -n.sight().pictureAgeS()))
+            Comparator.comparingLong((NodeView node) -> node.snapshot().term())
+                .thenComparingDouble(node -> -node.sight().pictureAgeS()))
         .orElse(null);
   }
 
-  /** What keeps the whole site from starting anything; null when nothing does. */
-  private static Obstacle obstacle(List<NodeView> nodes, NodeView leader, RecordedState recorded) {
-    boolean stateAway = !recorded.address().isEmpty() && !recorded.wasRead();
+  /** Finds what keeps the whole cluster from starting tasks; null if there is no obstacle. */
+  private static Obstacle findObstacle(
+      List<NodeView> nodes, NodeView leader, RecordedState recorded) {
+    boolean stateUnavailable = !recorded.address().isEmpty() && !recorded.wasRead();
     if (leader != null) {
       if (leader.standing() == Standing.STANDING_STILL) {
         return new Obstacle(
@@ -109,16 +116,16 @@
             leader.name()
                 + ": "
                 + leader.problem()
-                + "; it is in "
+                + "; it is executing "
                 + leader.sight().stack().get(0));
       }
       if (!leader.snapshot().firm()) {
         return new Obstacle(
             PendingCause.STATE_AWAY,
             leader.name()
-                + " leads and was last served "
-                + round(leader.snapshot().stateSilenceS())
-                + " s before its picture");
+                + " is the leader; the state service last answered it "
+                + formatSeconds(leader.snapshot().stateSilenceS())
+                + " s before its snapshot");
       }
       if (leader.standing() == Standing.TAKING_OVER) {
         return new Obstacle(
@@ -127,170 +134,183 @@
       }
       return null;
     }
-    if (stateAway) {
+    if (stateUnavailable) {
       return new Obstacle(PendingCause.STATE_AWAY, recorded.problem());
     }
-    if (nodes.stream().allMatch(n -> n.sight() == null)) {
+    if (nodes.stream().allMatch(node -> node.sight() == null)) {
       return new Obstacle(PendingCause.NO_LEADER, "no controller answers");
     }
     return new Obstacle(
         PendingCause.NO_LEADER,
         recorded.leader().isEmpty()
-            ? "no controller holds the leadership"
-            : recorded.leader() + " holds the leadership by its record and did not answer");
+            ? "no controller is recorded as the leader"
+            : recorded.leader() + " is recorded as the leader but did not answer");
   }
 
-  private static JobLine blocked(JobLine j, Obstacle o) {
-    if (j.waiting() + j.starting() + j.silent() == 0) {
-      return j;
+  private static JobLine withObstacle(JobLine job, Obstacle obstacle) {
+    if (job.waiting() + job.starting() + job.silent() == 0) {
+      return job;
     }
-    String before =
-        j.reason().isEmpty() ? "" : "; before: " + describeReason(j.reason()) + ", " + j.detail();
+    String earlierReason =
+        job.reason().isEmpty()
+            ? ""
+            : "; before: " + describeReason(job.reason()) + ", " + job.detail();
     return new JobLine(
-        j.id(),
-        j.team(),
-        j.taskClass(),
-        j.priority(),
-        j.tasks(),
-        j.done(),
-        j.running(),
-        j.starting(),
-        j.waiting(),
-        j.silent(),
-        j.ageS(),
-        j.hasDue(),
-        j.dueS(),
-        j.guaranteed(),
-        j.failures(),
-        o.reason.name(),
-        j.sinceS(),
+        job.id(),
+        job.team(),
+        job.taskClass(),
+        job.priority(),
+        job.tasks(),
+        job.done(),
+        job.running(),
+        job.starting(),
+        job.waiting(),
+        job.silent(),
+        job.ageS(),
+        job.hasDue(),
+        job.dueS(),
+        job.guaranteed(),
+        job.failures(),
+        obstacle.cause.name(),
+        job.sinceS(),
         -1,
-        j.zone(),
-        o.detail + before);
+        job.zone(),
+        obstacle.detail + earlierReason);
   }
 
-  private static List<String> first(
+  private static List<String> collectFindings(
       List<NodeView> nodes,
-      Obstacle o,
-      NodeSnapshot p,
+      Obstacle obstacle,
+      NodeSnapshot snapshot,
       List<JobLine> jobs,
       List<ReasonLine> reasons,
       RecordedState recorded) {
-    List<String> out = new ArrayList<>();
-    if (o != null) {
-      out.add(
-          capital(o.reason.description())
+    List<String> findings = new ArrayList<>();
+    if (obstacle != null) {
+      findings.add(
+          capitalize(obstacle.cause.description())
               + ": "
-              + o.detail
+              + obstacle.detail
               + ". Ends when "
-              + o.reason.remedy()
+              + obstacle.cause.remedy()
               + ".");
     }
-    if (p != null) {
-      for (NodeSnapshot.ZoneLine z : p.zones()) {
-        if (z.cut() || (z.silent() > 0 && 2 * z.silent() >= z.machines())) {
-          out.add(zone(z, jobs));
+    if (snapshot != null) {
+      for (NodeSnapshot.ZoneLine zone : snapshot.zones()) {
+        if (zone.cut() || (zone.silent() > 0 && 2 * zone.silent() >= zone.machines())) {
+          findings.add(describeZone(zone, jobs));
         }
       }
     }
-    List<JobLine> late =
+    List<JobLine> overdueJobs =
         jobs.stream()
-            .filter(j -> j.hasDue() && j.dueS() < 0)
+            .filter(job -> job.hasDue() && job.dueS() < 0)
             .sorted(Comparator.comparingDouble(JobLine::dueS))
             .toList();
-    if (!late.isEmpty()) {
-      JobLine j = late.get(0);
-      out.add(
-          CountFormat.of(late.size(), "job")
-              + (late.size() == 1 ? " is" : " are")
+    if (!overdueJobs.isEmpty()) {
+      JobLine job = overdueJobs.get(0);
+      findings.add(
+          CountFormat.of(overdueJobs.size(), "job")
+              + (overdueJobs.size() == 1 ? " is" : " are")
               + " past the deadline, "
-              + j.id()
+              + job.id()
               + " of "
-              + j.team()
+              + job.team()
               + " by "
-              + DurationFormat.of(-j.dueS())
-              + (j.reason().isEmpty()
-                  ? ": its last tasks run."
-                  : ": " + describeReason(j.reason()) + "."));
+              + DurationFormat.of(-job.dueS())
+              + (job.reason().isEmpty()
+                  ? ": its last tasks are running."
+                  : ": " + describeReason(job.reason()) + "."));
     }
-    for (ReasonLine r : reasons.subList(0, Math.min(3, reasons.size()))) {
-      if (o != null || r.reason().equals(PendingCause.STARTING.name())) {
+    for (ReasonLine line : reasons.subList(0, Math.min(3, reasons.size()))) {
+      if (obstacle != null || line.reason().equals(PendingCause.STARTING.name())) {
         continue;
       }
-      out.add(
-          CountFormat.of(r.tasks(), "task")
+      findings.add(
+          CountFormat.of(line.tasks(), "task")
               + " of "
-              + r.team()
+              + line.team()
               + " ("
-              + r.taskClass()
+              + line.taskClass()
               + ") wait: "
-              + describeReason(r.reason())
+              + describeReason(line.reason())
               + ", "
-              + r.detail()
+              + line.detail()
               + ". Ends when "
-              + describeRemedy(r.reason())
+              + describeRemedy(line.reason())
               + ".");
     }
-    for (NodeView n : nodes) {
-      if (!n.standing().isHealthy()) {
-        out.add(
+    for (NodeView node : nodes) {
+      if (!node.standing().isHealthy()) {
+        findings.add(
             "Node "
-                + n.name()
+                + node.name()
                 + " is "
-                + n.standing().description()
-                + (n.problem().isEmpty() ? "" : ": " + n.problem())
+                + node.standing().description()
+                + (node.problem().isEmpty() ? "" : ": " + node.problem())
                 + ".");
       }
     }
     if (!recorded.address().isEmpty() && !recorded.problem().isEmpty()) {
-      out.add("State service " + recorded.address() + ": " + recorded.problem() + ".");
+      findings.add("State service " + recorded.address() + ": " + recorded.problem() + ".");
     }
-    if (out.isEmpty()) {
-      out.add(jobs.isEmpty() ? "No job is open." : "Nothing waits for more than its turn.");
+    if (findings.isEmpty()) {
+      findings.add(jobs.isEmpty() ? "No job is open." : "No problems found.");
     }
-    return List.copyOf(out.subList(0, Math.min(MOST_FIRST, out.size())));
+    return List.copyOf(findings.subList(0, Math.min(MAX_FINDINGS, findings.size())));
   }
 
-  private static String zone(NodeSnapshot.ZoneLine z, List<JobLine> jobs) {
-    List<JobLine> stalled = jobs.stream().filter(j -> j.zone().equals(z.name())).toList();
-    StringBuilder b = new StringBuilder("Zone ").append(z.name());
-    b.append(z.cut() ? " is cut off" : " is mostly silent").append(": ").append(z.silent());
-    b.append(" of ").append(z.machines()).append(" machines not heard");
-    if (!stalled.isEmpty()) {
-      b.append("; stalled: ");
-      for (int i = 0; i < Math.min(5, stalled.size()); i++) {
-        b.append(i == 0 ? "" : ", ").append(stalled.get(i).id());
+  private static String describeZone(NodeSnapshot.ZoneLine zone, List<JobLine> jobs) {
+    List<JobLine> stalledJobs =
+        jobs.stream().filter(job -> job.zone().equals(zone.name())).toList();
+    StringBuilder text = new StringBuilder("Zone ").append(zone.name());
+    text.append(zone.cut() ? " is cut off" : " is mostly silent")
+        .append(": ")
+        .append(zone.silent());
+    text.append(" of ").append(zone.machines()).append(" machines do not report");
+    if (!stalledJobs.isEmpty()) {
+      text.append("; stalled: ");
+      for (int i = 0; i < Math.min(5, stalledJobs.size()); i++) {
+        text.append(i == 0 ? "" : ", ").append(stalledJobs.get(i).id());
       }
-      if (stalled.size() > 5) {
-        b.append(" and ").append(CountFormat.of(stalled.size() - 5, "more job"));
+      if (stalledJobs.size() > 5) {
+        text.append(" and ").append(CountFormat.of(stalledJobs.size() - 5, "more job"));
       }
     }
-    return b.append('.').toString();
+    return text.append('.').toString();
   }
 
-  /** A reason in words; of a newer build's reasons, which this one does not have, the name. */
+  /**
+   * Describes a reason for users. The reason may be from a newer build and unknown to this one; it
+   * is then described by its name.
+   */
   public static String describeReason(String reason) {
-    return known(reason)
+    return findCause(reason)
         .map(PendingCause::description)
         .orElseGet(() -> reason.toLowerCase(Locale.ROOT).replace('_', ' '));
   }
 
-  /** What would let the tasks go on; of a newer build's reasons that build knows. */
+  /**
+   * Describes what would let tasks with this reason continue. For an unknown reason of a newer
+   * build, the text refers to that build's node.
+   */
   public static String describeRemedy(String reason) {
-    return known(reason)
+    return findCause(reason)
         .map(PendingCause::remedy)
-        .orElse("its node says so: it is of another build");
+        .orElse("its node reports it; this build does not know the reason");
   }
 
-  private static Optional<PendingCause> known(String reason) {
-    return Arrays.stream(PendingCause.values()).filter(r -> r.name().equals(reason)).findFirst();
+  private static Optional<PendingCause> findCause(String reason) {
+    return Arrays.stream(PendingCause.values())
+        .filter(cause -> cause.name().equals(reason))
+        .findFirst();
   }
 
-  private static String capital(String s) {
-    return Character.toUpperCase(s.charAt(0)) + s.substring(1);
+  private static String capitalize(String text) {
+    return Character.toUpperCase(text.charAt(0)) + text.substring(1);
   }
 
-  private static String round(double d) {
-    return String.format(Locale.ROOT, "%.1f", d);
+  private static String formatSeconds(double seconds) {
+    return String.format(Locale.ROOT, "%.1f", seconds);
   }
 }
--- a/src/main/java/org/mallowroad/console/view/Screen.java
+++ b/src/main/java/org/mallowroad/console/view/Screen.java
@@ -12,32 +12,32 @@
 import org.mallowroad.core.explain.NodeSnapshot.ReasonLine;
 import org.mallowroad.core.explain.NodeSnapshot.TeamLine;
 
-/** Draws an overview as lines of text of a given width; without colour, and without I/O. */
+/** Renders an overview as lines of text of a given width, without colours and without I/O. */
 public final class Screen {
-  /** The least width that is drawn for: a terminal of 80 columns keeps its last one free. */
+  /** The minimum supported width: an 80-column terminal whose last column stays free. */
   public static final int MIN_WIDTH = 79;
 
-  /** What is shown. */
+  /** The pages of the terminal view. */
   public enum Page {
-    /** Teams, and what of theirs waits by class and reason. */
+    /** The teams, and their waiting tasks by class and reason. */
     QUEUES,
-    /** Jobs. */
+    /** The open jobs. */
     JOBS,
-    /** Machines by zone and type. */
+    /** The machines by zone and type. */
     MACHINES,
     /** The controllers and the state service. */
     NODES
   }
 
-  /** In which order jobs and reasons stand. */
+  /** The order of the jobs and reasons. */
   public enum Sort {
-    /** As the queue has them. */
+    /** In queue order. */
     QUEUE,
     /** Most waiting tasks first. */
     WAITING,
     /** Longest wait first. */
     LONGEST,
-    /** Next deadline first. */
+    /** Earliest deadline first. */
     DUE,
     /** By team. */
     TEAM
@@ -51,187 +51,200 @@
    */
   public record ViewOptions(Page selectedPage, Sort sort, String filter, int pageIndex) {}
 
-  private static final List<String> RANKS = List.of("critical", "urgent", "normal", "idle");
+  private static final List<String> PRIORITY_NAMES =
+      List.of("critical", "urgent", "normal", "idle");
 
   private final int width;
   private final int height;
 
-  /** For a terminal of a size; a height of 0 draws everything. */
+  /**
+   * Creates a screen.
+   *
+   * @param width in columns
+   * @param height in lines; 0 renders everything without paging
+   */
   public Screen(int width, int height) {
     this.width = Math.max(MIN_WIDTH, width);
     this.height = height;
   }
 
-  /** The lines, each as wide as the screen at the most. */
-  public List<String> render(Overview o, ViewOptions options) {
-    List<String> out = new ArrayList<>(head(o));
-    List<String> body =
+  /** Renders one page; no line is wider than the screen. */
+  public List<String> render(Overview overview, ViewOptions options) {
+    List<String> lines = new ArrayList<>(renderHeader(overview));
+    List<String> content =
         switch (options.selectedPage) {
-          case QUEUES -> queues(o, options);
-          case JOBS -> jobs(o, options);
-          case MACHINES -> machines(o, options);
-          case NODES -> nodes(o);
+          case QUEUES -> renderQueues(overview, options);
+          case JOBS -> renderJobs(overview, options);
+          case MACHINES -> renderMachines(overview, options);
+          case NODES -> renderNodes(overview);
         };
-    int room = height == 0 ? body.size() : Math.max(1, height - out.size() - 1);
-    int pages = Math.max(1, (body.size() - 1 + Math.max(1, room - 1) - 1) / Math.max(1, room - 1));
+    int contentHeight = height == 0 ? content.size() : Math.max(1, height - lines.size() - 1);
+    int pages =
+        Math.max(
+            1,
+            (content.size() - 1 + Math.max(1, contentHeight - 1) - 1)
+                / Math.max(1, contentHeight - 1));
     int page = Math.min(options.pageIndex, pages - 1);
-    if (body.size() <= room) {
-      out.addAll(body);
+    if (content.size() <= contentHeight) {
+      lines.addAll(content);
     } else {
-      out.add(body.get(0));
-      int from = 1 + page * (room - 1);
-      out.addAll(body.subList(from, Math.min(body.size(), from + room - 1)));
-      out.add(cut("-- page " + (page + 1) + " of " + pages + " --"));
+      lines.add(content.get(0));
+      int from = 1 + page * (contentHeight - 1);
+      lines.addAll(content.subList(from, Math.min(content.size(), from + contentHeight - 1)));
+      lines.add(truncateToWidth("-- page " + (page + 1) + " of " + pages + " --"));
     }
-    return out;
+    return lines;
   }
 
-  private List<String> head(Overview o) {
-    List<String> out = new ArrayList<>();
+  private List<String> renderHeader(Overview overview) {
+    List<String> lines = new ArrayList<>();
     StringBuilder nodes = new StringBuilder("mallowroad  ");
-    for (NodeView n : o.nodes()) {
-      nodes.append(n.name()).append(' ').append(n.standing().description()).append("  ");
+    for (NodeView node : overview.nodes()) {
+      nodes.append(node.name()).append(' ').append(node.standing().description()).append("  ");
     }
-    out.add(cut(nodes.toString()));
-    out.add(
-        cut(
+    lines.add(truncateToWidth(nodes.toString()));
+    lines.add(
+        truncateToWidth(
             "from "
-                + o.source()
-                + (o.ageS() < 0 ? "" : ", " + DurationFormat.of(o.ageS()) + " old")));
-    NodeSnapshot p = o.picture();
-    if (p != null) {
-      NodeSnapshot.Totals t = p.totals();
-      out.add(
-          cut(
+                + overview.source()
+                + (overview.ageS() < 0 ? "" : ", " + DurationFormat.of(overview.ageS()) + " old")));
+    NodeSnapshot snapshot = overview.picture();
+    if (snapshot != null) {
+      NodeSnapshot.Totals totals = snapshot.totals();
+      lines.add(
+          truncateToWidth(
               String.format(
                   Locale.ROOT,
                   "jobs %d  waiting %d  starting %d  running %d  machines %d +%d  %.2f/h  lag %d ms",
-                  t.jobs(),
-                  t.waiting(),
-                  t.starting(),
-                  t.running(),
-                  t.machines(),
-                  t.booting(),
-                  t.moneyPerHour(),
-                  p.lagMs())));
+                  totals.jobs(),
+                  totals.waiting(),
+                  totals.starting(),
+                  totals.running(),
+                  totals.machines(),
+                  totals.booting(),
+                  totals.moneyPerHour(),
+                  snapshot.lagMs())));
     } else {
-      out.add(
-          cut(
+      lines.add(
+          truncateToWidth(
               "jobs "
-                  + (o.recorded().wasRead() ? o.jobs().size() + " on record" : "unknown")
+                  + (overview.recorded().wasRead()
+                      ? overview.jobs().size() + " on record"
+                      : "unknown")
                   + "  machines unknown"));
     }
-    for (String s : o.first().subList(0, Math.min(3, o.first().size()))) {
-      out.addAll(wrap("! " + s, 2));
+    for (String finding : overview.first().subList(0, Math.min(3, overview.first().size()))) {
+      lines.addAll(wrap("! " + finding, 2));
     }
-    out.add("");
-    return out;
+    lines.add("");
+    return lines;
   }
 
-  private List<String> queues(Overview o, ViewOptions options) {
-    List<String> out = new ArrayList<>();
-    out.add(
-        cut(
+  private List<String> renderQueues(Overview overview, ViewOptions options) {
+    List<String> result = new ArrayList<>();
+    result.add(
+        truncateToWidth(
             String.format(
                 "%-10s %-14s %4s %6s %7s  %s",
                 "TEAM", "CLASS", "JOBS", "TASKS", "LONGEST", "WHY")));
-    List<ReasonLine> lines = new ArrayList<>(o.reasons());
+    List<ReasonLine> lines = new ArrayList<>(overview.reasons());
     switch (options.sort) {
-      case LONGEST -> lines.sort(Comparator.comparingDouble((ReasonLine r) -> -r.longestS()));
+      case LONGEST -> lines.sort(Comparator.comparingDouble((ReasonLine line) -> -line.longestS()));
       case TEAM -> lines.sort(Comparator.comparing(ReasonLine::team));
-      default -> {} // Most tasks first, as they are.
+      default -> {} // The reasons are already sorted by number of tasks, most tasks first.
     }
-    for (ReasonLine r : lines) {
-      add(
-          out,
+    for (ReasonLine line : lines) {
+      addIfMatching(
+          result,
           options,
           String.format(
               "%-10s %-14s %4d %6d %7s  %s: %s",
-              fit(r.team(), 10),
-              fit(r.taskClass(), 14),
-              r.jobs(),
-              r.tasks(),
-              DurationFormat.of(r.longestS()),
-              Overview.describeReason(r.reason()),
-              r.detail()));
+              truncate(line.team(), 10),
+              truncate(line.taskClass(), 14),
+              line.jobs(),
+              line.tasks(),
+              DurationFormat.of(line.longestS()),
+              Overview.describeReason(line.reason()),
+              line.detail()));
     }
-    if (o.picture() != null) {
-      for (TeamLine t : o.picture().teams()) {
-        add(
-            out,
+    if (overview.picture() != null) {
+      for (TeamLine team : overview.picture().teams()) {
+        addIfMatching(
+            result,
             options,
             String.format(
                 Locale.ROOT,
                 "%-10s %-14s %4s %6d %7s  wait, %d run, CPUs %.0f of %.0f",
-                fit(t.name(), 10),
+                truncate(team.name(), 10),
                 "all",
                 "",
-                t.waiting(),
+                team.waiting(),
                 "",
-                t.running(),
-                t.usedCpus(),
-                t.limitCpus()));
+                team.running(),
+                team.usedCpus(),
+                team.limitCpus()));
       }
     }
-    return out;
+    return result;
   }
 
-  private List<String> jobs(Overview o, ViewOptions options) {
-    List<String> out = new ArrayList<>();
-    String form = "%-11s %-9s %-1s %5s %5s %4s %5s %6s %6s  %s";
-    out.add(
-        cut(
+  private List<String> renderJobs(Overview overview, ViewOptions options) {
+    List<String> result = new ArrayList<>();
+    String format = "%-11s %-9s %-1s %5s %5s %4s %5s %6s %6s  %s";
+    result.add(
+        truncateToWidth(
             String.format(
-                form, "JOB", "TEAM", "R", "TASKS", "DONE", "RUN", "WAIT", "AGE", "DUE", "WHY")));
-    List<JobLine> lines = new ArrayList<>(o.jobs());
+                format, "JOB", "TEAM", "R", "TASKS", "DONE", "RUN", "WAIT", "AGE", "DUE", "WHY")));
+    List<JobLine> lines = new ArrayList<>(overview.jobs());
     switch (options.sort) {
-      case WAITING -> lines.sort(Comparator.comparingInt((JobLine j) -> -j.waiting()));
-      case LONGEST -> lines.sort(Comparator.comparingDouble((JobLine j) -> -j.sinceS()));
+      case WAITING -> lines.sort(Comparator.comparingInt((JobLine job) -> -job.waiting()));
+      case LONGEST -> lines.sort(Comparator.comparingDouble((JobLine job) -> -job.sinceS()));
       case DUE ->
           lines.sort(
-              Comparator.comparingDouble((JobLine j) -> j.hasDue() ? j.dueS() : Double.MAX_VALUE));
+              Comparator.comparingDouble(
+                  (JobLine job) -> job.hasDue() ? job.dueS() : Double.MAX_VALUE));
       case TEAM -> lines.sort(Comparator.comparing(JobLine::team));
-      case QUEUE -> {} // As they are.
+      case QUEUE -> {} // The jobs are already in queue order.
     }
-    for (JobLine j : lines) {
-      add(
-          out,
+    for (JobLine job : lines) {
+      addIfMatching(
+          result,
           options,
           String.format(
-              form,
-              fit(j.id(), 11),
-              fit(j.team(), 9),
-              rank(j.priority()).substring(0, 1),
-              j.tasks(),
-              j.done(),
-              j.running(),
-              j.waiting(),
-              DurationFormat.of(j.ageS()),
-              !j.hasDue() ? "-" : j.dueS() < 0 ? "late" : DurationFormat.of(j.dueS()),
-              why(j)));
+              format,
+              truncate(job.id(), 11),
+              truncate(job.team(), 9),
+              priorityName(job.priority()).substring(0, 1),
+              job.tasks(),
+              job.done(),
+              job.running(),
+              job.waiting(),
+              DurationFormat.of(job.ageS()),
+              !job.hasDue() ? "-" : job.dueS() < 0 ? "late" : DurationFormat.of(job.dueS()),
+              formatReason(job)));
     }
-    if (o.jobsLeftOut() > 0) {
-      out.add(cut("and " + CountFormat.of(o.jobsLeftOut(), "more job")));
+    if (overview.jobsLeftOut() > 0) {
+      result.add(truncateToWidth("and " + CountFormat.of(overview.jobsLeftOut(), "more job")));
     }
-    return out;
+    return result;
   }
 
-  private static String why(JobLine j) {
-    return j.reason().isEmpty()
+  private static String formatReason(JobLine job) {
+    return job.reason().isEmpty()
         ? ""
-        : Overview.describeReason(j.reason())
-            + (j.inS() >= 0 ? " (" + DurationFormat.of(j.inS()) + ")" : "")
-            + (j.detail().isEmpty() ? "" : ": " + j.detail());
+        : Overview.describeReason(job.reason())
+            + (job.inS() >= 0 ? " (" + DurationFormat.of(job.inS()) + ")" : "")
+            + (job.detail().isEmpty() ? "" : ": " + job.detail());
   }
 
-  private static String rank(int priority) {
-    return priority >= 0 && priority < RANKS.size() ? RANKS.get(priority) : "?";
+  private static String priorityName(int priority) {
+    return priority >= 0 && priority < PRIORITY_NAMES.size() ? PRIORITY_NAMES.get(priority) : "?";
   }
 
-  private List<String> machines(Overview o, ViewOptions options) {
-    List<String> out = new ArrayList<>();
-    out.add(
-        cut(
+  private List<String> renderMachines(Overview overview, ViewOptions options) {
+    List<String> lines = new ArrayList<>();
+    lines.add(
+        truncateToWidth(
             String.format(
                 "%-10s %-12s %-4s %5s %4s %5s %6s %4s %5s %6s %8s",
                 "ZONE",
@@ -245,225 +258,233 @@
                 "LEAVE",
                 "BOOKED",
                 "PER HOUR")));
-    if (o.picture() == null) {
-      out.add("unknown: no leader's picture");
-      return out;
+    if (overview.picture() == null) {
+      lines.add("unknown: there is no snapshot of a leader");
+      return lines;
     }
-    for (MachineLine m : o.picture().machines()) {
-      add(
-          out,
+    for (MachineLine machine : overview.picture().machines()) {
+      addIfMatching(
+          lines,
           options,
           String.format(
               Locale.ROOT,
               "%-10s %-12s %-4s %5d %4d %5d %6d %4d %5d %5.0f%% %8.2f%s",
-              fit(m.zone(), 10),
-              fit(m.type(), 12),
-              m.spot() ? "spot" : "",
-              m.machines(),
-              m.booting(),
-              m.empty(),
-              m.silent(),
-              m.doubted(),
-              m.leaving(),
-              m.cpus() > 0 ? 100 * m.bookedCpus() / m.cpus() : 0,
-              m.moneyPerHour(),
-              m.refusedForS() >= 0 ? " refused for " + DurationFormat.of(m.refusedForS()) : ""));
+              truncate(machine.zone(), 10),
+              truncate(machine.type(), 12),
+              machine.spot() ? "spot" : "",
+              machine.machines(),
+              machine.booting(),
+              machine.empty(),
+              machine.silent(),
+              machine.doubted(),
+              machine.leaving(),
+              machine.cpus() > 0 ? 100 * machine.bookedCpus() / machine.cpus() : 0,
+              machine.moneyPerHour(),
+              machine.refusedForS() >= 0
+                  ? " refused for " + DurationFormat.of(machine.refusedForS())
+                  : ""));
     }
-    for (NodeSnapshot.ZoneLine z : o.picture().zones()) {
-      if (z.silent() > 0) {
-        add(
-            out,
+    for (NodeSnapshot.ZoneLine zone : overview.picture().zones()) {
+      if (zone.silent() > 0) {
+        addIfMatching(
+            lines,
             options,
             String.format(
                 "%-10s %d of %d machines silent%s",
-                fit(z.name(), 10),
-                z.silent(),
-                z.machines(),
-                z.cut() ? ", cut off for " + DurationFormat.of(z.cutForS()) : ""));
+                truncate(zone.name(), 10),
+                zone.silent(),
+                zone.machines(),
+                zone.cut() ? ", cut off for " + DurationFormat.of(zone.cutForS()) : ""));
       }
     }
-    return out;
+    return lines;
   }
 
-  private List<String> nodes(Overview o) {
-    List<String> out = new ArrayList<>();
-    out.add(
-        cut(
+  private List<String> renderNodes(Overview overview) {
+    List<String> lines = new ArrayList<>();
+    lines.add(
+        truncateToWidth(
             String.format(
                 "%-10s %-21s %-15s %8s %7s  %s",
                 "NODE", "ADDRESS", "STANDING", "ANSWERED", "LATE", "")));
-    for (NodeView n : o.nodes()) {
-      out.add(
-          cut(
+    for (NodeView node : overview.nodes()) {
+      lines.add(
+          truncateToWidth(
               String.format(
                   "%-10s %-21s %-15s %5d ms %7s  %s",
-                  fit(n.name(), 10),
-                  fit(n.address(), 21),
-                  n.standing().description(),
-                  n.tookMs(),
-                  n.sight() == null ? "-" : n.sight().loopLateMs() + " ms",
-                  n.problem())));
-      if (n.sight() != null) {
-        for (String f : n.sight().stack()) {
-          out.add(cut("    at " + f));
+                  truncate(node.name(), 10),
+                  truncate(node.address(), 21),
+                  node.standing().description(),
+                  node.tookMs(),
+                  node.sight() == null ? "-" : node.sight().loopLateMs() + " ms",
+                  node.problem())));
+      if (node.sight() != null) {
+        for (String frame : node.sight().stack()) {
+          lines.add(truncateToWidth("    at " + frame));
         }
       }
     }
-    RecordedState r = o.recorded();
-    if (!r.address().isEmpty()) {
-      out.add(
-          cut(
+    RecordedState recorded = overview.recorded();
+    if (!recorded.address().isEmpty()) {
+      lines.add(
+          truncateToWidth(
               "state service "
-                  + r.address()
+                  + recorded.address()
                   + ": "
-                  + (r.wasRead()
+                  + (recorded.wasRead()
                       ? "leader "
-                          + (r.leader().isEmpty() ? "none" : r.leader())
+                          + (recorded.leader().isEmpty() ? "none" : recorded.leader())
                           + ", term "
-                          + r.term()
+                          + recorded.term()
                           + ", "
-                          + r.jobs().size()
+                          + recorded.jobs().size()
                           + " open jobs, "
-                          + r.attempts()
+                          + recorded.attempts()
                           + " attempts, "
-                          + r.hires()
+                          + recorded.hires()
                           + " rents, "
-                          + r.reads()
+                          + recorded.reads()
                           + " reads"
-                          + (r.partial() ? ", a part only" : "")
-                      : r.problem())));
+                          + (recorded.partial() ? ", incomplete" : "")
+                      : recorded.problem())));
     }
-    return out;
+    return lines;
   }
 
-  /** One job: its reason, and where its tasks are. */
-  public List<String> renderJob(JobSnapshot p, String source) {
-    List<String> out = new ArrayList<>();
-    JobLine j = p.job();
-    out.add(
-        cut(
+  /** Renders one job: why it waits, and where its tasks are. */
+  public List<String> renderJob(JobSnapshot snapshot, String source) {
+    List<String> lines = new ArrayList<>();
+    JobLine job = snapshot.job();
+    lines.add(
+        truncateToWidth(
             String.format(
                 "%s  team %s  class %s  %s%s",
-                j.id(),
-                j.team(),
-                j.taskClass(),
-                rank(j.priority()),
-                j.guaranteed() ? "  within the guarantee" : "")));
-    out.add(
-        cut(
+                job.id(),
+                job.team(),
+                job.taskClass(),
+                priorityName(job.priority()),
+                job.guaranteed() ? "  within the guarantee" : "")));
+    lines.add(
+        truncateToWidth(
             String.format(
                 "%d tasks: %d done, %d running, %d starting, %d waiting, %d on silent machines",
-                j.tasks(), j.done(), j.running(), j.starting(), j.waiting(), j.silent())));
-    out.add(
-        cut(
+                job.tasks(),
+                job.done(),
+                job.running(),
+                job.starting(),
+                job.waiting(),
+                job.silent())));
+    lines.add(
+        truncateToWidth(
             "submitted "
-                + DurationFormat.of(j.ageS())
+                + DurationFormat.of(job.ageS())
                 + " ago"
-                + (!j.hasDue()
+                + (!job.hasDue()
                     ? ""
-                    : j.dueS() < 0
-                        ? ", late by " + DurationFormat.of(-j.dueS())
-                        : ", due in " + DurationFormat.of(j.dueS()))
-                + (j.failures() > 0
-                    ? ", " + CountFormat.of(j.failures(), "failure") + " in a row"
+                    : job.dueS() < 0
+                        ? ", late by " + DurationFormat.of(-job.dueS())
+                        : ", due in " + DurationFormat.of(job.dueS()))
+                + (job.failures() > 0
+                    ? ", " + CountFormat.of(job.failures(), "failure") + " in a row"
                     : "")));
-    if (j.reason().isEmpty()) {
-      out.add("nothing of it waits");
+    if (job.reason().isEmpty()) {
+      lines.add("no task waits");
     } else {
-      out.addAll(
+      lines.addAll(
           wrap(
               "why: "
-                  + Overview.describeReason(j.reason())
+                  + Overview.describeReason(job.reason())
                   + ", for "
-                  + DurationFormat.of(j.sinceS()),
+                  + DurationFormat.of(job.sinceS()),
               5));
-      out.addAll(wrap("     " + j.detail(), 5));
-      if (j.inS() >= 0) {
-        out.add("     over, or due, in " + DurationFormat.of(j.inS()));
+      lines.addAll(wrap("     " + job.detail(), 5));
+      if (job.inS() >= 0) {
+        lines.add("     ends or is due in " + DurationFormat.of(job.inS()));
       }
-      if (!p.remedy().isEmpty()) {
-        out.addAll(wrap("goes on when " + p.remedy(), 5));
+      if (!snapshot.remedy().isEmpty()) {
+        lines.addAll(wrap("continues when " + snapshot.remedy(), 5));
       }
     }
-    out.addAll(wrap("from " + source, 5));
-    if (!p.tasks().isEmpty()) {
-      out.add(
-          cut(
+    lines.addAll(wrap("from " + source, 5));
+    if (!snapshot.tasks().isEmpty()) {
+      lines.add(
+          truncateToWidth(
               String.format(
                   "%6s %4s %-10s %-14s %-12s %-10s %7s",
                   "TASK", "TRY", "STATE", "MACHINE", "TYPE", "ZONE", "FOR")));
     }
-    for (JobSnapshot.TaskLine t : p.tasks()) {
-      out.add(
-          cut(
+    for (JobSnapshot.TaskLine task : snapshot.tasks()) {
+      lines.add(
+          truncateToWidth(
               String.format(
                   "%6d %4d %-10s %-14s %-12s %-10s %7s%s%s",
-                  t.task(),
-                  t.attempt(),
-                  t.phase(),
-                  fit(t.machine(), 14),
-                  fit(t.type(), 12),
-                  fit(t.zone(), 10),
-                  DurationFormat.of(t.ageS()),
-                  t.silent() ? " silent" : "",
-                  t.stopping() ? " stopping" : "")));
+                  task.task(),
+                  task.attempt(),
+                  task.phase(),
+                  truncate(task.machine(), 14),
+                  truncate(task.type(), 12),
+                  truncate(task.zone(), 10),
+                  DurationFormat.of(task.ageS()),
+                  task.silent() ? " silent" : "",
+                  task.stopping() ? " stopping" : "")));
     }
-    if (p.leftOut() > 0) {
-      out.add("and " + p.leftOut() + " more attempts");
+    if (snapshot.leftOut() > 0) {
+      lines.add("and " + snapshot.leftOut() + " more attempts");
     }
-    return out;
+    return lines;
   }
 
-  private void add(List<String> out, ViewOptions options, String line) {
+  private void addIfMatching(List<String> lines, ViewOptions options, String line) {
     if (options.filter.isEmpty()
         || line.toLowerCase(Locale.ROOT).contains(options.filter.toLowerCase(Locale.ROOT))) {
-      out.add(cut(line));
+      lines.add(truncateToWidth(line));
     }
   }
 
-  private String cut(String s) {
-    String p = sanitize(s);
-    return p.length() <= width ? p : p.substring(0, width - 1) + "~";
+  private String truncateToWidth(String text) {
+    String sanitized = sanitize(text);
+    return sanitized.length() <= width ? sanitized : sanitized.substring(0, width - 1) + "~";
   }
 
-  /** Whole words over several lines, those after the first set in. */
-  private List<String> wrap(String s, int indent) {
-    List<String> out = new ArrayList<>();
-    String rest = sanitize(s);
+  /** Wraps a text at word boundaries; all lines after the first are indented. */
+  private List<String> wrap(String text, int indent) {
+    List<String> lines = new ArrayList<>();
+    String rest = sanitize(text);
     while (rest.length() > width) {
-      int at = rest.lastIndexOf(' ', width);
-      if (at <= indent) {
-        at = width;
+      int breakAt = rest.lastIndexOf(' ', width);
+      if (breakAt <= indent) {
+        breakAt = width;
       }
-      out.add(rest.substring(0, at));
-      rest = " ".repeat(indent) + rest.substring(at).strip();
+      lines.add(rest.substring(0, breakAt));
+      rest = " ".repeat(indent) + rest.substring(breakAt).strip();
     }
-    out.add(rest);
-    return out;
+    lines.add(rest);
+    return lines;
   }
 
-  private static String fit(String s, int n) {
-    return s.length() <= n ? s : s.substring(0, n - 1) + "~";
+  private static String truncate(String text, int maxLength) {
+    return text.length() <= maxLength ? text : text.substring(0, maxLength - 1) + "~";
   }
 
   /**
-   * Without anything that a terminal would obey: names are the users', and a name may hold control
-   * characters, escapes or marks that turn the direction of writing.
+   * Replaces every character that a terminal could interpret with a question mark. Users choose the
+   * names, which may contain control characters, escape sequences or marks that change the writing
+   * direction.
    */
-  public static String sanitize(String s) {
-    StringBuilder b = new StringBuilder(s.length());
-    s.codePoints()
+  public static String sanitize(String text) {
+    StringBuilder result = new StringBuilder(text.length());
+    text.codePoints()
         .forEach(
-            c -> {
-              int type = Character.getType(c);
-              boolean shown =
-                  !Character.isISOControl(c)
+            codePoint -> {
+              int type = Character.getType(codePoint);
+              boolean isPrintable =
+                  !Character.isISOControl(codePoint)
                       && type != Character.FORMAT
                       && type != Character.SURROGATE
                       && type != Character.LINE_SEPARATOR
                       && type != Character.PARAGRAPH_SEPARATOR;
-              b.appendCodePoint(shown ? c : '?');
+              result.appendCodePoint(isPrintable ? codePoint : '?');
             });
-    return b.toString();
+    return result.toString();
   }
 }
--- a/src/main/java/org/mallowroad/console/view/package-info.java
+++ b/src/main/java/org/mallowroad/console/view/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is shown to people, put together from what nodes and the state service answered; no I/O.
- * Every figure keeps its source and age, and what is unknown is said to be.
+ * Builds what users see from the responses of the nodes and the state service, without I/O. Every
+ * figure keeps its source and age, and unknown values are shown as unknown.
  */
 package org.mallowroad.console.view;
--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -13,159 +13,165 @@
 import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Overview;
 
-/** Whoever answers something else than expected, or nothing, is one clear line. */
+/**
+ * Checks that nodes and state services that return invalid responses, or none, are reported as one
+ * clear problem each instead of failing or delaying the whole query.
+ */
 final class ClusterQueryTest {
-  private static HttpServer answering(int status, String body) throws Exception {
-    HttpServer s = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
+  private static HttpServer startServer(int status, String body) throws Exception {
+    HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    s.createContext(
+    server.createContext(
         "/",
-        x -> {
-          x.sendResponseHeaders(status, bytes.length);
-          x.getResponseBody().write(bytes);
-          x.close();
+        exchange -> {
+          exchange.sendResponseHeaders(status, bytes.length);
+          exchange.getResponseBody().write(bytes);
+          exchange.close();
         });
-    s.start();
-    return s;
+    server.start();
+    return server;
   }
 
-  private static String at(HttpServer s) {
-    return "127.0.0.1:" + s.getAddress().getPort();
+  private static String addressOf(HttpServer server) {
+    return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  private record Case(int status, String body, Standing standing, String problem) {}
+  private record TestCase(int status, String body, Standing standing, String problem) {}
 
   @Test
-  void nodesThatAnswerOtherwise() throws Exception {
-    List<Case> table =
+  void invalidNodeAnswersAreReportedAsOneClearProblem() throws Exception {
+    List<TestCase> cases =
         List.of(
-            new Case(404, "", Standing.STRANGE, "answers 404: not a console of this build"),
-            new Case(200, "<html>", Standing.STRANGE, "not a valid console response"),
-            new Case(200, "null", Standing.STRANGE, "not a valid console response"),
-            new Case(200, "{}", Standing.STRANGE, "not a valid console response"),
-            new Case(
+            new TestCase(
+                404, "", Standing.STRANGE, "returned HTTP status 404: not a console of this build"),
+            new TestCase(200, "<html>", Standing.STRANGE, "not a valid console response"),
+            new TestCase(200, "null", Standing.STRANGE, "not a valid console response"),
+            new TestCase(200, "{}", Standing.STRANGE, "not a valid console response"),
+            new TestCase(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":1,\"phase\":\"LEADING\",\"totals\":{},\"teams\":[],\"jobs\":[null],\"zones\":[],\"machines\":[],\"reasons\":[]}}",
                 Standing.STRANGE,
                 "not a valid console response"),
-            new Case(
+            new TestCase(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":1,\"phase\":\"LEADING\",\"totals\":{},\"teams\":[],\"jobs\":[{}],\"zones\":[],\"machines\":[],\"reasons\":[]}}",
                 Standing.STRANGE,
                 "not a valid console response"),
-            new Case(
+            new TestCase(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":1,\"phase\":\"LEADING\",\"totals\":{},\"teams\":[],\"jobs\":[{\"id\":\"job-1\"}],\"zones\":[],\"machines\":[],\"reasons\":[]}}",
                 Standing.STRANGE,
                 "not a valid console response"),
-            new Case(
+            new TestCase(
                 200,
                 "{\"format\":9,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":9}}",
                 Standing.STRANGE,
                 "snapshot format 9 is not supported; expected 1"),
-            new Case(
+            new TestCase(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null,\"later\":1}",
                 Standing.NO_LEADER,
-                "it has only just started"));
-    for (Case c : table) {
-      HttpServer s = answering(c.status, c.body);
-      try (ClusterQuery asker = new ClusterQuery(List.of(at(s)), "")) {
-        NodeView n = asker.fetchOverview().nodes().get(0);
-        assertEquals(c.standing, n.standing(), c.body);
-        assertEquals(c.problem, n.problem(), c.body);
+                "it has just started and has no snapshot yet"));
+    for (TestCase testCase : cases) {
+      HttpServer server = startServer(testCase.status, testCase.body);
+      try (ClusterQuery clusterQuery = new ClusterQuery(List.of(addressOf(server)), "")) {
+        NodeView view = clusterQuery.fetchOverview().nodes().get(0);
+        assertEquals(testCase.standing, view.standing(), testCase.body);
+        assertEquals(testCase.problem, view.problem(), testCase.body);
       } finally {
-        s.stop(0);
+        server.stop(0);
       }
     }
   }
 
   @Test
-  void oneThatHangsAndOneThatRefusesCostTheirTimeOutOnly() throws Exception {
-    HttpServer good = answering(200, "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null}");
-    int free;
-    try (ServerSocket s = new ServerSocket(0)) {
-      free = s.getLocalPort();
+  void unresponsiveNodesDelayTheOverviewByAtMostTheirTimeout() throws Exception {
+    HttpServer responsive =
+        startServer(200, "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null}");
+    int unusedPort;
+    try (ServerSocket server = new ServerSocket(0)) {
+      unusedPort = server.getLocalPort();
     }
-    try (ServerSocket hangs = new ServerSocket(0);
-        ClusterQuery asker =
+    try (ServerSocket hanging = new ServerSocket(0);
+        ClusterQuery clusterQuery =
             new ClusterQuery(
                 List.of(
-                    "127.0.0.1:" + hangs.getLocalPort(),
-                    "127.0.0.1:" + free,
+                    "127.0.0.1:" + hanging.getLocalPort(),
+                    "127.0.0.1:" + unusedPort,
                     "no-such-host.invalid:7070",
-                    at(good)),
+                    addressOf(responsive)),
                 "")) {
-      asker.fetchOverview();
-      long began = System.nanoTime();
-      Overview o = asker.fetchOverview();
-      long ms = (System.nanoTime() - began) / 1_000_000;
-      assertTrue(ms < 2_000, ms + " ms");
+      clusterQuery.fetchOverview();
+      long startNs = System.nanoTime();
+      Overview overview = clusterQuery.fetchOverview();
+      long elapsedMs = (System.nanoTime() - startNs) / 1_000_000;
+      assertTrue(elapsedMs < 2_000, elapsedMs + " ms");
       assertEquals(
           List.of(Standing.HANGING, Standing.REFUSING, Standing.STRANGE, Standing.NO_LEADER),
-          o.nodes().stream().map(NodeView::standing).toList());
-      assertEquals("no such host", o.nodes().get(2).problem());
+          overview.nodes().stream().map(NodeView::standing).toList());
+      assertEquals("no such host", overview.nodes().get(2).problem());
     } finally {
-      good.stop(0);
+      responsive.stop(0);
     }
   }
 
   @Test
-  void aStateServiceThatAnswersGarbageIsALine() throws Exception {
-    String[][] table = {
-      {"200", "<?", "answers something that is not JSON"},
-      {"500", "{}", "answers 500"},
-      {"200", "{\"pairs\":[{\"key\":\"else\"}]}", "answers with something else than records"},
+  void invalidStateServiceAnswersAreReportedAsOneClearProblem() throws Exception {
+    String[][] cases = {
+      {"200", "<?", "returned a response that is not JSON"},
+      {"500", "{}", "returned HTTP status 500"},
+      {"200", "{\"pairs\":[{\"key\":\"else\"}]}", "returned something other than valid records"},
       {
         "200",
         "{\"pairs\":[{\"key\":\"run/x\",\"v\":{}}]}",
-        "answers with something else than records"
+        "returned something other than valid records"
       },
       {
         "200",
         "{\"pairs\":[{\"key\":\"open/job-1\",\"v\":{\"done\":\"zz\"}}]}",
-        "answers with something else than records"
+        "returned something other than valid records"
       },
     };
-    for (String[] row : table) {
-      HttpServer s = answering(Integer.parseInt(row[0]), row[1]);
-      try (ClusterQuery asker = new ClusterQuery(List.of("127.0.0.1:1"), at(s))) {
-        Overview o = asker.fetchOverview();
-        assertEquals(row[2], o.recorded().problem());
-        assertTrue(o.first().toString().contains(row[2]), o.first().toString());
+    for (String[] testCase : cases) {
+      HttpServer server = startServer(Integer.parseInt(testCase[0]), testCase[1]);
+      try (ClusterQuery clusterQuery =
+          new ClusterQuery(List.of("127.0.0.1:1"), addressOf(server))) {
+        Overview overview = clusterQuery.fetchOverview();
+        assertEquals(testCase[2], overview.recorded().problem());
+        assertTrue(overview.first().toString().contains(testCase[2]), overview.first().toString());
       } finally {
-        s.stop(0);
+        server.stop(0);
       }
     }
   }
 
   @Test
-  void theRecordsAreReadWithinABudget() throws Exception {
+  void recordsAreReadWithinTheRequestLimit() throws Exception {
     StringBuilder page = new StringBuilder("{\"truncated\":true,\"epoch\":1,\"pairs\":[");
     page.append("{\"key\":\"hire/r-1\",\"v\":{}}]}");
-    int[] asked = new int[1];
-    HttpServer s = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
-    s.createContext(
+    int[] requestCount = new int[1];
+    HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
+    server.createContext(
         "/",
-        x -> {
-          asked[0]++;
-          String query = x.getRequestURI().getQuery();
-          boolean hires = query != null && query.contains("under=hire/");
-          byte[] b =
-              (hires ? page.toString() : "{\"pairs\":[],\"truncated\":false}")
+        exchange -> {
+          requestCount[0]++;
+          String query = exchange.getRequestURI().getQuery();
+          boolean readsRentals = query != null && query.contains("under=hire/");
+          byte[] responseBody =
+              (readsRentals ? page.toString() : "{\"pairs\":[],\"truncated\":false}")
                   .getBytes(StandardCharsets.UTF_8);
-          x.sendResponseHeaders(query == null ? 404 : 200, b.length);
-          x.getResponseBody().write(b);
-          x.close();
+          exchange.sendResponseHeaders(query == null ? 404 : 200, responseBody.length);
+          exchange.getResponseBody().write(responseBody);
+          exchange.close();
         });
-    s.start();
-    try (ClusterQuery asker = new ClusterQuery(List.of("127.0.0.1:1"), at(s))) {
-      Overview o = asker.fetchOverview();
-      assertTrue(o.recorded().partial(), o.recorded().toString());
-      assertEquals(RecordInspector.MOST_READS, o.recorded().reads());
-      assertEquals(RecordInspector.MOST_READS, asked[0]);
+    server.start();
+    try (ClusterQuery clusterQuery = new ClusterQuery(List.of("127.0.0.1:1"), addressOf(server))) {
+      Overview overview = clusterQuery.fetchOverview();
+      assertTrue(overview.recorded().partial(), overview.recorded().toString());
+      assertEquals(RecordInspector.MAX_READS, overview.recorded().reads());
+      assertEquals(RecordInspector.MAX_READS, requestCount[0]);
     } finally {
-      s.stop(0);
+      server.stop(0);
     }
   }
 }
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -18,13 +18,17 @@
 import org.mallowroad.core.explain.PendingCause;
 import org.mallowroad.core.explain.PendingCauseSummary;
 
-/** What people see: within the width, without what a terminal or a browser would obey. */
+/**
+ * Checks that screens and reports fit their size, and that names chosen by users cannot inject
+ * control sequences into the terminal or markup into the HTML page.
+ */
 final class ScreenTest {
-  private static final String EVIL = "<script>x\u001b[2J\u202e";
+  private static final String HOSTILE_NAME = "<script>x\u001b[2J\u202e";
 
-  private static JobLine job(int i, String team, PendingCause r, int waiting, double dueS) {
+  private static JobLine job(
+      int number, String team, PendingCause cause, int waiting, double dueS) {
     return new JobLine(
-        "job-" + i,
+        "job-" + number,
         team,
         "class",
         2,
@@ -34,20 +38,20 @@
         0,
         waiting,
         0,
-        100 + i,
+        100 + number,
         dueS != 0,
         dueS,
         false,
         0,
-        r == null ? "" : r.name(),
-        r == null ? -1 : 10 + i,
+        cause == null ? "" : cause.name(),
+        cause == null ? -1 : 10 + number,
         -1,
         "",
         "evidence");
   }
 
   private static Overview overview(List<JobLine> jobs) {
-    NodeSnapshot p =
+    NodeSnapshot snapshot =
         new NodeSnapshot(
             NodeSnapshot.FORMAT,
             "n0",
@@ -60,41 +64,49 @@
             0.1,
             true,
             new NodeSnapshot.Totals(jobs.size(), 9, 0, 5, 2, 1, 7, 6, 1.5, 0),
-            List.of(new NodeSnapshot.TeamLine(EVIL, 4, 8, 16, 9, 5)),
+            List.of(new NodeSnapshot.TeamLine(HOSTILE_NAME, 4, 8, 16, 9, 5)),
             jobs,
             0,
             List.of(new NodeSnapshot.ZoneLine("north", 4, 3, true, 12)),
             List.of(
-                new NodeSnapshot.MachineLine("north", EVIL, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
+                new NodeSnapshot.MachineLine(
+                    "north", HOSTILE_NAME, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
             PendingCauseSummary.summarize(jobs));
     List<NodeView> nodes =
         List.of(
-            NodeView.answered("127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, p)),
+            NodeView.answered(
+                "127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, snapshot)),
             NodeView.failed("127.0.0.1:2", Standing.REFUSING, "refuses connections", 1));
     return Overview.of(nodes, RecordedState.notRead("", ""), 1_000_000);
   }
 
-  private static List<JobLine> many(int n) {
-    List<JobLine> out = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      out.add(
-          job(i, i % 2 == 0 ? EVIL : "b", PendingCause.TEAM_LIMIT, i, i % 3 == 0 ? 500 - i : 0));
+  private static List<JobLine> jobs(int count) {
+    List<JobLine> result = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      result.add(
+          job(
+              i,
+              i % 2 == 0 ? HOSTILE_NAME : "b",
+              PendingCause.TEAM_LIMIT,
+              i,
+              i % 3 == 0 ? 500 - i : 0));
     }
-    return out;
+    return result;
   }
 
   @Test
-  void everyPageKeepsToItsWidthAndHeightAndObeysNobody() {
-    Overview o = overview(many(400));
+  void everyPageFitsTheScreenAndHasNoControlCharacters() {
+    Overview overview = overview(jobs(400));
     for (Page page : Page.values()) {
       for (int width : new int[] {10, 80, 132}) {
-        Screen s = new Screen(width, 24);
-        for (int at : new int[] {0, 3, 9_999}) {
-          List<String> lines = s.render(o, new Screen.ViewOptions(page, Sort.QUEUE, "", at));
+        Screen screen = new Screen(width, 24);
+        for (int pageIndex : new int[] {0, 3, 9_999}) {
+          List<String> lines =
+              screen.render(overview, new Screen.ViewOptions(page, Sort.QUEUE, "", pageIndex));
           assertTrue(lines.size() <= 24, page + " has " + lines.size() + " lines");
-          for (String l : lines) {
-            assertTrue(l.length() <= Math.max(80, width), l);
-            assertTrue(l.chars().noneMatch(c -> Character.isISOControl(c) || c == 0x202e), l);
+          for (String line : lines) {
+            assertTrue(line.length() <= Math.max(80, width), line);
+            assertTrue(line.chars().noneMatch(c -> Character.isISOControl(c) || c == 0x202e), line);
           }
         }
       }
@@ -103,67 +115,80 @@
 
   @Test
   void linesAreSortedFilteredAndPaged() {
-    Overview o = overview(many(100));
-    Screen s = new Screen(80, 0);
-    assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.WAITING, "", 0)));
-    assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.LONGEST, "", 0)));
-    assertEquals("job-99", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.DUE, "", 0)));
-    assertEquals("job-0", firstJob(s, o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", 0)));
-    List<String> found = s.render(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
-    assertEquals(1, found.stream().filter(l -> l.startsWith("job-")).count());
-    // Each job stands on exactly one of the pages.
-    Screen small = new Screen(80, 24);
-    List<String> seen = new ArrayList<>();
+    Overview overview = overview(jobs(100));
+    Screen screen = new Screen(80, 0);
+    assertEquals(
+        "job-99",
+        firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.WAITING, "", 0)));
+    assertEquals(
+        "job-99",
+        firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.LONGEST, "", 0)));
+    assertEquals(
+        "job-99", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.DUE, "", 0)));
+    assertEquals(
+        "job-0", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", 0)));
+    List<String> matching =
+        screen.render(overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
+    assertEquals(1, matching.stream().filter(line -> line.startsWith("job-")).count());
+    // Each job is on exactly one of the pages.
+    Screen pagedScreen = new Screen(80, 24);
+    List<String> listedJobs = new ArrayList<>();
     for (int page = 0; page < 30; page++) {
-      List<String> lines = small.render(o, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
-      String last = lines.get(lines.size() - 1);
-      lines.stream().filter(l -> l.startsWith("job-")).map(l -> l.split(" ")[0]).forEach(seen::add);
-      if (last.matches("-- page (\\d+) of \\1 --")) {
+      List<String> lines =
+          pagedScreen.render(overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
+      String lastLine = lines.get(lines.size() - 1);
+      lines.stream()
+          .filter(line -> line.startsWith("job-"))
+          .map(line -> line.split(" ")[0])
+          .forEach(listedJobs::add);
+      if (lastLine.matches("-- page (\\d+) of \\1 --")) {
         break;
       }
     }
-    assertEquals(100, seen.size());
-    assertEquals(100, seen.stream().distinct().count());
+    assertEquals(100, listedJobs.size());
+    assertEquals(100, listedJobs.stream().distinct().count());
   }
 
-  private static String firstJob(Screen s, Overview o, Screen.ViewOptions look) {
-    return s.render(o, look).stream()
-        .filter(l -> l.startsWith("job-"))
+  private static String firstJob(Screen screen, Overview overview, Screen.ViewOptions options) {
+    return screen.render(overview, options).stream()
+        .filter(line -> line.startsWith("job-"))
         .findFirst()
         .orElse("")
         .split(" ")[0];
   }
 
   @Test
-  void thePageHoldsNothingOfTheUsersThatABrowserObeys() throws Exception {
-    Overview o = overview(many(20));
-    List<MetricSample> past = new ArrayList<>();
+  void reportEscapesUserNamesAndLoadsNothingFromTheNetwork() throws Exception {
+    Overview overview = overview(jobs(20));
+    List<MetricSample> samples = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      NodeSnapshot p = o.picture();
-      MetricSample s = MetricSample.of(p);
-      past.add(
+      NodeSnapshot snapshot = overview.picture();
+      MetricSample template = MetricSample.of(snapshot);
+      samples.add(
           new MetricSample(
               1_000 + 15_000 * i,
               3,
               10L * i,
               9L * i,
               1.5,
-              s.waiting(),
-              s.running(),
-              s.machines(),
-              s.reasons()));
+              template.waiting(),
+              template.running(),
+              template.machines(),
+              template.reasons()));
     }
-    String page = Report.renderPage(o, past);
-    assertFalse(page.contains("<script>x"), "a team's name is not escaped");
+    String page = Report.renderPage(overview, samples);
+    assertFalse(page.contains("<script>x"), "the name of a team is not escaped");
     assertTrue(page.contains("&lt;script&gt;x"));
     assertEquals(6, page.split("<svg ", -1).length - 1, "plots");
-    assertFalse(page.matches("(?s).*(src|href)=\"?(https?:)?//.*"), "asks for a network");
+    assertFalse(
+        page.matches("(?s).*(src|href)=\"?(https?:)?//.*"),
+        "the page loads something from the network");
     int first = page.indexOf("Look at this first");
     assertTrue(first > page.indexOf("Controllers") && page.indexOf("Zone north") > first);
   }
 
   @Test
-  void whatComesFirstIsWhatStandsInMostPeoplesWay() {
+  void findingsAreListedByImportance() {
     List<JobLine> jobs =
         List.of(
             job(1, "a", PendingCause.TEAM_LIMIT, 5, 0),
@@ -177,15 +202,18 @@
     assertTrue(first.get(4).startsWith("Node 127.0.0.1:2 is refusing"), first.toString());
   }
 
-  /** A node of a newer build may have reasons that this one does not know. */
+  /**
+   * A node of a newer build may report reasons that this build does not know; they must not break
+   * the overview.
+   */
   @Test
-  void aReasonOfAnotherBuildIsShownByItsName() throws Exception {
-    JobLine l = job(1, "a", PendingCause.TEAM_LIMIT, 5, 0);
+  void unknownReasonOfANewerBuildIsShownByItsName() throws Exception {
+    JobLine known = job(1, "a", PendingCause.TEAM_LIMIT, 5, 0);
     JobLine newer =
         new JobLine(
-            l.id(),
-            l.team(),
-            l.taskClass(),
+            known.id(),
+            known.team(),
+            known.taskClass(),
             2,
             6,
             0,
@@ -203,14 +231,14 @@
             -1,
             "",
             "evidence");
-    Overview o = overview(List.of(newer));
-    assertTrue(o.first().toString().contains("moon phase"), o.first().toString());
-    assertTrue(Report.renderPage(o, List.of()).contains("moon phase"));
+    Overview overview = overview(List.of(newer));
+    assertTrue(overview.first().toString().contains("moon phase"), overview.first().toString());
+    assertTrue(Report.renderPage(overview, List.of()).contains("moon phase"));
   }
 
   @Test
-  void ages() {
-    Object[][] table = {
+  void durationsAreFormattedByLength() {
+    Object[][] cases = {
       {-1.0, "-"},
       {0.04, "0.0s"},
       {9.94, "9.9s"},
@@ -219,8 +247,8 @@
       {3599.4, "59m59s"},
       {7505.0, "2h05m"},
     };
-    for (Object[] row : table) {
-      assertEquals(row[1], DurationFormat.of((Double) row[0]));
+    for (Object[] testCase : cases) {
+      assertEquals(testCase[1], DurationFormat.of((Double) testCase[0]));
     }
   }
 }
