--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.NodeView.Standing;
+import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.Overview;
 
 /**
@@ -66,7 +66,7 @@
                 200,
                 "{\"format\":9,\"node\":\"n\",\"stack\":[],\"picture\":{\"format\":9}}",
                 Standing.STRANGE,
-                "snapshot format 9 is not supported; expected 1"),
+                "invalid snapshot: format 9, expected 1"),
             new TestCase(
                 200,
                 "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null,\"later\":1}",
