--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.NodeView;
+import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Overview;
 
 /**
