--- a/src/main/java/org/mallowroad/cli/ClusterAddress.java
+++ b/src/main/java/org/mallowroad/cli/ClusterAddress.java
@@ -66,7 +66,7 @@
   }
 
   private static void check(String option, String address) throws InvalidSettingsException {
-    if (Endpoint.of(address) == null) {
+    if (Endpoint.parse(address) == null) {
       throw new InvalidSettingsException(option, address, "host:port is needed");
     }
   }
--- a/src/main/java/org/mallowroad/config/ConsoleSettings.java
+++ b/src/main/java/org/mallowroad/config/ConsoleSettings.java
@@ -1,11 +1,14 @@
 package org.mallowroad.config;
 
 /**
- * The console's listener (docs/console.md).
+ * Settings of a node's console server (docs/console.md).
  *
- * @param listen where it listens, apart from users and workers
- * @param everyMs a picture is made at least so often, so that there is one when the loop is stuck
- * @param freshMs one who asks gets a picture no older than this, while the loop turns
- * @param history points of the past that are kept, one every 15 s; 0 for none
+ * @param listen the console's own listening address, separate from those for users and workers
+ * @param snapshotIntervalMs a snapshot is taken at least this often, in ms, so that a recent one
+ *     can be served while the event loop is blocked
+ * @param maxSnapshotAgeMs a request is answered with a snapshot no older than this, in ms, unless
+ *     the event loop is blocked
+ * @param historyPoints number of past metric samples to keep, one every 15 s; 0 keeps none
  */
-public record ConsoleSettings(Settings.Endpoint listen, long everyMs, long freshMs, int history) {}
+public record ConsoleSettings(
+    Settings.Endpoint listen, long snapshotIntervalMs, long maxSnapshotAgeMs, int historyPoints) {}
--- a/src/main/java/org/mallowroad/config/OperatorSettings.java
+++ b/src/main/java/org/mallowroad/config/OperatorSettings.java
@@ -19,11 +19,11 @@
  * listener and the ways round cuts, each of which is off when it is not named.
  */
 public record OperatorSettings(
-    AutoscalerPolicy fleet,
+    AutoscalerPolicy autoscaler,
     HealthPolicy health,
     Optional<ConsoleSettings> console,
     Optional<LinkPolicy> links,
-    ImageFetchPolicy fetches,
+    ImageFetchPolicy imageFetch,
     RecordPolicy records) {
 
   /** What holds without a file. */
@@ -39,12 +39,12 @@
 
   /** The same with a console. */
   public OperatorSettings with(ConsoleSettings c) {
-    return new OperatorSettings(fleet, health, Optional.of(c), links, fetches, records);
+    return new OperatorSettings(autoscaler, health, Optional.of(c), links, imageFetch, records);
   }
 
   /** The same with ways round cuts. */
   public OperatorSettings with(LinkPolicy l) {
-    return new OperatorSettings(fleet, health, console, Optional.of(l), fetches, records);
+    return new OperatorSettings(autoscaler, health, console, Optional.of(l), imageFetch, records);
   }
 
   /**
@@ -67,11 +67,11 @@
       throw new InvalidSettingsException(file, root.getTagName(), "the root element is mallowroad");
     }
     return new OperatorSettings(
-        fleet(file, root),
+        autoscaler(file, root),
         health(file, root),
         console(file, root),
         links(file, root),
-        fetches(file, root),
+        imageFetch(file, root),
         records(file, root));
   }
 
@@ -86,7 +86,8 @@
     return new RecordPolicy(shared.equals("true"));
   }
 
-  private static AutoscalerPolicy fleet(String file, Element root) throws InvalidSettingsException {
+  private static AutoscalerPolicy autoscaler(String file, Element root)
+      throws InvalidSettingsException {
     AutoscalerPolicy d = AutoscalerPolicy.defaults();
     if (!(root.getElementsByTagName("fleet").item(0) instanceof Element e)) {
       return d;
@@ -126,7 +127,7 @@
     if (!(root.getElementsByTagName("console").item(0) instanceof Element e)) {
       return Optional.empty();
     }
-    Settings.Endpoint listen = Settings.Endpoint.of(e.getAttribute("listen").trim());
+    Settings.Endpoint listen = Settings.Endpoint.parse(e.getAttribute("listen").trim());
     if (listen == null) {
       throw new InvalidSettingsException(file, "console/listen", "host:port is needed");
     }
@@ -158,7 +159,7 @@
     return Optional.of(p);
   }
 
-  private static ImageFetchPolicy fetches(String file, Element root)
+  private static ImageFetchPolicy imageFetch(String file, Element root)
       throws InvalidSettingsException {
     ImageFetchPolicy d = ImageFetchPolicy.defaults();
     if (!(root.getElementsByTagName("fetch").item(0) instanceof Element e)) {
@@ -174,12 +175,12 @@
 
   /** The same with limits on fetches. */
   public OperatorSettings with(ImageFetchPolicy f) {
-    return new OperatorSettings(fleet, health, console, links, f, records);
+    return new OperatorSettings(autoscaler, health, console, links, f, records);
   }
 
   /** The same with another form of records. */
   public OperatorSettings with(RecordPolicy r) {
-    return new OperatorSettings(fleet, health, console, links, fetches, r);
+    return new OperatorSettings(autoscaler, health, console, links, imageFetch, r);
   }
 
   private static long ms(
--- a/src/main/java/org/mallowroad/config/RecordPolicy.java
+++ b/src/main/java/org/mallowroad/config/RecordPolicy.java
@@ -1,13 +1,14 @@
 package org.mallowroad.config;
 
 /**
- * Which form of records a leader writes. Every build from this one on reads both forms; an earlier
- * one does not know shared records, so they are written only once all controllers read them.
+ * Selects the form of the start records that a leader writes. This build and later ones read both
+ * forms. Earlier builds cannot read shared records, so a leader writes shared records only once all
+ * controllers can read them.
  *
- * @param shareStarts whether small jobs share records of their starts
+ * @param sharesStartRecords whether the starts of small jobs share records
  */
-public record RecordPolicy(boolean shareStarts) {
-  /** What holds without a setting. */
+public record RecordPolicy(boolean sharesStartRecords) {
+  /** The policy that applies when the settings have none: no shared records. */
   public static RecordPolicy defaults() {
     return new RecordPolicy(false);
   }
--- a/src/main/java/org/mallowroad/config/Settings.java
+++ b/src/main/java/org/mallowroad/config/Settings.java
@@ -32,12 +32,12 @@
     double listLagS,
     int maxSockets,
     double ramMb,
-    int nodes) {
+    int nodeCount) {
 
   /** Host and port. */
   public record Endpoint(String host, int port) {
     /** Of the form {@code host:port}, or null. */
-    public static Endpoint of(String text) {
+    public static Endpoint parse(String text) {
       int colon = text.lastIndexOf(':');
       try {
         int port = Integer.parseInt(text.substring(colon + 1));
@@ -63,7 +63,7 @@
 
   /** A team's guarantee and limit. */
   public record TeamSetting(
-      String name, double cpus, double cards, double cpusMax, double cardsMax) {}
+      String name, double cpus, double gpus, double cpusMax, double gpusMax) {}
 
   /** Reads and checks a file. */
   public static Settings load(String file) throws InvalidSettingsException {
@@ -205,7 +205,7 @@
 
     private Endpoint endpoint(JsonNode o, String key, String field)
         throws InvalidSettingsException {
-      Endpoint e = Endpoint.of(text(o, key, field));
+      Endpoint e = Endpoint.parse(text(o, key, field));
       if (e == null) {
         throw bad(field, "host:port is needed");
       }
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -65,7 +65,7 @@
   public ConsoleServer(ConsoleSettings settings, SnapshotSource subject) throws IOException {
     this.settings = settings;
     this.subject = subject;
-    this.past = new MetricHistory(settings.history());
+    this.past = new MetricHistory(settings.historyPoints());
     this.worker = XnioEventLoop.createWorker("console");
     this.own = new XnioEventLoop(worker.getIoThread());
     this.jobs = new RateLimiter(JOBS_PER_S, 2 * JOBS_PER_S, own.now());
@@ -88,7 +88,7 @@
   public void start() {
     server.start();
     own.every(BEAT_MS, this::beat);
-    own.every(settings.everyMs(), this::ask);
+    own.every(settings.snapshotIntervalMs(), this::ask);
     own.submit(this::ask);
     LOG.info("event=console_started node={} listen={}", subject.node(), address());
   }
@@ -177,7 +177,7 @@
   private record Refusal(String error) {}
 
   private void picture(HttpServerExchange x) {
-    boolean fresh = picture != null && own.now() - pictureMs <= settings.freshMs();
+    boolean fresh = picture != null && own.now() - pictureMs <= settings.maxSnapshotAgeMs();
     if (fresh || probe.stuck(own.now()) || waiters.size() >= MOST_WAITING) {
       sight(x);
       return;
--- a/src/main/java/org/mallowroad/controller/ClusterConfig.java
+++ b/src/main/java/org/mallowroad/controller/ClusterConfig.java
@@ -120,9 +120,9 @@
           new Team(
               setting.name(),
               setting.cpus(),
-              setting.cards(),
+              setting.gpus(),
               setting.cpusMax(),
-              setting.cardsMax()));
+              setting.gpusMax()));
     }
     return teams;
   }
--- a/src/main/java/org/mallowroad/controller/Leader.java
+++ b/src/main/java/org/mallowroad/controller/Leader.java
@@ -174,7 +174,7 @@
             writeBudget.limiter());
     ProvisioningSettings provisioningSettings =
         new ProvisioningSettings(
-            clusterConfig.operatorSettings.fleet(),
+            clusterConfig.operatorSettings.autoscaler(),
             clusterConfig.objectives,
             writeBudget.maxTransactionWrites(),
             term.number(),
--- a/src/main/java/org/mallowroad/controller/LeaderContext.java
+++ b/src/main/java/org/mallowroad/controller/LeaderContext.java
@@ -47,7 +47,7 @@
                 clusterConfig.zones.size(),
                 settings.heartbeatIntervalS(),
                 startedMs),
-            clusterConfig.operatorSettings.fetches());
+            clusterConfig.operatorSettings.imageFetch());
     return new LeaderContext(
         services,
         term,
--- a/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
+++ b/src/main/java/org/mallowroad/controller/LeaderIsolationDetector.java
@@ -87,7 +87,7 @@
     // heartbeats through a peer.
     long relayFallbackMs =
         context.services().reachablePeers().getAsInt() > 0 ? RELAY_FALLBACK_MS : 0;
-    return settings.nodes() > 1
+    return settings.nodeCount() > 1
         && now - listeningSinceMs
             > (long) (maxMissedIntervals * settings.heartbeatIntervalS() * 1000)
                 + HEARTBEAT_MARGIN_MS
@@ -103,7 +103,7 @@
    */
   boolean isCutOffFromStateAndPeers(long now) {
     LeaderServices services = context.services();
-    return settings.nodes() > 1
+    return settings.nodeCount() > 1
         && services.reachablePeers().getAsInt() == 0
         && now
                 - Math.max(
--- a/src/main/java/org/mallowroad/controller/LocalLeadership.java
+++ b/src/main/java/org/mallowroad/controller/LocalLeadership.java
@@ -59,7 +59,7 @@
     Leader newLeader = new Leader(services, grantedTerm, new LeaderListener(grantedTerm));
     leader = newLeader;
     newLeader.start();
-    if (services.clusterConfig().operatorSettings.records().shareStarts()) {
+    if (services.clusterConfig().operatorSettings.records().sharesStartRecords()) {
       sharedRecords.enableWhenSupported(newLeader, () -> leader == newLeader);
     }
     loop.after(
--- a/src/main/java/org/mallowroad/controller/NodeComponents.java
+++ b/src/main/java/org/mallowroad/controller/NodeComponents.java
@@ -171,7 +171,8 @@
             : new KeyValueStore(loop, links.state(calls), links.state(watches));
     client.setRetriesPerSecond(
         Math.max(
-            MIN_STATE_RETRIES_PER_S, settings.stateRps() * STATE_RETRY_SHARE / settings.nodes()));
+            MIN_STATE_RETRIES_PER_S,
+            settings.stateRps() * STATE_RETRY_SHARE / settings.nodeCount()));
     return client;
   }
 
@@ -187,7 +188,8 @@
   private UserApi newUserApi(Settings settings) {
     long now = loop.now();
     double readRps =
-        Math.max(MIN_USER_READS_PER_S, settings.stateRps() * USER_READ_SHARE / settings.nodes());
+        Math.max(
+            MIN_USER_READS_PER_S, settings.stateRps() * USER_READ_SHARE / settings.nodeCount());
     double writeRps = settings.stateWriteRps() * USER_WRITE_SHARE;
     return new UserApi(
         loop,
@@ -196,7 +198,7 @@
             new RateLimiter(readRps, readRps, now),
             readRps,
             new RateLimiter(writeRps, settings.stateWriteRps() * USER_WRITE_BURST_SHARE, now),
-            new RateLimiter(writeRps / settings.nodes(), USER_WRITE_BURST_PER_NODE, now),
+            new RateLimiter(writeRps / settings.nodeCount(), USER_WRITE_BURST_PER_NODE, now),
             settings.valueKb(),
             CONDITIONS_PER_WRITE * settings.txnOps(),
             (int) (settings.ramMb() * ENDED_JOBS_PER_MB)),
--- a/src/test/java/org/mallowroad/cli/CommandRuns.java
+++ b/src/test/java/org/mallowroad/cli/CommandRunner.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /** Runs commands inside the process, for tests of other packages. */
-public final class CommandRuns {
-  private CommandRuns() {}
+public final class CommandRunner {
+  private CommandRunner() {}
 
   /** What came of a command. */
   public record Outcome(int code, String out, String err) {}
@@ -46,7 +46,7 @@
   }
 
   /** The help texts of all commands by their names. */
-  public static Map<String, String> help() {
+  public static Map<String, String> helpTexts() {
     Map<String, String> texts = new LinkedHashMap<>();
     addHelp(commandLine(), texts);
     return texts;
--- a/src/test/java/org/mallowroad/config/SettingsTest.java
+++ b/src/test/java/org/mallowroad/config/SettingsTest.java
@@ -63,7 +63,7 @@
   void aGoodFileIsTaken() throws Exception {
     Settings s = load(GOOD);
     assertEquals("127.0.0.1:9081", s.members().get(0).endpoint().toString());
-    assertEquals(2, s.nodes());
+    assertEquals(2, s.nodeCount());
     assertEquals(8.0, s.teams().get(0).cpusMax());
   }
 
@@ -121,24 +121,24 @@
   void whatStandsUnderDeployIsTaken() throws Exception {
     ConsoleSettings c = OperatorSettings.load("deploy/console.xml").console().orElseThrow();
     assertEquals(7070, c.listen().port());
-    assertEquals(5_000, c.everyMs());
+    assertEquals(5_000, c.snapshotIntervalMs());
     assertTrue(OperatorSettings.defaults().console().isEmpty());
     assertEquals(
         LinkPolicy.defaults(), OperatorSettings.load("deploy/links.xml").links().orElseThrow());
     assertTrue(OperatorSettings.defaults().links().isEmpty());
-    assertEquals(16, OperatorSettings.load("deploy/fetch.xml").fetches().sharedSourceLimit());
-    assertEquals(0, OperatorSettings.defaults().fetches().sharedSourceLimit());
+    assertEquals(16, OperatorSettings.load("deploy/fetch.xml").imageFetch().sharedSourceLimit());
+    assertEquals(0, OperatorSettings.defaults().imageFetch().sharedSourceLimit());
   }
 
   @Test
   void operatorSettingsReplaceDefaults() throws Exception {
     Path f = dir.resolve("o.xml");
     Files.writeString(f, "<mallowroad><fleet cycle-s='5' unknown='1'/></mallowroad>");
-    assertEquals(5_000, OperatorSettings.load(f.toString()).fleet().cycleMs());
+    assertEquals(5_000, OperatorSettings.load(f.toString()).autoscaler().cycleMs());
     Files.writeString(f, "<mallowroad><health favour-s='7' unknown='1'/></mallowroad>");
     OperatorSettings o = OperatorSettings.load(f.toString());
     assertEquals(7_000, o.health().suspicionExpiryMs());
     assertEquals(HealthPolicy.defaults().minPartitionMachines(), o.health().minPartitionMachines());
-    assertEquals(AutoscalerPolicy.defaults(), o.fleet());
+    assertEquals(AutoscalerPolicy.defaults(), o.autoscaler());
   }
 }
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -279,7 +279,7 @@
 
   @Test
   void aNodeServesAlthoughItsConsoleCannotListen() throws Exception {
-    Endpoint usedEndpoint = Endpoint.of(nodes.get("n0").consoleAddress());
+    Endpoint usedEndpoint = Endpoint.parse(nodes.get("n0").consoleAddress());
     OperatorSettings defaults = OperatorSettings.defaults();
     ConsoleSettings consoleSettings = new ConsoleSettings(usedEndpoint, 1_000, 100, 10);
     Node node =
--- a/src/test/java/org/mallowroad/golden/CommandsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/CommandsGoldenTest.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.cli.CommandRuns;
+import org.mallowroad.cli.CommandRunner;
 
 /** The command line: help texts, exit codes and what is said of wrong use. */
 final class CommandsGoldenTest {
@@ -40,7 +40,7 @@
   @Test
   void helpTextsStay() {
     StringBuilder all = new StringBuilder();
-    CommandRuns.help()
+    CommandRunner.helpTexts()
         .forEach((name, text) -> all.append("### ").append(name).append('\n').append(text));
     new GoldenFile("help.txt").check(all.toString());
   }
@@ -49,7 +49,7 @@
   void exitCodesAndMessagesStay() {
     Map<String, String> outcomes = new LinkedHashMap<>();
     for (String[] args : RUNS) {
-      CommandRuns.Outcome run = CommandRuns.run(args);
+      CommandRunner.Outcome run = CommandRunner.run(args);
       outcomes.put(
           "mallowroad " + String.join(" ", args),
           run.code() + " out=" + escaped(run.out()) + " err=" + escaped(run.err()));
--- a/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
@@ -69,7 +69,7 @@
         s.listLagS(),
         s.maxSockets(),
         s.ramMb(),
-        s.nodes());
+        s.nodeCount());
   }
 
   @Test
@@ -142,7 +142,7 @@
   }
 
   private String answer(int listener, String requestLine) throws IOException {
-    Endpoint at = Endpoint.of(host.boundAddress(listener));
+    Endpoint at = Endpoint.parse(host.boundAddress(listener));
     try (Socket connection = new Socket(at.host(), at.port())) {
       connection.setSoTimeout(PATIENCE_MS);
       String headers = "\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
--- a/src/test/java/org/mallowroad/golden/OuterNamesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/OuterNamesGoldenTest.java
@@ -12,7 +12,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.cli.CommandRuns;
+import org.mallowroad.cli.CommandRunner;
 import org.mallowroad.cli.Main;
 
 /**
@@ -30,8 +30,8 @@
   @Test
   void everyOuterNameIsStillInTheCode() throws IOException, URISyntaxException {
     List<String> texts = stringConstants();
-    texts.addAll(CommandRuns.help().values());
-    texts.addAll(CommandRuns.optionNames());
+    texts.addAll(CommandRunner.helpTexts().values());
+    texts.addAll(CommandRunner.optionNames());
     String constants = String.join("\n", texts);
     List<String> lost =
         NAMES.text().lines().filter(name -> !containsName(constants, name)).toList();
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -36,7 +36,7 @@
       put(
           values,
           "team " + t.name(),
-          t.cpus() + " " + t.cards() + " " + t.cpusMax() + " " + t.cardsMax());
+          t.cpus() + " " + t.gpus() + " " + t.cpusMax() + " " + t.gpusMax());
     }
     for (int i = 0; i < s.objectives().size(); i++) {
       Settings.Objective o = s.objectives().get(i);
@@ -53,7 +53,7 @@
     put(values, "cloud.list_lag_s", s.listLagS());
     put(values, "resources.max_sockets", s.maxSockets());
     put(values, "resources.ram_mb", s.ramMb());
-    put(values, "controllers", s.nodes());
+    put(values, "controllers", s.nodeCount());
     new GoldenFile("settings.txt").check(values);
   }
 
@@ -76,12 +76,12 @@
 
   private static Map<String, String> values(OperatorSettings s) {
     Map<String, String> values = new LinkedHashMap<>();
-    addFleet(s.fleet(), values);
+    addFleet(s.autoscaler(), values);
     addHealth(s.health(), values);
     s.console().ifPresent(console -> addConsole(console, values));
     s.links().ifPresent(links -> addLinks(links, values));
-    addFetch(s.fetches(), values);
-    put(values, "records/share-starts", s.records().shareStarts());
+    addFetch(s.imageFetch(), values);
+    put(values, "records/share-starts", s.records().sharesStartRecords());
     return values;
   }
 
@@ -112,9 +112,9 @@
 
   private static void addConsole(ConsoleSettings console, Map<String, String> values) {
     put(values, "console/listen", console.listen());
-    put(values, "console/every-s in ms", console.everyMs());
-    put(values, "console/fresh-s in ms", console.freshMs());
-    put(values, "console/history", console.history());
+    put(values, "console/every-s in ms", console.snapshotIntervalMs());
+    put(values, "console/fresh-s in ms", console.maxSnapshotAgeMs());
+    put(values, "console/history", console.historyPoints());
   }
 
   private static void addLinks(LinkPolicy links, Map<String, String> values) {
