--- a/src/main/java/org/mallowroad/cli/Experiment.java
+++ b/src/main/java/org/mallowroad/cli/Experiment.java
@@ -106,11 +106,11 @@
         return 2;
       }
       Simulation simulation = new Simulation(plan);
-      Simulation.Result result = simulation.play();
-      simulation.log().forEach(out::println);
-      out.println(result.line());
+      Simulation.Result result = simulation.run();
+      simulation.faultLog().forEach(out::println);
+      out.println(result.summaryLine());
       printFailure(result);
-      return result.good() ? 0 : 1;
+      return result.hasNoBreaches() ? 0 : 1;
     }
     if (waveTable) {
       return waveTable();
@@ -169,19 +169,19 @@
       String strategy,
       ImageFetchPolicy policy,
       boolean peerFetch) {
-    ImageFetchWave.Setting setting =
-        new ImageFetchWave.Setting(machines, 350, imageGb, policy, peerFetch, failures);
-    ImageFetchWave.Figures figures = new ImageFetchWave(setting, from).play();
+    ImageFetchWave.Settings setting =
+        new ImageFetchWave.Settings(machines, 350, imageGb, policy, peerFetch, failures);
+    ImageFetchWave.Result figures = new ImageFetchWave(setting, from).run();
     out.printf(
         "| %d | %.0f | %s | %s | %d | %d | %d | %d |%n",
         machines,
         imageGb,
         failures ? "a holder a minute" : "none",
         strategy,
-        figures.firstS(),
-        figures.halfS(),
-        figures.lastS(),
-        ImageFetchWave.bound(setting));
+        figures.firstRunningS(),
+        figures.halfRunningS(),
+        figures.allRunningS(),
+        ImageFetchWave.lowerBoundS(setting));
   }
 
   /**
@@ -191,17 +191,17 @@
   private int matrix() throws IOException {
     out.println("| cut | of | mode | way | killed | takeovers | workers s | users s |");
     out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    int cells = Scenario.matrix(0, !without).size();
+    int cells = Scenario.singleCuts(0, !without).size();
     boolean good = true;
     for (int index = 0; index < cells; index++) {
       int cell = index;
       List<Simulation.Result> results =
           LongStream.range(from, from + histories)
               .parallel()
-              .mapToObj(seed -> play(Scenario.matrix(seed, !without).get(cell)))
+              .mapToObj(seed -> play(Scenario.singleCuts(seed, !without).get(cell)))
               .toList();
-      Fault fault = results.get(0).plan().faults().get(0);
-      good &= results.stream().allMatch(Simulation.Result::good);
+      Fault fault = results.get(0).scenario().faults().get(0);
+      good &= results.stream().allMatch(Simulation.Result::hasNoBreaches);
       out.printf(
           java.util.Locale.ROOT,
           "| %s | %s | %s | %s | %d | %d | %.1f | %.1f |%n",
@@ -209,17 +209,17 @@
           fault.node() == Scenario.FOLLOWER ? "follower" : "leader",
           fault.mode(),
           List.of("both", "there", "back").get(fault.direction()),
-          results.stream().mapToLong(Simulation.Result::killed).sum(),
+          results.stream().mapToLong(Simulation.Result::killedTasks).sum(),
           results.stream().mapToLong(result -> result.terms() - 1).sum(),
-          results.stream().mapToLong(Simulation.Result::workersMs).max().orElse(0) / 1000.0,
-          results.stream().mapToLong(Simulation.Result::usersMs).max().orElse(0) / 1000.0);
+          results.stream().mapToLong(Simulation.Result::longestWorkerSilenceMs).max().orElse(0) / 1000.0,
+          results.stream().mapToLong(Simulation.Result::longestUserSilenceMs).max().orElse(0) / 1000.0);
     }
     return good ? 0 : 1;
   }
 
   private static Simulation.Result play(Scenario plan) {
     try {
-      return new Simulation(plan).play();
+      return new Simulation(plan).run();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -230,7 +230,7 @@
     List<Future<Simulation.Result>> results = new ArrayList<>();
     for (int i = 0; i < histories; i++) {
       Scenario plan = plan(from + i);
-      results.add(pool.submit(() -> new Simulation(plan).play()));
+      results.add(pool.submit(() -> new Simulation(plan).run()));
     }
     pool.shutdown();
     int failed = 0;
@@ -242,16 +242,16 @@
     int finished = 0;
     for (Future<Simulation.Result> future : results) {
       Simulation.Result result = future.get();
-      killed += result.killed();
-      started += result.started();
-      unfinished += result.unfinished();
-      leastServed = Math.min(leastServed, result.least());
-      if (!result.good()) {
+      killed += result.killedTasks();
+      started += result.startedTasks();
+      unfinished += result.unfinishedJobs();
+      leastServed = Math.min(leastServed, result.leastServedShare());
+      if (!result.hasNoBreaches()) {
         failed++;
         firstFailure = firstFailure == null ? result : firstFailure;
       }
-      if (all || !result.good()) {
-        out.println(result.line());
+      if (all || !result.hasNoBreaches()) {
+        out.println(result.summaryLine());
       }
       if (++finished % 100 == 0) {
         System.err.println(finished + " of " + histories + ", " + failed + " failed");
@@ -271,25 +271,25 @@
       Simulation.Result result = shrink(firstFailure);
       printFailure(result);
       out.println("# again: save what follows as FILE, mallowroad experiment --plan FILE");
-      out.print(result.plan().toml());
+      out.print(result.scenario().toToml());
     }
     return failed == 0 ? 0 : 1;
   }
 
   private Scenario plan(long seed) {
     if (meetings) {
-      return Scenario.meetings(seed, !without);
+      return Scenario.overlappingFaults(seed, !without);
     }
     if (waves) {
-      return Scenario.waves(seed, !without);
+      return Scenario.imageFetchWaves(seed, !without);
     }
     if (ratings) {
-      return Scenario.ratings(seed, !without);
+      return Scenario.ratingJobs(seed, !without);
     }
     if (unheard) {
-      return Scenario.unheard(seed, !without);
+      return Scenario.randomMessageFaults(seed, !without);
     }
-    return restarts ? Scenario.restarts(seed, !without) : Scenario.drawn(seed, !without);
+    return restarts ? Scenario.randomRestarts(seed, !without) : Scenario.randomFaults(seed, !without);
   }
 
   private void printFailure(Simulation.Result result) {
@@ -298,7 +298,7 @@
       breach.events().forEach(event -> out.println("  " + event));
     }
     result
-        .served()
+        .servedCounts()
         .forEach(
             (taskClass, counts) ->
                 out.println(
@@ -312,14 +312,14 @@
   private static Simulation.Result shrink(Simulation.Result failure) throws IOException {
     String rule = failure.breaches().get(0).rule();
     Simulation.Result smallest = failure;
-    for (int i = smallest.plan().faults().size() - 1; i >= 0; i--) {
-      List<Fault> fewer = new ArrayList<>(smallest.plan().faults());
+    for (int i = smallest.scenario().faults().size() - 1; i >= 0; i--) {
+      List<Fault> fewer = new ArrayList<>(smallest.scenario().faults());
       fewer.remove(i);
       smallest = tryFaults(smallest, fewer, rule);
     }
-    for (int i = 0; i < smallest.plan().faults().size(); i++) {
-      List<Fault> shorter = new ArrayList<>(smallest.plan().faults());
-      shorter.set(i, shorter.get(i).lasting(shorter.get(i).forMs() / 2));
+    for (int i = 0; i < smallest.scenario().faults().size(); i++) {
+      List<Fault> shorter = new ArrayList<>(smallest.scenario().faults());
+      shorter.set(i, shorter.get(i).withDuration(shorter.get(i).forMs() / 2));
       smallest = tryFaults(smallest, shorter, rule);
     }
     return smallest;
@@ -327,7 +327,7 @@
 
   private static Simulation.Result tryFaults(
       Simulation.Result current, List<Fault> faults, String rule) throws IOException {
-    Simulation.Result result = new Simulation(current.plan().with(faults)).play();
+    Simulation.Result result = new Simulation(current.scenario().withFaults(faults)).run();
     return result.breaches().stream().anyMatch(breach -> breach.rule().equals(rule))
         ? result
         : current;
--- a/src/main/java/org/mallowroad/cli/InspectCommands.java
+++ b/src/main/java/org/mallowroad/cli/InspectCommands.java
@@ -45,7 +45,7 @@
   /** Returns 3 when neither a node nor the state service answered, else 0. */
   static int exitCode(Overview overview) {
     return overview.nodes().stream().allMatch(node -> node.sight() == null)
-            && !overview.recorded().read()
+            && !overview.recorded().wasRead()
         ? 3
         : 0;
   }
@@ -76,7 +76,7 @@
       Matcher game = GAME_PATTERN.matcher(id);
       if (game.matches()) {
         try {
-          print(query.game(game.group(1), Long.parseLong(game.group(2))));
+          print(query.describeGame(game.group(1), Long.parseLong(game.group(2))));
           return 0;
         } catch (InvalidMessageException e) {
           System.err.println("mallowroad: the state service: " + e.getMessage());
@@ -87,12 +87,12 @@
         System.err.println("mallowroad: not a job id (they look like job-000412)");
         return 2;
       }
-      Overview overview = query.look();
+      Overview overview = query.fetchOverview();
       JobLine line =
           overview.jobs().stream().filter(j -> j.id().equals(id)).findFirst().orElse(null);
-      JobSnapshot snapshot = overview.obstacle().isEmpty() ? query.job(id) : null;
+      JobSnapshot snapshot = overview.obstacle().isEmpty() ? query.fetchJob(id) : null;
       if (snapshot == null && line != null) {
-        String remedy = line.reason().isEmpty() ? "" : Overview.remedy(line.reason());
+        String remedy = line.reason().isEmpty() ? "" : Overview.describeRemedy(line.reason());
         snapshot = new JobSnapshot(id, line, remedy, List.of(), 0);
       }
       if (snapshot == null) {
@@ -113,7 +113,7 @@
       if (json) {
         System.out.println(new String(ConsoleCodec.encode(snapshot), StandardCharsets.UTF_8));
       } else {
-        print(new Screen(Screen.LEAST_WIDTH, 0).job(snapshot, overview.source()));
+        print(new Screen(Screen.MIN_WIDTH, 0).renderJob(snapshot, overview.source()));
       }
       return 0;
     }
@@ -127,8 +127,8 @@
   static final class Status extends InspectCommands {
     @Override
     int execute(ClusterQuery query) {
-      Overview overview = query.look();
-      List<String> lines = new Screen(100, 0).draw(overview, Top.look(Screen.Page.NODES));
+      Overview overview = query.fetchOverview();
+      List<String> lines = new Screen(100, 0).render(overview, Top.look(Screen.Page.NODES));
       print(lines);
       return exitCode(overview);
     }
@@ -146,15 +146,15 @@
 
     @Override
     int execute(ClusterQuery query) throws IOException {
-      Overview overview = query.look();
-      String page = Report.page(overview, query.history());
+      Overview overview = query.fetchOverview();
+      String page = Report.renderPage(overview, query.fetchHistory());
       try {
         Files.writeString(outputFile, page);
       } catch (IOException e) {
         System.err.println("mallowroad: " + outputFile + ": cannot be written");
         return 2;
       }
-      overview.first().forEach(line -> System.out.println(Screen.plain(line)));
+      overview.first().forEach(line -> System.out.println(Screen.sanitize(line)));
       return exitCode(overview);
     }
   }
--- a/src/main/java/org/mallowroad/cli/Rehearse.java
+++ b/src/main/java/org/mallowroad/cli/Rehearse.java
@@ -50,7 +50,7 @@
   static boolean play() throws IOException, InvalidSettingsException, InterruptedException {
     long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
     List<String> controllers = new CopyOnWriteArrayList<>();
-    FakeCloud.Type type = new FakeCloud.Type("t", 64, 64, 1, 1, List.of("a"));
+    FakeCloud.MachineType type = new FakeCloud.MachineType("t", 64, 64, 1, 1, List.of("a"));
     try (FakeStateService state = new FakeStateService();
         FakeCloud cloud = new FakeCloud(controllers, List.of(type))) {
       String stateAddress = "127.0.0.1:" + state.port();
@@ -65,7 +65,7 @@
         controllers.add(first.address());
         controllers.add(second.address());
         cloud.taskMs = 0;
-        cloud.keeping = true;
+        cloud.keepsTasksRunning = true;
         boolean running = false;
         while (!running && System.nanoTime() < deadlineNs) {
           sendRequest("GET", controllers.get(0), "/healthz", "");
@@ -81,15 +81,15 @@
         // message, which loads the Avro classes.
         Set<String> leaders = new HashSet<>();
         while (leaders.size() < 2 && System.nanoTime() < deadlineNs) {
-          String leader = state.leader();
+          String leader = state.leaderName();
           if (leader != null) {
             leaders.add(leader);
-            state.endLeases();
+            state.expireAllLeases();
           }
           Thread.sleep(5 * POLL_INTERVAL_MS);
         }
         sendRequest("POST", controllers.get(0), "/v1/jobs/job-2/withdraw", "{}");
-        cloud.keeping = false;
+        cloud.keepsTasksRunning = false;
         boolean done = false;
         while (!done && System.nanoTime() < deadlineNs) {
           Thread.sleep(POLL_INTERVAL_MS);
--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -15,9 +15,9 @@
 import org.jline.utils.NonBlockingReader;
 import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.view.Overview;
-import org.mallowroad.console.view.Screen;
 import org.mallowroad.console.view.Screen.Page;
 import org.mallowroad.console.view.Screen.Sort;
+import org.mallowroad.console.view.Screen;
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.wire.ConsoleCodec;
 import org.mallowroad.wire.JobCodec;
@@ -62,7 +62,7 @@
   private double everyS = 1;
 
   @Option(names = "--width", paramLabel = "COLUMNS", hidden = true)
-  private int width = Screen.LEAST_WIDTH;
+  private int width = Screen.MIN_WIDTH;
 
   private int page;
   private String job = "";
@@ -77,11 +77,11 @@
   @Override
   int execute(ClusterQuery query) throws IOException {
     if (json || once) {
-      Overview overview = query.look();
+      Overview overview = query.fetchOverview();
       if (json) {
         System.out.println(new String(ConsoleCodec.encode(overview), StandardCharsets.UTF_8));
       } else {
-        print(new Screen(width, 0).draw(overview, new Screen.ViewOptions(show, sort, filter, 0)));
+        print(new Screen(width, 0).render(overview, new Screen.ViewOptions(show, sort, filter, 0)));
       }
       return exitCode(overview);
     }
@@ -101,7 +101,7 @@
     terminal.puts(Capability.cursor_invisible);
     try {
       NonBlockingReader keys = terminal.reader();
-      Overview overview = query.look();
+      Overview overview = query.fetchOverview();
       while (true) {
         draw(terminal, display, overview, query);
         long refreshAtNs = System.nanoTime() + (long) (Math.max(0.2, everyS) * 1e9);
@@ -115,7 +115,7 @@
           return exitCode(overview);
         }
         if (key == NonBlockingReader.READ_EXPIRED) {
-          overview = query.look();
+          overview = query.fetchOverview();
         } else {
           handleKey(key);
         }
@@ -131,20 +131,20 @@
   private void draw(Terminal terminal, Display display, Overview overview, ClusterQuery query) {
     Size size = terminal.getSize();
     int rows = Math.max(10, size.getRows());
-    int columns = Math.max(Screen.LEAST_WIDTH, size.getColumns());
+    int columns = Math.max(Screen.MIN_WIDTH, size.getColumns());
     display.resize(Size.of(columns, rows));
     List<String> lines;
     Screen screen = new Screen(columns - 1, rows - 1);
     if (job.isEmpty()) {
       lines =
-          new ArrayList<>(screen.draw(overview, new Screen.ViewOptions(show, sort, filter, page)));
+          new ArrayList<>(screen.render(overview, new Screen.ViewOptions(show, sort, filter, page)));
     } else {
-      JobSnapshot snapshot = query.job(job);
+      JobSnapshot snapshot = query.fetchJob(job);
       lines =
           new ArrayList<>(
               snapshot == null
                   ? List.of(job + ": no leader has information about this job (Esc goes back)")
-                  : screen.job(snapshot, overview.source()));
+                  : screen.renderJob(snapshot, overview.source()));
       int pageRows = rows - 1;
       page = Math.min(page, (lines.size() - 1) / pageRows);
       lines = new ArrayList<>(lines.subList(page * pageRows, lines.size()));
--- a/src/main/java/org/mallowroad/cli/Try.java
+++ b/src/main/java/org/mallowroad/cli/Try.java
@@ -73,16 +73,16 @@
       return 2;
     }
     List<String> controllers = new CopyOnWriteArrayList<>();
-    List<FakeCloud.Type> types =
+    List<FakeCloud.MachineType> types =
         List.of(
-            new FakeCloud.Type("small", 8, 32, 0.4, 4, ZONES),
-            new FakeCloud.Type("large", 32, 128, 1.6, 8, List.of("north")));
+            new FakeCloud.MachineType("small", 8, 32, 0.4, 4, ZONES),
+            new FakeCloud.MachineType("large", 32, 128, 1.6, 8, List.of("north")));
     List<Node> nodes = new ArrayList<>();
     try (FakeStateService state = new FakeStateService();
         FakeCloud cloud = new FakeCloud(controllers, types)) {
       cloud.taskMs = 12_000;
       cloud.fetchMs = 1_500;
-      cloud.bootPart = 1;
+      cloud.bootTimeFactor = 1;
       List<TeamSetting> teams =
           List.of(
               new TeamSetting("ratings", 24, 0, 48, 0),
@@ -127,9 +127,9 @@
       submit(
           controllers.get(i % controllers.size()), i + 1, SAMPLE_JOBS.get(i % SAMPLE_JOBS.size()));
       if (stalledZone != null
-          && cloud.stalled.isEmpty()
+          && cloud.stalledZones.isEmpty()
           && System.nanoTime() - startedNs > 30_000_000_000L) {
-        cloud.stalled.add(stalledZone);
+        cloud.stalledZones.add(stalledZone);
         System.out.println("zone " + stalledZone + " is stalled from now on");
       }
       Thread.sleep(2_000);
@@ -170,6 +170,6 @@
     OperatorSettings defaults = OperatorSettings.defaults();
     Endpoint listen = new Endpoint("127.0.0.1", consolePort == 0 ? 0 : consolePort + index);
     ConsoleSettings console = new ConsoleSettings(listen, 2_000, 1_000, 240);
-    return new Node(new ClusterConfig(settings.node(index, CONTROLLERS), defaults.with(console)));
+    return new Node(new ClusterConfig(settings.settingsForNode(index, CONTROLLERS), defaults.with(console)));
   }
 }
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -25,8 +25,8 @@
 import org.mallowroad.config.Settings.TeamSetting;
 import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.report.Report;
-import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.NodeView.Standing;
+import org.mallowroad.console.view.NodeView;
 import org.mallowroad.console.view.Overview;
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.core.explain.JobSnapshot;
@@ -58,7 +58,7 @@
     cloud =
         new FakeCloud(
             controllers,
-            List.of(new FakeCloud.Type("small", 4, 16, 1, 1, List.of("north", "south"))));
+            List.of(new FakeCloud.MachineType("small", 4, 16, 1, 1, List.of("north", "south"))));
     cloud.taskMs = 600_000;
     loopbackSettings =
         new LoopbackSettings(
@@ -74,7 +74,7 @@
     List<String> consoles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       Node node =
-          new Node(new ClusterConfig(loopbackSettings.node(i, 3), defaults.with(consoleSettings)));
+          new Node(new ClusterConfig(loopbackSettings.settingsForNode(i, 3), defaults.with(consoleSettings)));
       node.start();
       nodes.put("n" + i, node);
       controllers.add(node.address());
@@ -126,13 +126,13 @@
   private Overview await(String description, long timeoutNanos, Predicate<Overview> condition)
       throws InterruptedException {
     long deadlineNanos = System.nanoTime() + timeoutNanos;
-    Overview overview = clusterQuery.look();
+    Overview overview = clusterQuery.fetchOverview();
     while (!condition.test(overview)) {
       assertTrue(
           System.nanoTime() < deadlineNanos,
           "timed out waiting for " + description + ": " + overview.first());
       Thread.sleep(50);
-      overview = clusterQuery.look();
+      overview = clusterQuery.fetchOverview();
     }
     return overview;
   }
@@ -156,7 +156,7 @@
 
   private void blockLeader(CountDownLatch release) {
     nodes
-        .get(state.leader())
+        .get(state.leaderName())
         .loop()
         .submit(
             () -> {
@@ -170,7 +170,7 @@
 
   @Test
   void aStalledZoneIsReportedWithItsJobs() throws Exception {
-    cloud.stalled.add("north");
+    cloud.stalledZones.add("north");
     Overview overview =
         await(
             "a stalled zone",
@@ -186,9 +186,9 @@
         jobLine.toString());
     assertEquals("north", jobLine.zone());
     assertEquals("", reason(overview, "job-000002"));
-    String page = Report.page(overview, clusterQuery.history());
+    String page = Report.renderPage(overview, clusterQuery.fetchHistory());
     assertTrue(page.contains("Zone north") && page.contains("job-000001"), page);
-    JobSnapshot snapshot = clusterQuery.job("job-000001");
+    JobSnapshot snapshot = clusterQuery.fetchJob("job-000001");
     // All six were silent a moment ago; on a busy machine some may have been proven gone since.
     assertTrue(snapshot.tasks().stream().anyMatch(t -> t.silent()));
     assertTrue(snapshot.tasks().stream().allMatch(t -> !t.silent() || t.zone().equals("north")));
@@ -198,7 +198,7 @@
   @Test
   void aBlockedLeaderLoopIsReportedWithItsStackTrace() throws Exception {
     CountDownLatch release = new CountDownLatch(1);
-    String leader = state.leader();
+    String leader = state.leaderName();
     blockLeader(release);
     Overview overview =
         await(
@@ -237,12 +237,12 @@
     assertEquals(3, overview.jobs().size());
     assertEquals(PendingCause.NO_LEADER.name(), reason(overview, "job-000003"));
     assertEquals(2, line(overview, "job-000003").waiting());
-    assertTrue(Report.page(overview, List.of()).contains("no controller answers"));
+    assertTrue(Report.renderPage(overview, List.of()).contains("no controller answers"));
   }
 
   @Test
   void aStateServiceOutageIsReportedAsTheReason() throws Exception {
-    state.down = true;
+    state.isUnavailable = true;
     Overview overview =
         await(
             "a state service outage",
@@ -250,13 +250,13 @@
             candidate -> candidate.obstacle().equals(PendingCause.STATE_AWAY.name()));
     assertEquals(PendingCause.STATE_AWAY.name(), reason(overview, "job-000003"));
     assertTrue(overview.first().get(0).contains("state service"), overview.first().toString());
-    state.down = false;
+    state.isUnavailable = false;
     await("recovery from the outage", 20_000_000_000L, candidate -> candidate.obstacle().isEmpty());
   }
 
   @Test
   void aTakeoverIsReportedWithItsTerm() throws Exception {
-    state.endLeases();
+    state.expireAllLeases();
     Overview overview =
         await(
             "a takeover",
@@ -283,7 +283,7 @@
     OperatorSettings defaults = OperatorSettings.defaults();
     ConsoleSettings consoleSettings = new ConsoleSettings(usedEndpoint, 1_000, 100, 10);
     Node node =
-        new Node(new ClusterConfig(loopbackSettings.node(3, 3), defaults.with(consoleSettings)));
+        new Node(new ClusterConfig(loopbackSettings.settingsForNode(3, 3), defaults.with(consoleSettings)));
     try {
       node.start();
       HttpResponse<String> response =
@@ -302,7 +302,7 @@
    */
   @Test
   void jobRequestsAreRateLimited() throws Exception {
-    String baseUrl = "http://" + nodes.get(state.leader()).consoleAddress() + "/console/v1/";
+    String baseUrl = "http://" + nodes.get(state.leaderName()).consoleAddress() + "/console/v1/";
     Map<Integer, Integer> countsByStatus = new LinkedHashMap<>();
     long startNanos = System.nanoTime();
     for (int i = 0; i < 60; i++) {
@@ -319,7 +319,7 @@
     assertTrue(
         countsByStatus.getOrDefault(200, 0) <= 10 + 5 * seconds + 1,
         countsByStatus + " in " + seconds);
-    assertTrue(clusterQuery.look().nodes().stream().allMatch(n -> n.standing().fine()));
+    assertTrue(clusterQuery.fetchOverview().nodes().stream().allMatch(n -> n.standing().isHealthy()));
   }
 
   @Test
