--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -72,7 +72,7 @@
   public ConsoleServer(ConsoleSettings settings, SnapshotSource snapshotSource) throws IOException {
     this.settings = settings;
     this.snapshotSource = snapshotSource;
-    this.history = new MetricHistory(settings.history());
+    this.history = new MetricHistory(settings.historyPoints());
     this.worker = XnioEventLoop.createWorker("console");
     this.consoleLoop = new XnioEventLoop(worker.getIoThread());
     this.jobRateLimiter = new RateLimiter(JOB_REQUESTS_PER_SECOND, 2 * JOB_REQUESTS_PER_SECOND, consoleLoop.now());
@@ -95,7 +95,7 @@
   public void start() {
     server.start();
     consoleLoop.every(PROBE_INTERVAL_MS, this::probeLoop);
-    consoleLoop.every(settings.everyMs(), this::requestSnapshot);
+    consoleLoop.every(settings.snapshotIntervalMs(), this::requestSnapshot);
     consoleLoop.submit(this::requestSnapshot);
     LOG.info("event=console_started node={} listen={}", snapshotSource.nodeName(), address());
   }
@@ -190,7 +190,7 @@
   private record ErrorResponse(String error) {}
 
   private void handleStatus(HttpServerExchange exchange) {
-    boolean hasFreshSnapshot = snapshot != null && consoleLoop.now() - snapshotReceivedMs <= settings.freshMs();
+    boolean hasFreshSnapshot = snapshot != null && consoleLoop.now() - snapshotReceivedMs <= settings.maxSnapshotAgeMs();
     if (hasFreshSnapshot || probe.isStuck(consoleLoop.now()) || pendingStatusRequests.size() >= MAX_PENDING_REQUESTS) {
       sendStatus(exchange);
       return;
--- a/src/test/java/org/mallowroad/golden/CommandsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/CommandsGoldenTest.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.cli.CommandRuns;
+import org.mallowroad.cli.CommandRunner;
 
 /** Compares the command line's help texts, exit codes and error messages with golden files. */
 final class CommandsGoldenTest {
@@ -40,7 +40,7 @@
   @Test
   void helpTextsMatchTheGoldenFile() {
     StringBuilder helpTexts = new StringBuilder();
-    CommandRuns.help()
+    CommandRunner.helpTexts()
         .forEach((name, text) -> helpTexts.append("### ").append(name).append('\n').append(text));
     new GoldenFile("help.txt").check(helpTexts.toString());
   }
@@ -49,7 +49,7 @@
   void exitCodesAndMessagesMatchTheGoldenFile() {
     Map<String, String> outcomes = new LinkedHashMap<>();
     for (String[] args : COMMAND_LINES) {
-      CommandRuns.Outcome outcome = CommandRuns.run(args);
+      CommandRunner.Outcome outcome = CommandRunner.run(args);
       outcomes.put(
           "mallowroad " + String.join(" ", args),
           outcome.code() + " out=" + normalize(outcome.out()) + " err=" + normalize(outcome.err()));
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -36,14 +36,11 @@
       put(
           values,
           "team " + team.name(),
-          team.cpus() + " " + team.cards() + " " + team.cpusMax() + " " + team.cardsMax());
+          team.cpus() + " " + team.gpus() + " " + team.cpusMax() + " " + team.gpusMax());
     }
     for (int i = 0; i < settings.objectives().size(); i++) {
       Settings.Objective objective = settings.objectives().get(i);
-      put(
-          values,
-          "objective " + i,
-          objective.kind() + " " + objective.taskClass() + " " + objective.withinS());
+      put(values, "objective " + i, objective.kind() + " " + objective.taskClass() + " " + objective.withinS());
     }
     put(values, "workers.report_s", settings.heartbeatIntervalS());
     put(values, "workers.lease_s", settings.leaseS());
@@ -56,7 +53,7 @@
     put(values, "cloud.list_lag_s", settings.listLagS());
     put(values, "resources.max_sockets", settings.maxSockets());
     put(values, "resources.ram_mb", settings.ramMb());
-    put(values, "controllers", settings.nodes());
+    put(values, "controllers", settings.nodeCount());
     new GoldenFile("settings.txt").check(values);
   }
 
@@ -79,12 +76,12 @@
 
   private static Map<String, String> values(OperatorSettings settings) {
     Map<String, String> values = new LinkedHashMap<>();
-    addFleet(settings.fleet(), values);
+    addFleet(settings.autoscaler(), values);
     addHealth(settings.health(), values);
     settings.console().ifPresent(console -> addConsole(console, values));
     settings.links().ifPresent(links -> addLinks(links, values));
-    addFetch(settings.fetches(), values);
-    put(values, "records/share-starts", settings.records().shareStarts());
+    addFetch(settings.imageFetch(), values);
+    put(values, "records/share-starts", settings.records().sharesStartRecords());
     return values;
   }
 
@@ -115,9 +112,9 @@
 
   private static void addConsole(ConsoleSettings console, Map<String, String> values) {
     put(values, "console/listen", console.listen());
-    put(values, "console/every-s in ms", console.everyMs());
-    put(values, "console/fresh-s in ms", console.freshMs());
-    put(values, "console/history", console.history());
+    put(values, "console/every-s in ms", console.snapshotIntervalMs());
+    put(values, "console/fresh-s in ms", console.maxSnapshotAgeMs());
+    put(values, "console/history", console.historyPoints());
   }
 
   private static void addLinks(LinkPolicy links, Map<String, String> values) {
