--- a/src/main/java/org/mallowroad/fake/FakeCloud.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -166,8 +166,13 @@
   }
 
   private static void writeMachineType(ObjectNode json, MachineType machineType) {
-    json.put("label", machineType.name).put("cpus", machineType.cpus).put("mem_gb", machineType.memGb).put("local_gb", 50.0);
-    json.put("fetch_gb_per_s", 1.0).put("price", machineType.price).put("spot_price", 0.4 * machineType.price);
+    json.put("label", machineType.name)
+        .put("cpus", machineType.cpus)
+        .put("mem_gb", machineType.memGb)
+        .put("local_gb", 50.0);
+    json.put("fetch_gb_per_s", 1.0)
+        .put("price", machineType.price)
+        .put("spot_price", 0.4 * machineType.price);
     json.put("boot_s", machineType.bootS);
     ArrayNode zones = json.putArray("grounds");
     machineType.zones.forEach(zones::add);
--- a/src/main/java/org/mallowroad/fake/FakeStateService.java
+++ b/src/main/java/org/mallowroad/fake/FakeStateService.java
@@ -109,7 +109,8 @@
     boolean isResponseLost = false;
     synchronized (this) {
       long revisionBefore = store.revision();
-      while ((response = store.serve(exchange.getRequestMethod(), target, body, System.currentTimeMillis()))
+      while ((response =
+              store.serve(exchange.getRequestMethod(), target, body, System.currentTimeMillis()))
           == null) {
         if (isClosed || System.currentTimeMillis() >= deadlineMs) {
           response = store.emptyWatchResponse();
--- a/src/main/java/org/mallowroad/fake/FakeWorker.java
+++ b/src/main/java/org/mallowroad/fake/FakeWorker.java
@@ -169,7 +169,8 @@
   private ObjectNode currentState() {
     ObjectNode state = Json.object();
     state.put("hearth", name).put("address", address()).put("build", type).put("ground", zone);
-    state.put("driftwood", spot)
+    state
+        .put("driftwood", spot)
         .put("watch", incarnation)
         .put("tally", ++sequence)
         .put("baton", fencingToken);
@@ -186,7 +187,11 @@
       ObjectNode response;
       boolean isAccepted;
       synchronized (this) {
-        isAccepted = !isStopped && !isUnresponsive() && request.path("watch").asLong() == incarnation && applyCommands(request, 0);
+        isAccepted =
+            !isStopped
+                && !isUnresponsive()
+                && request.path("watch").asLong() == incarnation
+                && applyCommands(request, 0);
         response = currentState();
       }
       FakeStateService.sendJson(exchange, isAccepted ? 200 : 409, response);
--- a/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
+++ b/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
@@ -90,9 +90,12 @@
   static Map<String, String> queryParameters(String target) {
     Map<String, String> parameters = new HashMap<>();
     int queryStart = target.indexOf('?');
-    for (String parameter : queryStart < 0 ? new String[0] : target.substring(queryStart + 1).split("&")) {
+    for (String parameter :
+        queryStart < 0 ? new String[0] : target.substring(queryStart + 1).split("&")) {
       int equalsSign = parameter.indexOf('=');
-      parameters.put(parameter.substring(0, equalsSign), URLDecoder.decode(parameter.substring(equalsSign + 1), StandardCharsets.UTF_8));
+      parameters.put(
+          parameter.substring(0, equalsSign),
+          URLDecoder.decode(parameter.substring(equalsSign + 1), StandardCharsets.UTF_8));
     }
     return parameters;
   }
@@ -137,7 +140,8 @@
     boolean isTruncated = false;
     ArrayNode pairs = responseBody.putArray("pairs");
     for (Map.Entry<String, Value> entry :
-        (startAfter == null ? valuesByKey.tailMap(prefix) : valuesByKey.tailMap(startAfter, false)).entrySet()) {
+        (startAfter == null ? valuesByKey.tailMap(prefix) : valuesByKey.tailMap(startAfter, false))
+            .entrySet()) {
       if (!entry.getKey().startsWith(prefix)) {
         break;
       }
--- a/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
+++ b/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
@@ -70,7 +70,9 @@
    * them, as evidence that the faults did overlap.
    */
   private static DynamicTest faultCase(
-      String name, Function<Long, Scenario> scenarioForSeed, Predicate<Simulation.Result> hasOccurred) {
+      String name,
+      Function<Long, Scenario> scenarioForSeed,
+      Predicate<Simulation.Result> hasOccurred) {
     return DynamicTest.dynamicTest(
         name,
         () -> {
@@ -121,7 +123,10 @@
             hasCancelledJobs(6).and(hasKilledTasks())),
         faultCase(
             "the state service refuses the leader 3 s before an outage shorter than cancel_s",
-            scenario(fault(Kind.STATE_REFUSES, 29_000, 14_000), cancel(29_500), outage.withDuration(12_000)),
+            scenario(
+                fault(Kind.STATE_REFUSES, 29_000, 14_000),
+                cancel(29_500),
+                outage.withDuration(12_000)),
             hasCancelledJobs(6)),
         faultCase(
             "the state service refuses the leader 14 s before an outage",
@@ -136,7 +141,8 @@
             hasCancelledJobs(6)),
         faultCase(
             "the state service refuses the leader 2 s before an outage, no link-state routing",
-            scenarioWithoutLinkStateRouting(fault(Kind.STATE_REFUSES, 30_000, 14_000), cancel(30_500), outage),
+            scenarioWithoutLinkStateRouting(
+                fault(Kind.STATE_REFUSES, 30_000, 14_000), cancel(30_500), outage),
             hasCancelledJobs(6)),
         faultCase(
             "the leader is refused before an outage, and no controller reaches another",
@@ -252,7 +258,9 @@
             hasCancelledJobs(6).and(hasKilledTasks())));
   }
 
-  /** Two or more different faults overlap in time, many of them with a cancellation or an outage. */
+  /**
+   * Two or more different faults overlap in time, many of them with a cancellation or an outage.
+   */
   @TestFactory
   Stream<DynamicTest> overlappingFaultsBreakNoRule() {
     Fault oddRequests = fault(Kind.ODD_REQUESTS, 5_000, 80_000, 0, 1);
@@ -390,8 +398,14 @@
     Fault closeLooks = fault(Kind.CLOSE_LOOKS, 1_000, 110_000, 0, 1);
     Fault cancelAtEnd = fault(Kind.CANCEL_AT_END, 3_000, 90_000, 0, 1);
     return Stream.of(
-        faultCase("users query all nodes closely, without other faults", scenario(closeLooks, cancelAtEnd), hasCloselyCheckedJobs(20)),
-        faultCase("users query all nodes closely, without link-state routing", scenarioWithoutLinkStateRouting(closeLooks, cancelAtEnd), hasCloselyCheckedJobs(20)),
+        faultCase(
+            "users query all nodes closely, without other faults",
+            scenario(closeLooks, cancelAtEnd),
+            hasCloselyCheckedJobs(20)),
+        faultCase(
+            "users query all nodes closely, without link-state routing",
+            scenarioWithoutLinkStateRouting(closeLooks, cancelAtEnd),
+            hasCloselyCheckedJobs(20)),
         faultCase(
             "users query all nodes closely while the state service refuses one node, then another",
             scenario(
@@ -412,7 +426,8 @@
             hasCloselyCheckedJobs(15).and(hasTerms(3))),
         faultCase(
             "users query all nodes closely while no controller reaches another",
-            scenario(closeLooks, cancelAtEnd, fault(Kind.PEERS_REFUSED, 10_000, 60_000), cancel(30_000)),
+            scenario(
+                closeLooks, cancelAtEnd, fault(Kind.PEERS_REFUSED, 10_000, 60_000), cancel(30_000)),
             hasCloselyCheckedJobs(15).and(hasCancelledJobs(6))),
         faultCase(
             "users query all nodes closely while the state service is slow, refuses the leader,"
@@ -467,7 +482,8 @@
     return Stream.of(
         faultCase(
             "all teams are at their limits, machines of cancelled jobs hang, the leader crashes",
-            scenarioWithHalvedLimits(cancelAndHang(40_000, 11_000), fault(Kind.CRASH, 40_400, 3_000)),
+            scenarioWithHalvedLimits(
+                cancelAndHang(40_000, 11_000), fault(Kind.CRASH, 40_400, 3_000)),
             hasCancelledJobs(4).and(hasTerms(2))),
         faultCase(
             "all teams are at their limits, a zone is cut off, jobs are cancelled, leaders crash",
@@ -494,7 +510,8 @@
     return Stream.of(
         faultCase(
             "jobs are cancelled in the second in which the leader crashes",
-            seed -> scenario(cancel(29_800), fault(Kind.CRASH, 29_600 + 150 * seed, 3_000)).apply(seed),
+            seed ->
+                scenario(cancel(29_800), fault(Kind.CRASH, 29_600 + 150 * seed, 3_000)).apply(seed),
             hasCancelledJobs(6).and(hasTerms(2))),
         faultCase(
             "jobs are cancelled in the second in which the leader freezes, commands are in flight",
@@ -595,7 +612,9 @@
               .distinct()
               .toList();
       assertEquals(List.of(), brokenRules);
-      assertTrue(completedJobs(results) >= 0.9 * baselineCompleted, loadFactor + ": " + completedJobs(results) + " of " + baselineCompleted);
+      assertTrue(
+          completedJobs(results) >= 0.9 * baselineCompleted,
+          loadFactor + ": " + completedJobs(results) + " of " + baselineCompleted);
     }
   }
 
--- a/src/test/java/org/mallowroad/simulation/RatingModelTest.java
+++ b/src/test/java/org/mallowroad/simulation/RatingModelTest.java
@@ -80,7 +80,8 @@
     }
   }
 
-  private static DynamicTest breachCase(String rule, String name, Consumer<ScriptedRatingHistory> completion) {
+  private static DynamicTest breachCase(
+      String rule, String name, Consumer<ScriptedRatingHistory> completion) {
     return DynamicTest.dynamicTest(
         rule + ": " + name,
         () -> {
@@ -88,7 +89,10 @@
           completion.accept(history);
           history.model.checkAtEnd();
           List<String> rules =
-              history.checker.breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList();
+              history.checker.breaches().stream()
+                  .map(InvariantChecker.Breach::rule)
+                  .distinct()
+                  .toList();
           assertEquals(rule.isEmpty() ? List.of() : List.of(rule), rules);
         });
   }
@@ -96,7 +100,10 @@
   @TestFactory
   Stream<DynamicTest> eachMutatedHistoryBreaksExactlyItsRule() {
     return Stream.of(
-        breachCase("", "a history without a fault breaks no rule", ScriptedRatingHistory::completePrintJob),
+        breachCase(
+            "",
+            "a history without a fault breaks no rule",
+            ScriptedRatingHistory::completePrintJob),
         breachCase(
             "folded_twice",
             "two jobs are done with the same side, and a later correction hides it",
@@ -105,7 +112,8 @@
               Block block = new Block();
               Fold base = new Fold(1, false, "job-1", true, null);
               block.set(new Block.Side(0, "m"), new Fold(2, false, "job-5", false, base));
-              history.writeRecord(RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(block));
+              history.writeRecord(
+                  RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(block));
               history.completePrintJob();
             }),
         breachCase(
@@ -124,7 +132,8 @@
               block.set(new Block.Side(0, "m"), new Fold(1, false, "job-1", false, null));
               block.set(new Block.Side(1, "m"), new Fold(1, false, "job-2", false, null));
               block.set(new Block.Side(2, "m"), new Fold(1, false, "job-6", false, null));
-              history.writeRecord(RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(block));
+              history.writeRecord(
+                  RecordKeys.foldBlock(new BlockKey("pnw-2026", 0)), FoldCodec.encodeBlock(block));
               history.completePrintJob();
             }),
         breachCase(
@@ -135,6 +144,9 @@
               history.writeRecord(RecordKeys.openJob("job-1"), Json.object());
               history.completePrintJob();
             }),
-        breachCase("held_for_ever", "a print job never ends although the job it waits for is done", history -> {}));
+        breachCase(
+            "held_for_ever",
+            "a print job never ends although the job it waits for is done",
+            history -> {}));
   }
 }
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -284,7 +284,8 @@
             .with(LinkPolicy.defaults());
     SimulatedEnvironment host = hosts.get(node);
     try {
-      Node process = new Node(new ClusterConfig(settings(node), operator), new RecordingEnvironment(host));
+      Node process =
+          new Node(new ClusterConfig(settings(node), operator), new RecordingEnvironment(host));
       time.schedule(0, host, process::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -346,7 +347,8 @@
         @Override
         public void send(
             String method, String path, byte[] body, long timeoutMs, ResponseHandler answer) {
-          listener.onRequest(delegate.index, party, method, path, body == null ? new byte[0] : body);
+          listener.onRequest(
+              delegate.index, party, method, path, body == null ? new byte[0] : body);
           sender.send(method, path, body, timeoutMs, answer);
         }
 
@@ -378,7 +380,8 @@
 
             @Override
             public void onPeerMessage(IncomingRequest message) {
-              handler.onPeerMessage(new RecordedRequest(delegate.index, Party.CONTROLLERS, message));
+              handler.onPeerMessage(
+                  new RecordedRequest(delegate.index, Party.CONTROLLERS, message));
             }
           });
     }
--- a/src/test/java/org/mallowroad/simulation/SimulationTest.java
+++ b/src/test/java/org/mallowroad/simulation/SimulationTest.java
@@ -85,7 +85,16 @@
     List<String> failures =
         LongStream.rangeClosed(1, 24)
             .parallel()
-            .mapToObj(seed -> runSimulation(new Scenario(seed, 3, 10, 40, true, List.of(duplicates, leaderCrash, machineDeaths))))
+            .mapToObj(
+                seed ->
+                    runSimulation(
+                        new Scenario(
+                            seed,
+                            3,
+                            10,
+                            40,
+                            true,
+                            List.of(duplicates, leaderCrash, machineDeaths))))
             .filter(result -> !result.hasNoBreaches())
             .map(Simulation.Result::summaryLine)
             .toList();
@@ -111,7 +120,8 @@
     List<String> failures =
         Scenario.singleCuts(5, true).parallelStream()
             .map(SimulationTest::runSimulation)
-            .filter(result -> !result.hasNoBreaches() || result.terms() > 1 || result.killedTasks() > 0)
+            .filter(
+                result -> !result.hasNoBreaches() || result.terms() > 1 || result.killedTasks() > 0)
             .map(result -> result.scenario().faults() + " " + result.summaryLine())
             .toList();
     assertEquals(List.of(), failures);
@@ -132,7 +142,8 @@
   }
 
   /**
-   * These two of the first 2,000 seeds once failed: attempts of an earlier session were not removed.
+   * These two of the first 2,000 seeds once failed: attempts of an earlier session were not
+   * removed.
    */
   @Test
   void seedsThatOnceFailedWithRandomFaultsBreakNoRule() {
@@ -153,7 +164,8 @@
     List<String> failures =
         LongStream.rangeClosed(1, 24)
             .parallel()
-            .mapToObj(seed -> runSimulation(new Scenario(seed, 3, 10, 60, true, List.of(isolatedLeader))))
+            .mapToObj(
+                seed -> runSimulation(new Scenario(seed, 3, 10, 60, true, List.of(isolatedLeader))))
             .filter(result -> !result.hasNoBreaches())
             .map(Simulation.Result::summaryLine)
             .toList();
@@ -217,7 +229,10 @@
             .toList();
     assertEquals(
         List.of(),
-        results.stream().filter(result -> !result.hasNoBreaches()).map(Simulation.Result::summaryLine).toList());
+        results.stream()
+            .filter(result -> !result.hasNoBreaches())
+            .map(Simulation.Result::summaryLine)
+            .toList());
     assertTrue(
         results.stream().mapToLong(Simulation.Result::imagesFromMachines).sum() > 100,
         "images must be fetched from other machines");
@@ -258,7 +273,8 @@
   void staleAnswerFromOneNodeIsReportedAsWentBack() throws IOException {
     Fault closeLooks = new Fault(Fault.Kind.CLOSE_LOOKS, 1_000, 100_000, 0, 0, "a", "", 0, 1);
     Fault cancelAtEnd = new Fault(Fault.Kind.CANCEL_AT_END, 1_000, 100_000, 0, 0, "a", "", 0, 1);
-    Simulation simulation = new Simulation(new Scenario(3, 3, 10, 24, true, List.of(closeLooks, cancelAtEnd)));
+    Simulation simulation =
+        new Simulation(new Scenario(3, 3, 10, 24, true, List.of(closeLooks, cancelAtEnd)));
     Map<String, byte[]> previousAnswers = new HashMap<>();
     simulation.setAnswerFilter(
         (from, target, body) -> {
@@ -270,7 +286,10 @@
         });
     assertEquals(
         List.of("went_back"),
-        simulation.run().breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList());
+        simulation.run().breaches().stream()
+            .map(InvariantChecker.Breach::rule)
+            .distinct()
+            .toList());
   }
 
   /**
@@ -316,7 +335,8 @@
     }
   }
 
-  private static DynamicTest breachCase(String rule, String name, Consumer<ScriptedHistory> events) {
+  private static DynamicTest breachCase(
+      String rule, String name, Consumer<ScriptedHistory> events) {
     return DynamicTest.dynamicTest(
         rule + ": " + name,
         () -> {
@@ -324,7 +344,10 @@
           events.accept(history);
           history.checker.checkAtEnd(250_000);
           List<String> rules =
-              history.checker.breaches().stream().map(InvariantChecker.Breach::rule).distinct().toList();
+              history.checker.breaches().stream()
+                  .map(InvariantChecker.Breach::rule)
+                  .distinct()
+                  .toList();
           assertEquals(rule.isEmpty() ? List.of() : List.of(rule), rules);
         });
   }
@@ -336,7 +359,8 @@
   @TestFactory
   Stream<DynamicTest> eachMutatedHistoryBreaksExactlyItsRule() {
     return Stream.of(
-        breachCase("", "a history without a fault breaks no rule", ScriptedHistory::completeFirstJob),
+        breachCase(
+            "", "a history without a fault breaks no rule", ScriptedHistory::completeFirstJob),
         breachCase(
             "",
             "a task lost with its machine runs again, and an earlier poll is answered late",
@@ -552,7 +576,9 @@
                         eventQueue,
                         null,
                         new SplittableRandom(1),
-                        List.of(new SimulatedEnvironment(eventQueue, null, endpoint -> null, 0, "n0", workerZone, 0, 0)),
+                        List.of(
+                            new SimulatedEnvironment(
+                                eventQueue, null, endpoint -> null, 0, "n0", workerZone, 0, 0)),
                         null,
                         history.checker,
                         2_000,
@@ -566,7 +592,8 @@
         new InvariantChecker.SubmittedJob(
             "job-2", team, "c", taskCount, cpusPerTask, zone, gang, gang, history.nowMs));
     history.checker.observeSubmissionAnswer("job-2", 201, "queued", history.nowMs);
-    StarvationCheck starvationCheck = new StarvationCheck(history.checker, () -> workers, jobId -> false);
+    StarvationCheck starvationCheck =
+        new StarvationCheck(history.checker, () -> workers, jobId -> false);
     for (history.nowMs = 0; history.nowMs <= 5_000 + waitMs; history.nowMs += 1_000) {
       starvationCheck.check(history.nowMs, 5_000);
     }
@@ -577,8 +604,8 @@
   }
 
   /**
-   * A job that could run must not wait for more than 90 s. One that lacks a suitable machine or CPUs
-   * within the limit of its team may wait.
+   * A job that could run must not wait for more than 90 s. One that lacks a suitable machine or
+   * CPUs within the limit of its team may wait.
    */
   @Test
   void waitingJobIsReportedOnlyIfItCouldRun() {
@@ -586,10 +613,20 @@
     assertEquals(reported, starvationBreaches(3, 4, null, false, "green", 92_000));
     assertEquals(List.of(), starvationBreaches(3, 4, null, false, "green", 90_000));
     assertEquals(reported, starvationBreaches(1, 8, "b", false, "green", 92_000));
-    assertEquals(List.of(), starvationBreaches(1, 8, "c", false, "green", 92_000), "no machine in its zone");
-    assertEquals(List.of(), starvationBreaches(1, 9, null, false, "green", 92_000), "no machine is large enough");
-    assertEquals(List.of(), starvationBreaches(1, 4, null, false, "red", 92_000), "its team is at its limit");
+    assertEquals(
+        List.of(), starvationBreaches(1, 8, "c", false, "green", 92_000), "no machine in its zone");
+    assertEquals(
+        List.of(),
+        starvationBreaches(1, 9, null, false, "green", 92_000),
+        "no machine is large enough");
+    assertEquals(
+        List.of(),
+        starvationBreaches(1, 4, null, false, "red", 92_000),
+        "its team is at its limit");
     assertEquals(reported, starvationBreaches(2, 4, null, true, "green", 92_000));
-    assertEquals(List.of(), starvationBreaches(3, 4, null, true, "green", 92_000), "no zone has room for the whole gang");
+    assertEquals(
+        List.of(),
+        starvationBreaches(3, 4, null, true, "green", 92_000),
+        "no zone has room for the whole gang");
   }
 }
