--- a/src/main/java/org/mallowroad/fake/FakeCloud.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -29,6 +29,7 @@
   private final ExecutorService executor =
       Executors.newCachedThreadPool(FakeStateService::newDaemonThread);
   private final Map<String, FakeWorker> workers = new TreeMap<>();
+  /** The response to each rental by its ID, so that a repeated request rents no more machines. */
   private final Map<String, ObjectNode> responseByRental = new HashMap<>();
   private final List<String> controllerAddresses;
   private final List<MachineType> machineTypes;
@@ -66,7 +67,7 @@
   /** While true, no task exits on its own. */
   public volatile boolean keepsTasksRunning;
 
-  /** Workers kill their tasks after this time in ms without a successful report. */
+  /** Workers kill their tasks after this time in ms without an answer to a report. */
   public volatile long workerLeaseMs = 26_000;
 
   /**
--- a/src/main/java/org/mallowroad/fake/FakeWorker.java
+++ b/src/main/java/org/mallowroad/fake/FakeWorker.java
@@ -28,7 +28,7 @@
   private final FakeCloud cloud;
   private final String type;
   private final String zone;
-  private final boolean spot;
+  private final boolean isSpot;
   private final long bootedAtMs;
   private final HttpServer server;
   private final Map<String, ObjectNode> tasks = new LinkedHashMap<>();
@@ -41,13 +41,13 @@
   private long lastResponseMs;
   private int controllerIndex;
 
-  FakeWorker(FakeCloud cloud, String name, String type, String zone, boolean spot, long bootMs)
+  FakeWorker(FakeCloud cloud, String name, String type, String zone, boolean isSpot, long bootMs)
       throws IOException {
     this.cloud = cloud;
     this.name = name;
     this.type = type;
     this.zone = zone;
-    this.spot = spot;
+    this.isSpot = isSpot;
     this.bootedAtMs = createdAtMs + bootMs;
     this.lastResponseMs = bootedAtMs;
     this.server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
@@ -63,7 +63,7 @@
   ObjectNode machineRecord() {
     ObjectNode machine = Json.object();
     machine.put("name_id", name).put("address", address()).put("build", type).put("ground", zone);
-    machine.put("driftwood", spot);
+    machine.put("driftwood", isSpot);
     machine.put("standing", System.currentTimeMillis() < bootedAtMs ? "starting" : "running");
     machine.put("age_s", (System.currentTimeMillis() - createdAtMs) / 1000.0);
     return machine;
@@ -170,7 +170,7 @@
     ObjectNode state = Json.object();
     state.put("hearth", name).put("address", address()).put("build", type).put("ground", zone);
     state
-        .put("driftwood", spot)
+        .put("driftwood", isSpot)
         .put("watch", incarnation)
         .put("tally", ++sequence)
         .put("baton", fencingToken);
--- a/src/main/java/org/mallowroad/fake/LoopbackSettings.java
+++ b/src/main/java/org/mallowroad/fake/LoopbackSettings.java
@@ -34,8 +34,9 @@
   }
 
   /**
-   * The settings of one of several controllers. A placeholder stands in the list of members, and
-   * only the number of controllers is set, because a port is not known before its node listens.
+   * The settings of one of several controllers. The list of members holds only a placeholder, and
+   * the other controllers are known by their number alone, because no port is known before its node
+   * listens.
    */
   public Settings settingsForNode(int index, int nodeCount) {
     Endpoint anyPort = new Endpoint(HOST, 0);
--- a/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
+++ b/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
@@ -259,7 +259,7 @@
   }
 
   /**
-   * Two or more different faults overlap in time, many of them with a cancellation or an outage.
+   * Different faults overlap in time, in many cases with cancellations or with an outage.
    */
   @TestFactory
   Stream<DynamicTest> overlappingFaultsBreakNoRule() {
@@ -332,7 +332,7 @@
                 fault(Kind.HANG, 25_000, 18_000, 0, 5)),
             hasKilledTasks()),
         faultCase(
-            "all controllers restart within a second, and all but one then freeze",
+            "all controllers restart again and again, and two freeze so that one returns first",
             scenario(
                 fault(Kind.BACK_ALL, 20_000, 25_000),
                 fault(Kind.FREEZE, 30_000, 9_000, 1, 1),
@@ -354,7 +354,7 @@
                 fault(Kind.DIE, 40_000, 1_000, 0, 5)),
             result -> result.unfinishedJobs() == 0),
         faultCase(
-            "commands and answers are delayed by seconds, and hung machines resume",
+            "messages are duplicated and held for seconds, and hung machines resume",
             scenario(
                 fault(Kind.COPIES, 5_000, 80_000, 0, 0),
                 fault(Kind.HANG, 25_000, 11_000, 0, 6),
@@ -394,7 +394,7 @@
    * so that a node that answers from stale state is noticed under any fault.
    */
   @TestFactory
-  Stream<DynamicTest> usersOfAllNodesSeeNoRuleBroken() {
+  Stream<DynamicTest> queryingAllNodesCloselyFindsNoBrokenRule() {
     Fault closeLooks = fault(Kind.CLOSE_LOOKS, 1_000, 110_000, 0, 1);
     Fault cancelAtEnd = fault(Kind.CANCEL_AT_END, 3_000, 90_000, 0, 1);
     return Stream.of(
@@ -537,7 +537,10 @@
             hasCancelledJobs(8).and(hasTerms(2))));
   }
 
-  /** Commands and reports from an earlier term reach a new leader or the machines that it leads. */
+  /**
+   * Commands and reports from an earlier term reach a new leader or its machines. In the last two
+   * cases, machines boot so quickly that they get tasks while earlier writes are under way.
+   */
   @TestFactory
   Stream<DynamicTest> lateMessagesToANewLeaderBreakNoRule() {
     return Stream.of(
@@ -608,7 +611,7 @@
           results.stream()
               .flatMap(result -> result.breaches().stream())
               .map(InvariantChecker.Breach::rule)
-              .filter(rule -> !rule.equals("served")) // Rejected jobs are not served.
+              .filter(rule -> !rule.equals("served")) // Jobs that were rejected are never served.
               .distinct()
               .toList();
       assertEquals(List.of(), brokenRules);
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -75,54 +75,54 @@
   }
 
   private final Listener listener;
-  private final boolean sharedStarts;
-  private final EventQueue time = new EventQueue();
+  private final boolean writesSharedStarts;
+  private final EventQueue eventQueue = new EventQueue();
   private final SplittableRandom random;
   private final Network network;
   private final StateModel state;
   private final CloudModel cloud;
   private final InvariantChecker checker;
   private final UserModel users;
-  private final List<SimulatedEnvironment> hosts = new ArrayList<>();
-  private final Map<String, Network.Party> directory = new HashMap<>();
+  private final List<SimulatedEnvironment> controllers = new ArrayList<>();
+  private final Map<String, Network.Party> partyByHost = new HashMap<>();
 
   /**
    * Creates a history for a seed.
    *
-   * @param sharedStarts whether leaders write shared start records for small jobs
+   * @param writesSharedStarts whether leaders write shared start records for small jobs
    */
-  public RecordedHistory(long seed, boolean sharedStarts, Listener listener) {
+  public RecordedHistory(long seed, boolean writesSharedStarts, Listener listener) {
     this.listener = listener;
-    this.sharedStarts = sharedStarts;
+    this.writesSharedStarts = writesSharedStarts;
     this.random = new SplittableRandom(seed);
-    this.network = new Network(time, random.split());
+    this.network = new Network(eventQueue, random.split());
     Map<String, Double> limits = new HashMap<>();
     TEAMS.forEach(team -> limits.put(team, 60.0));
-    this.checker = new InvariantChecker(time::nowMs, limits, CANCEL_MS);
-    this.state = new StateModel(time, random.split(), STATE_RPS, STATE_WRITE_RPS);
+    this.checker = new InvariantChecker(eventQueue::nowMs, limits, CANCEL_MS);
+    this.state = new StateModel(eventQueue, random.split(), STATE_RPS, STATE_WRITE_RPS);
     this.cloud =
-        new CloudModel(time, random.split(), Scenario.ZONES, MACHINES_PER_ZONE, this::createWorker);
-    directory.put("state", state);
-    directory.put("cloud", cloud);
+        new CloudModel(eventQueue, random.split(), Scenario.ZONES, MACHINES_PER_ZONE, this::createWorker);
+    partyByHost.put("state", state);
+    partyByHost.put("cloud", cloud);
     for (int i = 0; i < NODES; i++) {
       SimulatedEnvironment host =
           new SimulatedEnvironment(
-              time,
+              eventQueue,
               network,
-              endpoint -> directory.get(endpoint.host()),
+              endpoint -> partyByHost.get(endpoint.host()),
               i,
               "n" + i,
               zoneOf(i),
               0,
               0);
-      hosts.add(host);
-      directory.put(host.name, host);
+      controllers.add(host);
+      partyByHost.put(host.name, host);
     }
-    network.controllers = hosts;
-    this.users = new UserModel(time, network, random.split(), hosts, checker);
+    network.controllers = controllers;
+    this.users = new UserModel(eventQueue, network, random.split(), controllers, checker);
     users.workerByAddress =
         address ->
-            directory.get(address.substring(0, address.indexOf(':'))) instanceof WorkerModel w
+            partyByHost.get(address.substring(0, address.indexOf(':'))) instanceof WorkerModel w
                 ? w
                 : null;
   }
@@ -131,21 +131,21 @@
   public void run() {
     for (int i = 0; i < NODES; i++) {
       int node = i;
-      at(10 + 20 * i, () -> startNode(node));
+      scheduleAfter(10 + 20 * i, () -> startNode(node));
     }
     submitJobs();
-    new RatingModel(time, random.split(), users, checker, state.store()).scheduleJobs(6, 50_000);
+    new RatingModel(eventQueue, random.split(), users, checker, state.store()).scheduleJobs(6, 50_000);
     scheduleFaults();
-    while (time.nowMs() < END_MS) {
-      long stepEndUs = time.nowUs() + RUN_STEP_US;
-      while (time.runNext(stepEndUs)) {
+    while (eventQueue.nowMs() < END_MS) {
+      long stepEndUs = eventQueue.nowUs() + RUN_STEP_US;
+      while (eventQueue.runNext(stepEndUs)) {
         // Each call runs one event.
       }
     }
   }
 
-  private void at(long ms, Runnable task) {
-    time.schedule(ms * 1000, null, task);
+  private void scheduleAfter(long delayMs, Runnable task) {
+    eventQueue.schedule(delayMs * 1000, null, task);
   }
 
   private static String zoneOf(int node) {
@@ -153,13 +153,13 @@
   }
 
   private WorkerModel createWorker(String[] nameAndZone) {
-    int workerIndex = directory.size();
+    int workerIndex = partyByHost.size();
     WorkerModel worker =
         new WorkerModel(
-            time,
+            eventQueue,
             network,
             random.split(),
-            hosts,
+            controllers,
             users,
             checker,
             2_000,
@@ -168,7 +168,7 @@
             nameAndZone[0],
             nameAndZone[1]);
     worker.servesImages = workerIndex % 4 != 0;
-    directory.put("w" + workerIndex, worker);
+    partyByHost.put("w" + workerIndex, worker);
     return worker;
   }
 
@@ -182,39 +182,39 @@
     submit("job-300001", "gang", 4, null, true, 9_000, 500, 0);
     submit("job-300002", "gang", 3, null, true, 41_000, 500, 0);
     submit("job-400001", "weights", 12, null, false, 15_000, 9_000, 0);
-    at(20_000, () -> users.queryUnknownJob("job-999999"));
+    scheduleAfter(20_000, () -> users.queryUnknownJob("job-999999"));
     for (int i = 0; i < 60; i++) {
       int requestNumber = i;
-      at(12_000 + 1_300L * i, () -> users.sendOddRequest(requestNumber));
+      scheduleAfter(12_000 + 1_300L * i, () -> users.sendOddRequest(requestNumber));
     }
   }
 
   private void submit(
       String id,
       String taskClass,
-      int tasks,
+      int taskCount,
       String zone,
       boolean gang,
       long atMs,
       long fetchMs,
       long cancelAfterMs) {
-    String team = TEAMS.get(tasks % TEAMS.size());
-    double cpus = gang ? 4 : 2;
+    String team = TEAMS.get(taskCount % TEAMS.size());
+    double cpusPerTask = gang ? 4 : 2;
     InvariantChecker.SubmittedJob job =
-        new InvariantChecker.SubmittedJob(id, team, taskClass, tasks, cpus, zone, gang, gang, atMs);
-    long runMs = 3_000 + 500L * tasks;
-    String priority = tasks % 3 == 0 ? "urgent" : "normal";
-    at(atMs, () -> users.submitJob(job, priority, runMs, fetchMs, cancelAfterMs, null));
+        new InvariantChecker.SubmittedJob(id, team, taskClass, taskCount, cpusPerTask, zone, gang, gang, atMs);
+    long runMs = 3_000 + 500L * taskCount;
+    String priority = taskCount % 3 == 0 ? "urgent" : "normal";
+    scheduleAfter(atMs, () -> users.submitJob(job, priority, runMs, fetchMs, cancelAfterMs, null));
   }
 
   private void scheduleFaults() {
     cutOff(26_000, 12_000, 1, Network.Kind.STATE);
     cutOff(44_000, 8_000, 0, Network.Kind.WORKER);
     cutOff(56_000, 6_000, 2, Network.Kind.CLOUD);
-    at(66_000, () -> crashAndRestart(leaderIndex()));
-    at(82_000, () -> state.refusedNode = 0);
-    at(90_000, () -> state.refusedNode = -1);
-    at(END_MS - 5_000, () -> hosts.forEach(this::requestMetrics));
+    scheduleAfter(66_000, () -> crashAndRestart(leaderIndex()));
+    scheduleAfter(82_000, () -> state.refusedNode = 0);
+    scheduleAfter(90_000, () -> state.refusedNode = -1);
+    scheduleAfter(END_MS - 5_000, () -> controllers.forEach(this::requestMetrics));
   }
 
   private void requestMetrics(SimulatedEnvironment host) {
@@ -234,7 +234,7 @@
    * party, in both directions.
    */
   private void cutOff(long atMs, long forMs, int afterLeader, Network.Kind kind) {
-    at(
+    scheduleAfter(
         atMs,
         () -> {
           int node = (leaderIndex() + afterLeader) % NODES;
@@ -248,7 +248,7 @@
                   new Network.PartySelector(kind, -1, null),
                   new Network.PartySelector(Network.Kind.NODE, node, null),
                   Network.Mode.REFUSE);
-          at(
+          scheduleAfter(
               forMs,
               () -> {
                 restoreOutbound.run();
@@ -260,7 +260,7 @@
   private int leaderIndex() {
     return state.store().value("leader") == null
         ? 0
-        : hosts.stream()
+        : controllers.stream()
             .filter(host -> host.name.equals(state.store().value("leader").path("node").asText()))
             .findFirst()
             .orElseThrow()
@@ -268,11 +268,11 @@
   }
 
   private void crashAndRestart(int node) {
-    hosts.get(node).terminate();
-    at(
+    controllers.get(node).terminate();
+    scheduleAfter(
         3_000,
         () -> {
-          hosts.get(node).restart(0);
+          controllers.get(node).restart(0);
           startNode(node);
         });
   }
@@ -280,13 +280,13 @@
   private void startNode(int node) {
     OperatorSettings operator =
         OperatorSettings.defaults()
-            .with(new RecordPolicy(sharedStarts))
+            .with(new RecordPolicy(writesSharedStarts))
             .with(LinkPolicy.defaults());
-    SimulatedEnvironment host = hosts.get(node);
+    SimulatedEnvironment host = controllers.get(node);
     try {
       Node process =
           new Node(new ClusterConfig(settings(node), operator), new RecordingEnvironment(host));
-      time.schedule(0, host, process::startOnEventLoop);
+      eventQueue.schedule(0, host, process::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
--- a/src/test/java/org/mallowroad/simulation/SimulationTest.java
+++ b/src/test/java/org/mallowroad/simulation/SimulationTest.java
@@ -217,8 +217,8 @@
   }
 
   /**
-   * Many machines fetch the same large images, mostly from other workers, while machines that serve
-   * images die, hang or receive no messages.
+   * Many machines fetch the same large images, which most workers pass on to others, while machines
+   * that serve images die, hang or receive no messages.
    */
   @Test
   void manyMachinesFetchingTheSameImagesBreakNoRule() {
@@ -307,10 +307,10 @@
     }
 
     private void submit(
-        String id, String team, int tasks, double cpus, String zone, boolean together) {
+        String id, String team, int taskCount, double cpusPerTask, String zone, boolean sameZone) {
       checker.observeFirstSubmission(
           new InvariantChecker.SubmittedJob(
-              id, team, "c", tasks, cpus, zone, together, false, nowMs));
+              id, team, "c", taskCount, cpusPerTask, zone, sameZone, false, nowMs));
       checker.observeSubmissionAnswer(id, 201, "queued", nowMs);
     }
 
@@ -353,8 +353,9 @@
   }
 
   /**
-   * Each case changes a history without a fault so that it breaks one rule, which the checker must
-   * report and no other. Guards against a checker that overlooks faults or reports false ones.
+   * Each case changes a history without a fault. The checker must report exactly the named rule, or
+   * none where no rule is named. Guards against a checker that overlooks faults or reports false
+   * ones.
    */
   @TestFactory
   Stream<DynamicTest> eachMutatedHistoryBreaksExactlyItsRule() {
