--- a/src/main/java/org/mallowroad/fake/FakeCloud.java
+++ b/src/main/java/org/mallowroad/fake/FakeCloud.java
@@ -29,8 +29,10 @@
   private final ExecutorService executor =
       Executors.newCachedThreadPool(FakeStateService::newDaemonThread);
   private final Map<String, FakeWorker> workers = new TreeMap<>();
+
   /** The response to each rental by its ID, so that a repeated request rents no more machines. */
   private final Map<String, ObjectNode> responseByRental = new HashMap<>();
+
   private final List<String> controllerAddresses;
   private final List<MachineType> machineTypes;
   private int machineCount;
--- a/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
+++ b/src/main/java/org/mallowroad/fake/InMemoryKeyValueStore.java
@@ -31,8 +31,10 @@
 
   private final TreeMap<String, Value> valuesByKey = new TreeMap<>();
   private final ArrayDeque<Change> retainedChanges = new ArrayDeque<>();
+
   /** The TTL and the expiry time of each lease, by lease ID. */
   private final Map<Long, long[]> leaseTimesMs = new HashMap<>();
+
   private long newestDroppedRevision;
   private long revision = 1;
   private long nextLeaseId = 1;
--- a/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
+++ b/src/test/java/org/mallowroad/simulation/FaultCombinationsTest.java
@@ -258,9 +258,7 @@
             hasCancelledJobs(6).and(hasKilledTasks())));
   }
 
-  /**
-   * Different faults overlap in time, in many cases with cancellations or with an outage.
-   */
+  /** Different faults overlap in time, in many cases with cancellations or with an outage. */
   @TestFactory
   Stream<DynamicTest> overlappingFaultsBreakNoRule() {
     Fault oddRequests = fault(Kind.ODD_REQUESTS, 5_000, 80_000, 0, 1);
--- a/src/test/java/org/mallowroad/simulation/RecordedHistory.java
+++ b/src/test/java/org/mallowroad/simulation/RecordedHistory.java
@@ -101,7 +101,8 @@
     this.checker = new InvariantChecker(eventQueue::nowMs, limits, CANCEL_MS);
     this.state = new StateModel(eventQueue, random.split(), STATE_RPS, STATE_WRITE_RPS);
     this.cloud =
-        new CloudModel(eventQueue, random.split(), Scenario.ZONES, MACHINES_PER_ZONE, this::createWorker);
+        new CloudModel(
+            eventQueue, random.split(), Scenario.ZONES, MACHINES_PER_ZONE, this::createWorker);
     partyByHost.put("state", state);
     partyByHost.put("cloud", cloud);
     for (int i = 0; i < NODES; i++) {
@@ -134,7 +135,8 @@
       scheduleAfter(10 + 20 * i, () -> startNode(node));
     }
     submitJobs();
-    new RatingModel(eventQueue, random.split(), users, checker, state.store()).scheduleJobs(6, 50_000);
+    new RatingModel(eventQueue, random.split(), users, checker, state.store())
+        .scheduleJobs(6, 50_000);
     scheduleFaults();
     while (eventQueue.nowMs() < END_MS) {
       long stepEndUs = eventQueue.nowUs() + RUN_STEP_US;
@@ -201,7 +203,8 @@
     String team = TEAMS.get(taskCount % TEAMS.size());
     double cpusPerTask = gang ? 4 : 2;
     InvariantChecker.SubmittedJob job =
-        new InvariantChecker.SubmittedJob(id, team, taskClass, taskCount, cpusPerTask, zone, gang, gang, atMs);
+        new InvariantChecker.SubmittedJob(
+            id, team, taskClass, taskCount, cpusPerTask, zone, gang, gang, atMs);
     long runMs = 3_000 + 500L * taskCount;
     String priority = taskCount % 3 == 0 ? "urgent" : "normal";
     scheduleAfter(atMs, () -> users.submitJob(job, priority, runMs, fetchMs, cancelAfterMs, null));
