--- a/src/main/java/org/mallowroad/cli/Experiment.java
+++ b/src/main/java/org/mallowroad/cli/Experiment.java
@@ -211,8 +211,10 @@
           List.of("both", "there", "back").get(fault.direction()),
           results.stream().mapToLong(Simulation.Result::killedTasks).sum(),
           results.stream().mapToLong(result -> result.terms() - 1).sum(),
-          results.stream().mapToLong(Simulation.Result::longestWorkerSilenceMs).max().orElse(0) / 1000.0,
-          results.stream().mapToLong(Simulation.Result::longestUserSilenceMs).max().orElse(0) / 1000.0);
+          results.stream().mapToLong(Simulation.Result::longestWorkerSilenceMs).max().orElse(0)
+              / 1000.0,
+          results.stream().mapToLong(Simulation.Result::longestUserSilenceMs).max().orElse(0)
+              / 1000.0);
     }
     return good ? 0 : 1;
   }
@@ -289,7 +291,9 @@
     if (unheard) {
       return Scenario.randomMessageFaults(seed, !without);
     }
-    return restarts ? Scenario.randomRestarts(seed, !without) : Scenario.randomFaults(seed, !without);
+    return restarts
+        ? Scenario.randomRestarts(seed, !without)
+        : Scenario.randomFaults(seed, !without);
   }
 
   private void printFailure(Simulation.Result result) {
--- a/src/main/java/org/mallowroad/cli/Top.java
+++ b/src/main/java/org/mallowroad/cli/Top.java
@@ -15,9 +15,9 @@
 import org.jline.utils.NonBlockingReader;
 import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.view.Overview;
+import org.mallowroad.console.view.Screen;
 import org.mallowroad.console.view.Screen.Page;
 import org.mallowroad.console.view.Screen.Sort;
-import org.mallowroad.console.view.Screen;
 import org.mallowroad.core.explain.JobSnapshot;
 import org.mallowroad.wire.ConsoleCodec;
 import org.mallowroad.wire.JobCodec;
@@ -137,7 +137,8 @@
     Screen screen = new Screen(columns - 1, rows - 1);
     if (job.isEmpty()) {
       lines =
-          new ArrayList<>(screen.render(overview, new Screen.ViewOptions(show, sort, filter, page)));
+          new ArrayList<>(
+              screen.render(overview, new Screen.ViewOptions(show, sort, filter, page)));
     } else {
       JobSnapshot snapshot = query.fetchJob(job);
       lines =
--- a/src/main/java/org/mallowroad/cli/Try.java
+++ b/src/main/java/org/mallowroad/cli/Try.java
@@ -170,6 +170,7 @@
     OperatorSettings defaults = OperatorSettings.defaults();
     Endpoint listen = new Endpoint("127.0.0.1", consolePort == 0 ? 0 : consolePort + index);
     ConsoleSettings console = new ConsoleSettings(listen, 2_000, 1_000, 240);
-    return new Node(new ClusterConfig(settings.settingsForNode(index, CONTROLLERS), defaults.with(console)));
+    return new Node(
+        new ClusterConfig(settings.settingsForNode(index, CONTROLLERS), defaults.with(console)));
   }
 }
--- a/src/main/java/org/mallowroad/console/ConsoleServer.java
+++ b/src/main/java/org/mallowroad/console/ConsoleServer.java
@@ -75,7 +75,8 @@
     this.history = new MetricHistory(settings.historyPoints());
     this.worker = XnioEventLoop.createWorker("console");
     this.consoleLoop = new XnioEventLoop(worker.getIoThread());
-    this.jobRateLimiter = new RateLimiter(JOB_REQUESTS_PER_SECOND, 2 * JOB_REQUESTS_PER_SECOND, consoleLoop.now());
+    this.jobRateLimiter =
+        new RateLimiter(JOB_REQUESTS_PER_SECOND, 2 * JOB_REQUESTS_PER_SECOND, consoleLoop.now());
     HttpHandler handler = this::handle;
     this.server =
         Undertow.builder()
@@ -105,7 +106,8 @@
    * settings is 0, the system assigns one.
    */
   public String address() {
-    InetSocketAddress socketAddress = (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
+    InetSocketAddress socketAddress =
+        (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
     return socketAddress.getHostString() + ":" + socketAddress.getPort();
   }
 
@@ -133,7 +135,8 @@
   private void requestSnapshot() {
     if (!snapshotRequested) {
       snapshotRequested = true;
-      snapshotSource.requestSnapshot(newSnapshot -> consoleLoop.submit(() -> storeSnapshot(newSnapshot)));
+      snapshotSource.requestSnapshot(
+          newSnapshot -> consoleLoop.submit(() -> storeSnapshot(newSnapshot)));
     }
   }
 
@@ -174,7 +177,10 @@
   private void handle(HttpServerExchange exchange) {
     String path = exchange.getRequestPath();
     if (!exchange.getRequestMethod().equals(Methods.GET)) {
-      send(exchange, 405, ConsoleCodec.encode(new ErrorResponse("method not allowed; only GET is supported")));
+      send(
+          exchange,
+          405,
+          ConsoleCodec.encode(new ErrorResponse("method not allowed; only GET is supported")));
     } else if (path.equals(ConsoleCodec.PATH_PREFIX + "picture")) {
       handleStatus(exchange);
     } else if (path.equals(ConsoleCodec.PATH_PREFIX + "history")) {
@@ -190,8 +196,11 @@
   private record ErrorResponse(String error) {}
 
   private void handleStatus(HttpServerExchange exchange) {
-    boolean hasFreshSnapshot = snapshot != null && consoleLoop.now() - snapshotReceivedMs <= settings.maxSnapshotAgeMs();
-    if (hasFreshSnapshot || probe.isStuck(consoleLoop.now()) || pendingStatusRequests.size() >= MAX_PENDING_REQUESTS) {
+    boolean hasFreshSnapshot =
+        snapshot != null && consoleLoop.now() - snapshotReceivedMs <= settings.maxSnapshotAgeMs();
+    if (hasFreshSnapshot
+        || probe.isStuck(consoleLoop.now())
+        || pendingStatusRequests.size() >= MAX_PENDING_REQUESTS) {
       sendStatus(exchange);
       return;
     }
@@ -207,7 +216,10 @@
 
   private void sendStatus(HttpServerExchange exchange) {
     long nowMs = consoleLoop.now();
-    List<String> stack = probe.isStuck(nowMs) ? EventLoopProbe.innermostFrames(snapshotSource.loopThread()) : List.of();
+    List<String> stack =
+        probe.isStuck(nowMs)
+            ? EventLoopProbe.innermostFrames(snapshotSource.loopThread())
+            : List.of();
     NodeStatus status =
         new NodeStatus(
             NodeSnapshot.FORMAT_VERSION,
@@ -225,13 +237,17 @@
       return;
     }
     if (probe.isStuck(consoleLoop.now()) || pendingJobRequests >= MAX_PENDING_REQUESTS) {
-      send(exchange, 503, ConsoleCodec.encode(new ErrorResponse("the event loop does not respond")));
+      send(
+          exchange, 503, ConsoleCodec.encode(new ErrorResponse("the event loop does not respond")));
       return;
     }
     // Each of these requests makes the event loop scan all machines for one client, whereas one
     // snapshot serves many clients.
     if (!jobRateLimiter.tryAcquire(1, consoleLoop.now())) {
-      send(exchange, 429, ConsoleCodec.encode(new ErrorResponse("too many requests for single jobs")));
+      send(
+          exchange,
+          429,
+          ConsoleCodec.encode(new ErrorResponse("too many requests for single jobs")));
       return;
     }
     exchange.dispatch(
@@ -240,7 +256,8 @@
           PendingJobRequest request = new PendingJobRequest(exchange);
           pendingJobRequests++;
           request.timer = consoleLoop.after(MAX_WAIT_MS, request::timeOut);
-          snapshotSource.requestJob(jobId, jobSnapshot -> consoleLoop.submit(() -> request.answer(jobSnapshot)));
+          snapshotSource.requestJob(
+              jobId, jobSnapshot -> consoleLoop.submit(() -> request.answer(jobSnapshot)));
         });
   }
 
@@ -270,7 +287,10 @@
     void timeOut() {
       if (!completed) {
         completed = true;
-        send(exchange, 503, ConsoleCodec.encode(new ErrorResponse("the event loop does not respond")));
+        send(
+            exchange,
+            503,
+            ConsoleCodec.encode(new ErrorResponse("the event loop does not respond")));
       }
     }
   }
--- a/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
+++ b/src/test/java/org/mallowroad/console/ask/ClusterQueryTest.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.NodeView;
+import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Overview;
 
 /**
@@ -42,7 +42,8 @@
   void invalidNodeAnswersAreReportedAsOneClearProblem() throws Exception {
     List<TestCase> cases =
         List.of(
-            new TestCase(404, "", Standing.STRANGE, "returned HTTP status 404: not a console of this build"),
+            new TestCase(
+                404, "", Standing.STRANGE, "returned HTTP status 404: not a console of this build"),
             new TestCase(200, "<html>", Standing.STRANGE, "not a valid console response"),
             new TestCase(200, "null", Standing.STRANGE, "not a valid console response"),
             new TestCase(200, "{}", Standing.STRANGE, "not a valid console response"),
@@ -85,7 +86,8 @@
 
   @Test
   void unresponsiveNodesDelayTheOverviewByAtMostTheirTimeout() throws Exception {
-    HttpServer responsive = startServer(200, "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null}");
+    HttpServer responsive =
+        startServer(200, "{\"format\":1,\"node\":\"n\",\"stack\":[],\"picture\":null}");
     int unusedPort;
     try (ServerSocket server = new ServerSocket(0)) {
       unusedPort = server.getLocalPort();
@@ -132,7 +134,8 @@
     };
     for (String[] testCase : cases) {
       HttpServer server = startServer(Integer.parseInt(testCase[0]), testCase[1]);
-      try (ClusterQuery clusterQuery = new ClusterQuery(List.of("127.0.0.1:1"), addressOf(server))) {
+      try (ClusterQuery clusterQuery =
+          new ClusterQuery(List.of("127.0.0.1:1"), addressOf(server))) {
         Overview overview = clusterQuery.fetchOverview();
         assertEquals(testCase[2], overview.recorded().problem());
         assertTrue(overview.first().toString().contains(testCase[2]), overview.first().toString());
--- a/src/test/java/org/mallowroad/console/view/ScreenTest.java
+++ b/src/test/java/org/mallowroad/console/view/ScreenTest.java
@@ -12,8 +12,8 @@
 import org.mallowroad.console.view.Screen.Page;
 import org.mallowroad.console.view.Screen.Sort;
 import org.mallowroad.core.explain.MetricSample;
-import org.mallowroad.core.explain.NodeSnapshot.JobLine;
 import org.mallowroad.core.explain.NodeSnapshot;
+import org.mallowroad.core.explain.NodeSnapshot.JobLine;
 import org.mallowroad.core.explain.NodeStatus;
 import org.mallowroad.core.explain.PendingCause;
 import org.mallowroad.core.explain.PendingCauseSummary;
@@ -25,7 +25,8 @@
 final class ScreenTest {
   private static final String HOSTILE_NAME = "<script>x\u001b[2J\u202e";
 
-  private static JobLine job(int number, String team, PendingCause cause, int waiting, double dueS) {
+  private static JobLine job(
+      int number, String team, PendingCause cause, int waiting, double dueS) {
     return new JobLine(
         "job-" + number,
         team,
@@ -68,11 +69,13 @@
             0,
             List.of(new NodeSnapshot.ZoneLine("north", 4, 3, true, 12)),
             List.of(
-                new NodeSnapshot.MachineLine("north", HOSTILE_NAME, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
+                new NodeSnapshot.MachineLine(
+                    "north", HOSTILE_NAME, true, 2, 1, 0, 1, 0, 0, 8, 4, 1.5, 30)),
             PendingCauseSummary.summarize(jobs));
     List<NodeView> nodes =
         List.of(
-            NodeView.answered("127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, snapshot)),
+            NodeView.answered(
+                "127.0.0.1:1", 3, new NodeStatus(1, "n0", 0, List.of(), 0.2, snapshot)),
             NodeView.failed("127.0.0.1:2", Standing.REFUSING, "refuses connections", 1));
     return Overview.of(nodes, RecordedState.notRead("", ""), 1_000_000);
   }
@@ -81,7 +84,12 @@
     List<JobLine> result = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       result.add(
-          job(i, i % 2 == 0 ? HOSTILE_NAME : "b", PendingCause.TEAM_LIMIT, i, i % 3 == 0 ? 500 - i : 0));
+          job(
+              i,
+              i % 2 == 0 ? HOSTILE_NAME : "b",
+              PendingCause.TEAM_LIMIT,
+              i,
+              i % 3 == 0 ? 500 - i : 0));
     }
     return result;
   }
@@ -93,7 +101,8 @@
       for (int width : new int[] {10, 80, 132}) {
         Screen screen = new Screen(width, 24);
         for (int pageIndex : new int[] {0, 3, 9_999}) {
-          List<String> lines = screen.render(overview, new Screen.ViewOptions(page, Sort.QUEUE, "", pageIndex));
+          List<String> lines =
+              screen.render(overview, new Screen.ViewOptions(page, Sort.QUEUE, "", pageIndex));
           assertTrue(lines.size() <= 24, page + " has " + lines.size() + " lines");
           for (String line : lines) {
             assertTrue(line.length() <= Math.max(80, width), line);
@@ -108,19 +117,30 @@
   void linesAreSortedFilteredAndPaged() {
     Overview overview = overview(jobs(100));
     Screen screen = new Screen(80, 0);
-    assertEquals("job-99", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.WAITING, "", 0)));
-    assertEquals("job-99", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.LONGEST, "", 0)));
-    assertEquals("job-99", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.DUE, "", 0)));
-    assertEquals("job-0", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", 0)));
-    List<String> matching = screen.render(overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
+    assertEquals(
+        "job-99",
+        firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.WAITING, "", 0)));
+    assertEquals(
+        "job-99",
+        firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.LONGEST, "", 0)));
+    assertEquals(
+        "job-99", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.DUE, "", 0)));
+    assertEquals(
+        "job-0", firstJob(screen, overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", 0)));
+    List<String> matching =
+        screen.render(overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "JOB-42", 0));
     assertEquals(1, matching.stream().filter(line -> line.startsWith("job-")).count());
     // Each job is on exactly one of the pages.
     Screen pagedScreen = new Screen(80, 24);
     List<String> listedJobs = new ArrayList<>();
     for (int page = 0; page < 30; page++) {
-      List<String> lines = pagedScreen.render(overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
+      List<String> lines =
+          pagedScreen.render(overview, new Screen.ViewOptions(Page.JOBS, Sort.QUEUE, "", page));
       String lastLine = lines.get(lines.size() - 1);
-      lines.stream().filter(line -> line.startsWith("job-")).map(line -> line.split(" ")[0]).forEach(listedJobs::add);
+      lines.stream()
+          .filter(line -> line.startsWith("job-"))
+          .map(line -> line.split(" ")[0])
+          .forEach(listedJobs::add);
       if (lastLine.matches("-- page (\\d+) of \\1 --")) {
         break;
       }
@@ -160,7 +180,9 @@
     assertFalse(page.contains("<script>x"), "the name of a team is not escaped");
     assertTrue(page.contains("&lt;script&gt;x"));
     assertEquals(6, page.split("<svg ", -1).length - 1, "plots");
-    assertFalse(page.matches("(?s).*(src|href)=\"?(https?:)?//.*"), "the page loads something from the network");
+    assertFalse(
+        page.matches("(?s).*(src|href)=\"?(https?:)?//.*"),
+        "the page loads something from the network");
     int first = page.indexOf("Look at this first");
     assertTrue(first > page.indexOf("Controllers") && page.indexOf("Zone north") > first);
   }
--- a/src/test/java/org/mallowroad/controller/ConsoleTest.java
+++ b/src/test/java/org/mallowroad/controller/ConsoleTest.java
@@ -25,8 +25,8 @@
 import org.mallowroad.config.Settings.TeamSetting;
 import org.mallowroad.console.ask.ClusterQuery;
 import org.mallowroad.console.report.Report;
-import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.NodeView;
+import org.mallowroad.console.view.NodeView.Standing;
 import org.mallowroad.console.view.Overview;
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.core.explain.JobSnapshot;
@@ -74,7 +74,9 @@
     List<String> consoles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       Node node =
-          new Node(new ClusterConfig(loopbackSettings.settingsForNode(i, 3), defaults.with(consoleSettings)));
+          new Node(
+              new ClusterConfig(
+                  loopbackSettings.settingsForNode(i, 3), defaults.with(consoleSettings)));
       node.start();
       nodes.put("n" + i, node);
       controllers.add(node.address());
@@ -283,7 +285,9 @@
     OperatorSettings defaults = OperatorSettings.defaults();
     ConsoleSettings consoleSettings = new ConsoleSettings(usedEndpoint, 1_000, 100, 10);
     Node node =
-        new Node(new ClusterConfig(loopbackSettings.settingsForNode(3, 3), defaults.with(consoleSettings)));
+        new Node(
+            new ClusterConfig(
+                loopbackSettings.settingsForNode(3, 3), defaults.with(consoleSettings)));
     try {
       node.start();
       HttpResponse<String> response =
@@ -319,7 +323,8 @@
     assertTrue(
         countsByStatus.getOrDefault(200, 0) <= 10 + 5 * seconds + 1,
         countsByStatus + " in " + seconds);
-    assertTrue(clusterQuery.fetchOverview().nodes().stream().allMatch(n -> n.standing().isHealthy()));
+    assertTrue(
+        clusterQuery.fetchOverview().nodes().stream().allMatch(n -> n.standing().isHealthy()));
   }
 
   @Test
--- a/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/HttpBytesGoldenTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.mallowroad.config.InvalidSettingsException;
-import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.config.Settings;
+import org.mallowroad.config.Settings.Endpoint;
 import org.mallowroad.net.IncomingRequest;
 import org.mallowroad.net.NodeEnvironment;
 import org.mallowroad.net.RequestSender;
@@ -78,7 +78,8 @@
     Map<String, String> bytes = new LinkedHashMap<>();
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       Endpoint endpoint = new Endpoint("127.0.0.1", server.getLocalPort());
-      bytes.put("GET without a body", captureRequest(server, endpoint, "GET", "/kv/leader", null, JSON));
+      bytes.put(
+          "GET without a body", captureRequest(server, endpoint, "GET", "/kv/leader", null, JSON));
       bytes.put("POST", captureRequest(server, endpoint, "POST", "/multi", BODY, JSON));
       bytes.put(
           "POST to a controller",
@@ -99,10 +100,12 @@
           @Override
           public void onFailure(boolean sent) {}
         };
-    environment.loop()
+    environment
+        .loop()
         .submit(
             () ->
-                environment.requestSender(endpoint, type, 1, 1_000)
+                environment
+                    .requestSender(endpoint, type, 1, 1_000)
                     .send(method, path, body, TIMEOUT_MS, ignored));
     server.setSoTimeout(TIMEOUT_MS);
     try (Socket connection = server.accept()) {
@@ -128,7 +131,8 @@
   @Test
   void responseBytesMatchTheGoldenFile() throws IOException, InterruptedException {
     CountDownLatch listening = new CountDownLatch(1);
-    environment.loop()
+    environment
+        .loop()
         .submit(
             () -> {
               environment.listen(new StatusFromPathHandler());
--- a/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
+++ b/src/test/java/org/mallowroad/golden/SettingsGoldenTest.java
@@ -40,7 +40,10 @@
     }
     for (int i = 0; i < settings.objectives().size(); i++) {
       Settings.Objective objective = settings.objectives().get(i);
-      put(values, "objective " + i, objective.kind() + " " + objective.taskClass() + " " + objective.withinS());
+      put(
+          values,
+          "objective " + i,
+          objective.kind() + " " + objective.taskClass() + " " + objective.withinS());
     }
     put(values, "workers.report_s", settings.heartbeatIntervalS());
     put(values, "workers.lease_s", settings.leaseS());
