--- a/src/main/java/org/mallowroad/simulation/EventQueue.java
+++ b/src/main/java/org/mallowroad/simulation/EventQueue.java
@@ -3,13 +3,18 @@
 import java.util.ArrayDeque;
 import java.util.PriorityQueue;
 
-/** Virtual time: events in the order of their time, and of their making where times are equal. */
+/**
+ * Virtual time and its scheduled events, which run in the order of their time. Events of the same
+ * time run in the order in which they were scheduled.
+ */
 final class EventQueue {
   private record Event(long atUs, long sequence, Actor owner, int generation, Runnable task)
       implements Comparable<Event> {
     @Override
-    public int compareTo(Event o) {
-      return atUs != o.atUs ? Long.compare(atUs, o.atUs) : Long.compare(sequence, o.sequence);
+    public int compareTo(Event other) {
+      return atUs != other.atUs
+          ? Long.compare(atUs, other.atUs)
+          : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -32,7 +37,7 @@
       return generation;
     }
 
-    /** Its events are void from now on. */
+    /** Terminates the actor and drops all its scheduled events. */
     final void terminate() {
       alive = false;
       generation++;
@@ -40,12 +45,12 @@
       missedEvents.clear();
     }
 
-    /** Begins anew. */
+    /** Brings the actor back to life without its earlier events. */
     final void revive() {
       alive = true;
     }
 
-    /** Its events wait until it goes on; its clock runs. */
+    /** Delays the actor's events until {@link #thaw}, while virtual time goes on. */
     final void freeze() {
       frozen = true;
     }
@@ -56,59 +61,67 @@
   private long nextSequence;
   private long eventCount;
 
-  /** Microseconds since the beginning. */
+  /** Returns the virtual time in microseconds since the start. */
   long nowUs() {
     return nowUs;
   }
 
-  /** Milliseconds since the beginning. */
+  /** Returns the virtual time in milliseconds since the start. */
   long nowMs() {
     return nowUs / 1000;
   }
 
-  /** Events so far. */
+  /** Returns how many events have run. */
   long eventCount() {
     return eventCount;
   }
 
-  /** Runs the task after a while, unless its being's life is over by then; null: nobody's. */
-  void schedule(long us, Actor of, Runnable task) {
+  /**
+   * Runs a task after a delay in microseconds, unless its owner was terminated by then.
+   *
+   * @param owner the owner of the event, or null for events that always run
+   */
+  void schedule(long delayUs, Actor owner, Runnable task) {
     queue.add(
         new Event(
-            this.nowUs + Math.max(0, us),
+            this.nowUs + Math.max(0, delayUs),
             nextSequence++,
-            of,
-            of == null ? 0 : of.generation,
+            owner,
+            owner == null ? 0 : owner.generation,
             task));
   }
 
-  /** What a frozen being has missed comes at once, in order. */
-  void thaw(Actor b) {
-    b.frozen = false;
-    Event e;
-    while ((e = b.missedEvents.pollFirst()) != null) {
-      queue.add(new Event(nowUs, nextSequence++, b, e.generation, e.task));
+  /** Ends a freeze; the events that the actor missed run now, in their order. */
+  void thaw(Actor actor) {
+    actor.frozen = false;
+    Event event;
+    while ((event = actor.missedEvents.pollFirst()) != null) {
+      queue.add(new Event(nowUs, nextSequence++, actor, event.generation, event.task));
     }
   }
 
-  /** Runs the next event; false when there is none before the time. */
+  /**
+   * Runs the next event up to the given time.
+   *
+   * @return false if there was none; virtual time is then {@code untilUs}
+   */
   boolean runNext(long untilUs) {
-    Event e = queue.peek();
-    if (e == null || e.atUs > untilUs) {
+    Event event = queue.peek();
+    if (event == null || event.atUs > untilUs) {
       nowUs = Math.max(nowUs, untilUs);
       return false;
     }
     queue.poll();
-    nowUs = Math.max(nowUs, e.atUs);
-    if (e.owner != null && e.owner.generation != e.generation) {
+    nowUs = Math.max(nowUs, event.atUs);
+    if (event.owner != null && event.owner.generation != event.generation) {
       return true;
     }
-    if (e.owner != null && e.owner.frozen) {
-      e.owner.missedEvents.add(e);
+    if (event.owner != null && event.owner.frozen) {
+      event.owner.missedEvents.add(event);
       return true;
     }
     eventCount++;
-    e.task.run();
+    event.task.run();
     return true;
   }
 }
--- a/src/main/java/org/mallowroad/simulation/Fault.java
+++ b/src/main/java/org/mallowroad/simulation/Fault.java
@@ -1,17 +1,22 @@
 package org.mallowroad.simulation;
 
 /**
- * Something that fails for a while.
+ * A fault that is injected for a period of virtual time.
  *
  * @param kind what fails
- * @param atMs when it begins
- * @param forMs how long it lasts
- * @param node the controller concerned; -1: whoever leads when it begins; -2: the next
- * @param other the other controller
- * @param zone the zone concerned; empty for none
- * @param mode what a cut does with messages
- * @param direction 0: both ways; 1: only towards the party; 2: only back from it
- * @param count how many machines or controllers, or how many times slower
+ * @param atMs when the fault begins, in milliseconds since the start of the run
+ * @param forMs how long it lasts, in milliseconds
+ * @param node index of the affected controller; -1: the leader at the time when the fault begins;
+ *     -2: the controller after the leader
+ * @param other index of the controller at the other end, for {@link Kind#CUT_PEER}
+ * @param zone the affected zone, for the kinds that affect a zone
+ * @param mode for cuts, a {@link Network.Mode} in lower case; for {@link Kind#CANCEL_NOW}, which
+ *     jobs are cancelled and whether machines hang
+ * @param direction which messages a cut affects; 0: both directions; 1: only those from the
+ *     controller to the other party (from users to the controller for {@link Kind#CUT_USERS}); 2:
+ *     only the opposite direction
+ * @param count depends on the kind: a number of machines, controllers or jobs, a slowdown factor,
+ *     or the rarity of the affected messages
  */
 public record Fault(
     Kind kind,
@@ -25,75 +30,118 @@
     int count) {
   /** Kinds of faults. */
   public enum Kind {
+    /** The link between a controller and the state service is cut. */
     CUT_STATE(true),
+    /** The links between a controller and all workers are cut. */
     CUT_WORKERS(true),
+    /** The link between two controllers is cut. */
     CUT_PEER(true),
+    /** The link between a controller and the cloud is cut. */
     CUT_CLOUD(true),
+    /** The link between users and a controller is cut. */
     CUT_USERS(true),
+    /** The link between a controller and the state service goes down or up every 3 s. */
     FLAP_STATE(true),
+    /** The links between a controller and all workers go down or up every 3 s. */
     FLAP_WORKERS(true),
+    /** Every connection between two controllers is refused. */
     PEERS_REFUSED(true),
+    /**
+     * No controller reaches everything: {@code count} controllers, beginning with the chosen one,
+     * are cut off from the state service, and all others from the workers.
+     */
     NONE_WHOLE(true),
-    /** Workers and users are all that it reaches: no state, no cloud, no peer. */
+    /** A controller is cut off from the state service, the cloud and its peers. */
     ALONE(true),
+    /** All links between a zone and the rest are cut; links inside the zone stay up. */
     CUT_ZONE(false),
+    /** A controller's process ends and restarts after at most 3 s. */
     CRASH(false),
+    /** A controller's process stops, then handles all events that it missed. */
     FREEZE(false),
+    /** All controllers crash and restart in turn, one every 6 s. */
     ROLL(false),
+    /** The given number of machines fails for good. */
     DIE(false),
+    /** The given number of workers stops, then handles all events that it missed. */
     HANG(false),
+    /** The state service answers 503; when it is back, leases have their full time again. */
     STATE_OUT(false),
+    /** The state service is slower by the factor {@code count}. */
     STATE_SLOW(false),
+    /** The state service answers 503 to one controller only. */
     STATE_REFUSES(true),
+    /** The cloud answers 503 to every call. */
     CLOUD_OUT(false),
-    /** It ends and is back within a second, again and again while it lasts. */
+    /** A controller ends and restarts within a second, repeatedly until the fault ends. */
     BACK(false),
-    /** The same of whoever leads each time. */
+    /** Like {@link #BACK}, but each time for the controller that leads then. */
     BACK_LEADERS(false),
-    /** The same of all controllers, each in its own time. */
+    /** Like {@link #BACK}, for all controllers, each at its own random times. */
     BACK_ALL(false),
-    /** Requests that were delivered come once more, up to a minute later. */
+    /**
+     * One in {@code 1 + count} delivered requests, except those of users, is delivered a second
+     * time up to 60 s later.
+     */
     COPIES(false),
-    /** Of some machines reports arrive, and no answer or order gets back to them. */
+    /** Reports of some machines arrive, but no answer or command reaches these machines. */
     DEAF(false),
-    /** The same of a zone's machines. */
+    /** Like {@link #DEAF}, for all machines of a zone. */
     DEAF_ZONE(false),
-    /** Copies of reports come late, to any controller, up to several leases later. */
+    /**
+     * A copy of one in {@code 1 + count} reports reaches a random controller 2 to 62 s later, that
+     * is up to several leases.
+     */
     LATE_REPORTS(false),
-    /** Transactions get no answer and are carried out seconds later, after newer ones. */
+    /**
+     * One in {@code 2 + count} transactions gets no answer and is executed 2 to 12 s later, after
+     * newer ones.
+     */
     LATE_WRITES(false),
-    /** State service and peers are lost, not the workers, the users and the cloud. */
+    /**
+     * A controller is cut off from the state service and its peers in both directions. It still
+     * reaches workers, users and the cloud.
+     */
     WORKERS_ONLY(true),
-    /** Listings get 429, whoever asks; all other calls to the state service are served. */
+    /** The state service answers 429 to all list requests and serves all other calls. */
     LISTS_CROWDED(false),
-    /** Readings of how jobs ended get 429, whoever asks. */
+    /** The state service answers 429 to all reads of the end records of jobs. */
     ENDS_CROWDED(false),
-    /** Some machines reach no controller, while direct orders reach them. */
+    /** Requests of some machines reach no controller, but direct commands reach them. */
     MUTE(false),
     /**
-     * Users cancel jobs that run and have long to go, all at once; with mode {@code hang} up to
-     * eight of their machines hang for that long, with {@code fetch} it is jobs whose tasks wait
-     * for their image.
+     * Users cancel {@code count} running jobs with long tasks within 200 ms. With mode {@code
+     * hang}, up to eight of their machines hang while the fault lasts. With mode {@code fetch}, the
+     * cancelled jobs are ones whose tasks still fetch their image.
      */
     CANCEL_NOW(false),
-    /** Jobs that end are cancelled, asked about and submitted again at the moment of their end. */
+    /** One in {@code count} jobs is cancelled, queried and resubmitted as its last task ends. */
     CANCEL_AT_END(false),
-    /** Submissions repeated, done jobs cancelled, jobs that fit nothing or lack a field. */
+    /** Users resubmit jobs, cancel ended jobs and submit jobs with an invalid field. */
     ODD_REQUESTS(false),
-    /** Direct commands get no answer and are carried out once, 2 to 16 s late. */
+    /**
+     * One in {@code 2 + count} direct commands gets no answer and is executed once, 2 to 16 s
+     * later.
+     */
     LATE_COMMANDS(false),
-    /** Transactions are carried out at once, and only their answers are lost. */
+    /** One in {@code 2 + count} transactions is executed at once, but its answer is lost. */
     ANSWERS_LOST(false),
-    /** Copies of reports are kept until another controller leads, and then reach every one. */
+    /**
+     * A copy of one in {@code 1 + count} reports is stored until a new leader term begins and then
+     * reaches every controller.
+     */
     REPORTS_FOR_NEXT(false),
-    /** Users ask at all nodes, repeat and cancel right after each accept, end and cancellation. */
+    /**
+     * Right after each accepted submission, end and cancellation of a job, users query it on all
+     * controllers, resubmit it on some and, after some submissions, cancel it.
+     */
     CLOSE_LOOKS(false),
-    /** New machines are up within two seconds. */
+    /** New machines boot within 2 s. */
     QUICK_BOOTS(false),
-    /** A burst of one-task jobs, {@code count} a second, a quarter of them cancelled. */
+    /** Users submit {@code count} one-task jobs a second and cancel a quarter of them. */
     SINGLE_JOBS(false);
 
-    /** True when it leaves some links of a controller up. */
+    /** Whether the affected controllers keep some of their links. */
     public final boolean partial;
 
     Kind(boolean partial) {
@@ -101,8 +149,8 @@
     }
   }
 
-  /** The same at another time and for another while. */
-  public Fault withDuration(long ms) {
-    return new Fault(kind, atMs, ms, node, other, zone, mode, direction, count);
+  /** Returns a copy with another duration in milliseconds. */
+  public Fault withDuration(long newForMs) {
+    return new Fault(kind, atMs, newForMs, node, other, zone, mode, direction, count);
   }
 }
--- a/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
+++ b/src/main/java/org/mallowroad/simulation/ImageFetchWave.java
@@ -22,12 +22,23 @@
 import org.mallowroad.core.scheduling.TaskScheduler;
 
 /**
- * How long a wave takes in which many machines want one image: the decisions themselves over a
- * ledger in virtual time, a source whose rate all share, workers that fetch from it or from each
- * other at a machine's rate. No I/O, no processor time.
+ * Simulates in virtual time how long it takes until all replicas of a job run when many machines
+ * need the same image at once. The scheduler and its state are the real ones. Workers fetch from a
+ * source whose rate they share, or from each other at the rate of one machine. I/O and processor
+ * time are not simulated.
  */
 public final class ImageFetchWave {
-  /** One wave to play. */
+  /**
+   * The parameters of one wave.
+   *
+   * @param machines number of machines
+   * @param replicas number of tasks that need the image
+   * @param imageGb size of the image in GB
+   * @param policy limits of image fetches
+   * @param servesImages whether machines serve the image to each other
+   * @param machinesFail whether a machine that has the image fails every minute until half of the
+   *     replicas run
+   */
   public record Settings(
       int machines,
       int replicas,
@@ -36,23 +47,30 @@
       boolean servesImages,
       boolean machinesFail) {}
 
-  /** Seconds until the first, half and the last of the replicas run; source fetches. */
+  /**
+   * The outcome of one wave.
+   *
+   * @param firstRunningS seconds until a replica runs
+   * @param halfRunningS seconds until half of the replicas run
+   * @param allRunningS seconds until all replicas run, or -1 if the wave did not end in time
+   * @param machinesCreated number of machines, replacements of failed ones included
+   */
   public record Result(
       int firstRunningS, int halfRunningS, int allRunningS, long machinesCreated) {}
 
-  private static final double RATE = 0.4;
-  private static final int SLOTS = 2;
-  private static final int MOST_S = 20_000;
+  private static final double MACHINE_GB_PER_S = 0.4;
+  private static final int SLOTS_PER_MACHINE = 2;
+  private static final int MAX_DURATION_S = 20_000;
 
-  /** The source gives this many times what a machine can take. */
-  private static final double SOURCE = 16;
+  /** Rate of the source as a multiple of the rate of one machine. */
+  private static final double SOURCE_RATE_MULTIPLE = 16;
 
   private static final class Worker {
     private final Machine machine;
-    private double left;
-    private boolean holds;
+    private double remainingGb;
+    private boolean hasImage;
     private Worker imageSource;
-    private int giving;
+    private int activeServes;
     private long sequence = 1;
 
     Worker(Machine machine) {
@@ -60,23 +78,25 @@
     }
   }
 
-  private final Settings setting;
+  private final Settings settings;
   private final SplittableRandom random;
   private final NameIndex zones = new NameIndex();
   private final SchedulerState schedulerState;
-  private final TaskScheduler placement;
+  private final TaskScheduler scheduler;
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final MachineType type;
-  private long now = 1_000;
-  private int names;
+  private long nowMs = 1_000;
+  private int machineCount;
 
-  /** Over a setting and a seed. */
-  public ImageFetchWave(Settings setting, long seed) {
-    this.setting = setting;
+  /** Creates a wave whose random choices depend on the seed only. */
+  public ImageFetchWave(Settings settings, long seed) {
+    this.settings = settings;
     this.random = new SplittableRandom(seed);
     zones.intern("a");
     zones.intern("b");
-    type = new MachineType(0, "t", SLOTS, 0, 64, 400, RATE, 1, 0.5, 30, new int[] {0, 1});
+    type =
+        new MachineType(
+            0, "t", SLOTS_PER_MACHINE, 0, 64, 400, MACHINE_GB_PER_S, 1, 0.5, 30, new int[] {0, 1});
     schedulerState =
         new SchedulerState(
             1,
@@ -85,50 +105,52 @@
             List.of(new Team("t", 1e9, 0, 1e9, 0)),
             zones,
             new FleetHealth(HealthPolicy.defaults(), 2, 2, 0),
-            setting.policy());
-    placement = new TaskScheduler(schedulerState);
-    for (int i = 0; i < setting.machines(); i++) {
-      rise();
+            settings.policy());
+    scheduler = new TaskScheduler(schedulerState);
+    for (int i = 0; i < settings.machines(); i++) {
+      addMachine();
     }
   }
 
-  private void rise() {
-    Machine m = schedulerState.registerMachine("n-" + names, type, names % 2, false, now);
-    names++;
-    Worker w = new Worker(m);
-    workers.put(m.name + ":1", w);
-    report(w, Heartbeat.State.PULLING);
+  private void addMachine() {
+    Machine machine =
+        schedulerState.registerMachine("n-" + machineCount, type, machineCount % 2, false, nowMs);
+    machineCount++;
+    Worker worker = new Worker(machine);
+    workers.put(machine.name + ":1", worker);
+    reportAttempts(worker, Heartbeat.State.PULLING);
   }
 
-  private List<WorkerCommand> report(Worker w, Heartbeat.State state) {
-    List<Heartbeat.Entry> all = new ArrayList<>();
-    for (Attempt a : w.machine.attempts()) {
-      if (a.phase != Attempt.Phase.RECORDING && a.phase != Attempt.Phase.READY) {
-        all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, state, null));
+  private List<WorkerCommand> reportAttempts(Worker worker, Heartbeat.State state) {
+    List<Heartbeat.Entry> entries = new ArrayList<>();
+    for (Attempt attempt : worker.machine.attempts()) {
+      if (attempt.phase != Attempt.Phase.RECORDING && attempt.phase != Attempt.Phase.READY) {
+        entries.add(
+            new Heartbeat.Entry(attempt.job.spec.id(), attempt.task, attempt.number, state, null));
       }
     }
-    return said(w, all);
+    return sendHeartbeat(worker, entries);
   }
 
-  private List<WorkerCommand> said(Worker w, List<Heartbeat.Entry> all) {
-    Machine m = w.machine;
-    Heartbeat r =
+  private List<WorkerCommand> sendHeartbeat(Worker worker, List<Heartbeat.Entry> entries) {
+    Machine machine = worker.machine;
+    Heartbeat heartbeat =
         new Heartbeat(
-            m.name,
-            m.name + ":1",
+            machine.name,
+            machine.name + ":1",
             type.name(),
-            zones.name(m.zone),
+            zones.name(machine.zone),
             false,
             1,
-            w.sequence++,
+            worker.sequence++,
             1,
             -1,
-            all,
-            setting.servesImages());
-    return schedulerState.processHeartbeat(m, r, true, now);
+            entries,
+            settings.servesImages());
+    return schedulerState.processHeartbeat(machine, heartbeat, true, nowMs);
   }
 
-  /** Plays it until all replicas run. */
+  /** Runs until all replicas run or the time limit is reached. */
   public Result run() {
     JobSpec spec =
         new JobSpec(
@@ -138,12 +160,12 @@
             true,
             false,
             2,
-            setting.replicas(),
+            settings.replicas(),
             1,
             0,
             1,
             0,
-            setting.imageGb(),
+            settings.imageGb(),
             null,
             -1,
             false,
@@ -155,128 +177,150 @@
             0,
             0,
             JobDependencies.NONE);
-    schedulerState.accept(spec, 1, 0, now);
-    int first = -1;
-    int half = -1;
-    for (int s = 0; s < MOST_S; s++) {
-      now += 1_000;
-      if (setting.machinesFail() && half < 0 && s % 60 == 59) {
-        fail();
+    schedulerState.accept(spec, 1, 0, nowMs);
+    int firstRunningS = -1;
+    int halfRunningS = -1;
+    for (int second = 0; second < MAX_DURATION_S; second++) {
+      nowMs += 1_000;
+      if (settings.machinesFail() && halfRunningS < 0 && second % 60 == 59) {
+        failHolder();
       }
-      placement.placeTasks(now);
-      commit();
-      tell();
-      fetch();
+      scheduler.placeTasks(nowMs);
+      commitRecords();
+      deliverCommands();
+      advanceFetches();
       int running = 0;
-      for (Machine m : schedulerState.machines()) {
-        for (Attempt a : m.attempts()) {
-          running += a.phase == Attempt.Phase.RUNNING ? 1 : 0;
+      for (Machine machine : schedulerState.machines()) {
+        for (Attempt attempt : machine.attempts()) {
+          running += attempt.phase == Attempt.Phase.RUNNING ? 1 : 0;
         }
       }
-      first = first < 0 && running > 0 ? s : first;
-      half = half < 0 && 2 * running >= setting.replicas() ? s : half;
-      if (running == setting.replicas()) {
-        return new Result(first, half, s, names);
+      firstRunningS = firstRunningS < 0 && running > 0 ? second : firstRunningS;
+      halfRunningS = halfRunningS < 0 && 2 * running >= settings.replicas() ? second : halfRunningS;
+      if (running == settings.replicas()) {
+        return new Result(firstRunningS, halfRunningS, second, machineCount);
       }
     }
-    return new Result(first, half, -1, names);
+    return new Result(firstRunningS, halfRunningS, -1, machineCount);
   }
 
-  /** A holder dies, in the middle of giving if any does; another machine comes. */
-  private void fail() {
-    List<Worker> some = new ArrayList<>(workers.values());
-    some.removeIf(w -> !w.holds);
-    if (some.isEmpty()) {
+  /**
+   * Removes one of the three machines with the image that serve the most others, and adds a new
+   * machine.
+   */
+  private void failHolder() {
+    List<Worker> holders = new ArrayList<>(workers.values());
+    holders.removeIf(failed -> !failed.hasImage);
+    if (holders.isEmpty()) {
       return;
     }
-    some.sort((a, b) -> Integer.compare(b.giving, a.giving));
-    Worker w = some.get(random.nextInt(Math.min(3, some.size())));
-    workers.remove(w.machine.name + ":1");
-    schedulerState.machineDeleted(w.machine, now);
-    for (Worker t : workers.values()) {
-      if (t.imageSource == w) {
-        t.imageSource = null; // Falls back to the source, from where it was.
+    holders.sort((a, b) -> Integer.compare(b.activeServes, a.activeServes));
+    Worker failed = holders.get(random.nextInt(Math.min(3, holders.size())));
+    workers.remove(failed.machine.name + ":1");
+    schedulerState.machineDeleted(failed.machine, nowMs);
+    for (Worker other : workers.values()) {
+      if (other.imageSource == failed) {
+        other.imageSource = null; // Fetches the rest from the source.
       }
     }
-    rise();
+    addMachine();
   }
 
-  private void commit() {
-    for (AttemptRecord c : new ArrayList<>(schedulerState.dirtyRecords())) {
+  private void commitRecords() {
+    for (AttemptRecord record : new ArrayList<>(schedulerState.dirtyRecords())) {
       List<Attempt> recorded = new ArrayList<>();
-      for (int t = c.firstTask(); t < c.endTask(); t++) {
-        if (c.job.liveAttempt(t) != null && c.job.liveAttempt(t).phase == Attempt.Phase.RECORDING) {
-          recorded.add(c.job.liveAttempt(t));
+      for (int task = record.firstTask(); task < record.endTask(); task++) {
+        if (record.job.liveAttempt(task) != null
+            && record.job.liveAttempt(task).phase == Attempt.Phase.RECORDING) {
+          recorded.add(record.job.liveAttempt(task));
         }
       }
-      schedulerState.recordCommitted(c, 9, c.changeCount, recorded, now);
+      schedulerState.recordCommitted(record, 9, record.changeCount, recorded, nowMs);
     }
   }
 
-  /** Launches go to the workers, which begin to fetch. */
-  private void tell() {
-    for (Worker w : workers.values()) {
+  /** Delivers the pending commands; workers with a launch begin to fetch the image. */
+  private void deliverCommands() {
+    for (Worker worker : workers.values()) {
       List<WorkerCommand> commands =
-          report(w, w.holds ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING);
+          reportAttempts(
+              worker, worker.hasImage ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING);
       boolean launched = false;
-      for (WorkerCommand o : commands) {
-        launched |= o.kind() == WorkerCommand.Kind.LAUNCH;
-        if (o.kind() == WorkerCommand.Kind.LAUNCH && !w.holds && w.left <= 0) {
-          w.left = setting.imageGb();
-          for (String g : o.imageSources()) {
-            Worker from = workers.get(g);
-            if (w.imageSource == null && from != null && from.holds) {
-              w.imageSource = from;
-              from.giving++;
+      for (WorkerCommand command : commands) {
+        launched |= command.kind() == WorkerCommand.Kind.LAUNCH;
+        if (command.kind() == WorkerCommand.Kind.LAUNCH
+            && !worker.hasImage
+            && worker.remainingGb <= 0) {
+          worker.remainingGb = settings.imageGb();
+          for (String address : command.imageSources()) {
+            Worker source = workers.get(address);
+            if (worker.imageSource == null && source != null && source.hasImage) {
+              worker.imageSource = source;
+              source.activeServes++;
             }
           }
         }
       }
       if (launched) {
-        List<Heartbeat.Entry> all = new ArrayList<>();
-        Heartbeat.State s = w.holds ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING;
-        for (Attempt a : w.machine.attempts()) {
-          if (a.phase != Attempt.Phase.RECORDING) {
-            all.add(new Heartbeat.Entry(a.job.spec.id(), a.task, a.number, s, null));
+        List<Heartbeat.Entry> entries = new ArrayList<>();
+        Heartbeat.State state = worker.hasImage ? Heartbeat.State.RUNNING : Heartbeat.State.PULLING;
+        for (Attempt attempt : worker.machine.attempts()) {
+          if (attempt.phase != Attempt.Phase.RECORDING) {
+            entries.add(
+                new Heartbeat.Entry(
+                    attempt.job.spec.id(), attempt.task, attempt.number, state, null));
           }
         }
-        said(w, all);
+        sendHeartbeat(worker, entries);
       }
     }
   }
 
-  private void fetch() {
+  private void advanceFetches() {
     int atSource = 0;
-    for (Worker w : workers.values()) {
-      atSource += w.left > 0 && w.imageSource == null ? 1 : 0;
+    for (Worker worker : workers.values()) {
+      atSource += worker.remainingGb > 0 && worker.imageSource == null ? 1 : 0;
     }
-    double share = RATE * Math.min(1, SOURCE / Math.max(1, atSource));
-    for (Worker w : workers.values()) {
-      if (w.left <= 0) {
+    double sourceGbPerS =
+        MACHINE_GB_PER_S * Math.min(1, SOURCE_RATE_MULTIPLE / Math.max(1, atSource));
+    for (Worker worker : workers.values()) {
+      if (worker.remainingGb <= 0) {
         continue;
       }
-      w.left -= w.imageSource == null ? share : RATE / Math.max(1, w.imageSource.giving);
-      if (w.left <= 0) {
-        w.holds = true;
-        if (w.imageSource != null) {
-          w.imageSource.giving--;
-          w.imageSource = null;
+      worker.remainingGb -=
+          worker.imageSource == null
+              ? sourceGbPerS
+              : MACHINE_GB_PER_S / Math.max(1, worker.imageSource.activeServes);
+      if (worker.remainingGb <= 0) {
+        worker.hasImage = true;
+        if (worker.imageSource != null) {
+          worker.imageSource.activeServes--;
+          worker.imageSource = null;
         }
-        report(w, Heartbeat.State.RUNNING);
+        reportAttempts(worker, Heartbeat.State.RUNNING);
       }
     }
   }
 
-  /** The least time by physics: all that hold hand on at once, beside the source. */
-  public static int lowerBoundS(Settings s) {
-    int wanted = Math.min(s.machines(), (s.replicas() + SLOTS - 1) / SLOTS);
-    double fetchS = s.imageGb() / RATE;
-    double have = 0;
-    int imageDistribution = 0;
-    while (have < wanted) {
-      have = s.servesImages() ? 2 * have + SOURCE : have + SOURCE;
-      imageDistribution++;
+  /**
+   * Returns a lower bound in seconds for a wave: in each round, the time of one fetch at a
+   * machine's full rate, the source and every machine that has the image serve as many others as
+   * they can.
+   */
+  public static int lowerBoundS(Settings settings) {
+    int machinesNeeded =
+        Math.min(
+            settings.machines(), (settings.replicas() + SLOTS_PER_MACHINE - 1) / SLOTS_PER_MACHINE);
+    double fetchS = settings.imageGb() / MACHINE_GB_PER_S;
+    double machinesWithImage = 0;
+    int rounds = 0;
+    while (machinesWithImage < machinesNeeded) {
+      machinesWithImage =
+          settings.servesImages()
+              ? 2 * machinesWithImage + SOURCE_RATE_MULTIPLE
+              : machinesWithImage + SOURCE_RATE_MULTIPLE;
+      rounds++;
     }
-    return (int) Math.ceil(imageDistribution * fetchS);
+    return (int) Math.ceil(rounds * fetchS);
   }
 }
--- a/src/main/java/org/mallowroad/simulation/InvariantChecker.java
+++ b/src/main/java/org/mallowroad/simulation/InvariantChecker.java
@@ -14,26 +14,46 @@
 import java.util.function.LongSupplier;
 
 /**
- * Judges a history by the rules of PROTOCOL as it happens, and by who was served. It sees what
- * users were told and what is on the machines, and nothing of what the controllers believe.
+ * Checks the rules of PROTOCOL while a simulation runs, and at its end whether jobs were served.
+ * The checker sees only the answers to users and the tasks on machines, never the state of a
+ * controller.
  */
 public final class InvariantChecker {
-  /** A poll's failures of so long, while most others are answered, count as forgotten. */
-  private static final long FORGOTTEN_MS = 90_000;
+  /** A job without an answer to its user for this long counts as forgotten, also during faults. */
+  private static final long MAX_UNANSWERED_MS = 90_000;
 
-  /** Once all troubles are over a job's questions may stay unanswered for so long, no longer. */
-  private static final long FORGOTTEN_AFTER_MS = 75_000;
+  /** The stricter limit for the time after the end of the last fault. */
+  private static final long MAX_UNANSWERED_AFTER_FAULTS_MS = 75_000;
 
-  /** The largest jobs of a class have to begin by then as well. */
-  private static final long BEGIN_MS = 240_000;
+  /** The time in which at least half of the largest jobs of each class must have started. */
+  private static final long LARGEST_START_WITHIN_MS = 240_000;
 
-  /** The largest tenth of a class's jobs, at least one. */
-  private static final int LARGEST_OF = 10;
+  /** The largest jobs of a class are its largest tenth, at least one job. */
+  private static final int LARGEST_JOBS_ONE_IN = 10;
 
-  /** A broken rule with what led to it. */
+  /**
+   * A broken rule.
+   *
+   * @param rule name of the rule
+   * @param ms virtual time in milliseconds at which the checker noticed it
+   * @param what description of the violation
+   * @param events earlier events of the job concerned, each with its time; empty without a job
+   */
   public record Breach(String rule, long ms, String what, List<String> events) {}
 
-  /** What users submit, as far as rules need it. */
+  /**
+   * The fields of a submitted job that the rules need.
+   *
+   * @param id name of the job
+   * @param team team whose limit the job's tasks count against
+   * @param taskClass class by which served jobs are counted
+   * @param taskCount number of tasks
+   * @param cpusPerTask CPUs that each task uses
+   * @param zone zone in which the tasks must run, or null for any
+   * @param sameZone whether all tasks must run in one zone
+   * @param gang whether all tasks must start together
+   * @param submittedMs time of the first submission in milliseconds
+   */
   public record SubmittedJob(
       String id,
       String team,
@@ -48,15 +68,15 @@
   private static final class Job {
     private final SubmittedJob spec;
     private boolean accepted;
-    private boolean cancelAsked;
-    private long cancelledMs = -1;
-    private long doneMs = -1;
-    private long askedMs = -1;
+    private boolean cancellationRequested;
+    private long toldCancelledMs = -1;
+    private long toldDoneMs = -1;
+    private long firstQueryMs = -1;
     private long lastAnswerMs = -1;
-    private long begunMs = -1;
-    private final Set<Integer> completed = new HashSet<>();
-    private final Set<String> seen = new HashSet<>();
-    private final Map<String, String> on = new LinkedHashMap<>();
+    private long startedMs = -1;
+    private final Set<Integer> completedTasks = new HashSet<>();
+    private final Set<String> startedTasks = new HashSet<>();
+    private final Map<String, String> machineByTask = new LinkedHashMap<>();
     private final List<String> events = new ArrayList<>();
 
     Job(SubmittedJob spec) {
@@ -64,427 +84,501 @@
     }
   }
 
-  private final LongSupplier now;
-  private final Map<String, Double> limits;
-  private final long cancelMs;
+  private final LongSupplier clock;
+  private final Map<String, Double> cpuLimits;
+  private final long cancellationLimitMs;
   private final Map<String, Job> jobs = new TreeMap<>();
-  private final Map<String, Double> used = new TreeMap<>();
-  private final Map<String, Set<String>> machines = new TreeMap<>();
+  private final Map<String, Double> usedCpus = new TreeMap<>();
+  private final Map<String, Set<String>> tasksByMachine = new TreeMap<>();
   private final List<Breach> breaches = new ArrayList<>();
-  private Consumer<String> onStart = j -> {};
-  private Consumer<String> onCompleted = j -> {};
+  private Consumer<String> onStart = job -> {};
+  private Consumer<String> onCompleted = job -> {};
   private long startsAfterCancellation;
   private long longestRunAfterCancellationMs;
-  private long calmMs = Long.MAX_VALUE / 2;
+  private long lastFaultEndMs = Long.MAX_VALUE / 2;
   private long startedTasks;
   private long killedTasks;
   private long longestRecoveryMs;
   private long longestSilenceMs;
 
-  /** For teams with limits in CPUs. */
-  public InvariantChecker(LongSupplier now, Map<String, Double> limits, long cancelMs) {
-    this.now = now;
-    this.limits = Map.copyOf(limits);
-    this.cancelMs = cancelMs;
+  /**
+   * Creates a checker.
+   *
+   * @param clock virtual time in milliseconds
+   * @param cpuLimits each team's limit in CPUs
+   * @param cancellationLimitMs time after which no task of a cancelled job may run or start,
+   *     counted from when its user was told of the cancellation
+   */
+  public InvariantChecker(
+      LongSupplier clock, Map<String, Double> cpuLimits, long cancellationLimitMs) {
+    this.clock = clock;
+    this.cpuLimits = Map.copyOf(cpuLimits);
+    this.cancellationLimitMs = cancellationLimitMs;
   }
 
-  private static String jobOf(String task) {
+  private static String jobId(String task) {
     return task.substring(0, task.lastIndexOf('/'));
   }
 
-  private void note(Job j, String what) {
-    j.events.add(now.getAsLong() + " " + what);
+  private void addEvent(Job job, String event) {
+    job.events.add(clock.getAsLong() + " " + event);
   }
 
-  private void reportBreach(Job j, String rule, String what) {
+  private void reportBreach(Job job, String rule, String description) {
     if (breaches.size() < 20) {
       breaches.add(
-          new Breach(rule, now.getAsLong(), what, j == null ? List.of() : List.copyOf(j.events)));
+          new Breach(
+              rule,
+              clock.getAsLong(),
+              description,
+              job == null ? List.of() : List.copyOf(job.events)));
     }
   }
 
-  /** All troubles are over from then on. */
+  /** Sets the virtual time in milliseconds at which the last fault ends. */
   public void setLastFaultEndMs(long ms) {
-    calmMs = ms;
+    lastFaultEndMs = ms;
   }
 
-  /** A user is about to submit it for the first time. */
-  public void observeFirstSubmission(SubmittedJob s) {
-    jobs.put(s.id(), new Job(s));
+  /** Call before a user submits a job for the first time. */
+  public void observeFirstSubmission(SubmittedJob spec) {
+    jobs.put(spec.id(), new Job(spec));
   }
 
-  /** A user is about to ask for its cancellation. */
+  /** Call before a user requests the cancellation of a job. */
   public void observeCancellationRequest(String id) {
-    Job j = jobs.get(id);
-    if (j.doneMs >= 0) {
-      j.lastAnswerMs = now.getAsLong(); // Nobody has asked since its user was told.
+    Job job = jobs.get(id);
+    if (job.toldDoneMs >= 0) {
+      job.lastAnswerMs = clock.getAsLong(); // No poll was sent since the user was told.
     }
-    j.cancelAsked = true;
-    note(jobs.get(id), "withdrawal asked");
+    job.cancellationRequested = true;
+    addEvent(jobs.get(id), "cancellation requested");
   }
 
-  /** A user got an answer to a submission. */
-  public void observeSubmissionAnswer(String id, int status, String standing, long sentMs) {
-    Job j = jobs.get(id);
+  /** Call when a user got an answer to a submission that was sent at {@code sentMs}. */
+  public void observeSubmissionAnswer(String id, int status, String jobStatus, long sentMs) {
+    Job job = jobs.get(id);
     if (status == 200 || status == 201) {
-      if (!j.accepted) {
-        note(j, "accepted");
+      if (!job.accepted) {
+        addEvent(job, "accepted");
       }
-      j.accepted = true;
-      observeJobStatus(j, standing, sentMs);
-    } else if (j.accepted && (status == 400 || status == 422)) {
-      reportBreach(j, "forgotten", id + " got " + status + " when it was sent again");
+      job.accepted = true;
+      observeJobStatus(job, jobStatus, sentMs);
+    } else if (job.accepted && (status == 400 || status == 422)) {
+      reportBreach(job, "forgotten", id + " got " + status + " when it was submitted again");
     }
   }
 
-  /** A user asks about a job for the first time. */
+  /** Call before a user polls a job; only the first call for a job has an effect. */
   public void observeQuery(String id) {
-    Job j = jobs.get(id);
-    if (j != null && j.askedMs < 0) {
-      j.askedMs = now.getAsLong();
+    Job job = jobs.get(id);
+    if (job != null && job.firstQueryMs < 0) {
+      job.firstQueryMs = clock.getAsLong();
     }
   }
 
-  /** A user got an answer to a question or a cancellation that was sent then. */
-  public void observeJobAnswer(String id, int status, String standing, long sentMs) {
-    Job j = jobs.get(id);
-    if (j == null) {
+  /** Call when a user got an answer to a query or cancellation that was sent at {@code sentMs}. */
+  public void observeJobAnswer(String id, int status, String jobStatus, long sentMs) {
+    Job job = jobs.get(id);
+    if (job == null) {
       if (status == 200) {
-        reportBreach(null, "invented", id + " was never submitted and is " + standing);
+        reportBreach(null, "invented", id + " was never submitted but is reported as " + jobStatus);
       }
       return;
     }
-    if (status == 404 && j.accepted) {
-      reportBreach(j, "forgotten", id + " got 404");
+    if (status == 404 && job.accepted) {
+      reportBreach(job, "forgotten", id + " was accepted, but a query got 404");
     }
     if (status == 200) {
-      long gap = now.getAsLong() - Math.max(j.askedMs, j.lastAnswerMs);
-      if (j.accepted && j.askedMs >= 0 && gap >= FORGOTTEN_MS) {
-        reportBreach(j, "forgotten", id + " had no answer for " + gap + " ms");
+      long silenceMs = clock.getAsLong() - Math.max(job.firstQueryMs, job.lastAnswerMs);
+      if (job.accepted && job.firstQueryMs >= 0 && silenceMs >= MAX_UNANSWERED_MS) {
+        reportBreach(job, "forgotten", id + " had no answer for " + silenceMs + " ms");
       }
-      // However others fare, from the last trouble on.
-      long calm = now.getAsLong() - Math.max(calmMs, Math.max(j.askedMs, j.lastAnswerMs));
-      if (j.accepted && j.askedMs >= 0 && !j.cancelAsked && calm >= FORGOTTEN_AFTER_MS) {
-        reportBreach(j, "forgotten", id + " had no answer for " + calm + " ms after all troubles");
+      // Counted from the end of the last fault, or from the last answer if that came later.
+      long silenceAfterFaultsMs =
+          clock.getAsLong()
+              - Math.max(lastFaultEndMs, Math.max(job.firstQueryMs, job.lastAnswerMs));
+      if (job.accepted
+          && job.firstQueryMs >= 0
+          && !job.cancellationRequested
+          && silenceAfterFaultsMs >= MAX_UNANSWERED_AFTER_FAULTS_MS) {
+        reportBreach(
+            job,
+            "forgotten",
+            id + " had no answer for " + silenceAfterFaultsMs + " ms after the last fault");
       }
-      if (calm > 0 && j.doneMs < 0 && j.cancelledMs < 0) {
-        longestRecoveryMs = Math.max(longestRecoveryMs, calm);
+      if (silenceAfterFaultsMs > 0 && job.toldDoneMs < 0 && job.toldCancelledMs < 0) {
+        longestRecoveryMs = Math.max(longestRecoveryMs, silenceAfterFaultsMs);
       }
-      if (j.askedMs >= 0 && j.doneMs < 0 && j.cancelledMs < 0) {
-        longestSilenceMs = Math.max(longestSilenceMs, gap);
+      if (job.firstQueryMs >= 0 && job.toldDoneMs < 0 && job.toldCancelledMs < 0) {
+        longestSilenceMs = Math.max(longestSilenceMs, silenceMs);
       }
-      j.lastAnswerMs = now.getAsLong();
-      observeJobStatus(j, standing, sentMs);
+      job.lastAnswerMs = clock.getAsLong();
+      observeJobStatus(job, jobStatus, sentMs);
     }
   }
 
-  private void observeJobStatus(Job j, String standing, long sentMs) {
-    if (standing.equals("done")) {
-      if (j.cancelledMs >= 0) {
-        reportBreach(j, "went_back", j.spec.id + " was withdrawn and is done");
+  private void observeJobStatus(Job job, String jobStatus, long sentMs) {
+    if (jobStatus.equals("done")) {
+      if (job.toldCancelledMs >= 0) {
+        reportBreach(
+            job,
+            "went_back",
+            job.spec.id + " was reported as withdrawn and is now reported as done");
       }
-      if (j.completed.size() < j.spec.taskCount) {
-        reportBreach(j, "not_done", j.spec.id + " is called done with " + j.completed.size());
+      if (job.completedTasks.size() < job.spec.taskCount) {
+        reportBreach(
+            job,
+            "not_done",
+            job.spec.id + " is reported as done, completed tasks: " + job.completedTasks.size());
       }
-      if (j.doneMs < 0) {
-        j.doneMs = now.getAsLong();
-        note(j, "told done");
+      if (job.toldDoneMs < 0) {
+        job.toldDoneMs = clock.getAsLong();
+        addEvent(job, "user was told: done");
       }
-    } else if (standing.equals("withdrawn")) {
-      if (j.doneMs >= 0 || !j.cancelAsked) {
-        reportBreach(j, "went_back", j.spec.id + " is called withdrawn");
+    } else if (jobStatus.equals("withdrawn")) {
+      if (job.toldDoneMs >= 0 || !job.cancellationRequested) {
+        reportBreach(
+            job,
+            "went_back",
+            job.spec.id + " is reported as withdrawn after its end or without a request");
       }
-      if (j.cancelledMs < 0) {
-        j.cancelledMs = now.getAsLong();
-        note(j, "told withdrawn");
+      if (job.toldCancelledMs < 0) {
+        job.toldCancelledMs = clock.getAsLong();
+        addEvent(job, "user was told: withdrawn");
       }
-    } else if ((j.doneMs >= 0 && j.doneMs < sentMs)
-        || (j.cancelledMs >= 0 && j.cancelledMs < sentMs)) {
-      // What was asked before somebody was told may be answered as it was then.
-      reportBreach(j, "went_back", j.spec.id + " was over and is " + standing);
+    } else if ((job.toldDoneMs >= 0 && job.toldDoneMs < sentMs)
+        || (job.toldCancelledMs >= 0 && job.toldCancelledMs < sentMs)) {
+      // A request sent before any user was told the end may still be answered with the earlier
+      // status.
+      reportBreach(
+          job,
+          "went_back",
+          job.spec.id + " was reported as ended and is now reported as " + jobStatus);
     }
   }
 
-  /** Told of each start, before it is judged. */
-  void onStart(Consumer<String> told) {
-    this.onStart = told;
+  /** Sets a listener that gets the job id of each task start before the start is checked. */
+  void onStart(Consumer<String> listener) {
+    this.onStart = listener;
   }
 
-  /** Told of each job whose last task has just completed. */
-  void onCompleted(Consumer<String> told) {
-    this.onCompleted = told;
+  /** Sets a listener that gets the id of each job when its last task completes. */
+  void onCompleted(Consumer<String> listener) {
+    this.onCompleted = listener;
   }
 
-  /** A submission that can never run or is malformed was answered. */
-  void observeInvalidSubmissionAnswer(String what, int status) {
+  /** Call when a submission that is malformed or can never run was answered. */
+  void observeInvalidSubmissionAnswer(String defect, int status) {
     if (status == 200 || status == 201) {
-      reportBreach(null, "accepted_invalid", what + " got " + status);
+      reportBreach(null, "accepted_invalid", defect + " got " + status);
     }
   }
 
-  /** The longest that a task was on a machine after its user was told of the cancellation. */
+  /** Returns the longest time that a task stayed on a machine after its user's cancellation. */
   long longestRunAfterCancellationMs() {
     return longestRunAfterCancellationMs;
   }
 
-  /** Jobs whose users were told that they are cancelled. */
+  /** Returns how many jobs were reported to their users as cancelled. */
   int cancelledJobs() {
-    return (int) jobs.values().stream().filter(j -> j.cancelledMs >= 0).count();
+    return (int) jobs.values().stream().filter(job -> job.toldCancelledMs >= 0).count();
   }
 
-  /** Jobs whose users were told that they are done. */
+  /** Returns how many jobs were reported to their users as done. */
   int completedJobs() {
-    return (int) jobs.values().stream().filter(j -> j.doneMs >= 0).count();
+    return (int) jobs.values().stream().filter(job -> job.toldDoneMs >= 0).count();
   }
 
-  /** Tasks that started after their user was told that the job is cancelled. */
+  /** Returns how many tasks started after their job was reported to the user as cancelled. */
   long startsAfterCancellation() {
     return startsAfterCancellation;
   }
 
-  /** Jobs with a task on a machine that nobody has cancelled, and where their tasks are. */
+  /**
+   * Returns the jobs that have a task on a machine and whose cancellation was not requested, each
+   * with the machines of its tasks.
+   */
   Map<String, Set<String>> runningJobs() {
-    Map<String, Set<String>> out = new TreeMap<>();
-    for (Job j : jobs.values()) {
-      if (j.accepted && !j.cancelAsked && j.doneMs < 0 && !j.on.isEmpty()) {
-        out.put(j.spec.id, new TreeSet<>(j.on.values()));
+    Map<String, Set<String>> result = new TreeMap<>();
+    for (Job job : jobs.values()) {
+      if (job.accepted
+          && !job.cancellationRequested
+          && job.toldDoneMs < 0
+          && !job.machineByTask.isEmpty()) {
+        result.put(job.spec.id, new TreeSet<>(job.machineByTask.values()));
       }
     }
-    return out;
+    return result;
   }
 
-  /** Jobs whose users know of no end and wait for one, with how many tasks have completed. */
+  /**
+   * Returns the accepted jobs that were neither cancelled by their users nor reported to them as
+   * ended, each with the indexes of its completed tasks.
+   */
   Map<SubmittedJob, Set<Integer>> unfinishedJobs() {
-    Map<SubmittedJob, Set<Integer>> out = new LinkedHashMap<>();
-    for (Job j : jobs.values()) {
-      if (j.accepted && !j.cancelAsked && j.doneMs < 0 && j.cancelledMs < 0) {
-        out.put(j.spec, j.completed);
+    Map<SubmittedJob, Set<Integer>> result = new LinkedHashMap<>();
+    for (Job job : jobs.values()) {
+      if (job.accepted
+          && !job.cancellationRequested
+          && job.toldDoneMs < 0
+          && job.toldCancelledMs < 0) {
+        result.put(job.spec, job.completedTasks);
       }
     }
-    return out;
+    return result;
   }
 
-  /** What of its limit a team does not use. */
+  /** Returns the CPUs that a team may still use below its limit. */
   double unusedCpus(String team) {
-    return limits.get(team) - used.getOrDefault(team, 0.0);
+    return cpuLimits.get(team) - usedCpus.getOrDefault(team, 0.0);
   }
 
-  /** Something that others found broken. */
-  void reportBreach(String rule, String what) {
-    reportBreach(null, rule, what);
+  /** Adds a violation of a rule that another model checks. */
+  void reportBreach(String rule, String description) {
+    reportBreach(null, rule, description);
   }
 
-  /** What a task takes. */
+  /** Returns the CPUs that a task uses, or 0 if its job is unknown. */
   double taskCpus(String task) {
-    Job j = jobs.get(jobOf(task));
-    return j == null ? 0 : j.spec.cpusPerTask;
+    Job job = jobs.get(jobId(task));
+    return job == null ? 0 : job.spec.cpusPerTask;
   }
 
-  /** True when its user was told an end. */
+  /** Returns whether the job was reported to its user as done or cancelled. */
   boolean isEnded(String id) {
-    Job j = jobs.get(id);
-    return j != null && (j.doneMs >= 0 || j.cancelledMs >= 0);
+    Job job = jobs.get(id);
+    return job != null && (job.toldDoneMs >= 0 || job.toldCancelledMs >= 0);
   }
 
-  /** True when its user was told that it is accepted. */
+  /** Returns whether a submission of the job was accepted. */
   boolean isAccepted(String id) {
     return jobs.containsKey(id) && jobs.get(id).accepted;
   }
 
-  /** A task has its image and is on a machine. */
+  /** Call when a task has fetched its image and starts on a machine. */
   public void observeTaskStart(String task, int attempt, String machine, String zone) {
-    Job j = jobs.get(jobOf(task));
-    onStart.accept(jobOf(task));
-    note(j, "starts " + task + " try " + attempt + " on " + machine);
+    Job job = jobs.get(jobId(task));
+    onStart.accept(jobId(task));
+    addEvent(job, "starts " + task + " attempt " + attempt + " on " + machine);
     startedTasks++;
-    String other = j.on.get(task);
-    if (other != null) {
-      reportBreach(j, "ran_twice", task + " starts on " + machine + " and is on " + other);
+    String otherMachine = job.machineByTask.get(task);
+    if (otherMachine != null) {
+      reportBreach(
+          job, "ran_twice", task + " starts on " + machine + " while it runs on " + otherMachine);
     }
-    startsAfterCancellation += j.cancelledMs >= 0 ? 1 : 0;
-    if (j.cancelledMs >= 0 && now.getAsLong() > j.cancelledMs + cancelMs) {
-      reportBreach(j, "ran_cancelled", task + " starts after its job was withdrawn");
+    startsAfterCancellation += job.toldCancelledMs >= 0 ? 1 : 0;
+    if (job.toldCancelledMs >= 0 && clock.getAsLong() > job.toldCancelledMs + cancellationLimitMs) {
+      reportBreach(
+          job, "ran_cancelled", task + " starts after the time limit of its job's cancellation");
     }
-    if (j.spec.zone != null && !j.spec.zone.equals(zone)) {
-      reportBreach(j, "wrong_place", task + " starts in " + zone);
+    if (job.spec.zone != null && !job.spec.zone.equals(zone)) {
+      reportBreach(job, "wrong_place", task + " starts in " + zone);
     }
-    if (j.spec.sameZone) {
-      for (String m : j.on.values()) {
-        if (!zone.equals(zoneOf.get(m))) {
-          reportBreach(j, "wrong_place", task + " starts in " + zone + ", others are elsewhere");
+    if (job.spec.sameZone) {
+      for (String machineOfTask : job.machineByTask.values()) {
+        if (!zone.equals(zoneByMachine.get(machineOfTask))) {
+          reportBreach(
+              job,
+              "wrong_place",
+              task + " starts in " + zone + ", other tasks of its job run in another zone");
         }
       }
     }
-    zoneOf.put(machine, zone);
-    j.on.put(task, machine);
-    j.seen.add(task);
-    if (j.begunMs < 0 && j.seen.size() >= Math.min(j.spec.taskCount, atOnce(j.spec))) {
-      j.begunMs = now.getAsLong();
+    zoneByMachine.put(machine, zone);
+    job.machineByTask.put(task, machine);
+    job.startedTasks.add(task);
+    if (job.startedMs < 0
+        && job.startedTasks.size() >= Math.min(job.spec.taskCount, maxConcurrentTasks(job.spec))) {
+      job.startedMs = clock.getAsLong();
     }
-    machines.computeIfAbsent(machine, k -> new LinkedHashSet<>()).add(task);
-    double sum = used.merge(j.spec.team, j.spec.cpusPerTask, Double::sum);
-    if (sum > limits.get(j.spec.team) + 1e-6) {
-      reportBreach(j, "quota", j.spec.team + " uses " + sum);
+    tasksByMachine.computeIfAbsent(machine, k -> new LinkedHashSet<>()).add(task);
+    double teamCpus = usedCpus.merge(job.spec.team, job.spec.cpusPerTask, Double::sum);
+    if (teamCpus > cpuLimits.get(job.spec.team) + 1e-6) {
+      reportBreach(job, "quota", job.spec.team + " exceeds its limit, CPUs in use: " + teamCpus);
     }
   }
 
-  private final Map<String, String> zoneOf = new TreeMap<>();
+  private final Map<String, String> zoneByMachine = new TreeMap<>();
 
-  private void off(Job j, String task, String machine, String why) {
-    if (j.on.remove(task, machine)) {
-      note(j, why + " " + task + " on " + machine);
-      if (j.cancelledMs >= 0) {
+  private void removeFromMachine(Job job, String task, String machine, String reason) {
+    if (job.machineByTask.remove(task, machine)) {
+      addEvent(job, reason + " " + task + " on " + machine);
+      if (job.toldCancelledMs >= 0) {
         longestRunAfterCancellationMs =
-            Math.max(longestRunAfterCancellationMs, now.getAsLong() - j.cancelledMs);
+            Math.max(longestRunAfterCancellationMs, clock.getAsLong() - job.toldCancelledMs);
       }
-      machines.get(machine).remove(task);
-      used.merge(j.spec.team, -j.spec.cpusPerTask, Double::sum);
+      tasksByMachine.get(machine).remove(task);
+      usedCpus.merge(job.spec.team, -job.spec.cpusPerTask, Double::sum);
     }
   }
 
-  /** A task ended on a machine. */
+  /** Call when a task ends on a machine, either completed or stopped. */
   public void observeTaskExit(String task, String machine, boolean done) {
-    Job j = jobs.get(jobOf(task));
-    off(j, task, machine, done ? "done" : "stopped");
+    Job job = jobs.get(jobId(task));
+    removeFromMachine(job, task, machine, done ? "done" : "stopped");
     if (done
-        && j.completed.add(Integer.parseInt(task.substring(task.lastIndexOf('/') + 1)))
-        && j.completed.size() == j.spec.taskCount) {
-      onCompleted.accept(j.spec.id);
+        && job.completedTasks.add(Integer.parseInt(task.substring(task.lastIndexOf('/') + 1)))
+        && job.completedTasks.size() == job.spec.taskCount) {
+      onCompleted.accept(job.spec.id);
     }
   }
 
-  /** A task was killed by its worker's lease. */
+  /** Call when a worker kills a task because its lease ran out. */
   public void observeTaskKilledByLease(String task, String machine) {
     killedTasks++;
-    off(jobs.get(jobOf(task)), task, machine, "killed by its lease");
+    removeFromMachine(jobs.get(jobId(task)), task, machine, "killed by the worker's lease");
   }
 
-  /** A machine is gone with all that was on it. */
-  public void observeMachineGone(String machine, String why) {
-    for (String task : List.copyOf(machines.getOrDefault(machine, Set.of()))) {
-      off(jobs.get(jobOf(task)), task, machine, why);
+  /** Call when a machine is gone together with all its tasks. */
+  public void observeMachineGone(String machine, String reason) {
+    for (String task : List.copyOf(tasksByMachine.getOrDefault(machine, Set.of()))) {
+      removeFromMachine(jobs.get(jobId(task)), task, machine, reason);
     }
   }
 
-  /** Once a second: what must be gone by now. */
+  /** Checks that no task of a cancelled job runs past the limit; call once a second. */
   public void checkCancelledJobs() {
-    for (Job j : jobs.values()) {
-      if (j.cancelledMs >= 0 && now.getAsLong() > j.cancelledMs + cancelMs && !j.on.isEmpty()) {
-        reportBreach(j, "ran_cancelled", j.on + " long after the withdrawal");
-        j.cancelledMs = now.getAsLong(); // Said once.
+    for (Job job : jobs.values()) {
+      if (job.toldCancelledMs >= 0
+          && clock.getAsLong() > job.toldCancelledMs + cancellationLimitMs
+          && !job.machineByTask.isEmpty()) {
+        reportBreach(
+            job,
+            "ran_cancelled",
+            job.machineByTask + " still run after the time limit of the cancellation");
+        job.toldCancelledMs = clock.getAsLong(); // Reports the violation once, not every second.
       }
     }
   }
 
   /**
-   * At the end: nothing ran, and who was served. A job is served when its user was told that it is
-   * over within {@code servedMs} of its first submission.
+   * Checks at the end that tasks ran, that every accepted job got an end and answers, and that at
+   * least half of the jobs of each class and team were served and half of the largest jobs of each
+   * class started in time. A job is served if its user was told its end within {@code
+   * servedWithinMs} of the first submission.
    */
-  public void checkAtEnd(long servedMs) {
+  public void checkAtEnd(long servedWithinMs) {
     if (startedTasks == 0) {
       reportBreach(null, "nothing_ran", "no task was started");
     }
-    for (Job j : jobs.values()) {
-      long from = Math.max(calmMs, Math.max(j.askedMs, j.lastAnswerMs));
-      if (j.accepted
-          && j.doneMs < 0
-          && j.cancelledMs < 0
-          && now.getAsLong() - from >= FORGOTTEN_AFTER_MS) {
-        reportBreach(j, "forgotten", j.spec.id + " has no answer since " + j.lastAnswerMs);
+    for (Job job : jobs.values()) {
+      long unansweredSinceMs =
+          Math.max(lastFaultEndMs, Math.max(job.firstQueryMs, job.lastAnswerMs));
+      if (job.accepted
+          && job.toldDoneMs < 0
+          && job.toldCancelledMs < 0
+          && clock.getAsLong() - unansweredSinceMs >= MAX_UNANSWERED_AFTER_FAULTS_MS) {
+        reportBreach(
+            job, "forgotten", job.spec.id + " has had no answer since ms " + job.lastAnswerMs);
       }
-      if (j.accepted && j.doneMs < 0 && j.cancelledMs < 0) {
-        reportBreach(j, "stuck", j.spec.id + " was accepted and has no end; on machines: " + j.on);
+      if (job.accepted && job.toldDoneMs < 0 && job.toldCancelledMs < 0) {
+        reportBreach(
+            job,
+            "stuck",
+            job.spec.id
+                + " was accepted but not reported as ended; tasks on machines: "
+                + job.machineByTask);
       }
     }
-    for (Map.Entry<String, double[]> e : largestJobsStarted().entrySet()) {
-      if (2 * e.getValue()[0] < e.getValue()[1]) {
+    for (Map.Entry<String, double[]> entry : largestJobsStarted().entrySet()) {
+      if (2 * entry.getValue()[0] < entry.getValue()[1]) {
         reportBreach(
             null,
             "begun",
-            e.getKey() + ": " + (int) e.getValue()[0] + " of " + (int) e.getValue()[1]);
+            entry.getKey() + ": " + (int) entry.getValue()[0] + " of " + (int) entry.getValue()[1]);
       }
     }
-    for (Map.Entry<String, double[]> e : servedCounts(servedMs).entrySet()) {
-      if (2 * e.getValue()[0] < e.getValue()[1]) {
+    for (Map.Entry<String, double[]> entry : servedCounts(servedWithinMs).entrySet()) {
+      if (2 * entry.getValue()[0] < entry.getValue()[1]) {
         reportBreach(
             null,
             "served",
-            e.getKey() + ": " + (int) e.getValue()[0] + " of " + (int) e.getValue()[1]);
+            entry.getKey() + ": " + (int) entry.getValue()[0] + " of " + (int) entry.getValue()[1]);
       }
     }
   }
 
-  /** Jobs served and jobs due, by class and by team. */
-  public Map<String, double[]> servedCounts(long servedMs) {
-    Map<String, double[]> out = new TreeMap<>();
-    for (Job j : jobs.values()) {
-      long over = Math.max(j.doneMs, j.cancelledMs);
-      for (String key : List.of("class " + j.spec.taskClass, "team " + j.spec.team)) {
-        double[] of = out.computeIfAbsent(key, k -> new double[2]);
-        of[0] += over >= 0 && over - j.spec.submittedMs <= servedMs ? 1 : 0;
-        of[1]++;
+  /** Returns the numbers of served and of submitted jobs for each class and each team. */
+  public Map<String, double[]> servedCounts(long servedWithinMs) {
+    Map<String, double[]> result = new TreeMap<>();
+    for (Job job : jobs.values()) {
+      long endMs = Math.max(job.toldDoneMs, job.toldCancelledMs);
+      for (String key : List.of("class " + job.spec.taskClass, "team " + job.spec.team)) {
+        double[] counts = result.computeIfAbsent(key, k -> new double[2]);
+        counts[0] += endMs >= 0 && endMs - job.spec.submittedMs <= servedWithinMs ? 1 : 0;
+        counts[1]++;
       }
     }
-    return out;
+    return result;
   }
 
-  private int atOnce(SubmittedJob s) {
-    return (int) Math.floor((limits.get(s.team()) + 1e-6) / s.cpusPerTask());
+  private int maxConcurrentTasks(SubmittedJob spec) {
+    return (int) Math.floor((cpuLimits.get(spec.team()) + 1e-6) / spec.cpusPerTask());
   }
 
-  /** Of each class's largest jobs those that began in time, and all of them. */
+  /**
+   * Returns for each class how many of its largest jobs started in time, and how many are due. A
+   * job has started once all its tasks did, or as many as its team's limit allows at a time.
+   */
   public Map<String, double[]> largestJobsStarted() {
     Map<String, List<Job>> byClass = new TreeMap<>();
-    for (Job j : jobs.values()) {
-      boolean due = j.begunMs >= 0 || now.getAsLong() - j.spec.submittedMs > BEGIN_MS;
-      if (j.accepted && !j.cancelAsked && due) {
-        byClass.computeIfAbsent("largest " + j.spec.taskClass, k -> new ArrayList<>()).add(j);
+    for (Job job : jobs.values()) {
+      boolean due =
+          job.startedMs >= 0 || clock.getAsLong() - job.spec.submittedMs > LARGEST_START_WITHIN_MS;
+      if (job.accepted && !job.cancellationRequested && due) {
+        byClass.computeIfAbsent("largest " + job.spec.taskClass, k -> new ArrayList<>()).add(job);
       }
     }
-    Map<String, double[]> out = new TreeMap<>();
+    Map<String, double[]> result = new TreeMap<>();
     byClass.forEach(
-        (key, all) -> {
-          all.sort(Comparator.comparingInt((Job j) -> -j.spec.taskCount));
-          double[] of = new double[2];
-          for (Job j : all.subList(0, Math.max(1, all.size() / LARGEST_OF))) {
-            of[0] += j.begunMs >= 0 && j.begunMs - j.spec.submittedMs <= BEGIN_MS ? 1 : 0;
-            of[1]++;
+        (key, classJobs) -> {
+          classJobs.sort(Comparator.comparingInt((Job job) -> -job.spec.taskCount));
+          double[] counts = new double[2];
+          for (Job job :
+              classJobs.subList(0, Math.max(1, classJobs.size() / LARGEST_JOBS_ONE_IN))) {
+            counts[0] +=
+                job.startedMs >= 0
+                        && job.startedMs - job.spec.submittedMs <= LARGEST_START_WITHIN_MS
+                    ? 1
+                    : 0;
+            counts[1]++;
           }
-          out.put(key, of);
+          result.put(key, counts);
         });
-    return out;
+    return result;
   }
 
-  /** Jobs that were accepted and whose users have not been told an end. */
+  /** Returns how many accepted jobs were not reported to their users as ended. */
   public int unfinishedJobCount() {
-    int n = 0;
-    for (Job j : jobs.values()) {
-      n += j.accepted && j.doneMs < 0 && j.cancelledMs < 0 ? 1 : 0;
+    int count = 0;
+    for (Job job : jobs.values()) {
+      count += job.accepted && job.toldDoneMs < 0 && job.toldCancelledMs < 0 ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
-  /** What was broken, in order. */
+  /** Returns the violations in the order in which they were found, at most 20. */
   public List<Breach> breaches() {
     return breaches;
   }
 
-  /** Tasks started so far. */
+  /** Returns how many tasks have started, repeated starts included. */
   public long startedTasks() {
     return startedTasks;
   }
 
-  /** The longest that a user went without an answer about a job. */
+  /** Returns the longest time in milliseconds that a user had no answer about a job. */
   public long longestSilenceMs() {
     return longestSilenceMs;
   }
 
-  /** The longest that a job had no answer after all troubles. */
+  /** Returns the longest time that a user had no answer after the end of the last fault. */
   public long longestRecoveryMs() {
     return longestRecoveryMs;
   }
 
-  /** Tasks killed by their workers' leases. */
+  /** Returns how many tasks were killed because their worker's lease ran out. */
   public long killedTasks() {
     return killedTasks;
   }
--- a/src/main/java/org/mallowroad/simulation/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -9,35 +9,35 @@
 import org.mallowroad.net.RequestSender;
 
 /**
- * Requests and answers between parties, each over a link of its own direction. Messages of one link
- * keep their order. A cut decides about each message at the moment when it sets out.
+ * Models the network between all parties. Each ordered pair of parties has a link that delivers
+ * messages in the order in which they were sent. Cuts apply to a message when it is sent.
  */
 final class Network {
   /** What a cut does with messages. */
   enum Mode {
-    /** Connections are refused: certainly not sent. */
+    /** Connections are refused; the sender knows that nothing was sent. */
     REFUSE,
-    /** Connections are reset: the sender learns it at once, and cannot know what arrived. */
+    /** Connections are reset; the sender learns it at once, but not whether the message arrived. */
     RESET,
-    /** Nothing is said; what was sent arrives when the cut is over. */
+    /** Messages are held without notice; half of the requests, and all answers, arrive later. */
     HOLD,
-    /** Nothing is said, and nothing arrives later. */
+    /** Messages are lost without notice. */
     LOST,
-    /** Now and then a message is lost and sent again. */
+    /** A quarter of the messages are lost and retransmitted, up to four times. */
     LOSSY
   }
 
-  /** Who can send and receive. */
+  /** A sender and receiver of messages. */
   static class Party extends EventQueue.Actor {
     final Kind kind;
     final int index;
     final String name;
     final String zone;
 
-    /** True while nothing that is sent to it arrives, though what it sends does. */
+    /** While true, messages to this party are lost, but messages from it arrive. */
     boolean inboundLost;
 
-    /** True while it reaches no controller, though they reach it. */
+    /** While true, its requests to controllers are lost, but controllers reach it. */
     boolean outboundLost;
 
     Party(Kind kind, int index, String name, String zone) {
@@ -47,16 +47,16 @@
       this.zone = zone;
     }
 
-    /** Takes a request; the default says nothing. */
+    /** Handles a request; the default implementation never answers. */
     void handleRequest(Party from, String method, String target, byte[] body, Reply reply) {}
 
-    /** False where nothing listens although the machine is there. */
+    /** Returns whether it accepts requests; a machine without a running process does not. */
     boolean isListening() {
       return isAlive();
     }
   }
 
-  /** Kinds of parties. */
+  /** The kinds of parties. */
   enum Kind {
     NODE,
     STATE,
@@ -65,12 +65,14 @@
     USERS
   }
 
-  /** Gives the one answer to a request. */
+  /** Sends the answer to a request; called at most once. */
   interface Reply {
     void answer(int status, byte[] body);
   }
 
-  /** One end of a cut: all parties of a kind, or one of them, or those of a zone. */
+  /**
+   * Selects the parties at one end of a cut: a null kind or zone, or a negative index, matches all.
+   */
   record PartySelector(Kind kind, int index, String zone) {
     boolean matches(Party p) {
       return (kind == null || p.kind == kind)
@@ -79,13 +81,13 @@
     }
   }
 
-  /** Messages from one end to the other fail until it is lifted. */
+  /** A cut of the links from one group of parties to another, until it is lifted. */
   private static final class Cut {
     private final PartySelector from;
     private final PartySelector to;
     private final Mode mode;
-    private final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    private boolean over;
+    private final ArrayDeque<Runnable> heldMessages = new ArrayDeque<>();
+    private boolean lifted;
 
     Cut(PartySelector from, PartySelector to, Mode mode) {
       this.from = from;
@@ -93,311 +95,359 @@
       this.mode = mode;
     }
 
-    boolean cuts(Party a, Party b) {
-      // A zone that is cut from everything goes on inside.
-      return !over
-          && from.matches(a)
-          && to.matches(b)
-          && !(to.kind == null && to.zone == null && from.zone != null && from.zone.equals(b.zone))
-          && !(from.kind == null && from.zone == null && to.zone != null && to.zone.equals(a.zone));
+    boolean applies(Party sender, Party receiver) {
+      // If a zone is cut off from all parties, links inside the zone still work.
+      return !lifted
+          && from.matches(sender)
+          && to.matches(receiver)
+          && !(to.kind == null
+              && to.zone == null
+              && from.zone != null
+              && from.zone.equals(receiver.zone))
+          && !(from.kind == null
+              && from.zone == null
+              && to.zone != null
+              && to.zone.equals(sender.zone));
     }
   }
 
-  /** What a deaf or mute party's messages run into: nothing is said, and nothing held. */
-  private static final Cut SILENCE = new Cut(null, null, Mode.LOST);
+  /** Applies to messages lost because of a party's inboundLost or outboundLost flag. */
+  private static final Cut SILENT_LOSS = new Cut(null, null, Mode.LOST);
 
   private static final long LATENCY_US = 400;
-  private static final long AGAIN_US = 220_000;
+  private static final long RETRANSMISSION_US = 220_000;
 
-  /** A copy comes this much later at the most. */
-  private static final long COPY_US = 60_000_000;
+  /** A duplicate of a request arrives up to this much later. */
+  private static final long DUPLICATE_SPREAD_US = 60_000_000;
 
-  private final EventQueue time;
+  private final EventQueue eventQueue;
   private final SplittableRandom random;
   private final List<Cut> cuts = new ArrayList<>();
-  private final Map<Long, Long> last = new HashMap<>();
-  private final Map<Party, Integer> ids = new HashMap<>();
+  private final Map<Long, Long> lastArrivalUs = new HashMap<>();
+  private final Map<Party, Integer> partyIds = new HashMap<>();
 
-  /** While above 0, one request in so many that was delivered comes once more. */
+  /** If above 0, one in this many delivered requests is delivered a second time. */
   int duplicateOneIn;
 
-  /** While above 0, one report in so many comes once more, to any controller, much later. */
+  /** If above 0, a copy of one in this many reports reaches a random controller much later. */
   int lateReportOneIn;
 
-  /** While above 0, one transaction in so many is carried out late and never answered. */
+  /** If above 0, one in this many transactions is executed late and never answered. */
   int lateWriteOneIn;
 
-  /** While above 0, one transaction in so many is carried out, and its answer is lost. */
+  /** If above 0, one in this many transactions is executed at once, but its answer is lost. */
   int lostAnswerOneIn;
 
-  /** While above 0, one direct command in so many is carried out late and never answered. */
+  /** If above 0, one in this many direct commands is executed late and never answered. */
   int lateCommandOneIn;
 
-  /** While above 0, a copy of one report in so many is kept for {@link #replayReports}. */
+  /** If above 0, a copy of one in this many reports is stored for {@link #replayReports}. */
   int replayReportOneIn;
 
   private record ReplayedReport(Party from, byte[] body) {}
 
   private final ArrayDeque<ReplayedReport> reportsToReplay = new ArrayDeque<>();
 
-  /** Reports that are kept; the oldest go first. */
-  private static final int MOST_KEPT = 200;
+  /** Maximum number of stored reports; the oldest are dropped first. */
+  private static final int MAX_REPORTS_TO_REPLAY = 200;
 
-  /** A late transaction or command comes this much later at least. */
-  private static final long LATE_US = 2_000_000;
+  /** Minimum delay of a late transaction or command. */
+  private static final long MIN_LATE_US = 2_000_000;
 
-  private static final long MOST_LATE_WRITE_US = 10_000_000;
-  private static final long MOST_LATE_COMMAND_US = 14_000_000;
+  private static final long LATE_WRITE_SPREAD_US = 10_000_000;
+  private static final long LATE_COMMAND_SPREAD_US = 14_000_000;
 
-  /** A late copy of a report comes this much later at the most: several leases. */
-  private static final long LATE_REPORT_US = 60_000_000;
+  /** Maximum extra delay of a late report copy, which is longer than several leases. */
+  private static final long LATE_REPORT_SPREAD_US = 60_000_000;
 
-  Network(EventQueue time, SplittableRandom random) {
-    this.time = time;
+  Network(EventQueue eventQueue, SplittableRandom random) {
+    this.eventQueue = eventQueue;
     this.random = random;
   }
 
-  /** Cuts a direction; what comes back lifts the cut and lets go what was held, in order. */
+  /**
+   * Cuts the links in one direction.
+   *
+   * @return an action that lifts the cut and sends the held messages in their order
+   */
   Runnable cut(PartySelector from, PartySelector to, Mode mode) {
-    Cut c = new Cut(from, to, mode);
-    cuts.add(c);
+    Cut cut = new Cut(from, to, mode);
+    cuts.add(cut);
     return () -> {
-      c.over = true;
-      cuts.remove(c);
-      Runnable r;
-      while ((r = c.held.pollFirst()) != null) {
-        r.run();
+      cut.lifted = true;
+      cuts.remove(cut);
+      Runnable message;
+      while ((message = cut.heldMessages.pollFirst()) != null) {
+        message.run();
       }
     };
   }
 
-  /** Changes answers of controllers to users; tests of the checker put a faulty service here. */
+  /** Changes answers of controllers to users, so that tests can simulate a faulty service. */
   interface AnswerFilter {
     byte[] answer(Party from, String target, byte[] body);
   }
 
   AnswerFilter answerFilter = (from, target, body) -> body;
 
-  private Cut cutting(Party a, Party b) {
-    if (b.inboundLost) {
-      return SILENCE;
+  private Cut activeCut(Party sender, Party receiver) {
+    if (receiver.inboundLost) {
+      return SILENT_LOSS;
     }
-    for (Cut c : cuts) {
-      if (c.mode != Mode.LOSSY && c.cuts(a, b)) {
-        return c;
+    for (Cut cut : cuts) {
+      if (cut.mode != Mode.LOSSY && cut.applies(sender, receiver)) {
+        return cut;
       }
     }
     return null;
   }
 
-  /** Delivers in order on the link, after the way's time. */
-  private void travel(Party a, Party b, Runnable arrival) {
-    long us = LATENCY_US + random.nextLong(LATENCY_US * (same(a, b) ? 1 : 4));
-    for (Cut c : cuts) {
-      if (c.mode == Mode.LOSSY && c.cuts(a, b) && random.nextInt(4) == 0) {
-        us += AGAIN_US * (1 + random.nextInt(4));
+  /** Delivers a message after the link's latency and after all earlier messages on the link. */
+  private void deliver(Party sender, Party receiver, Runnable arrival) {
+    long delayUs =
+        LATENCY_US + random.nextLong(LATENCY_US * (inSameZone(sender, receiver) ? 1 : 4));
+    for (Cut cut : cuts) {
+      if (cut.mode == Mode.LOSSY && cut.applies(sender, receiver) && random.nextInt(4) == 0) {
+        delayUs += RETRANSMISSION_US * (1 + random.nextInt(4));
       }
     }
-    long link = ((long) id(a) << 32) | id(b);
-    long at = Math.max(time.nowUs() + us, last.getOrDefault(link, 0L) + 1);
-    last.put(link, at);
-    time.schedule(at - time.nowUs(), null, arrival);
+    long link = ((long) partyId(sender) << 32) | partyId(receiver);
+    long arrivalUs =
+        Math.max(eventQueue.nowUs() + delayUs, lastArrivalUs.getOrDefault(link, 0L) + 1);
+    lastArrivalUs.put(link, arrivalUs);
+    eventQueue.schedule(arrivalUs - eventQueue.nowUs(), null, arrival);
   }
 
-  private int id(Party p) {
-    return ids.computeIfAbsent(p, x -> ids.size());
+  private int partyId(Party party) {
+    return partyIds.computeIfAbsent(party, x -> partyIds.size());
   }
 
-  private static boolean same(Party a, Party b) {
-    return a.zone != null && a.zone.equals(b.zone);
+  private static boolean inSameZone(Party sender, Party receiver) {
+    return sender.zone != null && sender.zone.equals(receiver.zone);
   }
 
-  /** Sends a request; exactly one of the answer's methods is called, on the sender's life. */
+  /**
+   * Sends a request. Exactly one method of the handler is called, unless the sender's process ends
+   * before.
+   */
   void call(
-      Party a,
-      Party b,
+      Party sender,
+      Party receiver,
       String method,
       String target,
       byte[] body,
       long timeoutMs,
-      RequestSender.ResponseHandler answer) {
-    Call call = new Call(a);
-    time.schedule(timeoutMs * 1000, a, () -> call.end(() -> answer.failed(true)));
+      RequestSender.ResponseHandler responseHandler) {
+    Call call = new Call(sender);
+    eventQueue.schedule(
+        timeoutMs * 1000, sender, () -> call.complete(() -> responseHandler.failed(true)));
     Runnable arrival =
         () -> {
-          if (!b.isListening()) {
-            // A process that is gone refuses; a machine that is gone says nothing.
-            if (b.kind == Kind.NODE) {
-              back(b, a, () -> call.end(() -> answer.failed(false)));
+          if (!receiver.isListening()) {
+            // The host of an ended controller refuses connections; a lost machine does not answer.
+            if (receiver.kind == Kind.NODE) {
+              sendAnswer(
+                  receiver, sender, () -> call.complete(() -> responseHandler.failed(false)));
             }
             return;
           }
-          time.schedule(
+          eventQueue.schedule(
               0,
-              b,
+              receiver,
               () ->
-                  b.handleRequest(
-                      a,
+                  receiver.handleRequest(
+                      sender,
                       method,
                       target,
                       body,
                       (status, bytes) ->
-                          back(
-                              b,
-                              a,
+                          sendAnswer(
+                              receiver,
+                              sender,
                               () ->
-                                  call.end(
+                                  call.complete(
                                       () ->
-                                          answer.answered(
+                                          responseHandler.answered(
                                               status,
-                                              a.kind == Kind.USERS
-                                                  ? answerFilter.answer(b, target, bytes)
+                                              sender.kind == Kind.USERS
+                                                  ? answerFilter.answer(receiver, target, bytes)
                                                   : bytes)))));
         };
     if (lateWriteOneIn > 0 && target.equals("/multi") && random.nextInt(lateWriteOneIn) == 0) {
-      // Carried out after newer ones of the same sender, who never hears of it.
-      unanswered(a, b, method, target, body, LATE_US + random.nextLong(MOST_LATE_WRITE_US));
+      // Executed after newer transactions of the same sender, which gets no answer.
+      deliverWithoutAnswer(
+          sender,
+          receiver,
+          method,
+          target,
+          body,
+          MIN_LATE_US + random.nextLong(LATE_WRITE_SPREAD_US));
       return;
     }
     if (lateCommandOneIn > 0 && target.equals("/orders") && random.nextInt(lateCommandOneIn) == 0) {
-      unanswered(a, b, method, target, body, LATE_US + random.nextLong(MOST_LATE_COMMAND_US));
+      deliverWithoutAnswer(
+          sender,
+          receiver,
+          method,
+          target,
+          body,
+          MIN_LATE_US + random.nextLong(LATE_COMMAND_SPREAD_US));
       return;
     }
     if (lostAnswerOneIn > 0 && target.equals("/multi") && random.nextInt(lostAnswerOneIn) == 0) {
-      unanswered(a, b, method, target, body, LATENCY_US);
+      deliverWithoutAnswer(sender, receiver, method, target, body, LATENCY_US);
       return;
     }
     if (replayReportOneIn > 0
         && target.equals("/v1/report")
-        && a.kind == Kind.WORKER
+        && sender.kind == Kind.WORKER
         && random.nextInt(replayReportOneIn) == 0) {
-      reportsToReplay.add(new ReplayedReport(a, body));
-      if (reportsToReplay.size() > MOST_KEPT) {
+      reportsToReplay.add(new ReplayedReport(sender, body));
+      if (reportsToReplay.size() > MAX_REPORTS_TO_REPLAY) {
         reportsToReplay.removeFirst();
       }
     }
     if (lateReportOneIn > 0
         && target.equals("/v1/report")
-        && a.kind == Kind.WORKER
+        && sender.kind == Kind.WORKER
         && random.nextInt(lateReportOneIn) == 0) {
-      lateReport(a, body);
+      scheduleLateReport(sender, body);
     }
-    Cut c = a.outboundLost && b.kind == Kind.NODE ? SILENCE : cutting(a, b);
-    if (c == null) {
-      travel(a, b, arrival);
-      if (duplicateOneIn > 0 && a.kind != Kind.USERS && random.nextInt(duplicateOneIn) == 0) {
-        copy(a, b, method, target, body);
+    Cut cut =
+        sender.outboundLost && receiver.kind == Kind.NODE
+            ? SILENT_LOSS
+            : activeCut(sender, receiver);
+    if (cut == null) {
+      deliver(sender, receiver, arrival);
+      if (duplicateOneIn > 0 && sender.kind != Kind.USERS && random.nextInt(duplicateOneIn) == 0) {
+        scheduleDuplicate(sender, receiver, method, target, body);
       }
       return;
     }
-    switch (c.mode) {
+    switch (cut.mode) {
       case LOST -> {
-        // The caller's own time is all that ends it.
+        // The call ends with its timeout.
       }
-      case REFUSE -> time.schedule(LATENCY_US, a, () -> call.end(() -> answer.failed(false)));
-      case RESET -> time.schedule(LATENCY_US, a, () -> call.end(() -> answer.failed(true)));
+      case REFUSE ->
+          eventQueue.schedule(
+              LATENCY_US, sender, () -> call.complete(() -> responseHandler.failed(false)));
+      case RESET ->
+          eventQueue.schedule(
+              LATENCY_US, sender, () -> call.complete(() -> responseHandler.failed(true)));
       default -> {
-        // A connection attempt that is given up does not complete later; one that stood does.
+        // Half of the requests are sent on open connections and arrive after the cut. The others
+        // are connection attempts that the sender gives up, and never arrive.
         if (random.nextBoolean()) {
-          c.held.add(() -> travel(a, b, arrival));
+          cut.heldMessages.add(() -> deliver(sender, receiver, arrival));
         }
       }
     }
   }
 
-  /** The controllers, to which late copies of reports go. */
+  /** The controllers, which receive late and replayed reports. */
   List<? extends Party> controllers = List.of();
 
-  private void lateReport(Party from, byte[] body) {
-    Party to = controllers.get(random.nextInt(controllers.size()));
-    time.schedule(
-        2_000_000 + random.nextLong(LATE_REPORT_US),
+  private void scheduleLateReport(Party from, byte[] body) {
+    Party receiver = controllers.get(random.nextInt(controllers.size()));
+    eventQueue.schedule(
+        2_000_000 + random.nextLong(LATE_REPORT_SPREAD_US),
         null,
         () -> {
-          if (to.isListening()) {
-            time.schedule(
-                0, to, () -> to.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
+          if (receiver.isListening()) {
+            eventQueue.schedule(
+                0,
+                receiver,
+                () -> receiver.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
           }
         });
   }
 
-  /** Delivers a request after a while; its sender never gets an answer. */
-  private void unanswered(
-      Party a, Party b, String method, String target, byte[] body, long afterUs) {
-    time.schedule(
-        afterUs,
+  /** Delivers a request after a delay; the sender never gets an answer. */
+  private void deliverWithoutAnswer(
+      Party sender, Party receiver, String method, String target, byte[] body, long delayUs) {
+    eventQueue.schedule(
+        delayUs,
         null,
         () -> {
-          if (b.isListening()) {
-            time.schedule(
-                0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
+          if (receiver.isListening()) {
+            eventQueue.schedule(
+                0,
+                receiver,
+                () -> receiver.handleRequest(sender, method, target, body, (status, bytes) -> {}));
           }
         });
   }
 
   /**
-   * Delivers the kept reports to every controller.
+   * Delivers the stored reports to every controller.
    *
-   * @return how many there were
+   * @return the number of stored reports
    */
   int replayReports() {
     int count = reportsToReplay.size();
     ReplayedReport report;
     while ((report = reportsToReplay.pollFirst()) != null) {
-      for (Party to : controllers) {
-        long us = LATENCY_US + random.nextLong(COPY_SPREAD_US);
-        unanswered(report.from, to, "POST", "/v1/report", report.body, us);
+      for (Party receiver : controllers) {
+        long delayUs = LATENCY_US + random.nextLong(REPLAY_SPREAD_US);
+        deliverWithoutAnswer(report.from, receiver, "POST", "/v1/report", report.body, delayUs);
       }
     }
     return count;
   }
 
-  /** Within so long all kept reports arrive. */
-  private static final long COPY_SPREAD_US = 200_000;
+  /** Time in which all replayed reports arrive. */
+  private static final long REPLAY_SPREAD_US = 200_000;
 
-  /** The same request once more; nobody waits for its answer. */
-  private void copy(Party a, Party b, String method, String target, byte[] body) {
-    Runnable lands =
+  /** Delivers a request a second time, up to a minute later; its answer is dropped. */
+  private void scheduleDuplicate(
+      Party sender, Party receiver, String method, String target, byte[] body) {
+    Runnable delivery =
         () -> {
-          if (b.isListening()) {
-            time.schedule(
-                0, b, () -> b.handleRequest(a, method, target, body, (status, bytes) -> {}));
+          if (receiver.isListening()) {
+            eventQueue.schedule(
+                0,
+                receiver,
+                () -> receiver.handleRequest(sender, method, target, body, (status, bytes) -> {}));
           }
         };
-    time.schedule(LATENCY_US + random.nextLong(COPY_US), null, lands);
+    eventQueue.schedule(LATENCY_US + random.nextLong(DUPLICATE_SPREAD_US), null, delivery);
   }
 
-  /** An answer on its way; one that is cut off by a reset leaves the asker without any. */
-  private void back(Party b, Party a, Runnable arrival) {
-    Cut c = cutting(b, a);
-    int life = a.generation();
-    Runnable lands =
+  /**
+   * Sends an answer. A cut in mode {@link Mode#HOLD} delays it; any other cut except {@link
+   * Mode#LOSSY} loses it, and the call ends with its timeout.
+   */
+  private void sendAnswer(Party receiver, Party sender, Runnable arrival) {
+    Cut cut = activeCut(receiver, sender);
+    int generation = sender.generation();
+    Runnable delivery =
         () -> {
-          if (a.generation() == life) {
-            time.schedule(0, a, arrival);
+          if (sender.generation() == generation) {
+            eventQueue.schedule(0, sender, arrival);
           }
         };
-    if (c == null) {
-      travel(b, a, lands);
-    } else if (c.mode == Mode.HOLD) {
-      c.held.add(() -> travel(b, a, lands));
+    if (cut == null) {
+      deliver(receiver, sender, delivery);
+    } else if (cut.mode == Mode.HOLD) {
+      cut.heldMessages.add(() -> deliver(receiver, sender, delivery));
     }
   }
 
+  /** A call that completes at most once and only while its caller's process lives. */
   private static final class Call {
-    private final Party of;
-    private final int life;
-    private boolean over;
+    private final Party caller;
+    private final int generation;
+    private boolean completed;
 
-    Call(Party of) {
-      this.of = of;
-      this.life = of.generation();
+    Call(Party caller) {
+      this.caller = caller;
+      this.generation = caller.generation();
     }
 
-    void end(Runnable last) {
-      if (!over && of.generation() == life) {
-        over = true;
-        last.run();
+    void complete(Runnable callback) {
+      if (!completed && caller.generation() == generation) {
+        completed = true;
+        callback.run();
       }
     }
   }
--- a/src/main/java/org/mallowroad/simulation/RatingModel.java
+++ b/src/main/java/org/mallowroad/simulation/RatingModel.java
@@ -19,159 +19,191 @@
 import org.mallowroad.wire.Json;
 
 /**
- * Users whose jobs fold games, some of the same ones at the same moment, with corrections, and
- * prints that wait for jobs and games; and what must be so whatever fails. It knows what users
- * asked for and what stands in the store.
+ * Models users of rating jobs, which fold games, and of print jobs, which depend on other jobs and
+ * on games. Some rating jobs fold the same games at the same time, and some correct earlier folds.
+ * The model also checks the rules of folds and prints, from the users' requests and the stored
+ * records.
  */
 final class RatingModel {
-  /** A side that a job was submitted to fold. */
+  /**
+   * One side of a game that a job was submitted to fold.
+   *
+   * @param game number of the game
+   * @param member the member whose side it is
+   * @param revision revision of the game's result; corrections have higher ones
+   */
   record Want(long game, String member, long revision) {}
 
   private static final String LEAGUE = "pnw-2026";
 
-  /** Games of the one large job: more blocks than a transaction takes. */
-  private static final int LARGE = 520;
+  /** Number of games of the one large job; their blocks do not fit into one transaction. */
+  private static final int LARGE_JOB_GAMES = 520;
 
-  private static final int FROM_LARGE = 1_000;
+  private static final int LARGE_JOB_FIRST_GAME = 1_000;
 
-  private final EventQueue time;
+  private final EventQueue eventQueue;
   private final SplittableRandom random;
   private final UserModel users;
   private final InvariantChecker checker;
   private final InMemoryKeyValueStore store;
   private final Map<String, List<Want>> requestedSides = new TreeMap<>();
   private final Map<String, List<String>> awaitedJobs = new TreeMap<>();
-  private final Map<String, Long> upTo = new HashMap<>();
+  private final Map<String, Long> awaitedGame = new HashMap<>();
 
   RatingModel(
-      EventQueue time,
+      EventQueue eventQueue,
       SplittableRandom random,
       UserModel users,
       InvariantChecker checker,
       InMemoryKeyValueStore store) {
-    this.time = time;
+    this.eventQueue = eventQueue;
     this.random = random;
     this.users = users;
     this.checker = checker;
     this.store = store;
-    checker.onStart(this::starts);
+    checker.onStart(this::checkPrintStart);
   }
 
-  /** Judges only, what it is told of. */
+  /** Creates a model that submits nothing and only checks the jobs that it is given. */
   RatingModel(InvariantChecker checker, InMemoryKeyValueStore store) {
     this(null, null, null, checker, store);
   }
 
-  /** A job was submitted to fold these. */
-  void addRatingJob(String job, List<Want> want) {
-    requestedSides.put(job, want);
+  /** Adds a rating job and the sides that it was submitted to fold. */
+  void addRatingJob(String job, List<Want> sides) {
+    requestedSides.put(job, sides);
   }
 
-  /** A print was submitted that waits for these. */
+  /** Adds a print job and the jobs that it depends on. */
   void addPrintJob(String job, List<String> jobs) {
     awaitedJobs.put(job, jobs);
   }
 
   /**
-   * Draws so many rating jobs; a third of them overlaps, every other one is followed by a print.
+   * Schedules random rating jobs and one large one. About a third of them fold games of other jobs,
+   * about a third are followed by a correction, and every other one has a dependent print job.
    */
-  void scheduleJobs(int count, long loadMs) {
+  void scheduleJobs(int count, long periodMs) {
     for (int i = 0; i < count; i++) {
-      long at = 2_000 + random.nextLong(loadMs);
-      int from = 8 * (random.nextInt(3) == 0 ? random.nextInt(count) : i);
-      fold(String.format("job-8%05d", i), at, from, 8 + 4 * random.nextInt(3), 1, i % 9 == 8);
+      long submittedMs = 2_000 + random.nextLong(periodMs);
+      int firstGame = 8 * (random.nextInt(3) == 0 ? random.nextInt(count) : i);
+      submitRatingJob(
+          String.format("job-8%05d", i),
+          submittedMs,
+          firstGame,
+          8 + 4 * random.nextInt(3),
+          1,
+          i % 9 == 8);
       if (random.nextInt(3) == 0) {
-        // An arbiter corrects some of them, before or after they are folded.
-        long later = at + random.nextLong(40_000);
-        fold(String.format("job-82%04d", i), later, from, 1 + random.nextInt(3), 2, false);
+        // A correction of some of the games, which may come before or after their fold.
+        long correctedMs = submittedMs + random.nextLong(40_000);
+        submitRatingJob(
+            String.format("job-82%04d", i),
+            correctedMs,
+            firstGame,
+            1 + random.nextInt(3),
+            2,
+            false);
       }
       if (i % 2 == 0) {
-        print(String.format("job-83%04d", i), at + random.nextLong(20_000), i, from);
+        submitPrintJob(
+            String.format("job-83%04d", i), submittedMs + random.nextLong(20_000), i, firstGame);
       }
     }
-    fold("job-899999", 5_000 + random.nextLong(30_000), FROM_LARGE, LARGE, 1, false);
+    submitRatingJob(
+        "job-899999",
+        5_000 + random.nextLong(30_000),
+        LARGE_JOB_FIRST_GAME,
+        LARGE_JOB_GAMES,
+        1,
+        false);
   }
 
-  private void fold(String id, long at, int from, int games, long revision, boolean cancelled) {
+  private void submitRatingJob(
+      String id, long submittedMs, int firstGame, int gameCount, long revision, boolean cancelled) {
     ObjectNode dependencies = Json.object();
     ArrayNode folds = dependencies.putArray(FoldCodec.FOLDS);
-    List<Want> want = new ArrayList<>();
-    for (int g = from; g < from + games; g++) {
-      ObjectNode o = folds.addObject().put("league", LEAGUE).put("game", g);
-      o.put("revision", revision);
-      ArrayNode members = o.putArray("members");
-      for (String m : List.of("m-" + g % 7, "m-" + (7 + g % 5))) {
-        members.add(m);
-        want.add(new Want(g, m, revision));
+    List<Want> sides = new ArrayList<>();
+    for (int game = firstGame; game < firstGame + gameCount; game++) {
+      ObjectNode entry = folds.addObject().put("league", LEAGUE).put("game", game);
+      entry.put("revision", revision);
+      ArrayNode members = entry.putArray("members");
+      for (String member : List.of("m-" + game % 7, "m-" + (7 + game % 5))) {
+        members.add(member);
+        sides.add(new Want(game, member, revision));
       }
     }
-    addRatingJob(id, want);
-    submit(id, at, dependencies, cancelled ? 500 + random.nextLong(9_000) : 0);
+    addRatingJob(id, sides);
+    scheduleSubmission(id, submittedMs, dependencies, cancelled ? 500 + random.nextLong(9_000) : 0);
   }
 
-  private void print(String id, long at, int i, int game) {
+  private void submitPrintJob(String id, long submittedMs, int index, int game) {
     ObjectNode dependencies = Json.object();
     ObjectNode holds = dependencies.putObject("holds");
     List<String> jobs = new ArrayList<>();
-    jobs.add(String.format("job-8%05d", i));
-    if (i >= 2 && random.nextBoolean()) {
-      jobs.add(String.format("job-83%04d", i - 2));
+    jobs.add(String.format("job-8%05d", index));
+    if (index >= 2 && random.nextBoolean()) {
+      jobs.add(String.format("job-83%04d", index - 2));
     }
-    ArrayNode a = holds.putArray("jobs");
-    jobs.forEach(a::add);
+    ArrayNode jobArray = holds.putArray("jobs");
+    jobs.forEach(jobArray::add);
     if (random.nextInt(3) == 0) {
-      upTo.put(id, (long) game);
-      ObjectNode g = holds.putArray("games").addObject().put("league", LEAGUE);
-      g.put("up_to", game).put("member", "m-" + game % 7);
+      awaitedGame.put(id, (long) game);
+      ObjectNode gameEntry = holds.putArray("games").addObject().put("league", LEAGUE);
+      gameEntry.put("up_to", game).put("member", "m-" + game % 7);
     }
     addPrintJob(id, jobs);
-    // Nobody waits for ever for what was cancelled or refused: then the print is cancelled as well.
-    submit(id, at, dependencies, 100_000);
+    // A print that depends on a cancelled or refused job never starts, so users cancel each print
+    // after 100 s.
+    scheduleSubmission(id, submittedMs, dependencies, 100_000);
   }
 
-  private void submit(String id, long at, ObjectNode dependencies, long cancelAfterMs) {
-    InvariantChecker.SubmittedJob s =
+  private void scheduleSubmission(
+      String id, long submittedMs, ObjectNode dependencies, long cancelAfterMs) {
+    InvariantChecker.SubmittedJob job =
         new InvariantChecker.SubmittedJob(
-            id, "blue", "rating", 1 + random.nextInt(3), 1, null, false, false, at);
-    long run = 500 + random.nextLong(4_000);
-    time.schedule(
-        at * 1000, null, () -> users.submitJob(s, "urgent", run, 300, cancelAfterMs, dependencies));
+            id, "blue", "rating", 1 + random.nextInt(3), 1, null, false, false, submittedMs);
+    long runMs = 500 + random.nextLong(4_000);
+    eventQueue.schedule(
+        submittedMs * 1000,
+        null,
+        () -> users.submitJob(job, "urgent", runMs, 300, cancelAfterMs, dependencies));
   }
 
-  private Map<BlockKey, Block> blocks() {
-    Map<BlockKey, Block> out = new TreeMap<>();
+  private Map<BlockKey, Block> readBlocks() {
+    Map<BlockKey, Block> blocks = new TreeMap<>();
     for (String key : store.keys(RecordKeys.FOLD_BLOCKS_PREFIX)) {
       try {
-        out.put(RecordKeys.blockOfFoldBlockKey(key), FoldCodec.decodeBlock(store.value(key)));
+        blocks.put(RecordKeys.blockOfFoldBlockKey(key), FoldCodec.decodeBlock(store.value(key)));
       } catch (InvalidMessageException e) {
         checker.reportBreach("folded_twice", key + ": " + e.getMessage());
       }
     }
-    return out;
+    return blocks;
   }
 
   private boolean isDone(String job) {
-    JsonNode end = store.value(RecordKeys.endedJob(job));
-    return end != null && end.path("end").asText().equals("done");
+    JsonNode endRecord = store.value(RecordKeys.endedJob(job));
+    return endRecord != null && endRecord.path("end").asText().equals("done");
   }
 
-  /** True for a print while something that it waits for is not on record: it may not start. */
+  /** Returns whether a print job may not start yet because a dependency is not recorded. */
   boolean isHeld(String id) {
     if (!awaitedJobs.getOrDefault(id, List.of()).stream().allMatch(this::isDone)) {
       return true;
     }
-    Long game = upTo.get(id);
+    Long game = awaitedGame.get(id);
     if (game == null) {
       return false;
     }
     String member = "m-" + game % 7;
-    for (Map.Entry<BlockKey, Block> block : blocks().entrySet()) {
+    for (Map.Entry<BlockKey, Block> block : readBlocks().entrySet()) {
       for (Map.Entry<Block.Side, Fold> side : block.getValue().sides().entrySet()) {
-        Fold f = side.getValue();
-        boolean awaited =
+        Fold fold = side.getValue();
+        boolean isAwaited =
             Block.gameNumber(block.getKey().index(), side.getKey().gameIndex()) <= game
                 && side.getKey().member().equals(member);
-        if (awaited && !f.settled() && f.base() == null && !isDone(f.job())) {
+        if (isAwaited && !fold.settled() && fold.base() == null && !isDone(fold.job())) {
           return true;
         }
       }
@@ -179,91 +211,106 @@
     return false;
   }
 
-  /** A print's task starts: all that it waits for is on record. */
-  private void starts(String id) {
-    for (String j : awaitedJobs.getOrDefault(id, List.of())) {
-      if (!isDone(j)) {
-        checker.reportBreach("printed_early", id + " starts, " + j + " is not done");
+  /** Checks, when a task of a print job starts, that all its dependencies are recorded. */
+  private void checkPrintStart(String id) {
+    for (String job : awaitedJobs.getOrDefault(id, List.of())) {
+      if (!isDone(job)) {
+        checker.reportBreach("printed_early", id + " starts, but " + job + " is not done");
       }
     }
-    Long game = upTo.get(id);
+    Long game = awaitedGame.get(id);
     if (game == null) {
       return;
     }
-    // A claim that was accepted after the league's record had the mark under which this was
-    // released
-    // came after its first start was recorded: that cannot be called back.
-    long confirmed = store.value(RecordKeys.release(id)).path("leagues").path(LEAGUE).asLong();
+    // The print's release record holds the version of the league's record under which the print was
+    // released. A job accepted after that version came after the print's first start was recorded.
+    // That start cannot be undone, so the print need not wait for the job's claims.
+    long confirmedVersion =
+        store.value(RecordKeys.release(id)).path("leagues").path(LEAGUE).asLong();
     String member = "m-" + game % 7;
-    blocks()
+    readBlocks()
         .forEach(
-            (k, b) ->
-                b.sides()
+            (key, block) ->
+                block
+                    .sides()
                     .forEach(
-                        (s, f) -> {
-                          long n = Block.gameNumber(k.index(), s.gameIndex());
-                          long claimed = store.version(RecordKeys.openJob(f.job()));
-                          boolean later = claimed == 0 || claimed > confirmed;
-                          boolean counts =
-                              f.settled() || f.base() != null || isDone(f.job()) || later;
-                          if (n <= game && s.member().equals(member) && !counts) {
+                        (side, fold) -> {
+                          long gameNumber = Block.gameNumber(key.index(), side.gameIndex());
+                          long claimVersion = store.version(RecordKeys.openJob(fold.job()));
+                          boolean isLater = claimVersion == 0 || claimVersion > confirmedVersion;
+                          boolean isSettled =
+                              fold.settled()
+                                  || fold.base() != null
+                                  || isDone(fold.job())
+                                  || isLater;
+                          if (gameNumber <= game && side.member().equals(member) && !isSettled) {
                             checker.reportBreach(
-                                "printed_early", id + ": game " + n + " of " + member);
+                                "printed_early",
+                                id
+                                    + " starts, but a fold is open: game "
+                                    + gameNumber
+                                    + " of "
+                                    + member);
                           }
                         }));
   }
 
-  /** At the end: who folded what, by the records, against what users were told. */
+  /** Checks at the end the recorded folds against what users submitted and were told. */
   void checkAtEnd() {
-    Map<BlockKey, Block> blocks = blocks();
+    Map<BlockKey, Block> blocks = readBlocks();
     Map<Want, String> folded = new HashMap<>();
     requestedSides.forEach(
-        (job, want) -> {
+        (job, sides) -> {
           if (isDone(job)) {
-            for (Want w : want) {
-              String other = folded.put(w, job);
-              if (other != null) {
-                checker.reportBreach("folded_twice", w + " by " + other + " and " + job);
+            for (Want side : sides) {
+              String otherJob = folded.put(side, job);
+              if (otherJob != null) {
+                checker.reportBreach(
+                    "folded_twice", side + " was folded by " + otherJob + " and " + job);
               }
             }
           }
-          judge(job, want, blocks);
+          checkClaims(job, sides, blocks);
         });
     awaitedJobs.forEach(
         (id, jobs) -> {
-          boolean ready = jobs.stream().allMatch(this::isDone) && !upTo.containsKey(id);
-          if (checker.isAccepted(id) && ready && store.value(RecordKeys.endedJob(id)) == null) {
-            checker.reportBreach("held_for_ever", id + " waits, and " + jobs + " are done");
+          boolean isReady = jobs.stream().allMatch(this::isDone) && !awaitedGame.containsKey(id);
+          if (checker.isAccepted(id) && isReady && store.value(RecordKeys.endedJob(id)) == null) {
+            checker.reportBreach(
+                "held_for_ever", id + " still waits, although " + jobs + " are done");
           }
         });
   }
 
-  private void judge(String job, List<Want> want, Map<BlockKey, Block> blocks) {
-    int named = 0;
+  private void checkClaims(String job, List<Want> sides, Map<BlockKey, Block> blocks) {
+    int claimed = 0;
     int superseded = 0;
-    for (Want w : want) {
-      Block b = blocks.get(new BlockKey(LEAGUE, (int) (w.game / Block.GAMES_PER_BLOCK)));
-      Fold f = b == null ? null : b.get(new Block.Side(Block.gameIndex(w.game), w.member));
-      boolean is = f != null && f.job().equals(job);
-      boolean base = f != null && f.base() != null && f.base().job().equals(job);
-      named += is || base ? 1 : 0;
-      superseded += !is && !base && f != null && f.revision() > w.revision ? 1 : 0;
+    for (Want side : sides) {
+      Block block = blocks.get(new BlockKey(LEAGUE, (int) (side.game / Block.GAMES_PER_BLOCK)));
+      Fold fold =
+          block == null ? null : block.get(new Block.Side(Block.gameIndex(side.game), side.member));
+      boolean isCurrent = fold != null && fold.job().equals(job);
+      boolean isBase = fold != null && fold.base() != null && fold.base().job().equals(job);
+      claimed += isCurrent || isBase ? 1 : 0;
+      superseded +=
+          !isCurrent && !isBase && fold != null && fold.revision() > side.revision ? 1 : 0;
     }
-    if (isDone(job) && named + superseded < want.size()) {
+    if (isDone(job) && claimed + superseded < sides.size()) {
       checker.reportBreach(
-          "skipped", job + " is done, " + (want.size() - named) + " sides are not its");
+          "skipped", job + " is done, " + (sides.size() - claimed) + " sides carry no claim of it");
     }
-    boolean open = store.value(RecordKeys.openJob(job)) != null;
-    boolean intent = store.value(RecordKeys.foldIntent(job)) != null;
-    if (open && named + superseded < want.size()) {
+    boolean isOpen = store.value(RecordKeys.openJob(job)) != null;
+    boolean hasIntent = store.value(RecordKeys.foldIntent(job)) != null;
+    if (isOpen && claimed + superseded < sides.size()) {
       checker.reportBreach(
-          "half_folded", job + " is accepted with " + named + " of " + want.size());
+          "half_folded", job + " is accepted with claims on " + claimed + " of " + sides.size());
     }
-    boolean unknown = !open && store.value(RecordKeys.endedJob(job)) == null;
-    if (unknown && !intent && named > 0) {
-      checker.reportBreach("half_folded", job + " was never accepted and has " + named + " claims");
+    boolean hasNoRecord = !isOpen && store.value(RecordKeys.endedJob(job)) == null;
+    if (hasNoRecord && !hasIntent && claimed > 0) {
+      checker.reportBreach(
+          "half_folded", job + " was never accepted and has " + claimed + " claims");
     }
-    if (unknown && checker.isAccepted(job)) {
+    if (hasNoRecord && checker.isAccepted(job)) {
       checker.reportBreach("forgotten", job + " was accepted and has no record");
     }
   }
--- a/src/main/java/org/mallowroad/simulation/Scenario.java
+++ b/src/main/java/org/mallowroad/simulation/Scenario.java
@@ -8,18 +8,21 @@
 import java.util.SplittableRandom;
 
 /**
- * A history to be: its seed, its size and its faults. As a file it is TOML with these names.
+ * The input of one simulation run: seed, size and faults. Scenario files are TOML with the names of
+ * these components as keys.
  *
- * @param seed of everything that is left to chance
- * @param nodes controllers
- * @param machines the most machines in each zone
- * @param jobs how many jobs users submit
- * @param links whether the ways round cuts are on
- * @param faults what fails
- * @param gangs how many gangs users submit besides
- * @param folds how many rating jobs, with corrections and prints that wait for them
- * @param weights how many jobs with an image that takes long, on workers of which most hand it on
- * @param limits teams' limits as a part of the usual ones; 0 stands for all of them
+ * @param seed seed of all random choices
+ * @param nodes number of controllers
+ * @param machines maximum number of machines in each zone
+ * @param jobs number of ordinary jobs that users submit
+ * @param links whether controllers relay messages around links that are down
+ * @param faults the faults to inject
+ * @param gangs number of gang jobs that users submit in addition
+ * @param folds number of rating jobs, beside which corrections and dependent print jobs are
+ *     submitted
+ * @param weights number of jobs with a large image; if above 0, most workers serve their images to
+ *     other workers
+ * @param limits factor applied to the CPU guarantees and limits of teams; 0 or less means 1
  */
 public record Scenario(
     long seed,
@@ -32,10 +35,10 @@
     int folds,
     int weights,
     double limits) {
-  /** Zones of all worlds. */
+  /** The zones of every simulation. */
   public static final List<String> ZONES = List.of("a", "b");
 
-  /** In place of a node's number: the one after the leader. */
+  /** Value of {@link Fault#node} that selects the controller after the leader. */
   public static final int FOLLOWER = -2;
 
   private static final Fault.Kind[] PARTIAL_FAULTS = {
@@ -104,17 +107,17 @@
     Fault.Kind.SINGLE_JOBS
   };
 
-  /** Teams' limits in one drawn meeting in so many, and their part of the usual ones. */
+  /** One in this many scenarios with overlapping faults has reduced team limits. */
   private static final int TIGHT_LIMITS_ONE_IN = 4;
 
   private static final double TIGHT_LIMITS_FACTOR = 0.5;
 
-  /** Without gangs. */
+  /** Creates a scenario with ordinary jobs only and the usual team limits. */
   public Scenario(long seed, int nodes, int machines, int jobs, boolean links, List<Fault> faults) {
     this(seed, nodes, machines, jobs, links, faults, 0, 0, 0, 1);
   }
 
-  /** With the usual limits. */
+  /** Creates a scenario with the usual team limits. */
   public Scenario(
       long seed,
       int nodes,
@@ -128,147 +131,191 @@
     this(seed, nodes, machines, jobs, links, faults, gangs, folds, weights, 1);
   }
 
-  /** Bounds the lists. */
+  /** Copies the faults and replaces a missing limit factor by 1. */
   public Scenario {
     faults = List.copyOf(faults);
     limits = limits > 0 ? limits : 1;
   }
 
   /**
-   * A plan from a seed: at least two partial cuts that overlap, and at least two other failures.
+   * Returns a random scenario with two to five partial faults, which leave some links of a
+   * controller up and overlap, and two to four other faults.
    */
   public static Scenario randomFaults(long seed, boolean links) {
-    SplittableRandom r = new SplittableRandom(seed);
-    int nodes = 3 + 2 * r.nextInt(3);
+    SplittableRandom random = new SplittableRandom(seed);
+    int nodes = 3 + 2 * random.nextInt(3);
     List<Fault> faults = new ArrayList<>();
-    long from = 15_000 + r.nextLong(15_000);
-    int partial = 2 + r.nextInt(4);
-    for (int i = 0; i < partial; i++) {
+    long partialFromMs = 15_000 + random.nextLong(15_000);
+    int partialCount = 2 + random.nextInt(4);
+    for (int i = 0; i < partialCount; i++) {
       faults.add(
           randomFault(
-              PARTIAL_FAULTS[r.nextInt(PARTIAL_FAULTS.length)],
-              from + r.nextLong(8_000),
+              PARTIAL_FAULTS[random.nextInt(PARTIAL_FAULTS.length)],
+              partialFromMs + random.nextLong(8_000),
               nodes,
-              r));
+              random));
     }
-    int whole = 2 + r.nextInt(3);
-    for (int i = 0; i < whole; i++) {
+    int fullCount = 2 + random.nextInt(3);
+    for (int i = 0; i < fullCount; i++) {
       faults.add(
           randomFault(
-              FULL_FAULTS[r.nextInt(FULL_FAULTS.length)], 10_000 + r.nextLong(50_000), nodes, r));
+              FULL_FAULTS[random.nextInt(FULL_FAULTS.length)],
+              10_000 + random.nextLong(50_000),
+              nodes,
+              random));
     }
-    return new Scenario(seed, nodes, 6 + r.nextInt(10), 16 + r.nextInt(16), links, faults);
+    return new Scenario(
+        seed, nodes, 6 + random.nextInt(10), 16 + random.nextInt(16), links, faults);
   }
 
   /**
-   * A plan with processes that are back within a second, late copies of messages every other time,
-   * and at least two other failures.
+   * Returns a random scenario in which controllers end and restart within a second, with two or
+   * three other faults; in every second one, requests are also duplicated.
    */
   public static Scenario randomRestarts(long seed, boolean links) {
-    SplittableRandom r = new SplittableRandom(seed * 17 + 5);
-    Scenario other = randomFaults(seed, links);
+    SplittableRandom random = new SplittableRandom(seed * 17 + 5);
+    Scenario base = randomFaults(seed, links);
     List<Fault> faults = new ArrayList<>();
-    int least = 1 + r.nextInt(3);
-    for (int i = 0; i < least; i++) {
+    int restartCount = 1 + random.nextInt(3);
+    for (int i = 0; i < restartCount; i++) {
       faults.add(
           randomFault(
-              RESTART_FAULTS[r.nextInt(RESTART_FAULTS.length)],
-              5_000 + r.nextLong(50_000),
-              other.nodes,
-              r));
+              RESTART_FAULTS[random.nextInt(RESTART_FAULTS.length)],
+              5_000 + random.nextLong(50_000),
+              base.nodes,
+              random));
     }
-    if (r.nextBoolean()) {
-      faults.add(randomFault(Fault.Kind.COPIES, r.nextLong(40_000), other.nodes, r));
+    if (random.nextBoolean()) {
+      faults.add(randomFault(Fault.Kind.COPIES, random.nextLong(40_000), base.nodes, random));
     }
-    for (int i = 0; i < 2 + r.nextInt(2); i++) {
-      faults.add(other.faults.get(r.nextInt(other.faults.size())));
+    for (int i = 0; i < 2 + random.nextInt(2); i++) {
+      faults.add(base.faults.get(random.nextInt(base.faults.size())));
     }
-    return other.withFaults(faults);
+    return base.withFaults(faults);
   }
 
   /**
-   * A plan with the troubles that the operators' pages left out: two or three of them, processes
-   * that are back at once every other time, and two other failures.
+   * Returns a random scenario with two or three faults that the operators' documentation did not
+   * mention: machines that receive nothing, late reports and writes, controllers that reach only
+   * their workers. Every second one also has fast restarts; all have two other faults and gangs.
    */
   public static Scenario randomMessageFaults(long seed, boolean links) {
-    SplittableRandom r = new SplittableRandom(seed * 23 + 11);
-    Scenario other = randomFaults(seed, links);
+    SplittableRandom random = new SplittableRandom(seed * 23 + 11);
+    Scenario base = randomFaults(seed, links);
     List<Fault> faults = new ArrayList<>();
-    for (int i = 0; i < 2 + r.nextInt(2); i++) {
-      Fault.Kind kind = MESSAGE_FAULTS[r.nextInt(MESSAGE_FAULTS.length)];
-      faults.add(randomFault(kind, 5_000 + r.nextLong(50_000), other.nodes, r));
+    for (int i = 0; i < 2 + random.nextInt(2); i++) {
+      Fault.Kind kind = MESSAGE_FAULTS[random.nextInt(MESSAGE_FAULTS.length)];
+      faults.add(randomFault(kind, 5_000 + random.nextLong(50_000), base.nodes, random));
     }
-    if (r.nextBoolean()) {
-      Fault.Kind kind = RESTART_FAULTS[r.nextInt(RESTART_FAULTS.length)];
-      faults.add(randomFault(kind, 5_000 + r.nextLong(50_000), other.nodes, r));
+    if (random.nextBoolean()) {
+      Fault.Kind kind = RESTART_FAULTS[random.nextInt(RESTART_FAULTS.length)];
+      faults.add(randomFault(kind, 5_000 + random.nextLong(50_000), base.nodes, random));
     }
     for (int i = 0; i < 2; i++) {
-      faults.add(other.faults.get(r.nextInt(other.faults.size())));
+      faults.add(base.faults.get(random.nextInt(base.faults.size())));
     }
-    Scenario p = other.withFaults(faults);
+    Scenario scenario = base.withFaults(faults);
     return new Scenario(
-        p.seed, p.nodes, p.machines, p.jobs, p.links, p.faults, 2 + r.nextInt(4), 0, 0);
+        scenario.seed,
+        scenario.nodes,
+        scenario.machines,
+        scenario.jobs,
+        scenario.links,
+        scenario.faults,
+        2 + random.nextInt(4),
+        0,
+        0);
   }
 
   /**
-   * A plan in which two or three troubles meet within seconds, and users cancel jobs that run long
-   * in the midst of them, some of whose machines hang; odd requests and cancellations at the end of
-   * jobs all the time. The service may be out for longer than a cancellation's time.
+   * Returns a random scenario in which two or three faults begin within four seconds. Around that
+   * time users cancel long jobs, and in every second scenario the machines of these jobs hang. Odd
+   * requests and cancellations at the end of jobs run throughout. The state service may be out for
+   * longer than the cancellation limit.
    */
   public static Scenario overlappingFaults(long seed, boolean links) {
-    SplittableRandom r = new SplittableRandom(seed * 41 + 9);
-    int nodes = 3 + 2 * r.nextInt(3);
+    SplittableRandom random = new SplittableRandom(seed * 41 + 9);
+    int nodes = 3 + 2 * random.nextInt(3);
     List<Fault> faults = new ArrayList<>();
-    long at = 20_000 + r.nextLong(25_000);
-    for (int i = 0; i < 2 + r.nextInt(2); i++) {
-      Fault f =
+    long firstMs = 20_000 + random.nextLong(25_000);
+    for (int i = 0; i < 2 + random.nextInt(2); i++) {
+      Fault fault =
           randomFault(
-              OVERLAPPING_FAULTS[r.nextInt(OVERLAPPING_FAULTS.length)],
-              at + r.nextLong(4_000),
+              OVERLAPPING_FAULTS[random.nextInt(OVERLAPPING_FAULTS.length)],
+              firstMs + random.nextLong(4_000),
               nodes,
-              r);
-      faults.add(f.kind() == Fault.Kind.STATE_OUT ? f.withDuration(5_000 + r.nextLong(40_000)) : f);
+              random);
+      faults.add(
+          fault.kind() == Fault.Kind.STATE_OUT
+              ? fault.withDuration(5_000 + random.nextLong(40_000))
+              : fault);
     }
-    String hang = r.nextBoolean() ? "hang" : "";
-    long cancel = at - 1_000 + r.nextLong(5_000);
+    String cancelMode = random.nextBoolean() ? "hang" : "";
+    long cancelMs = firstMs - 1_000 + random.nextLong(5_000);
     faults.add(
         new Fault(
-            Fault.Kind.CANCEL_NOW, cancel, 3_000 + r.nextLong(30_000), 0, 0, "a", hang, 0, 6));
+            Fault.Kind.CANCEL_NOW,
+            cancelMs,
+            3_000 + random.nextLong(30_000),
+            0,
+            0,
+            "a",
+            cancelMode,
+            0,
+            6));
     faults.add(new Fault(Fault.Kind.CANCEL_AT_END, 5_000, 60_000, 0, 0, "a", "", 0, 3));
     faults.add(new Fault(Fault.Kind.ODD_REQUESTS, 5_000, 60_000, 0, 0, "a", "", 0, 1));
-    if (r.nextBoolean()) {
+    if (random.nextBoolean()) {
       faults.add(new Fault(Fault.Kind.CLOSE_LOOKS, 2_000, 100_000, 0, 0, "a", "", 0, 1));
     }
-    boolean tight = r.nextInt(TIGHT_LIMITS_ONE_IN) == 0;
-    int machines = 6 + r.nextInt(10);
-    // Fewer jobs where the limits admit little at once.
-    int jobs = tight ? 12 + r.nextInt(4) : 16 + r.nextInt(16);
+    boolean tightLimits = random.nextInt(TIGHT_LIMITS_ONE_IN) == 0;
+    int machines = 6 + random.nextInt(10);
+    // Fewer jobs when reduced limits admit few tasks at a time.
+    int jobs = tightLimits ? 12 + random.nextInt(4) : 16 + random.nextInt(16);
     return new Scenario(
-        seed, nodes, machines, jobs, links, faults, 0, 0, 0, tight ? TIGHT_LIMITS_FACTOR : 1);
+        seed, nodes, machines, jobs, links, faults, 0, 0, 0, tightLimits ? TIGHT_LIMITS_FACTOR : 1);
   }
 
-  /** The same troubles, beside rating jobs that fold games and prints that wait for them. */
+  /** Returns a random scenario with rating jobs that fold games, and dependent print jobs. */
   public static Scenario ratingJobs(long seed, boolean links) {
-    SplittableRandom r = new SplittableRandom(seed * 29 + 3);
-    Scenario p = r.nextBoolean() ? randomMessageFaults(seed, links) : randomRestarts(seed, links);
+    SplittableRandom random = new SplittableRandom(seed * 29 + 3);
+    Scenario base =
+        random.nextBoolean() ? randomMessageFaults(seed, links) : randomRestarts(seed, links);
     return new Scenario(
-        seed, p.nodes, p.machines, p.jobs / 2, links, p.faults, 0, 12 + r.nextInt(12), 0);
+        seed,
+        base.nodes,
+        base.machines,
+        base.jobs / 2,
+        links,
+        base.faults,
+        0,
+        12 + random.nextInt(12),
+        0);
   }
 
-  /** The same troubles, beside many machines that want the same large images at once. */
+  /** Returns a random scenario in which many machines need the same large images at once. */
   public static Scenario imageFetchWaves(long seed, boolean links) {
-    SplittableRandom r = new SplittableRandom(seed * 37 + 1);
-    Scenario p = r.nextBoolean() ? randomMessageFaults(seed, links) : randomRestarts(seed, links);
+    SplittableRandom random = new SplittableRandom(seed * 37 + 1);
+    Scenario base =
+        random.nextBoolean() ? randomMessageFaults(seed, links) : randomRestarts(seed, links);
     return new Scenario(
-        seed, p.nodes, p.machines, p.jobs / 2, links, p.faults, p.gangs, 0, 2 + r.nextInt(4));
+        seed,
+        base.nodes,
+        base.machines,
+        base.jobs / 2,
+        links,
+        base.faults,
+        base.gangs,
+        0,
+        2 + random.nextInt(4));
   }
 
   /**
-   * Each single cut for itself: of the leader and of a follower, from each party, by each mode and
-   * direction.
+   * Returns one scenario for each single cut: of the leader or a follower, from each other party,
+   * in each mode and direction.
    */
   public static List<Scenario> singleCuts(long seed, boolean links) {
-    List<Scenario> out = new ArrayList<>();
+    List<Scenario> scenarios = new ArrayList<>();
     for (Fault.Kind kind :
         List.of(
             Fault.Kind.CUT_STATE,
@@ -281,21 +328,21 @@
       for (int node : new int[] {-1, FOLLOWER}) {
         for (String mode : List.of("refuse", "reset", "hold")) {
           for (int direction = 0; direction < 3; direction++) {
-            Fault f = new Fault(kind, 25_000, 30_000, node, 0, "a", mode, direction, 1);
-            out.add(new Scenario(seed, 3, 10, 24, links, List.of(f)));
+            Fault fault = new Fault(kind, 25_000, 30_000, node, 0, "a", mode, direction, 1);
+            scenarios.add(new Scenario(seed, 3, 10, 24, links, List.of(fault)));
           }
         }
       }
     }
-    return out;
+    return scenarios;
   }
 
-  private static Fault randomFault(Fault.Kind kind, long at, int nodes, SplittableRandom r) {
-    // Every other time it is the leader who is struck.
-    int node = r.nextBoolean() ? -1 : r.nextInt(nodes);
-    int other = r.nextInt(nodes);
-    String mode = List.of("refuse", "reset", "hold", "hold", "lossy").get(r.nextInt(5));
-    long most =
+  private static Fault randomFault(Fault.Kind kind, long atMs, int nodes, SplittableRandom random) {
+    // Half of the faults hit the current leader.
+    int node = random.nextBoolean() ? -1 : random.nextInt(nodes);
+    int other = random.nextInt(nodes);
+    String mode = List.of("refuse", "reset", "hold", "hold", "lossy").get(random.nextInt(5));
+    long maxDurationMs =
         switch (kind) {
           case STATE_OUT -> 12_000;
           case FREEZE, HANG -> 20_000;
@@ -305,34 +352,35 @@
         };
     int count =
         switch (kind) {
-          case STATE_SLOW -> 5 + r.nextInt(25);
-          case SINGLE_JOBS -> 1 + r.nextInt(3);
-          case NONE_WHOLE -> 1 + r.nextInt(nodes - 1);
-          default -> 1 + r.nextInt(5);
+          case STATE_SLOW -> 5 + random.nextInt(25);
+          case SINGLE_JOBS -> 1 + random.nextInt(3);
+          case NONE_WHOLE -> 1 + random.nextInt(nodes - 1);
+          default -> 1 + random.nextInt(5);
         };
     return new Fault(
         kind,
-        at,
-        9_000 + r.nextLong(most - 8_000),
+        atMs,
+        9_000 + random.nextLong(maxDurationMs - 8_000),
         node,
         other,
-        ZONES.get(r.nextInt(ZONES.size())),
+        ZONES.get(random.nextInt(ZONES.size())),
         mode,
-        r.nextInt(3) == 0 ? 1 + r.nextInt(2) : 0,
+        random.nextInt(3) == 0 ? 1 + random.nextInt(2) : 0,
         count);
   }
 
-  /** The same with other faults. */
-  public Scenario withFaults(List<Fault> f) {
-    return new Scenario(seed, nodes, machines, jobs, links, f, gangs, folds, weights, limits);
+  /** Returns a copy with other faults. */
+  public Scenario withFaults(List<Fault> newFaults) {
+    return new Scenario(
+        seed, nodes, machines, jobs, links, newFaults, gangs, folds, weights, limits);
   }
 
-  /** Reads a file. */
+  /** Reads a scenario from a TOML file. */
   public static Scenario load(String file) throws IOException {
     return new TomlMapper().readValue(new File(file), Scenario.class);
   }
 
-  /** As a file has it. */
+  /** Returns the scenario as TOML, in the form that {@link #load} reads. */
   public String toToml() {
     try {
       return new TomlMapper().writeValueAsString(this);
--- a/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
+++ b/src/main/java/org/mallowroad/simulation/SimulatedEnvironment.java
@@ -7,68 +7,71 @@
 import org.mallowroad.net.NodeEnvironment;
 import org.mallowroad.net.RequestSender;
 
-/** A controller's process in the world: its loop turns with the timeline, its clocks drift. */
+/**
+ * The process of a simulated controller: its event loop runs on the event queue, its monotonic
+ * clock drifts and its wall clock has an offset.
+ */
 final class SimulatedEnvironment extends Network.Party implements NodeEnvironment {
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** The beginning of time in all worlds. */
+  /** Wall-clock time at the start of every simulation, in milliseconds since 1970. */
   private static final long EPOCH_MS = 1_800_000_000_000L;
 
-  private final EventQueue time;
+  private final EventQueue eventQueue;
   private final Network network;
-  private final Function<Endpoint, Network.Party> directory;
-  private final double drift;
+  private final Function<Endpoint, Network.Party> resolver;
+  private final double clockDrift;
 
-  /** A message that this node's build does not know; empty for none. */
-  String unknownMessage = "";
+  /** Path that gets 404, as from a build that does not know the message; empty for none. */
+  String unknownMessagePath = "";
 
-  private long wallOffMs;
-  private RequestHandler front;
-  private Life loop;
+  private long wallClockOffsetMs;
+  private RequestHandler requestHandler;
+  private SimulatedEventLoop loop;
 
   SimulatedEnvironment(
-      EventQueue time,
+      EventQueue eventQueue,
       Network network,
-      Function<Endpoint, Network.Party> directory,
+      Function<Endpoint, Network.Party> resolver,
       int index,
       String name,
       String zone,
-      double drift,
-      long wallOffMs) {
+      double clockDrift,
+      long wallClockOffsetMs) {
     super(Network.Kind.NODE, index, name, zone);
-    this.time = time;
+    this.eventQueue = eventQueue;
     this.network = network;
-    this.directory = directory;
-    this.drift = drift;
-    this.wallOffMs = wallOffMs;
-    this.loop = new Life();
+    this.resolver = resolver;
+    this.clockDrift = clockDrift;
+    this.wallClockOffsetMs = wallClockOffsetMs;
+    this.loop = new SimulatedEventLoop();
   }
 
-  /** A new process after an end; the time of day has wandered meanwhile. */
-  void restart(long wallNowOffMs) {
-    wallOffMs = wallNowOffMs;
+  /** Starts a new process after the previous one ended, with a new wall-clock offset. */
+  void restart(long newWallClockOffsetMs) {
+    wallClockOffsetMs = newWallClockOffsetMs;
     revive();
-    front = null;
-    loop = new Life();
+    requestHandler = null;
+    loop = new SimulatedEventLoop();
   }
 
   @Override
   boolean isListening() {
-    return isAlive() && front != null;
+    return isAlive() && requestHandler != null;
   }
 
   @Override
   void handleRequest(
       Network.Party from, String method, String target, byte[] body, Network.Reply reply) {
-    if (target.equals(unknownMessage)) {
-      reply.answer(404, NOTHING);
+    if (target.equals(unknownMessagePath)) {
+      reply.answer(404, EMPTY_BODY);
       return;
     }
-    IncomingRequest x = new Arrived(method, target, body, reply);
+    IncomingRequest request = new SimulatedRequest(method, target, body, reply);
     if (from.kind == Network.Kind.NODE) {
-      front.message(x);
+      requestHandler.message(request);
     } else {
-      front.request(x);
+      requestHandler.request(request);
     }
   }
 
@@ -79,7 +82,7 @@
 
   @Override
   public RequestSender requestSender(Endpoint to, String type, int maxOpen, int maxBody) {
-    Network.Party party = directory.apply(to);
+    Network.Party party = resolver.apply(to);
     return new RequestSender() {
       private int open;
 
@@ -96,7 +99,7 @@
             party,
             method,
             path,
-            body == null ? NOTHING : body,
+            body == null ? EMPTY_BODY : body,
             timeoutMs,
             new ResponseHandler() {
               @Override
@@ -123,8 +126,8 @@
   }
 
   @Override
-  public void listen(RequestHandler f) {
-    front = f;
+  public void listen(RequestHandler handler) {
+    requestHandler = handler;
   }
 
   @Override
@@ -147,7 +150,7 @@
     terminate();
   }
 
-  private record Arrived(String method, String path, byte[] body, Network.Reply reply)
+  private record SimulatedRequest(String method, String path, byte[] body, Network.Reply reply)
       implements IncomingRequest {
     @Override
     public void answer(int status, String type, byte[] body, boolean later) {
@@ -155,38 +158,38 @@
     }
   }
 
-  private final class Life extends EventLoop {
+  private final class SimulatedEventLoop extends EventLoop {
     @Override
     public long nanos() {
-      return (long) (time.nowUs() * 1000L * (1 + drift)) + 1_000_000_000_000L;
+      return (long) (eventQueue.nowUs() * 1000L * (1 + clockDrift)) + 1_000_000_000_000L;
     }
 
     @Override
     public long wallMs() {
-      return EPOCH_MS + time.nowMs() + wallOffMs;
+      return EPOCH_MS + eventQueue.nowMs() + wallClockOffsetMs;
     }
 
     @Override
     protected void execute(Runnable task) {
-      time.schedule(0, SimulatedEnvironment.this, task);
+      eventQueue.schedule(0, SimulatedEnvironment.this, task);
     }
 
     @Override
-    protected Timer schedule(long ms, Runnable task) {
-      boolean[] over = new boolean[1];
-      time.schedule(
-          (long) (ms * 1000 / (1 + drift)),
+    protected Timer schedule(long delayMs, Runnable task) {
+      boolean[] completed = new boolean[1];
+      eventQueue.schedule(
+          (long) (delayMs * 1000 / (1 + clockDrift)),
           SimulatedEnvironment.this,
           () -> {
-            if (!over[0]) {
-              over[0] = true;
+            if (!completed[0]) {
+              completed[0] = true;
               task.run();
             }
           });
       return () -> {
-        boolean ran = over[0];
-        over[0] = true;
-        return !ran;
+        boolean alreadyCompleted = completed[0];
+        completed[0] = true;
+        return !alreadyCompleted;
       };
     }
   }
--- a/src/main/java/org/mallowroad/simulation/Simulation.java
+++ b/src/main/java/org/mallowroad/simulation/Simulation.java
@@ -22,63 +22,66 @@
 import org.mallowroad.core.FencingTokens;
 import org.mallowroad.core.linkstate.LinkPolicy;
 
-/** Plays a plan. */
+/**
+ * Runs one scenario in virtual time: real controller nodes against models of the network, the state
+ * service, the cloud, workers and users, with the scenario's faults, under an invariant checker.
+ */
 public final class Simulation {
-  private static final double REPORT_S = 2;
+  private static final double REPORT_INTERVAL_S = 2;
   private static final double LEASE_S = 13;
-  private static final double CANCEL_S = 28;
-  private static final long LOAD_MS = 70_000;
-  private static final long END_MS = 260_000;
+  private static final double CANCELLATION_LIMIT_S = 28;
+  private static final long SUBMISSION_PERIOD_MS = 70_000;
+  private static final long MAX_DURATION_MS = 260_000;
 
-  /** A job is served when its user knows of its end so soon after the first try to submit it. */
+  /** A job counts as served if its user learns its end this soon after the first submission. */
   public static final long SERVED_WITHIN_MS = 110_000;
 
-  private static final long RESTART_MS = 3_000;
-  private static final int MOST_HUNG = 8;
+  private static final long MAX_CRASH_DOWNTIME_MS = 3_000;
+  private static final int MAX_HUNG_MACHINES = 8;
 
-  /** What users cancel all at once was submitted so long before, and would run for so long. */
-  private static final long VICTIMS_MS = 16_000;
+  /** Jobs of CANCEL_NOW are submitted this long before the fault and then run for 70 s. */
+  private static final long SUBMITTED_BEFORE_CANCELLATION_MS = 16_000;
 
-  private static final long LONG_RUN_MS = 70_000;
-  private static final long FETCH_MS = 9_000;
-  private static final long WALL_MS = 250;
+  private static final long CANCELLED_JOB_RUN_MS = 70_000;
+  private static final long CANCELLED_JOB_FETCH_MS = 9_000;
+  private static final long MAX_WALL_CLOCK_OFFSET_MS = 250;
 
-  /** Close looks while the end of a job is on its way to the records. */
-  private static final int END_LOOKS = 3;
+  /** Rounds of close checks while the end of a job is being recorded. */
+  private static final int CLOSE_CHECKS_AT_END = 3;
 
-  private static final long END_LOOK_US = 3_000_000;
-  private static final double GUARANTEE_CPUS = 16;
-  private static final int STATE_RPS = 400;
-  private static final int STATE_WRITE_RPS = 100;
+  private static final long CLOSE_CHECK_SPREAD_US = 3_000_000;
+  private static final double GUARANTEED_CPUS = 16;
+  private static final int STATE_CALLS_PER_SECOND = 400;
+  private static final int STATE_WRITES_PER_SECOND = 100;
 
-  /** How often it is looked whether another controller leads. */
-  private static final long TERM_LOOK_US = 10_000;
+  /** Interval at which the store is checked for a new leader term. */
+  private static final long TERM_POLL_INTERVAL_US = 10_000;
 
   private static final List<String> TEAMS = List.of("red", "green", "blue");
-  private static final List<String> CLASSES = List.of("short", "wide", "long");
+  private static final List<String> TASK_CLASSES = List.of("short", "wide", "long");
 
-  private final Scenario plan;
-  private final EventQueue time = new EventQueue();
+  private final Scenario scenario;
+  private final EventQueue eventQueue = new EventQueue();
   private final SplittableRandom random;
   private final Network network;
   private final StateModel state;
   private final CloudModel cloud;
   private final InvariantChecker checker;
   private final UserModel users;
-  private final List<SimulatedEnvironment> hosts = new ArrayList<>();
+  private final List<SimulatedEnvironment> environments = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
-  private final Map<String, Network.Party> directory = new HashMap<>();
+  private final Map<String, Network.Party> parties = new HashMap<>();
   private final List<String> faultLog = new ArrayList<>();
 
-  /** While above 0, one ending job in so many is cancelled at its end. */
-  private int atEndOneIn;
+  /** If above 0, one in this many jobs is cancelled, queried and resubmitted as it completes. */
+  private int cancelAtEndOneIn;
 
   private int oddRequestCount;
-  private long calmMs = Long.MAX_VALUE / 2;
-  private final StarvationCheck waiting;
+  private long lastFaultEndMs = Long.MAX_VALUE / 2;
+  private final StarvationCheck starvationCheck;
 
-  /** Rating jobs and prints; null without them. */
-  private RatingModel ratings;
+  /** The rating and print jobs; null if the scenario has none. */
+  private RatingModel ratingModel;
 
   /**
    * The outcome of one simulation run.
@@ -129,21 +132,21 @@
       long longestRunAfterCancellationMs,
       long endMs,
       long eventCount) {
-    /** True when no rule broke and all were served. */
+    /** Returns whether the checker found no broken rule; rules include that jobs are served. */
     public boolean hasNoBreaches() {
       return breaches.isEmpty();
     }
 
-    /** The least part of a class or team that was served. */
+    /** Returns the smallest share of served jobs over all classes and teams. */
     public double leastServedShare() {
       double least = 1;
-      for (double[] s : servedCounts.values()) {
-        least = Math.min(least, s[1] == 0 ? 1 : s[0] / s[1]);
+      for (double[] counts : servedCounts.values()) {
+        least = Math.min(least, counts[1] == 0 ? 1 : counts[0] / counts[1]);
       }
       return least;
     }
 
-    /** One line that is the same for the same history. */
+    /** Returns a one-line summary; the same scenario always gives the same line. */
     public String summaryLine() {
       return String.format(
           java.util.Locale.ROOT,
@@ -174,436 +177,500 @@
     }
   }
 
-  /** A world for a plan. */
-  public Simulation(Scenario plan) throws IOException {
-    this.plan = plan;
-    this.random = new SplittableRandom(plan.seed() * 31 + 7);
-    this.network = new Network(time, random.split());
+  /** Creates all parties and schedules the jobs and faults of the scenario. */
+  public Simulation(Scenario scenario) throws IOException {
+    this.scenario = scenario;
+    this.random = new SplittableRandom(scenario.seed() * 31 + 7);
+    this.network = new Network(eventQueue, random.split());
     Map<String, Double> limits = new HashMap<>();
-    TEAMS.forEach(t -> limits.put(t, plan.limits() * limit(t)));
-    this.checker = new InvariantChecker(time::nowMs, limits, (long) (CANCEL_S * 1000));
-    this.state = new StateModel(time, random.split(), STATE_RPS, STATE_WRITE_RPS);
+    TEAMS.forEach(team -> limits.put(team, scenario.limits() * cpuLimit(team)));
+    this.checker =
+        new InvariantChecker(eventQueue::nowMs, limits, (long) (CANCELLATION_LIMIT_S * 1000));
+    this.state =
+        new StateModel(eventQueue, random.split(), STATE_CALLS_PER_SECOND, STATE_WRITES_PER_SECOND);
     this.cloud =
-        new CloudModel(time, random.split(), Scenario.ZONES, plan.machines(), this::worker);
-    directory.put("state", state);
-    directory.put("cloud", cloud);
-    for (int i = 0; i < plan.nodes(); i++) {
-      SimulatedEnvironment h =
+        new CloudModel(
+            eventQueue, random.split(), Scenario.ZONES, scenario.machines(), this::createWorker);
+    parties.put("state", state);
+    parties.put("cloud", cloud);
+    for (int i = 0; i < scenario.nodes(); i++) {
+      SimulatedEnvironment environment =
           new SimulatedEnvironment(
-              time,
+              eventQueue,
               network,
-              e -> directory.get(e.host()),
+              endpoint -> parties.get(endpoint.host()),
               i,
               "n" + i,
               Scenario.ZONES.get(i % Scenario.ZONES.size()),
               (random.nextDouble() - 0.5) * 0.001,
-              wander());
-      hosts.add(h);
-      directory.put(h.name, h);
+              randomWallClockOffsetMs());
+      environments.add(environment);
+      parties.put(environment.name, environment);
     }
-    network.controllers = hosts;
-    this.users = new UserModel(time, network, random.split(), hosts, checker);
-    for (int i = 0; i < plan.nodes(); i++) {
+    network.controllers = environments;
+    this.users = new UserModel(eventQueue, network, random.split(), environments, checker);
+    for (int i = 0; i < scenario.nodes(); i++) {
       nodes.add(null);
-      int n = i;
-      time.schedule(random.nextLong(300_000), null, () -> begin(n));
+      int controller = i;
+      eventQueue.schedule(random.nextLong(300_000), null, () -> startNode(controller));
     }
-    load();
+    scheduleJobs();
     users.workerByAddress =
-        a -> directory.get(a.substring(0, a.indexOf(':'))) instanceof WorkerModel w ? w : null;
-    if (plan.gangs() > 0) {
-      gangs();
+        address ->
+            parties.get(address.substring(0, address.indexOf(':'))) instanceof WorkerModel w
+                ? w
+                : null;
+    if (scenario.gangs() > 0) {
+      scheduleGangs();
     }
-    if (plan.weights() > 0) {
-      weights();
+    if (scenario.weights() > 0) {
+      scheduleLargeImageJobs();
     }
-    if (plan.folds() > 0) {
-      ratings = new RatingModel(time, random.split(), users, checker, state.store());
-      ratings.scheduleJobs(plan.folds(), LOAD_MS);
+    if (scenario.folds() > 0) {
+      ratingModel = new RatingModel(eventQueue, random.split(), users, checker, state.store());
+      ratingModel.scheduleJobs(scenario.folds(), SUBMISSION_PERIOD_MS);
     }
-    plan.faults().forEach(this::schedule);
-    plan.faults().stream().filter(f -> f.kind() == Fault.Kind.CANCEL_NOW).forEach(this::victims);
-    checker.onCompleted(this::completed);
-    this.waiting =
-        new StarvationCheck(checker, cloud::workers, id -> ratings != null && ratings.isHeld(id));
-    everySecond();
+    scenario.faults().forEach(this::scheduleFault);
+    scenario.faults().stream()
+        .filter(fault -> fault.kind() == Fault.Kind.CANCEL_NOW)
+        .forEach(this::scheduleCancellationTargets);
+    checker.onCompleted(this::onJobCompleted);
+    this.starvationCheck =
+        new StarvationCheck(
+            checker, cloud::workers, id -> ratingModel != null && ratingModel.isHeld(id));
+    scheduleChecks();
   }
 
-  /** How far a time of day may be off, either way, at this moment. */
-  private long wander() {
-    return random.nextLong(2 * WALL_MS) - WALL_MS;
+  /** Returns a random offset of a wall clock in milliseconds, positive or negative. */
+  private long randomWallClockOffsetMs() {
+    return random.nextLong(2 * MAX_WALL_CLOCK_OFFSET_MS) - MAX_WALL_CLOCK_OFFSET_MS;
   }
 
-  private static double limit(String team) {
+  private static double cpuLimit(String team) {
     return team.equals("red") ? 24 : 60;
   }
 
-  private void everySecond() {
-    time.schedule(
+  private void scheduleChecks() {
+    eventQueue.schedule(
         1_000_000,
         null,
         () -> {
           checker.checkCancelledJobs();
-          waiting.check(time.nowMs(), calmMs);
-          everySecond();
+          starvationCheck.check(eventQueue.nowMs(), lastFaultEndMs);
+          scheduleChecks();
         });
   }
 
-  private long term() {
+  private long currentTerm() {
     com.fasterxml.jackson.databind.JsonNode term = state.store().value("term");
     return term == null ? 0 : term.path("n").asLong() / FencingTokens.TOKENS_PER_TERM;
   }
 
-  /** Kept reports reach every controller as soon as another one leads than before. */
-  private void releaseAtNextTerm(long before, boolean[] over) {
-    long term = term();
-    if (term > before) {
-      keptReports += network.replayReports();
+  /** Delivers the stored report copies to every controller as soon as a new term begins. */
+  private void replayReportsAtNextTerm(long previousTerm, boolean[] ended) {
+    long term = currentTerm();
+    if (term > previousTerm) {
+      replayedReports += network.replayReports();
     }
-    if (!over[0]) {
-      time.schedule(TERM_LOOK_US, null, () -> releaseAtNextTerm(term, over));
+    if (!ended[0]) {
+      eventQueue.schedule(TERM_POLL_INTERVAL_US, null, () -> replayReportsAtNextTerm(term, ended));
     }
   }
 
-  /** Reports that were kept for a new leader and reached it. */
-  private int keptReports;
+  /** Report copies that were stored until a new term began and then delivered. */
+  private int replayedReports;
 
-  /** One-task jobs as long as it lasts, a quarter of them cancelled. */
-  private void singleJobs(int aSecond, boolean[] over) {
-    if (over[0]) {
+  /** Submits one-task jobs until the fault ends; users cancel a quarter of them. */
+  private void submitSingleTaskJobs(int jobsPerSecond, boolean[] ended) {
+    if (ended[0]) {
       return;
     }
-    InvariantChecker.SubmittedJob s =
+    InvariantChecker.SubmittedJob job =
         new InvariantChecker.SubmittedJob(
-            String.format("job-4%05d", singles++),
-            TEAMS.get(singles % TEAMS.size()),
+            String.format("job-4%05d", singleJobCount++),
+            TEAMS.get(singleJobCount % TEAMS.size()),
             "single",
             1,
             1,
             null,
             false,
             false,
-            time.nowMs());
+            eventQueue.nowMs());
     long cancelAfterMs = random.nextInt(4) == 0 ? 100 + random.nextLong(4_000) : 0;
-    users.submitJob(s, "urgent", 1_000 + random.nextLong(4_000), 300, cancelAfterMs, null);
-    time.schedule(1_000_000 / aSecond, null, () -> singleJobs(aSecond, over));
+    users.submitJob(job, "urgent", 1_000 + random.nextLong(4_000), 300, cancelAfterMs, null);
+    eventQueue.schedule(
+        1_000_000 / jobsPerSecond, null, () -> submitSingleTaskJobs(jobsPerSecond, ended));
   }
 
-  private int singles;
+  private int singleJobCount;
 
-  private WorkerModel worker(String[] nameAndZone) {
-    int index = directory.size();
-    WorkerModel w =
+  private WorkerModel createWorker(String[] nameAndZone) {
+    int index = parties.size();
+    WorkerModel worker =
         new WorkerModel(
-            time,
+            eventQueue,
             network,
             random.split(),
-            hosts,
+            environments,
             users,
             checker,
-            (long) (REPORT_S * 1000),
+            (long) (REPORT_INTERVAL_S * 1000),
             (long) (LEASE_S * 1000),
             index,
             nameAndZone[0],
             nameAndZone[1]);
-    directory.put("w" + index, w);
-    w.servesImages = plan.weights() > 0 && index % 4 != 0; // One in four is an earlier build's.
-    return w;
+    parties.put("w" + index, worker);
+    worker.servesImages =
+        scenario.weights() > 0 && index % 4 != 0; // Every fourth worker is an earlier build.
+    return worker;
   }
 
-  private Settings settings(int i) {
+  private Settings settings(int controller) {
     List<Member> members = new ArrayList<>();
-    for (int n = 0; n < plan.nodes(); n++) {
-      if (n != i) {
+    for (int member = 0; member < scenario.nodes(); member++) {
+      if (member != controller) {
         members.add(
             new Member(
-                "n" + n, Scenario.ZONES.get(n % Scenario.ZONES.size()), new Endpoint("n" + n, 2)));
+                "n" + member,
+                Scenario.ZONES.get(member % Scenario.ZONES.size()),
+                new Endpoint("n" + member, 2)));
       }
     }
     List<TeamSetting> teams = new ArrayList<>();
     TEAMS.forEach(
-        t ->
+        team ->
             teams.add(
                 new TeamSetting(
-                    t, plan.limits() * GUARANTEE_CPUS, 0, plan.limits() * limit(t), 0)));
+                    team,
+                    scenario.limits() * GUARANTEED_CPUS,
+                    0,
+                    scenario.limits() * cpuLimit(team),
+                    0)));
     return new Settings(
-        "n" + i,
-        Scenario.ZONES.get(i % Scenario.ZONES.size()),
-        new Endpoint("n" + i, 1),
-        new Endpoint("n" + i, 2),
+        "n" + controller,
+        Scenario.ZONES.get(controller % Scenario.ZONES.size()),
+        new Endpoint("n" + controller, 1),
+        new Endpoint("n" + controller, 2),
         members,
         new Endpoint("cloud", 1),
         new Endpoint("state", 1),
         Scenario.ZONES,
         teams,
         List.of(),
-        REPORT_S,
+        REPORT_INTERVAL_S,
         LEASE_S,
-        CANCEL_S,
-        STATE_RPS,
-        STATE_WRITE_RPS,
+        CANCELLATION_LIMIT_S,
+        STATE_CALLS_PER_SECOND,
+        STATE_WRITES_PER_SECOND,
         8,
         16,
         20,
         2,
         1_000,
         64,
-        plan.nodes());
+        scenario.nodes());
   }
 
-  /** In a third of the histories none does, in a third all do, in the others every other node. */
-  private static boolean sharesStarts(long seed, int node) {
+  /**
+   * Returns whether a controller writes shared start records: depending on the seed, no controller
+   * does, all do, or every other one does.
+   */
+  private static boolean writesSharedStarts(long seed, int controller) {
     return switch (Math.floorMod(seed, 3)) {
       case 0 -> false;
       case 1 -> true;
-      default -> node % 2 == 0;
+      default -> controller % 2 == 0;
     };
   }
 
-  private void begin(int i) {
-    OperatorSettings o =
-        OperatorSettings.defaults().with(new RecordPolicy(sharesStarts(plan.seed(), i)));
+  private void startNode(int controller) {
+    OperatorSettings operatorSettings =
+        OperatorSettings.defaults()
+            .with(new RecordPolicy(writesSharedStarts(scenario.seed(), controller)));
     try {
-      SimulatedEnvironment h = hosts.get(i);
-      Node n =
+      SimulatedEnvironment environment = environments.get(controller);
+      Node node =
           new Node(
-              new ClusterConfig(settings(i), plan.links() ? o.with(LinkPolicy.defaults()) : o), h);
-      nodes.set(i, n);
-      time.schedule(0, h, n::startOnEventLoop);
+              new ClusterConfig(
+                  settings(controller),
+                  scenario.links()
+                      ? operatorSettings.with(LinkPolicy.defaults())
+                      : operatorSettings),
+              environment);
+      nodes.set(controller, node);
+      eventQueue.schedule(0, environment, node::startOnEventLoop);
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void load() {
-    SplittableRandom r = random.split();
-    for (int j = 0; j < plan.jobs(); j++) {
-      long at = 2_000 + r.nextLong(LOAD_MS);
-      String kind = CLASSES.get(j % CLASSES.size());
-      InvariantChecker.SubmittedJob s =
+  private void scheduleJobs() {
+    SplittableRandom jobRandom = random.split();
+    for (int j = 0; j < scenario.jobs(); j++) {
+      long submittedMs = 2_000 + jobRandom.nextLong(SUBMISSION_PERIOD_MS);
+      String taskClass = TASK_CLASSES.get(j % TASK_CLASSES.size());
+      InvariantChecker.SubmittedJob job =
           new InvariantChecker.SubmittedJob(
               String.format("job-%06d", j + 1),
-              TEAMS.get(r.nextInt(TEAMS.size())),
-              kind,
-              kind.equals("wide") ? 4 + r.nextInt(12) : 1 + r.nextInt(4),
-              kind.equals("long") ? 4 : 1 + r.nextInt(2),
-              r.nextInt(6) == 0 ? Scenario.ZONES.get(r.nextInt(2)) : null,
-              r.nextInt(8) == 0,
+              TEAMS.get(jobRandom.nextInt(TEAMS.size())),
+              taskClass,
+              taskClass.equals("wide") ? 4 + jobRandom.nextInt(12) : 1 + jobRandom.nextInt(4),
+              taskClass.equals("long") ? 4 : 1 + jobRandom.nextInt(2),
+              jobRandom.nextInt(6) == 0 ? Scenario.ZONES.get(jobRandom.nextInt(2)) : null,
+              jobRandom.nextInt(8) == 0,
               false,
-              at);
-      String rank = r.nextInt(3) == 0 ? "urgent" : "normal";
-      long usual = kind.equals("long") ? 9_000 + r.nextLong(9_000) : 1_500 + r.nextLong(4_000);
-      // A few outlast a cancellation's time, or nothing would show that they are stopped.
-      long run = j % 12 == 2 ? 3 * usual + (long) (CANCEL_S * 1000) : usual;
-      long fetch = 300 + r.nextLong(1_500);
-      long cancel = r.nextInt(7) == 0 ? 500 + r.nextLong(25_000) : 0;
-      time.schedule(at * 1000, null, () -> users.submitJob(s, rank, run, fetch, cancel, null));
+              submittedMs);
+      String priority = jobRandom.nextInt(3) == 0 ? "urgent" : "normal";
+      long usualRunMs =
+          taskClass.equals("long")
+              ? 9_000 + jobRandom.nextLong(9_000)
+              : 1_500 + jobRandom.nextLong(4_000);
+      // Every twelfth job runs longer than the cancellation limit: only then is it visible that
+      // cancelled tasks are stopped and do not end by themselves.
+      long runMs = j % 12 == 2 ? 3 * usualRunMs + (long) (CANCELLATION_LIMIT_S * 1000) : usualRunMs;
+      long fetchMs = 300 + jobRandom.nextLong(1_500);
+      long cancelAfterMs = jobRandom.nextInt(7) == 0 ? 500 + jobRandom.nextLong(25_000) : 0;
+      eventQueue.schedule(
+          submittedMs * 1000,
+          null,
+          () -> users.submitJob(job, priority, runMs, fetchMs, cancelAfterMs, null));
       if (j % 5 == 0) {
-        time.schedule(at * 1000, null, () -> users.queryUnknownJob("job-9" + s.id().substring(5)));
+        eventQueue.schedule(
+            submittedMs * 1000, null, () -> users.queryUnknownJob("job-9" + job.id().substring(5)));
       }
     }
   }
 
-  /** Gangs beside the rest: all of their tasks in one zone, more than any machine holds. */
-  private void gangs() {
-    SplittableRandom r = random.split();
-    for (int g = 0; g < plan.gangs(); g++) {
-      long at = 2_000 + r.nextLong(LOAD_MS);
-      InvariantChecker.SubmittedJob s =
+  /**
+   * Schedules gang jobs beside the other jobs: all tasks of a gang must run in one zone, and most
+   * gangs do not fit on one machine.
+   */
+  private void scheduleGangs() {
+    SplittableRandom gangRandom = random.split();
+    for (int g = 0; g < scenario.gangs(); g++) {
+      long submittedMs = 2_000 + gangRandom.nextLong(SUBMISSION_PERIOD_MS);
+      InvariantChecker.SubmittedJob job =
           new InvariantChecker.SubmittedJob(
               String.format("job-7%05d", g),
               "green",
               "gang",
-              3 + r.nextInt(6),
+              3 + gangRandom.nextInt(6),
               4,
               null,
               true,
               true,
-              at);
-      long run = 2_000 + r.nextLong(6_000);
-      time.schedule(at * 1000, null, () -> users.submitJob(s, "normal", run, 500, 0, null));
+              submittedMs);
+      long runMs = 2_000 + gangRandom.nextLong(6_000);
+      eventQueue.schedule(
+          submittedMs * 1000, null, () -> users.submitJob(job, "normal", runMs, 500, 0, null));
     }
   }
 
-  /** Jobs of many tasks whose image takes longer than they run: one for each group of them. */
-  private void weights() {
-    SplittableRandom r = random.split();
-    for (int i = 0; i < plan.weights(); i++) {
-      long at = 2_000 + r.nextLong(LOAD_MS);
-      InvariantChecker.SubmittedJob s =
+  /**
+   * Schedules jobs of many tasks that share one of two large images, which take longer to fetch
+   * than the tasks run.
+   */
+  private void scheduleLargeImageJobs() {
+    SplittableRandom jobRandom = random.split();
+    for (int i = 0; i < scenario.weights(); i++) {
+      long submittedMs = 2_000 + jobRandom.nextLong(SUBMISSION_PERIOD_MS);
+      InvariantChecker.SubmittedJob job =
           new InvariantChecker.SubmittedJob(
               String.format("job-6%05d", i),
               "blue",
               "weights" + i % 2,
-              6 + r.nextInt(9),
+              6 + jobRandom.nextInt(9),
               4,
               null,
               false,
               false,
-              at);
-      long run = 2_000 + r.nextLong(6_000);
-      time.schedule(at * 1000, null, () -> users.submitJob(s, "normal", run, 9_000, 0, null));
+              submittedMs);
+      long runMs = 2_000 + jobRandom.nextLong(6_000);
+      eventQueue.schedule(
+          submittedMs * 1000, null, () -> users.submitJob(job, "normal", runMs, 9_000, 0, null));
     }
   }
 
-  private void say(String line) {
-    faultLog.add(time.nowMs() + " " + line);
+  private void logFault(String line) {
+    faultLog.add(eventQueue.nowMs() + " " + line);
   }
 
-  private void schedule(Fault f) {
-    time.schedule(
-        f.atMs() * 1000,
+  private void scheduleFault(Fault fault) {
+    eventQueue.schedule(
+        fault.atMs() * 1000,
         null,
         () -> {
-          int node = f.node();
-          if (node < 0) {
-            node = (leader() + (f.node() == Scenario.FOLLOWER ? 1 : 0)) % plan.nodes();
+          int controller = fault.node();
+          if (controller < 0) {
+            controller =
+                (leaderIndex() + (fault.node() == Scenario.FOLLOWER ? 1 : 0)) % scenario.nodes();
           }
-          say("begins " + f + " of n" + node);
-          Runnable end = fails(f, node);
-          time.schedule(
-              f.forMs() * 1000,
+          logFault("begins " + fault + " of n" + controller);
+          Runnable endFault = inject(fault, controller);
+          eventQueue.schedule(
+              fault.forMs() * 1000,
               null,
               () -> {
-                say("ends " + f.kind());
-                end.run();
+                logFault("ends " + fault.kind());
+                endFault.run();
               });
         });
   }
 
-  private static Network.PartySelector node(int i) {
-    return new Network.PartySelector(Network.Kind.NODE, i, null);
+  private static Network.PartySelector controllerSelector(int index) {
+    return new Network.PartySelector(Network.Kind.NODE, index, null);
   }
 
-  private static Network.PartySelector all(Network.Kind kind) {
+  private static Network.PartySelector kindSelector(Network.Kind kind) {
     return new Network.PartySelector(kind, -1, null);
   }
 
-  private Runnable cut(Fault f, Network.PartySelector a, Network.PartySelector b) {
-    Network.Mode mode = Network.Mode.valueOf(f.mode().toUpperCase(java.util.Locale.ROOT));
-    Runnable to = f.direction() == 2 ? () -> {} : network.cut(a, b, mode);
-    Runnable back = f.direction() == 1 ? () -> {} : network.cut(b, a, mode);
+  private Runnable cutLink(Fault fault, Network.PartySelector from, Network.PartySelector to) {
+    Network.Mode mode = Network.Mode.valueOf(fault.mode().toUpperCase(java.util.Locale.ROOT));
+    Runnable healForward = fault.direction() == 2 ? () -> {} : network.cut(from, to, mode);
+    Runnable healBackward = fault.direction() == 1 ? () -> {} : network.cut(to, from, mode);
     return () -> {
-      to.run();
-      back.run();
+      healForward.run();
+      healBackward.run();
     };
   }
 
-  private Runnable flap(Fault f, Network.PartySelector a, Network.PartySelector b) {
-    Runnable[] lift = {cut(f, a, b)};
-    boolean[] over = new boolean[1];
-    boolean[] up = new boolean[1];
-    Runnable[] turn = new Runnable[1];
-    turn[0] =
+  private Runnable flapLink(Fault fault, Network.PartySelector from, Network.PartySelector to) {
+    Runnable[] heal = {cutLink(fault, from, to)};
+    boolean[] ended = new boolean[1];
+    boolean[] isUp = new boolean[1];
+    Runnable[] toggle = new Runnable[1];
+    toggle[0] =
         () -> {
-          if (over[0]) {
+          if (ended[0]) {
             return;
           }
-          if (up[0]) {
-            lift[0] = cut(f, a, b);
+          if (isUp[0]) {
+            heal[0] = cutLink(fault, from, to);
           } else {
-            lift[0].run();
+            heal[0].run();
           }
-          up[0] = !up[0];
-          time.schedule(3_000_000, null, turn[0]);
+          isUp[0] = !isUp[0];
+          eventQueue.schedule(3_000_000, null, toggle[0]);
         };
-    time.schedule(3_000_000, null, turn[0]);
+    eventQueue.schedule(3_000_000, null, toggle[0]);
     return () -> {
-      over[0] = true;
-      lift[0].run();
+      ended[0] = true;
+      heal[0].run();
     };
   }
 
-  private int leader() {
-    com.fasterxml.jackson.databind.JsonNode v = state.store().value("leader");
-    String name = v == null ? "n0" : v.path("node").asText();
-    return directory.get(name) instanceof SimulatedEnvironment h ? h.index : 0;
+  private int leaderIndex() {
+    com.fasterxml.jackson.databind.JsonNode leaderRecord = state.store().value("leader");
+    String name = leaderRecord == null ? "n0" : leaderRecord.path("node").asText();
+    return parties.get(name) instanceof SimulatedEnvironment environment ? environment.index : 0;
   }
 
-  /** Some controllers reach the state service alone, the others the workers alone. */
-  private Runnable noneWhole(Fault f, int first) {
-    List<Runnable> lifts = new ArrayList<>();
-    for (int i = 0; i < plan.nodes(); i++) {
-      boolean fewer = i < f.count();
-      Network.Kind lost = fewer ? Network.Kind.STATE : Network.Kind.WORKER;
-      lifts.add(cut(f, node((first + i) % plan.nodes()), all(lost)));
+  /**
+   * Cuts {@code count} controllers, beginning with {@code first}, off from the state service and
+   * all other controllers off from the workers.
+   */
+  private Runnable splitStateAndWorkers(Fault fault, int first) {
+    List<Runnable> heals = new ArrayList<>();
+    for (int i = 0; i < scenario.nodes(); i++) {
+      boolean losesState = i < fault.count();
+      Network.Kind lostKind = losesState ? Network.Kind.STATE : Network.Kind.WORKER;
+      heals.add(
+          cutLink(
+              fault, controllerSelector((first + i) % scenario.nodes()), kindSelector(lostKind)));
     }
-    return () -> lifts.forEach(Runnable::run);
+    return () -> heals.forEach(Runnable::run);
   }
 
-  private Runnable alone(Fault f, int node) {
-    List<Runnable> lifts = new ArrayList<>();
-    for (Network.Kind lost : List.of(Network.Kind.STATE, Network.Kind.CLOUD, Network.Kind.NODE)) {
-      lifts.add(cut(f, node(node), all(lost)));
+  private Runnable cutFromAllButWorkersAndUsers(Fault fault, int controller) {
+    List<Runnable> heals = new ArrayList<>();
+    for (Network.Kind lostKind :
+        List.of(Network.Kind.STATE, Network.Kind.CLOUD, Network.Kind.NODE)) {
+      heals.add(cutLink(fault, controllerSelector(controller), kindSelector(lostKind)));
     }
-    return () -> lifts.forEach(Runnable::run);
+    return () -> heals.forEach(Runnable::run);
   }
 
-  private Runnable fails(Fault f, int node) {
-    return switch (f.kind()) {
-      case CUT_STATE -> cut(f, node(node), all(Network.Kind.STATE));
-      case CUT_WORKERS -> cut(f, node(node), all(Network.Kind.WORKER));
+  private Runnable inject(Fault fault, int controller) {
+    return switch (fault.kind()) {
+      case CUT_STATE ->
+          cutLink(fault, controllerSelector(controller), kindSelector(Network.Kind.STATE));
+      case CUT_WORKERS ->
+          cutLink(fault, controllerSelector(controller), kindSelector(Network.Kind.WORKER));
       case CUT_PEER ->
-          cut(f, node(node), node(f.other() == node ? (node + 1) % plan.nodes() : f.other()));
-      case CUT_CLOUD -> cut(f, node(node), all(Network.Kind.CLOUD));
-      case CUT_USERS -> cut(f, all(Network.Kind.USERS), node(node));
-      case FLAP_STATE -> flap(f, node(node), all(Network.Kind.STATE));
-      case FLAP_WORKERS -> flap(f, node(node), all(Network.Kind.WORKER));
+          cutLink(
+              fault,
+              controllerSelector(controller),
+              controllerSelector(
+                  fault.other() == controller
+                      ? (controller + 1) % scenario.nodes()
+                      : fault.other()));
+      case CUT_CLOUD ->
+          cutLink(fault, controllerSelector(controller), kindSelector(Network.Kind.CLOUD));
+      case CUT_USERS ->
+          cutLink(fault, kindSelector(Network.Kind.USERS), controllerSelector(controller));
+      case FLAP_STATE ->
+          flapLink(fault, controllerSelector(controller), kindSelector(Network.Kind.STATE));
+      case FLAP_WORKERS ->
+          flapLink(fault, controllerSelector(controller), kindSelector(Network.Kind.WORKER));
       case PEERS_REFUSED ->
-          network.cut(all(Network.Kind.NODE), all(Network.Kind.NODE), Network.Mode.REFUSE);
-      case NONE_WHOLE -> noneWhole(f, node);
-      case ALONE -> alone(f, node);
+          network.cut(
+              kindSelector(Network.Kind.NODE),
+              kindSelector(Network.Kind.NODE),
+              Network.Mode.REFUSE);
+      case NONE_WHOLE -> splitStateAndWorkers(fault, controller);
+      case ALONE -> cutFromAllButWorkersAndUsers(fault, controller);
       case CUT_ZONE ->
-          cut(
-              f,
-              new Network.PartySelector(null, -1, f.zone()),
+          cutLink(
+              fault,
+              new Network.PartySelector(null, -1, fault.zone()),
               new Network.PartySelector(null, -1, null));
-      case CRASH -> crash(node, f.forMs());
-      case FREEZE -> freeze(hosts.get(node));
-      case ROLL -> roll();
-      case DIE -> die(f.count());
-      case HANG -> hang(f.count());
+      case CRASH -> crash(controller, fault.forMs());
+      case FREEZE -> freeze(environments.get(controller));
+      case ROLL -> restartInTurn();
+      case DIE -> killWorkers(fault.count());
+      case HANG -> hangWorkers(fault.count());
       case STATE_OUT -> {
         state.unavailable = true;
         yield state::endOutage;
       }
       case STATE_SLOW -> {
-        state.slowdownFactor = f.count();
+        state.slowdownFactor = fault.count();
         yield () -> state.slowdownFactor = 1;
       }
       case STATE_REFUSES -> {
-        state.refusedNode = node;
+        state.refusedNode = controller;
         yield () -> state.refusedNode = -1;
       }
       case CLOUD_OUT -> {
         cloud.unavailable = true;
         yield () -> cloud.unavailable = false;
       }
-      case BACK -> back(List.of(() -> node));
-      case BACK_LEADERS -> back(List.of(this::leader));
+      case BACK -> restartRepeatedly(List.of(() -> controller));
+      case BACK_LEADERS -> restartRepeatedly(List.of(this::leaderIndex));
       case BACK_ALL -> {
         List<IntSupplier> all = new ArrayList<>();
-        for (int i = 0; i < plan.nodes(); i++) {
-          int n = i;
-          all.add(() -> n);
+        for (int i = 0; i < scenario.nodes(); i++) {
+          int index = i;
+          all.add(() -> index);
         }
-        yield back(all);
+        yield restartRepeatedly(all);
       }
-      case DEAF -> deaf(some(f.count()));
+      case DEAF -> loseInbound(randomWorkers(fault.count()));
       case DEAF_ZONE -> {
         List<WorkerModel> all = cloud.workers();
-        all.removeIf(w -> !w.isListening() || !w.zone.equals(f.zone()));
-        yield deaf(all);
+        all.removeIf(w -> !w.isListening() || !w.zone.equals(fault.zone()));
+        yield loseInbound(all);
       }
       case LATE_REPORTS -> {
-        network.lateReportOneIn = 1 + f.count();
+        network.lateReportOneIn = 1 + fault.count();
         yield () -> network.lateReportOneIn = 0;
       }
       case LATE_WRITES -> {
-        network.lateWriteOneIn = 2 + f.count();
+        network.lateWriteOneIn = 2 + fault.count();
         yield () -> network.lateWriteOneIn = 0;
       }
-      case WORKERS_ONLY -> workersOnly(f, node);
+      case WORKERS_ONLY -> cutFromStateAndPeers(fault, controller);
       case LISTS_CROWDED -> {
         state.throttlesLists = true;
         yield () -> state.throttlesLists = false;
@@ -613,39 +680,39 @@
         yield () -> state.throttlesEndReads = false;
       }
       case MUTE -> {
-        List<WorkerModel> mute = some(f.count());
-        mute.forEach(w -> w.outboundLost = true);
-        yield () -> mute.forEach(w -> w.outboundLost = false);
+        List<WorkerModel> muted = randomWorkers(fault.count());
+        muted.forEach(w -> w.outboundLost = true);
+        yield () -> muted.forEach(w -> w.outboundLost = false);
       }
-      case CANCEL_NOW -> cancelNow(f);
+      case CANCEL_NOW -> cancelRunningJobs(fault);
       case CANCEL_AT_END -> {
-        atEndOneIn = f.count();
-        yield () -> atEndOneIn = 0;
+        cancelAtEndOneIn = fault.count();
+        yield () -> cancelAtEndOneIn = 0;
       }
       case ODD_REQUESTS -> {
-        boolean[] over = new boolean[1];
-        odd(over);
-        yield () -> over[0] = true;
+        boolean[] ended = new boolean[1];
+        sendOddRequests(ended);
+        yield () -> ended[0] = true;
       }
       case COPIES -> {
-        network.duplicateOneIn = 1 + f.count();
+        network.duplicateOneIn = 1 + fault.count();
         yield () -> network.duplicateOneIn = 0;
       }
       case LATE_COMMANDS -> {
-        network.lateCommandOneIn = 2 + f.count();
+        network.lateCommandOneIn = 2 + fault.count();
         yield () -> network.lateCommandOneIn = 0;
       }
       case ANSWERS_LOST -> {
-        network.lostAnswerOneIn = 2 + f.count();
+        network.lostAnswerOneIn = 2 + fault.count();
         yield () -> network.lostAnswerOneIn = 0;
       }
       case REPORTS_FOR_NEXT -> {
-        network.replayReportOneIn = 1 + f.count();
-        boolean[] over = new boolean[1];
-        releaseAtNextTerm(term(), over);
+        network.replayReportOneIn = 1 + fault.count();
+        boolean[] ended = new boolean[1];
+        replayReportsAtNextTerm(currentTerm(), ended);
         yield () -> {
           network.replayReportOneIn = 0;
-          over[0] = true;
+          ended[0] = true;
         };
       }
       case CLOSE_LOOKS -> {
@@ -657,215 +724,242 @@
         yield () -> cloud.quickBoots = false;
       }
       case SINGLE_JOBS -> {
-        boolean[] over = new boolean[1];
-        singleJobs(f.count(), over);
-        yield () -> over[0] = true;
+        boolean[] ended = new boolean[1];
+        submitSingleTaskJobs(fault.count(), ended);
+        yield () -> ended[0] = true;
       }
     };
   }
 
-  /** Those that have longest to go are cancelled, within a fifth of a second. */
-  private Runnable cancelNow(Fault f) {
+  /**
+   * Cancels the running jobs with the longest tasks within 200 ms, or those that still fetch their
+   * image if the mode is {@code fetch}. With mode {@code hang}, their machines hang as well.
+   */
+  private Runnable cancelRunningJobs(Fault fault) {
     Map<String, Set<String>> running = checker.runningJobs();
-    List<String> longest = new ArrayList<>(running.keySet());
-    longest.sort(Comparator.comparingLong((String id) -> -users.runMs(id)));
-    List<String> chosen = longest.subList(0, Math.min(f.count(), longest.size()));
-    if (f.mode().equals("fetch")) {
-      chosen = IntStream.range(0, f.count()).mapToObj(i -> victim(f, i)).toList();
-    }
-    Set<String> names = new TreeSet<>();
+    List<String> longestFirst = new ArrayList<>(running.keySet());
+    longestFirst.sort(Comparator.comparingLong((String id) -> -users.runMs(id)));
+    List<String> chosen = longestFirst.subList(0, Math.min(fault.count(), longestFirst.size()));
+    if (fault.mode().equals("fetch")) {
+      chosen =
+          IntStream.range(0, fault.count()).mapToObj(i -> cancellationTargetId(fault, i)).toList();
+    }
+    Set<String> machineNames = new TreeSet<>();
     for (String id : chosen) {
-      names.addAll(running.getOrDefault(id, Set.of()));
-      time.schedule(random.nextLong(200_000), null, () -> users.cancel(id));
+      machineNames.addAll(running.getOrDefault(id, Set.of()));
+      eventQueue.schedule(random.nextLong(200_000), null, () -> users.cancel(id));
     }
-    if (!f.mode().equals("hang")) {
+    if (!fault.mode().equals("hang")) {
       return () -> {};
     }
-    List<WorkerModel> hung = cloud.workers();
-    hung.removeIf(w -> !w.isListening() || !names.contains(w.name));
-    List<WorkerModel> few = hung.subList(0, Math.min(MOST_HUNG, hung.size()));
-    few.forEach(EventQueue.Actor::freeze);
-    return () -> few.forEach(time::thaw);
+    List<WorkerModel> candidates = cloud.workers();
+    candidates.removeIf(w -> !w.isListening() || !machineNames.contains(w.name));
+    List<WorkerModel> hung = candidates.subList(0, Math.min(MAX_HUNG_MACHINES, candidates.size()));
+    hung.forEach(EventQueue.Actor::freeze);
+    return () -> hung.forEach(eventQueue::thaw);
   }
 
-  /** Jobs that run long enough to be cancelled then; they are there before the trouble. */
-  private void victims(Fault f) {
-    boolean fetch = f.mode().equals("fetch");
-    for (int i = 0; i < f.count(); i++) {
-      long before = fetch ? FETCH_MS / 2 : VICTIMS_MS;
-      long at = Math.max(1_000, f.atMs() - before) + 100L * i;
-      InvariantChecker.SubmittedJob s =
+  /** Submits long jobs ahead of a CANCEL_NOW fault, so that there are jobs to cancel. */
+  private void scheduleCancellationTargets(Fault fault) {
+    boolean whileFetching = fault.mode().equals("fetch");
+    for (int i = 0; i < fault.count(); i++) {
+      long leadMs = whileFetching ? CANCELLED_JOB_FETCH_MS / 2 : SUBMITTED_BEFORE_CANCELLATION_MS;
+      long submittedMs = Math.max(1_000, fault.atMs() - leadMs) + 100L * i;
+      InvariantChecker.SubmittedJob job =
           new InvariantChecker.SubmittedJob(
-              victim(f, i), TEAMS.get(1 + i % 2), "long", 1 + i % 3, 4, null, false, false, at);
-      time.schedule(
-          at * 1000,
+              cancellationTargetId(fault, i),
+              TEAMS.get(1 + i % 2),
+              "long",
+              1 + i % 3,
+              4,
+              null,
+              false,
+              false,
+              submittedMs);
+      eventQueue.schedule(
+          submittedMs * 1000,
           null,
-          () -> users.submitJob(s, "urgent", LONG_RUN_MS, fetch ? FETCH_MS : 500, 0, null));
+          () ->
+              users.submitJob(
+                  job,
+                  "urgent",
+                  CANCELLED_JOB_RUN_MS,
+                  whileFetching ? CANCELLED_JOB_FETCH_MS : 500,
+                  0,
+                  null));
     }
   }
 
-  private static String victim(Fault f, int i) {
-    return String.format("job-5%02d%03d", Math.floorMod(f.atMs() / 1_000, 100), i);
+  private static String cancellationTargetId(Fault fault, int index) {
+    return String.format("job-5%02d%03d", Math.floorMod(fault.atMs() / 1_000, 100), index);
   }
 
-  private void completed(String id) {
-    for (int i = 0; i < END_LOOKS && users.checksClosely; i++) {
-      time.schedule(random.nextLong(END_LOOK_US), null, () -> users.checkClosely(id));
+  private void onJobCompleted(String id) {
+    for (int i = 0; i < CLOSE_CHECKS_AT_END && users.checksClosely; i++) {
+      eventQueue.schedule(
+          random.nextLong(CLOSE_CHECK_SPREAD_US), null, () -> users.checkClosely(id));
     }
-    if (atEndOneIn > 0 && random.nextInt(atEndOneIn) == 0) {
-      // Around the moment at which the end is committed, and each of them at its own.
-      time.schedule(random.nextLong(1_500_000), null, () -> users.cancel(id));
-      time.schedule(random.nextLong(1_500_000), null, () -> users.query(id));
-      time.schedule(random.nextLong(1_500_000), null, () -> users.resubmit(id));
+    if (cancelAtEndOneIn > 0 && random.nextInt(cancelAtEndOneIn) == 0) {
+      // Each request is sent at its own random moment around the commit of the job's end.
+      eventQueue.schedule(random.nextLong(1_500_000), null, () -> users.cancel(id));
+      eventQueue.schedule(random.nextLong(1_500_000), null, () -> users.query(id));
+      eventQueue.schedule(random.nextLong(1_500_000), null, () -> users.resubmit(id));
     }
   }
 
-  private void odd(boolean[] over) {
-    if (!over[0]) {
+  private void sendOddRequests(boolean[] ended) {
+    if (!ended[0]) {
       users.sendOddRequest(oddRequestCount++);
-      time.schedule(300_000 + random.nextLong(600_000), null, () -> odd(over));
+      eventQueue.schedule(300_000 + random.nextLong(600_000), null, () -> sendOddRequests(ended));
     }
   }
 
-  private static Runnable deaf(List<WorkerModel> workers) {
+  private static Runnable loseInbound(List<WorkerModel> workers) {
     workers.forEach(w -> w.inboundLost = true);
     return () -> workers.forEach(w -> w.inboundLost = false);
   }
 
-  private Runnable workersOnly(Fault f, int node) {
-    List<Runnable> lifts = new ArrayList<>();
-    for (Network.Kind lost : List.of(Network.Kind.STATE, Network.Kind.NODE)) {
-      lifts.add(cut(f, node(node), all(lost)));
-      lifts.add(cut(f, all(lost), node(node)));
+  private Runnable cutFromStateAndPeers(Fault fault, int controller) {
+    List<Runnable> heals = new ArrayList<>();
+    for (Network.Kind lostKind : List.of(Network.Kind.STATE, Network.Kind.NODE)) {
+      heals.add(cutLink(fault, controllerSelector(controller), kindSelector(lostKind)));
+      heals.add(cutLink(fault, kindSelector(lostKind), controllerSelector(controller)));
     }
-    return () -> lifts.forEach(Runnable::run);
+    return () -> heals.forEach(Runnable::run);
   }
 
-  private Runnable crash(int i, long forMs) {
-    SimulatedEnvironment h = hosts.get(i);
-    if (h.isAlive()) {
-      h.terminate();
-      time.schedule(Math.min(forMs, RESTART_MS) * 1000, null, () -> rise(i));
+  private Runnable crash(int controller, long forMs) {
+    SimulatedEnvironment environment = environments.get(controller);
+    if (environment.isAlive()) {
+      environment.terminate();
+      eventQueue.schedule(
+          Math.min(forMs, MAX_CRASH_DOWNTIME_MS) * 1000, null, () -> restart(controller));
     }
     return () -> {};
   }
 
-  private void rise(int i) {
-    hosts.get(i).restart(wander());
-    begin(i);
+  private void restart(int controller) {
+    environments.get(controller).restart(randomWallClockOffsetMs());
+    startNode(controller);
   }
 
-  private Runnable back(List<IntSupplier> who) {
-    boolean[] over = new boolean[1];
-    who.forEach(w -> again(w, over));
-    return () -> over[0] = true;
+  private Runnable restartRepeatedly(List<IntSupplier> targets) {
+    boolean[] ended = new boolean[1];
+    targets.forEach(target -> restartAndRepeat(target, ended));
+    return () -> ended[0] = true;
   }
 
-  /** Ends a process and brings it back after 1 ms to 1 s, short times as often as long ones. */
-  private void again(IntSupplier who, boolean[] over) {
-    if (over[0]) {
+  /**
+   * Ends a process, restarts it after 1 ms to 1 s and schedules the next round. The downtime is
+   * drawn on a logarithmic scale, so that short ones are as frequent as long ones.
+   */
+  private void restartAndRepeat(IntSupplier target, boolean[] ended) {
+    if (ended[0]) {
       return;
     }
-    int i = who.getAsInt();
-    if (hosts.get(i).isAlive()) {
-      hosts.get(i).terminate();
-      time.schedule((long) (1_000 * Math.pow(1_000, random.nextDouble())), null, () -> rise(i));
+    int controller = target.getAsInt();
+    if (environments.get(controller).isAlive()) {
+      environments.get(controller).terminate();
+      eventQueue.schedule(
+          (long) (1_000 * Math.pow(1_000, random.nextDouble())), null, () -> restart(controller));
     }
-    time.schedule(300_000 + random.nextLong(7_000_000), null, () -> again(who, over));
+    eventQueue.schedule(
+        300_000 + random.nextLong(7_000_000), null, () -> restartAndRepeat(target, ended));
   }
 
-  private Runnable freeze(EventQueue.Actor b) {
-    b.freeze();
-    return () -> time.thaw(b);
+  private Runnable freeze(EventQueue.Actor actor) {
+    actor.freeze();
+    return () -> eventQueue.thaw(actor);
   }
 
-  private Runnable roll() {
-    for (int i = 0; i < plan.nodes(); i++) {
-      int n = i;
-      time.schedule(i * 6_000_000L, null, () -> crash(n, RESTART_MS));
+  private Runnable restartInTurn() {
+    for (int i = 0; i < scenario.nodes(); i++) {
+      int controller = i;
+      eventQueue.schedule(i * 6_000_000L, null, () -> crash(controller, MAX_CRASH_DOWNTIME_MS));
     }
     return () -> {};
   }
 
-  private List<WorkerModel> some(int count) {
-    List<WorkerModel> up = cloud.workers();
-    up.removeIf(w -> !w.isListening());
-    List<WorkerModel> out = new ArrayList<>();
-    while (!up.isEmpty() && out.size() < count) {
-      out.add(up.remove(random.nextInt(up.size())));
+  private List<WorkerModel> randomWorkers(int count) {
+    List<WorkerModel> candidates = cloud.workers();
+    candidates.removeIf(w -> !w.isListening());
+    List<WorkerModel> chosen = new ArrayList<>();
+    while (!candidates.isEmpty() && chosen.size() < count) {
+      chosen.add(candidates.remove(random.nextInt(candidates.size())));
     }
-    return out;
+    return chosen;
   }
 
-  private Runnable die(int count) {
-    some(count).forEach(w -> w.machineGone("died"));
+  private Runnable killWorkers(int count) {
+    randomWorkers(count).forEach(w -> w.machineGone("died"));
     return () -> {};
   }
 
-  private Runnable hang(int count) {
-    List<WorkerModel> hung = some(count);
+  private Runnable hangWorkers(int count) {
+    List<WorkerModel> hung = randomWorkers(count);
     hung.forEach(EventQueue.Actor::freeze);
-    return () -> hung.forEach(time::thaw);
+    return () -> hung.forEach(eventQueue::thaw);
   }
 
-  /** Lets a faulty service answer users, for tests of what the checker sees. */
+  /** Lets tests of the checker falsify the answers of controllers to users. */
   void setAnswerFilter(Network.AnswerFilter filter) {
     network.answerFilter = filter;
   }
 
-  /** One controller's build does not know a message between controllers. */
-  void setUnknownMessage(int node, String path) {
-    hosts.get(node).unknownMessage = path;
+  /** Makes a controller answer 404 to a message path, like a build that does not know it. */
+  void setUnknownMessage(int controller, String path) {
+    environments.get(controller).unknownMessagePath = path;
   }
 
-  /** Transactions that wrote shared records of starts. */
+  /** Returns the number of transactions that wrote shared start records. */
   long sharedStartWrites() {
     return state.sharedStartWrites();
   }
 
-  /** Plays it to its end. */
+  /** Runs until every user knows the end of its jobs or the time limit is reached. */
   public Result run() {
-    long lastFault = 0;
-    for (Fault f : plan.faults()) {
-      lastFault = Math.max(lastFault, f.atMs() + f.forMs());
-    }
-    calmMs = lastFault;
-    checker.setLastFaultEndMs(lastFault);
-    long least = Math.max(lastFault, LOAD_MS + 5_000);
-    while (time.nowMs() < END_MS && (time.nowMs() < least || users.openJobs() > 0)) {
-      long until = time.nowUs() + 500_000;
-      while (time.runNext(until)) {
-        // Each step is an event.
+    long lastFaultMs = 0;
+    for (Fault f : scenario.faults()) {
+      lastFaultMs = Math.max(lastFaultMs, f.atMs() + f.forMs());
+    }
+    lastFaultEndMs = lastFaultMs;
+    checker.setLastFaultEndMs(lastFaultMs);
+    long earliestEndMs = Math.max(lastFaultMs, SUBMISSION_PERIOD_MS + 5_000);
+    while (eventQueue.nowMs() < MAX_DURATION_MS
+        && (eventQueue.nowMs() < earliestEndMs || users.openJobs() > 0)) {
+      long untilUs = eventQueue.nowUs() + 500_000;
+      while (eventQueue.runNext(untilUs)) {
+        // Each call runs one event.
       }
     }
-    if (ratings != null) {
-      ratings.checkAtEnd();
+    if (ratingModel != null) {
+      ratingModel.checkAtEnd();
     }
     checker.checkAtEnd(SERVED_WITHIN_MS);
     return new Result(
-        plan,
+        scenario,
         checker.breaches(),
         checker.servedCounts(SERVED_WITHIN_MS),
         checker.unfinishedJobCount(),
         checker.startedTasks(),
         checker.killedTasks(),
-        term(),
+        currentTerm(),
         cloud.workers().stream().mapToLong(WorkerModel::longestSilenceMs).max().orElse(0),
         checker.longestSilenceMs(),
         checker.longestRecoveryMs(),
         cloud.imagesFromMachines(),
         checker.cancelledJobs(),
-        keptReports,
+        replayedReports,
         users.closelyCheckedJobs(),
         checker.completedJobs(),
         state.writeCount(),
         checker.startsAfterCancellation(),
         checker.longestRunAfterCancellationMs(),
-        time.nowMs(),
-        time.eventCount());
+        eventQueue.nowMs(),
+        eventQueue.eventCount());
   }
 
-  /** When faults began and ended. */
+  /** Returns a line for each begin and end of a fault. */
   public List<String> faultLog() {
     return List.copyOf(faultLog);
   }
--- a/src/main/java/org/mallowroad/simulation/StarvationCheck.java
+++ b/src/main/java/org/mallowroad/simulation/StarvationCheck.java
@@ -9,74 +9,85 @@
 import java.util.function.Supplier;
 
 /**
- * Whether a job is left waiting although it could run: troubles over, there is room for all that it
- * needs next, and its team is under its limit. What fits is the whole need: a machine in its zone,
- * in the zone of its other tasks where they belong together, and room for all of a gang in one.
+ * Checks that no job waits too long although it could run. It is checked after the last fault. A
+ * job could run if its team is below its limit and there is room for what it needs next: one task,
+ * or all waiting tasks of a gang. The room must be in the job's zone if it has one. If all tasks
+ * must run in the same zone, the room must be in one zone, that of the running tasks if there are
+ * any.
  */
 final class StarvationCheck {
-  /** The users' words: no job waits longer than this. */
+  /** The users' requirement: no job that could run waits longer than this. */
   static final long MAX_WAIT_MS = 90_000;
 
   private final InvariantChecker checker;
   private final Supplier<List<WorkerModel>> workers;
-  private final Map<String, Long> sinceMs = new HashMap<>();
+  private final Map<String, Long> waitingSinceMs = new HashMap<>();
 
-  private final Predicate<String> held;
+  private final Predicate<String> isHeld;
 
   /**
-   * Over the machines that there are.
+   * Creates a check.
    *
-   * @param held true for a job that waits for other jobs or games, and not for room
+   * @param workers the workers of all existing machines
+   * @param isHeld whether a job, given by its id, waits for other jobs or games and not for room
    */
   StarvationCheck(
-      InvariantChecker checker, Supplier<List<WorkerModel>> workers, Predicate<String> held) {
+      InvariantChecker checker, Supplier<List<WorkerModel>> workers, Predicate<String> isHeld) {
     this.checker = checker;
     this.workers = workers;
-    this.held = held;
+    this.isHeld = isHeld;
   }
 
-  /** Call once a second. */
-  void check(long now, long calmMs) {
-    if (now < calmMs) {
+  /** Checks all unfinished jobs; call once a second. */
+  void check(long nowMs, long lastFaultEndMs) {
+    if (nowMs < lastFaultEndMs) {
       return;
     }
-    List<WorkerModel> up = new ArrayList<>(workers.get());
-    up.removeIf(w -> !w.isListening() || w.isFrozen() || w.inboundLost || w.outboundLost);
-    for (Map.Entry<InvariantChecker.SubmittedJob, Set<Integer>> e :
+    List<WorkerModel> reachable = new ArrayList<>(workers.get());
+    reachable.removeIf(
+        worker ->
+            !worker.isListening()
+                || worker.isFrozen()
+                || worker.inboundLost
+                || worker.outboundLost);
+    for (Map.Entry<InvariantChecker.SubmittedJob, Set<Integer>> entry :
         checker.unfinishedJobs().entrySet()) {
-      InvariantChecker.SubmittedJob s = e.getKey();
-      if (held.test(s.id()) || !couldRun(s, e.getValue(), up)) {
-        sinceMs.remove(s.id());
-      } else if (now - sinceMs.computeIfAbsent(s.id(), k -> now) > MAX_WAIT_MS) {
-        checker.reportBreach("left_waiting", s.id() + " waits while there is room");
-        sinceMs.put(s.id(), Long.MAX_VALUE / 2); // Said once.
+      InvariantChecker.SubmittedJob job = entry.getKey();
+      if (isHeld.test(job.id()) || !canRun(job, entry.getValue(), reachable)) {
+        waitingSinceMs.remove(job.id());
+      } else if (nowMs - waitingSinceMs.computeIfAbsent(job.id(), id -> nowMs) > MAX_WAIT_MS) {
+        checker.reportBreach(
+            "left_waiting", job.id() + " has waited too long although it could run");
+        waitingSinceMs.put(job.id(), Long.MAX_VALUE / 2); // Reports the violation once.
       }
     }
   }
 
-  private boolean couldRun(
-      InvariantChecker.SubmittedJob s, Set<Integer> done, List<WorkerModel> up) {
-    String zone = s.zone();
+  private boolean canRun(
+      InvariantChecker.SubmittedJob job, Set<Integer> completedTasks, List<WorkerModel> reachable) {
+    String zone = job.zone();
     int waiting = 0;
-    for (int t = 0; t < s.taskCount(); t++) {
-      if (!done.contains(t)) {
-        String task = s.id() + "/" + t;
-        WorkerModel has = up.stream().filter(w -> w.hasTask(task)).findFirst().orElse(null);
-        waiting += has == null ? 1 : 0;
-        zone = has != null && s.sameZone() ? has.zone : zone;
+    for (int index = 0; index < job.taskCount(); index++) {
+      if (!completedTasks.contains(index)) {
+        String task = job.id() + "/" + index;
+        WorkerModel holder =
+            reachable.stream().filter(worker -> worker.hasTask(task)).findFirst().orElse(null);
+        waiting += holder == null ? 1 : 0;
+        zone = holder != null && job.sameZone() ? holder.zone : zone;
       }
     }
-    int need = s.gang() ? waiting : Math.min(1, waiting);
-    if (need == 0 || checker.unusedCpus(s.team()) < need * s.cpusPerTask()) {
+    int neededSlots = job.gang() ? waiting : Math.min(1, waiting);
+    if (neededSlots == 0 || checker.unusedCpus(job.team()) < neededSlots * job.cpusPerTask()) {
       return false;
     }
-    Map<String, Integer> room = new HashMap<>();
-    for (WorkerModel w : up) {
-      if (zone == null || zone.equals(w.zone)) {
-        int fits = (int) Math.floor((CloudModel.CPUS - w.usedCpus()) / s.cpusPerTask() + 1e-9);
-        room.merge(s.sameZone() ? w.zone : "", fits, Integer::sum);
+    Map<String, Integer> freeSlots = new HashMap<>();
+    for (WorkerModel worker : reachable) {
+      if (zone == null || zone.equals(worker.zone)) {
+        int fits =
+            (int) Math.floor((CloudModel.CPUS - worker.usedCpus()) / job.cpusPerTask() + 1e-9);
+        freeSlots.merge(job.sameZone() ? worker.zone : "", fits, Integer::sum);
       }
     }
-    return room.values().stream().anyMatch(n -> n >= need);
+    return freeSlots.values().stream().anyMatch(slots -> slots >= neededSlots);
   }
 }
