--- a/src/main/java/org/mallowroad/simulation/Network.java
+++ b/src/main/java/org/mallowroad/simulation/Network.java
@@ -100,8 +100,14 @@
       return !lifted
           && from.matches(sender)
           && to.matches(receiver)
-          && !(to.kind == null && to.zone == null && from.zone != null && from.zone.equals(receiver.zone))
-          && !(from.kind == null && from.zone == null && to.zone != null && to.zone.equals(sender.zone));
+          && !(to.kind == null
+              && to.zone == null
+              && from.zone != null
+              && from.zone.equals(receiver.zone))
+          && !(from.kind == null
+              && from.zone == null
+              && to.zone != null
+              && to.zone.equals(sender.zone));
     }
   }
 
@@ -198,14 +204,16 @@
 
   /** Delivers a message after the link's latency and after all earlier messages on the link. */
   private void deliver(Party sender, Party receiver, Runnable arrival) {
-    long delayUs = LATENCY_US + random.nextLong(LATENCY_US * (inSameZone(sender, receiver) ? 1 : 4));
+    long delayUs =
+        LATENCY_US + random.nextLong(LATENCY_US * (inSameZone(sender, receiver) ? 1 : 4));
     for (Cut cut : cuts) {
       if (cut.mode == Mode.LOSSY && cut.applies(sender, receiver) && random.nextInt(4) == 0) {
         delayUs += RETRANSMISSION_US * (1 + random.nextInt(4));
       }
     }
     long link = ((long) partyId(sender) << 32) | partyId(receiver);
-    long arrivalUs = Math.max(eventQueue.nowUs() + delayUs, lastArrivalUs.getOrDefault(link, 0L) + 1);
+    long arrivalUs =
+        Math.max(eventQueue.nowUs() + delayUs, lastArrivalUs.getOrDefault(link, 0L) + 1);
     lastArrivalUs.put(link, arrivalUs);
     eventQueue.schedule(arrivalUs - eventQueue.nowUs(), null, arrival);
   }
@@ -231,13 +239,15 @@
       long timeoutMs,
       RequestSender.ResponseHandler responseHandler) {
     Call call = new Call(sender);
-    eventQueue.schedule(timeoutMs * 1000, sender, () -> call.complete(() -> responseHandler.onFailure(true)));
+    eventQueue.schedule(
+        timeoutMs * 1000, sender, () -> call.complete(() -> responseHandler.onFailure(true)));
     Runnable arrival =
         () -> {
           if (!receiver.isListening()) {
             // The host of an ended controller refuses connections; a lost machine does not answer.
             if (receiver.kind == Kind.NODE) {
-              sendAnswer(receiver, sender, () -> call.complete(() -> responseHandler.onFailure(false)));
+              sendAnswer(
+                  receiver, sender, () -> call.complete(() -> responseHandler.onFailure(false)));
             }
             return;
           }
@@ -265,11 +275,23 @@
         };
     if (lateWriteOneIn > 0 && target.equals("/multi") && random.nextInt(lateWriteOneIn) == 0) {
       // Executed after newer transactions of the same sender, which gets no answer.
-      deliverWithoutAnswer(sender, receiver, method, target, body, MIN_LATE_US + random.nextLong(LATE_WRITE_SPREAD_US));
+      deliverWithoutAnswer(
+          sender,
+          receiver,
+          method,
+          target,
+          body,
+          MIN_LATE_US + random.nextLong(LATE_WRITE_SPREAD_US));
       return;
     }
     if (lateCommandOneIn > 0 && target.equals("/orders") && random.nextInt(lateCommandOneIn) == 0) {
-      deliverWithoutAnswer(sender, receiver, method, target, body, MIN_LATE_US + random.nextLong(LATE_COMMAND_SPREAD_US));
+      deliverWithoutAnswer(
+          sender,
+          receiver,
+          method,
+          target,
+          body,
+          MIN_LATE_US + random.nextLong(LATE_COMMAND_SPREAD_US));
       return;
     }
     if (lostAnswerOneIn > 0 && target.equals("/multi") && random.nextInt(lostAnswerOneIn) == 0) {
@@ -291,7 +313,10 @@
         && random.nextInt(lateReportOneIn) == 0) {
       scheduleLateReport(sender, body);
     }
-    Cut cut = sender.outboundLost && receiver.kind == Kind.NODE ? SILENT_LOSS : activeCut(sender, receiver);
+    Cut cut =
+        sender.outboundLost && receiver.kind == Kind.NODE
+            ? SILENT_LOSS
+            : activeCut(sender, receiver);
     if (cut == null) {
       deliver(sender, receiver, arrival);
       if (duplicateOneIn > 0 && sender.kind != Kind.USERS && random.nextInt(duplicateOneIn) == 0) {
@@ -303,8 +328,12 @@
       case LOST -> {
         // The call ends with its timeout.
       }
-      case REFUSE -> eventQueue.schedule(LATENCY_US, sender, () -> call.complete(() -> responseHandler.onFailure(false)));
-      case RESET -> eventQueue.schedule(LATENCY_US, sender, () -> call.complete(() -> responseHandler.onFailure(true)));
+      case REFUSE ->
+          eventQueue.schedule(
+              LATENCY_US, sender, () -> call.complete(() -> responseHandler.onFailure(false)));
+      case RESET ->
+          eventQueue.schedule(
+              LATENCY_US, sender, () -> call.complete(() -> responseHandler.onFailure(true)));
       default -> {
         // Half of the requests are sent on open connections and arrive after the cut. The others
         // are connection attempts that the sender gives up, and never arrive.
@@ -326,7 +355,9 @@
         () -> {
           if (receiver.isListening()) {
             eventQueue.schedule(
-                0, receiver, () -> receiver.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
+                0,
+                receiver,
+                () -> receiver.handleRequest(from, "POST", "/v1/report", body, (s, x) -> {}));
           }
         });
   }
@@ -340,7 +371,9 @@
         () -> {
           if (receiver.isListening()) {
             eventQueue.schedule(
-                0, receiver, () -> receiver.handleRequest(sender, method, target, body, (status, bytes) -> {}));
+                0,
+                receiver,
+                () -> receiver.handleRequest(sender, method, target, body, (status, bytes) -> {}));
           }
         });
   }
@@ -366,12 +399,15 @@
   private static final long REPLAY_SPREAD_US = 200_000;
 
   /** Delivers a request a second time, up to a minute later; its answer is dropped. */
-  private void scheduleDuplicate(Party sender, Party receiver, String method, String target, byte[] body) {
+  private void scheduleDuplicate(
+      Party sender, Party receiver, String method, String target, byte[] body) {
     Runnable delivery =
         () -> {
           if (receiver.isListening()) {
             eventQueue.schedule(
-                0, receiver, () -> receiver.handleRequest(sender, method, target, body, (status, bytes) -> {}));
+                0,
+                receiver,
+                () -> receiver.handleRequest(sender, method, target, body, (status, bytes) -> {}));
           }
         };
     eventQueue.schedule(LATENCY_US + random.nextLong(DUPLICATE_SPREAD_US), null, delivery);
@@ -381,19 +417,19 @@
    * Sends an answer. A cut in mode {@link Mode#HOLD} delays it; any other cut except {@link
    * Mode#LOSSY} loses it, and the call ends with its timeout.
    */
-  private void sendAnswer(Party receiver, Party sender, Runnable arrival) {
-    Cut cut = activeCut(receiver, sender);
-    int generation = sender.generation();
+  private void sendAnswer(Party responder, Party caller, Runnable arrival) {
+    Cut cut = activeCut(responder, caller);
+    int generation = caller.generation();
     Runnable delivery =
         () -> {
-          if (sender.generation() == generation) {
-            eventQueue.schedule(0, sender, arrival);
+          if (caller.generation() == generation) {
+            eventQueue.schedule(0, caller, arrival);
           }
         };
     if (cut == null) {
-      deliver(receiver, sender, delivery);
+      deliver(responder, caller, delivery);
     } else if (cut.mode == Mode.HOLD) {
-      cut.heldMessages.add(() -> deliver(receiver, sender, delivery));
+      cut.heldMessages.add(() -> deliver(responder, caller, delivery));
     }
   }
 
--- a/src/main/java/org/mallowroad/simulation/StateModel.java
+++ b/src/main/java/org/mallowroad/simulation/StateModel.java
@@ -57,7 +57,8 @@
 
   private record PendingWatch(int node, String target, Network.Reply reply, long untilMs) {}
 
-  StateModel(EventQueue eventQueue, SplittableRandom random, int callsPerSecond, int writesPerSecond) {
+  StateModel(
+      EventQueue eventQueue, SplittableRandom random, int callsPerSecond, int writesPerSecond) {
     super(Network.Kind.STATE, 0, "state", null);
     this.eventQueue = eventQueue;
     this.random = random;
@@ -152,7 +153,8 @@
         continue;
       }
       try {
-        InMemoryKeyValueStore.Response answer = store.serve("GET", watch.target, EMPTY_OBJECT, eventQueue.nowMs());
+        InMemoryKeyValueStore.Response answer =
+            store.serve("GET", watch.target, EMPTY_OBJECT, eventQueue.nowMs());
         if (answer == null && eventQueue.nowMs() >= watch.untilMs) {
           answer = store.emptyWatchResponse();
         }
--- a/src/main/java/org/mallowroad/simulation/UserModel.java
+++ b/src/main/java/org/mallowroad/simulation/UserModel.java
@@ -119,12 +119,16 @@
     if (health.healthy && health.failedProbes >= 2) {
       health.healthy = false;
       // The time out of rotation doubles with each further removal within two minutes.
-      boolean recentlyRemoved = health.lastRemovedMs > 0 && eventQueue.nowMs() - health.lastRemovedMs < REMOVAL_DOUBLING_WINDOW_MS;
-      health.removalMs = recentlyRemoved ? Math.min(MAX_REMOVAL_MS, 2 * health.removalMs) : MIN_REMOVAL_MS;
+      boolean recentlyRemoved =
+          health.lastRemovedMs > 0
+              && eventQueue.nowMs() - health.lastRemovedMs < REMOVAL_DOUBLING_WINDOW_MS;
+      health.removalMs =
+          recentlyRemoved ? Math.min(MAX_REMOVAL_MS, 2 * health.removalMs) : MIN_REMOVAL_MS;
       health.lastRemovedMs = eventQueue.nowMs();
     } else if (!health.healthy
         && (health.successfulProbes >= 2 || (health.successfulProbes == 1 && !health.wasHealthy))
-        && eventQueue.nowMs() - health.lastRemovedMs >= (health.wasHealthy ? health.removalMs : 0)) {
+        && eventQueue.nowMs() - health.lastRemovedMs
+            >= (health.wasHealthy ? health.removalMs : 0)) {
       health.healthy = true;
       health.wasHealthy = true;
     }
@@ -167,10 +171,12 @@
     }
     for (SimulatedEnvironment node : nodes) {
       for (int i = 0; i < CLOSE_QUERIES_PER_NODE; i++) {
-        eventQueue.schedule(random.nextLong(CLOSE_QUERY_SPREAD_US << (2 * i)), this, () -> queryNode(node, id));
+        eventQueue.schedule(
+            random.nextLong(CLOSE_QUERY_SPREAD_US << (2 * i)), this, () -> queryNode(node, id));
       }
       if (random.nextBoolean()) {
-        eventQueue.schedule(random.nextLong(CLOSE_QUERY_SPREAD_US), this, () -> resubmitToNode(node, id));
+        eventQueue.schedule(
+            random.nextLong(CLOSE_QUERY_SPREAD_US), this, () -> resubmitToNode(node, id));
       }
     }
   }
@@ -180,7 +186,8 @@
       closelyCheckedJobs++;
       checkClosely(job.id());
       if (random.nextInt(CANCEL_ONE_IN) == 0) {
-        eventQueue.schedule(random.nextLong(CLOSE_QUERY_SPREAD_US), this, () -> cancel(job, eventQueue.nowMs()));
+        eventQueue.schedule(
+            random.nextLong(CLOSE_QUERY_SPREAD_US), this, () -> cancel(job, eventQueue.nowMs()));
       }
     }
   }
@@ -216,12 +223,23 @@
 
   /** Calls one node and bypasses the load balancer; status 0 means that no answer came. */
   private void callNode(
-      SimulatedEnvironment node, String method, String target, byte[] body, long timeoutMs, AnswerHandler handler) {
+      SimulatedEnvironment node,
+      String method,
+      String target,
+      byte[] body,
+      long timeoutMs,
+      AnswerHandler handler) {
     callOnce(node, method, target, body, timeoutMs, handler, sent -> handler.answered(0, ""));
   }
 
   /** Calls a random healthy node; status 0 means that no answer came. */
-  private void callHealthyNode(String method, String target, byte[] body, long timeoutMs, int attempts, AnswerHandler handler) {
+  private void callHealthyNode(
+      String method,
+      String target,
+      byte[] body,
+      long timeoutMs,
+      int attempts,
+      AnswerHandler handler) {
     SimulatedEnvironment node = randomHealthyNode();
     if (node == null) {
       eventQueue.schedule(timeoutMs * 1000, this, () -> handler.answered(0, ""));
@@ -302,7 +320,9 @@
     openJobs++;
     ObjectNode body = Json.object();
     body.put("name_id", job.id()).put("docket", job.taskClass()).put("crew", job.team());
-    body.put("form", job.gang() ? "gang" : "sweep").put("rank", priority).put("moves", job.taskCount());
+    body.put("form", job.gang() ? "gang" : "sweep")
+        .put("rank", priority)
+        .put("moves", job.taskCount());
     body.put("cpus", job.cpusPerTask()).put("cards", 0.0).put("mem_gb", 1.0);
     body.put("kit", "i-" + job.taskClass()).put("size_gb", fetchMs / 1000.0);
     body.putNull("builds").put("ground", job.zone()).put("together", job.sameZone());
@@ -334,7 +354,8 @@
           } else if (status == 422) {
             openJobs--; // The job can never run, so it is not submitted again.
           } else if (eventQueue.nowMs() - job.submittedMs() < RETRY_WINDOW_MS) {
-            eventQueue.schedule(1_000_000 + random.nextLong(500_000), this, () -> sendSubmission(job, body));
+            eventQueue.schedule(
+                1_000_000 + random.nextLong(500_000), this, () -> sendSubmission(job, body));
           } else {
             openJobs--;
           }
--- a/src/main/java/org/mallowroad/simulation/WorkerModel.java
+++ b/src/main/java/org/mallowroad/simulation/WorkerModel.java
@@ -219,21 +219,25 @@
           @Override
           public void onResponse(int status, byte[] body) {
             reportInFlight = false;
-            ObjectNode o = parsed(body);
+            ObjectNode response = parsed(body);
             if (status == 200) {
               // An answer with an older token or to an earlier incarnation is dropped and does not
               // renew the lease, but the worker keeps reporting to this node.
-              if (sentIncarnation == incarnation && o.path("baton").asLong(-1) >= fencingToken) {
+              if (sentIncarnation == incarnation
+                  && response.path("baton").asLong(-1) >= fencingToken) {
                 lastAnsweredSentMs = Math.max(lastAnsweredSentMs, sentMs);
-                raiseFencingToken(o.path("baton").asLong());
-                o.path("orders").forEach(WorkerModel.this::apply);
+                raiseFencingToken(response.path("baton").asLong());
+                response.path("orders").forEach(WorkerModel.this::apply);
               }
-              scheduleReport(changedSinceReport ? MIN_REPORT_INTERVAL_MS : reportMs * 3 / 4 + random.nextLong(reportMs / 2));
+              scheduleReport(
+                  changedSinceReport
+                      ? MIN_REPORT_INTERVAL_MS
+                      : reportMs * 3 / 4 + random.nextLong(reportMs / 2));
               return;
             }
-            int to = status == 421 ? indexOfNode(o.path("steward").asText()) : -1;
-            if (to >= 0 && to != reportTarget) {
-              reportTarget = to;
+            int leaderIndex = status == 421 ? indexOfNode(response.path("steward").asText()) : -1;
+            if (leaderIndex >= 0 && leaderIndex != reportTarget) {
+              reportTarget = leaderIndex;
               scheduleReport(random.nextLong(500));
             } else {
               onFailure(true);
@@ -299,7 +303,8 @@
     ObjectNode request = parsed(body);
     if (target.equals("/orders")) {
       boolean isStale =
-          request.path("baton").asLong() < fencingToken || request.path("watch").asLong() != incarnation;
+          request.path("baton").asLong() < fencingToken
+              || request.path("watch").asLong() != incarnation;
       if (!isStale) {
         raiseFencingToken(request.path("baton").asLong());
         request.path("orders").forEach(this::apply);
@@ -379,13 +384,17 @@
       WorkerModel sourceWorker = jobDirectory.workerAt(address.asText());
       if (sourceWorker != null && !sourceWorker.imagesEverCached.contains(image)) {
         checker.reportBreach(
-            "fetched_from_nobody", name + " is directed to " + sourceWorker.name + ", which never had image " + image);
+            "fetched_from_nobody",
+            name + " is directed to " + sourceWorker.name + ", which never had image " + image);
       }
       if (!servesImages) {
         checker.reportBreach(
             "fetched_from_nobody", name + " serves no images but got image sources");
       }
-      if (sourceWorker != null && sourceWorker.isListening() && !sourceWorker.isFrozen() && sourceWorker.cachedImages.contains(image)) {
+      if (sourceWorker != null
+          && sourceWorker.isListening()
+          && !sourceWorker.isFrozen()
+          && sourceWorker.cachedImages.contains(image)) {
         imagesFromMachines++;
         return sourceFetchMs / 3;
       }
